--- a/internal/platform/nodesettings/nodesettings_test.go
+++ b/internal/platform/nodesettings/nodesettings_test.go
@@ -1,6 +1,7 @@
 package nodesettings_test
 
 import (
+	"encoding/json"
 	"strings"
 	"testing"
 
@@ -62,3 +63,36 @@
 		Entry("text that is no YAML", `node:`, `node: [`, ""),
 	)
 })
+
+const full = `node: "edge-7"
+role: "edge"
+serves: ["edge", "controller"]
+ip: "10.0.0.7"
+zone: "hall"
+region: "north"
+zones: {hall: "north", yard: "south"}
+listen: {front: "10.0.0.7:80", readiness: "10.0.0.7:81", control: "10.0.0.7:8649"}
+inner_port_range: [7620, 7635]
+seeds: ["10.0.0.1:8649"]
+first_start: true
+counted: true
+limits: {cpu_share: 0.27, memory_mb: 96, file_handles: 1024, disk_mb: 64}
+tolerance: {machines: 2, zones: 1, regions: 0}
+data_dir: "/data/x"
+beat_period_s: 1.5
+bounds: ["drain_s=2.5,closed=true"]
+`
+
+var _ = Describe("every field of a settings file", func() {
+	It("is read under the name that the platform gives it", func() {
+		s, err := nodesettings.Parse("node.yaml", []byte(full))
+		Expect(err).NotTo(HaveOccurred())
+		text, err := json.Marshal(s)
+		Expect(err).NotTo(HaveOccurred())
+		Expect(string(text)).To(Equal(`{"node":"edge-7","role":"edge","serves":["edge","controller"],"ip":"10.0.0.7","zone":"hall","region":"north",` +
+			`"zones":{"hall":"north","yard":"south"},"listen":{"front":"10.0.0.7:80","readiness":"10.0.0.7:81","control":"10.0.0.7:8649"},` +
+			`"inner_port_range":[7620,7635],"seeds":["10.0.0.1:8649"],"first_start":true,"counted":true,` +
+			`"limits":{"cpu_share":0.27,"memory_mb":96,"file_handles":1024,"disk_mb":64},"tolerance":{"machines":2,"zones":1,"regions":0},` +
+			`"data_dir":"/data/x","beat_period_s":1.5,"bounds":["drain_s=2.5,closed=true"]}`))
+	})
+})
