--- a/cmd/edge/main.go
+++ b/cmd/edge/main.go
@@ -26,7 +26,7 @@
 			if err != nil {
 				return err
 			}
-			set.KeepMemory()
+			set.ApplyMemoryLimit()
 			security, err := peer.NewSecurity(cmd.String("inner-tls"), set.IP)
 			if err != nil {
 				return apierror.Settings.Wrap(err, "--inner-tls")
--- a/cmd/operator/bookings.go
+++ b/cmd/operator/bookings.go
@@ -87,7 +87,7 @@
 }
 
 func stateOf(b *operator.Bookings, one reservation.Booking) string {
-	switch wants := one.Wants(b.Now); {
+	switch wants := one.SlotsAt(b.Now); {
 	case b.Lacks[one.ID] > 0:
 		return fmt.Sprintf("in danger: lacks %.1f", b.Lacks[one.ID])
 	case wants > 0:
--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -112,7 +112,7 @@
 		{"stored claim", filled(&idempotency.Record{})},
 		{"stored server", filled(&registry.Entry{})},
 		{"log entry data", filled(&statemachine.Change{})},
-		{"bookings", filled(&reservation.Book{})},
+		{"bookings", filled(&reservation.Ledger{})},
 	}
 }
 
@@ -202,13 +202,13 @@
 }
 
 func claim(n byte) idempotency.Record {
-	return idempotency.Record{Key: idempotency.Key{n}, Token: idempotency.Token{Life: 5, N: uint64(n)}, Home: ips[0]}
+	return idempotency.Record{Key: idempotency.Key{n}, Token: idempotency.Token{Incarnation: 5, Sequence: uint64(n)}, ResponseHolder: ips[0]}
 }
 
 func claims() []idempotency.Record {
 	answered, answer, void, copied, contested := claim(1), claim(1), claim(3), claim(4), claim(5)
-	answer.Answer = &idempotency.Answer{Status: 201, Headers: map[string]string{"X-Server-Seal": "seal"}, Body: []byte("paid")}
-	void.Void, copied.Copied, contested.Copied, contested.Contested = true, true, true, true
+	answer.Response = &idempotency.Response{Status: 201, Headers: map[string]string{"X-Server-Seal": "seal"}, Body: []byte("paid")}
+	void.Revoked, copied.Copied, contested.Copied, contested.Contested = true, true, true, true
 	return []idempotency.Record{answered, answer, claim(2), claim(3), void, copied, contested}
 }
 
@@ -216,7 +216,7 @@
 	ready := registry.Entry{ID: "i-1", Service: "tags", Address: "10.0.1.1:80", Zone: "x", Version: "v1", Capacity: 4, Seq: 3, Owner: ips[0]}
 	draining, silent := ready, ready
 	draining.ID, draining.State = "i-2", registry.Draining
-	silent.ID, silent.Silent = "i-3", true
+	silent.ID, silent.TimedOut = "i-3", true
 	return []registry.Entry{ready, draining, silent}
 }
 
@@ -226,7 +226,7 @@
 	t.Helper()
 	no, hard := false, consensus.HardState{Term: 5, Vote: ips[1], Commit: 6}
 	state := statemachine.New()
-	for i, c := range []statemachine.Change{{Body: []byte(configOne)}, {Book: &reservation.Op{Call: "call-1", Puts: []reservation.Booking{booking}, Now: 2e9}}} {
+	for i, c := range []statemachine.Change{{Body: []byte(configOne)}, {Bookings: &reservation.Op{Call: "call-1", Puts: []reservation.Booking{booking}, Now: 2e9}}} {
 		if _, err := state.Apply(consensus.Entry{Term: 4, Index: uint64(i + 2), Data: change(t, c)}); err != nil {
 			t.Fatal(err)
 		}
@@ -236,11 +236,11 @@
 		t.Fatal(err)
 	}
 	return []*storage.Batch{
-		{Identity: ips[0], Members: ips, Hard: &hard, LedgerBlank: &no, Membership: &membership},
+		{Identity: ips[0], BootstrapVoters: ips, Hard: &hard, Recovering: &no, Membership: &membership},
 		{Snapshot: &consensus.Snapshot{Term: 4, Index: 3, Data: data, Membership: membership}},
 		{Entries: []consensus.Entry{{Term: 4, Index: 4, Data: change(t, statemachine.Change{Base: 1, Patch: true, Body: []byte(changeTwo)})},
 			{Term: 5, Index: 5, Membership: &membership}, {Term: 5, Index: 6, Data: change(t, statemachine.Change{Base: 2, Patch: true, Body: []byte(changeBad)})}}},
-		{Records: claims(), Servers: servers()},
+		{Claims: claims(), Servers: servers()},
 	}
 }
 
@@ -316,24 +316,24 @@
 		}
 	}
 	equal("new", got.New, false)
-	equal("fault", got.Spoilt, nil)
+	equal("fault", got.Corrupt, nil)
 	equal("identity", got.Identity, ips[0])
-	equal("first voters", got.Members, ips)
+	equal("first voters", got.BootstrapVoters, ips)
 	equal("membership", got.Membership, membership)
 	equal("hard state", got.Hard, *wrote[0].Hard)
 	equal("snapshot", got.Snapshot, *wrote[1].Snapshot)
 	equal("log", got.Entries, wrote[2].Entries)
-	equal("claims", got.Records, claims())
+	equal("claims", got.Claims, claims())
 	equal("servers", got.Servers, servers())
-	equal("store of claims is empty", got.LedgerBlank, false)
+	equal("store of claims is empty", got.Recovering, false)
 
 	state := statemachine.New()
 	if err := state.Restore(got.Snapshot); err != nil {
 		t.Fatal(err)
 	}
 	equal("version in the snapshot", config.Version(state.Version()).String(), "r1")
-	equal("bookings", state.Book.All, map[string]reservation.Booking{"fair": booking})
-	equal("known call", state.Book.Knows("call-1"), true)
+	equal("bookings", state.Bookings.Active, map[string]reservation.Booking{"fair": booking})
+	equal("known call", state.Bookings.Knows("call-1"), true)
 	var refused []uint64
 	for _, e := range got.Entries {
 		if _, err := state.Apply(e); err != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -57,23 +57,23 @@
 // Share is a part of a split route.
 type Share struct {
 	Service string  `json:"service"`
-	Gain    float64 `json:"gain"`
+	Weight  float64 `json:"gain"`
 }
 
 // Route is one channel of a plant. It keeps the bytes that it was sent as.
 type Route struct {
-	Name     string  `json:"name"`
-	Prefix   string  `json:"path_prefix"`
-	Kind     Kind    `json:"kind"`
-	Deadline float64 `json:"deadline_s"`
-	Setpoint float64 `json:"setpoint_s"`
-	Priority int     `json:"priority"`
-	Service  string  `json:"service"`
-	Split    []Share `json:"split"`
-	Tries    int     `json:"tries"`
+	Name          string  `json:"name"`
+	Prefix        string  `json:"path_prefix"`
+	Kind          Kind    `json:"kind"`
+	Deadline      float64 `json:"deadline_s"`
+	LatencyTarget float64 `json:"setpoint_s"`
+	Priority      int     `json:"priority"`
+	Service       string  `json:"service"`
+	Split         []Share `json:"split"`
+	MaxServers    int     `json:"tries"`
 
-	Plant string          `json:"-"`
-	raw   json.RawMessage // as it was put: what is read back is what was sent
+	Host string          `json:"-"`
+	raw  json.RawMessage // as it was put: what is read back is what was sent
 }
 
 // Shares are the services that a route goes to.
@@ -105,7 +105,7 @@
 // Config is one whole configuration. It is not changed once it is made.
 type Config struct {
 	Version  Version
-	Plants   []string // hosts that have routes, in the order they came
+	Hosts    []string // hosts that have routes, in the order they came
 	Routes   []*Route // in the order of their hosts, as they are written
 	Services []*Service
 	Limits   Limits
@@ -114,15 +114,15 @@
 	other  map[string]json.RawMessage // fields that we don't know
 }
 
-type wirePlant struct {
-	Plant    string            `json:"plant"`
-	Channels []json.RawMessage `json:"channels"`
+type wireHost struct {
+	Host   string            `json:"plant"`
+	Routes []json.RawMessage `json:"channels"`
 }
 
 type wireItems struct {
 	Services []json.RawMessage `json:"services"`
 	Limits   json.RawMessage   `json:"limits"`
-	Plants   []wirePlant       `json:"plants"`
+	Plants   []wireHost        `json:"plants"`
 }
 
 // Parse reads a whole configuration and checks it by itself.
@@ -147,7 +147,7 @@
 	if err := c.upsert(whole.wireItems); err != nil {
 		return nil, err
 	}
-	c.order()
+	c.groupRoutes()
 	return c, c.check()
 }
 
@@ -178,14 +178,14 @@
 	}
 	next := *c
 	next.Version = change.Version
-	next.Plants, next.Routes, next.Services = slices.Clone(c.Plants), slices.Clone(c.Routes), slices.Clone(c.Services)
+	next.Hosts, next.Routes, next.Services = slices.Clone(c.Hosts), slices.Clone(c.Routes), slices.Clone(c.Services)
 	routes, plants, services := set(change.Remove.Routes), set(change.Remove.Plants), set(change.Remove.Services)
-	next.Routes = slices.DeleteFunc(next.Routes, func(r *Route) bool { return routes[r.Name] || plants[r.Plant] })
+	next.Routes = slices.DeleteFunc(next.Routes, func(r *Route) bool { return routes[r.Name] || plants[r.Host] })
 	next.Services = slices.DeleteFunc(next.Services, func(s *Service) bool { return services[s.Name] })
 	if err := next.upsert(change.Upsert); err != nil {
 		return nil, err
 	}
-	next.order()
+	next.groupRoutes()
 	return &next, next.check()
 }
 
@@ -197,32 +197,32 @@
 	return s
 }
 
-// order drops hosts without routes and groups routes by host: what was read from a snapshot and what changes led to are then
+// groupRoutes drops hosts without routes and groups routes by host: what was read from a snapshot and what changes led to are then
 // the same, and go on to the same.
-func (c *Config) order() {
-	if plants, ok := c.ordered(); ok {
-		c.Plants = slices.Clone(plants) // without the room of those that have none
+func (c *Config) groupRoutes() {
+	if plants, ok := c.hostOrder(); ok {
+		c.Hosts = slices.Clone(plants) // without the room of those that have none
 		return
 	}
 	groups := c.groups()
 	plants, routes := make([]string, 0, len(groups)), make([]*Route, 0, len(c.Routes))
-	for _, name := range c.Plants {
+	for _, name := range c.Hosts {
 		if group := groups[name]; len(group) > 0 {
 			plants, routes = append(plants, name), append(routes, group...)
 		}
 	}
-	c.Plants, c.Routes = plants, routes
+	c.Hosts, c.Routes = plants, routes
 }
 
-// ordered tells whether routes are grouped in the order of their hosts, and which hosts have any.
-func (c *Config) ordered() (plants []string, ok bool) {
-	rest := c.Plants
+// hostOrder tells whether routes are grouped in the order of their hosts, and which hosts have any.
+func (c *Config) hostOrder() (plants []string, ok bool) {
+	rest := c.Hosts
 	plants = make([]string, 0, len(rest))
 	for _, r := range c.Routes {
-		if len(plants) > 0 && r.Plant == plants[len(plants)-1] {
+		if len(plants) > 0 && r.Host == plants[len(plants)-1] {
 			continue
 		}
-		for len(rest) > 0 && rest[0] != r.Plant {
+		for len(rest) > 0 && rest[0] != r.Host {
 			rest = rest[1:]
 		}
 		if len(rest) == 0 {
@@ -235,9 +235,9 @@
 
 // groups are the routes of each host, in order.
 func (c *Config) groups() map[string][]*Route {
-	groups := make(map[string][]*Route, len(c.Plants))
+	groups := make(map[string][]*Route, len(c.Hosts))
 	for _, r := range c.Routes {
-		groups[r.Plant] = append(groups[r.Plant], r)
+		groups[r.Host] = append(groups[r.Host], r)
 	}
 	return groups
 }
@@ -268,9 +268,9 @@
 	}
 	absent := make(map[string]bool, len(items.Plants)) // of the hosts of the change: a change is mostly small
 	for _, plant := range items.Plants {
-		absent[plant.Plant] = true
+		absent[plant.Host] = true
 	}
-	for _, name := range c.Plants {
+	for _, name := range c.Hosts {
 		delete(absent, name)
 	}
 	at = make(map[string]int, len(c.Routes))
@@ -278,12 +278,12 @@
 		at[r.Name] = i
 	}
 	for _, plant := range items.Plants {
-		if absent[plant.Plant] {
-			delete(absent, plant.Plant)
-			c.Plants = append(c.Plants, plant.Plant)
+		if absent[plant.Host] {
+			delete(absent, plant.Host)
+			c.Hosts = append(c.Hosts, plant.Host)
 		}
-		for _, raw := range plant.Channels {
-			r := &Route{raw: raw, Plant: plant.Plant}
+		for _, raw := range plant.Routes {
+			r := &Route{raw: raw, Host: plant.Host}
 			if err := json.Unmarshal(raw, r); err != nil {
 				return apierror.Invalid.New("route: %s", err)
 			}
@@ -313,21 +313,21 @@
 			if !known[share.Service] {
 				return apierror.Invalid.New("route %s: service %q is not known", r.Name, share.Service)
 			}
-			if share.Gain < 0 {
+			if share.Weight < 0 {
 				return apierror.Invalid.New("route %s: a weight is negative", r.Name)
 			}
-			sum += share.Gain
+			sum += share.Weight
 		}
 		switch {
 		case r.Name == "":
-			return apierror.Invalid.New("a route of %s has no name", r.Plant)
-		case r.Plant == "":
+			return apierror.Invalid.New("a route of %s has no name", r.Host)
+		case r.Host == "":
 			return apierror.Invalid.New("route %s has no host", r.Name)
 		case sum <= 0:
 			return apierror.Invalid.New("route %s: the weights sum to 0", r.Name)
 		case r.Deadline <= 0:
 			return apierror.Invalid.New("route %s: deadline_s is not above 0", r.Name)
-		case r.Tries <= 0:
+		case r.MaxServers <= 0:
 			return apierror.Invalid.New("route %s: tries is not above 0", r.Name)
 		case !strings.HasPrefix(r.Prefix, "/"):
 			return apierror.Invalid.New("route %s: path_prefix %q does not start with a slash", r.Name, r.Prefix)
@@ -348,13 +348,13 @@
 	for _, s := range c.Services {
 		services = append(services, s.raw)
 	}
-	plants, groups := make([]wirePlant, 0, len(c.Plants)), c.groups()
-	for _, name := range c.Plants {
-		p := wirePlant{Plant: name}
+	plants, groups := make([]wireHost, 0, len(c.Hosts)), c.groups()
+	for _, name := range c.Hosts {
+		p := wireHost{Host: name}
 		for _, r := range groups[name] {
-			p.Channels = append(p.Channels, r.raw)
+			p.Routes = append(p.Routes, r.raw)
 		}
-		if len(p.Channels) > 0 {
+		if len(p.Routes) > 0 {
 			plants = append(plants, p)
 		}
 	}
--- a/internal/config/tree.go
+++ b/internal/config/tree.go
@@ -18,7 +18,7 @@
 func NewTree(c *Config) *Tree {
 	t := &Tree{Config: c, hosts: map[string]*node{}}
 	for _, r := range c.Routes {
-		host := strings.ToLower(r.Plant)
+		host := strings.ToLower(r.Host)
 		n := t.hosts[host]
 		if n == nil {
 			n = &node{}
--- a/internal/control/consensus/membership.go
+++ b/internal/control/consensus/membership.go
@@ -31,8 +31,8 @@
 }
 
 // Quorum tells whether those for whom holds is true decide: a majority of Voters and, in a joint membership, of Next.
-func (m Membership) Quorum(holds func(id string) bool) bool {
-	return len(m.Voters) > 0 && majority(m.Voters, holds) && (!m.Joint() || majority(m.Next, holds))
+func (m Membership) Quorum(has func(id string) bool) bool {
+	return len(m.Voters) > 0 && majority(m.Voters, has) && (!m.Joint() || majority(m.Next, has))
 }
 
 // Equal compares two memberships.
@@ -54,18 +54,18 @@
 	return nil
 }
 
-func majority(ids []string, holds func(id string) bool) bool {
+func majority(ids []string, has func(id string) bool) bool {
 	count := 0
 	for _, id := range ids {
-		if holds(id) {
+		if has(id) {
 			count++
 		}
 	}
 	return count > len(ids)/2
 }
 
-// located is a membership and the log entry that brought it; index 0 is the membership that the cluster started with.
-type located struct {
+// membershipEntry is a membership and the log entry that brought it; index 0 is the membership that the cluster started with.
+type membershipEntry struct {
 	index      uint64
 	membership Membership
 }
@@ -88,15 +88,15 @@
 	return Membership{}
 }
 
-// followMembership takes a log entry's membership into force as soon as it is appended.
-func (r *Replica) followMembership(e Entry) {
+// applyMembershipEntry takes a log entry's membership into force as soon as it is appended.
+func (r *Replica) applyMembershipEntry(e Entry) {
 	if e.Membership != nil {
-		r.memberships = append(r.memberships, located{e.Index, *e.Membership})
+		r.memberships = append(r.memberships, membershipEntry{e.Index, *e.Membership})
 	}
 }
 
-// dropMembership goes back to the membership before an entry that is cut off the log.
-func (r *Replica) dropMembership(from uint64) {
+// revertMembership goes back to the membership before an entry that is cut off the log.
+func (r *Replica) revertMembership(from uint64) {
 	for len(r.memberships) > 1 && r.memberships[len(r.memberships)-1].index >= from {
 		r.memberships = r.memberships[:len(r.memberships)-1]
 	}
@@ -108,25 +108,25 @@
 	if r.Membership().Epoch > 0 || r.last() > 0 {
 		return false
 	}
-	r.memberships = []located{{0, Membership{Epoch: 1, Voters: slices.Sorted(slices.Values(voters))}}}
+	r.memberships = []membershipEntry{{0, Membership{Epoch: 1, Voters: slices.Sorted(slices.Values(voters))}}}
 	return true
 }
 
 // SetLearners names the replicas that a leader sends the log to although they don't vote.
 func (r *Replica) SetLearners(ids []string) {
 	r.learners = slices.Clone(ids)
-	r.followPeers()
+	r.syncPeers()
 }
 
-// followPeers keeps a leader's record of progress to those whom it sends the log to.
-func (r *Replica) followPeers() {
+// syncPeers keeps a leader's record of progress to those whom it sends the log to.
+func (r *Replica) syncPeers() {
 	if r.role != Leader {
 		return
 	}
-	targets := r.targets()
+	targets := r.replicationTargets()
 	for _, id := range targets {
 		if r.peers[id] == nil {
-			r.peers[id] = &progress{next: r.last() + 1, heard: r.now}
+			r.peers[id] = &progress{next: r.last() + 1, heardAt: r.now}
 		}
 	}
 	for id := range r.peers {
@@ -136,8 +136,8 @@
 	}
 }
 
-// targets are all other replicas that a leader sends the log to: voters, then learners.
-func (r *Replica) targets() []string {
+// replicationTargets are all other replicas that a leader sends the log to: voters, then learners.
+func (r *Replica) replicationTargets() []string {
 	membership := r.Membership()
 	targets := slices.DeleteFunc(membership.All(), func(id string) bool { return id == r.id })
 	for _, id := range r.learners {
@@ -155,19 +155,19 @@
 
 // The reasons.
 const (
-	ErrNotLeader    ChangeError = "this replica does not lead"
-	ErrOwnTerm      ChangeError = "no entry of the leader's own term is committed yet"
-	ErrChanging     ChangeError = "another change of the membership is under way"
-	ErrNotChanging  ChangeError = "no change of the membership is under way"
-	ErrNothing      ChangeError = "the change leads to no other voters"
-	ErrLeaderLeaves ChangeError = "the leader itself would leave: leadership is passed on first"
+	ErrNotLeader     ChangeError = "this replica does not lead"
+	ErrOwnTerm       ChangeError = "no entry of the leader's own term is committed yet"
+	ErrChanging      ChangeError = "another change of the membership is under way"
+	ErrNotChanging   ChangeError = "no change of the membership is under way"
+	ErrNoChange      ChangeError = "the change leads to no other voters"
+	ErrLeaderRemoved ChangeError = "the leader itself would leave: leadership is passed on first"
 )
 
 // BeginChange appends a joint membership that leads to the voters next. It takes effect at once and has to be finished
 // by FinishChange once it is committed and the new voters are ready.
 func (r *Replica) BeginChange(next []string, now time.Duration) error {
 	r.now = now
-	if err := r.mayChange(); err != nil {
+	if err := r.checkChangeAllowed(); err != nil {
 		return err
 	}
 	current := r.Membership()
@@ -176,9 +176,9 @@
 	case current.Joint():
 		return ErrChanging
 	case slices.Equal(next, current.Voters) || len(next) == 0:
-		return ErrNothing
+		return ErrNoChange
 	case !slices.Contains(next, r.id):
-		return ErrLeaderLeaves
+		return ErrLeaderRemoved
 	}
 	joint := Membership{Epoch: current.Epoch + 1, Cluster: current.Cluster, Voters: current.Voters, Next: next}
 	if err := joint.Validate(); err != nil {
@@ -191,7 +191,7 @@
 // FinishChange ends the change under way: with adopt the new voters remain, without it the former ones.
 func (r *Replica) FinishChange(adopt bool, now time.Duration) error {
 	r.now = now
-	if err := r.mayChange(); err != nil {
+	if err := r.checkChangeAllowed(); err != nil {
 		return err
 	}
 	current := r.Membership()
@@ -203,19 +203,19 @@
 		final.Voters = current.Next
 	}
 	if !slices.Contains(final.Voters, r.id) {
-		return ErrLeaderLeaves
+		return ErrLeaderRemoved
 	}
 	r.appendMembership(final)
 	return nil
 }
 
-// mayChange guards every membership entry: the one before it is committed, and so is an entry of the leader's own term.
+// checkChangeAllowed guards every membership entry: the one before it is committed, and so is an entry of the leader's own term.
 // Without the latter a change that a former leader left uncommitted could overlap with this one.
-func (r *Replica) mayChange() error {
+func (r *Replica) checkChangeAllowed() error {
 	if r.role != Leader {
 		return ErrNotLeader
 	}
-	if !r.Settled() {
+	if !r.CommittedInTerm() {
 		return ErrOwnTerm
 	}
 	if !r.MembershipCommitted() {
--- a/internal/control/consensus/message.go
+++ b/internal/control/consensus/message.go
@@ -49,23 +49,23 @@
 	VoteReply      Kind = 3
 	PreVoteRequest Kind = 4
 	PreVoteReply   Kind = 5
-	StandNow       Kind = 8 // from a leader that leaves, to the replica that is to follow it
+	TimeoutNow     Kind = 8 // from a leader that leaves, to the replica that is to follow it
 )
 
 // Message goes from one replica to another, named by their identities.
 type Message struct {
-	Kind    Kind    `cbor:"1,keyasint"`
-	From    string  `cbor:"2,keyasint"`
-	To      string  `cbor:"3,keyasint"`
-	Term    uint64  `cbor:"4,keyasint,omitempty"`
-	Index   uint64  `cbor:"5,keyasint,omitempty"` // Append: the entry before Entries; replies: what matches; votes: last
-	LogTerm uint64  `cbor:"6,keyasint,omitempty"` // its term
-	Entries []Entry `cbor:"7,keyasint,omitempty"`
-	Commit  uint64  `cbor:"8,keyasint,omitempty"`
-	OK      bool    `cbor:"11,keyasint,omitempty"`
-	Round   uint64  `cbor:"12,keyasint,omitempty"` // of the leader, for reads
-	Heard   bool    `cbor:"14,keyasint,omitempty"` // Append: the leader lately heard the receiver
-	Chunk   *Chunk  `cbor:"15,keyasint,omitempty"` // Append: a part of a snapshot; AppendReply: how much of it is held
+	Kind            Kind    `cbor:"1,keyasint"`
+	From            string  `cbor:"2,keyasint"`
+	To              string  `cbor:"3,keyasint"`
+	Term            uint64  `cbor:"4,keyasint,omitempty"`
+	Index           uint64  `cbor:"5,keyasint,omitempty"` // Append: the entry before Entries; replies: what matches; votes: last
+	LogTerm         uint64  `cbor:"6,keyasint,omitempty"` // its term
+	Entries         []Entry `cbor:"7,keyasint,omitempty"`
+	Commit          uint64  `cbor:"8,keyasint,omitempty"`
+	OK              bool    `cbor:"11,keyasint,omitempty"`
+	ReadRound       uint64  `cbor:"12,keyasint,omitempty"` // of the leader, for reads
+	LeaderInContact bool    `cbor:"14,keyasint,omitempty"` // Append: the leader lately heard the receiver
+	Chunk           *Chunk  `cbor:"15,keyasint,omitempty"` // Append: a part of a snapshot; AppendReply: how much of it is held
 }
 
 // Chunk is a part of a snapshot on its way. In a reply only Index, Sum and Offset are set.
@@ -73,7 +73,7 @@
 	Term       uint64     `cbor:"1,keyasint,omitempty"`
 	Index      uint64     `cbor:"2,keyasint"`
 	Membership Membership `cbor:"3,keyasint,omitempty"`
-	Sum        uint64     `cbor:"4,keyasint"` // of the whole snapshot's data
+	Checksum   uint64     `cbor:"4,keyasint"` // of the whole snapshot's data
 	Size       int        `cbor:"5,keyasint,omitempty"`
 	Offset     int        `cbor:"6,keyasint,omitempty"` // of Data in the whole, in bytes; in a reply, the bytes held
 	Data       []byte     `cbor:"7,keyasint,omitempty"`
@@ -85,7 +85,7 @@
 	Vote string `cbor:"2,keyasint"`
 	// Lost is written by earlier versions only: the disk came back empty and what it held was not restored. Such a file is
 	// treated like an empty disk.
-	Lost bool `cbor:"3,keyasint,omitempty"`
+	DiskLost bool `cbor:"3,keyasint,omitempty"`
 	// Commit is what was known to be committed: a replica that starts again goes by it at once, before anyone leads.
 	Commit uint64 `cbor:"5,keyasint,omitempty"`
 }
@@ -96,8 +96,8 @@
 	Snapshot  *Snapshot // replaces log and snapshot on disk
 	Truncate  uint64    // entries from this index on are dropped first; 0: none
 	Entries   []Entry   // then these are added
-	Now       []Message
-	After     []Message
+	Immediate []Message
+	AfterSync []Message
 	Committed []Entry   // to be applied, in order
 	Install   *Snapshot // to be taken over before Committed
 }
@@ -124,8 +124,8 @@
 	ElectionTimeout time.Duration // without a leader, before asking for votes; up to twice that by chance
 }
 
-// attachedSpan is how old contact may be for a replica to count as in contact with a majority.
-func (t Timing) attachedSpan() time.Duration { return 2 * t.ElectionTimeout }
+// contactTimeout is how old contact may be for a replica to count as in contact with a majority.
+func (t Timing) contactTimeout() time.Duration { return 2 * t.ElectionTimeout }
 
 // Role of a replica.
 type Role uint8
--- a/internal/control/consensus/replica.go
+++ b/internal/control/consensus/replica.go
@@ -26,32 +26,32 @@
 
 	hard        HardState
 	snapshot    Snapshot
-	log         []Entry   // after snapshot
-	memberships []located // of snapshot first, then those of log
-	stored      uint64    // last entry that is durable here
+	log         []Entry           // after snapshot
+	memberships []membershipEntry // of snapshot first, then those of log
+	durable     uint64            // last entry that is durable here
 	commit      uint64
 	applied     uint64
 
-	role            Role
-	leader          string
-	heard           time.Duration // from a leader
-	heardByLeader   bool
-	electionTimeout time.Duration // point in time
-	votes           map[string]bool
-	preVote         bool
-	incoming        *assembly
-
-	learners []string
-	peers    map[string]*progress // of a leader
-	round    uint64
-	out      Output
+	role             Role
+	leader           string
+	leaderHeardAt    time.Duration // from a leader
+	leaderHasQuorum  bool
+	electionDeadline time.Duration // point in time
+	votes            map[string]bool
+	preVote          bool
+	incoming         *snapshotAssembly
+
+	learners  []string
+	peers     map[string]*progress // of a leader
+	readRound uint64
+	output    Output
 }
 
 // progress is what a leader knows of a peer.
 type progress struct {
 	match, next uint64
-	heard       time.Duration
-	round       uint64 // the newest that was answered
+	heardAt     time.Duration
+	readRound   uint64 // the newest that was answered
 	sentAt      time.Duration
 	transfer    *transfer
 }
@@ -59,18 +59,18 @@
 // New makes a replica from what its disk held.
 func New(c Config) *Replica {
 	r := &Replica{id: c.ID, timing: c.Timing, rng: rand.New(rand.NewPCG(c.Seed, 2)), now: c.Now, hard: c.Hard, snapshot: c.Snapshot,
-		log: c.Log, commit: c.Snapshot.Index, applied: c.Snapshot.Index, heard: c.Now}
-	r.memberships = []located{{0, c.Membership}}
+		log: c.Log, commit: c.Snapshot.Index, applied: c.Snapshot.Index, leaderHeardAt: c.Now}
+	r.memberships = []membershipEntry{{0, c.Membership}}
 	if c.Snapshot.Index > 0 {
-		r.memberships = []located{{c.Snapshot.Index, c.Snapshot.Membership}}
+		r.memberships = []membershipEntry{{c.Snapshot.Index, c.Snapshot.Membership}}
 		s := c.Snapshot
-		r.out.Install = &s
+		r.output.Install = &s
 	}
 	for _, e := range c.Log {
-		r.followMembership(e)
+		r.applyMembershipEntry(e)
 	}
-	r.stored = r.last()
-	r.commit = max(r.commit, min(c.Hard.Commit, r.stored))
+	r.durable = r.last()
+	r.commit = max(r.commit, min(c.Hard.Commit, r.durable))
 	r.resetElectionTimer()
 	return r
 }
@@ -78,8 +78,8 @@
 // ID is the replica's identity.
 func (r *Replica) ID() string { return r.id }
 
-// Rename gives a replica that has no vote another identity, under which it may be voted in.
-func (r *Replica) Rename(id string) {
+// SetID gives a replica that has no vote another identity, under which it may be voted in.
+func (r *Replica) SetID(id string) {
 	if !r.Votes() && r.role == Follower {
 		r.id = id
 	}
@@ -106,8 +106,8 @@
 // HardState is the newest term and vote.
 func (r *Replica) HardState() HardState { return r.hard }
 
-// Settled tells whether a leader has committed an entry of its own term, and so knows all that former leaders committed.
-func (r *Replica) Settled() bool {
+// CommittedInTerm tells whether a leader has committed an entry of its own term, and so knows all that former leaders committed.
+func (r *Replica) CommittedInTerm() bool {
 	term, known := r.termAt(r.commit)
 	return r.role == Leader && known && term == r.hard.Term
 }
@@ -119,15 +119,15 @@
 func (r *Replica) Votes() bool { return r.Membership().Contains(r.id) }
 
 // Match is how far a peer's durable log is known to agree with the leader's, and when the peer was last heard.
-func (r *Replica) Match(id string) (index uint64, heard time.Duration, ok bool) {
+func (r *Replica) Match(id string) (index uint64, heardAt time.Duration, ok bool) {
 	if id == r.id {
-		return r.stored, r.now, true
+		return r.durable, r.now, true
 	}
 	p := r.peers[id]
 	if p == nil {
 		return 0, 0, false
 	}
-	return p.match, p.heard, true
+	return p.match, p.heardAt, true
 }
 
 func (r *Replica) last() uint64 {
@@ -153,15 +153,19 @@
 
 func (r *Replica) persistHardState() {
 	hard := r.hard
-	r.out.Hard = &hard
+	r.output.Hard = &hard
 }
 
-func (r *Replica) sendNow(msg Message) { r.out.Now = append(r.out.Now, r.addressed(msg)) }
+func (r *Replica) sendImmediately(msg Message) {
+	r.output.Immediate = append(r.output.Immediate, r.withSender(msg))
+}
 
-// sendStored sends a message once all that was changed before is durable.
-func (r *Replica) sendStored(msg Message) { r.out.After = append(r.out.After, r.addressed(msg)) }
+// sendAfterSync sends a message once all that was changed before is durable.
+func (r *Replica) sendAfterSync(msg Message) {
+	r.output.AfterSync = append(r.output.AfterSync, r.withSender(msg))
+}
 
-func (r *Replica) addressed(msg Message) Message {
+func (r *Replica) withSender(msg Message) Message {
 	msg.From = r.id
 	if msg.Term == 0 {
 		msg.Term = r.hard.Term
@@ -169,27 +173,27 @@
 	return msg
 }
 
-// Take hands out what has to be done and starts collecting anew.
-func (r *Replica) Take() Output {
+// TakeOutput hands out what has to be done and starts collecting anew.
+func (r *Replica) TakeOutput() Output {
 	if r.applied < r.commit {
 		for i := r.applied + 1; i <= r.commit; i++ {
-			r.out.Committed = append(r.out.Committed, r.log[i-r.snapshot.Index-1])
+			r.output.Committed = append(r.output.Committed, r.log[i-r.snapshot.Index-1])
 		}
 		r.applied, r.hard.Commit = r.commit, r.commit
 		r.persistHardState()
 	}
-	out := r.out
-	r.out = Output{}
+	out := r.output
+	r.output = Output{}
 	return out
 }
 
-// Stored tells that an output is durable, by the index and term of its last entry (see Output.Last). A write whose entries
+// MarkDurable tells that an output is durable, by the index and term of its last entry (see Output.Last). A write whose entries
 // were cut off the log or replaced by a snapshot while it was under way counts for nothing: what took their place has a
 // write of its own.
-func (r *Replica) Stored(index, term uint64, now time.Duration) {
+func (r *Replica) MarkDurable(index, term uint64, now time.Duration) {
 	r.now = now
 	if current, known := r.termAt(index); known && current == term {
-		r.stored = max(r.stored, index)
+		r.durable = max(r.durable, index)
 	}
 	if r.role == Leader {
 		r.advance()
@@ -200,34 +204,34 @@
 func (r *Replica) Tick(now time.Duration) {
 	r.now = now
 	if r.role == Leader {
-		r.lead()
+		r.tickLeader()
 		return
 	}
-	if now >= r.electionTimeout && r.Votes() {
-		r.stand(true)
+	if now >= r.electionDeadline && r.Votes() {
+		r.campaign(true)
 	}
 }
 
-// lead sends heartbeats, and steps down when no majority was heard for long: whoever is asked should ask another.
-func (r *Replica) lead() {
-	for _, id := range r.targets() {
+// tickLeader sends heartbeats, and steps down when no majority was heard for long: whoever is asked should ask another.
+func (r *Replica) tickLeader() {
+	for _, id := range r.replicationTargets() {
 		if r.now-r.peers[id].sentAt >= r.timing.Heartbeat {
-			r.push(id)
+			r.sendAppend(id)
 		}
 	}
-	if !r.Attached(r.now) && r.now-r.heard > r.timing.attachedSpan() {
-		r.follow(r.hard.Term, "")
+	if !r.HasQuorumContact(r.now) && r.now-r.leaderHeardAt > r.timing.contactTimeout() {
+		r.becomeFollower(r.hard.Term, "")
 	}
 }
 
-// Attached tells whether the replica was lately in contact with a majority: a leader heard one, any other heard a leader
+// HasQuorumContact tells whether the replica was lately in contact with a majority: a leader heard one, any other heard a leader
 // that had heard it too.
-func (r *Replica) Attached(now time.Duration) bool {
-	span := r.timing.attachedSpan()
+func (r *Replica) HasQuorumContact(now time.Duration) bool {
+	span := r.timing.contactTimeout()
 	if r.role != Leader {
-		return r.leader != "" && now-r.heard < span && r.heardByLeader
+		return r.leader != "" && now-r.leaderHeardAt < span && r.leaderHasQuorum
 	}
-	return r.Membership().Quorum(func(id string) bool { return id == r.id || now-r.peers[id].heard < span })
+	return r.Membership().Quorum(func(id string) bool { return id == r.id || now-r.peers[id].heardAt < span })
 }
 
 // Propose appends a change; only a leader can. It returns the change's place.
@@ -244,10 +248,10 @@
 func (r *Replica) append(e Entry) {
 	e.Term, e.Index = r.hard.Term, r.last()+1
 	r.log = append(r.log, e)
-	r.out.Entries = append(r.out.Entries, e)
-	r.followMembership(e)
-	r.followPeers()
-	r.pushAll()
+	r.output.Entries = append(r.output.Entries, e)
+	r.applyMembershipEntry(e)
+	r.syncPeers()
+	r.broadcastAppend()
 	r.advance()
 }
 
@@ -258,38 +262,38 @@
 		if term, _ := r.termAt(index); term != r.hard.Term {
 			return
 		}
-		if r.heldByQuorum(index) {
+		if r.durableOnQuorum(index) {
 			break
 		}
 	}
 	if index > r.commit {
 		r.commit = index
-		r.pushAll()
+		r.broadcastAppend()
 	}
 }
 
-func (r *Replica) heldByQuorum(index uint64) bool {
+func (r *Replica) durableOnQuorum(index uint64) bool {
 	return r.Membership().Quorum(func(id string) bool {
 		if id == r.id {
-			return r.stored >= index
+			return r.durable >= index
 		}
 		return r.peers[id].match >= index
 	})
 }
 
-// Confirm starts a round that shows whether the replica still leads; Confirmed tells.
-func (r *Replica) Confirm(now time.Duration) uint64 {
+// ReadIndex starts a round that shows whether the replica still leads; Confirmed tells.
+func (r *Replica) ReadIndex(now time.Duration) uint64 {
 	r.now = now
-	r.round++
+	r.readRound++
 	if r.role == Leader {
-		r.pushAll()
+		r.broadcastAppend()
 	}
-	return r.round
+	return r.readRound
 }
 
-// Confirmed tells whether a majority answered a round, and all that was committed when it began is known here.
-func (r *Replica) Confirmed(round uint64) bool {
-	return r.Settled() && r.Membership().Quorum(func(id string) bool { return id == r.id || r.peers[id].round >= round })
+// ReadConfirmed tells whether a majority answered a round, and all that was committed when it began is known here.
+func (r *Replica) ReadConfirmed(round uint64) bool {
+	return r.CommittedInTerm() && r.Membership().Quorum(func(id string) bool { return id == r.id || r.peers[id].readRound >= round })
 }
 
 // Compact replaces the log up to an applied entry by a snapshot.
@@ -299,7 +303,7 @@
 		return
 	}
 	membership := r.membershipAt(index)
-	kept := []located{{index, membership}}
+	kept := []membershipEntry{{index, membership}}
 	for _, l := range r.memberships {
 		if l.index > index {
 			kept = append(kept, l)
@@ -309,7 +313,7 @@
 	r.memberships = kept
 	r.snapshot = Snapshot{Term: term, Index: index, Data: data, Membership: membership}
 	s := r.snapshot
-	r.out.Snapshot, r.out.Truncate, r.out.Entries = &s, 0, append([]Entry(nil), r.log...)
+	r.output.Snapshot, r.output.Truncate, r.output.Entries = &s, 0, append([]Entry(nil), r.log...)
 }
 
 // Step takes a message.
@@ -320,31 +324,31 @@
 	}
 	switch msg.Kind {
 	case PreVoteRequest:
-		r.answerPreVote(msg)
+		r.handlePreVoteRequest(msg)
 		return
 	case PreVoteReply:
-		r.countPreVote(msg)
+		r.handlePreVoteReply(msg)
 		return
 	}
 	if msg.Term > r.hard.Term {
-		r.follow(msg.Term, "")
+		r.becomeFollower(msg.Term, "")
 	}
 	if msg.Term < r.hard.Term {
 		if msg.Kind == Append { // tells a former leader
-			r.sendStored(Message{Kind: AppendReply, To: msg.From})
+			r.sendAfterSync(Message{Kind: AppendReply, To: msg.From})
 		}
 		return
 	}
 	switch msg.Kind {
 	case VoteRequest:
-		r.answerVote(msg)
+		r.handleVoteRequest(msg)
 	case VoteReply:
-		r.countVote(msg)
+		r.handleVoteReply(msg)
 	case Append:
-		r.appended(msg)
+		r.handleAppend(msg)
 	case AppendReply:
-		r.replied(msg)
-	case StandNow:
-		r.standAtOnce(msg)
+		r.handleAppendReply(msg)
+	case TimeoutNow:
+		r.campaignNow(msg)
 	}
 }
--- a/internal/control/consensus/replica_test.go
+++ b/internal/control/consensus/replica_test.go
@@ -54,7 +54,7 @@
 }
 
 // stored tells a replica that its whole log is durable.
-func stored(r *consensus.Replica) { r.Stored(r.Last(), r.LastTerm(), began) }
+func stored(r *consensus.Replica) { r.MarkDurable(r.Last(), r.LastTerm(), began) }
 
 // holds has a peer answer that it holds a leader's log up to an entry.
 func holds(leader *consensus.Replica, id string, index uint64) {
@@ -73,13 +73,13 @@
 		c := replica("c", consensus.HardState{Term: 1})
 		first := []consensus.Entry{{Term: 1, Index: 1}, {Term: 1, Index: 2}}
 		c.Step(consensus.Message{Kind: consensus.Append, From: "a", To: "c", Term: 1, Entries: first}, time.Second)
-		under := c.Take()
+		under := c.TakeOutput()
 		c.Step(consensus.Message{Kind: consensus.Append, From: "b", To: "c", Term: 2, Entries: []consensus.Entry{{Term: 2, Index: 1}, {Term: 2, Index: 2}}}, time.Second)
-		c.Take()
+		c.TakeOutput()
 		index, term := under.Last()
-		c.Stored(index, term, time.Second)
+		c.MarkDurable(index, term, time.Second)
 		c.Step(consensus.Message{Kind: consensus.Append, From: "b", To: "c", Term: 2, Index: 2, LogTerm: 2}, time.Second)
-		Expect(ofKind(c.Take().Now, consensus.AppendReply)[0].Index).To(BeZero(), "what b sent is not on the disk yet")
+		Expect(ofKind(c.TakeOutput().Immediate, consensus.AppendReply)[0].Index).To(BeZero(), "what b sent is not on the disk yet")
 	})
 	It("takes nothing of a message with a membership that can't be", func() {
 		c := replica("c", consensus.HardState{Term: 1})
@@ -91,39 +91,39 @@
 	It("tells nobody of a vote that is not stored", func() {
 		r := replica("a", consensus.HardState{})
 		r.Step(consensus.Message{Kind: consensus.VoteRequest, From: "b", To: "a", Term: 3}, time.Second)
-		out := r.Take()
-		Expect(ofKind(out.Now, consensus.VoteReply)).To(BeEmpty())
-		Expect(ofKind(out.After, consensus.VoteReply)).To(HaveLen(1))
+		out := r.TakeOutput()
+		Expect(ofKind(out.Immediate, consensus.VoteReply)).To(BeEmpty())
+		Expect(ofKind(out.AfterSync, consensus.VoteReply)).To(HaveLen(1))
 		Expect(out.Hard.Vote).To(Equal("b"))
 	})
 	It("goes by what was committed as soon as it starts again", func() {
 		r := replica("a", consensus.HardState{Term: 3, Commit: 1}, consensus.Entry{Term: 2, Index: 1, Data: []byte("x")}, consensus.Entry{Term: 3, Index: 2})
-		Expect(r.Take().Committed).To(HaveLen(1))
+		Expect(r.TakeOutput().Committed).To(HaveLen(1))
 	})
 	It("votes once a term", func() {
 		r := replica("a", consensus.HardState{})
 		r.Step(consensus.Message{Kind: consensus.VoteRequest, From: "b", To: "a", Term: 3}, time.Second)
 		r.Step(consensus.Message{Kind: consensus.VoteRequest, From: "c", To: "a", Term: 3}, time.Second)
-		votes := ofKind(r.Take().After, consensus.VoteReply)
+		votes := ofKind(r.TakeOutput().AfterSync, consensus.VoteReply)
 		Expect(votes).To(HaveLen(2))
 		Expect(votes[1].OK).To(BeFalse())
 	})
 	It("steps down when it hears of a later term, and answers a former leader", func() {
 		r := replica("a", consensus.HardState{})
 		lead(r)
-		r.Take()
+		r.TakeOutput()
 		r.Step(consensus.Message{Kind: consensus.Append, From: "c", To: "a", Term: 9}, 11*time.Second)
 		Expect(r.Leader()).To(Equal("c"))
 		r.Step(consensus.Message{Kind: consensus.Append, From: "b", To: "a", Term: 2}, 11*time.Second)
-		replies := ofKind(r.Take().After, consensus.AppendReply)
+		replies := ofKind(r.TakeOutput().AfterSync, consensus.AppendReply)
 		Expect(replies[len(replies)-1].Term).To(Equal(uint64(9)))
 	})
 	It("doesn't depose a leader that others hear, after it was cut off", func() {
 		r := replica("a", consensus.HardState{Term: 4})
 		r.Step(consensus.Message{Kind: consensus.Append, From: "b", To: "a", Term: 4}, time.Second)
-		r.Take()
+		r.TakeOutput()
 		r.Step(consensus.Message{Kind: consensus.PreVoteRequest, From: "c", To: "a", Term: 5, Index: 9, LogTerm: 4}, time.Second+timing.Heartbeat)
-		Expect(ofKind(r.Take().After, consensus.PreVoteReply)[0].OK).To(BeFalse())
+		Expect(ofKind(r.TakeOutput().AfterSync, consensus.PreVoteReply)[0].OK).To(BeFalse())
 	})
 	It("is elected for the better log although another voted in a later term that nobody led", func() {
 		b := replica("b", consensus.HardState{Term: 6}, consensus.Entry{Term: 6, Index: 1}, consensus.Entry{Term: 6, Index: 2})
@@ -131,10 +131,10 @@
 		now := time.Second
 		for range 5 { // a is gone
 			b.Tick(now)
-			for _, m := range sentTo(b.Take().Now, "c") {
+			for _, m := range sentTo(b.TakeOutput().Immediate, "c") {
 				c.Step(m, now)
 			}
-			for _, m := range c.Take().After {
+			for _, m := range c.TakeOutput().AfterSync {
 				b.Step(m, now)
 			}
 			now += time.Second
@@ -145,24 +145,24 @@
 		r := replica("a", consensus.HardState{})
 		lead(r)
 		holds(r, "b", 1)
-		round := r.Confirm(began)
-		Expect(r.Confirmed(round)).To(BeFalse())
-		r.Step(consensus.Message{Kind: consensus.AppendReply, From: "c", To: "a", Term: 1, OK: true, Index: 1, Round: round}, began)
-		Expect(r.Confirmed(round)).To(BeTrue())
+		round := r.ReadIndex(began)
+		Expect(r.ReadConfirmed(round)).To(BeFalse())
+		r.Step(consensus.Message{Kind: consensus.AppendReply, From: "c", To: "a", Term: 1, OK: true, Index: 1, ReadRound: round}, began)
+		Expect(r.ReadConfirmed(round)).To(BeTrue())
 	})
 	It("that follows is not in contact with a majority while its leader doesn't hear it", func() {
 		r := replica("b", consensus.HardState{})
-		r.Step(consensus.Message{Kind: consensus.Append, From: "a", To: "b", Term: 1, Heard: true}, time.Second)
-		Expect(r.Attached(time.Second)).To(BeTrue())
+		r.Step(consensus.Message{Kind: consensus.Append, From: "a", To: "b", Term: 1, LeaderInContact: true}, time.Second)
+		Expect(r.HasQuorumContact(time.Second)).To(BeTrue())
 		r.Step(consensus.Message{Kind: consensus.Append, From: "a", To: "b", Term: 1}, time.Second)
-		Expect(r.Attached(time.Second)).To(BeFalse(), "what it sends is lost: a cut one way")
+		Expect(r.HasQuorumContact(time.Second)).To(BeFalse(), "what it sends is lost: a cut one way")
 	})
 	It("that stood still as leader is in contact with nobody when it wakes", func() {
 		r := replica("a", consensus.HardState{})
 		lead(r)
 		holds(r, "b", 1)
-		Expect(r.Attached(began)).To(BeTrue())
-		Expect(r.Attached(began + 5*time.Second)).To(BeFalse())
+		Expect(r.HasQuorumContact(began)).To(BeTrue())
+		Expect(r.HasQuorumContact(began + 5*time.Second)).To(BeFalse())
 	})
 })
 
@@ -175,12 +175,12 @@
 			stored(a)
 			holds(a, "b", a.Last())
 		}
-		a.Take()
+		a.TakeOutput()
 		a.Step(consensus.Message{Kind: consensus.AppendReply, From: "c", To: "a", Term: 1}, began) // it holds nothing
 		messages, most := 0, 0
 		for range 400 {
 			ahead := 0
-			for _, m := range sentTo(a.Take().Now, "c") {
+			for _, m := range sentTo(a.TakeOutput().Immediate, "c") {
 				bytes := 0
 				for _, e := range m.Entries {
 					bytes += len(e.Data)
@@ -189,9 +189,9 @@
 				c.Step(m, began)
 			}
 			Expect(ahead).To(BeNumerically("<=", 2<<20))
-			out := c.Take()
+			out := c.TakeOutput()
 			stored(c)
-			for _, m := range append(out.Now, out.After...) {
+			for _, m := range append(out.Immediate, out.AfterSync...) {
 				a.Step(m, began)
 			}
 			if c.Last() == a.Last() {
@@ -213,16 +213,16 @@
 		}
 		stored(a)
 		holds(a, "b", 6)
-		a.Take()
+		a.TakeOutput()
 		a.Compact(5, state)
-		a.Take()
+		a.TakeOutput()
 		a.Step(consensus.Message{Kind: consensus.AppendReply, From: "c", To: "a", Term: 1, Index: 0}, began)
 		return a
 	}
 	// exchange passes messages both ways until nothing more comes; it counts the chunks.
 	exchange := func(a, c *consensus.Replica, most int) (chunks int, installed *consensus.Snapshot) {
 		for range most {
-			sent := sentTo(a.Take().Now, "c")
+			sent := sentTo(a.TakeOutput().Immediate, "c")
 			for _, m := range sent {
 				if m.Chunk != nil {
 					chunks++
@@ -230,12 +230,12 @@
 				}
 				c.Step(m, began)
 			}
-			out := c.Take()
+			out := c.TakeOutput()
 			if out.Install != nil {
 				installed = out.Install
 			}
 			stored(c)
-			for _, m := range append(out.Now, out.After...) {
+			for _, m := range append(out.Immediate, out.AfterSync...) {
 				a.Step(m, began)
 			}
 			if len(sent) == 0 {
@@ -273,7 +273,7 @@
 		a.Propose([]byte("more"), began)
 		stored(a)
 		holds(a, "b", 7)
-		a.Take()
+		a.TakeOutput()
 		a.Compact(7, append([]byte("newer"), state...))
 		a.Tick(began + 5*timing.Heartbeat) // what was on its way is lost with what was taken above
 		chunks, _ := exchange(a, c, 80)
@@ -283,7 +283,7 @@
 	It("begins a snapshot anew that fails its sum", func() {
 		a, c := leading(), replica("c", consensus.HardState{})
 		exchange(a, c, 2)
-		for _, m := range sentTo(a.Take().Now, "c") {
+		for _, m := range sentTo(a.TakeOutput().Immediate, "c") {
 			if m.Chunk != nil {
 				spoilt := *m.Chunk
 				spoilt.Data = bytes.ToUpper(spoilt.Data)
@@ -291,7 +291,7 @@
 			}
 			c.Step(m, began)
 		}
-		for _, m := range c.Take().Now {
+		for _, m := range c.TakeOutput().Immediate {
 			a.Step(m, began)
 		}
 		_, installed := exchange(a, c, 50)
@@ -305,15 +305,15 @@
 				a.Propose(fmt.Appendf(nil, "change %d", i), began)
 				stored(a)
 				holds(a, "b", a.Last())
-				a.Take()
+				a.TakeOutput()
 				if i%64 == 63 {
 					a.Compact(a.Commit(), state)
-					a.Take()
+					a.TakeOutput()
 				}
 			}
 			a.Step(consensus.Message{Kind: consensus.AppendReply, From: "c", To: "a", Term: 1, Index: 0}, began)
 			for range 100 {
-				for _, m := range sentTo(a.Take().Now, "c") {
+				for _, m := range sentTo(a.TakeOutput().Immediate, "c") {
 					if m.Chunk != nil {
 						bytes += len(m.Chunk.Data)
 					}
@@ -322,9 +322,9 @@
 					}
 					c.Step(m, began)
 				}
-				out := c.Take()
+				out := c.TakeOutput()
 				stored(c)
-				for _, m := range append(out.Now, out.After...) {
+				for _, m := range append(out.Immediate, out.AfterSync...) {
 					a.Step(m, began)
 				}
 			}
@@ -368,7 +368,7 @@
 		stored(r)
 		holds(r, "b", 2)
 		holds(r, "c", 2)
-		Expect(r.FinishChange(true, began)).To(MatchError(consensus.ErrLeaderLeaves))
+		Expect(r.FinishChange(true, began)).To(MatchError(consensus.ErrLeaderRemoved))
 		Expect(r.FinishChange(false, began)).To(Succeed())
 	})
 	It("needs a majority before and after while it is joint", func() {
@@ -428,13 +428,13 @@
 	It("passes leadership only to a voter that holds the whole log", func() {
 		r := replica("a", consensus.HardState{})
 		lead(r)
-		Expect(r.PassLeadership("b", began)).To(BeFalse())
+		Expect(r.TransferLeadership("b", began)).To(BeFalse())
 		holds(r, "b", 1)
-		r.Take()
-		Expect(r.PassLeadership("b", began)).To(BeTrue())
+		r.TakeOutput()
+		Expect(r.TransferLeadership("b", began)).To(BeTrue())
 		b := replica("b", consensus.HardState{Term: 1}, consensus.Entry{Term: 1, Index: 1})
 		b.Step(consensus.Message{Kind: consensus.Append, From: "a", To: "b", Term: 1, Index: 1, LogTerm: 1}, began)
-		b.Step(ofKind(r.Take().Now, consensus.StandNow)[0], began)
-		Expect(ofKind(b.Take().After, consensus.VoteRequest)).To(HaveLen(2))
+		b.Step(ofKind(r.TakeOutput().Immediate, consensus.TimeoutNow)[0], began)
+		Expect(ofKind(b.TakeOutput().AfterSync, consensus.VoteRequest)).To(HaveLen(2))
 	})
 })
--- a/internal/control/consensus/replication.go
+++ b/internal/control/consensus/replication.go
@@ -7,27 +7,27 @@
 	inFlightBytes = 1 << 20   // of entries that are sent ahead of a peer's answers
 )
 
-func (r *Replica) pushAll() {
-	for _, id := range r.targets() {
-		r.push(id)
+func (r *Replica) broadcastAppend() {
+	for _, id := range r.replicationTargets() {
+		r.sendAppend(id)
 	}
 }
 
-// push sends a peer what it lacks, or a heartbeat.
-func (r *Replica) push(id string) {
+// sendAppend sends a peer what it lacks, or a heartbeat.
+func (r *Replica) sendAppend(id string) {
 	p := r.peers[id]
 	p.sentAt = r.now
-	msg := Message{Kind: Append, To: id, Commit: r.commit, Round: r.round, Heard: r.now-p.heard < r.timing.attachedSpan()}
+	msg := Message{Kind: Append, To: id, Commit: r.commit, ReadRound: r.readRound, LeaderInContact: r.now-p.heardAt < r.timing.contactTimeout()}
 	term, known := r.termAt(p.next - 1)
 	if !known {
-		r.pushSnapshot(p, msg)
+		r.sendSnapshot(p, msg)
 		return
 	}
 	p.transfer = nil
 	msg.Index, msg.LogTerm = p.next-1, term
 	msg.Entries = r.nextBatch(p)
 	p.next += uint64(len(msg.Entries)) // a refusal sets it back
-	r.sendNow(msg)
+	r.sendImmediately(msg)
 }
 
 // nextBatch is what may be sent to a peer now, within the bounds of a message and of what is in flight.
@@ -58,19 +58,19 @@
 	return bytes
 }
 
-// appended takes what a leader sends.
-func (r *Replica) appended(msg Message) {
+// handleAppend takes what a leader sends.
+func (r *Replica) handleAppend(msg Message) {
 	if r.role != Follower || r.leader != msg.From {
-		r.follow(r.hard.Term, msg.From)
+		r.becomeFollower(r.hard.Term, msg.From)
 	}
-	r.heard, r.heardByLeader = r.now, msg.Heard
+	r.leaderHeardAt, r.leaderHasQuorum = r.now, msg.LeaderInContact
 	r.resetElectionTimer()
 	if slices.ContainsFunc(msg.Entries, Entry.invalid) {
 		return // nothing of a message that can't be is taken
 	}
-	reply := Message{Kind: AppendReply, To: msg.From, Round: msg.Round}
+	reply := Message{Kind: AppendReply, To: msg.From, ReadRound: msg.ReadRound}
 	if msg.Chunk != nil {
-		r.takeChunk(msg, reply)
+		r.handleChunk(msg, reply)
 		return
 	}
 	term, known := r.termAt(msg.Index)
@@ -79,24 +79,24 @@
 		reply.OK, reply.Index = true, r.commit
 	case !known || term != msg.LogTerm:
 		reply.Index = min(r.last(), max(r.commit, msg.Index-min(msg.Index, 1)))
-		r.sendStored(reply)
+		r.sendAfterSync(reply)
 		return
 	default:
-		r.extend(msg.Entries)
+		r.appendEntries(msg.Entries)
 		reply.OK, reply.Index = true, msg.Index+uint64(len(msg.Entries))
 	}
 	r.commit = max(r.commit, min(msg.Commit, reply.Index))
 	if len(msg.Entries) == 0 {
 		// A heartbeat is answered at once, for what is durable: a slow disk shall not make its leader seem alone.
-		reply.Index = min(reply.Index, r.stored)
-		r.sendNow(reply)
+		reply.Index = min(reply.Index, r.durable)
+		r.sendImmediately(reply)
 		return
 	}
-	r.sendStored(reply)
+	r.sendAfterSync(reply)
 }
 
-// extend takes entries over, dropping what conflicts with them.
-func (r *Replica) extend(entries []Entry) {
+// appendEntries takes entries over, dropping what conflicts with them.
+func (r *Replica) appendEntries(entries []Entry) {
 	for i, e := range entries {
 		if e.Index <= r.snapshot.Index {
 			continue
@@ -108,9 +108,9 @@
 			r.truncate(e.Index)
 		}
 		r.log = append(r.log, entries[i:]...)
-		r.out.Entries = append(r.out.Entries, entries[i:]...)
+		r.output.Entries = append(r.output.Entries, entries[i:]...)
 		for _, added := range entries[i:] {
-			r.followMembership(added)
+			r.applyMembershipEntry(added)
 		}
 		return
 	}
@@ -119,24 +119,24 @@
 // truncate drops the log from an entry on.
 func (r *Replica) truncate(from uint64) {
 	r.log = r.log[:from-r.snapshot.Index-1]
-	r.stored = min(r.stored, from-1)
-	r.dropMembership(from)
-	r.out.Entries = slices.DeleteFunc(r.out.Entries, func(e Entry) bool { return e.Index >= from })
-	if r.out.Truncate == 0 || from < r.out.Truncate {
-		r.out.Truncate = from
+	r.durable = min(r.durable, from-1)
+	r.revertMembership(from)
+	r.output.Entries = slices.DeleteFunc(r.output.Entries, func(e Entry) bool { return e.Index >= from })
+	if r.output.Truncate == 0 || from < r.output.Truncate {
+		r.output.Truncate = from
 	}
 }
 
-// replied takes a follower's answer.
-func (r *Replica) replied(msg Message) {
+// handleAppendReply takes a follower's answer.
+func (r *Replica) handleAppendReply(msg Message) {
 	p := r.peers[msg.From]
 	if r.role != Leader || p == nil {
 		return
 	}
-	p.heard, p.round = r.now, max(p.round, msg.Round)
+	p.heardAt, p.readRound = r.now, max(p.readRound, msg.ReadRound)
 	switch {
 	case msg.Chunk != nil && !msg.OK:
-		r.chunkHeld(p, *msg.Chunk)
+		r.handleChunkReply(p, *msg.Chunk)
 	case !msg.OK:
 		p.next = max(1, min(msg.Index+1, r.last()+1))
 	default:
@@ -149,22 +149,22 @@
 			r.advance()
 		}
 	}
-	r.pushMore(msg.From)
+	r.sendMore(msg.From)
 }
 
-// pushMore sends what a peer still lacks, unless it is on its way.
-func (r *Replica) pushMore(id string) {
+// sendMore sends what a peer still lacks, unless it is on its way.
+func (r *Replica) sendMore(id string) {
 	p := r.peers[id]
 	if p == nil {
 		return
 	}
 	if _, known := r.termAt(p.next - 1); !known {
-		if p.transfer == nil || !p.transfer.waiting {
-			r.push(id)
+		if p.transfer == nil || !p.transfer.awaitingReply {
+			r.sendAppend(id)
 		}
 		return
 	}
 	if len(r.nextBatch(p)) > 0 {
-		r.push(id)
+		r.sendAppend(id)
 	}
 }
--- a/internal/control/consensus/world_test.go
+++ b/internal/control/consensus/world_test.go
@@ -125,17 +125,17 @@
 }
 
 func (w *world) settle(m *machine) {
-	out := m.replica.Take()
-	w.post(m, out.Now)
+	out := m.replica.TakeOutput()
+	w.post(m, out.Immediate)
 	if w.fault == "acknowledges before storing" {
-		w.post(m, out.After)
-		m.replica.Stored(m.replica.Last(), m.replica.LastTerm(), w.now)
-		out.After = nil
+		w.post(m, out.AfterSync)
+		m.replica.MarkDurable(m.replica.Last(), m.replica.LastTerm(), w.now)
+		out.AfterSync = nil
 	}
 	if w.fault == "keeps a snapshot without its membership" && out.Snapshot != nil {
 		out.Snapshot.Membership = m.disk.membership
 	}
-	if !out.Empty() || len(out.After) > 0 {
+	if !out.Empty() || len(out.AfterSync) > 0 {
 		m.queue = append(m.queue, write{w.now + time.Duration(w.rng.IntN(30))*time.Millisecond, out})
 	}
 	if out.Install != nil {
@@ -197,7 +197,7 @@
 
 func (w *world) answerReads(m *machine) {
 	for round, newest := range m.reading {
-		if w.fault == "reads without a round" && m.replica.Role() == consensus.Leader || m.replica.Confirmed(round) {
+		if w.fault == "reads without a round" && m.replica.Role() == consensus.Leader || m.replica.ReadConfirmed(round) {
 			delete(m.reading, round)
 			w.reads++
 			if m.replica.Commit() < newest {
@@ -314,15 +314,15 @@
 		out := m.queue[0].out
 		m.queue = m.queue[1:]
 		m.disk.store(out)
-		w.post(m, out.After)
+		w.post(m, out.AfterSync)
 		if index, term := out.Last(); index > 0 {
-			m.replica.Stored(index, term, w.now)
+			m.replica.MarkDurable(index, term, w.now)
 		}
 	}
 	if m.removed && !m.replica.Votes() { // comes back as somebody else
 		m.disks++
 		m.id = fmt.Sprintf("%s#%d", m.name, m.disks)
-		m.replica.Rename(m.id)
+		m.replica.SetID(m.id)
 		m.removed = m.replica.ID() != m.id
 	}
 	var learners []string
@@ -345,13 +345,13 @@
 		}
 	}
 	if w.rng.IntN(20) == 0 {
-		m.reading[m.replica.Confirm(w.now)] = w.newest
+		m.reading[m.replica.ReadIndex(w.now)] = w.newest
 	}
 	if w.rng.IntN(30) == 0 {
 		w.change(m)
 	}
 	if w.rng.IntN(300) == 0 {
-		m.replica.PassLeadership(w.machines[w.rng.IntN(len(w.machines))].id, w.now)
+		m.replica.TransferLeadership(w.machines[w.rng.IntN(len(w.machines))].id, w.now)
 	}
 }
 
--- a/internal/control/controller/authority_test.go
+++ b/internal/control/controller/authority_test.go
@@ -265,8 +265,8 @@
 		one := beat("draining")
 		g.Expect(one.status()).To(BeZero(), "the other controller has not said that it knows")
 		for _, f := range b.hears() {
-			if f.Receipt != 0 {
-				b.says(&peer.Frame{Received: f.Receipt})
+			if f.AckID != 0 {
+				b.says(&peer.Frame{Acked: f.AckID})
 			}
 		}
 		g.Expect(one.status()).To(Equal(http.StatusOK))
--- a/internal/control/controller/bookings.go
+++ b/internal/control/controller/bookings.go
@@ -33,10 +33,10 @@
 // pass that on between it and their edges.
 type reservations struct {
 	clock       *reservation.Clock
-	dealer      *reservation.Dealer // of the term that this planner led last
-	round       uint64              // of answers that are to prove that it still leads
-	asked       time.Duration       // when that one began
-	proven      time.Duration       // when the last one began that was proven; 0: none
+	dealer      *reservation.Allocator // of the term that this planner led last
+	round       uint64                 // of answers that are to prove that it still leads
+	asked       time.Duration          // when that one began
+	proven      time.Duration          // when the last one began that was proven; 0: none
 	next        time.Duration
 	again       time.Duration
 	told        *peer.Reservations // as this planner last heard or said; nil: nothing yet
@@ -48,14 +48,14 @@
 func wall() float64 { return float64(time.Now().UnixNano()) / 1e9 }
 
 // carry is what a service's servers carry at once, by zone: the slots of those that take requests.
-func (c *Controller) carry() map[string]reservation.Carry {
-	all := map[string]reservation.Carry{}
+func (c *Controller) carry() map[string]reservation.Capacity {
+	all := map[string]reservation.Capacity{}
 	for _, e := range c.registry.All(c.now()) {
-		if e.State != registry.Ready || e.Silent {
+		if e.State != registry.Ready || e.TimedOut {
 			continue
 		}
 		if all[e.Service] == nil {
-			all[e.Service] = reservation.Carry{}
+			all[e.Service] = reservation.Capacity{}
 		}
 		all[e.Service][e.Zone] += float64(e.Capacity)
 	}
@@ -66,21 +66,21 @@
 // does nothing.
 func (c *Controller) dealReservations(now time.Duration) {
 	r := &c.reservations
-	if now < r.next || !c.leads() || c.state.Book.Version == 0 {
+	if now < r.next || !c.leads() || c.state.Bookings.Version == 0 {
 		return
 	}
 	r.next = now + dealEvery
 	if r.dealer == nil || r.dealer.Term() != c.replica.Term() {
-		r.dealer, r.round, r.proven, r.again, r.controllers = reservation.NewDealer(c.replica.Term(), now), 0, 0, 0, map[string]string{}
+		r.dealer, r.round, r.proven, r.again, r.controllers = reservation.NewAllocator(c.replica.Term(), now), 0, 0, 0, map[string]string{}
 	}
-	if r.round > 0 && c.replica.Confirmed(r.round) {
+	if r.round > 0 && c.replica.ReadConfirmed(r.round) {
 		r.proven = r.asked
 	}
-	r.round, r.asked = c.replica.Confirm(now), now
-	if r.proven == 0 || now-r.proven > reservation.Confirmed {
+	r.round, r.asked = c.replica.ReadIndex(now), now
+	if r.proven == 0 || now-r.proven > reservation.LeaderProofTTL {
 		return
 	}
-	list := c.state.Book.Reservations(c.carry(), r.clock.Now(now))
+	list := c.state.Bookings.ReservationsAt(c.carry(), r.clock.Now(now))
 	changed := r.told == nil || r.told.Term != r.dealer.Term() || !slices.Equal(r.told.List, list)
 	if changed || len(list) > 0 && now >= r.again {
 		r.again = now + reservationsAgain
@@ -98,7 +98,7 @@
 	}
 	r.dealer.Plan(list, now)
 	byController := map[string][]peer.EdgeLease{}
-	for edge, lease := range r.dealer.Deal(now) {
+	for edge, lease := range r.dealer.Allocate(now) {
 		owner := r.controllers[edge]
 		byController[owner] = append(byController[owner], peer.EdgeLease{Edge: edge, Lease: lease})
 	}
@@ -168,27 +168,27 @@
 	}
 	for _, w := range demands {
 		c.reservations.controllers[w.Edge] = owner
-		c.reservations.dealer.Heard(w.Edge, w.Demand, c.now())
+		c.reservations.dealer.HandleDemand(w.Edge, w.Demand, c.now())
 	}
 }
 
 // bookings is the book, as operators read it.
 func (c *Controller) bookings() ([]byte, error) {
 	now := c.now()
-	b := operator.Bookings{Version: bookVersion(c.state.Book.Version), Now: c.reservations.clock.Now(now), Past: c.state.Book.Gone, Lacks: map[string]float64{}, Use: []operator.Use{}}
-	for _, one := range c.state.Book.All {
+	b := operator.Bookings{Version: bookVersion(c.state.Bookings.Version), Now: c.reservations.clock.Now(now), Past: c.state.Bookings.Past, Lacks: map[string]float64{}, Use: []operator.Use{}}
+	for _, one := range c.state.Bookings.Active {
 		b.Bookings = append(b.Bookings, one)
 	}
 	slices.SortFunc(b.Bookings, func(a, b reservation.Booking) int {
 		return cmp.Or(cmp.Compare(a.Start, b.Start), cmp.Compare(a.ID, b.ID))
 	})
 	for service, carry := range c.carryBooked() {
-		for id, lacks := range c.state.Book.Endangered(service, carry, b.Now) {
+		for id, lacks := range c.state.Bookings.Shortfalls(service, carry, b.Now) {
 			b.Lacks[id] = lacks
 		}
 	}
 	if told := c.reservations.told; told != nil && c.reservations.dealer != nil {
-		use := c.reservations.dealer.Use(now)
+		use := c.reservations.dealer.Wanted(now)
 		for _, r := range told.List {
 			b.Use = append(b.Use, operator.Use{Reservation: r, Wanted: use[r.ID]})
 		}
@@ -197,11 +197,11 @@
 }
 
 // carryBooked is carry for all services of the book: one without any server carries nothing.
-func (c *Controller) carryBooked() map[string]reservation.Carry {
+func (c *Controller) carryBooked() map[string]reservation.Capacity {
 	all := c.carry()
-	for _, b := range c.state.Book.All {
+	for _, b := range c.state.Bookings.Active {
 		if all[b.Service] == nil {
-			all[b.Service] = reservation.Carry{}
+			all[b.Service] = reservation.Capacity{}
 		}
 	}
 	return all
@@ -209,11 +209,11 @@
 
 // endangered are the bookings that can't be kept now, a line each, as the leader sees it.
 func (c *Controller) endangered() (lines []string) {
-	if !c.leads() || len(c.state.Book.All) == 0 {
+	if !c.leads() || len(c.state.Bookings.Active) == 0 {
 		return nil
 	}
 	for service, carry := range c.carryBooked() {
-		for id, lacks := range c.state.Book.Endangered(service, carry, c.reservations.clock.Now(c.now())) {
+		for id, lacks := range c.state.Bookings.Shortfalls(service, carry, c.reservations.clock.Now(c.now())) {
 			lines = append(lines, fmt.Sprintf("booking %s lacks %.1f slots of %s", id, lacks, service))
 		}
 	}
@@ -276,7 +276,7 @@
 		all = list.Bookings
 	}
 	for i := range all {
-		all[i] = all[i].Whole()
+		all[i] = all[i].WithSlots()
 	}
 	return all, err
 }
@@ -302,11 +302,11 @@
 		}
 		return
 	}
-	if !c.replica.Settled() { // what a former leader acknowledged may not be applied here yet
+	if !c.replica.CommittedInTerm() { // what a former leader acknowledged may not be applied here yet
 		done <- booked{err: apierror.NoLeader.New("this leader has not caught up yet")}
 		return
 	}
-	book := c.state.Book
+	book := c.state.Bookings
 	if op.Now = c.reservations.clock.Now(c.now()); op.Now == 0 {
 		op.Now = wall() // before the first summary
 	}
@@ -315,13 +315,13 @@
 		op.Base = book.Version
 	}
 	if !book.Knows(op.Call) || dry {
-		if err := book.Judge(op); err != nil {
+		if err := book.Validate(op); err != nil {
 			done <- booked{err: err}
 			return
 		}
 		if len(op.Puts) > 0 {
 			var short bool
-			short, out.id, out.could = book.Short(op.Puts, c.carry())
+			short, out.id, out.could = book.FirstShortfall(op.Puts, c.carry())
 			out.kept = !short
 		}
 	}
@@ -333,14 +333,14 @@
 		done <- booked{err: apierror.Overbooked.New("booking %s can't be kept, %.1f slots could", out.id, out.could)}
 		return
 	}
-	data, err := cbor.Marshal(statemachine.Change{Book: &op})
+	data, err := cbor.Marshal(statemachine.Change{Bookings: &op})
 	if err != nil {
 		done <- booked{err: apierror.Malformed.Wrap(err, "booking")}
 		return
 	}
 	index, term, _ := c.replica.Propose(data, c.now())
 	c.wait(index, waiter{term: term, until: c.now() + callLimit, answer: func(_ uint64, err error) {
-		out.version, out.err = c.state.Book.Version, err
+		out.version, out.err = c.state.Bookings.Version, err
 		done <- out
 	}})
 }
--- a/internal/control/controller/claims_test.go
+++ b/internal/control/controller/claims_test.go
@@ -25,7 +25,7 @@
 // enters brings a controller to the joint membership under which it gets a vote.
 func enters(t *testing.T, dir string) (h *host, a, b *script) {
 	yes, m := true, three
-	prepared(t, dir, &storage.Batch{Identity: "10.0.0.4#d", Hard: &consensus.HardState{Term: 4, Commit: 1}, LedgerBlank: &yes, Membership: &m,
+	prepared(t, dir, &storage.Batch{Identity: "10.0.0.4#d", Hard: &consensus.HardState{Term: 4, Commit: 1}, Recovering: &yes, Membership: &m,
 		Entries: []consensus.Entry{{Term: 4, Index: 1, Membership: &m}}})
 	h = start(t, ipD, dir, false)
 	a, b = h.linked(ipA), h.linked(ipB)
@@ -42,20 +42,20 @@
 		prepared(t, dir, voter(ipB))
 		h := start(t, ipB, dir, false)
 		a := h.linked(ipA)
-		ask := func(n, epoch uint64) []idempotency.Verdict {
+		ask := func(n, epoch uint64) []idempotency.GrantReply {
 			a.hears()
-			a.says(&peer.Frame{Asks: []idempotency.Record{record(n)}, Epoch: epoch})
+			a.says(&peer.Frame{GrantRequests: []idempotency.Record{record(n)}, Epoch: epoch})
 			return verdicts(a.hears())
 		}
-		g.Expect(ask(1, 2)).To(Equal([]idempotency.Verdict{idempotency.Granted}))
+		g.Expect(ask(1, 2)).To(Equal([]idempotency.GrantReply{idempotency.ReplyGranted}))
 		h.follow(a, 5, consensus.Message{Index: 1, LogTerm: 4, Commit: 2, Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &joint}}})
-		g.Expect(ask(2, 2)).To(Equal([]idempotency.Verdict{idempotency.Behind}))
+		g.Expect(ask(2, 2)).To(Equal([]idempotency.GrantReply{idempotency.ReplyStaleEpoch}))
 		g.Expect(h.claimStore.Len()).To(Equal(1), "and holds nothing of it")
-		g.Expect(ask(2, 3)).To(Equal([]idempotency.Verdict{idempotency.Granted}))
+		g.Expect(ask(2, 3)).To(Equal([]idempotency.GrantReply{idempotency.ReplyGranted}))
 		h.stop()
 		h = start(t, ipB, dir, false)
 		a = h.linked(ipA)
-		g.Expect(ask(3, 2)).To(Equal([]idempotency.Verdict{idempotency.Behind}), "a start forgets no epoch")
+		g.Expect(ask(3, 2)).To(Equal([]idempotency.GrantReply{idempotency.ReplyStaleEpoch}), "a start forgets no epoch")
 		h.stop()
 	})
 }
@@ -70,10 +70,10 @@
 		prepared(t, dir, voter(ipA))
 		h := start(t, ipA, dir, false)
 		b, d := h.linked(ipB), h.linked("10.0.0.4#d")
-		edge := h.meets("10.0.0.9", &peer.Hello{Node: "e", IP: "10.0.0.9", Zone: "x", Edge: true})
+		edge := h.meets("10.0.0.9", &peer.Handshake{Node: "e", IP: "10.0.0.9", Zone: "x", Edge: true})
 		asked := func(s *script) (epochs []uint64) {
 			for _, f := range s.hears() {
-				if len(f.Asks) > 0 {
+				if len(f.GrantRequests) > 0 {
 					epochs = append(epochs, f.Epoch)
 				}
 			}
@@ -82,21 +82,21 @@
 		r := record(1)
 		edge.says(&peer.Frame{Claims: []idempotency.Record{r}})
 		g.Expect(asked(b)).To(Equal([]uint64{2}))
-		b.says(&peer.Frame{Verdicts: []peer.Verdict{{Token: r.Token, Verdict: idempotency.Behind}}})
+		b.says(&peer.Frame{GrantReplies: []peer.GrantReply{{Token: r.Token, Reply: idempotency.ReplyStaleEpoch}}})
 		asked(b)
 		h.follow(b, 5, consensus.Message{Index: 1, LogTerm: 4, Commit: 2, Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &two}}})
 		g.Expect(asked(b)).To(Equal([]uint64{3}))
 		for _, s := range []*script{b, d} {
 			for _, f := range edge.hears() {
-				g.Expect(f.Rulings).To(BeEmpty(), "it stands with both sets only")
+				g.Expect(f.Outcomes).To(BeEmpty(), "it stands with both sets only")
 			}
-			s.says(&peer.Frame{Verdicts: []peer.Verdict{{Token: r.Token, Verdict: idempotency.Granted}}})
+			s.says(&peer.Frame{GrantReplies: []peer.GrantReply{{Token: r.Token, Reply: idempotency.ReplyGranted}}})
 		}
-		var rulings []peer.Ruling
+		var rulings []peer.ClaimOutcome
 		for _, f := range edge.hears() {
-			rulings = append(rulings, f.Rulings...)
+			rulings = append(rulings, f.Outcomes...)
 		}
-		g.Expect(rulings).To(Equal([]peer.Ruling{{Token: r.Token, Ruling: idempotency.Stands}}))
+		g.Expect(rulings).To(Equal([]peer.ClaimOutcome{{Token: r.Token, Outcome: idempotency.OutcomeGranted}}))
 		h.stop()
 	})
 }
@@ -112,11 +112,11 @@
 		a, d := h.linked(ipA), h.linked("10.0.0.4#d")
 		copied := func(epoch uint64) (records int, whole bool) {
 			d.hears()
-			d.says(&peer.Frame{Copy: true, Epoch: epoch})
+			d.says(&peer.Frame{CopyRequest: true, Epoch: epoch})
 			for _, f := range d.hears() {
-				if f.Copied != nil {
+				if f.ClaimsChunk != nil {
 					g.Expect(f.Epoch).To(Equal(epoch))
-					records, whole = records+len(f.Copied.Records), whole || f.Copied.Last
+					records, whole = records+len(f.ClaimsChunk.Records), whole || f.ClaimsChunk.Last
 				}
 			}
 			return records, whole
@@ -130,7 +130,7 @@
 		g.Expect(whole).To(BeFalse(), "it is applied and not durable")
 		h.mend()
 		h.pass(2 * storeAgain)
-		a.says(&peer.Frame{Asks: []idempotency.Record{record(1)}, Epoch: 3})
+		a.says(&peer.Frame{GrantRequests: []idempotency.Record{record(1)}, Epoch: 3})
 		records, whole := copied(3)
 		g.Expect(whole).To(BeTrue())
 		g.Expect(records).To(Equal(1))
@@ -154,35 +154,35 @@
 		}
 		ready := func() (said bool) {
 			for _, f := range a.hears() {
-				said = said || f.Standing != nil && f.Standing.Ready
+				said = said || f.ReplicaStatus != nil && f.ReplicaStatus.Ready
 			}
 			return said
 		}
-		a.says(&peer.Frame{Copied: &peer.Copied{Records: part(1, 11)}, Epoch: 3})
+		a.says(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Records: part(1, 11)}, Epoch: 3})
 		h.refuse()
-		a.says(&peer.Frame{Copied: &peer.Copied{Records: part(11, 21)}, Epoch: 3})
+		a.says(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Records: part(11, 21)}, Epoch: 3})
 		h.pass(3 * storeAgain)
-		a.says(&peer.Frame{Copied: &peer.Copied{Records: part(21, 31), Last: true}, Epoch: 3})
-		b.says(&peer.Frame{Copied: &peer.Copied{Records: part(5, 41), Last: true}, Epoch: 3})
+		a.says(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Records: part(21, 31), Last: true}, Epoch: 3})
+		b.says(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Records: part(5, 41), Last: true}, Epoch: 3})
 		h.pass(3 * storeAgain)
 		g.Expect(ready()).To(BeFalse())
-		g.Expect(h.claimStore.Blank()).To(BeTrue(), "it grants nothing before its word is durable")
+		g.Expect(h.claimStore.Recovering()).To(BeTrue(), "it grants nothing before its word is durable")
 		g.Expect(h.log.with("disk refuses")).To(HaveLen(1))
 		h.mend()
 		h.pass(3 * storeAgain)
 		g.Expect(ready()).To(BeTrue())
 		h.stop()
 		s := held(t, dir)
-		g.Expect(s.LedgerBlank).To(BeFalse())
+		g.Expect(s.Recovering).To(BeFalse())
 		keys := map[idempotency.Key]bool{}
-		for _, r := range s.Records {
+		for _, r := range s.Claims {
 			g.Expect(r.Copied).To(BeTrue())
 			keys[r.Key] = true
 		}
 		g.Expect(keys).To(HaveLen(40))
 		h = start(t, ipD, dir, false)
-		v, _, _ := h.claimStore.Claim(record(15), h.now())
-		g.Expect(v).To(Equal(idempotency.Held), "a key that was copied is granted to nobody, after a start, too")
+		v, _, _ := h.claimStore.Grant(record(15), h.now())
+		g.Expect(v).To(Equal(idempotency.ReplyConflict), "a key that was copied is granted to nobody, after a start, too")
 		h.stop()
 	})
 }
@@ -193,14 +193,14 @@
 		g := NewWithT(t)
 		h, a, b := enters(t, t.TempDir())
 		e := h.linked("10.0.0.5#e")
-		a.says(&peer.Frame{Copied: &peer.Copied{Last: true}, Epoch: 3})
-		a.says(&peer.Frame{Copied: &peer.Copied{Last: true}, Epoch: 3})
-		e.says(&peer.Frame{Copied: &peer.Copied{Last: true}, Epoch: 3})
-		b.says(&peer.Frame{Copied: &peer.Copied{Last: true}, Epoch: 2})
-		b.says(&peer.Frame{Copied: &peer.Copied{Last: true, Blank: true}, Epoch: 3})
-		g.Expect(h.claimStore.Blank()).To(BeTrue())
-		b.says(&peer.Frame{Copied: &peer.Copied{Last: true}, Epoch: 3})
-		g.Expect(h.claimStore.Blank()).To(BeFalse())
+		a.says(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Last: true}, Epoch: 3})
+		a.says(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Last: true}, Epoch: 3})
+		e.says(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Last: true}, Epoch: 3})
+		b.says(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Last: true}, Epoch: 2})
+		b.says(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Last: true, Recovering: true}, Epoch: 3})
+		g.Expect(h.claimStore.Recovering()).To(BeTrue())
+		b.says(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Last: true}, Epoch: 3})
+		g.Expect(h.claimStore.Recovering()).To(BeFalse())
 		h.stop()
 	})
 }
@@ -213,21 +213,21 @@
 		prepared(t, dir, voter(ipA))
 		h := start(t, ipA, dir, false)
 		b, c := h.linked(ipB), h.linked(ipC)
-		edge := h.meets("10.0.0.9", &peer.Hello{Node: "e", IP: "10.0.0.9", Zone: "x", Edge: true})
+		edge := h.meets("10.0.0.9", &peer.Handshake{Node: "e", IP: "10.0.0.9", Zone: "x", Edge: true})
 		h.refuse() // the own store grants nothing
 		r := record(1)
 		edge.says(&peer.Frame{Claims: []idempotency.Record{r}})
 		h.pass(2 * claimHedge)
-		b.says(&peer.Frame{Verdicts: []peer.Verdict{{Token: r.Token, Verdict: idempotency.Granted}}})
-		b.says(&peer.Frame{Standing: &peer.Standing{Identity: ipB + "#7", Cluster: cluster, Epoch: 2}})
+		b.says(&peer.Frame{GrantReplies: []peer.GrantReply{{Token: r.Token, Reply: idempotency.ReplyGranted}}})
+		b.says(&peer.Frame{ReplicaStatus: &peer.ReplicaStatus{Identity: ipB + "#7", Cluster: cluster, Epoch: 2}})
 		h.mend()
-		c.says(&peer.Frame{Verdicts: []peer.Verdict{{Token: r.Token, Verdict: idempotency.Granted}}})
+		c.says(&peer.Frame{GrantReplies: []peer.GrantReply{{Token: r.Token, Reply: idempotency.ReplyGranted}}})
 		h.pass(claimLimit + time.Second)
-		var rulings []peer.Ruling
+		var rulings []peer.ClaimOutcome
 		for _, f := range edge.hears() {
-			rulings = append(rulings, f.Rulings...)
+			rulings = append(rulings, f.Outcomes...)
 		}
-		g.Expect(rulings).To(Equal([]peer.Ruling{{Token: r.Token, Ruling: idempotency.Refused}}))
+		g.Expect(rulings).To(Equal([]peer.ClaimOutcome{{Token: r.Token, Outcome: idempotency.OutcomeUndecided}}))
 		h.stop()
 	})
 }
@@ -237,10 +237,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		h := start(t, ipD, t.TempDir(), false)
-		edge := h.meets("10.0.0.9", &peer.Hello{Node: "e", IP: "10.0.0.9", Zone: "x", Edge: true})
+		edge := h.meets("10.0.0.9", &peer.Handshake{Node: "e", IP: "10.0.0.9", Zone: "x", Edge: true})
 		edge.hears()
 		edge.says(&peer.Frame{Claims: []idempotency.Record{record(1)}})
-		g.Expect(edge.hears()[0].Rulings).To(Equal([]peer.Ruling{{Token: record(1).Token, Ruling: idempotency.Refused}}))
+		g.Expect(edge.hears()[0].Outcomes).To(Equal([]peer.ClaimOutcome{{Token: record(1).Token, Outcome: idempotency.OutcomeUndecided}}))
 		h.stop()
 	})
 }
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -127,7 +127,7 @@
 		return err
 	}
 	defer c.storage.Close()
-	listener, err := net.Listen("tcp", set.Inner(set.IP))
+	listener, err := net.Listen("tcp", set.InnerAddress(set.IP))
 	if err != nil {
 		return err
 	}
@@ -195,8 +195,8 @@
 		return err
 	}
 	c.storage = a
-	if state.Spoilt != nil {
-		_ = c.logger.Log("event", "disk spoilt", "put aside", "exchange.db.spoilt", "cause", state.Spoilt)
+	if state.Corrupt != nil {
+		_ = c.logger.Log("event", "disk spoilt", "put aside", "exchange.db.spoilt", "cause", state.Corrupt)
 	}
 	for _, ip := range c.set.SeedIPs() {
 		c.known[ip] = true
@@ -206,16 +206,16 @@
 		return err
 	}
 	c.first = c.set.FirstStart && c.identity == membership.Identity(c.set.IP, 0)
-	c.members = state.Members
-	c.claimStore = idempotency.NewStore(window, state.LedgerBlank)
-	c.claimStore.Bound(answers)
-	for _, r := range state.Records {
+	c.members = state.BootstrapVoters
+	c.claimStore = idempotency.NewStore(window, state.Recovering)
+	c.claimStore.SetMaxResponseBytes(answers)
+	for _, r := range state.Claims {
 		c.claimStore.Load(r, c.now())
 	}
 	for _, e := range state.Servers { // as they were: their next beats confirm them, or their silence takes them out
-		e.Warmup, e.Owner = 0, c.set.IP
-		if now, news := c.registry.Take(e, c.now()); news {
-			c.tables.Changed([]registry.Entry{now}, c.now())
+		e.WarmupLeft, e.Owner = 0, c.set.IP
+		if now, news := c.registry.Apply(e, c.now()); news {
+			c.tables.UpdateServers([]registry.Entry{now}, c.now())
 		}
 	}
 	c.join(state)
@@ -225,8 +225,8 @@
 // join starts this controller's part in the consensus, with what its disk held.
 func (c *Controller) join(state *storage.State) {
 	started := consensus.Membership{}
-	if len(state.Members) > 0 {
-		started = consensus.Membership{Epoch: 1, Voters: state.Members}
+	if len(state.BootstrapVoters) > 0 {
+		started = consensus.Membership{Epoch: 1, Voters: state.BootstrapVoters}
 	}
 	c.replica = consensus.New(consensus.Config{ID: c.identity, Timing: consensus.Timing{Heartbeat: heartbeatEvery, ElectionTimeout: electionTimeout},
 		Seed: c.life, Membership: started, Hard: state.Hard, Snapshot: state.Snapshot, Log: state.Entries, Now: c.now()})
@@ -275,7 +275,7 @@
 		case <-tick.C:
 			c.tick()
 			next := tickEvery
-			if c.coordinator.Busy() {
+			if c.coordinator.HasPending() {
 				next = busyTick
 			}
 			tick.Reset(next)
@@ -304,30 +304,30 @@
 	c.broadcaster.Tick(now)
 	c.pushWeights(now)
 	c.dealReservations(now)
-	changed := c.registry.Silence(c.set.IP, c.lost, time.Duration(silentBeats*c.set.BeatPeriod*float64(time.Second)), now)
+	changed := c.registry.MarkTimedOut(c.set.IP, c.lost, time.Duration(silentBeats*c.set.BeatPeriod*float64(time.Second)), now)
 	if len(changed) > 0 {
 		for _, e := range changed {
 			_ = c.logger.Log("event", "server silent", "server", e.ID, "service", e.Service, "gone", e.Ended())
 		}
-		c.broadcaster.Changed(changed, now)
+		c.broadcaster.Publish(changed, now)
 	}
 }
 
 // settle does what the consensus wants done after the events of a turn, and hands the disk what has gathered.
 func (c *Controller) settle() {
-	out := c.replica.Take()
-	for _, m := range out.Now {
+	out := c.replica.TakeOutput()
+	for _, m := range out.Immediate {
 		c.sendAgree(m)
 	}
-	if !out.Empty() || len(out.After) > 0 {
+	if !out.Empty() || len(out.AfterSync) > 0 {
 		index, term := out.Last()
-		after := out.After
+		after := out.AfterSync
 		done := func(bool) {
 			for _, m := range after {
 				c.sendAgree(m)
 			}
 			if index > 0 {
-				c.replica.Stored(index, term, c.now())
+				c.replica.MarkDurable(index, term, c.now())
 			}
 		}
 		if out.Empty() && c.store.idleAgree() {
@@ -361,9 +361,9 @@
 
 func (c *Controller) sendAgree(m consensus.Message) {
 	if p := c.replicaAt(m.To); p != nil {
-		p.link.Send(&peer.Frame{Agree: []consensus.Message{m}})
+		p.link.Send(&peer.Frame{Consensus: []consensus.Message{m}})
 	}
 }
 
 // attached tells whether this planner is in contact with a majority of the voters.
-func (c *Controller) attached() bool { return !c.unreadable && c.replica.Attached(c.now()) }
+func (c *Controller) attached() bool { return !c.unreadable && c.replica.HasQuorumContact(c.now()) }
--- a/internal/control/controller/departure.go
+++ b/internal/control/controller/departure.go
@@ -66,7 +66,7 @@
 // others tells whether any voter is in contact that leadership could be passed to.
 func (c *Controller) others() bool {
 	for _, id := range c.replica.Membership().All() {
-		if p := c.replicaAt(id); p != nil && !p.standing.Leaving {
+		if p := c.replicaAt(id); p != nil && !p.standing.ShuttingDown {
 			return true
 		}
 	}
@@ -79,7 +79,7 @@
 		return true
 	}
 	for _, p := range c.peers {
-		if p.counted && !p.standing.Leaving && p.standing.Identity != "" && !c.replica.Membership().Contains(p.standing.Identity) {
+		if p.counted && !p.standing.ShuttingDown && p.standing.Identity != "" && !c.replica.Membership().Contains(p.standing.Identity) {
 			return true
 		}
 	}
@@ -102,7 +102,7 @@
 // heir is who takes the kept answers over: a controller of the own zone, else the leader, else any.
 func (c *Controller) heir() (heir *remote) {
 	for _, p := range c.peers {
-		if p.standing.Leaving {
+		if p.standing.ShuttingDown {
 			continue
 		}
 		if p.zone == c.set.Zone {
@@ -117,14 +117,14 @@
 
 func (c *Controller) sendAnswers(to *remote) {
 	f, bytes, count := &peer.Frame{}, 0, 0
-	c.claimStore.EachAnswer(func(r idempotency.Record) {
-		f.Done, bytes, count = append(f.Done, r), bytes+len(r.Answer.Body), count+1
+	c.claimStore.EachResponse(func(r idempotency.Record) {
+		f.Responses, bytes, count = append(f.Responses, r), bytes+len(r.Response.Body), count+1
 		if bytes >= answersChunk {
 			to.link.Send(f)
 			f, bytes = &peer.Frame{}, 0
 		}
 	})
-	f.Sync = 1
+	f.SyncRequest = 1
 	to.link.Send(f)
 	_ = c.logger.Log("event", "answers handed over", "to", to.node, "answers", count)
 }
--- a/internal/control/controller/departure_test.go
+++ b/internal/control/controller/departure_test.go
@@ -26,8 +26,8 @@
 			h := start(t, ipC, dir, false)
 			b, d := h.linked(ipB), h.linked("10.0.0.4#d")
 			r := record(1)
-			r.Answer = &idempotency.Answer{Status: 200, Body: []byte("done")}
-			b.says(&peer.Frame{Done: []idempotency.Record{r}})
+			r.Response = &idempotency.Response{Status: 200, Body: []byte("done")}
+			b.says(&peer.Frame{Responses: []idempotency.Record{r}})
 			h.follow(b, 5, consensus.Message{Index: 1, LogTerm: 4})
 			h.pass(tickEvery)
 			h.beginLeaving()
@@ -43,15 +43,15 @@
 			var heir *script
 			for _, s := range []*script{b, d} {
 				for _, f := range s.hears() {
-					if got += len(f.Done); f.Sync != 0 {
-						sync, heir = f.Sync, s
+					if got += len(f.Responses); f.SyncRequest != 0 {
+						sync, heir = f.SyncRequest, s
 					}
 				}
 			}
 			g.Expect(got).To(Equal(1))
 			g.Expect(heir).NotTo(BeNil())
 			if answered {
-				heir.says(&peer.Frame{Synced: sync})
+				heir.says(&peer.Frame{SyncReply: sync})
 				h.pass(tickEvery)
 				g.Expect(h.departed()).To(BeTrue())
 			} else {
@@ -77,8 +77,8 @@
 		h.pass(2 * tickEvery)
 		asked := false
 		for _, f := range b.hears() {
-			for _, m := range f.Agree {
-				asked = asked || m.Kind == consensus.StandNow
+			for _, m := range f.Consensus {
+				asked = asked || m.Kind == consensus.TimeoutNow
 			}
 			g.Expect(f.Summary == nil || !f.Summary.Attached).To(BeTrue(), "edges look for another controller")
 		}
@@ -116,12 +116,12 @@
 		h.lead(b)
 		now := wall()
 		op := reservation.Op{Call: "x", Now: now, Puts: []reservation.Booking{{ID: "x", Tenant: "t.example", Service: "s", Start: now, End: now + 3600, Slots: 1, Owner: "o"}}}
-		data, err := cbor.Marshal(statemachine.Change{Book: &op})
+		data, err := cbor.Marshal(statemachine.Change{Bookings: &op})
 		g.Expect(err).NotTo(HaveOccurred())
 		h.replica.Propose(data, h.now())
 		h.turn()
 		h.confirms(b)
-		g.Expect(h.state.Book.All).To(HaveLen(1))
+		g.Expect(h.state.Bookings.Active).To(HaveLen(1))
 		told := func() (times int) {
 			for _, f := range b.hears() {
 				if f.Reservations != nil {
@@ -131,13 +131,13 @@
 			return times
 		}
 		told()
-		h.pass(reservation.Confirmed)
+		h.pass(reservation.LeaderProofTTL)
 		g.Expect(told()).To(BeZero(), "nobody has answered a round")
 		h.pass(dealEvery)
 		h.confirms(b)
 		h.pass(dealEvery + tickEvery)
 		g.Expect(told()).To(BeNumerically(">", 0))
-		h.pass(reservation.Confirmed + dealEvery)
+		h.pass(reservation.LeaderProofTTL + dealEvery)
 		told()
 		h.pass(reservationsAgain)
 		g.Expect(told()).To(BeZero(), "the last proof is too old")
--- a/internal/control/controller/earlier_files_test.go
+++ b/internal/control/controller/earlier_files_test.go
@@ -20,7 +20,7 @@
 		no := false
 		data, err := statemachine.New().Save()
 		g.Expect(err).NotTo(HaveOccurred())
-		prepared(t, dir, &storage.Batch{Members: three.Voters, Hard: &consensus.HardState{Term: 5, Commit: 64}, LedgerBlank: &no,
+		prepared(t, dir, &storage.Batch{BootstrapVoters: three.Voters, Hard: &consensus.HardState{Term: 5, Commit: 64}, Recovering: &no,
 			Snapshot: &consensus.Snapshot{Term: 5, Index: 64, Data: data}})
 		h := start(t, ipA, dir, false)
 		g.Expect(h.replica.Votes()).To(BeTrue())
@@ -35,13 +35,13 @@
 		g := NewWithT(t)
 		dir := t.TempDir()
 		yes := true
-		prepared(t, dir, &storage.Batch{Members: three.Voters, Hard: &consensus.HardState{Term: 5, Commit: 1}, LedgerBlank: &yes, Entries: []consensus.Entry{{Term: 4, Index: 1}}})
+		prepared(t, dir, &storage.Batch{BootstrapVoters: three.Voters, Hard: &consensus.HardState{Term: 5, Commit: 1}, Recovering: &yes, Entries: []consensus.Entry{{Term: 4, Index: 1}}})
 		h := start(t, ipA, dir, false)
 		b := h.linked(ipB)
 		h.follow(b, 6, consensus.Message{Index: 1, LogTerm: 4, Commit: 2, Entries: []consensus.Entry{{Term: 6, Index: 2, Membership: &three}}}) // the first leader names the cluster
 		b.hears()
-		b.says(&peer.Frame{Asks: []idempotency.Record{record(1)}, Epoch: 2})
-		g.Expect(verdicts(b.hears())).NotTo(ContainElement(idempotency.Granted))
+		b.says(&peer.Frame{GrantRequests: []idempotency.Record{record(1)}, Epoch: 2})
+		g.Expect(verdicts(b.hears())).NotTo(ContainElement(idempotency.ReplyGranted))
 		h.stop()
 	})
 }
--- a/internal/control/controller/fuzz_test.go
+++ b/internal/control/controller/fuzz_test.go
@@ -65,7 +65,7 @@
 			t.Errorf("refused with %d and known", w.Code)
 		case w.Code != http.StatusOK && w.Code/100 != 4:
 			t.Errorf("answered %d", w.Code)
-		case known && (e.Service == "" || e.Address == "" || e.Capacity < 1 || e.State > registry.Draining || e.Warmup < 0 || e.Warmup > warmupMost):
+		case known && (e.Service == "" || e.Address == "" || e.Capacity < 1 || e.State > registry.Draining || e.WarmupLeft < 0 || e.WarmupLeft > warmupMost):
 			t.Errorf("taken as %+v", e)
 		}
 		if w.Code == http.StatusOK {
--- a/internal/control/controller/handed_over_test.go
+++ b/internal/control/controller/handed_over_test.go
@@ -16,20 +16,20 @@
 		h, b := voterAt(t)
 		h.refuse()
 		r := record(1)
-		r.Answer = &idempotency.Answer{Status: 200, Body: []byte("done")}
+		r.Response = &idempotency.Response{Status: 200, Body: []byte("done")}
 		b.hears()
-		b.says(&peer.Frame{Done: []idempotency.Record{r}, Sync: 1})
+		b.says(&peer.Frame{Responses: []idempotency.Record{r}, SyncRequest: 1})
 		h.pass(3 * storeAgain)
 		h.mend()
 		h.pass(3 * storeAgain)
 		said := false
 		for _, f := range b.hears() {
-			said = said || f.Synced == 1
+			said = said || f.SyncReply == 1
 		}
 		h.stop()
 		s := held(t, h.dir)
 		g.Expect(said).To(BeTrue())
-		r.Home = ipA
-		g.Expect(s.Records).To(ContainElement(r))
+		r.ResponseHolder = ipA
+		g.Expect(s.Claims).To(ContainElement(r))
 	})
 }
--- a/internal/control/controller/harness_test.go
+++ b/internal/control/controller/harness_test.go
@@ -186,7 +186,7 @@
 // voter is the disk of a voter of three that granted before.
 func voter(ip string) *storage.Batch {
 	no, m := false, three
-	return &storage.Batch{Identity: ip, Members: three.Voters, Hard: &consensus.HardState{Term: 4, Commit: 1}, LedgerBlank: &no, Membership: &m,
+	return &storage.Batch{Identity: ip, BootstrapVoters: three.Voters, Hard: &consensus.HardState{Term: 4, Commit: 1}, Recovering: &no, Membership: &m,
 		Entries: []consensus.Entry{{Term: 4, Index: 1, Membership: &m}}}
 }
 
@@ -200,13 +200,13 @@
 
 // linked links a controller that calls itself by an identity.
 func (h *host) linked(identity string) *script {
-	s := h.meets(membership.Address(identity), &peer.Hello{Node: "n-" + identity, IP: membership.Address(identity), Zone: "x", Life: 5, Counted: true, Cluster: cluster})
-	s.says(&peer.Frame{Standing: &peer.Standing{Identity: identity, Cluster: cluster, Epoch: h.epoch, Ready: true}})
+	s := h.meets(membership.Address(identity), &peer.Handshake{Node: "n-" + identity, IP: membership.Address(identity), Zone: "x", Incarnation: 5, Counted: true, Cluster: cluster})
+	s.says(&peer.Frame{ReplicaStatus: &peer.ReplicaStatus{Identity: identity, Cluster: cluster, Epoch: h.epoch, Ready: true}})
 	return s
 }
 
 // meets links whoever says this hello.
-func (h *host) meets(ip string, hello *peer.Hello) *script {
+func (h *host) meets(ip string, hello *peer.Handshake) *script {
 	mine, theirs := net.Pipe()
 	s := &script{h: h, p: &remote{link: peer.NewLink(mine), node: hello.Node, ip: ip, zone: hello.Zone, edge: hello.Edge}}
 	h.remotes = append(h.remotes, s.p)
@@ -255,7 +255,7 @@
 
 func (s *script) agrees(m consensus.Message) {
 	m.From, m.To = s.p.standing.Identity, s.h.replica.ID()
-	s.says(&peer.Frame{Agree: []consensus.Message{m}})
+	s.says(&peer.Frame{Consensus: []consensus.Message{m}})
 }
 
 // lead has the controller elected by a peer, which holds its whole log.
@@ -272,24 +272,24 @@
 func (h *host) confirms(by *script) {
 	round := uint64(0)
 	for _, f := range by.hears() {
-		for _, m := range f.Agree {
-			round = max(round, m.Round)
+		for _, m := range f.Consensus {
+			round = max(round, m.ReadRound)
 		}
 	}
-	by.agrees(consensus.Message{Kind: consensus.AppendReply, Term: h.replica.Term(), OK: true, Index: h.replica.Last(), Round: round})
+	by.agrees(consensus.Message{Kind: consensus.AppendReply, Term: h.replica.Term(), OK: true, Index: h.replica.Last(), ReadRound: round})
 }
 
 // follow has a peer lead, in contact with a majority.
 func (h *host) follow(leader *script, term uint64, m consensus.Message) {
-	m.Kind, m.Term, m.Heard = consensus.Append, term, true
+	m.Kind, m.Term, m.LeaderInContact = consensus.Append, term, true
 	leader.agrees(m)
 }
 
 // verdicts of all claims that frames tell of.
-func verdicts(in []*peer.Frame) (all []idempotency.Verdict) {
+func verdicts(in []*peer.Frame) (all []idempotency.GrantReply) {
 	for _, f := range in {
-		for _, v := range f.Verdicts {
-			all = append(all, v.Verdict)
+		for _, v := range f.GrantReplies {
+			all = append(all, v.Reply)
 		}
 	}
 	return all
--- a/internal/control/controller/identity_test.go
+++ b/internal/control/controller/identity_test.go
@@ -16,7 +16,7 @@
 )
 
 func record(n uint64) idempotency.Record {
-	return idempotency.Record{Key: idempotency.Key{byte(n)}, Token: idempotency.Token{Life: 1, N: n}}
+	return idempotency.Record{Key: idempotency.Key{byte(n)}, Token: idempotency.Token{Incarnation: 1, Sequence: n}}
 }
 
 // Before anything else is on the disk there is an identity, and it is the same after a start.
@@ -31,8 +31,8 @@
 		h.stop() // power is lost at once
 		s := held(t, dir)
 		g.Expect(s.Identity).To(Equal(drawn))
-		g.Expect(s.LedgerBlank).To(BeTrue())
-		g.Expect([]any{s.Hard, s.Entries, s.Records, s.Servers}).To(HaveEach(BeZero()))
+		g.Expect(s.Recovering).To(BeTrue())
+		g.Expect([]any{s.Hard, s.Entries, s.Claims, s.Servers}).To(HaveEach(BeZero()))
 		h = start(t, ipD, dir, false)
 		g.Expect(h.identity).To(Equal(drawn))
 		g.Expect(h.replica.ID()).To(Equal(drawn))
@@ -48,11 +48,11 @@
 		h := start(t, ipA, dir, true)
 		g.Expect(h.identity).To(Equal(ipA))
 		g.Expect(h.replica.Votes()).To(BeTrue())
-		g.Expect(h.claimStore.Blank()).To(BeFalse())
+		g.Expect(h.claimStore.Recovering()).To(BeFalse())
 		h.stop()
 		h = start(t, ipA, dir, false)
 		g.Expect(h.replica.Votes()).To(BeTrue())
-		g.Expect(h.claimStore.Blank()).To(BeFalse())
+		g.Expect(h.claimStore.Recovering()).To(BeFalse())
 		h.stop()
 	})
 }
@@ -68,7 +68,7 @@
 			g.Expect(seen).NotTo(HaveKey(h.identity))
 			seen[h.identity] = true
 			g.Expect(h.replica.Votes()).To(BeFalse())
-			g.Expect(h.claimStore.Blank()).To(BeTrue())
+			g.Expect(h.claimStore.Recovering()).To(BeTrue())
 			h.stop()
 		}
 		dir := t.TempDir()
@@ -90,20 +90,20 @@
 		keeps, blank bool
 	}{
 		"sound":               {consensus.HardState{Term: 5, Vote: ipB}, &no, true, false},
-		"its votes were lost": {consensus.HardState{Term: 5, Lost: true}, &no, false, true},
-		"both were lost":      {consensus.HardState{Term: 5, Lost: true}, &yes, false, true},
+		"its votes were lost": {consensus.HardState{Term: 5, DiskLost: true}, &no, false, true},
+		"both were lost":      {consensus.HardState{Term: 5, DiskLost: true}, &yes, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				dir := t.TempDir()
-				prepared(t, dir, &storage.Batch{Members: three.Voters, Hard: &one.hard, LedgerBlank: one.ledgerBlank,
-					Entries: []consensus.Entry{{Term: 4, Index: 1}}, Records: []idempotency.Record{record(1)}})
+				prepared(t, dir, &storage.Batch{BootstrapVoters: three.Voters, Hard: &one.hard, Recovering: one.ledgerBlank,
+					Entries: []consensus.Entry{{Term: 4, Index: 1}}, Claims: []idempotency.Record{record(1)}})
 				for range 2 { // and the same at the next start
 					h := start(t, ipA, dir, false)
 					g.Expect(h.identity == ipA).To(Equal(one.keeps), h.identity)
 					g.Expect(h.replica.Votes()).To(Equal(one.keeps))
-					g.Expect(h.claimStore.Blank()).To(Equal(one.blank))
+					g.Expect(h.claimStore.Recovering()).To(Equal(one.blank))
 					g.Expect(h.replica.Term()).To(BeEquivalentTo(5))
 					g.Expect(h.claimStore.Len()).To(Equal(1))
 					if one.keeps {
@@ -121,10 +121,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		dir, yes := t.TempDir(), true
-		prepared(t, dir, &storage.Batch{Members: three.Voters, Hard: &consensus.HardState{Term: 5}, LedgerBlank: &yes})
+		prepared(t, dir, &storage.Batch{BootstrapVoters: three.Voters, Hard: &consensus.HardState{Term: 5}, Recovering: &yes})
 		for range 2 {
 			h := start(t, ipA, dir, false)
-			g.Expect(h.claimStore.Blank()).To(BeTrue())
+			g.Expect(h.claimStore.Recovering()).To(BeTrue())
 			h.stop()
 		}
 	})
@@ -173,17 +173,17 @@
 			copied := t.TempDir()
 			g.Expect(os.WriteFile(filepath.Join(copied, "exchange.db"), text, 0o600)).To(Succeed())
 			s := held(t, copied)
-			g.Expect(s.Spoilt).NotTo(HaveOccurred())
+			g.Expect(s.Corrupt).NotTo(HaveOccurred())
 			retired = strings.HasPrefix(s.Identity, ipC+"#")
-			g.Expect(s.LedgerBlank).To(Equal(retired), when)
+			g.Expect(s.Recovering).To(Equal(retired), when)
 			g.Expect(s.Membership.Contains(ipC)).NotTo(Equal(retired), when)
 			return retired
 		}
-		h.frame(b.p, &peer.Frame{Agree: []consensus.Message{{Kind: consensus.Append, From: ipB, To: ipC, Term: 5, Index: 1, LogTerm: 4, Commit: 3, Heard: true,
+		h.frame(b.p, &peer.Frame{Consensus: []consensus.Message{{Kind: consensus.Append, From: ipB, To: ipC, Term: 5, Index: 1, LogTerm: 4, Commit: 3, LeaderInContact: true,
 			Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &joint}, {Term: 5, Index: 3, Membership: &final}}}}})
 		g.Expect(check("before its turn")).To(BeFalse())
 		h.settle() // applies, and hands the disk its first write
-		g.Expect(h.claimStore.Blank()).To(BeTrue(), "it grants nothing before that is durable, either")
+		g.Expect(h.claimStore.Recovering()).To(BeTrue(), "it grants nothing before that is durable, either")
 		for range 5 {
 			synctest.Wait()
 			check("between writes")
@@ -201,7 +201,7 @@
 		h.stop()
 		h = start(t, ipC, dir, false)
 		g.Expect(h.replica.Votes()).To(BeFalse())
-		g.Expect(h.claimStore.Blank()).To(BeTrue())
+		g.Expect(h.claimStore.Recovering()).To(BeTrue())
 		h.stop()
 	})
 }
--- a/internal/control/controller/lagging_booking_test.go
+++ b/internal/control/controller/lagging_booking_test.go
@@ -21,7 +21,7 @@
 		h, b := voterAt(t)
 		c := h.linked(ipC)
 		op := reservation.Op{Call: "x", Puts: []reservation.Booking{{ID: "x", Tenant: "t.example", Service: "s", Start: 3e9, End: 4e9, Slots: 1, Owner: "o"}}}
-		data, err := cbor.Marshal(statemachine.Change{Book: &op})
+		data, err := cbor.Marshal(statemachine.Change{Bookings: &op})
 		g.Expect(err).NotTo(HaveOccurred())
 		h.follow(b, 5, consensus.Message{Index: 1, LogTerm: 4, Entries: []consensus.Entry{{Term: 5, Index: 2, Data: data}}}) // b acknowledges it, and is lost
 		h.pass(2 * electionTimeout)
--- a/internal/control/controller/links.go
+++ b/internal/control/controller/links.go
@@ -24,11 +24,11 @@
 	edge     bool
 	look     bool // a guest: an edge of another controller, that looks or has claims that its controller doesn't rule on
 	attached bool
-	cells    peer.Comparing
+	cells    peer.DigestComparison
 	crew     map[string][]uint32 // a controller's edges, by zone
 	roster   []uint32            // as an edge was last told
-	usual    []peer.Zoned
-	standing peer.Standing // of a controller
+	usual    []peer.ZoneTraffic
+	standing peer.ReplicaStatus // of a controller
 }
 
 // name is how the broadcaster knows a peer.
@@ -72,17 +72,17 @@
 	var p *remote
 	_ = link.Read(func(f *peer.Frame) { // how a link ends doesn't matter: it is made anew
 		if p == nil {
-			if f.Hello == nil {
+			if f.Handshake == nil {
 				link.Close()
 				return
 			}
-			if err := c.security.Believe(conn, f.Hello); err != nil {
+			if err := c.security.VerifyAddress(conn, f.Handshake); err != nil {
 				_ = c.logger.Log("event", "stranger", "cause", err)
 				link.Close()
 				return
 			}
-			p = &remote{link: link, node: f.Hello.Node, ip: f.Hello.IP, zone: f.Hello.Zone, edge: f.Hello.Edge, byLower: f.Hello.IP < c.set.IP}
-			c.do(func() { c.joined(p, f.Hello) })
+			p = &remote{link: link, node: f.Handshake.Node, ip: f.Handshake.IP, zone: f.Handshake.Zone, edge: f.Handshake.Edge, byLower: f.Handshake.IP < c.set.IP}
+			c.do(func() { c.joined(p, f.Handshake) })
 		}
 		c.do(func() { c.frame(p, f) })
 	})
@@ -129,21 +129,21 @@
 		case forgotten:
 			return
 		}
-		conn, err := c.security.Dial(c.set.Inner(ip), dialLimit)
+		conn, err := c.security.Dial(c.set.InnerAddress(ip), dialLimit)
 		if err != nil {
 			continue
 		}
 		link := peer.NewLink(conn)
-		link.Send(&peer.Frame{Hello: c.hello()})
+		link.Send(&peer.Frame{Handshake: c.hello()})
 		var p *remote
 		_ = link.Read(func(f *peer.Frame) { // how a link ends doesn't matter: it is made anew
 			if p == nil {
-				if f.Hello == nil {
+				if f.Handshake == nil {
 					link.Close()
 					return
 				}
-				p = &remote{link: link, node: f.Hello.Node, ip: ip, zone: f.Hello.Zone, byLower: c.set.IP < ip}
-				c.do(func() { c.joined(p, f.Hello) })
+				p = &remote{link: link, node: f.Handshake.Node, ip: ip, zone: f.Handshake.Zone, byLower: c.set.IP < ip}
+				c.do(func() { c.joined(p, f.Handshake) })
 			}
 			c.do(func() { c.frame(p, f) })
 		})
@@ -154,14 +154,14 @@
 }
 
 // hello is only what never changes: it is sent from outside the owner, too.
-func (c *Controller) hello() *peer.Hello {
-	return &peer.Hello{Node: c.set.Node, IP: c.set.IP, Zone: c.set.Zone, Life: c.life, Counted: c.set.Counted, Cluster: c.cluster.Load()}
+func (c *Controller) hello() *peer.Handshake {
+	return &peer.Handshake{Node: c.set.Node, IP: c.set.IP, Zone: c.set.Zone, Incarnation: c.life, Counted: c.set.Counted, Cluster: c.cluster.Load()}
 }
 
 // joined takes a peer in and brings it up to date: a snapshot, then changes.
-func (c *Controller) joined(p *remote, h *peer.Hello) {
-	if p.look = h.Look; h.Look {
-		p.link.Send(&peer.Frame{Hello: c.hello(), Summary: c.makeSummary(true)})
+func (c *Controller) joined(p *remote, h *peer.Handshake) {
+	if p.look = h.ProbeOnly; h.ProbeOnly {
+		p.link.Send(&peer.Frame{Handshake: c.hello(), Summary: c.makeSummary(true)})
 		c.guests[p] = true
 		return
 	}
@@ -175,7 +175,7 @@
 		}
 		c.edges[p.ip] = p
 	} else {
-		p.life = h.Life
+		p.life = h.Incarnation
 		if old := c.peers[p.ip]; old != nil {
 			if old.life == p.life && old.byLower && !p.byLower {
 				p.link.Close() // both dialled: both ends keep the same of the two
@@ -189,14 +189,14 @@
 		c.meet(p.ip)
 	}
 	c.tellReservations(p)
-	c.broadcaster.Join(p.name(), p.edge)
+	c.broadcaster.AddPeer(p.name(), p.edge)
 	_ = c.logger.Log("event", "link up", "node", p.node, "ip", p.ip, "edge", p.edge)
 	answer := c.hello()
-	answer.Blank = c.claimStore.Blank()
-	answer.Members = c.members
-	f := &peer.Frame{Hello: answer, Entries: c.registry.All(c.now()), Summary: c.makeSummary(true)}
+	answer.Recovering = c.claimStore.Recovering()
+	answer.BootstrapVoters = c.members
+	f := &peer.Frame{Handshake: answer, Entries: c.registry.All(c.now()), Summary: c.makeSummary(true)}
 	if !p.edge {
-		f.Standing = c.standing()
+		f.ReplicaStatus = c.standing()
 	} else if h.Version < c.state.Version() {
 		f.Config = c.whole()
 	}
@@ -218,7 +218,7 @@
 		delete(c.peers, p.ip)
 		c.goneAt(p.ip)
 	}
-	c.broadcaster.Left(p.name())
+	c.broadcaster.RemovePeer(p.name())
 	_ = c.logger.Log("event", "link down", "node", p.node, "ip", p.ip, "edge", p.edge)
 }
 
@@ -235,7 +235,7 @@
 func (c *Controller) frame(p *remote, f *peer.Frame) {
 	if p.look {
 		c.claimed(p, f)
-		for _, r := range f.Voids {
+		for _, r := range f.Revocations {
 			c.void(r)
 		}
 		return
@@ -243,8 +243,8 @@
 	if p.edge && c.edges[p.ip] != p || !p.edge && c.peers[p.ip] != p {
 		return // superseded
 	}
-	if f.Hello != nil && len(f.Hello.Members) > 0 {
-		c.bootstrap(f.Hello.Members)
+	if f.Handshake != nil && len(f.Handshake.BootstrapVoters) > 0 {
+		c.bootstrap(f.Handshake.BootstrapVoters)
 	}
 	if f.Summary != nil {
 		p.attached, p.fleet = f.Summary.Attached, f.Summary.Edges
@@ -253,42 +253,42 @@
 			for _, ip := range f.Summary.Controllers {
 				hears = append(hears, controllerName(ip))
 			}
-			c.broadcaster.Hears(p.name(), hears)
-			p.usual, p.crew = f.Summary.Usual, f.Summary.Crew
+			c.broadcaster.SetPeerLinks(p.name(), hears)
+			p.usual, p.crew = f.Summary.TrafficByZone, f.Summary.EdgesByZone
 			if f.Summary.Clock > 0 && !p.edge {
-				c.reservations.clock.Heard(p.ip, f.Summary.Clock, c.now())
+				c.reservations.clock.Observe(p.ip, f.Summary.Clock, c.now())
 			}
-			if p.cells.Due(f.Summary.Sum, c.registry.Sum(), c.now()) {
+			if p.cells.Due(f.Summary.RegistryDigest, c.registry.Digest(), c.now()) {
 				_ = c.logger.Log("event", "cells compared", "with", p.node)
-				p.link.Send(&peer.Frame{Cells: &peer.Cells{Sums: c.registry.Sums()}})
+				p.link.Send(&peer.Frame{Digests: &peer.Digests{ByZone: c.registry.ZoneDigests()}})
 			}
 		}
 		for _, ip := range f.Summary.Controllers {
 			c.meet(ip)
 		}
 	}
-	if f.Standing != nil && !p.edge {
-		c.heardStanding(p, f.Standing)
+	if f.ReplicaStatus != nil && !p.edge {
+		c.heardStanding(p, f.ReplicaStatus)
 	}
-	for _, m := range f.Agree {
+	for _, m := range f.Consensus {
 		c.replica.Step(m, c.now())
 	}
 	if len(f.Entries) > 0 {
-		c.broadcaster.Heard(p.name(), f.Entries, f.Receipt, c.now())
+		c.broadcaster.HandleUpdate(p.name(), f.Entries, f.AckID, c.now())
 	}
-	if f.Cells != nil {
-		if answer := f.Cells.Compare(c.registry, c.now()); answer != nil {
+	if f.Digests != nil {
+		if answer := f.Digests.Compare(c.registry, c.now()); answer != nil {
 			p.link.Send(answer)
 		}
 	}
-	if f.Received != 0 {
-		c.broadcaster.Received(p.name(), f.Received)
+	if f.Acked != 0 {
+		c.broadcaster.HandleAck(p.name(), f.Acked)
 	}
-	if f.NeedAll {
+	if f.SnapshotRequest {
 		p.link.Send(&peer.Frame{Config: c.whole()})
 	}
 	if f.Report != nil {
-		c.tables.Report(p.ip, f.Report, func(server string) (string, bool) {
+		c.tables.HandleReport(p.ip, f.Report, func(server string) (string, bool) {
 			e, known := c.registry.Get(server)
 			return e.Service, known
 		})
@@ -299,17 +299,17 @@
 
 // tell does what the broadcaster wants told.
 func (c *Controller) tell() {
-	out := c.broadcaster.Take()
-	if len(out.News) > 0 {
-		c.store.server(out.News, c.now())
-		c.tables.Changed(out.News, c.now())
+	out := c.broadcaster.TakeOutput()
+	if len(out.Updates) > 0 {
+		c.store.server(out.Updates, c.now())
+		c.tables.UpdateServers(out.Updates, c.now())
 	}
-	for _, s := range out.Sends {
+	for _, s := range out.Messages {
 		if p := c.named(s.To); p != nil {
-			p.link.Send(&peer.Frame{Entries: s.Entries, Receipt: s.Receipt, Received: s.Received})
+			p.link.Send(&peer.Frame{Entries: s.Entries, AckID: s.AckID, Acked: s.Acked})
 		}
 	}
-	for _, call := range out.Done {
+	for _, call := range out.AckedCalls {
 		if done := c.calls[call]; done != nil {
 			delete(c.calls, call)
 			done()
@@ -319,9 +319,9 @@
 
 // pushWeights sends the edges what the tables order.
 func (c *Controller) pushWeights(now time.Duration) {
-	orders := c.tables.Tick(now, func() (all []weights.Others) {
+	orders := c.tables.Tick(now, func() (all []weights.PeerTraffic) {
 		for _, p := range c.peers {
-			all = append(all, weights.Others{Edges: p.fleet, Usual: p.usual})
+			all = append(all, weights.PeerTraffic{Edges: p.fleet, TrafficByZone: p.usual})
 		}
 		return all
 	})
@@ -345,7 +345,7 @@
 		p.Controllers = append(p.Controllers, ip)
 	}
 	slices.Sort(p.Controllers)
-	p.Sum = c.registry.Sum()
+	p.RegistryDigest = c.registry.Digest()
 	return p
 }
 
@@ -359,7 +359,7 @@
 			go c.dial(ip)
 		}
 	}
-	c.nextSummary = now + peer.SummaryEvery
+	c.nextSummary = now + peer.SummaryInterval
 	c.summaries++
 	full := c.summaries%fullEvery == 0
 	summary := c.makeSummary(full)
@@ -367,7 +367,7 @@
 	for _, e := range c.edges {
 		if roster := c.roster(e.zone); full && !slices.Equal(roster, e.roster) {
 			mine := *summary
-			mine.Roster, e.roster = roster, roster
+			mine.ZoneEdges, e.roster = roster, roster
 			e.link.Send(&peer.Frame{Summary: &mine})
 			continue
 		}
@@ -378,10 +378,10 @@
 	}
 	f = &peer.Frame{Summary: c.makeSummary(full)}
 	if full {
-		f.Summary.Usual, f.Summary.Crew, f.Summary.Clock = c.tables.Mine(), map[string][]uint32{}, wall()
-		c.reservations.clock.Heard(c.set.IP, f.Summary.Clock, now)
+		f.Summary.TrafficByZone, f.Summary.EdgesByZone, f.Summary.Clock = c.tables.OwnTraffic(), map[string][]uint32{}, wall()
+		c.reservations.clock.Observe(c.set.IP, f.Summary.Clock, now)
 		for _, e := range c.edges {
-			f.Summary.Crew[e.zone] = append(f.Summary.Crew[e.zone], peer.Badge(e.node))
+			f.Summary.EdgesByZone[e.zone] = append(f.Summary.EdgesByZone[e.zone], peer.EdgeHash(e.node))
 		}
 	}
 	for _, p := range c.peers {
@@ -394,7 +394,7 @@
 	var all []uint32
 	for _, e := range c.edges {
 		if e.zone == zone {
-			all = append(all, peer.Badge(e.node))
+			all = append(all, peer.EdgeHash(e.node))
 		}
 	}
 	for _, p := range c.peers {
--- a/internal/control/controller/members.go
+++ b/internal/control/controller/members.go
@@ -58,11 +58,11 @@
 	}
 	now := c.now()
 	next, err := membership.Replace(c.view(), call.Voter, call.By)
-	if errors.Is(err, membership.ErrLeads) && !call.DryRun {
+	if errors.Is(err, membership.ErrVoterLeads) && !call.DryRun {
 		c.passLeadership()
 	}
 	switch {
-	case errors.Is(err, membership.ErrLeads), errors.Is(err, membership.ErrChanging):
+	case errors.Is(err, membership.ErrVoterLeads), errors.Is(err, membership.ErrChanging):
 		done <- memberOutcome{err: apierror.NoLeader.Wrap(err, "not now")}
 		return
 	case err != nil:
@@ -78,7 +78,7 @@
 		done <- memberOutcome{err: apierror.NoLeader.Wrap(err, "not now")}
 		return
 	}
-	_ = c.logger.Log("event", "membership change", "action", membership.Begin, "cause", "an operator replaces "+call.Voter)
+	_ = c.logger.Log("event", "membership change", "action", membership.ActionBegin, "cause", "an operator replaces "+call.Voter)
 	made.Epoch = c.replica.Membership().Epoch
 	c.wait(c.replica.Last(), waiter{term: c.replica.Term(), until: now + callLimit, answer: func(_ uint64, err error) {
 		done <- memberOutcome{made: made, err: err}
@@ -88,7 +88,7 @@
 // passLeadership hands leadership to any other voter that holds the whole log.
 func (c *Controller) passLeadership() {
 	for _, id := range c.membership.Voters {
-		if id != c.identity && c.replica.PassLeadership(id, c.now()) {
+		if id != c.identity && c.replica.TransferLeadership(id, c.now()) {
 			return
 		}
 	}
--- a/internal/control/controller/members_test.go
+++ b/internal/control/controller/members_test.go
@@ -21,12 +21,12 @@
 		h, b := voterAt(t)
 		h.lead(b)
 		before := h.learners()
-		s := h.meets("10.0.0.8", &peer.Hello{Node: "other", IP: "10.0.0.8", Zone: "x", Life: 6, Counted: true, Cluster: cluster + 1})
+		s := h.meets("10.0.0.8", &peer.Handshake{Node: "other", IP: "10.0.0.8", Zone: "x", Incarnation: 6, Counted: true, Cluster: cluster + 1})
 		g.Expect(h.log.with("stranger")).To(ConsistOf(And(ContainSubstring("10.0.0.8"), ContainSubstring("another cluster"))))
 		<-s.p.link.Closed()
 		term := h.replica.Term()
-		s.says(&peer.Frame{Standing: &peer.Standing{Identity: "10.0.0.8", Cluster: cluster + 1, Ready: true}})
-		s.says(&peer.Frame{Agree: []consensus.Message{{Kind: consensus.Append, From: "10.0.0.8", To: ipA, Term: term + 50}}})
+		s.says(&peer.Frame{ReplicaStatus: &peer.ReplicaStatus{Identity: "10.0.0.8", Cluster: cluster + 1, Ready: true}})
+		s.says(&peer.Frame{Consensus: []consensus.Message{{Kind: consensus.Append, From: "10.0.0.8", To: ipA, Term: term + 50}}})
 		g.Expect(h.replica.Term()).To(Equal(term))
 		g.Expect(h.leads()).To(BeTrue())
 		g.Expect(h.learners()).To(Equal(before))
@@ -40,7 +40,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		h, b := voterAt(t)
-		b.says(&peer.Frame{Agree: []consensus.Message{{Kind: consensus.VoteRequest, From: ipB, To: ipA + "#5", Term: 90, Index: 9, LogTerm: 9}}})
+		b.says(&peer.Frame{Consensus: []consensus.Message{{Kind: consensus.VoteRequest, From: ipB, To: ipA + "#5", Term: 90, Index: 9, LogTerm: 9}}})
 		g.Expect(h.replica.Term()).To(BeEquivalentTo(4))
 		h.stop()
 	})
@@ -99,8 +99,8 @@
 					g.Expect(h.replica.Membership()).To(Equal(three))
 					asked := false
 					for _, f := range b.hears() {
-						for _, m := range f.Agree {
-							asked = asked || m.Kind == consensus.StandNow
+						for _, m := range f.Consensus {
+							asked = asked || m.Kind == consensus.TimeoutNow
 						}
 					}
 					g.Expect(asked).To(Equal(one.voter == ipA && !dry), "leadership is passed on, but not by a dry run")
--- a/internal/control/controller/membership.go
+++ b/internal/control/controller/membership.go
@@ -23,28 +23,28 @@
 
 // drawIdentity gives a disk that has no identity yet its own, before anything else is written to it.
 func (c *Controller) drawIdentity(state *storage.State) error {
-	first := c.set.FirstStart && state.Spoilt == nil
+	first := c.set.FirstStart && state.Corrupt == nil
 	blank := true
 	switch {
 	case state.Identity != "":
 		c.identity = state.Identity
 		return nil
-	case len(state.Members) > 0 && !state.Hard.Lost && !state.LedgerBlank: // a file of an earlier version, whole
+	case len(state.BootstrapVoters) > 0 && !state.Hard.DiskLost && !state.Recovering: // a file of an earlier version, whole
 		c.identity, blank = membership.Identity(c.set.IP, 0), false
 		if s := &state.Snapshot; s.Index > 0 && s.Membership.Epoch == 0 {
-			s.Membership = consensus.Membership{Epoch: 1, Voters: state.Members}
+			s.Membership = consensus.Membership{Epoch: 1, Voters: state.BootstrapVoters}
 		}
 	case first:
 		c.identity = membership.Identity(c.set.IP, 0)
 	default: // the disk was lost: what it voted and granted is not known
-		c.identity, state.Members = newIdentity(c.set.IP), nil
+		c.identity, state.BootstrapVoters = newIdentity(c.set.IP), nil
 	}
-	state.LedgerBlank = blank
-	batch := &storage.Batch{Identity: c.identity, LedgerBlank: &blank}
-	if seeds := c.founders(); first && len(state.Members) == 0 && slices.Contains(seeds, c.set.IP) && len(seeds) >= c.wanted() {
+	state.Recovering = blank
+	batch := &storage.Batch{Identity: c.identity, Recovering: &blank}
+	if seeds := c.founders(); first && len(state.BootstrapVoters) == 0 && slices.Contains(seeds, c.set.IP) && len(seeds) >= c.wanted() {
 		blank = false // it never granted anything
-		state.Members, state.LedgerBlank = seeds, false
-		batch.Members, batch.Hard = seeds, &state.Hard
+		state.BootstrapVoters, state.Recovering = seeds, false
+		batch.BootstrapVoters, batch.Hard = seeds, &state.Hard
 	}
 	return c.storage.Commit([]*storage.Batch{batch})
 }
@@ -100,11 +100,11 @@
 	}
 	c.members = slices.Sorted(slices.Values(voters))
 	hard := c.replica.HardState() // a vote that was given before the voters were known stays
-	c.put(&storage.Batch{Members: c.members, Hard: &hard}, func(bool) {
+	c.put(&storage.Batch{BootstrapVoters: c.members, Hard: &hard}, func(bool) {
 		for _, p := range c.peers {
 			hello := c.hello()
-			hello.Members = c.members
-			p.link.Send(&peer.Frame{Hello: hello})
+			hello.BootstrapVoters = c.members
+			p.link.Send(&peer.Frame{Handshake: hello})
 		}
 	})
 	c.applyMembership(c.replica.Membership())
@@ -124,7 +124,7 @@
 	switch {
 	case former.Contains(c.identity) && !m.Contains(c.identity):
 		drawn = c.retire(batch)
-	case m.Contains(c.identity) && c.claimStore.Blank():
+	case m.Contains(c.identity) && c.claimStore.Recovering():
 		c.copied, c.nextCopy = map[string]bool{}, 0
 		c.foundStore()
 	}
@@ -132,7 +132,7 @@
 		c.epoch = max(c.epoch, m.Epoch)
 		if drawn != "" {
 			c.identity = drawn
-			c.replica.Rename(drawn)
+			c.replica.SetID(drawn)
 		}
 		c.tellStanding()
 	})
@@ -156,10 +156,10 @@
 // retire ends the part of an identity that was voted out: its claims count for nothing any more, and a new identity may be
 // voted in later.
 func (c *Controller) retire(batch *storage.Batch) (identity string) {
-	c.claimStore.Revoke()
+	c.claimStore.BeginRecovery()
 	c.retired = true
 	yes := true
-	batch.Identity, batch.LedgerBlank = newIdentity(c.set.IP), &yes
+	batch.Identity, batch.Recovering = newIdentity(c.set.IP), &yes
 	return batch.Identity
 }
 
@@ -169,18 +169,18 @@
 		return
 	}
 	no := false
-	c.claimStore.Restored()
-	c.put(&storage.Batch{LedgerBlank: &no}, nil)
+	c.claimStore.FinishRecovery()
+	c.put(&storage.Batch{Recovering: &no}, nil)
 }
 
 // standing is what this controller says of its part in the consensus.
-func (c *Controller) standing() *peer.Standing {
-	return &peer.Standing{Identity: c.identity, Cluster: c.membership.Cluster, Epoch: c.epoch, Ready: !c.claimStore.Blank(), Leaving: c.leaving}
+func (c *Controller) standing() *peer.ReplicaStatus {
+	return &peer.ReplicaStatus{Identity: c.identity, Cluster: c.membership.Cluster, Epoch: c.epoch, Ready: !c.claimStore.Recovering(), ShuttingDown: c.leaving}
 }
 
 // tellStanding tells it to all controllers.
 func (c *Controller) tellStanding() {
-	f := &peer.Frame{Standing: c.standing()}
+	f := &peer.Frame{ReplicaStatus: c.standing()}
 	for _, p := range c.peers {
 		p.link.Send(f)
 	}
@@ -188,7 +188,7 @@
 
 // heardStanding takes a peer's word. Another identity at its address means that its disk was lost, or that it was voted
 // out: what it granted to claims that are still open is not relied on.
-func (c *Controller) heardStanding(p *remote, s *peer.Standing) {
+func (c *Controller) heardStanding(p *remote, s *peer.ReplicaStatus) {
 	if mine := c.cluster.Load(); mine != 0 && s.Cluster != 0 && s.Cluster != mine {
 		c.refuseStranger(p, s.Cluster)
 		return
@@ -202,7 +202,7 @@
 		if membership.Address(id) == p.ip && id != s.Identity {
 			c.forgetGrants(id)
 			met := c.met[id]
-			met.Linked = false
+			met.Connected = false
 			c.met[id] = met
 		}
 	}
@@ -222,7 +222,7 @@
 }
 
 func (c *Controller) forgetGrants(identity string) {
-	for _, o := range c.coordinator.Forget(identity) {
+	for _, o := range c.coordinator.ForgetGrants(identity) {
 		c.ruled(o)
 	}
 }
@@ -246,7 +246,7 @@
 	slices.Sort(linked)
 	c.replica.SetLearners(linked)
 	if c.replica.ID() != c.identity { // it led when it was voted out
-		c.replica.Rename(c.identity)
+		c.replica.SetID(c.identity)
 	}
 	if !c.leads() {
 		return
@@ -254,26 +254,26 @@
 	d := c.manager.Decide(c.view(), now)
 	var err error
 	switch d.Action {
-	case membership.None:
+	case membership.ActionNone:
 		return
-	case membership.Begin:
+	case membership.ActionBegin:
 		err = c.replica.BeginChange(d.Next, now)
-	case membership.Adopt, membership.Abandon:
-		err = c.replica.FinishChange(d.Action == membership.Adopt, now)
-	case membership.PassLeadership:
-		c.replica.PassLeadership(d.To, now)
+	case membership.ActionAdopt, membership.ActionAbandon:
+		err = c.replica.FinishChange(d.Action == membership.ActionAdopt, now)
+	case membership.TransferLeadership:
+		c.replica.TransferLeadership(d.To, now)
 	}
 	_ = c.logger.Log("event", "membership change", "action", d.Action, "cause", d.Cause, "next", strings.Join(d.Next, " "), "to", d.To, "error", err)
 }
 
 // view is what the membership manager decides by.
 func (c *Controller) view() membership.View {
-	v := membership.View{Self: c.identity, Term: c.replica.Term(), Membership: c.replica.Membership(), Committed: c.replica.MembershipCommitted(), Wanted: c.wanted()}
-	v.Controllers = append(v.Controllers, membership.Controller{ID: c.identity, Zone: c.set.Zone, Counted: c.set.Counted, Linked: true, CaughtUp: true,
-		Leaving: c.leaving, Epoch: c.epoch, Ready: !c.claimStore.Blank()})
+	v := membership.View{Self: c.identity, Term: c.replica.Term(), Membership: c.replica.Membership(), Committed: c.replica.MembershipCommitted(), WantedVoters: c.wanted()}
+	v.Controllers = append(v.Controllers, membership.Controller{ID: c.identity, Zone: c.set.Zone, Counted: c.set.Counted, Connected: true, CaughtUp: true,
+		ShuttingDown: c.leaving, Epoch: c.epoch, Ready: !c.claimStore.Recovering()})
 	for id, met := range c.met {
 		if p := c.replicaAt(id); p != nil {
-			met.Linked, met.Leaving, met.Epoch, met.Ready = true, p.standing.Leaving, p.standing.Epoch, p.standing.Ready
+			met.Connected, met.ShuttingDown, met.Epoch, met.Ready = true, p.standing.ShuttingDown, p.standing.Epoch, p.standing.Ready
 			match, _, known := c.replica.Match(id)
 			met.CaughtUp = known && match+caughtUpLag >= c.replica.Commit()
 		} else if !v.Membership.Contains(id) {
@@ -287,7 +287,7 @@
 
 // entering tells that this replica is an entrant of the change under way whose store doesn't hold the others' claims yet.
 func (c *Controller) entering() bool {
-	return c.claimStore.Blank() && c.membership.Joint() && slices.Contains(c.membership.Next, c.identity) && !slices.Contains(c.membership.Voters, c.identity)
+	return c.claimStore.Recovering() && c.membership.Joint() && slices.Contains(c.membership.Next, c.identity) && !slices.Contains(c.membership.Voters, c.identity)
 }
 
 // askCopies asks the former voters' stores for what they hold, while this replica enters.
@@ -298,7 +298,7 @@
 	c.nextCopy = now + copyEvery
 	for _, id := range c.membership.Voters {
 		if p := c.replicaAt(id); p != nil && !c.copied[id] {
-			p.link.Send(&peer.Frame{Copy: true, Epoch: c.membership.Epoch})
+			p.link.Send(&peer.Frame{CopyRequest: true, Epoch: c.membership.Epoch})
 		}
 	}
 }
@@ -315,7 +315,7 @@
 		if r.ID == c.identity {
 			continue
 		}
-		one := operator.Replica{Identity: r.ID, Votes: m.Contains(r.ID), Linked: r.Linked, Ready: r.Ready, Leaving: r.Leaving, Epoch: r.Epoch}
+		one := operator.Replica{Identity: r.ID, Votes: m.Contains(r.ID), Linked: r.Connected, Ready: r.Ready, Leaving: r.ShuttingDown, Epoch: r.Epoch}
 		if match, _, known := c.replica.Match(r.ID); known {
 			one.Behind = c.replica.Commit() - min(match, c.replica.Commit())
 		}
--- a/internal/control/controller/operator.go
+++ b/internal/control/controller/operator.go
@@ -64,8 +64,8 @@
 // refuse answers an error as the table of kinds says.
 func refuse(w http.ResponseWriter, err error) {
 	a := apierror.For(err)
-	if a.Retry > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(a.Retry, 'f', -1, 64))
+	if a.RetryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(a.RetryAfter, 'f', -1, 64))
 	}
 	reply(w, a.Status, map[string]string{"error": err.Error()})
 }
@@ -190,7 +190,7 @@
 
 // apply takes what the consensus committed.
 func (c *Controller) apply(out consensus.Output) {
-	before, booked := c.state.Version(), c.state.Book.Version
+	before, booked := c.state.Version(), c.state.Bookings.Version
 	var last *statemachine.Change
 	steps := 0
 	if out.Install != nil {
@@ -224,22 +224,22 @@
 			w.answer(c.state.Version(), err)
 		}
 	}
-	if v := c.state.Book.Version; v != booked {
-		_ = c.logger.Log("event", "bookings", "version", v, "held", len(c.state.Book.All))
+	if v := c.state.Bookings.Version; v != booked {
+		_ = c.logger.Log("event", "bookings", "version", v, "held", len(c.state.Bookings.Active))
 	}
 	if c.state.Version() != before {
 		f := &peer.Config{Version: c.state.Version()}
 		if steps == 1 && last.Patch {
-			f.Base, f.Change = before, last.Body
+			f.Base, f.Delta = before, last.Body
 		} else if whole, err := json.Marshal(c.state.Config); err == nil {
-			f.Whole = whole
+			f.Snapshot = whole
 		}
 		c.pushConfig(f)
 	}
-	if c.state.Since > compactAfter {
+	if c.state.EntriesSinceSnapshot > compactAfter {
 		if data, err := c.state.Save(); err == nil {
 			c.replica.Compact(c.state.Index, data)
-			c.state.Since = 0
+			c.state.EntriesSinceSnapshot = 0
 		}
 	}
 }
@@ -249,7 +249,7 @@
 	for _, e := range c.edges {
 		e.link.Send(&peer.Frame{Config: f})
 	}
-	c.tables.Configured(c.state.Config)
+	c.tables.SetConfig(c.state.Config)
 }
 
 // whole is the configuration for one who has none, or another.
@@ -261,7 +261,7 @@
 	if err != nil {
 		return nil
 	}
-	return &peer.Config{Version: c.state.Version(), Whole: body}
+	return &peer.Config{Version: c.state.Version(), Snapshot: body}
 }
 
 // newest is the configuration.
@@ -280,7 +280,7 @@
 			done <- answered{leader: c.leader()}
 			return
 		}
-		round := c.replica.Confirm(c.now())
+		round := c.replica.ReadIndex(c.now())
 		c.reads = append(c.reads, read{round, c.now() + callLimit, render, func(body []byte, err error) { done <- answered{body: body, err: err} }})
 	})
 	select {
@@ -302,7 +302,7 @@
 func (c *Controller) answerReads() {
 	c.reads = slices.DeleteFunc(c.reads, func(r read) bool {
 		switch {
-		case c.leads() && c.replica.Confirmed(r.round):
+		case c.leads() && c.replica.ReadConfirmed(r.round):
 			r.answer(r.body())
 		case !c.leads() || c.now() > r.until:
 			r.answer(nil, apierror.NoLeader.New("it could not be confirmed that this planner leads"))
@@ -335,7 +335,7 @@
 	done := make(chan []past, 1)
 	c.do(func() {
 		all := []past{}
-		for _, t := range slices.Backward(c.state.Taken) {
+		for _, t := range slices.Backward(c.state.Accepted) {
 			all = append(all, past{config.Version(t.Version).String(), hex.EncodeToString(t.Digest[:8])})
 		}
 		done <- all
@@ -348,7 +348,7 @@
 	done := make(chan operator.View, 1)
 	c.do(func() {
 		v := operator.View{Node: c.set.Node, IP: c.set.IP, Zone: c.set.Zone, Attached: c.attached(), Version: config.Version(c.state.Version()).String(),
-			Leader: c.leader(), Members: c.membership.Voters, Keys: c.claimStore.Len(), LedgerBlank: c.claimStore.Blank(), DiskRefuses: c.store.failing, DiskMs: c.store.took()}
+			Leader: c.leader(), Members: c.membership.Voters, Keys: c.claimStore.Len(), LedgerBlank: c.claimStore.Recovering(), DiskRefuses: c.store.failing, DiskMs: c.store.took()}
 		for _, e := range c.edges {
 			v.Edges = append(v.Edges, e.node)
 		}
@@ -360,7 +360,7 @@
 		slices.Sort(v.Control)
 		for _, e := range c.registry.All(c.now()) {
 			v.Servers = append(v.Servers, operator.Server{ID: e.ID, Service: e.Service, Zone: e.Zone, Address: e.Address,
-				State: e.State.String(), Silent: e.Silent, Capacity: e.Capacity, Weight: c.tables.Weight(e.ID)})
+				State: e.State.String(), Silent: e.TimedOut, Capacity: e.Capacity, Weight: c.tables.Weight(e.ID)})
 		}
 		v.Endangered = c.endangered()
 		v.Term, v.Commit, v.Last = c.replica.Term(), c.replica.Commit(), c.replica.Last()
--- a/internal/control/controller/registrar.go
+++ b/internal/control/controller/registrar.go
@@ -44,7 +44,7 @@
 		return
 	}
 	e := registry.Entry{ID: r.PathValue("id"), Service: b.Service, Address: b.Address, Zone: b.Zone, Version: b.Version,
-		Capacity: min(max(1, b.Capacity), slotsMost), Warmup: min(max(0, b.Warmup), warmupMost), Seq: b.Seq, Owner: c.set.IP}
+		Capacity: min(max(1, b.Capacity), slotsMost), WarmupLeft: min(max(0, b.Warmup), warmupMost), Seq: b.Seq, Owner: c.set.IP}
 	if b.State == "draining" {
 		e.State = registry.Draining
 	}
@@ -53,7 +53,7 @@
 
 // leave takes a server's last call.
 func (c *Controller) leave(w http.ResponseWriter, r *http.Request) {
-	c.register(w, r, registry.Entry{ID: r.PathValue("id"), State: registry.Gone, Owner: c.set.IP})
+	c.register(w, r, registry.Entry{ID: r.PathValue("id"), State: registry.Removed, Owner: c.set.IP})
 }
 
 type registered struct {
@@ -87,7 +87,7 @@
 	c.nextCall++
 	answer := registered{target: c.beatTarget(e.Zone)}
 	c.calls[c.nextCall] = func() { done <- answer }
-	if changed, first := c.broadcaster.Call(e, c.nextCall, c.now()); first {
+	if changed, first := c.broadcaster.HandleServerCall(e, c.nextCall, c.now()); first {
 		_ = c.logger.Log("event", "server", "server", changed.ID, "service", changed.Service, "zone", changed.Zone,
 			"address", changed.Address, "state", changed.State, "seq", changed.Seq)
 	}
--- a/internal/control/controller/store.go
+++ b/internal/control/controller/store.go
@@ -84,7 +84,7 @@
 	batches, servers := pending, s.servers
 	s.servers = nil
 	if len(records)+len(servers) > 0 {
-		batches = append(batches[:len(batches):len(batches)], &storage.Batch{Records: records, Servers: servers})
+		batches = append(batches[:len(batches):len(batches)], &storage.Batch{Claims: records, Servers: servers})
 	}
 	began := c.now()
 	go func() {
--- a/internal/control/controller/voted_out_test.go
+++ b/internal/control/controller/voted_out_test.go
@@ -35,8 +35,8 @@
 			h.pass(tickEvery)
 			for _, s := range []*script{sb, sd} {
 				for _, f := range s.hears() {
-					for _, m := range f.Agree {
-						asked += btoi(m.Kind == consensus.StandNow)
+					for _, m := range f.Consensus {
+						asked += btoi(m.Kind == consensus.TimeoutNow)
 					}
 				}
 				s.agrees(consensus.Message{Kind: consensus.AppendReply, Term: h.replica.Term(), OK: true, Index: h.replica.Last()})
--- a/internal/control/idempotency/fence_test.go
+++ b/internal/control/idempotency/fence_test.go
@@ -16,9 +16,9 @@
 	open  bool // planted: whatever the epoch is, the store is asked
 }
 
-func (f *fenced) judge(r idempotency.Record, epoch uint64) idempotency.Verdict {
+func (f *fenced) judge(r idempotency.Record, epoch uint64) idempotency.GrantReply {
 	if epoch < f.epoch && !f.open {
-		return idempotency.Behind
+		return idempotency.ReplyStaleEpoch
 	}
 	return put(f.Store, r, 0)
 }
@@ -50,17 +50,17 @@
 }
 
 func (w *change) copies(from string) {
-	w.stores[from].Each(func(r idempotency.Record) { w.stores["d"].Copy(r, 0) })
+	w.stores[from].EachClaim(func(r idempotency.Record) { w.stores["d"].Import(r, 0) })
 }
 
 // stands puts a claim to the stores that its coordinator asks, and tells whether it stands.
 func (w *change) stands(c *idempotency.Coordinator, n, epoch uint64) bool {
-	asks := c.Open(idempotency.Record{Key: w.key, Token: token(n)}, 0)
+	asks := c.Start(idempotency.Record{Key: w.key, Token: token(n)}, 0)
 	for len(asks) > 0 {
 		ask := asks[0]
-		more, done := c.Verdict(ask.To, ask.Record.Token, w.stores[ask.To].judge(ask.Record, epoch), idempotency.Record{Token: token(99)}, 0)
+		more, done := c.HandleReply(ask.To, ask.Record.Token, w.stores[ask.To].judge(ask.Record, epoch), idempotency.Record{Token: token(99)}, 0)
 		if done != nil {
-			return done.Ruling == idempotency.Stands
+			return done.Outcome == idempotency.OutcomeGranted
 		}
 		asks = append(asks[1:], more...)
 	}
@@ -73,7 +73,7 @@
 	w.applies(jointEpoch, "a", "b", "d")
 	w.copies("a")
 	w.copies("b")
-	w.stores["d"].Restored()
+	w.stores["d"].FinishRecovery()
 	w.applies(finalEpoch, "a", "b", "d")
 	present = w.stands(w.present, 2, finalEpoch)
 	return w.stands(w.former, 1, formerEpoch), present
@@ -89,7 +89,7 @@
 	former = w.stands(w.former, 1, formerEpoch)
 	w.applies(jointEpoch, "a", "b", "d")
 	w.copies("b")
-	w.stores["d"].Restored()
+	w.stores["d"].FinishRecovery()
 	w.applies(finalEpoch, "a", "b", "d")
 	return former, w.stands(w.present, 2, finalEpoch)
 }
--- a/internal/control/idempotency/idempotency_test.go
+++ b/internal/control/idempotency/idempotency_test.go
@@ -18,13 +18,13 @@
 
 const window = time.Minute
 
-func token(n uint64) idempotency.Token { return idempotency.Token{Life: 1, N: n} }
+func token(n uint64) idempotency.Token { return idempotency.Token{Incarnation: 1, Sequence: n} }
 
 // put gives a claim store a claim and makes it durable, as a host does.
-func put(s *idempotency.Store, r idempotency.Record, now time.Duration) idempotency.Verdict {
-	v, _, store := s.Claim(r, now)
-	if store && !s.Stored(r.Key, r.Token) {
-		return idempotency.Unable
+func put(s *idempotency.Store, r idempotency.Record, now time.Duration) idempotency.GrantReply {
+	v, _, store := s.Grant(r, now)
+	if store && !s.MarkDurable(r.Key, r.Token) {
+		return idempotency.ReplyUnavailable
 	}
 	return v
 }
@@ -34,94 +34,94 @@
 
 	It("grants a key to one token, and to that one again", func() {
 		s := idempotency.NewStore(window, false)
-		Expect(put(s, idempotency.Record{Key: key, Token: token(1)}, 0)).To(Equal(idempotency.Granted))
-		Expect(put(s, idempotency.Record{Key: key, Token: token(2)}, 1)).To(Equal(idempotency.Held))
-		Expect(put(s, idempotency.Record{Key: key, Token: token(1)}, 2)).To(Equal(idempotency.Granted))
+		Expect(put(s, idempotency.Record{Key: key, Token: token(1)}, 0)).To(Equal(idempotency.ReplyGranted))
+		Expect(put(s, idempotency.Record{Key: key, Token: token(2)}, 1)).To(Equal(idempotency.ReplyConflict))
+		Expect(put(s, idempotency.Record{Key: key, Token: token(1)}, 2)).To(Equal(idempotency.ReplyGranted))
 	})
 	It("takes the same key of another tenant for another operation", func() {
 		s := idempotency.NewStore(window, false)
 		put(s, idempotency.Record{Key: key, Token: token(1)}, 0)
-		Expect(put(s, idempotency.Record{Key: idempotency.KeyOf("bridge.example", "k-1"), Token: token(2)}, 1)).To(Equal(idempotency.Granted))
+		Expect(put(s, idempotency.Record{Key: idempotency.KeyOf("bridge.example", "k-1"), Token: token(2)}, 1)).To(Equal(idempotency.ReplyGranted))
 	})
 	It("grants again once a claim is withdrawn, but not a claim that comes after its withdrawal", func() {
 		s := idempotency.NewStore(window, false)
 		put(s, idempotency.Record{Key: key, Token: token(1)}, 0)
-		s.Void(key, token(1), 1)
-		Expect(put(s, idempotency.Record{Key: key, Token: token(1)}, 2)).To(Equal(idempotency.Unable))
-		Expect(put(s, idempotency.Record{Key: key, Token: token(2)}, 3)).To(Equal(idempotency.Granted))
+		s.Revoke(key, token(1), 1)
+		Expect(put(s, idempotency.Record{Key: key, Token: token(1)}, 2)).To(Equal(idempotency.ReplyUnavailable))
+		Expect(put(s, idempotency.Record{Key: key, Token: token(2)}, 3)).To(Equal(idempotency.ReplyGranted))
 	})
 	It("keeps a durable claim when storing it once more fails", func() {
 		s := idempotency.NewStore(window, false)
 		put(s, idempotency.Record{Key: key, Token: token(1)}, 0)
-		s.Failed(key, token(1))
-		Expect(put(s, idempotency.Record{Key: key, Token: token(2)}, 1)).To(Equal(idempotency.Held))
+		s.MarkFailed(key, token(1))
+		Expect(put(s, idempotency.Record{Key: key, Token: token(2)}, 1)).To(Equal(idempotency.ReplyConflict))
 	})
 	It("forgets a claim that the disk refused", func() {
 		s := idempotency.NewStore(window, false)
-		_, _, store := s.Claim(idempotency.Record{Key: key, Token: token(1)}, 0)
+		_, _, store := s.Grant(idempotency.Record{Key: key, Token: token(1)}, 0)
 		Expect(store).To(BeTrue())
-		s.Failed(key, token(1))
-		Expect(put(s, idempotency.Record{Key: key, Token: token(2)}, 1)).To(Equal(idempotency.Granted))
+		s.MarkFailed(key, token(1))
+		Expect(put(s, idempotency.Record{Key: key, Token: token(2)}, 1)).To(Equal(idempotency.ReplyGranted))
 	})
 	It("holds answers within its bound, the newest, and gives up none of the claims", func() {
 		s := idempotency.NewStore(window, false)
-		s.Bound(1000)
+		s.SetMaxResponseBytes(1000)
 		name := func(n uint64) idempotency.Key { return idempotency.KeyOf("t", fmt.Sprint(n)) }
 		for n := range uint64(30) {
 			now := time.Duration(n) * 3 * time.Second
 			s.Expire(now)
 			put(s, idempotency.Record{Key: name(n), Token: token(n)}, now)
-			s.Done(idempotency.Record{Key: name(n), Token: token(n), Answer: &idempotency.Answer{Status: 200, Body: make([]byte, 100+n)}}, now)
-			s.Void(name(n), token(n), now)
+			s.Complete(idempotency.Record{Key: name(n), Token: token(n), Response: &idempotency.Response{Status: 200, Body: make([]byte, 100+n)}}, now)
+			s.Revoke(name(n), token(n), now)
 			held, bytes := 0, uint64(0)
 			for m := range n + 1 {
-				if a := s.Answer(name(m), token(m)); a != nil {
+				if a := s.Response(name(m), token(m)); a != nil {
 					held, bytes = held+1, bytes+uint64(len(a.Body))
 					Expect(m).To(BeNumerically(">", int(n)-10))
 				}
 			}
 			Expect(bytes).To(BeNumerically("<=", 1000))
 			Expect(held).To(BeNumerically(">=", min(int(n)+1, 7)))
-			Expect(put(s, idempotency.Record{Key: name(n - min(n, 15)), Token: token(99)}, now)).To(Equal(idempotency.Held), "one whose answer is gone has run all the same")
+			Expect(put(s, idempotency.Record{Key: name(n - min(n, 15)), Token: token(99)}, now)).To(Equal(idempotency.ReplyConflict), "one whose answer is gone has run all the same")
 		}
 	})
 	It("keeps the answer of the claim that ran, where another claim of its key is held", func() {
-		answer := &idempotency.Answer{Status: 200}
+		answer := &idempotency.Response{Status: 200}
 		s := idempotency.NewStore(window, true)
-		s.Copy(idempotency.Record{Key: key, Token: token(1)}, 0)
-		s.Copy(idempotency.Record{Key: key, Token: token(2)}, 0)
-		s.Restored()
-		s.Done(idempotency.Record{Key: key, Token: token(2), Answer: answer}, 1)
-		Expect(s.Answer(key, token(2))).To(Equal(answer))
-		Expect(put(s, idempotency.Record{Key: key, Token: token(1)}, 2)).To(Equal(idempotency.Held))
-		s.Void(key, token(2), 3)
-		Expect(s.Answer(key, token(2))).To(Equal(answer), "what ran is not withdrawn")
-		s.Done(idempotency.Record{Key: key, Token: token(1), Answer: answer}, 4)
-		Expect(s.Answer(key, token(2))).To(Equal(answer), "and is not replaced")
+		s.Import(idempotency.Record{Key: key, Token: token(1)}, 0)
+		s.Import(idempotency.Record{Key: key, Token: token(2)}, 0)
+		s.FinishRecovery()
+		s.Complete(idempotency.Record{Key: key, Token: token(2), Response: answer}, 1)
+		Expect(s.Response(key, token(2))).To(Equal(answer))
+		Expect(put(s, idempotency.Record{Key: key, Token: token(1)}, 2)).To(Equal(idempotency.ReplyConflict))
+		s.Revoke(key, token(2), 3)
+		Expect(s.Response(key, token(2))).To(Equal(answer), "what ran is not withdrawn")
+		s.Complete(idempotency.Record{Key: key, Token: token(1), Response: answer}, 4)
+		Expect(s.Response(key, token(2))).To(Equal(answer), "and is not replaced")
 	})
 	It("keeps a claim for its window, and no longer", func() {
 		s := idempotency.NewStore(window, false)
 		put(s, idempotency.Record{Key: key, Token: token(1)}, 0)
 		s.Expire(window)
-		Expect(put(s, idempotency.Record{Key: key, Token: token(2)}, window)).To(Equal(idempotency.Held))
+		Expect(put(s, idempotency.Record{Key: key, Token: token(2)}, window)).To(Equal(idempotency.ReplyConflict))
 		s.Expire(window + 1)
 		Expect(s.Len()).To(BeZero())
 	})
 	It("grants nothing while blank, and nobody a key that it copied", func() {
 		s := idempotency.NewStore(window, true)
-		Expect(put(s, idempotency.Record{Key: key, Token: token(3)}, 0)).To(Equal(idempotency.Unable))
-		s.Copy(idempotency.Record{Key: key, Token: token(1)}, 1) // stood, with the grant that was lost here
-		s.Copy(idempotency.Record{Key: key, Token: token(2)}, 1) // held by one claim store alone
-		s.Restored()
-		Expect(put(s, idempotency.Record{Key: key, Token: token(1)}, 2)).To(Equal(idempotency.Held))
-		Expect(put(s, idempotency.Record{Key: key, Token: token(2)}, 2)).To(Equal(idempotency.Held))
+		Expect(put(s, idempotency.Record{Key: key, Token: token(3)}, 0)).To(Equal(idempotency.ReplyUnavailable))
+		s.Import(idempotency.Record{Key: key, Token: token(1)}, 1) // stood, with the grant that was lost here
+		s.Import(idempotency.Record{Key: key, Token: token(2)}, 1) // held by one claim store alone
+		s.FinishRecovery()
+		Expect(put(s, idempotency.Record{Key: key, Token: token(1)}, 2)).To(Equal(idempotency.ReplyConflict))
+		Expect(put(s, idempotency.Record{Key: key, Token: token(2)}, 2)).To(Equal(idempotency.ReplyConflict))
 	})
 })
 
 var _ = Describe("an office", func() {
 	key := idempotency.KeyOf("toll.example", "k-1")
-	open := func(c *idempotency.Coordinator, n uint64) []idempotency.Ask {
-		return c.Open(idempotency.Record{Key: key, Token: token(n)}, 0)
+	open := func(c *idempotency.Coordinator, n uint64) []idempotency.GrantRequest {
+		return c.Start(idempotency.Record{Key: key, Token: token(n)}, 0)
 	}
 
 	It("asks its own ledger and one more, and the third when they are slow", func() {
@@ -135,18 +135,18 @@
 	It("lets a claim stand on more than half of the ledgers, whatever a stale claim holds elsewhere", func() {
 		c := idempotency.NewCoordinator([]string{"a", "b", "c"}, 20, 900)
 		open(c, 1)
-		c.Verdict("a", token(1), idempotency.Granted, idempotency.Record{}, 1)
-		asks, _ := c.Verdict("b", token(1), idempotency.Held, idempotency.Record{Token: token(9)}, 1)
+		c.HandleReply("a", token(1), idempotency.ReplyGranted, idempotency.Record{}, 1)
+		asks, _ := c.HandleReply("b", token(1), idempotency.ReplyConflict, idempotency.Record{Token: token(9)}, 1)
 		Expect(asks).To(HaveLen(1))
-		_, done := c.Verdict("c", token(1), idempotency.Granted, idempotency.Record{}, 1)
-		Expect(done.Ruling).To(Equal(idempotency.Stands))
+		_, done := c.HandleReply("c", token(1), idempotency.ReplyGranted, idempotency.Record{}, 1)
+		Expect(done.Outcome).To(Equal(idempotency.OutcomeGranted))
 	})
 	It("takes back the grant of a ledger that began a new life", func() {
 		c := idempotency.NewCoordinator([]string{"a", "b", "c"}, 20, 900)
 		open(c, 1)
-		c.Verdict("b", token(1), idempotency.Granted, idempotency.Record{}, 1)
-		Expect(c.Forget("b")).To(BeEmpty())
-		_, done := c.Verdict("a", token(1), idempotency.Granted, idempotency.Record{}, 2)
+		c.HandleReply("b", token(1), idempotency.ReplyGranted, idempotency.Record{}, 1)
+		Expect(c.ForgetGrants("b")).To(BeEmpty())
+		_, done := c.HandleReply("a", token(1), idempotency.ReplyGranted, idempotency.Record{}, 2)
 		Expect(done).To(BeNil())
 	})
 	It("refuses what can't be decided in time", func() {
@@ -154,6 +154,6 @@
 		open(c, 1)
 		_, done := c.Tick(901)
 		Expect(done).To(HaveLen(1))
-		Expect(done[0].Ruling).To(Equal(idempotency.Refused))
+		Expect(done[0].Outcome).To(Equal(idempotency.OutcomeUndecided))
 	})
 })
--- a/internal/control/idempotency/world_test.go
+++ b/internal/control/idempotency/world_test.go
@@ -121,11 +121,11 @@
 	w.mail = append(w.mail, letter{at: w.step + 1 + w.rng.IntN(8), do: do, ends: [2]*host{from, to}, lives: [2]int{from.life, to.life}})
 }
 
-func (w *world) asks(h *host, asks []idempotency.Ask) {
+func (w *world) asks(h *host, asks []idempotency.GrantRequest) {
 	for _, a := range asks {
 		to, epoch := w.host(a.To), w.membership(h).Epoch
 		if to == nil {
-			w.verdict(h, a.To, a.Record.Token, idempotency.Unable, idempotency.Record{})
+			w.verdict(h, a.To, a.Record.Token, idempotency.ReplyUnavailable, idempotency.Record{})
 			continue
 		}
 		w.send(h, to, func() {
@@ -137,27 +137,27 @@
 }
 
 // judge has a store judge a claim that is asked under an epoch.
-func (w *world) judge(h *host, r idempotency.Record, epoch uint64) (idempotency.Verdict, idempotency.Record) {
+func (w *world) judge(h *host, r idempotency.Record, epoch uint64) (idempotency.GrantReply, idempotency.Record) {
 	if epoch < w.log[h.durable].Epoch && w.fault != "a store without the epoch fence" {
-		return idempotency.Behind, idempotency.Record{}
+		return idempotency.ReplyStaleEpoch, idempotency.Record{}
 	}
-	v, holder, store := h.store.Claim(r, w.now())
-	if store && !h.store.Stored(r.Key, r.Token) {
-		v = idempotency.Unable
+	v, holder, store := h.store.Grant(r, w.now())
+	if store && !h.store.MarkDurable(r.Key, r.Token) {
+		v = idempotency.ReplyUnavailable
 	}
 	return v, holder
 }
 
-func (w *world) verdict(h *host, from string, t idempotency.Token, v idempotency.Verdict, holder idempotency.Record) {
-	more, done := h.coordinator.Verdict(from, t, v, holder, w.now())
+func (w *world) verdict(h *host, from string, t idempotency.Token, v idempotency.GrantReply, holder idempotency.Record) {
+	more, done := h.coordinator.HandleReply(from, t, v, holder, w.now())
 	w.asks(h, more)
 	if done != nil {
 		w.ruled(*done)
 	}
 }
 
-func (w *world) ruled(o idempotency.Outcome) {
-	if o.Ruling == idempotency.Stands && w.alive[o.Token] {
+func (w *world) ruled(o idempotency.Result) {
+	if o.Outcome == idempotency.OutcomeGranted && w.alive[o.Token] {
 		w.stands[o.Token] = true
 		return
 	}
@@ -170,7 +170,7 @@
 	}
 	w.alive[t] = false
 	for _, h := range w.hosts {
-		w.send(h, h, func() { h.store.Void(w.key, t, w.now()) })
+		w.send(h, h, func() { h.store.Revoke(w.key, t, w.now()) })
 	}
 }
 
@@ -192,7 +192,7 @@
 
 func (w *world) forget(identity string) {
 	for _, o := range w.hosts {
-		for _, done := range o.coordinator.Forget(identity) {
+		for _, done := range o.coordinator.ForgetGrants(identity) {
 			w.ruled(done)
 		}
 	}
@@ -213,7 +213,7 @@
 	h.applied++
 	h.durableAt, h.copied = w.step+w.rng.IntN(6), map[string]bool{}
 	if m := w.membership(h); former.Contains(h.identity) && !m.Contains(h.identity) {
-		h.store.Revoke()
+		h.store.BeginRecovery()
 	}
 	w.setStores(h)
 }
@@ -242,11 +242,11 @@
 // copy has an entrant ask the former voters for what they hold.
 func (w *world) copy(h *host) {
 	m := w.membership(h)
-	if !h.store.Blank() || !slices.Contains(m.Next, h.identity) || slices.Contains(m.Voters, h.identity) || w.rng.IntN(4) > 0 {
+	if !h.store.Recovering() || !slices.Contains(m.Next, h.identity) || slices.Contains(m.Voters, h.identity) || w.rng.IntN(4) > 0 {
 		return
 	}
 	if w.fault == "an entrant counts before it copied" {
-		h.store.Restored()
+		h.store.FinishRecovery()
 		return
 	}
 	for _, id := range m.Voters {
@@ -261,24 +261,24 @@
 	if early && w.fault != "a copy is taken before the source applied the joint membership" {
 		return
 	}
-	if from.store.Blank() || !slices.Contains(w.membership(from).Voters, from.identity) {
+	if from.store.Recovering() || !slices.Contains(w.membership(from).Voters, from.identity) {
 		return
 	}
 	var all []idempotency.Record
-	from.store.Each(func(r idempotency.Record) { all = append(all, r) })
+	from.store.EachClaim(func(r idempotency.Record) { all = append(all, r) })
 	source := from.identity
 	w.send(from, to, func() {
 		m := w.membership(to)
-		if m.Epoch != epoch || !to.store.Blank() || !slices.Contains(m.Next, to.identity) {
+		if m.Epoch != epoch || !to.store.Recovering() || !slices.Contains(m.Next, to.identity) {
 			return
 		}
 		for _, r := range all {
-			to.store.Copy(r, w.now())
+			to.store.Import(r, w.now())
 		}
 		to.copied[source] = true
 		former := consensus.Membership{Voters: m.Voters}
 		if former.Quorum(func(id string) bool { return to.copied[id] }) || w.fault == "an entrant copies from one store only" {
-			to.store.Restored()
+			to.store.FinishRecovery()
 		}
 	})
 }
@@ -293,7 +293,7 @@
 			if !slices.Contains(newest.Voters, id) {
 				h := w.host(id)
 				lost = lost || h == nil
-				ready = ready && h != nil && !h.store.Blank() && w.log[h.durable].Epoch == newest.Epoch
+				ready = ready && h != nil && !h.store.Recovering() && w.log[h.durable].Epoch == newest.Epoch
 			}
 		}
 		if !ready && !lost && w.rng.IntN(60) > 0 {
@@ -333,7 +333,7 @@
 // whole tells that as many disks as are tolerated may be lost now.
 func (w *world) whole() bool {
 	for _, id := range w.newest().Voters {
-		if h := w.host(id); h == nil || h.store.Blank() {
+		if h := w.host(id); h == nil || h.store.Recovering() {
 			return false
 		}
 	}
@@ -348,7 +348,7 @@
 			h := w.hosts[w.rng.IntN(len(w.hosts))]
 			t := token(next)
 			w.alive[t] = true
-			w.asks(h, h.coordinator.Open(idempotency.Record{Key: w.key, Token: t, Home: h.name}, w.now()))
+			w.asks(h, h.coordinator.Start(idempotency.Record{Key: w.key, Token: t, ResponseHolder: h.name}, w.now()))
 		}
 		if w.rng.IntN(40) == 0 && next > 0 {
 			w.withdraw(token(1 + w.rng.Uint64N(next)))
--- a/internal/control/membership/manager.go
+++ b/internal/control/membership/manager.go
@@ -11,32 +11,32 @@
 // Spans after which the leader acts on silence. A voter is replaced only where another controller stands by: a cut, a
 // freeze or a kill of the whole core without one changes nothing.
 const (
-	ReplaceAfter = 1500 * time.Millisecond // a voter out of reach
-	AbandonAfter = 2 * time.Second         // an entrant out of reach
-	ReadyWithin  = 10 * time.Second        // for entrants, before a change is given up and begun anew
-	passAgain    = 200 * time.Millisecond  // between two attempts to pass leadership on
+	ReplaceAfter  = 1500 * time.Millisecond // a voter out of reach
+	AbandonAfter  = 2 * time.Second         // an entrant out of reach
+	ReadyTimeout  = 10 * time.Second        // for entrants, before a change is given up and begun anew
+	transferRetry = 200 * time.Millisecond  // between two attempts to pass leadership on
 )
 
 // Controller is one controller as the leader sees it.
 type Controller struct {
-	ID       string
-	Zone     string
-	Counted  bool   // the platform counts its loss: it has a disk and may vote
-	Linked   bool   // in contact now
-	CaughtUp bool   // its durable log is level with what the leader has committed
-	Leaving  bool   // told to end
-	Epoch    uint64 // of the membership that it has applied durably
-	Ready    bool   // its store of claims may grant
+	ID           string
+	Zone         string
+	Counted      bool   // the platform counts its loss: it has a disk and may vote
+	Connected    bool   // in contact now
+	CaughtUp     bool   // its durable log is level with what the leader has committed
+	ShuttingDown bool   // told to end
+	Epoch        uint64 // of the membership that it has applied durably
+	Ready        bool   // its store of claims may grant
 }
 
 // View is what the leader sees.
 type View struct {
-	Self        string
-	Term        uint64
-	Membership  consensus.Membership // the newest in its log
-	Committed   bool                 // and whether that is committed
-	Controllers []Controller         // all that are known, the leader among them
-	Wanted      int                  // voters, so that a majority remains when as many as are tolerated are lost
+	Self         string
+	Term         uint64
+	Membership   consensus.Membership // the newest in its log
+	Committed    bool                 // and whether that is committed
+	Controllers  []Controller         // all that are known, the leader among them
+	WantedVoters int                  // voters, so that a majority remains when as many as are tolerated are lost
 }
 
 // Action is what the leader is to do.
@@ -44,15 +44,15 @@
 
 // The actions.
 const (
-	None           Action = iota
-	Begin                 // a change that leads to the voters Next
-	Adopt                 // finish the change under way
-	Abandon               // go back to the former voters
-	PassLeadership        // to the voter To
+	ActionNone         Action = iota
+	ActionBegin               // a change that leads to the voters Next
+	ActionAdopt               // finish the change under way
+	ActionAbandon             // go back to the former voters
+	TransferLeadership        // to the voter To
 )
 
 func (a Action) String() string {
-	return [...]string{"none", "begin", "adopt", "abandon", "pass leadership"}[min(a, PassLeadership)]
+	return [...]string{"none", "begin", "adopt", "abandon", "pass leadership"}[min(a, TransferLeadership)]
 }
 
 // Decision is an action with its cause, in a few words for the log.
@@ -65,30 +65,30 @@
 
 // Manager decides for a leader. Its zero value is ready.
 type Manager struct {
-	term    uint64
-	missing map[string]time.Duration // voters and entrants out of reach, since when
-	passAt  time.Duration            // leadership is not passed on again before
-	epoch   uint64                   // of the change under way
-	began   time.Duration            // when it was first seen
+	term         uint64
+	unreachable  map[string]time.Duration // voters and entrants out of reach, since when
+	nextTransfer time.Duration            // leadership is not passed on again before
+	epoch        uint64                   // of the change under way
+	changeSeenAt time.Duration            // when it was first seen
 }
 
 // Decide says what to do now. It is called every few milliseconds while the replica leads.
 func (m *Manager) Decide(v View, now time.Duration) Decision {
-	if m.term != v.Term || m.missing == nil { // what a former leader saw doesn't count
-		m.term, m.missing, m.passAt = v.Term, map[string]time.Duration{}, 0
+	if m.term != v.Term || m.unreachable == nil { // what a former leader saw doesn't count
+		m.term, m.unreachable, m.nextTransfer = v.Term, map[string]time.Duration{}, 0
 	}
 	known := byID(v.Controllers)
-	m.watch(v, known, now)
-	if known[v.Self].Leaving {
-		return m.pass(v, known, now)
+	m.trackReachability(v, known, now)
+	if known[v.Self].ShuttingDown {
+		return m.transfer(v, known, now)
 	}
 	if !v.Committed {
 		return Decision{}
 	}
 	if v.Membership.Joint() {
-		return m.finish(v, known, now)
+		return m.finishChange(v, known, now)
 	}
-	return m.begin(v, known, now)
+	return m.planChange(v, known, now)
 }
 
 func byID(controllers []Controller) map[string]Controller {
@@ -99,58 +99,58 @@
 	return known
 }
 
-// watch notes since when voters and entrants are out of reach.
-func (m *Manager) watch(v View, known map[string]Controller, now time.Duration) {
+// trackReachability notes since when voters and entrants are out of reach.
+func (m *Manager) trackReachability(v View, known map[string]Controller, now time.Duration) {
 	all := v.Membership.All()
 	for _, id := range all {
-		if known[id].Linked || id == v.Self {
-			delete(m.missing, id)
-		} else if _, noted := m.missing[id]; !noted {
-			m.missing[id] = now
+		if known[id].Connected || id == v.Self {
+			delete(m.unreachable, id)
+		} else if _, noted := m.unreachable[id]; !noted {
+			m.unreachable[id] = now
 		}
 	}
-	for id := range m.missing {
+	for id := range m.unreachable {
 		if !slices.Contains(all, id) {
-			delete(m.missing, id)
+			delete(m.unreachable, id)
 		}
 	}
 }
 
-func (m *Manager) missingFor(id string, now time.Duration) time.Duration {
-	since, missing := m.missing[id]
-	if !missing {
+func (m *Manager) unreachableFor(id string, now time.Duration) time.Duration {
+	since, unreachable := m.unreachable[id]
+	if !unreachable {
 		return 0
 	}
 	return now - since
 }
 
-// pass hands leadership to another voter: a leader that leaves is replaced under the next one.
-func (m *Manager) pass(v View, known map[string]Controller, now time.Duration) Decision {
+// transfer hands leadership to another voter: a leader that leaves is replaced under the next one.
+func (m *Manager) transfer(v View, known map[string]Controller, now time.Duration) Decision {
 	to := v.Membership.Voters
 	if v.Membership.Joint() {
 		to = v.Membership.Next
 	}
-	return m.passTo(to, "the leader is told to end", v, known, now)
+	return m.transferTo(to, "the leader is told to end", v, known, now)
 }
 
-// passTo hands leadership to one of these voters, once in a while until it is taken over.
-func (m *Manager) passTo(ids []string, cause string, v View, known map[string]Controller, now time.Duration) Decision {
-	if now < m.passAt {
+// transferTo hands leadership to one of these voters, once in a while until it is taken over.
+func (m *Manager) transferTo(ids []string, cause string, v View, known map[string]Controller, now time.Duration) Decision {
+	if now < m.nextTransfer {
 		return Decision{}
 	}
 	for _, id := range ids {
-		if c := known[id]; id != v.Self && c.Linked && c.CaughtUp && !c.Leaving {
-			m.passAt = now + passAgain
-			return Decision{Action: PassLeadership, To: id, Cause: cause}
+		if c := known[id]; id != v.Self && c.Connected && c.CaughtUp && !c.ShuttingDown {
+			m.nextTransfer = now + transferRetry
+			return Decision{Action: TransferLeadership, To: id, Cause: cause}
 		}
 	}
 	return Decision{}
 }
 
-// finish ends the change under way once all entrants are ready, or gives it up when one is lost.
-func (m *Manager) finish(v View, known map[string]Controller, now time.Duration) Decision {
+// finishChange ends the change under way once all entrants are ready, or gives it up when one is lost.
+func (m *Manager) finishChange(v View, known map[string]Controller, now time.Duration) Decision {
 	if m.epoch != v.Membership.Epoch {
-		m.epoch, m.began = v.Membership.Epoch, now
+		m.epoch, m.changeSeenAt = v.Membership.Epoch, now
 	}
 	ready := true
 	for _, id := range v.Membership.Next {
@@ -158,45 +158,45 @@
 			continue
 		}
 		c := known[id]
-		if m.missingFor(id, now) > AbandonAfter || c.Leaving {
-			return m.end(Abandon, "entrant "+id+" is lost", v, known, now)
+		if m.unreachableFor(id, now) > AbandonAfter || c.ShuttingDown {
+			return m.endChange(ActionAbandon, "entrant "+id+" is lost", v, known, now)
 		}
 		ready = ready && c.Ready && c.Epoch >= v.Membership.Epoch
 	}
 	switch {
 	case ready:
-		return m.end(Adopt, "the entrants are ready", v, known, now)
-	case now-m.began > ReadyWithin:
-		return m.end(Abandon, "the entrants are not ready in time", v, known, now)
+		return m.endChange(ActionAdopt, "the entrants are ready", v, known, now)
+	case now-m.changeSeenAt > ReadyTimeout:
+		return m.endChange(ActionAbandon, "the entrants are not ready in time", v, known, now)
 	}
 	return Decision{}
 }
 
-// end finishes a change, unless the leader would be no voter afterwards: then one that stays has to do it.
-func (m *Manager) end(action Action, cause string, v View, known map[string]Controller, now time.Duration) Decision {
+// endChange finishes a change, unless the leader would be no voter afterwards: then one that stays has to do it.
+func (m *Manager) endChange(action Action, cause string, v View, known map[string]Controller, now time.Duration) Decision {
 	after := v.Membership.Next
-	if action == Abandon {
+	if action == ActionAbandon {
 		after = v.Membership.Voters
 	}
 	if !slices.Contains(after, v.Self) {
-		return m.passTo(after, "the leader is no voter after the change", v, known, now)
+		return m.transferTo(after, "the leader is no voter after the change", v, known, now)
 	}
 	return Decision{Action: action, Cause: cause}
 }
 
-// begin looks for voters that have to be replaced and for controllers that can take their place.
-func (m *Manager) begin(v View, known map[string]Controller, now time.Duration) Decision {
+// planChange looks for voters that have to be replaced and for controllers that can take their place.
+func (m *Manager) planChange(v View, known map[string]Controller, now time.Duration) Decision {
 	standby := standbys(v)
 	if len(standby) == 0 {
 		return Decision{}
 	}
 	next, cause := slices.Clone(v.Membership.Voters), ""
 	for i, id := range next {
-		why := m.replaceable(id, v, known, now)
+		why := m.replacementCause(id, v, known, now)
 		if why == "" {
 			continue
 		}
-		by := successor(id, known, standby, next)
+		by := chooseReplacement(id, known, standby, next)
 		if by < 0 {
 			continue
 		}
@@ -205,17 +205,17 @@
 			break
 		}
 	}
-	if cause == "" && len(next) < v.Wanted {
-		next, cause = grow(next, known, standby, v.Wanted), "there are too few voters"
+	if cause == "" && len(next) < v.WantedVoters {
+		next, cause = addVoters(next, known, standby, v.WantedVoters), "there are too few voters"
 	}
 	if cause == "" {
-		next, cause = spread(v, known, standby)
+		next, cause = balanceZones(v, known, standby)
 	}
 	if cause == "" || len(next) == len(v.Membership.Voters) && slices.Equal(next, v.Membership.Voters) {
 		return Decision{}
 	}
 	slices.Sort(next)
-	return Decision{Action: Begin, Next: next, Cause: cause}
+	return Decision{Action: ActionBegin, Next: next, Cause: cause}
 }
 
 // standbys are the controllers that could become voters now, in a fixed order.
@@ -223,7 +223,7 @@
 	var standby []Controller
 	for _, c := range v.Controllers {
 		applied := c.Epoch == v.Membership.Epoch // one that has not heard of its own removal yet is no candidate
-		if c.Counted && c.Linked && c.CaughtUp && applied && !c.Leaving && !v.Membership.Contains(c.ID) {
+		if c.Counted && c.Connected && c.CaughtUp && applied && !c.ShuttingDown && !v.Membership.Contains(c.ID) {
 			standby = append(standby, c)
 		}
 	}
@@ -231,33 +231,33 @@
 	return standby
 }
 
-// replaceable says why a voter should be replaced; empty: it should not.
-func (m *Manager) replaceable(id string, v View, known map[string]Controller, now time.Duration) string {
+// replacementCause says why a voter should be replaced; empty: it should not.
+func (m *Manager) replacementCause(id string, v View, known map[string]Controller, now time.Duration) string {
 	switch c := known[id]; {
 	case id == v.Self:
 		return ""
-	case c.Linked && c.Leaving:
+	case c.Connected && c.ShuttingDown:
 		return "leaves"
-	case c.Linked:
+	case c.Connected:
 		return ""
-	case lostDisk(id, v.Controllers):
+	case diskReplaced(id, v.Controllers):
 		return "lost its disk"
-	case m.missingFor(id, now) > ReplaceAfter:
+	case m.unreachableFor(id, now) > ReplaceAfter:
 		return "is out of reach"
 	}
 	return ""
 }
 
-// lostDisk tells that another replica runs at the voter's address.
-func lostDisk(id string, controllers []Controller) bool {
+// diskReplaced tells that another replica runs at the voter's address.
+func diskReplaced(id string, controllers []Controller) bool {
 	return slices.ContainsFunc(controllers, func(c Controller) bool {
-		return c.Linked && c.ID != id && Address(c.ID) == Address(id)
+		return c.Connected && c.ID != id && Address(c.ID) == Address(id)
 	})
 }
 
-// successor chooses who takes a voter's place: the replica at its own address, one of its zone, or one of the zone with
+// chooseReplacement chooses who takes a voter's place: the replica at its own address, one of its zone, or one of the zone with
 // the fewest voters.
-func successor(id string, known map[string]Controller, standby []Controller, voters []string) int {
+func chooseReplacement(id string, known map[string]Controller, standby []Controller, voters []string) int {
 	for i, c := range standby {
 		if Address(c.ID) == Address(id) {
 			return i
@@ -284,8 +284,8 @@
 	return count
 }
 
-// grow adds standbys, those of the zones with the fewest voters first.
-func grow(voters []string, known map[string]Controller, standby []Controller, wanted int) []string {
+// addVoters adds standbys, those of the zones with the fewest voters first.
+func addVoters(voters []string, known map[string]Controller, standby []Controller, wanted int) []string {
 	for len(voters) < wanted && len(standby) > 0 {
 		best := 0
 		for i, c := range standby {
@@ -299,12 +299,12 @@
 	return voters
 }
 
-// spread moves a vote from a zone with two more voters to a zone with a standby, while all voters are in reach: the loss
+// balanceZones moves a vote from a zone with two more voters to a zone with a standby, while all voters are in reach: the loss
 // of a zone should cost as few voters as possible.
-func spread(v View, known map[string]Controller, standby []Controller) (next []string, cause string) {
+func balanceZones(v View, known map[string]Controller, standby []Controller) (next []string, cause string) {
 	voters := v.Membership.Voters
 	for _, id := range voters {
-		if !known[id].Linked && id != v.Self {
+		if !known[id].Connected && id != v.Self {
 			return nil, ""
 		}
 	}
@@ -320,17 +320,17 @@
 	return nil, ""
 }
 
-// Refusal says why a replacement that an operator asks for can't be made now.
-type Refusal string
+// ReplaceError says why a replacement that an operator asks for can't be made now.
+type ReplaceError string
 
-func (r Refusal) Error() string { return string(r) }
+func (r ReplaceError) Error() string { return string(r) }
 
 // The reasons.
 const (
-	ErrChanging  Refusal = "another change of the membership is under way"
-	ErrLeads     Refusal = "the voter leads: leadership is passed on first"
-	ErrNoVoter   Refusal = "no such voter"
-	ErrNoStandby Refusal = "nobody stands by who could take the vote"
+	ErrChanging   ReplaceError = "another change of the membership is under way"
+	ErrVoterLeads ReplaceError = "the voter leads: leadership is passed on first"
+	ErrNoVoter    ReplaceError = "no such voter"
+	ErrNoStandby  ReplaceError = "nobody stands by who could take the vote"
 )
 
 // Replace gives the voters after a replacement that an operator asks for, by any standby if by is empty. They are the
@@ -346,14 +346,14 @@
 	case at < 0:
 		return nil, ErrNoVoter
 	case voter == v.Self:
-		return nil, ErrLeads
+		return nil, ErrVoterLeads
 	}
 	known := byID(v.Controllers)
 	standby := standbys(v)
 	if by != "" {
 		standby = slices.DeleteFunc(standby, func(c Controller) bool { return c.ID != by })
 	}
-	chosen := successor(voter, known, standby, voters)
+	chosen := chooseReplacement(voter, known, standby, voters)
 	if chosen < 0 {
 		return nil, ErrNoStandby
 	}
--- a/internal/control/membership/manager_test.go
+++ b/internal/control/membership/manager_test.go
@@ -18,12 +18,12 @@
 
 // at is a controller in zone z, sound and in reach.
 func at(id, zone string) membership.Controller {
-	return membership.Controller{ID: id, Zone: zone, Counted: true, Linked: true, CaughtUp: true, Epoch: 4, Ready: true}
+	return membership.Controller{ID: id, Zone: zone, Counted: true, Connected: true, CaughtUp: true, Epoch: 4, Ready: true}
 }
 
 // three is what leader a sees of three voters in three zones.
 func three(more ...membership.Controller) membership.View {
-	return membership.View{Self: "a", Term: 3, Committed: true, Wanted: 3,
+	return membership.View{Self: "a", Term: 3, Committed: true, WantedVoters: 3,
 		Membership:  consensus.Membership{Epoch: 4, Voters: []string{"a", "b", "c"}},
 		Controllers: append([]membership.Controller{at("a", "x"), at("b", "y"), at("c", "z")}, more...)}
 }
@@ -32,7 +32,7 @@
 func lose(v *membership.View, id string) {
 	for i := range v.Controllers {
 		if v.Controllers[i].ID == id {
-			v.Controllers[i].Linked = false
+			v.Controllers[i].Connected = false
 		}
 	}
 }
@@ -55,19 +55,19 @@
 
 var _ = Describe("the manager", func() {
 	It("changes nothing while all voters are in reach", func() {
-		Expect(settled(three(standby("d", "x")), long).Action).To(Equal(membership.None))
+		Expect(settled(three(standby("d", "x")), long).Action).To(Equal(membership.ActionNone))
 	})
 	It("changes nothing when a voter is lost and nobody stands by", func() {
 		v := three()
 		lose(&v, "c")
-		Expect(settled(v, long).Action).To(Equal(membership.None))
+		Expect(settled(v, long).Action).To(Equal(membership.ActionNone))
 	})
 	It("replaces a voter that is out of reach for long, not one that was cut off for a moment", func() {
 		v := three(standby("d", "y"))
 		lose(&v, "c")
-		Expect(settled(v, membership.ReplaceAfter/2).Action).To(Equal(membership.None))
+		Expect(settled(v, membership.ReplaceAfter/2).Action).To(Equal(membership.ActionNone))
 		d := settled(v, membership.ReplaceAfter+1)
-		Expect(d.Action).To(Equal(membership.Begin))
+		Expect(d.Action).To(Equal(membership.ActionBegin))
 		Expect(d.Next).To(Equal([]string{"a", "b", "d"}))
 	})
 	It("doesn't hold against a voter what a former leader saw", func() {
@@ -76,7 +76,7 @@
 		m := &membership.Manager{}
 		m.Decide(v, 0)
 		v.Term++
-		Expect(m.Decide(v, long).Action).To(Equal(membership.None))
+		Expect(m.Decide(v, long).Action).To(Equal(membership.ActionNone))
 	})
 	It("replaces at once a voter whose disk was lost, by the replica at its address", func() {
 		v := three(standby("b#7f", "y"), standby("d", "y"))
@@ -85,76 +85,76 @@
 	})
 	It("replaces two lost disks of five in one change", func() {
 		v := three(at("d", "x"), at("e", "y"), standby("b#1", "y"), standby("c#1", "z"))
-		v.Membership.Voters, v.Wanted = []string{"a", "b", "c", "d", "e"}, 5
+		v.Membership.Voters, v.WantedVoters = []string{"a", "b", "c", "d", "e"}, 5
 		lose(&v, "b")
 		lose(&v, "c")
 		Expect(settled(v, 1).Next).To(Equal([]string{"a", "b#1", "c#1", "d", "e"}))
 	})
 	It("replaces a voter that is told to end, if somebody stands by", func() {
 		v := three()
-		v.Controllers[2].Leaving = true
-		Expect(settled(v, long).Action).To(Equal(membership.None))
+		v.Controllers[2].ShuttingDown = true
+		Expect(settled(v, long).Action).To(Equal(membership.ActionNone))
 		v = three(standby("d", "x"))
-		v.Controllers[2].Leaving = true
+		v.Controllers[2].ShuttingDown = true
 		Expect(settled(v, 1).Next).To(Equal([]string{"a", "b", "d"}))
 	})
 	It("has a leader that is told to end pass leadership on first", func() {
 		v := three(standby("d", "x"))
-		v.Controllers[0].Leaving = true
+		v.Controllers[0].ShuttingDown = true
 		v.Controllers[1].CaughtUp = false
 		d := settled(v, 1)
-		Expect(d.Action).To(Equal(membership.None), "asked a moment ago")
+		Expect(d.Action).To(Equal(membership.ActionNone), "asked a moment ago")
 		d = settled(v, time.Second)
-		Expect(d.Action).To(Equal(membership.PassLeadership))
+		Expect(d.Action).To(Equal(membership.TransferLeadership))
 		Expect(d.To).To(Equal("c"))
 	})
 	It("takes nobody who is behind, ends, has no lasting disk or hasn't heard of the last change", func() {
 		for _, spoil := range []func(*membership.Controller){
-			func(c *membership.Controller) { c.CaughtUp = false }, func(c *membership.Controller) { c.Leaving = true },
+			func(c *membership.Controller) { c.CaughtUp = false }, func(c *membership.Controller) { c.ShuttingDown = true },
 			func(c *membership.Controller) { c.Counted = false }, func(c *membership.Controller) { c.Epoch = 3 },
-			func(c *membership.Controller) { c.Linked = false },
+			func(c *membership.Controller) { c.Connected = false },
 		} {
 			d := standby("d", "z")
 			spoil(&d)
 			v := three(d)
 			lose(&v, "c")
-			Expect(settled(v, long).Action).To(Equal(membership.None))
+			Expect(settled(v, long).Action).To(Equal(membership.ActionNone))
 		}
 	})
 	It("begins nothing while the last change is not committed", func() {
 		v := three(standby("d", "z"))
 		v.Committed = false
 		lose(&v, "c")
-		Expect(settled(v, long).Action).To(Equal(membership.None))
+		Expect(settled(v, long).Action).To(Equal(membership.ActionNone))
 	})
 	It("adopts a change only once the entrants' stores hold what they need", func() {
 		v := three(standby("d", "z"))
 		v.Membership = consensus.Membership{Epoch: 4, Voters: []string{"a", "b", "c"}, Next: []string{"a", "b", "d"}}
 		lose(&v, "c")
-		Expect(settled(v, time.Second).Action).To(Equal(membership.None))
+		Expect(settled(v, time.Second).Action).To(Equal(membership.ActionNone))
 		v.Controllers[3].Ready = true
-		Expect(settled(v, time.Second).Action).To(Equal(membership.Adopt))
+		Expect(settled(v, time.Second).Action).To(Equal(membership.ActionAdopt))
 		v.Controllers[3].Epoch = 3
-		Expect(settled(v, time.Second).Action).To(Equal(membership.None), "ready for another change than this one")
+		Expect(settled(v, time.Second).Action).To(Equal(membership.ActionNone), "ready for another change than this one")
 	})
 	It("lets a voter that stays finish a change after which the leader has no vote", func() {
 		v := three(at("d", "z"))
 		v.Membership = consensus.Membership{Epoch: 4, Voters: []string{"a", "b", "c"}, Next: []string{"b", "c", "d"}}
 		d := settled(v, time.Second)
-		Expect(d.Action).To(Equal(membership.PassLeadership))
+		Expect(d.Action).To(Equal(membership.TransferLeadership))
 		Expect(v.Membership.Next).To(ContainElement(d.To))
 	})
 	It("abandons a change whose entrant is lost, or not ready in time", func() {
 		v := three(standby("d", "z"))
 		v.Membership.Next = []string{"a", "b", "d"}
-		Expect(settled(v, membership.ReadyWithin+1).Action).To(Equal(membership.Abandon))
+		Expect(settled(v, membership.ReadyTimeout+1).Action).To(Equal(membership.ActionAbandon))
 		lose(&v, "d")
-		Expect(settled(v, membership.AbandonAfter/2).Action).To(Equal(membership.None))
-		Expect(settled(v, membership.AbandonAfter+1).Action).To(Equal(membership.Abandon))
+		Expect(settled(v, membership.AbandonAfter/2).Action).To(Equal(membership.ActionNone))
+		Expect(settled(v, membership.AbandonAfter+1).Action).To(Equal(membership.ActionAbandon))
 	})
 	It("grows to the voters that the tolerance needs, in zones with the fewest", func() {
 		v := three(standby("d", "x"), standby("e", "w"), standby("f", "x"))
-		v.Wanted = 5
+		v.WantedVoters = 5
 		Expect(settled(v, 1).Next).To(Equal([]string{"a", "b", "c", "d", "e"}))
 	})
 	It("moves a vote to a zone without any from one with two, while all are in reach", func() {
@@ -162,7 +162,7 @@
 		v.Controllers[2].Zone = "y"
 		Expect(settled(v, 1).Next).To(Or(Equal([]string{"a", "c", "d"}), Equal([]string{"a", "b", "d"})))
 		lose(&v, "c")
-		Expect(settled(v, 1).Action).To(Equal(membership.None))
+		Expect(settled(v, 1).Action).To(Equal(membership.ActionNone))
 	})
 })
 
@@ -189,7 +189,7 @@
 		_, err := membership.Replace(v, voter, by)
 		Expect(err).To(MatchError(reason))
 	},
-		Entry("of the leader", "a", "", func(*membership.View) {}, membership.ErrLeads),
+		Entry("of the leader", "a", "", func(*membership.View) {}, membership.ErrVoterLeads),
 		Entry("of nobody", "z", "", func(*membership.View) {}, membership.ErrNoVoter),
 		Entry("by one who doesn't stand by", "c", "b", func(*membership.View) {}, membership.ErrNoStandby),
 		Entry("without anybody who stands by", "c", "", func(v *membership.View) { lose(v, "d") }, membership.ErrNoStandby),
--- a/internal/control/registry/registry.go
+++ b/internal/control/registry/registry.go
@@ -23,31 +23,31 @@
 const (
 	Ready State = iota
 	Draining
-	Gone
+	Removed
 )
 
-func (s State) String() string { return [...]string{"ready", "draining", "gone"}[min(s, Gone)] }
+func (s State) String() string { return [...]string{"ready", "draining", "gone"}[min(s, Removed)] }
 
 // Entry is what is known of one life of a server.
 type Entry struct {
-	ID       string  `cbor:"1,keyasint"`
-	Service  string  `cbor:"2,keyasint,omitempty"`
-	Address  string  `cbor:"3,keyasint,omitempty"`
-	Zone     string  `cbor:"4,keyasint,omitempty"`
-	Version  string  `cbor:"5,keyasint,omitempty"`
-	Capacity int     `cbor:"6,keyasint,omitempty"`
-	Warmup   float64 `cbor:"7,keyasint,omitempty"` // seconds that it is still slow, when heard
-	Seq      uint64  `cbor:"8,keyasint,omitempty"`
-	State    State   `cbor:"9,keyasint,omitempty"`
-	Silent   bool    `cbor:"10,keyasint,omitempty"` // its beats stopped
-	Owner    string  `cbor:"11,keyasint,omitempty"` // the planner that takes its beats
+	ID         string  `cbor:"1,keyasint"`
+	Service    string  `cbor:"2,keyasint,omitempty"`
+	Address    string  `cbor:"3,keyasint,omitempty"`
+	Zone       string  `cbor:"4,keyasint,omitempty"`
+	Version    string  `cbor:"5,keyasint,omitempty"`
+	Capacity   int     `cbor:"6,keyasint,omitempty"`
+	WarmupLeft float64 `cbor:"7,keyasint,omitempty"` // seconds that it is still slow, when heard
+	Seq        uint64  `cbor:"8,keyasint,omitempty"`
+	State      State   `cbor:"9,keyasint,omitempty"`
+	TimedOut   bool    `cbor:"10,keyasint,omitempty"` // its beats stopped
+	Owner      string  `cbor:"11,keyasint,omitempty"` // the planner that takes its beats
 	// Lapsed: it was silent for so long that it is taken for gone. Unlike State Gone, which only the server's own word
 	// brings, a later beat takes this back: the silence may have been a cut.
-	Lapsed bool `cbor:"12,keyasint,omitempty"`
+	Expired bool `cbor:"12,keyasint,omitempty"`
 }
 
 // Ended tells whether nothing is to be sent to this life any more, by its own word or by its long silence.
-func (e Entry) Ended() bool { return e.State == Gone || e.Lapsed }
+func (e Entry) Ended() bool { return e.State == Removed || e.Expired }
 
 // Merge joins two accounts of a life. It is commutative, associative and idempotent.
 func Merge(a, b Entry) Entry {
@@ -69,90 +69,90 @@
 	switch {
 	case b.Seq != a.Seq:
 		return b.Seq > a.Seq
-	case b.Lapsed != a.Lapsed:
-		return b.Lapsed
-	case b.Silent != a.Silent:
-		return b.Silent
+	case b.Expired != a.Expired:
+		return b.Expired
+	case b.TimedOut != a.TimedOut:
+		return b.TimedOut
 	}
 	return b.Owner > a.Owner
 }
 
 // Registry holds all lives that are known, tombstones included.
 type Registry struct {
-	entries map[string]*held
-	cells   map[string]uint64 // sums by zone, without lives that are gone: those are forgotten at different times
-	hold    time.Duration     // how long a life that is gone is remembered
+	entries   map[string]*record
+	digests   map[string]uint64 // sums by zone, without lives that are gone: those are forgotten at different times
+	retention time.Duration     // how long a life that is gone is remembered
 }
 
-type held struct {
+type record struct {
 	Entry
-	heard time.Duration // when a beat last came here, or the entry last changed
-	warm  time.Duration // when it will be warm
-	sum   uint64        // as counted in its cell
-	cell  string
+	heardAt    time.Duration // when a beat last came here, or the entry last changed
+	warmAt     time.Duration // when it will be warm
+	digest     uint64        // as counted in its cell
+	digestZone string
 }
 
 // New makes an empty registry that remembers lives that are gone for a time.
-func New(hold time.Duration) *Registry {
-	return &Registry{entries: map[string]*held{}, cells: map[string]uint64{}, hold: hold}
+func New(retention time.Duration) *Registry {
+	return &Registry{entries: map[string]*record{}, digests: map[string]uint64{}, retention: retention}
 }
 
-// Take merges an account heard at now and tells whether anything changed that others have to know.
-func (r *Registry) Take(e Entry, now time.Duration) (changed Entry, news bool) {
+// Apply merges an account heard at now and tells whether anything changed that others have to know.
+func (r *Registry) Apply(e Entry, now time.Duration) (current Entry, updated bool) {
 	h := r.entries[e.ID]
-	if h == nil && e.Lapsed {
+	if h == nil && e.Expired {
 		return e, false // forgotten here already, or never known
 	}
 	if h == nil {
-		if e.State == Gone && e.Address == "" && e.Service == "" && e.Seq == 0 {
+		if e.State == Removed && e.Address == "" && e.Service == "" && e.Seq == 0 {
 			e.Seq = 1
 		}
-		h = &held{Entry: e, heard: now, warm: now + time.Duration(e.Warmup*float64(time.Second))}
+		h = &record{Entry: e, heardAt: now, warmAt: now + time.Duration(e.WarmupLeft*float64(time.Second))}
 		r.entries[e.ID] = h
-		r.count(h)
+		r.updateDigest(h)
 		return h.Entry, true
 	}
 	merged := Merge(h.Entry, e)
-	news = merged.State != h.State || merged.Silent != h.Silent || merged.Lapsed != h.Lapsed || merged.Address != h.Address ||
+	updated = merged.State != h.State || merged.TimedOut != h.TimedOut || merged.Expired != h.Expired || merged.Address != h.Address ||
 		merged.Owner != h.Owner || merged.Capacity != h.Capacity || merged.Service != h.Service
-	if merged.Seq > h.Seq || news {
-		h.heard = now
-		if merged.Warmup > 0 {
-			h.warm = now + time.Duration(merged.Warmup*float64(time.Second))
+	if merged.Seq > h.Seq || updated {
+		h.heardAt = now
+		if merged.WarmupLeft > 0 {
+			h.warmAt = now + time.Duration(merged.WarmupLeft*float64(time.Second))
 		}
 	}
 	h.Entry = merged
-	if news {
-		r.count(h)
+	if updated {
+		r.updateDigest(h)
 	}
-	return h.Entry, news
+	return h.Entry, updated
 }
 
-// count brings the sum of a life's cell up to date.
-func (r *Registry) count(h *held) {
-	r.cells[h.cell] ^= h.sum
-	h.cell, h.sum = h.Zone, 0
+// updateDigest brings the sum of a life's cell up to date.
+func (r *Registry) updateDigest(h *record) {
+	r.digests[h.digestZone] ^= h.digest
+	h.digestZone, h.digest = h.Zone, 0
 	if !h.Ended() {
-		h.sum = xxh3.HashString(fmt.Sprint(h.ID, "\x00", h.Service, "\x00", h.Address, "\x00", h.Owner, "\x00", h.State, h.Silent, h.Capacity))
+		h.digest = xxh3.HashString(fmt.Sprint(h.ID, "\x00", h.Service, "\x00", h.Address, "\x00", h.Owner, "\x00", h.State, h.TimedOut, h.Capacity))
 	}
-	r.cells[h.cell] ^= h.sum
+	r.digests[h.digestZone] ^= h.digest
 }
 
-// Sum is that of all cells.
-func (r *Registry) Sum() (all uint64) {
-	for zone, sum := range r.cells {
-		if sum != 0 {
-			all ^= xxh3.HashStringSeed(zone, sum)
+// Digest is that of all cells.
+func (r *Registry) Digest() (all uint64) {
+	for zone, digest := range r.digests {
+		if digest != 0 {
+			all ^= xxh3.HashStringSeed(zone, digest)
 		}
 	}
 	return all
 }
 
-// Sums are those of the cells, by zone.
-func (r *Registry) Sums() map[string]uint64 { return maps.Clone(r.cells) }
+// ZoneDigests are those of the cells, by zone.
+func (r *Registry) ZoneDigests() map[string]uint64 { return maps.Clone(r.digests) }
 
-// In gives the lives of some cells.
-func (r *Registry) In(zones map[string]bool, now time.Duration) []Entry {
+// InZones gives the lives of some cells.
+func (r *Registry) InZones(zones map[string]bool, now time.Duration) []Entry {
 	return slices.DeleteFunc(r.All(now), func(e Entry) bool { return !zones[e.Zone] })
 }
 
@@ -164,20 +164,20 @@
 	return Entry{}, false
 }
 
-// Silence marks the lives whose beats stopped: those of this owner, and of owners that are lost. It also forgets lives
+// MarkTimedOut marks the lives whose beats stopped: those of this owner, and of owners that are lost. It also forgets lives
 // that are long gone. It returns what others have to know.
-func (r *Registry) Silence(owner string, lost func(owner string) bool, after, now time.Duration) (changed []Entry) {
-	r.Forget(now)
+func (r *Registry) MarkTimedOut(owner string, ownerLost func(owner string) bool, timeout, now time.Duration) (changed []Entry) {
+	r.Prune(now)
 	for _, h := range r.entries {
 		if h.Ended() {
 			continue
 		}
-		if !h.Silent && now-h.heard > after && (h.Owner == owner || lost(h.Owner)) {
-			h.Silent, h.heard = true, now
-			r.count(h)
+		if !h.TimedOut && now-h.heardAt > timeout && (h.Owner == owner || ownerLost(h.Owner)) {
+			h.TimedOut, h.heardAt = true, now
+			r.updateDigest(h)
 			changed = append(changed, h.Entry)
-		} else if h.Silent && now-h.heard > r.hold {
-			r.lapse(h, now)
+		} else if h.TimedOut && now-h.heardAt > r.retention {
+			r.expire(h, now)
 			changed = append(changed, h.Entry)
 		}
 	}
@@ -185,20 +185,20 @@
 	return changed
 }
 
-// lapse takes a life that was silent for long for gone. One that had said that it leaves has left.
-func (r *Registry) lapse(h *held, now time.Duration) {
-	if h.heard = now; h.State == Draining {
-		h.State = Gone
+// expire takes a life that was silent for long for gone. One that had said that it leaves has left.
+func (r *Registry) expire(h *record, now time.Duration) {
+	if h.heardAt = now; h.State == Draining {
+		h.State = Removed
 	} else {
-		h.Lapsed = true
+		h.Expired = true
 	}
-	r.count(h)
+	r.updateDigest(h)
 }
 
-// Forget drops lives that are long gone.
-func (r *Registry) Forget(now time.Duration) {
+// Prune drops lives that are long gone.
+func (r *Registry) Prune(now time.Duration) {
 	for id, h := range r.entries {
-		if h.Ended() && now-h.heard > r.hold {
+		if h.Ended() && now-h.heardAt > r.retention {
 			delete(r.entries, id)
 		}
 	}
@@ -209,7 +209,7 @@
 	all := make([]Entry, 0, len(r.entries))
 	for _, h := range r.entries {
 		e := h.Entry
-		e.Warmup = max(0, (h.warm - now).Seconds())
+		e.WarmupLeft = max(0, (h.warmAt - now).Seconds())
 		all = append(all, e)
 	}
 	slices.SortFunc(all, func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/control/reservation/book.go
+++ b/internal/control/reservation/book.go
@@ -31,16 +31,16 @@
 	Work    float64 `cbor:"14,keyasint,omitempty" json:"work_s,omitempty"` // seconds that one of them takes
 }
 
-// Whole gives a booking whose reservation is told by its rate the slots that it needs.
-func (b Booking) Whole() Booking {
+// WithSlots gives a booking whose reservation is told by its rate the slots that it needs.
+func (b Booking) WithSlots() Booking {
 	if b.Slots == 0 {
 		b.Slots = b.Rate * b.Work
 	}
 	return b
 }
 
-// Wants is how much room a booking holds at a time.
-func (b *Booking) Wants(at float64) float64 {
+// SlotsAt is how much room a booking holds at a time.
+func (b *Booking) SlotsAt(at float64) float64 {
 	switch {
 	case at >= b.Start && at < b.End:
 		return b.Slots
@@ -52,12 +52,12 @@
 	return 0
 }
 
-func (b *Booking) check() error {
+func (b *Booking) validate() error {
 	switch {
 	case b.ID == "" || b.Tenant == "" || b.Service == "" || b.Owner == "":
 		return apierror.Invalid.New("a booking needs an id, a tenant, a service and an owner")
-	case strings.HasPrefix(b.ID, restMark) || len(b.ID) > idMost:
-		return apierror.Invalid.New("booking %.20q: an id does not begin with %s and has %d bytes at most", b.ID, restMark, idMost)
+	case strings.HasPrefix(b.ID, othersPrefix) || len(b.ID) > maxIDLength:
+		return apierror.Invalid.New("booking %.20q: an id does not begin with %s and has %d bytes at most", b.ID, othersPrefix, maxIDLength)
 	case !(b.End > b.Start) || math.IsInf(b.End, 0) || !(b.Ramp >= 0) || math.IsInf(b.Ramp, 0):
 		return apierror.Invalid.New("booking %s: its end is not after its start, or its ramp is no time", b.ID)
 	case !(b.Slots > 0) || math.IsInf(b.Slots, 0):
@@ -81,102 +81,102 @@
 	Expired   = "expired"
 )
 
-// Past is a booking that is over.
-type Past struct {
+// PastBooking is a booking that is over.
+type PastBooking struct {
 	Booking
-	How string `cbor:"20,keyasint" json:"how"`
+	EndReason string `cbor:"20,keyasint" json:"how"`
 }
 
 const (
-	callsKept = 256
-	pastKept  = 1024
-	allMost   = 4096 // bookings that are not over
-	idMost    = 128
+	maxRecentCalls = 256
+	maxPast        = 1024
+	maxBookings    = 4096 // bookings that are not over
+	maxIDLength    = 128
 )
 
-// Book holds all bookings. Every planner that applies the same changes holds the same.
-type Book struct {
-	Version uint64             `cbor:"1,keyasint"`
-	All     map[string]Booking `cbor:"2,keyasint"`
-	Gone    []Past             `cbor:"3,keyasint,omitempty"`
-	Calls   []string           `cbor:"4,keyasint,omitempty"` // taken, oldest first
+// Ledger holds all bookings. Every planner that applies the same changes holds the same.
+type Ledger struct {
+	Version     uint64             `cbor:"1,keyasint"`
+	Active      map[string]Booking `cbor:"2,keyasint"`
+	Past        []PastBooking      `cbor:"3,keyasint,omitempty"`
+	RecentCalls []string           `cbor:"4,keyasint,omitempty"` // taken, oldest first
 }
 
-// NewBook makes an empty book.
-func NewBook() *Book { return &Book{All: map[string]Booking{}} }
+// NewLedger makes an empty book.
+func NewLedger() *Ledger { return &Ledger{Active: map[string]Booking{}} }
 
 // Knows tells whether a call was taken lately.
-func (k *Book) Knows(call string) bool { return slices.Contains(k.Calls, call) }
+func (k *Ledger) Knows(call string) bool { return slices.Contains(k.RecentCalls, call) }
 
-// Judge says what is wrong with a change: one that is built on another version, or that asks for what can't be.
-func (k *Book) Judge(op Op) error {
+// Validate says what is wrong with a change: one that is built on another version, or that asks for what can't be.
+func (k *Ledger) Validate(op Op) error {
 	if op.Base != k.Version {
 		return apierror.Stale.New("built on %d, current is %d", op.Base, k.Version)
 	}
 	added := 0
 	for _, b := range op.Puts {
-		if err := b.check(); err != nil {
+		if err := b.validate(); err != nil {
 			return err
 		}
 		if b.End <= op.Now {
 			return apierror.Invalid.New("booking %s is over", b.ID)
 		}
-		if _, known := k.All[b.ID]; !known {
+		if _, known := k.Active[b.ID]; !known {
 			added++
 		}
 	}
 	switch {
 	case len(op.Puts) > 0:
 	case op.Cancel != "":
-		if _, known := k.All[op.Cancel]; !known {
+		if _, known := k.Active[op.Cancel]; !known {
 			return apierror.Invalid.New("there is no booking %s", op.Cancel)
 		}
 	default:
 		return apierror.Invalid.New("nothing to change")
 	}
-	if added > 0 && len(k.All)+added > allMost {
-		return apierror.Invalid.New("there are %d bookings already, %d are allowed", len(k.All), allMost)
+	if added > 0 && len(k.Active)+added > maxBookings {
+		return apierror.Invalid.New("there are %d bookings already, %d are allowed", len(k.Active), maxBookings)
 	}
 	return nil
 }
 
 // Apply takes a change, once: the same call again is taken already.
-func (k *Book) Apply(op Op) error {
+func (k *Ledger) Apply(op Op) error {
 	if k.Knows(op.Call) {
 		return nil
 	}
-	if err := k.Judge(op); err != nil {
+	if err := k.Validate(op); err != nil {
 		return err
 	}
 	k.expire(op.Now)
 	for _, b := range op.Puts {
-		k.All[b.ID] = b
+		k.Active[b.ID] = b
 	}
-	if b, known := k.All[op.Cancel]; known {
-		k.gone(b, Cancelled)
+	if b, known := k.Active[op.Cancel]; known {
+		k.endBooking(b, Cancelled)
 	}
 	k.Version++
-	k.Calls = append(k.Calls, op.Call)
-	k.Calls = k.Calls[max(0, len(k.Calls)-callsKept):]
+	k.RecentCalls = append(k.RecentCalls, op.Call)
+	k.RecentCalls = k.RecentCalls[max(0, len(k.RecentCalls)-maxRecentCalls):]
 	return nil
 }
 
-func (k *Book) expire(now float64) {
-	for _, b := range k.list(func(b *Booking) bool { return b.End+b.Ramp <= now }) {
-		k.gone(b, Expired)
+func (k *Ledger) expire(now float64) {
+	for _, b := range k.byRank(func(b *Booking) bool { return b.End+b.Ramp <= now }) {
+		k.endBooking(b, Expired)
 	}
 }
 
-func (k *Book) gone(b Booking, how string) {
-	delete(k.All, b.ID)
-	k.Gone = append(k.Gone, Past{b, how})
-	k.Gone = k.Gone[max(0, len(k.Gone)-pastKept):]
+func (k *Ledger) endBooking(b Booking, reason string) {
+	delete(k.Active, b.ID)
+	k.Past = append(k.Past, PastBooking{b, reason})
+	k.Past = k.Past[max(0, len(k.Past)-maxPast):]
 }
 
-// list gives bookings by rank, then by start, then by id: the order in which they are kept when room is short.
-func (k *Book) list(of func(*Booking) bool) (all []Booking) {
-	for _, b := range k.All {
-		if of(&b) {
+// byRank gives bookings by rank, then by start, then by id: the order in which they are kept when room is short.
+func (k *Ledger) byRank(include func(*Booking) bool) (all []Booking) {
+	for _, b := range k.Active {
+		if include(&b) {
 			all = append(all, b)
 		}
 	}
@@ -186,102 +186,102 @@
 	return all
 }
 
-// Carry is what a service's servers have shown they carry at once, by zone.
-type Carry map[string]float64
+// Capacity is what a service's servers have shown they carry at once, by zone.
+type Capacity map[string]float64
 
-// Least is what stays of it for bookings when the worst zone is lost.
-func (c Carry) Least() float64 {
-	sum, most := 0.0, 0.0
+// AfterZoneLoss is what stays of it for bookings when the worst zone is lost.
+func (c Capacity) AfterZoneLoss() float64 {
+	total, largest := 0.0, 0.0
 	for _, x := range c {
-		sum, most = sum+x, max(most, x)
+		total, largest = total+x, max(largest, x)
 	}
 	if len(c) < 2 {
-		return sum
+		return total
 	}
-	return sum - most
+	return total - largest
 }
 
-// Could is the most that a booking could hold from its start to its end, ramps included, beside those that are there; one
+// AvailableFor is the most that a booking could hold from its start to its end, ramps included, beside those that are there; one
 // of the same id counts as replaced.
-func (k *Book) Could(x Booking, carry Carry) float64 {
-	others := k.list(func(b *Booking) bool { return b.ID != x.ID && b.Service == x.Service })
+func (k *Ledger) AvailableFor(x Booking, capacity Capacity) float64 {
+	others := k.byRank(func(b *Booking) bool { return b.ID != x.ID && b.Service == x.Service })
 	times := []float64{x.Start - x.Ramp, x.Start, x.End, x.End + x.Ramp}
 	for _, b := range others {
 		times = append(times, b.Start-b.Ramp, b.Start, b.End, b.End+b.Ramp)
 	}
-	least := math.Inf(1)
+	available := math.Inf(1)
 	for _, at := range times { // between these all lines are straight
 		for _, t := range []float64{at, math.Nextafter(at, math.Inf(-1)), math.Nextafter(at, math.Inf(1))} {
-			share := x.Wants(t) / x.Slots
+			share := x.SlotsAt(t) / x.Slots
 			if share <= 0 {
 				continue
 			}
-			taken := 0.0
+			booked := 0.0
 			for _, b := range others {
-				taken += b.Wants(t)
+				booked += b.SlotsAt(t)
 			}
-			least = min(least, (carry.Least()-taken)/share)
+			available = min(available, (capacity.AfterZoneLoss()-booked)/share)
 		}
 	}
-	return max(0, least)
+	return max(0, available)
 }
 
-// Short finds the first of some bookings that could not be kept beside those before it and all that is there, and how much
+// FirstShortfall finds the first of some bookings that could not be kept beside those before it and all that is there, and how much
 // could be of it; without any, it tells that of the last. Of services that carry doesn't name nothing can be kept.
-func (k *Book) Short(puts []Booking, carry map[string]Carry) (short bool, id string, could float64) {
-	after := Book{All: maps.Clone(k.All)}
+func (k *Ledger) FirstShortfall(puts []Booking, capacity map[string]Capacity) (short bool, id string, available float64) {
+	after := Ledger{Active: maps.Clone(k.Active)}
 	for _, b := range puts { // first what goes: a booking may make room for another
-		delete(after.All, b.ID)
+		delete(after.Active, b.ID)
 	}
 	for _, b := range puts {
-		if could = after.Could(b, carry[b.Service]); could < b.Slots {
-			return true, b.ID, could
+		if available = after.AvailableFor(b, capacity[b.Service]); available < b.Slots {
+			return true, b.ID, available
 		}
-		after.All[b.ID] = b
+		after.Active[b.ID] = b
 	}
-	return false, "", could
+	return false, "", available
 }
 
-// Endangered are the bookings that can't be kept at a time, and how much each of them lacks: who gives way is decided by
+// Shortfalls are the bookings that can't be kept at a time, and how much each of them lacks: who gives way is decided by
 // rank.
-func (k *Book) Endangered(service string, carry Carry, at float64) map[string]float64 {
-	short, left := map[string]float64{}, carry.Least()
-	for _, b := range k.list(func(b *Booking) bool { return b.Service == service && b.Wants(at) > 0 }) {
-		wants := b.Wants(at)
+func (k *Ledger) Shortfalls(service string, capacity Capacity, at float64) map[string]float64 {
+	lacking, left := map[string]float64{}, capacity.AfterZoneLoss()
+	for _, b := range k.byRank(func(b *Booking) bool { return b.Service == service && b.SlotsAt(at) > 0 }) {
+		wants := b.SlotsAt(at)
 		kept := max(0, min(wants, left))
 		if left -= kept; kept < wants {
-			short[b.ID] = wants - kept
+			lacking[b.ID] = wants - kept
 		}
 	}
-	return short
+	return lacking
 }
 
-// ahead is how long before its time a booking's slots are held: parts are dealt by then, and a core that is lost just before
+// leadTime is how long before its time a booking's slots are held: parts are dealt by then, and a core that is lost just before
 // changes nothing.
-const ahead = 5.0
+const leadTime = 5.0
 
-// Reservations are those that are held at a time, with one of all others at each service that has any. What can't be kept of a
+// ReservationsAt are those that are held at a time, with one of all others at each service that has any. What can't be kept of a
 // booking is not dealt.
-func (k *Book) Reservations(carry map[string]Carry, at float64) (reservations []Reservation) {
-	taken := map[string]float64{}
-	for _, b := range k.list(func(b *Booking) bool { return b.holds(at) > 0 || b.holds(at+ahead) > 0 }) {
-		whole := 0.0
-		for _, x := range carry[b.Service] {
-			whole += x
+func (k *Ledger) ReservationsAt(capacity map[string]Capacity, at float64) (reservations []Reservation) {
+	reserved := map[string]float64{}
+	for _, b := range k.byRank(func(b *Booking) bool { return b.wholeSlotsAt(at) > 0 || b.wholeSlotsAt(at+leadTime) > 0 }) {
+		total := 0.0
+		for _, x := range capacity[b.Service] {
+			total += x
 		}
-		slots := math.Floor(max(0, min(max(b.holds(at), b.holds(at+ahead)), whole-taken[b.Service])))
-		taken[b.Service] += slots
+		slots := math.Floor(max(0, min(max(b.wholeSlotsAt(at), b.wholeSlotsAt(at+leadTime)), total-reserved[b.Service])))
+		reserved[b.Service] += slots
 		reservations = append(reservations, Reservation{ID: b.ID, Tenant: b.Tenant, Service: b.Service, Route: b.Route, Zone: b.Zone, Slots: int(slots)})
 	}
-	for _, service := range slices.Sorted(maps.Keys(taken)) {
-		whole := 0.0
-		for _, x := range carry[service] {
-			whole += x
+	for _, service := range slices.Sorted(maps.Keys(reserved)) {
+		total := 0.0
+		for _, x := range capacity[service] {
+			total += x
 		}
-		reservations = append(reservations, Reservation{ID: Rest(service), Service: service, Slots: int(max(0, whole-taken[service]))})
+		reservations = append(reservations, Reservation{ID: OthersID(service), Service: service, Slots: int(max(0, total-reserved[service]))})
 	}
 	return reservations
 }
 
-// holds is Wants in whole slots, at least one while there is any.
-func (b *Booking) holds(at float64) float64 { return math.Ceil(b.Wants(at)) }
+// wholeSlotsAt is Wants in whole slots, at least one while there is any.
+func (b *Booking) wholeSlotsAt(at float64) float64 { return math.Ceil(b.SlotsAt(at)) }
--- a/internal/control/reservation/clock.go
+++ b/internal/control/reservation/clock.go
@@ -14,8 +14,8 @@
 // NewClock makes a clock that heard nobody.
 func NewClock() *Clock { return &Clock{offsets: map[string]float64{}} }
 
-// Heard takes a planner's time of day, our own included.
-func (c *Clock) Heard(from string, wall float64, now time.Duration) {
+// Observe takes a planner's time of day, our own included.
+func (c *Clock) Observe(from string, wall float64, now time.Duration) {
 	c.offsets[from] = wall - now.Seconds()
 }
 
