--- a/internal/control/reservation/dealer.go
+++ b/internal/control/reservation/dealer.go
@@ -11,12 +11,12 @@
 // Leases are long, so that an edge that is cut off keeps its part for a while, and moved by answers: room that an edge
 // gives up is free as soon as it says so.
 const (
-	leaseFor  = 10 * time.Second
-	demandOld = 2 * time.Second        // an edge that was not heard for that long gets nothing more
-	Confirmed = 500 * time.Millisecond // how old the proof may be by which a planner deals
-	unknown   = leaseFor + Confirmed   // how long leases that a former dealer gave may be out
+	leaseDuration     = 10 * time.Second
+	demandTTL         = 2 * time.Second                // an edge that was not heard for that long gets nothing more
+	LeaderProofTTL    = 500 * time.Millisecond         // how old the proof may be by which a planner deals
+	inheritedLeaseTTL = leaseDuration + LeaderProofTTL // how long leases that a former dealer gave may be out
 
-	clocksApart = 2 * time.Second // what the core's time may differ by from planner to planner
+	maxClockSkew = 2 * time.Second // what the core's time may differ by from planner to planner
 )
 
 // Reservation is what edges are told of a booking: the slots that it holds now. The reservation of all who have booked none at a service
@@ -30,142 +30,142 @@
 	Zone    string `cbor:"6,keyasint,omitempty" json:"zone,omitempty"` // whose edges have it; none: all
 }
 
-const restMark = "*"
+const othersPrefix = "*"
 
-// Rest names the reservation of all others at a service.
-func Rest(service string) string { return restMark + service }
+// OthersID names the reservation of all others at a service.
+func OthersID(service string) string { return othersPrefix + service }
 
 // Demand is an edge's word on what it has in work or waiting in each reservation, and on the lease that it holds. Stamp is its own
 // steady clock.
 type Demand struct {
-	Life   uint64         `cbor:"1,keyasint"`
-	Stamp  time.Duration  `cbor:"2,keyasint"`
-	Term   uint64         `cbor:"3,keyasint"` // whose leases it takes
-	Seq    uint64         `cbor:"4,keyasint,omitempty"`
-	Wants  map[string]int `cbor:"5,keyasint,omitempty"`
-	Holds  map[string]int `cbor:"6,keyasint,omitempty"` // by a lease of a former term, if it has none of this one
-	EndsIn time.Duration  `cbor:"7,keyasint,omitempty"`
-	Zone   string         `cbor:"8,keyasint,omitempty"`
+	Incarnation uint64         `cbor:"1,keyasint"`
+	Stamp       time.Duration  `cbor:"2,keyasint"`
+	Term        uint64         `cbor:"3,keyasint"` // whose leases it takes
+	Seq         uint64         `cbor:"4,keyasint,omitempty"`
+	Wanted      map[string]int `cbor:"5,keyasint,omitempty"`
+	HeldShares  map[string]int `cbor:"6,keyasint,omitempty"` // by a lease of a former term, if it has none of this one
+	LeaseLeft   time.Duration  `cbor:"7,keyasint,omitempty"`
+	Zone        string         `cbor:"8,keyasint,omitempty"`
 }
 
 // Lease is an edge's parts of all reservations. It answers a Demand and counts from that one's stamp, on the edge's own clock: a
 // lease that is long on its way, or read by a process that stood still, is over by the time it is heard.
 type Lease struct {
-	Life  uint64          `cbor:"1,keyasint"`
-	Stamp time.Duration   `cbor:"2,keyasint"`
-	Term  uint64          `cbor:"3,keyasint"`
-	Seq   uint64          `cbor:"4,keyasint"`
-	For   time.Duration   `cbor:"5,keyasint"`
-	Parts map[string]int  `cbor:"6,keyasint,omitempty"`
-	Full  map[string]bool `cbor:"7,keyasint,omitempty"` // reservations of which more is wanted than there is
+	Incarnation uint64          `cbor:"1,keyasint"`
+	Stamp       time.Duration   `cbor:"2,keyasint"`
+	Term        uint64          `cbor:"3,keyasint"`
+	Seq         uint64          `cbor:"4,keyasint"`
+	Duration    time.Duration   `cbor:"5,keyasint"`
+	Shares      map[string]int  `cbor:"6,keyasint,omitempty"`
+	Exhausted   map[string]bool `cbor:"7,keyasint,omitempty"` // reservations of which more is wanted than there is
 }
 
-// Dealer deals reservations to the edges, under one term of the consensus. What any edge may still hold by an older lease is
+// Allocator deals reservations to the edges, under one term of the consensus. What any edge may still hold by an older lease is
 // never dealt twice, so that the parts of a reservation sum to no more than the whole at every moment: through cuts, lost words,
 // edges that die, and dealers that follow each other.
-type Dealer struct {
-	term         uint64
-	since        time.Duration
-	reservations map[string]Reservation
-	edges        map[string]*dealt
-	found        map[string]int // by reservation, what edges brought along from a former dealer's leases
-	opens        map[string]time.Duration
-	seq          uint64
+type Allocator struct {
+	term            uint64
+	since           time.Duration
+	reservations    map[string]Reservation
+	edges           map[string]*edgeState
+	inheritedShares map[string]int // by reservation, what edges brought along from a former dealer's leases
+	openedAt        map[string]time.Duration
+	seq             uint64
 }
 
-type dealt struct {
-	demand Demand
-	heard  time.Duration
-	former []uint64 // lives that are over
-	leases []given
+type edgeState struct {
+	demand           Demand
+	heardAt          time.Duration
+	pastIncarnations []uint64 // lives that are over
+	leases           []grantedLease
 }
 
-type given struct {
-	seq   uint64
-	until time.Duration
-	parts map[string]int
+type grantedLease struct {
+	seq       uint64
+	expiresAt time.Duration
+	shares    map[string]int
 }
 
-// NewDealer makes a dealer for a term that begins now. Who makes one must have led under that term by then.
-func NewDealer(term uint64, now time.Duration) *Dealer {
-	return &Dealer{term: term, since: now, reservations: map[string]Reservation{}, edges: map[string]*dealt{}, found: map[string]int{}, opens: map[string]time.Duration{}}
+// NewAllocator makes a dealer for a term that begins now. Who makes one must have led under that term by then.
+func NewAllocator(term uint64, now time.Duration) *Allocator {
+	return &Allocator{term: term, since: now, reservations: map[string]Reservation{}, edges: map[string]*edgeState{}, inheritedShares: map[string]int{}, openedAt: map[string]time.Duration{}}
 }
 
 // Term is the one that the dealer deals under.
-func (d *Dealer) Term() uint64 { return d.term }
+func (d *Allocator) Term() uint64 { return d.term }
 
 // Plan sets the reservations as they are now: they grow at once, and shrink as edges answer or leases end.
-func (d *Dealer) Plan(reservations []Reservation, now time.Duration) {
+func (d *Allocator) Plan(reservations []Reservation, now time.Duration) {
 	clear(d.reservations)
 	for _, r := range reservations {
 		d.reservations[r.ID] = r
-		if _, known := d.opens[r.ID]; !known {
-			d.opens[r.ID] = now
+		if _, known := d.openedAt[r.ID]; !known {
+			d.openedAt[r.ID] = now
 		}
 	}
-	maps.DeleteFunc(d.opens, func(id string, _ time.Duration) bool { _, held := d.reservations[id]; return !held })
+	maps.DeleteFunc(d.openedAt, func(id string, _ time.Duration) bool { _, planned := d.reservations[id]; return !planned })
 }
 
 // inherited tells that a former dealer may have dealt a reservation: it opened before this one's term, or so near to its begin
 // that the planners' clocks may differ on which came first.
-func (d *Dealer) inherited(id string, now time.Duration) bool {
-	return now-d.since < unknown && d.opens[id]-d.since < clocksApart
+func (d *Allocator) inherited(id string, now time.Duration) bool {
+	return now-d.since < inheritedLeaseTTL && d.openedAt[id]-d.since < maxClockSkew
 }
 
-const formerKept = 16
+const maxPastIncarnations = 16
 
-// Heard takes an edge's word. One of another term says nothing of what the edge may hold by ours.
-func (d *Dealer) Heard(edge string, w Demand, now time.Duration) {
-	if w.Term != d.term {
+// HandleDemand takes an edge's word. One of another term says nothing of what the edge may hold by ours.
+func (d *Allocator) HandleDemand(edge string, demand Demand, now time.Duration) {
+	if demand.Term != d.term {
 		return
 	}
 	e := d.edges[edge]
 	switch {
 	case e == nil:
-		e = &dealt{}
+		e = &edgeState{}
 		d.edges[edge] = e
-		d.inherit(e, w, now)
-	case slices.Contains(e.former, w.Life):
+		d.adoptInherited(e, demand, now)
+	case slices.Contains(e.pastIncarnations, demand.Incarnation):
 		return
-	case w.Life != e.demand.Life: // its process began anew and holds nothing of before
-		e.former = append(e.former, e.demand.Life)
-		e.former = e.former[max(0, len(e.former)-formerKept):]
+	case demand.Incarnation != e.demand.Incarnation: // its process began anew and holds nothing of before
+		e.pastIncarnations = append(e.pastIncarnations, e.demand.Incarnation)
+		e.pastIncarnations = e.pastIncarnations[max(0, len(e.pastIncarnations)-maxPastIncarnations):]
 		e.leases = nil
-	case w.Stamp < e.demand.Stamp:
+	case demand.Stamp < e.demand.Stamp:
 		return // a late one
 	}
-	e.demand, e.heard = w, now
-	e.leases = slices.DeleteFunc(e.leases, func(g given) bool { return g.seq < w.Seq })
+	e.demand, e.heardAt = demand, now
+	e.leases = slices.DeleteFunc(e.leases, func(g grantedLease) bool { return g.seq < demand.Seq })
 }
 
-// inherit takes over what an edge holds of a former dealer's leases.
-func (d *Dealer) inherit(e *dealt, w Demand, now time.Duration) {
-	if w.Seq == 0 && w.EndsIn > 0 && now-d.since < unknown {
-		e.leases = append(e.leases, given{0, now + w.EndsIn, w.Holds})
-		for id, n := range w.Holds {
-			d.found[id] += n
+// adoptInherited takes over what an edge holds of a former dealer's leases.
+func (d *Allocator) adoptInherited(e *edgeState, demand Demand, now time.Duration) {
+	if demand.Seq == 0 && demand.LeaseLeft > 0 && now-d.since < inheritedLeaseTTL {
+		e.leases = append(e.leases, grantedLease{0, now + demand.LeaseLeft, demand.HeldShares})
+		for id, n := range demand.HeldShares {
+			d.inheritedShares[id] += n
 		}
 	}
 }
 
-// may is the most that an edge may hold of a reservation now, by any lease that it may have heard of.
-func (e *dealt) may(id string, now time.Duration) (most int) {
+// maxHeld is the most that an edge may hold of a reservation now, by any lease that it may have heard of.
+func (e *edgeState) maxHeld(id string, now time.Duration) (largest int) {
 	for _, g := range e.leases {
-		if now <= g.until {
-			most = max(most, g.parts[id])
+		if now <= g.expiresAt {
+			largest = max(largest, g.shares[id])
 		}
 	}
-	return most
+	return largest
 }
 
-// Deal gives every edge that is there its parts for the next while.
-func (d *Dealer) Deal(now time.Duration) map[string]Lease {
+// Allocate gives every edge that is there its parts for the next while.
+func (d *Allocator) Allocate(now time.Duration) map[string]Lease {
 	var names []string
 	for name, e := range d.edges {
-		e.leases = slices.DeleteFunc(e.leases, func(g given) bool { return now > g.until })
-		if now-e.heard <= demandOld {
+		e.leases = slices.DeleteFunc(e.leases, func(g grantedLease) bool { return now > g.expiresAt })
+		if now-e.heardAt <= demandTTL {
 			names = append(names, name)
-		} else if len(e.leases) == 0 && now-d.since >= unknown {
+		} else if len(e.leases) == 0 && now-d.since >= inheritedLeaseTTL {
 			delete(d.edges, name)
 		}
 	}
@@ -174,68 +174,68 @@
 	for _, name := range names {
 		e := d.edges[name]
 		d.seq++
-		out[name] = Lease{Life: e.demand.Life, Stamp: e.demand.Stamp, Term: d.term, Seq: d.seq, For: leaseFor, Parts: map[string]int{}, Full: map[string]bool{}}
+		out[name] = Lease{Incarnation: e.demand.Incarnation, Stamp: e.demand.Stamp, Term: d.term, Seq: d.seq, Duration: leaseDuration, Shares: map[string]int{}, Exhausted: map[string]bool{}}
 	}
 	for _, id := range slices.Sorted(maps.Keys(d.reservations)) {
-		d.dealReservation(id, names, now, out)
+		d.allocateReservation(id, names, now, out)
 	}
 	for _, name := range names {
 		e := d.edges[name]
-		e.leases = append(e.leases, given{out[name].Seq, now + leaseFor, out[name].Parts}) // at the latest: the stamp was before now
+		e.leases = append(e.leases, grantedLease{out[name].Seq, now + leaseDuration, out[name].Shares}) // at the latest: the stamp was before now
 	}
 	return out
 }
 
-func (d *Dealer) dealReservation(id string, names []string, now time.Duration, out map[string]Lease) {
-	whole := d.reservations[id].Slots
+func (d *Allocator) allocateReservation(id string, names []string, now time.Duration, out map[string]Lease) {
+	total := d.reservations[id].Slots
 	names = slices.Clone(names)
 	if zone := d.reservations[id].Zone; zone != "" {
 		names = slices.DeleteFunc(names, func(name string) bool { return d.edges[name].demand.Zone != zone })
 	}
 	if d.inherited(id, now) { // the rest may be held by edges that were not heard yet
-		if whole = min(whole, d.found[id]); d.found[id] == 0 && strings.HasPrefix(id, restMark) {
+		if total = min(total, d.inheritedShares[id]); d.inheritedShares[id] == 0 && strings.HasPrefix(id, othersPrefix) {
 			return // nothing is said of it, and edges hold others to an even share
 		}
 	}
-	want := d.shares(id, max(0, whole), names)
-	free, wanted := whole, 0
+	want := d.targetShares(id, max(0, total), names)
+	free, wanted := total, 0
 	for _, name := range names {
-		wanted += max(0, d.edges[name].demand.Wants[id])
+		wanted += max(0, d.edges[name].demand.Wanted[id])
 	}
 	for _, e := range d.edges {
-		free -= e.may(id, now)
+		free -= e.maxHeld(id, now)
 	}
 	// First those who are furthest below what they should have.
 	slices.SortStableFunc(names, func(a, b string) int {
-		return cmp.Compare(d.edges[a].may(id, now)-want[a], d.edges[b].may(id, now)-want[b])
+		return cmp.Compare(d.edges[a].maxHeld(id, now)-want[a], d.edges[b].maxHeld(id, now)-want[b])
 	})
 	for _, name := range names {
-		may := d.edges[name].may(id, now)
-		part := min(want[name], may)
-		if more := min(want[name]-part, free); more > 0 {
-			part, free = part+more, free-more
+		maxHeld := d.edges[name].maxHeld(id, now)
+		share := min(want[name], maxHeld)
+		if more := min(want[name]-share, free); more > 0 {
+			share, free = share+more, free-more
 		}
-		out[name].Parts[id] = part
+		out[name].Shares[id] = share
 		if wanted > d.reservations[id].Slots {
-			out[name].Full[id] = true
+			out[name].Exhausted[id] = true
 		}
 	}
 }
 
-// shares are what the parts should be: to each what it wants if the whole suffices, and what is left evenly; else by the
+// targetShares are what the parts should be: to each what it wants if the whole suffices, and what is left evenly; else by the
 // largest remainder.
-func (d *Dealer) shares(id string, whole int, names []string) map[string]int {
+func (d *Allocator) targetShares(id string, total int, names []string) map[string]int {
 	out := map[string]int{}
-	sum := 0
-	wants := func(name string) int { return max(0, d.edges[name].demand.Wants[id]) }
+	wantedTotal := 0
+	wants := func(name string) int { return max(0, d.edges[name].demand.Wanted[id]) }
 	for _, n := range names {
-		sum += wants(n)
+		wantedTotal += wants(n)
 	}
 	if len(names) == 0 {
 		return out
 	}
-	if sum <= whole {
-		spare := whole - sum
+	if wantedTotal <= total {
+		spare := total - wantedTotal
 		for i, n := range names {
 			out[n] = wants(n) + spare/len(names)
 			if i < spare%len(names) {
@@ -244,27 +244,27 @@
 		}
 		return out
 	}
-	rest := whole
+	left := total
 	for _, n := range names {
-		out[n] = whole * wants(n) / sum
-		rest -= out[n]
+		out[n] = total * wants(n) / wantedTotal
+		left -= out[n]
 	}
 	byRemainder := slices.Clone(names)
 	slices.SortStableFunc(byRemainder, func(a, b string) int {
-		return cmp.Compare(whole*wants(b)%sum, whole*wants(a)%sum)
+		return cmp.Compare(total*wants(b)%wantedTotal, total*wants(a)%wantedTotal)
 	})
-	for _, n := range byRemainder[:rest] {
+	for _, n := range byRemainder[:left] {
 		out[n]++
 	}
 	return out
 }
 
-// Use is how much of each reservation is wanted now, by the edges that were heard lately.
-func (d *Dealer) Use(now time.Duration) map[string]int {
+// Wanted is how much of each reservation is wanted now, by the edges that were heard lately.
+func (d *Allocator) Wanted(now time.Duration) map[string]int {
 	use := map[string]int{}
 	for _, e := range d.edges {
-		if now-e.heard <= demandOld {
-			for id, n := range e.demand.Wants {
+		if now-e.heardAt <= demandTTL {
+			for id, n := range e.demand.Wanted {
 				use[id] += n
 			}
 		}
@@ -272,46 +272,46 @@
 	return use
 }
 
-// Holding is an edge's own view of its parts. A life of its process begins with none.
-type Holding struct {
-	Life  uint64
-	term  uint64 // whose leases are taken
-	of    uint64 // term of the lease that is held
-	lease Lease
-	until time.Duration
+// LeaseHolder is an edge's own view of its parts. A life of its process begins with none.
+type LeaseHolder struct {
+	Incarnation uint64
+	term        uint64 // whose leases are taken
+	leaseTerm   uint64 // term of the lease that is held
+	lease       Lease
+	expiresAt   time.Duration
 }
 
-// Follow takes the controller's word on the term that reservations are dealt under. Leases of former ones are refused from
+// FollowTerm takes the controller's word on the term that reservations are dealt under. Leases of former ones are refused from
 // then on: the new dealer may count on what it is told here.
-func (h *Holding) Follow(term uint64) { h.term = max(h.term, term) }
+func (h *LeaseHolder) FollowTerm(term uint64) { h.term = max(h.term, term) }
 
-// Take takes a lease, if it is newer than the one that is held.
-func (h *Holding) Take(l Lease) bool {
-	if l.Life != h.Life || l.Term != h.term || h.of == l.Term && l.Seq <= h.lease.Seq {
+// Accept takes a lease, if it is newer than the one that is held.
+func (h *LeaseHolder) Accept(l Lease) bool {
+	if l.Incarnation != h.Incarnation || l.Term != h.term || h.leaseTerm == l.Term && l.Seq <= h.lease.Seq {
 		return false
 	}
-	h.lease, h.of, h.until = l, l.Term, l.Stamp+l.For
+	h.lease, h.leaseTerm, h.expiresAt = l, l.Term, l.Stamp+l.Duration
 	return true
 }
 
-// Part is what may be used of a reservation now, on the edge's clock, and whether more of it is wanted than there is. Without a
+// Share is what may be used of a reservation now, on the edge's clock, and whether more of it is wanted than there is. Without a
 // lease nothing is known.
-func (h *Holding) Part(id string, now time.Duration) (slots int, full, known bool) {
-	if now >= h.until {
+func (h *LeaseHolder) Share(id string, now time.Duration) (slots int, exhausted, known bool) {
+	if now >= h.expiresAt {
 		return 0, false, false
 	}
-	slots, known = h.lease.Parts[id]
-	return slots, h.lease.Full[id], known
+	slots, known = h.lease.Shares[id]
+	return slots, h.lease.Exhausted[id], known
 }
 
 // Demand is what the edge says, given what it wants of each reservation.
-func (h *Holding) Demand(wants map[string]int, now time.Duration) Demand {
-	w := Demand{Life: h.Life, Stamp: now, Term: h.term, Wants: wants}
+func (h *LeaseHolder) Demand(wanted map[string]int, now time.Duration) Demand {
+	demand := Demand{Incarnation: h.Incarnation, Stamp: now, Term: h.term, Wanted: wanted}
 	switch {
-	case h.of == h.term:
-		w.Seq = h.lease.Seq
-	case now < h.until:
-		w.Holds, w.EndsIn = h.lease.Parts, h.until-now
+	case h.leaseTerm == h.term:
+		demand.Seq = h.lease.Seq
+	case now < h.expiresAt:
+		demand.HeldShares, demand.LeaseLeft = h.lease.Shares, h.expiresAt-now
 	}
-	return w
+	return demand
 }
--- a/internal/control/reservation/reservation_test.go
+++ b/internal/control/reservation/reservation_test.go
@@ -23,7 +23,7 @@
 
 func TestBook(t *testing.T) {
 	g := NewWithT(t)
-	k := reservation.NewBook()
+	k := reservation.NewLedger()
 	first := put(room("a", 100, 200, 10), 0, 0)
 	g.Expect(k.Apply(first)).To(Succeed())
 	g.Expect(k.Apply(first)).To(Succeed(), "the same call again")
@@ -33,60 +33,60 @@
 		g.Expect(apierror.For(k.Apply(put(bad, 1, 5))).Status).To(Equal(400), "%+v", bad)
 	}
 	g.Expect(k.Apply(reservation.Op{Call: "c", Base: 1, Cancel: "a", Now: 150})).To(Succeed(), "in the middle of its hour")
-	g.Expect(k.All).To(BeEmpty())
-	g.Expect(k.Gone[0].How).To(Equal(reservation.Cancelled))
+	g.Expect(k.Active).To(BeEmpty())
+	g.Expect(k.Past[0].EndReason).To(Equal(reservation.Cancelled))
 	g.Expect(k.Apply(put(room("d", 100, 200, 1), 2, 150))).To(Succeed())
 	g.Expect(k.Apply(put(room("e", 300, 400, 1), 3, 250))).To(Succeed())
-	g.Expect(k.Gone[1].How).To(Equal(reservation.Expired))
+	g.Expect(k.Past[1].EndReason).To(Equal(reservation.Expired))
 }
 
 // Two bookings that fit alone, the loss of a zone, and five hundred of them: what is said to be possible is, and no more.
 func TestWhatCouldBeKept(t *testing.T) {
 	g := NewWithT(t)
-	carry := reservation.Carry{"x": 10, "y": 12, "z": 8}
+	carry := reservation.Capacity{"x": 10, "y": 12, "z": 8}
 	both := []reservation.Booking{room("a", 100, 200, 12), room("b", 150, 250, 12)}
-	isShort, id, could := reservation.NewBook().Short(both, map[string]reservation.Carry{"ledger": carry})
+	isShort, id, could := reservation.NewLedger().FirstShortfall(both, map[string]reservation.Capacity{"ledger": carry})
 	g.Expect(isShort).To(BeTrue(), "each fits alone")
 	g.Expect(id).To(Equal("b"))
 	g.Expect(could).To(BeNumerically("~", 6, 1e-6))
-	g.Expect(carry.Least()).To(Equal(18.0), "whatever zone is lost")
-	k := reservation.NewBook()
+	g.Expect(carry.AfterZoneLoss()).To(Equal(18.0), "whatever zone is lost")
+	k := reservation.NewLedger()
 	g.Expect(k.Apply(put(room("a", 100, 200, 12), 0, 0))).To(Succeed())
-	g.Expect(k.Could(room("b", 150, 250, 12), carry)).To(BeNumerically("~", 6, 1e-6), "both fit alone")
-	g.Expect(k.Could(room("b", 200, 250, 12), carry)).To(BeNumerically("~", 18, 1e-6))
-	g.Expect(k.Could(room("a", 100, 200, 1), carry)).To(BeNumerically("~", 18, 1e-6), "a change of itself")
+	g.Expect(k.AvailableFor(room("b", 150, 250, 12), carry)).To(BeNumerically("~", 6, 1e-6), "both fit alone")
+	g.Expect(k.AvailableFor(room("b", 200, 250, 12), carry)).To(BeNumerically("~", 18, 1e-6))
+	g.Expect(k.AvailableFor(room("a", 100, 200, 1), carry)).To(BeNumerically("~", 18, 1e-6), "a change of itself")
 	rng := rand.New(rand.NewPCG(5, 5))
 	for n := range 500 {
 		b := room(fmt.Sprint("n-", n), 1000+rng.Float64()*5000, 0, 1)
 		b.End, b.Ramp = b.Start+10+rng.Float64()*500, rng.Float64()*60
-		could := k.Could(b, carry)
+		could := k.AvailableFor(b, carry)
 		if b.Slots = could * rng.Float64() * 0.3; b.Slots > 0.01 {
 			g.Expect(k.Apply(put(b, k.Version, 0))).To(Succeed())
 		}
 	}
 	for at := 900.0; at < 7000; at += 3 {
-		g.Expect(k.Endangered("ledger", carry, at)).To(BeEmpty())
+		g.Expect(k.Shortfalls("ledger", carry, at)).To(BeEmpty())
 	}
-	g.Expect(len(k.All)).To(BeNumerically(">", 400))
-	short := k.Endangered("ledger", reservation.Carry{"x": 1, "y": 1}, 150)
+	g.Expect(len(k.Active)).To(BeNumerically(">", 400))
+	short := k.Shortfalls("ledger", reservation.Capacity{"x": 1, "y": 1}, 150)
 	g.Expect(short).To(HaveKeyWithValue("a", 11.0))
 }
 
 func TestWhoGivesWayIsDecidedByRank(t *testing.T) {
 	g := NewWithT(t)
-	k := reservation.NewBook()
+	k := reservation.NewLedger()
 	for i, id := range []string{"later", "first", "low"} {
 		b := room(id, 100-float64(i), 200, 10)
 		b.Rank = i / 2
 		g.Expect(k.Apply(put(b, uint64(i), 0))).To(Succeed())
 	}
-	short := k.Endangered("ledger", reservation.Carry{"x": 8, "y": 7, "z": 8}, 150)
+	short := k.Shortfalls("ledger", reservation.Capacity{"x": 8, "y": 7, "z": 8}, 150)
 	g.Expect(short).To(Equal(map[string]float64{"later": 5, "low": 10}))
 }
 
 // edge is a process with a clock of its own.
 type edge struct {
-	held   reservation.Holding
+	held   reservation.LeaseHolder
 	offset time.Duration
 	frozen time.Duration
 	dead   bool // and never comes back
@@ -95,7 +95,7 @@
 
 // leader deals under a term until another one leads, and at most for as long after that as a proof that it leads is good.
 type leader struct {
-	*reservation.Dealer
+	*reservation.Allocator
 	until time.Duration
 }
 
@@ -106,12 +106,12 @@
 	for seed := range uint64(120) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		whole, rest := 1+rng.IntN(40), rng.IntN(30)
-		reservations := []reservation.Reservation{{ID: "b", Service: "s", Slots: whole}, {ID: reservation.Rest("s"), Service: "s", Slots: rest}}
-		leaders := []*leader{{reservation.NewDealer(1, 0), 1 << 60}}
+		reservations := []reservation.Reservation{{ID: "b", Service: "s", Slots: whole}, {ID: reservation.OthersID("s"), Service: "s", Slots: rest}}
+		leaders := []*leader{{reservation.NewAllocator(1, 0), 1 << 60}}
 		leaders[0].Plan(reservations, 0)
 		edges := make([]*edge, 2+rng.IntN(8))
 		for i := range edges {
-			edges[i] = &edge{held: reservation.Holding{Life: uint64(i + 1)}, offset: time.Duration(rng.IntN(7200)) * time.Second, load: rng.IntN(8)}
+			edges[i] = &edge{held: reservation.LeaseHolder{Incarnation: uint64(i + 1)}, offset: time.Duration(rng.IntN(7200)) * time.Second, load: rng.IntN(8)}
 		}
 		type letter struct {
 			at time.Duration
@@ -139,8 +139,8 @@
 			mail = rest
 			if !calm && rng.IntN(60) == 0 {
 				last := leaders[len(leaders)-1]
-				last.until = now + time.Duration(rng.Int64N(int64(reservation.Confirmed)))
-				next := &leader{reservation.NewDealer(last.Term()+1, now), 1 << 60}
+				last.until = now + time.Duration(rng.Int64N(int64(reservation.LeaderProofTTL)))
+				next := &leader{reservation.NewAllocator(last.Term()+1, now), 1 << 60}
 				next.Plan(reservations, now)
 				leaders = append(leaders, next)
 			}
@@ -154,7 +154,7 @@
 						e.frozen = now + time.Duration(rng.IntN(5000))*time.Millisecond
 						continue
 					case 1:
-						e.held, e.offset = reservation.Holding{Life: e.held.Life + 100}, time.Duration(rng.IntN(7200))*time.Second
+						e.held, e.offset = reservation.LeaseHolder{Incarnation: e.held.Incarnation + 100}, time.Duration(rng.IntN(7200))*time.Second
 					case 2:
 						e.load = rng.IntN(60)
 					case 3:
@@ -163,11 +163,11 @@
 				}
 				if now%(250*time.Millisecond) == 0 && (calm || rng.IntN(4) > 0) {
 					term := leaders[max(0, len(leaders)-1-btoi(!calm && rng.IntN(3) == 0))].Term() // as its controller knows it
-					e.held.Follow(term)
-					demand := e.held.Demand(map[string]int{"b": e.load, reservation.Rest("s"): e.load / 2}, now+e.offset)
+					e.held.FollowTerm(term)
+					demand := e.held.Demand(map[string]int{"b": e.load, reservation.OthersID("s"): e.load / 2}, now+e.offset)
 					for _, d := range leaders {
 						at := now + delay()
-						mail = append(mail, letter{at, -1, func() { d.Heard(fmt.Sprint(i), demand, at) }})
+						mail = append(mail, letter{at, -1, func() { d.HandleDemand(fmt.Sprint(i), demand, at) }})
 					}
 				}
 			}
@@ -175,18 +175,18 @@
 				if now%(250*time.Millisecond) != 0 || now > d.until {
 					continue
 				}
-				for name, lease := range d.Deal(now) {
+				for name, lease := range d.Allocate(now) {
 					var i int
 					_, _ = fmt.Sscan(name, &i) // as named above
 					if calm || rng.IntN(4) > 0 {
-						mail = append(mail, letter{now + delay(), i, func() { edges[i].held.Take(lease) }})
+						mail = append(mail, letter{now + delay(), i, func() { edges[i].held.Accept(lease) }})
 					}
 				}
 			}
 			for _, one := range reservations {
 				sum := 0
 				for _, e := range edges {
-					part, _, _ := e.held.Part(one.ID, now+e.offset)
+					part, _, _ := e.held.Share(one.ID, now+e.offset)
 					sum += part
 				}
 				g.Expect(sum).To(BeNumerically("<=", one.Slots), "seed %d at %s: %s", seed, now, one.ID)
@@ -195,7 +195,7 @@
 		load, used, sum := 0, 0, 0
 		for _, e := range edges {
 			if !e.dead {
-				part, _, _ := e.held.Part("b", end+e.offset-50*time.Millisecond)
+				part, _, _ := e.held.Share("b", end+e.offset-50*time.Millisecond)
 				load, used, sum = load+e.load, used+min(e.load, part), sum+part
 			}
 		}
@@ -215,31 +215,31 @@
 // none of them away.
 func TestPartsFollowTheTraffic(t *testing.T) {
 	g := NewWithT(t)
-	d := reservation.NewDealer(1, -time.Minute)
+	d := reservation.NewAllocator(1, -time.Minute)
 	d.Plan([]reservation.Reservation{{ID: "b", Service: "s", Slots: 20}}, 0)
-	edges := make([]reservation.Holding, 10)
+	edges := make([]reservation.LeaseHolder, 10)
 	load := 2
 	for now := time.Duration(0); now <= 5*time.Second; now += 250 * time.Millisecond {
 		for i := range edges {
-			edges[i].Life = uint64(i + 1)
-			edges[i].Follow(1)
+			edges[i].Incarnation = uint64(i + 1)
+			edges[i].FollowTerm(1)
 			want := 0
 			if i == 0 {
 				want = load
 			}
-			d.Heard(fmt.Sprint(i), edges[i].Demand(map[string]int{"b": want}, now), now)
+			d.HandleDemand(fmt.Sprint(i), edges[i].Demand(map[string]int{"b": want}, now), now)
 		}
-		for name, lease := range d.Deal(now) {
+		for name, lease := range d.Allocate(now) {
 			var i int
 			_, _ = fmt.Sscan(name, &i) // as named above
-			edges[i].Take(lease)
+			edges[i].Accept(lease)
 		}
-		part, full, known := edges[0].Part("b", now)
+		part, full, known := edges[0].Share("b", now)
 		switch {
 		case now == 2*time.Second:
 			load = 20
-			gate := reservation.NewGate()
-			gate.Part("b", part, 20, full)
+			gate := reservation.NewAdmissionGate()
+			gate.SetShare("b", part, 20, full)
 			for range load {
 				_, ok := gate.Admit("b")
 				g.Expect(ok).To(BeTrue(), "the booking isn't used up")
@@ -256,29 +256,29 @@
 func TestANewDealerTakesNothingAway(t *testing.T) {
 	g := NewWithT(t)
 	reservations := []reservation.Reservation{{ID: "b", Service: "s", Slots: 20}}
-	edges := make([]reservation.Holding, 4)
+	edges := make([]reservation.LeaseHolder, 4)
 	wants := []int{5, 5, 5, 5}
-	turn := func(d *reservation.Dealer, now time.Duration, heard int) (parts []int) {
+	turn := func(d *reservation.Allocator, now time.Duration, heard int) (parts []int) {
 		for i := range edges[:heard] {
-			edges[i].Life = uint64(i + 1)
-			edges[i].Follow(d.Term())
-			d.Heard(fmt.Sprint(i), edges[i].Demand(map[string]int{"b": wants[i]}, now), now)
+			edges[i].Incarnation = uint64(i + 1)
+			edges[i].FollowTerm(d.Term())
+			d.HandleDemand(fmt.Sprint(i), edges[i].Demand(map[string]int{"b": wants[i]}, now), now)
 		}
-		for name, lease := range d.Deal(now) {
+		for name, lease := range d.Allocate(now) {
 			var i int
 			_, _ = fmt.Sscan(name, &i) // as named above
-			edges[i].Take(lease)
+			edges[i].Accept(lease)
 		}
 		for i := range edges {
-			part, _, _ := edges[i].Part("b", now)
+			part, _, _ := edges[i].Share("b", now)
 			parts = append(parts, part)
 		}
 		return parts
 	}
-	first := reservation.NewDealer(1, -time.Minute)
+	first := reservation.NewAllocator(1, -time.Minute)
 	first.Plan(reservations, 0)
 	g.Expect(turn(first, 0, 4)).To(Equal([]int{5, 5, 5, 5}))
-	second := reservation.NewDealer(2, time.Second)
+	second := reservation.NewAllocator(2, time.Second)
 	second.Plan(reservations, time.Second)
 	wants = []int{15, 0, 0, 0}
 	g.Expect(turn(second, time.Second, 3)).To(Equal([]int{5, 0, 0, 5}), "two give theirs up")
@@ -292,31 +292,31 @@
 func TestOneClockDecidesNothing(t *testing.T) {
 	g := NewWithT(t)
 	c := reservation.NewClock()
-	c.Heard("a", 1000, 10*time.Second)
-	c.Heard("b", 1001, 10*time.Second)
-	c.Heard("c", 8200, 10*time.Second)
+	c.Observe("a", 1000, 10*time.Second)
+	c.Observe("b", 1001, 10*time.Second)
+	c.Observe("c", 8200, 10*time.Second)
 	g.Expect(c.Now(10 * time.Second)).To(Equal(1001.0))
 	g.Expect(c.Now(15 * time.Second)).To(Equal(1006.0))
-	c.Heard("d", 1005, 15*time.Second)
+	c.Observe("d", 1005, 15*time.Second)
 	g.Expect(c.Now(15*time.Second)).To(Equal(1005.5), "between the two in the middle")
 }
 
 // Reservations open ahead of their time, in whole slots, and never hold more than there is; what gives way is decided by rank.
 func TestReservationsAsTheyAreHeld(t *testing.T) {
 	g := NewWithT(t)
-	k := reservation.NewBook()
+	k := reservation.NewLedger()
 	low := room("low", 100, 200, 12)
 	low.Rank = 1
 	g.Expect(k.Apply(put(low, 0, 0))).To(Succeed())
 	g.Expect(k.Apply(put(room("high", 100, 200, 12), 1, 0))).To(Succeed())
-	carry := map[string]reservation.Carry{"ledger": {"x": 10, "y": 8}}
-	g.Expect(k.Reservations(carry, 94)).To(BeEmpty())
+	carry := map[string]reservation.Capacity{"ledger": {"x": 10, "y": 8}}
+	g.Expect(k.ReservationsAt(carry, 94)).To(BeEmpty())
 	slots := map[string]int{}
-	for _, r := range k.Reservations(carry, 96) {
+	for _, r := range k.ReservationsAt(carry, 96) {
 		slots[r.ID] = r.Slots
 	}
-	g.Expect(slots).To(Equal(map[string]int{"high": 12, "low": 6, reservation.Rest("ledger"): 0}))
-	g.Expect(k.Reservations(carry, 201)).To(BeEmpty())
+	g.Expect(slots).To(Equal(map[string]int{"high": 12, "low": 6, reservation.OthersID("ledger"): 0}))
+	g.Expect(k.ReservationsAt(carry, 201)).To(BeEmpty())
 }
 
 // Lent room comes back in time: others fill an edge ten times over while the booking is idle, and then its traffic comes.
@@ -326,9 +326,9 @@
 		over, asked, lent := 0, 0, 0
 		for seed := range uint64(25) {
 			rng := rand.New(rand.NewPCG(seed, 9))
-			gate := reservation.NewGate() // room for 40, of which 20 are booked
-			gate.Part("b", 20, 20, true)
-			gate.Others(20, 20, true)
+			gate := reservation.NewAdmissionGate() // room for 40, of which 20 are booked
+			gate.SetShare("b", 20, 20, true)
+			gate.LimitOthers(20, 20, true)
 			type running struct {
 				under string
 				ends  time.Duration
@@ -347,7 +347,7 @@
 				rest := out[:0:0]
 				for _, r := range out {
 					if r.ends <= now {
-						gate.Done(r.under, r.took)
+						gate.Release(r.under, r.took)
 					} else {
 						rest = append(rest, r)
 					}
--- a/internal/control/statemachine/statemachine.go
+++ b/internal/control/statemachine/statemachine.go
@@ -21,7 +21,7 @@
 	Patch bool   `cbor:"2,keyasint,omitempty"`
 	Body  []byte `cbor:"3,keyasint"`
 
-	Book *reservation.Op `cbor:"4,keyasint,omitempty"` // instead: a change of the book
+	Bookings *reservation.Op `cbor:"4,keyasint,omitempty"` // instead: a change of the book
 }
 
 // digest tells calls apart: the same call again has the same.
@@ -36,30 +36,30 @@
 	return [32]byte(h.Sum(nil))
 }
 
-// Taken is a configuration that was taken, and the call that brought it.
-type Taken struct {
+// Accepted is a configuration that was taken, and the call that brought it.
+type Accepted struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint64
 	Digest  [32]byte
 }
 
-// takenKept bounds how late the same call may come again: over changes of the leader, snapshots and replaced members, for as
+// maxAccepted bounds how late the same call may come again: over changes of the leader, snapshots and replaced members, for as
 // long as a caller tries. A call takes 36 to 44 bytes of a snapshot.
-const takenKept = 1024
+const maxAccepted = 1024
 
 // StateMachine is the state after some entries. Its fields are to be read.
 type StateMachine struct {
-	Config *config.Config // nil before the first
-	Book   *reservation.Book
-	Taken  []Taken // oldest first
-	Index  uint64  // of the last entry
-	Since  int     // entries since the last snapshot
+	Config               *config.Config // nil before the first
+	Bookings             *reservation.Ledger
+	Accepted             []Accepted // oldest first
+	Index                uint64     // of the last entry
+	EntriesSinceSnapshot int        // entries since the last snapshot
 
-	known map[[32]byte]struct{} // digests of Taken
+	acceptedDigests map[[32]byte]struct{} // digests of Taken
 }
 
 // New makes an empty one.
-func New() *StateMachine { return &StateMachine{Book: reservation.NewBook()} }
+func New() *StateMachine { return &StateMachine{Bookings: reservation.NewLedger()} }
 
 // Version is that of the configuration; 0: there is none yet.
 func (m *StateMachine) Version() uint64 {
@@ -75,30 +75,30 @@
 }
 
 func (m *StateMachine) knows(digest [32]byte) bool {
-	if m.known == nil || len(m.known) != len(m.Taken) { // restored, or Taken was set from outside
-		m.known = make(map[[32]byte]struct{}, len(m.Taken))
-		for _, t := range m.Taken {
-			m.known[t.Digest] = struct{}{}
+	if m.acceptedDigests == nil || len(m.acceptedDigests) != len(m.Accepted) { // restored, or Taken was set from outside
+		m.acceptedDigests = make(map[[32]byte]struct{}, len(m.Accepted))
+		for _, t := range m.Accepted {
+			m.acceptedDigests[t.Digest] = struct{}{}
 		}
 	}
-	_, ok := m.known[digest]
+	_, ok := m.acceptedDigests[digest]
 	return ok
 }
 
-// take notes a call that was taken, and forgets the oldest ones.
-func (m *StateMachine) take(t Taken) {
-	m.Taken = append(m.Taken, t)
-	m.known[t.Digest] = struct{}{}
-	for len(m.Taken) > takenKept {
-		delete(m.known, m.Taken[0].Digest)
-		m.Taken = m.Taken[1:]
+// recordAccepted notes a call that was taken, and forgets the oldest ones.
+func (m *StateMachine) recordAccepted(t Accepted) {
+	m.Accepted = append(m.Accepted, t)
+	m.acceptedDigests[t.Digest] = struct{}{}
+	for len(m.Accepted) > maxAccepted {
+		delete(m.acceptedDigests, m.Accepted[0].Digest)
+		m.Accepted = m.Accepted[1:]
 	}
 }
 
 // Apply takes an entry. Every planner comes to the same outcome, so that a refused change is refused everywhere.
 func (m *StateMachine) Apply(e consensus.Entry) (applied *Change, err error) {
 	m.Index = e.Index
-	m.Since++
+	m.EntriesSinceSnapshot++
 	if len(e.Data) == 0 {
 		return nil, nil
 	}
@@ -106,8 +106,8 @@
 	if err := cbor.Unmarshal(e.Data, &c); err != nil {
 		return nil, apierror.Invalid.Wrap(err, "entry %d", e.Index)
 	}
-	if c.Book != nil {
-		return nil, m.Book.Apply(*c.Book)
+	if c.Bookings != nil {
+		return nil, m.Bookings.Apply(*c.Bookings)
 	}
 	digest := c.digest()
 	if m.knows(digest) {
@@ -121,7 +121,7 @@
 		return nil, err
 	}
 	m.Config = next
-	m.take(Taken{Version: uint64(next.Version), Digest: digest})
+	m.recordAccepted(Accepted{Version: uint64(next.Version), Digest: digest})
 	return &c, nil
 }
 
@@ -140,15 +140,15 @@
 	return next, err
 }
 
-type savedHistory struct {
-	Config []byte  `cbor:"1,keyasint,omitempty"`
-	Taken  []Taken `cbor:"2,keyasint,omitempty"`
+type savedState struct {
+	Config   []byte     `cbor:"1,keyasint,omitempty"`
+	Accepted []Accepted `cbor:"2,keyasint,omitempty"`
 
-	Book *reservation.Book `cbor:"3,keyasint,omitempty"`
+	Bookings *reservation.Ledger `cbor:"3,keyasint,omitempty"`
 }
 
-// sorted writes maps in the order of their keys: the same state is the same bytes at every replica.
-var sorted = func() cbor.EncMode {
+// sortedEncoding writes maps in the order of their keys: the same state is the same bytes at every replica.
+var sortedEncoding = func() cbor.EncMode {
 	mode, err := cbor.EncOptions{Sort: cbor.SortBytewiseLexical}.EncMode()
 	if err != nil {
 		panic(err) // plain values
@@ -158,9 +158,9 @@
 
 // Save is the snapshot of a history.
 func (m *StateMachine) Save() ([]byte, error) {
-	s := savedHistory{Taken: m.Taken}
-	if m.Book.Version > 0 {
-		s.Book = m.Book
+	s := savedState{Accepted: m.Accepted}
+	if m.Bookings.Version > 0 {
+		s.Bookings = m.Bookings
 	}
 	if m.Config != nil {
 		var err error
@@ -168,18 +168,18 @@
 			return nil, err
 		}
 	}
-	return sorted.Marshal(s)
+	return sortedEncoding.Marshal(s)
 }
 
 // Restore takes a snapshot over.
 func (m *StateMachine) Restore(s consensus.Snapshot) error {
-	var saved savedHistory
+	var saved savedState
 	if err := cbor.Unmarshal(s.Data, &saved); err != nil {
 		return err
 	}
-	next := StateMachine{Taken: saved.Taken, Index: s.Index, Book: reservation.NewBook()}
-	if saved.Book != nil {
-		next.Book = saved.Book
+	next := StateMachine{Accepted: saved.Accepted, Index: s.Index, Bookings: reservation.NewLedger()}
+	if saved.Bookings != nil {
+		next.Bookings = saved.Bookings
 	}
 	if saved.Config != nil {
 		config, err := config.Parse(saved.Config)
--- a/internal/control/statemachine/statemachine_test.go
+++ b/internal/control/statemachine/statemachine_test.go
@@ -78,23 +78,23 @@
 	})
 	It("takes bookings beside configurations, once, and keeps them in the snapshot", func() {
 		one := reservation.Booking{ID: "flyer", Tenant: "a.example", Service: "a", Start: 100, End: 200, Slots: 3, Owner: "hall"}
-		add := Change{Book: &reservation.Op{Call: "c1", Base: 0, Puts: []reservation.Booking{one}, Now: 50}}
+		add := Change{Bookings: &reservation.Op{Call: "c1", Base: 0, Puts: []reservation.Booking{one}, Now: 50}}
 		for range 2 {
 			applied, err := f.apply(add)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(applied).To(BeFalse(), "the configuration is as it was")
 		}
-		_, err := f.apply(Change{Book: &reservation.Op{Call: "c2", Base: 0, Cancel: "flyer", Now: 60}})
+		_, err := f.apply(Change{Bookings: &reservation.Op{Call: "c2", Base: 0, Cancel: "flyer", Now: 60}})
 		Expect(apierror.For(err).Status).To(Equal(412), "two on one version: one wins")
 		saved, err := f.h.Save()
 		Expect(err).NotTo(HaveOccurred())
 		other := New()
 		Expect(other.Restore(consensus.Snapshot{Index: f.index, Data: saved})).To(Succeed())
-		Expect(other.Book).To(Equal(f.h.Book))
+		Expect(other.Bookings).To(Equal(f.h.Bookings))
 		Expect(other.Version()).To(Equal(uint64(3)))
-		_, err = f.apply(Change{Book: &reservation.Op{Call: "c3", Base: 1, Cancel: "flyer", Now: 150}})
+		_, err = f.apply(Change{Bookings: &reservation.Op{Call: "c3", Base: 1, Cancel: "flyer", Now: 150}})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(f.h.Book.Gone[0].How).To(Equal(reservation.Cancelled))
+		Expect(f.h.Bookings.Past[0].EndReason).To(Equal(reservation.Cancelled))
 	})
 	It("comes to the same from a snapshot and the changes after it", func() {
 		f.apply(Change{Base: 3, Patch: true, Body: patch(5, "b")})
@@ -113,7 +113,7 @@
 		b, err := json.Marshal(other.h.Config)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(b).To(MatchJSON(a))
-		Expect(other.h.Taken).To(Equal(f.h.Taken))
+		Expect(other.h.Accepted).To(Equal(f.h.Accepted))
 	})
 
 	// restored is a replica that starts from this one's snapshot.
@@ -161,18 +161,18 @@
 	)
 	It("knows exactly the newest calls of those that it keeps, also when it was restored", func() {
 		var all []Change
-		for range takenKept + 2 {
+		for range maxAccepted + 2 {
 			all = append(all, change(f))
 		}
 		for _, one := range []*feeder{f, restored()} {
-			Expect(one.h.Taken).To(HaveLen(takenKept))
+			Expect(one.h.Accepted).To(HaveLen(maxAccepted))
 			Expect(one.h.Knows(all[1])).To(BeFalse())
 			Expect(one.h.Knows(all[2])).To(BeTrue())
 			_, err := one.apply(all[1])
 			Expect(apierror.For(err).Status).To(Equal(412), "forgotten, but on a version that is past")
 			again(one, all[2])
 			again(one, all[len(all)-1])
-			one.h.Taken = nil
+			one.h.Accepted = nil
 			Expect(one.h.Knows(all[2])).To(BeFalse())
 		}
 	})
@@ -227,7 +227,7 @@
 				}
 				c := drawn(d, f.h.Version())
 				if d.IntN(4) == 0 {
-					c = Change{Book: &reservation.Op{Call: fmt.Sprint("c", f.index), Base: f.h.Book.Version, Now: 50, Puts: []reservation.Booking{
+					c = Change{Bookings: &reservation.Op{Call: fmt.Sprint("c", f.index), Base: f.h.Bookings.Version, Now: 50, Puts: []reservation.Booking{
 						{ID: fmt.Sprint("b-", d.IntN(9)), Tenant: "a.example", Service: "a", Start: 100, End: 200, Slots: 3, Owner: "hall"}}}}
 				}
 				if len(calls) > 0 && d.IntN(5) == 0 {
--- a/internal/control/weights/weights_test.go
+++ b/internal/control/weights/weights_test.go
@@ -32,7 +32,7 @@
 func (p *planner) server(service string, n int, state registry.State) {
 	id := fmt.Sprint(service, "-", n)
 	p.of[id] = service
-	p.Changed([]registry.Entry{{ID: id, Service: service, Address: id, Zone: "a", Capacity: 2, State: state}}, p.now)
+	p.UpdateServers([]registry.Entry{{ID: id, Service: service, Address: id, Zone: "a", Capacity: 2, State: state}}, p.now)
 }
 
 // runs lets time pass; each second edges say what they met, by the latency of each server.
@@ -40,27 +40,27 @@
 	for end := p.now + span; p.now < end; p.now += step {
 		if p.now%time.Second == 0 {
 			for edge := range p.held {
-				r := &peer.Report{Period: 1, Asked: []peer.Asked{{Service: "tags", Requests: 40}}}
+				r := &peer.Report{Period: 1, Services: []peer.ServiceStats{{Service: "tags", Requests: 40}}}
 				for id := range p.of {
 					if s := latency(id); s > 0 {
-						r.Met = append(r.Met, peer.Met{Server: id, Tries: 10, Time: 10 * s})
+						r.Servers = append(r.Servers, peer.ServerStats{Server: id, Attempts: 10, TotalTime: 10 * s})
 					}
 				}
-				p.Report(edge, r, func(id string) (string, bool) { s, ok := p.of[id]; return s, ok })
+				p.HandleReport(edge, r, func(id string) (string, bool) { s, ok := p.of[id]; return s, ok })
 			}
 		}
-		for edge, w := range p.Tick(p.now, func() []weights.Others { return nil }) {
-			for _, service := range w.Whole {
+		for edge, w := range p.Tick(p.now, func() []weights.PeerTraffic { return nil }) {
+			for _, service := range w.Replaced {
 				for id := range p.held[edge] {
 					if p.of[id] == service {
 						delete(p.held[edge], id)
 					}
 				}
 			}
-			for _, l := range w.Lines {
+			for _, l := range w.Changed {
 				p.held[edge][l.Server] = l.Weight
 			}
-			p.Report(edge, &peer.Report{Applied: w.Marks}, func(string) (string, bool) { return "", false })
+			p.HandleReport(edge, &peer.Report{Applied: w.Tokens}, func(string) (string, bool) { return "", false })
 		}
 	}
 }
@@ -103,7 +103,7 @@
 	p.join("e-1")
 	p.runs(5*time.Second, even)
 	p.Leave("e-1")
-	p.server("tags", 2, registry.Gone)
+	p.server("tags", 2, registry.Removed)
 	p.runs(time.Second, even)
 	p.join("e-1")
 	p.runs(time.Second, even)
@@ -123,9 +123,9 @@
 	}
 	p.join("e-1")
 	p.runs(5*time.Second, even)
-	p.Configured(&config.Config{})
+	p.SetConfig(&config.Config{})
 	p.runs(time.Second, even)
-	p.Configured(&config.Config{Services: []*config.Service{{Name: "tags"}}})
+	p.SetConfig(&config.Config{Services: []*config.Service{{Name: "tags"}}})
 	p.held["e-1"] = map[string]float64{}
 	p.Leave("e-1")
 	p.join("e-1")
--- a/internal/edge/attempt/attempt.go
+++ b/internal/edge/attempt/attempt.go
@@ -9,85 +9,85 @@
 
 // What may follow.
 const (
-	Stop  Next = iota
-	Again      // another server, at no cost: none was reached yet, or it is paid for
-	Pay        // another server, if the retry budget allows it
+	Stop      Next = iota
+	RetryFree      // another server, at no cost: none was reached yet, or it is paid for
+	RetryPaid      // another server, if the retry budget allows it
 )
 
-// failed is the status from which a server's answer is a failure of its own, which may be otherwise elsewhere.
-const failed = 500
+// serverErrorStatus is the status from which a server's answer is a failure of its own, which may be otherwise elsewhere.
+const serverErrorStatus = 500
 
-// mostTried bounds the servers that are tried, reached or not.
-const mostTried = 6
+// maxAttempts bounds the servers that are tried, reached or not.
+const maxAttempts = 6
 
-// Attempt is one request's way.
-type Attempt struct {
+// Retries is one request's way.
+type Retries struct {
 	Safe       bool // it may run more than once
-	Most       int  // servers that it may reach
+	MaxSent    int  // servers that it may reach
 	Sent       int  // tries that reached a server
-	Tried      int
+	Attempts   int
 	Paid       bool // for a further try that reached none yet
 	MayHaveRun bool // at one of the servers that were tried
 }
 
-// Over takes the cause for which a try is over. Held tells whether all of the request can be sent again, and nothing of
+// AfterAttempt takes the cause for which a try is over. Held tells whether all of the request can be sent again, and nothing of
 // an answer was passed on.
-func (a *Attempt) Over(cause Cause, held bool) Next {
-	row := cause.Row()
-	a.Tried++
-	if row.Ending != NotSent {
+func (a *Retries) AfterAttempt(cause Cause, resendable bool) Next {
+	then := cause.Consequence()
+	a.Attempts++
+	if then.Outcome != NotSent {
 		a.Sent++
 		a.Paid = false
 	}
-	if row.Ending.mayHaveRun() {
+	if then.Outcome.mayHaveRun() {
 		a.MayHaveRun = true
 	}
-	again := row.Again == Always || row.Again == IfSafe && a.Safe
+	mayRetry := then.Retry == Always || then.Retry == IfSafe && a.Safe
 	switch {
-	case !again || !held || a.Sent >= a.Most || a.Tried > mostTried:
+	case !mayRetry || !resendable || a.Sent >= a.MaxSent || a.Attempts > maxAttempts:
 		return Stop
 	case a.Sent > 0 && !a.Paid: // the next server may be the second that it reaches
-		return Pay
+		return RetryPaid
 	default:
-		return Again
+		return RetryFree
 	}
 }
 
-// Ended is Over for those who know only the ending and the answer's status.
-func (a *Attempt) Ended(e Ending, status int, held bool) Next {
+// AfterOutcome is Over for those who know only the ending and the answer's status.
+func (a *Retries) AfterOutcome(e Outcome, status int, resendable bool) Next {
 	switch {
 	case e == NotSent:
-		return a.Over(NoConnection, held)
+		return a.AfterAttempt(NoConnection, resendable)
 	case e == NotRun:
-		return a.Over(TurnedAway, held)
-	case e == Ran && status >= failed:
-		return a.Over(Failed, held)
+		return a.AfterAttempt(TurnedAway, resendable)
+	case e == Ran && status >= serverErrorStatus:
+		return a.AfterAttempt(Failed, resendable)
 	case e == Ran:
-		return a.Over(Answered, held)
+		return a.AfterAttempt(Answered, resendable)
 	default:
-		return a.Over(BrokenOff, held)
+		return a.AfterAttempt(BrokenOff, resendable)
 	}
 }
 
-// Tell is what the client may be told after a try that is over for this cause. A promise that the request never ran has
+// Disposition is what the client may be told after a try that is over for this cause. A promise that the request never ran has
 // to hold for all servers that were tried, not only for the last one.
-func (a *Attempt) Tell(cause Cause) Tell {
-	if tell := cause.Row().Tell; tell != Promise || !a.MayHaveRun {
-		return tell
+func (a *Retries) Disposition(cause Cause) Disposition {
+	if disposition := cause.Consequence().Disposition; disposition != SafeRefusal || !a.MayHaveRun {
+		return disposition
 	}
 	return BadGateway
 }
 
 // Supersedes tells whether an outcome for this cause takes the place of the former one. After a try that may have run, one
 // that never ran tells the client nothing new.
-func (a *Attempt) Supersedes(cause Cause) bool {
-	return !a.MayHaveRun || cause.Row().Ending.mayHaveRun()
+func (a *Retries) Supersedes(cause Cause) bool {
+	return !a.MayHaveRun || cause.Consequence().Outcome.mayHaveRun()
 }
 
-// Claim is what becomes of a keyed operation's claim after a try that is over for this cause.
-func (a *Attempt) Claim(cause Cause) Claim {
-	if claim := cause.Row().Claim; claim != Withdraw || !a.MayHaveRun {
-		return claim
+// ClaimAction is what becomes of a keyed operation's claim after a try that is over for this cause.
+func (a *Retries) ClaimAction(cause Cause) ClaimAction {
+	if action := cause.Consequence().Claim; action != RevokeClaim || !a.MayHaveRun {
+		return action
 	}
-	return Leave
+	return KeepClaim
 }
--- a/internal/edge/picker/picker.go
+++ b/internal/edge/picker/picker.go
@@ -13,118 +13,118 @@
 )
 
 const (
-	reportFades  = 300 * time.Millisecond // of a server's word on its load
-	doubtFirst   = 500 * time.Millisecond
-	doubtMost    = 4 * time.Second
-	answeredNear = 2 * time.Second // an answer that lately is worth more than beats that stopped
-	lastResort   = 0.01            // weight of a server in doubt or far away, where nothing better is left
-	crowded      = 1.5             // of its slots, up to which a server of the table takes more
+	loadReportDecay  = 300 * time.Millisecond // of a server's word on its load
+	minSuspicion     = 500 * time.Millisecond
+	maxSuspicion     = 4 * time.Second
+	recentResponse   = 2 * time.Second // an answer that lately is worth more than beats that stopped
+	lastResortWeight = 0.01            // weight of a server in doubt or far away, where nothing better is left
+	maxTableLoad     = 1.5             // of its slots, up to which a server of the table takes more
 )
 
 // Upstream leads to one life of a server.
 type Upstream struct {
 	ID, Service, Zone string
 	Capacity          int
-	Host              any // what the owner keeps with it
-
-	own      int  // of its slots, those that are dealt to this edge
-	silent   bool // its beats stopped
-	gone     bool
-	weight   float64
-	weighed  bool
-	out      int     // requests that are out from here
-	others   float64 // requests of others, by the server's last word
-	toldAt   time.Duration
-	fails    int
-	until    time.Duration // in doubt
-	answered time.Duration // last answer
-	met      Met
+	Attachment        any // what the owner keeps with it
+
+	ownSlots            int  // of its slots, those that are dealt to this edge
+	timedOut            bool // its beats stopped
+	removed             bool
+	weight              float64
+	hasWeight           bool
+	inFlight            int     // requests that are out from here
+	othersLoad          float64 // requests of others, by the server's last word
+	loadReportedAt      time.Duration
+	consecutiveFailures int
+	suspectUntil        time.Duration // in doubt
+	lastResponse        time.Duration // last answer
+	stats               Stats
 }
 
-// Met counts what was met at an upstream.
-type Met struct {
-	Tries, Failed uint32
-	Time          float64 // seconds, over all answers
+// Stats counts what was met at an upstream.
+type Stats struct {
+	Attempts, Failed uint32
+	TotalTime        float64 // seconds, over all answers
 }
 
-// Gone tells whether the upstream's server is leaving or gone: nothing new may be sent.
-func (u *Upstream) Gone() bool { return u.gone }
+// Removed tells whether the upstream's server is leaving or gone: nothing new may be sent.
+func (u *Upstream) Removed() bool { return u.removed }
 
-// Weighed tells whether any table spoke of the upstream.
-func (u *Upstream) Weighed() bool { return u.weighed }
+// HasWeight tells whether any table spoke of the upstream.
+func (u *Upstream) HasWeight() bool { return u.hasWeight }
 
-// Out is how many requests are out on the upstream.
-func (u *Upstream) Out() int { return u.out }
+// InFlight is how many requests are out on the upstream.
+func (u *Upstream) InFlight() int { return u.inFlight }
 
 // Picker holds the upstreams of one edge.
 type Picker struct {
-	zone      string
-	chance    func() float64 // from 0 to 1
-	upstreams map[string]*Upstream
-	services  map[string][]*Upstream // by id
-	fit       []candidate            // kept between picks
-	roster    []uint32               // edges of the zone
-	self      uint32
+	zone       string
+	random     func() float64 // from 0 to 1
+	upstreams  map[string]*Upstream
+	services   map[string][]*Upstream // by id
+	candidates []candidate            // kept between picks
+	zoneEdges  []uint32               // edges of the zone
+	self       uint32
 }
 
 type candidate struct {
-	l      *Upstream
-	weight float64
-	load   float64
+	upstream *Upstream
+	weight   float64
+	load     float64
 }
 
 // New makes a picker for an edge of a zone.
-func New(zone string, chance func() float64) *Picker {
-	return &Picker{zone: zone, chance: chance, upstreams: map[string]*Upstream{}, services: map[string][]*Upstream{}}
+func New(zone string, random func() float64) *Picker {
+	return &Picker{zone: zone, random: random, upstreams: map[string]*Upstream{}, services: map[string][]*Upstream{}}
 }
 
 // Add takes a new upstream in.
 func (p *Picker) Add(u *Upstream) {
 	u.weight, u.Capacity = 1, max(1, u.Capacity)
-	p.deal(u)
+	p.assignSlotsOf(u)
 	p.upstreams[u.ID] = u
 	all := p.services[u.Service]
 	at, _ := slices.BinarySearchFunc(all, u, func(a, b *Upstream) int { return cmp.Compare(a.ID, b.ID) })
 	p.services[u.Service] = slices.Insert(slices.Clip(all), at, u)
 }
 
-// Deal takes the edges of the zone, this one among them, and deals the slots of the zone's servers to them: by rendezvous
+// AssignSlots takes the edges of the zone, this one among them, and deals the slots of the zone's servers to them: by rendezvous
 // hashing, so that all edges come to the same without a word, and few slots change hands when an edge comes or goes.
-func (p *Picker) Deal(roster []uint32, self uint32) {
-	p.roster, p.self = roster, self
+func (p *Picker) AssignSlots(zoneEdges []uint32, self uint32) {
+	p.zoneEdges, p.self = zoneEdges, self
 	for _, u := range p.upstreams {
-		p.deal(u)
+		p.assignSlotsOf(u)
 	}
 }
 
-func (p *Picker) deal(u *Upstream) {
-	if u.own = 0; u.Zone != p.zone || !slices.Contains(p.roster, p.self) {
+func (p *Picker) assignSlotsOf(u *Upstream) {
+	if u.ownSlots = 0; u.Zone != p.zone || !slices.Contains(p.zoneEdges, p.self) {
 		return
 	}
 	mine, rank := score(u.ID, p.self), 0
-	for _, e := range p.roster {
+	for _, e := range p.zoneEdges {
 		if s := score(u.ID, e); s > mine || s == mine && e > p.self {
 			rank++
 		}
 	}
-	u.own = u.Capacity / len(p.roster)
-	if rank < u.Capacity%len(p.roster) {
-		u.own++
+	u.ownSlots = u.Capacity / len(p.zoneEdges)
+	if rank < u.Capacity%len(p.zoneEdges) {
+		u.ownSlots++
 	}
 }
 
 func score(server string, edge uint32) uint64 { return xxh3.HashStringSeed(server, uint64(edge)) }
 
-// Dealt is how many slots of a service are this edge's.
-func (p *Picker) Dealt(service string) (own int) {
+// OwnSlots is how many slots of a service are this edge's.
+func (p *Picker) OwnSlots(service string) (slots int) {
 	for _, u := range p.services[service] {
-		own += u.own
+		slots += u.ownSlots
 	}
-	return own
+	return slots
 }
 
-// Upstream finds an upstream by its server's id.
-func (p *Picker) Upstream(id string) *Upstream { return p.upstreams[id] }
+// Get finds an upstream by its server's id.
+func (p *Picker) Get(id string) *Upstream { return p.upstreams[id] }
 
 // Len is how many upstreams there are.
 func (p *Picker) Len() int { return len(p.upstreams) }
@@ -141,13 +141,13 @@
 	return all
 }
 
-// End takes an upstream out: its server is leaving or gone. What is out on it goes on.
-func (p *Picker) End(id string) *Upstream {
+// Remove takes an upstream out: its server is leaving or gone. What is out on it goes on.
+func (p *Picker) Remove(id string) *Upstream {
 	u := p.upstreams[id]
 	if u == nil {
 		return nil
 	}
-	u.gone = true
+	u.removed = true
 	delete(p.upstreams, id)
 	if p.services[u.Service] = slices.DeleteFunc(p.services[u.Service], func(o *Upstream) bool { return o == u }); len(p.services[u.Service]) == 0 {
 		delete(p.services, u.Service)
@@ -155,143 +155,143 @@
 	return u
 }
 
-// Silent notes whether a server's beats stopped.
-func (p *Picker) Silent(id string, silent bool) {
+// SetTimedOut notes whether a server's beats stopped.
+func (p *Picker) SetTimedOut(id string, timedOut bool) {
 	if u := p.upstreams[id]; u != nil {
-		u.silent = silent
+		u.timedOut = timedOut
 	}
 }
 
-// Weigh takes a changed upstream of the tables.
-func (p *Picker) Weigh(id string, weight float64) {
+// SetWeight takes a changed upstream of the tables.
+func (p *Picker) SetWeight(id string, weight float64) {
 	if u := p.upstreams[id]; u != nil {
-		u.weight, u.weighed = weight, true
+		u.weight, u.hasWeight = weight, true
 	}
 }
 
-// Unweigh forgets a service's table: the upstreams of another one follow. Those that it doesn't name are as on the first day,
+// ClearWeights forgets a service's table: the upstreams of another one follow. Those that it doesn't name are as on the first day,
 // since on a large site a table names a part of the servers.
-func (p *Picker) Unweigh(service string) {
+func (p *Picker) ClearWeights(service string) {
 	for _, u := range p.services[service] {
-		u.weight, u.weighed = 1, false
+		u.weight, u.hasWeight = 1, false
 	}
 }
 
 // load is how full the server is thought to be.
 func (u *Upstream) load(now time.Duration) float64 {
-	others := u.others * math.Exp(-float64(now-u.toldAt)/float64(reportFades))
-	return (float64(u.out) + others) / float64(u.Capacity)
+	others := u.othersLoad * math.Exp(-float64(now-u.loadReportedAt)/float64(loadReportDecay))
+	return (float64(u.inFlight) + others) / float64(u.Capacity)
 }
 
-// open tells whether the upstream takes another request now.
-func (u *Upstream) open(now time.Duration) bool {
-	return u.out < u.Capacity && now >= u.until && !(u.silent && now-u.answered > answeredNear)
+// available tells whether the upstream takes another request now.
+func (u *Upstream) available(now time.Duration) bool {
+	return u.inFlight < u.Capacity && now >= u.suspectUntil && !(u.timedOut && now-u.lastResponse > recentResponse)
 }
 
-// The rounds of a pick: each looks further than the one before.
+// The passes of a pick: each looks further than the one before.
 const (
-	dealt     = iota // slots that are this edge's: nobody else comes there while there is room
-	byTable          // by the table, at home while there is room, since to cross zones has a price
-	byTableAt        // by the table, wherever
-	elsewhere        // room elsewhere
-	anything         // nothing better is left: those in doubt, too, and some that are full
-	rounds
+	ownSlots      = iota // slots that are this edge's: nobody else comes there while there is room
+	tableInZone          // by the table, at home while there is room, since to cross zones has a price
+	tableAnyZone         // by the table, wherever
+	spareCapacity        // room elsewhere
+	lastResort           // nothing better is left: those in doubt, too, and some that are full
+	passes
 )
 
-// fits tells whether an upstream is for a round, and with what weight.
-func (p *Picker) fits(u *Upstream, round int, now time.Duration, load float64) (weight float64, ok bool) {
-	home := u.Zone == p.zone
-	switch round {
-	case dealt:
-		return u.weight, u.out < u.own && u.open(now) && (!u.weighed || u.weight > 0) && load < 1
-	case byTable:
-		return u.weight, home && u.open(now) && (!u.weighed || u.weight > 0) && load < 1
-	case byTableAt:
-		return u.weight, u.open(now) && (u.weighed && u.weight > 0 || !u.weighed && home) && load < crowded
-	case elsewhere:
-		return 1, u.open(now) && load < 1
+// eligible tells whether an upstream is for a round, and with what weight.
+func (p *Picker) eligible(u *Upstream, pass int, now time.Duration, load float64) (weight float64, ok bool) {
+	inZone := u.Zone == p.zone
+	switch pass {
+	case ownSlots:
+		return u.weight, u.inFlight < u.ownSlots && u.available(now) && (!u.hasWeight || u.weight > 0) && load < 1
+	case tableInZone:
+		return u.weight, inZone && u.available(now) && (!u.hasWeight || u.weight > 0) && load < 1
+	case tableAnyZone:
+		return u.weight, u.available(now) && (u.hasWeight && u.weight > 0 || !u.hasWeight && inZone) && load < maxTableLoad
+	case spareCapacity:
+		return 1, u.available(now) && load < 1
 	default:
-		if !home || now < u.until {
-			return lastResort, u.out < 2*u.Capacity
+		if !inZone || now < u.suspectUntil {
+			return lastResortWeight, u.inFlight < 2*u.Capacity
 		}
-		return 1, u.out < 2*u.Capacity
+		return 1, u.inFlight < 2*u.Capacity
 	}
 }
 
 // Pick chooses an upstream and books a place on it. The tables say in what shares; of two drawn so, the less loaded one is
 // taken. Where the table's servers have no room, others may help out. It gives nil where nobody has room.
-func (p *Picker) Pick(service string, not func(*Upstream) bool, now time.Duration) *Upstream {
+func (p *Picker) Pick(service string, excluded func(*Upstream) bool, now time.Duration) *Upstream {
 	all := p.services[service]
-	for round := range rounds {
-		p.fit = p.fit[:0]
-		sum := 0.0
+	for pass := range passes {
+		p.candidates = p.candidates[:0]
+		totalWeight := 0.0
 		for _, u := range all {
-			if not(u) {
+			if excluded(u) {
 				continue
 			}
 			load := u.load(now)
-			if weight, ok := p.fits(u, round, now, load); ok {
-				p.fit = append(p.fit, candidate{u, weight, load})
-				sum += weight
+			if weight, ok := p.eligible(u, pass, now, load); ok {
+				p.candidates = append(p.candidates, candidate{u, weight, load})
+				totalWeight += weight
 			}
 		}
-		if len(p.fit) == 0 {
+		if len(p.candidates) == 0 {
 			continue
 		}
-		a, b := p.draw(sum), p.draw(sum)
+		a, b := p.draw(totalWeight), p.draw(totalWeight)
 		if b.load < a.load {
 			a = b
 		}
-		p.Book(a.l)
-		return a.l
+		p.Reserve(a.upstream)
+		return a.upstream
 	}
 	return nil
 }
 
-// Book takes a place on an upstream, for one who chose it otherwise.
-func (p *Picker) Book(u *Upstream) { u.out++ }
+// Reserve takes a place on an upstream, for one who chose it otherwise.
+func (p *Picker) Reserve(u *Upstream) { u.inFlight++ }
 
 // Lines are those to a service, by id. They stay the picker's.
 func (p *Picker) Upstreams(service string) []*Upstream { return p.services[service] }
 
-func (p *Picker) draw(sum float64) candidate {
-	at := p.chance() * sum
-	for _, c := range p.fit {
+func (p *Picker) draw(totalWeight float64) candidate {
+	at := p.random() * totalWeight
+	for _, c := range p.candidates {
 		if at -= c.weight; at < 0 {
 			return c
 		}
 	}
-	return p.fit[len(p.fit)-1]
+	return p.candidates[len(p.candidates)-1]
 }
 
-// Told takes a server's word on its load.
-func (p *Picker) Told(u *Upstream, running, waiting float64, now time.Duration) {
-	u.others, u.toldAt = max(0, running+waiting-float64(u.out)), now
+// ReportLoad takes a server's word on its load.
+func (p *Picker) ReportLoad(u *Upstream, running, waiting float64, now time.Duration) {
+	u.othersLoad, u.loadReportedAt = max(0, running+waiting-float64(u.inFlight)), now
 }
 
-// Done gives a booked place back and counts how it went: whether the request arrived at the server, and whether the
+// Release gives a booked place back and counts how it went: whether the request arrived at the server, and whether the
 // server answered it well.
-func (p *Picker) Done(u *Upstream, took time.Duration, arrived, answered bool, now time.Duration) {
-	u.out--
-	if answered {
-		u.fails, u.until, u.answered = 0, 0, now
-		u.met.Time += took.Seconds()
-		u.met.Tries++
+func (p *Picker) Release(u *Upstream, took time.Duration, arrived, succeeded bool, now time.Duration) {
+	u.inFlight--
+	if succeeded {
+		u.consecutiveFailures, u.suspectUntil, u.lastResponse = 0, 0, now
+		u.stats.TotalTime += took.Seconds()
+		u.stats.Attempts++
 		return
 	}
 	if arrived {
-		u.met.Tries++
-		u.met.Failed++
+		u.stats.Attempts++
+		u.stats.Failed++
 	}
-	u.fails++
-	if u.fails >= 2 || !arrived {
-		u.until = now + min(doubtMost, doubtFirst<<min(4, u.fails-1))
+	u.consecutiveFailures++
+	if u.consecutiveFailures >= 2 || !arrived {
+		u.suspectUntil = now + min(maxSuspicion, minSuspicion<<min(4, u.consecutiveFailures-1))
 	}
 }
 
-// Met hands out what was met on an upstream since it was last asked.
-func (p *Picker) Met(u *Upstream) Met {
-	m := u.met
-	u.met = Met{}
+// TakeStats hands out what was met on an upstream since it was last asked.
+func (p *Picker) TakeStats(u *Upstream) Stats {
+	m := u.stats
+	u.stats = Stats{}
 	return m
 }
--- a/internal/edge/picker/picker_test.go
+++ b/internal/edge/picker/picker_test.go
@@ -23,7 +23,7 @@
 	for e := range edges {
 		roster = append(roster, uint32(e))
 	}
-	p.Deal(roster, self)
+	p.AssignSlots(roster, self)
 	return p
 }
 
@@ -45,7 +45,7 @@
 		whole, parts := map[string]int{}, 0
 		for e := range c.edges {
 			p := hall(c.edges, uint32(e), c.servers, c.slots)
-			own := p.Dealt("tags")
+			own := p.OwnSlots("tags")
 			parts += own
 			for id, n := range take(p, own) {
 				whole[id] += n
@@ -63,11 +63,11 @@
 	moved, all := 0, 0
 	for e := range uint32(9) { // the tenth goes
 		before, after := hall(10, e, 40, 2), hall(9, e, 40, 2)
-		b, a := take(before, before.Dealt("tags")), take(after, after.Dealt("tags"))
+		b, a := take(before, before.OwnSlots("tags")), take(after, after.OwnSlots("tags"))
 		for id, n := range b {
 			moved += max(0, n-a[id])
 		}
-		all += before.Dealt("tags")
+		all += before.OwnSlots("tags")
 	}
 	g.Expect(moved).To(Equal(0), "nobody loses a slot; the ones that are free are dealt anew")
 	g.Expect(all).To(BeNumerically("<", 80))
@@ -87,20 +87,20 @@
 func TestPicksKeepToWhatIsKnown(t *testing.T) {
 	g := NewWithT(t)
 	p := hall(1, 0, 3, 2)
-	p.End("i-0")
-	p.Weigh("i-1", 0)
+	p.Remove("i-0")
+	p.SetWeight("i-1", 0)
 	g.Expect(take(p, 2)).To(Equal(map[string]int{"i-2": 2}), "not at one that leaves, nor at one that the tables took out while others have room")
 	g.Expect(take(p, 2)).To(Equal(map[string]int{"i-1": 2}), "which helps out where nobody else can")
 
 	p = hall(1, 0, 2, 1)
 	u := p.Pick("tags", nobody, 0)
-	p.Done(u, 0, false, false, 0)
+	p.Release(u, 0, false, false, 0)
 	for range 5 {
 		o := p.Pick("tags", nobody, time.Millisecond)
 		g.Expect(o).NotTo(BeIdenticalTo(u), "a server that could not be reached is in doubt")
-		p.Done(o, time.Millisecond, true, true, time.Millisecond)
+		p.Release(o, time.Millisecond, true, true, time.Millisecond)
 	}
-	p.Told(p.Upstream("i-0"), 1, 3, time.Second)
-	p.Told(p.Upstream("i-1"), 0, 0, time.Second)
+	p.ReportLoad(p.Get("i-0"), 1, 3, time.Second)
+	p.ReportLoad(p.Get("i-1"), 0, 0, time.Second)
 	g.Expect(p.Pick("tags", nobody, time.Second).ID).To(Equal("i-1"), "what a server says of others' requests counts")
 }
--- a/internal/edge/proxy/answers_test.go
+++ b/internal/edge/proxy/answers_test.go
@@ -64,23 +64,23 @@
 	in(t, func(h *hall) {
 		var got strings.Builder
 		refused, repeated := idempotency.KeyOf("a.example", "key-3"), idempotency.KeyOf("a.example", "key-2")
-		h.rule = func(r idempotency.Record) (idempotency.Ruling, *idempotency.Answer) {
+		h.rule = func(r idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
 			switch r.Key {
 			case refused:
-				return idempotency.Refused, nil
+				return idempotency.OutcomeUndecided, nil
 			case repeated:
-				return idempotency.Taken, &idempotency.Answer{Status: 201, Headers: map[string]string{"X-Server-Seal": "first"}, Body: []byte("paid")}
+				return idempotency.OutcomeConflict, &idempotency.Response{Status: 201, Headers: map[string]string{"X-Server-Seal": "first"}, Body: []byte("paid")}
 			}
-			return idempotency.Stands, nil
+			return idempotency.OutcomeGranted, nil
 		}
 		for _, server := range servers {
 			if server.answer != nil {
 				h.serve("i-1", server.answer)
 			} else {
 				h.upstreams.mu.Lock()
-				u := h.upstreams.End("i-1")
+				u := h.upstreams.Remove("i-1")
 				h.upstreams.mu.Unlock()
-				u.Host.(*upstream).end()
+				u.Attachment.(*upstream).close()
 			}
 			for _, r := range requests {
 				w := h.ask(r.method, r.path, r.body, r.headers...)
@@ -89,7 +89,7 @@
 		}
 		for _, path := range []string{"/readiness", "/metrics", "/x"} {
 			w := httptest.NewRecorder()
-			h.ready(w, httptest.NewRequest(http.MethodGet, path, nil))
+			h.serveReadiness(w, httptest.NewRequest(http.MethodGet, path, nil))
 			got.WriteString(text("GET "+path, w))
 		}
 		path := filepath.Join("testdata", "answers.txt")
--- a/internal/edge/proxy/bodies_test.go
+++ b/internal/edge/proxy/bodies_test.go
@@ -21,7 +21,7 @@
 // allow puts a configuration with these limits in force.
 func (h *hall) allow(version int, limits string) {
 	next := strings.Replace(strings.Replace(plan, `"r1"`, fmt.Sprintf(`"r%d"`, version), 1), `{"max_body_bytes":100}`, limits, 1)
-	h.g.Expect(h.configure(&peer.Config{Version: uint64(version), Whole: []byte(next)})).To(BeTrue())
+	h.g.Expect(h.applyConfig(&peer.Config{Version: uint64(version), Snapshot: []byte(next)})).To(BeTrue())
 }
 
 // street is a listener whose connections are pipes.
@@ -48,13 +48,13 @@
 func (h *hall) opened(play func(street)) {
 	s := street{in: make(chan net.Conn)}
 	ended := make(chan struct{})
-	go func() { _ = h.door.open(s); close(ended) }()
+	go func() { _ = h.clients.serve(s); close(ended) }()
 	synctest.Wait()
 	play(s)
 	close(s.in)
 	<-ended
-	close(h.door.lobby.closed)
-	h.conns.sweep(0, 0)
+	close(h.clients.handoff.closed)
+	h.clientConns.closeStale(0, 0)
 }
 
 func TestLongBodiesAreSentOnceAndWhole(t *testing.T) {
@@ -63,7 +63,7 @@
 		h.serve("i-1", cut)
 		h.serve("i-2", cut)
 		for range 4 { // fills the budget
-			h.asks("tags")
+			h.countRequest("tags")
 		}
 		long := strings.Repeat("0123456789", 50_000)
 		h.g.Expect(h.ask("POST", "/s/x", long).Code).To(Equal(502))
@@ -79,29 +79,29 @@
 	in(t, func(h *hall) {
 		h.allow(2, `{"max_body_bytes":1000000}`)
 		h.serve("i-1", good)
-		whole := h.held.left.Load()
-		h.held.left.Store(10_000)
+		whole := h.bodyMemory.available.Load()
+		h.bodyMemory.available.Store(10_000)
 		long := strings.Repeat("x", 100_000)
 		h.g.Expect(h.ask("POST", "/u/x", long).Code).To(Equal(200))
 		h.g.Expect(h.bodies).To(Equal([]string{long}), "what isn't held is passed on")
-		h.g.Expect(h.held.left.Load()).To(BeEquivalentTo(10_000), "all is given back")
-		h.held.left.Store(whole)
+		h.g.Expect(h.bodyMemory.available.Load()).To(BeEquivalentTo(10_000), "all is given back")
+		h.bodyMemory.available.Store(whole)
 	})
 	g := NewWithT(t)
 	for _, left := range []int64{0, 1, 5_000, 1 << 20} {
-		for _, size := range []int{0, 1, heldFree, heldFree + 1, bodyFirst, 100_000, bodyHeld, bodyHeld + 1} {
+		for _, size := range []int{0, 1, uncountedBytes, uncountedBytes + 1, maxInitialBuffer, 100_000, maxBufferedRequest, maxBufferedRequest + 1} {
 			for _, told := range []int64{-1, int64(size)} {
-				a := &account{}
-				a.left.Store(left)
+				a := &memoryBudget{}
+				a.available.Store(left)
 				text := strings.Repeat("x", size)
 				src := iotest.DataErrReader(strings.NewReader(text))
-				body, whole, booked, err := a.hold(src, told, bodyHeld)
+				body, whole, booked, err := a.buffer(src, told, maxBufferedRequest)
 				g.Expect(err).NotTo(HaveOccurred())
 				more, _ := io.ReadAll(src)
 				g.Expect(string(body)+string(more) == text).To(BeTrue(), "left %d, size %d", left, size)
-				g.Expect(whole).To(Equal(len(more) == 0 && size <= bodyHeld && (whole || size > 0)), "left %d, size %d, told %d", left, size, told)
-				g.Expect(a.left.Load()).To(And(BeNumerically(">=", 0), Equal(left-booked)))
-				g.Expect(int64(len(body))).To(BeNumerically("<=", heldFree+booked))
+				g.Expect(whole).To(Equal(len(more) == 0 && size <= maxBufferedRequest && (whole || size > 0)), "left %d, size %d, told %d", left, size, told)
+				g.Expect(a.available.Load()).To(And(BeNumerically(">=", 0), Equal(left-booked)))
+				g.Expect(int64(len(body))).To(BeNumerically("<=", uncountedBytes+booked))
 			}
 		}
 	}
@@ -142,7 +142,7 @@
 						h.g.Expect(err).To(MatchError(io.ErrUnexpectedEOF))
 					}
 					synctest.Wait()
-					h.g.Expect(h.upstreams.Upstream("i-1").Out()).To(Equal(0), "its place is given back")
+					h.g.Expect(h.upstreams.Get("i-1").InFlight()).To(Equal(0), "its place is given back")
 				})
 			})
 		})
@@ -247,7 +247,7 @@
 
 func TestTheLongestIdleMakesRoom(t *testing.T) {
 	in(t, func(h *hall) {
-		h.conns.most = 2
+		h.clientConns.limit = 2
 		h.serve("i-1", hang)
 		h.opened(func(s street) {
 			first := h.walkIn(s)
--- a/internal/edge/proxy/door.go
+++ b/internal/edge/proxy/door.go
@@ -11,38 +11,38 @@
 
 // What clients may send before any configuration says so.
 const (
-	headerBytes = 64 << 10
-	headerWait  = 10 * time.Second
-	idleBefore  = 15 * time.Second
+	defaultHeaderBytes   = 64 << 10
+	defaultHeaderTimeout = 10 * time.Second
+	defaultIdleTimeout   = 15 * time.Second
 )
 
 const (
-	clientShare  = 0.6             // of the descriptors, for clients' connections
-	keptHandles  = 200             // that the platform reserves for files
-	activeBeyond = 5 * time.Second // past deadline and idle time, after which a request's connection is stuck
+	clientHandleShare = 0.6             // of the descriptors, for clients' connections
+	reservedHandles   = 200             // that the platform reserves for files
+	stuckAfter        = 5 * time.Second // past deadline and idle time, after which a request's connection is stuck
 )
 
-// door lets clients' connections in, under the limits in force. net/http takes its limits when a server starts, so
+// clientListener lets clients' connections in, under the limits in force. net/http takes its limits when a server starts, so
 // other limits get a server of their own: new connections go to it, and those that are there stay under theirs.
-type door struct {
+type clientListener struct {
 	handler http.Handler
-	conns   *conns
+	conns   *connTracker
 
-	mu     sync.Mutex
-	limits config.Limits
-	lobby  *lobby
+	mu      sync.Mutex
+	limits  config.Limits
+	handoff *handoffListener
 }
 
-// lobby is the listener of one server: connections are handed to it.
-type lobby struct {
-	in     chan net.Conn
-	closed chan struct{}
-	addr   net.Addr
-	header time.Duration
-	idle   time.Duration
+// handoffListener is the listener of one server: connections are handed to it.
+type handoffListener struct {
+	in            chan net.Conn
+	closed        chan struct{}
+	addr          net.Addr
+	headerTimeout time.Duration
+	idleTimeout   time.Duration
 }
 
-func (l *lobby) Accept() (net.Conn, error) {
+func (l *handoffListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-l.in:
 		return conn, nil
@@ -51,64 +51,64 @@
 	}
 }
 
-func (l *lobby) Close() error   { return nil } // only change closes it
-func (l *lobby) Addr() net.Addr { return l.addr }
+func (l *handoffListener) Close() error   { return nil } // only change closes it
+func (l *handoffListener) Addr() net.Addr { return l.addr }
 
-// open takes connections in until the listener is closed.
-func (d *door) open(front net.Listener) error {
-	d.change(front.Addr())
+// serve takes connections in until the listener is closed.
+func (l *clientListener) serve(front net.Listener) error {
+	l.replaceServer(front.Addr())
 	for {
 		conn, err := front.Accept()
 		if err != nil {
 			return err
 		}
-		d.mu.Lock()
-		at := d.lobby
-		d.mu.Unlock()
-		caller := &caller{Conn: conn, silent: true, header: at.header, idle: at.idle}
-		if !d.conns.admit(caller) {
+		l.mu.Lock()
+		at := l.handoff
+		l.mu.Unlock()
+		caller := &clientConn{Conn: conn, awaitingFirstByte: true, headerTimeout: at.headerTimeout, idleTimeout: at.idleTimeout}
+		if !l.conns.admit(caller) {
 			conn.Close()
 			continue
 		}
 		select {
 		case at.in <- caller: // its server waits for it
 		case <-at.closed: // this process stood still meanwhile
-			d.conns.state(caller, http.StateClosed)
+			l.conns.state(caller, http.StateClosed)
 			conn.Close()
 		}
 	}
 }
 
-// limit takes over the limits of a configuration, which may come before the door opens.
-func (d *door) limit(limits config.Limits) {
-	d.mu.Lock()
-	same := d.limits.HeaderBytes == limits.HeaderBytes && d.limits.HeaderWait == limits.HeaderWait && d.limits.Idle == limits.Idle
-	at := d.lobby
-	d.limits = limits
-	d.mu.Unlock()
+// setLimits takes over the limits of a configuration, which may come before the door opens.
+func (l *clientListener) setLimits(limits config.Limits) {
+	l.mu.Lock()
+	same := l.limits.HeaderBytes == limits.HeaderBytes && l.limits.HeaderWait == limits.HeaderWait && l.limits.Idle == limits.Idle
+	at := l.handoff
+	l.limits = limits
+	l.mu.Unlock()
 	if at != nil && !same {
-		d.change(at.addr)
+		l.replaceServer(at.addr)
 	}
 }
 
-// change has new connections served under the limits as they are now.
-func (d *door) change(addr net.Addr) {
-	d.mu.Lock()
-	limits, old := d.limits, d.lobby
-	next := &lobby{in: make(chan net.Conn), closed: make(chan struct{}), addr: addr, header: headerWait, idle: idleBefore}
-	most := headerBytes
+// replaceServer has new connections served under the limits as they are now.
+func (l *clientListener) replaceServer(addr net.Addr) {
+	l.mu.Lock()
+	limits, old := l.limits, l.handoff
+	next := &handoffListener{in: make(chan net.Conn), closed: make(chan struct{}), addr: addr, headerTimeout: defaultHeaderTimeout, idleTimeout: defaultIdleTimeout}
+	most := defaultHeaderBytes
 	if limits.HeaderBytes > 0 {
 		most = limits.HeaderBytes
 	}
 	if limits.HeaderWait > 0 {
-		next.header = time.Duration(limits.HeaderWait * float64(time.Second))
+		next.headerTimeout = time.Duration(limits.HeaderWait * float64(time.Second))
 	}
 	if limits.Idle > 0 {
-		next.idle = time.Duration(limits.Idle * float64(time.Second))
+		next.idleTimeout = time.Duration(limits.Idle * float64(time.Second))
 	}
-	d.lobby = next
-	d.mu.Unlock()
-	server := &http.Server{Handler: d.handler, ReadHeaderTimeout: next.header, IdleTimeout: time.Hour, MaxHeaderBytes: most, ConnState: d.conns.state}
+	l.handoff = next
+	l.mu.Unlock()
+	server := &http.Server{Handler: l.handler, ReadHeaderTimeout: next.headerTimeout, IdleTimeout: time.Hour, MaxHeaderBytes: most, ConnState: l.conns.state}
 	go func() { _ = server.Serve(next) }() // ends when other limits come
 	if old != nil {
 		go func() { // whoever was being handed over still finds it open
@@ -118,63 +118,63 @@
 	}
 }
 
-// caller is a client's connection. Until its first byte it is idle, and only from then on late with its header: clients
+// clientConn is a client's connection. Until its first byte it is idle, and only from then on late with its header: clients
 // may connect ahead of what they send.
-type caller struct {
+type clientConn struct {
 	net.Conn
-	silent       bool // used by the connection's one reader
-	header, idle time.Duration
+	awaitingFirstByte          bool // used by the connection's one reader
+	headerTimeout, idleTimeout time.Duration
 }
 
 // SetReadDeadline is called by net/http before the first header with the time that a header may take.
-func (c *caller) SetReadDeadline(t time.Time) error {
-	if c.silent && !t.IsZero() && time.Until(t) > 0 {
-		t = time.Now().Add(c.idle)
+func (c *clientConn) SetReadDeadline(t time.Time) error {
+	if c.awaitingFirstByte && !t.IsZero() && time.Until(t) > 0 {
+		t = time.Now().Add(c.idleTimeout)
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-func (c *caller) Read(p []byte) (int, error) {
+func (c *clientConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if c.silent && n > 0 {
-		c.silent = false
-		_ = c.Conn.SetReadDeadline(time.Now().Add(c.header)) // a connection that is closed fails at the next read
+	if c.awaitingFirstByte && n > 0 {
+		c.awaitingFirstByte = false
+		_ = c.Conn.SetReadDeadline(time.Now().Add(c.headerTimeout)) // a connection that is closed fails at the next read
 	}
 	return n, err
 }
 
-// conns knows clients' connections: since when each is idle or busy. It closes those that are so for longer than the
+// connTracker knows clients' connections: since when each is idle or busy. It closes those that are so for longer than the
 // configuration allows, and the longest idle when there are too many. It guards against clients that hold connections
 // without using them.
-type conns struct {
-	mu   sync.Mutex
-	most int
-	all  map[net.Conn]*use
+type connTracker struct {
+	mu    sync.Mutex
+	limit int
+	conns map[net.Conn]*connUse
 }
 
-type use struct {
+type connUse struct {
 	since  time.Time
 	active bool
 }
 
 // admit takes a new connection in. Where there are too many, the one that has been idle for longest makes room.
-func (k *conns) admit(conn net.Conn) bool {
-	k.mu.Lock()
+func (t *connTracker) admit(conn net.Conn) bool {
+	t.mu.Lock()
 	var oldest net.Conn
-	if len(k.all) >= k.most {
-		for c, u := range k.all {
-			if !u.active && (oldest == nil || u.since.Before(k.all[oldest].since)) {
+	if len(t.conns) >= t.limit {
+		for c, u := range t.conns {
+			if !u.active && (oldest == nil || u.since.Before(t.conns[oldest].since)) {
 				oldest = c
 			}
 		}
 		if oldest == nil {
-			k.mu.Unlock()
+			t.mu.Unlock()
 			return false
 		}
-		delete(k.all, oldest)
+		delete(t.conns, oldest)
 	}
-	k.all[conn] = &use{since: time.Now()}
-	k.mu.Unlock()
+	t.conns[conn] = &connUse{since: time.Now()}
+	t.mu.Unlock()
 	if oldest != nil {
 		oldest.Close()
 	}
@@ -182,28 +182,28 @@
 }
 
 // state follows what net/http says of a connection.
-func (k *conns) state(conn net.Conn, s http.ConnState) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	switch u := k.all[conn]; {
+func (t *connTracker) state(conn net.Conn, s http.ConnState) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	switch u := t.conns[conn]; {
 	case s == http.StateClosed || s == http.StateHijacked:
-		delete(k.all, conn)
+		delete(t.conns, conn)
 	case u != nil && s != http.StateNew:
 		u.since, u.active = time.Now(), s == http.StateActive
 	}
 }
 
-// sweep closes what has been idle, or busy with one request, for too long.
-func (k *conns) sweep(idle, active time.Duration) {
-	k.mu.Lock()
+// closeStale closes what has been idle, or busy with one request, for too long.
+func (t *connTracker) closeStale(idle, active time.Duration) {
+	t.mu.Lock()
 	var old []net.Conn
-	for conn, u := range k.all {
+	for conn, u := range t.conns {
 		if most := idle; time.Since(u.since) > most && !u.active || time.Since(u.since) > active {
 			old = append(old, conn)
-			delete(k.all, conn)
+			delete(t.conns, conn)
 		}
 	}
-	k.mu.Unlock()
+	t.mu.Unlock()
 	for _, conn := range old {
 		conn.Close()
 	}
--- a/internal/edge/proxy/exchange.go
+++ b/internal/edge/proxy/exchange.go
@@ -12,234 +12,234 @@
 	"mulleinwood/internal/edge/attempt"
 )
 
-// outcome is how a try ended, and the answer if there is one.
-type outcome struct {
-	cause  attempt.Cause
-	status int
-	header http.Header // without what concerns the server's connection
-	body   []byte
-	rest   io.Reader // of an answer that isn't held whole; end has to be called then
-	length int64     // of the whole answer, where rest is set; -1: not told
-	end    func(fromServer, toClient error) attempt.Cause
-	err    error // what happened, where no answer can be passed on
+// attemptResult is how a try ended, and the answer if there is one.
+type attemptResult struct {
+	cause     attempt.Cause
+	status    int
+	header    http.Header // without what concerns the server's connection
+	body      []byte
+	remaining io.Reader // of an answer that isn't held whole; end has to be called then
+	length    int64     // of the whole answer, where rest is set; -1: not told
+	end       func(fromServer, toClient error) attempt.Cause
+	err       error // what happened, where no answer can be passed on
 }
 
-// exchange is a try while it goes on.
-type exchange struct {
+// roundTrip is a try while it goes on.
+type roundTrip struct {
 	*Proxy
-	t      *task
-	u      *upstream
-	ctx    context.Context
-	cancel context.CancelFunc
-	conn   *serverConn
-	life   attempt.Try
-	sent   time.Duration
+	clientReq *clientRequest
+	upstream  *upstream
+	ctx       context.Context
+	cancel    context.CancelFunc
+	conn      *serverConn
+	attempt   attempt.Attempt
+	sentAt    time.Duration
 }
 
-// errLeft says that a server began to leave while a connection to it was made.
-var errLeft = errors.New("server left")
+// errServerDraining says that a server began to leave while a connection to it was made.
+var errServerDraining = errors.New("server left")
 
-// try sends the request to one server.
-func (c *Proxy) try(t *task, u *upstream) outcome {
-	e := &exchange{Proxy: c, t: t, u: u}
-	e.ctx, e.cancel = context.WithTimeout(context.WithoutCancel(t.r.Context()), t.until-c.now()-wayBack)
-	out := e.run(t.rest != nil || t.route.Kind != config.Safe && c.distrusts(u.Service))
-	if out.rest == nil {
+// attemptOnce sends the request to one server.
+func (p *Proxy) attemptOnce(t *clientRequest, u *upstream) attemptResult {
+	e := &roundTrip{Proxy: p, clientReq: t, upstream: u}
+	e.ctx, e.cancel = context.WithTimeout(context.WithoutCancel(t.r.Context()), t.deadline-p.now()-returnMargin)
+	out := e.do(t.bodyTail != nil || t.route.Kind != config.Safe && p.distrusts(u.Service))
+	if out.remaining == nil {
 		e.cancel()
 	}
 	return out
 }
 
-// run is the whole exchange. A connection that was free and ended before the first byte is replaced by a new one: nothing
+// do is the whole exchange. A connection that was free and ended before the first byte is replaced by a new one: nothing
 // was sent.
-func (e *exchange) run(fresh bool) outcome {
-	if err := e.connect(fresh); err != nil {
-		e.done(e.u, 0, false, false)
-		return outcome{cause: e.life.Cause, err: err}
+func (rt *roundTrip) do(fresh bool) attemptResult {
+	if err := rt.connect(fresh); err != nil {
+		rt.releaseUpstream(rt.upstream, 0, false, false)
+		return attemptResult{cause: rt.attempt.Cause, err: err}
 	}
-	resp, err := e.send()
+	resp, err := rt.send()
 	if err == nil {
-		return e.receive(resp)
+		return rt.receive(resp)
 	}
-	if ended := e.life.Cause == attempt.Unsent || e.life.Cause == attempt.BrokenOff; ended && e.conn.used && e.ctx.Err() == nil {
-		e.distrust(e.u.Service)
-		if e.life.Cause == attempt.Unsent {
-			e.life = attempt.Try{}
-			return e.run(true)
+	if ended := rt.attempt.Cause == attempt.Unsent || rt.attempt.Cause == attempt.BrokenOff; ended && rt.conn.used && rt.ctx.Err() == nil {
+		rt.distrust(rt.upstream.Service)
+		if rt.attempt.Cause == attempt.Unsent {
+			rt.attempt = attempt.Attempt{}
+			return rt.do(true)
 		}
 	}
-	e.done(e.u, 0, true, e.life.Cause == attempt.ClientStopped)
-	return outcome{cause: e.life.Cause, err: fmt.Errorf("server %s: %w", e.u.ID, err)}
+	rt.releaseUpstream(rt.upstream, 0, true, rt.attempt.Cause == attempt.ClientStopped)
+	return attemptResult{cause: rt.attempt.Cause, err: fmt.Errorf("server %s: %w", rt.upstream.ID, err)}
 }
 
 // connect finds a connection, unless the server leaves meanwhile.
-func (e *exchange) connect(fresh bool) error {
-	e.life.On(attempt.Connect)
-	ctx, cancel := context.WithTimeout(e.ctx, dialLimit)
+func (rt *roundTrip) connect(fresh bool) error {
+	rt.attempt.Handle(attempt.ConnectStarted)
+	ctx, cancel := context.WithTimeout(rt.ctx, dialTimeout)
 	defer cancel()
-	conn, err := e.Proxy.connect(ctx, e.u, fresh)
+	conn, err := rt.Proxy.connect(ctx, rt.upstream, fresh)
 	if err != nil {
-		e.life.On(attempt.Closed)
+		rt.attempt.Handle(attempt.ConnectionClosed)
 		return fmt.Errorf("dial: %w", err)
 	}
-	e.conn = conn
-	e.life.On(attempt.Connection)
-	if e.u.left() {
-		e.conn.conn.Close()
-		e.life.On(attempt.Left)
-		return errLeft
+	rt.conn = conn
+	rt.attempt.Handle(attempt.ConnectionReady)
+	if rt.upstream.isDraining() {
+		rt.conn.conn.Close()
+		rt.attempt.Handle(attempt.ServerDraining)
+		return errServerDraining
 	}
 	return nil
 }
 
 // send writes the request and waits for the head of an answer.
-func (e *exchange) send() (*http.Response, error) {
-	req := e.request(e.ctx, e.t, e.u)
-	e.sent = e.now()
-	e.conn.watched.begin()
-	resp, err := e.conn.conn.RoundTrip(req)
+func (rt *roundTrip) send() (*http.Response, error) {
+	req := rt.request(rt.ctx, rt.clientReq, rt.upstream)
+	rt.sentAt = rt.now()
+	rt.conn.tracked.resetWritten()
+	resp, err := rt.conn.conn.RoundTrip(req)
 	if err == nil {
-		e.life.On(attempt.FirstByte)
-		e.life.On(attempt.AnswerBegins)
+		rt.attempt.Handle(attempt.FirstByte)
+		rt.attempt.Handle(attempt.ResponseBegins)
 		return resp, nil
 	}
-	e.conn.conn.Close()
-	if e.conn.watched.wrote() { // asked after the close: from then on no byte leaves
-		e.life.On(attempt.FirstByte)
+	rt.conn.conn.Close()
+	if rt.conn.tracked.hasWritten() { // asked after the close: from then on no byte leaves
+		rt.attempt.Handle(attempt.FirstByte)
 	}
-	broke := e.t.rest.failure()
+	broke := rt.clientReq.bodyTail.failure()
 	switch {
-	case e.ctx.Err() != nil:
-		e.life.On(attempt.TimeOut)
+	case rt.ctx.Err() != nil:
+		rt.attempt.Handle(attempt.DeadlineExceeded)
 	case broke != nil: // the client broke off, or was too slow: not the server's doing
-		e.life.On(attempt.ClientEnds)
+		rt.attempt.Handle(attempt.ClientClosed)
 		err = fmt.Errorf("body: %w", broke)
 	default:
-		e.life.On(attempt.Closed)
+		rt.attempt.Handle(attempt.ConnectionClosed)
 	}
 	return nil, err
 }
 
 // receive takes a server's answer: whole if it is short, else its beginning.
-func (e *exchange) receive(resp *http.Response) outcome {
-	header := endToEnd(resp.Header)
-	a := e.judge(resp, header)
+func (rt *roundTrip) receive(resp *http.Response) attemptResult {
+	header := copyEndToEnd(resp.Header)
+	a := rt.classify(resp, header)
 	var body []byte
 	var err error
-	if e.life.OnHead(a) {
-		body, err = e.hold(resp, &a)
+	if rt.attempt.HandleHead(a) {
+		body, err = rt.readBody(resp, &a)
 	}
-	out := outcome{cause: e.life.Cause, status: resp.StatusCode, header: header, body: body}
-	ending := out.cause.Row().Ending
-	if ending == attempt.Perhaps {
-		e.distrust(e.u.Service)
+	out := attemptResult{cause: rt.attempt.Cause, status: resp.StatusCode, header: header, body: body}
+	ending := out.cause.Consequence().Outcome
+	if ending == attempt.Unknown {
+		rt.distrust(rt.upstream.Service)
 	} else {
-		e.tell(e.u, resp.Header)
+		rt.reportLoad(rt.upstream, resp.Header)
 	}
-	if out.cause != attempt.Passing {
-		out.err = e.explain(resp, err)
+	if out.cause != attempt.Streaming {
+		out.err = rt.describe(resp, err)
 	}
-	took, answered := e.now()-e.sent, ending == attempt.Ran && out.status < http.StatusInternalServerError
-	if e.life.State == attempt.Over {
-		e.end(resp, took, answered)
+	took, answered := rt.now()-rt.sentAt, ending == attempt.Ran && out.status < http.StatusInternalServerError
+	if rt.attempt.State == attempt.Done {
+		rt.finish(resp, took, answered)
 		return out
 	}
-	out.rest, out.length = resp.Body, resp.ContentLength
+	out.remaining, out.length = resp.Body, resp.ContentLength
 	out.end = func(fromServer, toClient error) attempt.Cause {
-		e.passedOn(fromServer, toClient)
-		e.end(resp, took, answered)
-		e.cancel()
-		e.waiting.wake(e.t.service)
-		return e.life.Cause
+		rt.handleStreamed(fromServer, toClient)
+		rt.finish(resp, took, answered)
+		rt.cancel()
+		rt.queue.wake(rt.clientReq.service)
+		return rt.attempt.Cause
 	}
 	return out
 }
 
-// judge reads the head of an answer. It is this try's only if it carries its id, once.
-func (e *exchange) judge(resp *http.Response, header http.Header) attempt.Answer {
+// classify reads the head of an answer. It is this try's only if it carries its id, once.
+func (rt *roundTrip) classify(resp *http.Response, header http.Header) attempt.Response {
 	ids := header["X-Attempt-Id"]
-	return attempt.Answer{
-		Came:     true,
-		Ours:     len(ids) == 1 && ids[0] == e.t.id,
-		Ends:     resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0 || bodiless(e.t.r.Method, resp.StatusCode),
-		NotRun:   header.Get("X-Not-Run") != "" || resp.StatusCode == http.StatusMisdirectedRequest,
-		Good:     resp.StatusCode/100 == 2,
-		Sealed:   header.Get("X-Server-Seal") != "",
-		Switched: resp.StatusCode == http.StatusSwitchingProtocols,
-		Encoded:  header["Content-Encoding"] != nil && e.t.r.Header["Accept-Encoding"] == nil,
-		Status:   resp.StatusCode,
+	return attempt.Response{
+		Received:  true,
+		OwnID:     len(ids) == 1 && ids[0] == rt.clientReq.id,
+		Delimited: resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0 || bodiless(rt.clientReq.r.Method, resp.StatusCode),
+		NotRun:    header.Get("X-Not-Run") != "" || resp.StatusCode == http.StatusMisdirectedRequest,
+		Success:   resp.StatusCode/100 == 2,
+		Sealed:    header.Get("X-Server-Seal") != "",
+		Switched:  resp.StatusCode == http.StatusSwitchingProtocols,
+		Encoded:   header["Content-Encoding"] != nil && rt.clientReq.r.Header["Accept-Encoding"] == nil,
+		Status:    resp.StatusCode,
 	}
 }
 
-// hold reads as much of an answer's body as may be held.
-func (e *exchange) hold(resp *http.Response, a *attempt.Answer) ([]byte, error) {
-	most := int64(answerHeld)
-	if e.t.route.Kind == config.Keyed {
-		most = answerKept
+// readBody reads as much of an answer's body as may be held.
+func (rt *roundTrip) readBody(resp *http.Response, a *attempt.Response) ([]byte, error) {
+	most := int64(maxBufferedResponse)
+	if rt.clientReq.route.Kind == config.Keyed {
+		most = maxKeptResponse
 	}
-	body, whole, booked, err := e.held.hold(resp.Body, resp.ContentLength, most)
-	e.t.booked += booked
+	body, whole, booked, err := rt.bodyMemory.buffer(resp.Body, resp.ContentLength, most)
+	rt.clientReq.bodyBytes += booked
 	switch {
 	case err == nil:
-		a.Whole, a.Long = true, !whole
-		e.life.OnBody(*a)
-	case e.ctx.Err() != nil:
-		e.life.On(attempt.TimeOut)
+		a.Complete, a.Partial = true, !whole
+		rt.attempt.HandleBody(*a)
+	case rt.ctx.Err() != nil:
+		rt.attempt.Handle(attempt.DeadlineExceeded)
 	default:
-		e.life.On(attempt.Closed)
+		rt.attempt.Handle(attempt.ConnectionClosed)
 	}
 	return body, err
 }
 
-// explain tells for the log why an answer can't be passed on.
-func (e *exchange) explain(resp *http.Response, err error) error {
-	switch e.life.Cause {
+// describe tells for the log why an answer can't be passed on.
+func (rt *roundTrip) describe(resp *http.Response, err error) error {
+	switch rt.attempt.Cause {
 	case attempt.Answered, attempt.Failed:
 		return nil
 	case attempt.Foreign:
-		return fmt.Errorf("answer of server %s belongs to another try: %q", e.u.ID, resp.Header["X-Attempt-Id"])
+		return fmt.Errorf("answer of server %s belongs to another try: %q", rt.upstream.ID, resp.Header["X-Attempt-Id"])
 	}
 	if err != nil {
-		return fmt.Errorf("answer of server %s breaks off: %w", e.u.ID, err)
+		return fmt.Errorf("answer of server %s breaks off: %w", rt.upstream.ID, err)
 	}
-	return fmt.Errorf("answer of server %s has status %d", e.u.ID, resp.StatusCode)
+	return fmt.Errorf("answer of server %s has status %d", rt.upstream.ID, resp.StatusCode)
 }
 
-// passedOn takes how the passing on of a long answer ended.
-func (e *exchange) passedOn(fromServer, toClient error) {
+// handleStreamed takes how the passing on of a long answer ended.
+func (rt *roundTrip) handleStreamed(fromServer, toClient error) {
 	switch {
 	case fromServer != nil:
-		e.life.On(attempt.Closed)
+		rt.attempt.Handle(attempt.ConnectionClosed)
 	case toClient != nil:
-		e.life.On(attempt.ClientEnds)
+		rt.attempt.Handle(attempt.ClientClosed)
 	default:
-		e.life.OnPassedOn()
+		rt.attempt.HandleStreamed()
 	}
 }
 
-// end gives the connection and the server's place back.
-func (e *exchange) end(resp *http.Response, took time.Duration, answered bool) {
+// finish gives the connection and the server's place back.
+func (rt *roundTrip) finish(resp *http.Response, took time.Duration, answered bool) {
 	resp.Body.Close()
-	keep := e.life.Cause.Row().Keep && !resp.Close
-	if keep && e.t.rest == nil { // after a long body it isn't known whether all of it was taken
-		e.u.free(e.conn, e.now(), resp.Header)
+	keep := rt.attempt.Cause.Consequence().ReuseConn && !resp.Close
+	if keep && rt.clientReq.bodyTail == nil { // after a long body it isn't known whether all of it was taken
+		rt.upstream.putIdle(rt.conn, rt.now(), resp.Header)
 	} else {
-		e.conn.conn.Close()
+		rt.conn.conn.Close()
 	}
-	e.done(e.u, took, true, answered)
+	rt.releaseUpstream(rt.upstream, took, true, answered)
 }
 
 // distrust notes that a service's connections can't be reused safely for now: servers drop them, or send on them what
 // belongs to no request. What must not run twice then goes on new ones, where nothing is left over; a new connection
 // costs little beside an operation whose outcome nobody knows.
-func (c *Proxy) distrust(service string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.doubted[service] = c.now() + distrustFor
+func (p *Proxy) distrust(service string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.distrusted[service] = p.now() + distrustDuration
 }
 
-func (c *Proxy) distrusts(service string) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.now() < c.doubted[service]
+func (p *Proxy) distrusts(service string) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.now() < p.distrusted[service]
 }
--- a/internal/edge/proxy/faults_test.go
+++ b/internal/edge/proxy/faults_test.go
@@ -33,7 +33,7 @@
 		})
 	}
 	for range 4 { // fills the budget
-		h.asks("tags")
+		h.countRequest("tags")
 	}
 }
 
@@ -137,8 +137,8 @@
 	in(t, func(h *hall) {
 		h.serve("i-1", good)
 		h.ask("GET", "/s/x", "")
-		u := h.upstreams.Upstream("i-1").Host.(*upstream)
-		idle := u.idle[0].watched
+		u := h.upstreams.Get("i-1").Attachment.(*upstream)
+		idle := u.idle[0].tracked
 		idle.Conn = refusing{idle.Conn} // it fails at the next write
 		h.g.Expect(h.ask("POST", "/u/x", "x").Code).To(Equal(200))
 		h.g.Expect(h.got).To(HaveLen(2))
@@ -165,7 +165,9 @@
 // What identifies a try or an operation doesn't concern one connection only, whatever a client says.
 func TestConnectionHeaderDropsNoIdentity(t *testing.T) {
 	in(t, func(h *hall) {
-		h.rule = func(idempotency.Record) (idempotency.Ruling, *idempotency.Answer) { return idempotency.Stands, nil }
+		h.rule = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
+			return idempotency.OutcomeGranted, nil
+		}
 		h.serve("i-1", good)
 		w := h.ask("POST", "/k/x", "x", "X-Operation-Key", "k", "Connection", "X-Attempt-Id, X-Operation-Key")
 		h.g.Expect(w.Code).To(Equal(200))
@@ -248,7 +250,7 @@
 		front, err := net.Listen("tcp", "127.0.0.1:0")
 		h.g.Expect(err).NotTo(HaveOccurred())
 		defer front.Close()
-		go func() { _ = h.door.open(front) }()
+		go func() { _ = h.clients.serve(front) }()
 		conn, err := net.Dial("tcp", front.Addr().String())
 		h.g.Expect(err).NotTo(HaveOccurred())
 		defer conn.Close()
@@ -263,7 +265,7 @@
 		h.serve("i-1", good)
 		dial := h.Proxy.dial
 		h.Proxy.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
-			h.heard([]registry.Entry{{ID: "i-1", Service: "tags", Address: "i-1:80", Seq: 2, State: registry.Draining}})
+			h.updateServers([]registry.Entry{{ID: "i-1", Service: "tags", Address: "i-1:80", Seq: 2, State: registry.Draining}})
 			return dial(ctx, network, address)
 		}
 		h.g.Expect(h.ask("POST", "/u/x", "x").Code).To(Equal(503))
@@ -293,9 +295,9 @@
 			h.g.Expect(err).NotTo(HaveOccurred())
 			conn.Close()
 			synctest.Wait()
-			u := h.upstreams.Upstream("i-1")
-			h.g.Expect(u.Out()).To(Equal(0))
-			h.g.Expect(u.Host.(*upstream).idle).To(BeEmpty())
+			u := h.upstreams.Get("i-1")
+			h.g.Expect(u.InFlight()).To(Equal(0))
+			h.g.Expect(u.Attachment.(*upstream).idle).To(BeEmpty())
 			h.g.Expect(h.inFlight.Load()).To(BeZero())
 		})
 	})
--- a/internal/edge/proxy/forward.go
+++ b/internal/edge/proxy/forward.go
@@ -14,35 +14,35 @@
 )
 
 const (
-	waitShare   = 0.2 // of the aim that a request may wait here for room
-	claimShare  = 0.5 // of the time left that a claim may take
-	claimMost   = 1200 * time.Millisecond
-	wayBack     = 5 * time.Millisecond // kept of the deadline for the answer's way
-	leastTime   = 10 * time.Millisecond
-	distrustFor = 5 * time.Second
-	notedMost   = 5    // lines of log a second for each kind of error
-	staleRank   = 1000 // below every priority
+	queueShare           = 0.2 // of the aim that a request may wait here for room
+	claimShare           = 0.5 // of the time left that a claim may take
+	maxClaimWait         = 1200 * time.Millisecond
+	returnMargin         = 5 * time.Millisecond // kept of the deadline for the answer's way
+	minAttemptTime       = 10 * time.Millisecond
+	distrustDuration     = 5 * time.Second
+	maxLogLinesPerSecond = 5    // lines of log a second for each kind of error
+	staleRankOffset      = 1000 // below every priority
 )
 
-// errEnding refuses what comes in the last moments of a process that was told to end.
-var errEnding = apierror.NotReady.New("this edge is ending")
+// errShuttingDown refuses what comes in the last moments of a process that was told to end.
+var errShuttingDown = apierror.NotReady.New("this edge is ending")
 
 // ServeHTTP takes a client's request.
-func (c *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c.inFlight.Add(1)
-	defer c.inFlight.Add(-1)
-	now := c.now()
-	c.lastSeen.Store(int64(now))
-	if c.leaving.Load() {
+func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	p.inFlight.Add(1)
+	defer p.inFlight.Add(-1)
+	now := p.now()
+	p.lastRequestAt.Store(int64(now))
+	if p.shuttingDown.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	if c.lastCall.Load() {
-		c.refuse(w, r, errEnding)
+	if p.rejecting.Load() {
+		p.reject(w, r, errShuttingDown)
 		return
 	}
-	tree := c.tree.Load()
+	tree := p.tree.Load()
 	if tree == nil {
-		c.refuse(w, r, apierror.NotReady.New("no configuration yet"))
+		p.reject(w, r, apierror.NotReady.New("no configuration yet"))
 		return
 	}
 	path, _, _ := strings.Cut(r.RequestURI, "?")
@@ -51,65 +51,65 @@
 	}
 	route := tree.Find(r.Host, path)
 	if route == nil {
-		c.refuse(w, r, apierror.NoRoute.New("no route for %s%s", r.Host, path))
+		p.reject(w, r, apierror.NoRoute.New("no route for %s%s", r.Host, path))
 		return
 	}
-	t, err := c.take(w, r, tree, route, now)
+	t, err := p.readRequest(w, r, tree, route, now)
 	if t != nil {
-		defer func() { c.held.give(t.booked) }()
+		defer func() { p.bodyMemory.release(t.bodyBytes) }()
 	}
 	if err != nil {
-		c.refuse(w, r, err)
+		p.reject(w, r, err)
 		return
 	}
 	if route.Kind == config.Keyed {
-		c.keyed(w, t)
+		p.serveKeyed(w, t)
 		return
 	}
-	out := c.run(t)
-	c.answer(w, t, out)
+	out := p.forward(t)
+	p.respond(w, t, out)
 }
 
-// keyed runs an operation at most once: claimed before the first byte leaves, kept once it is answered.
-func (c *Proxy) keyed(w http.ResponseWriter, t *task) {
+// serveKeyed runs an operation at most once: claimed before the first byte leaves, kept once it is answered.
+func (p *Proxy) serveKeyed(w http.ResponseWriter, t *clientRequest) {
 	key := idempotency.KeyOf(strings.ToLower(t.r.Host), t.r.Header.Get("X-Operation-Key"))
-	left := t.until - c.now()
-	token, ruling := c.claim(key, time.Duration(float64(t.aim)*waitShare), min(claimMost, time.Duration(float64(left)*claimShare)))
-	switch ruling.Ruling {
-	case idempotency.Refused:
-		c.refuse(w, t.r, apierror.Unclaimed.New("the key could not be claimed"))
+	left := t.deadline - p.now()
+	token, ruling := p.acquireClaim(key, time.Duration(float64(t.latencyTarget)*queueShare), min(maxClaimWait, time.Duration(float64(left)*claimShare)))
+	switch ruling.Outcome {
+	case idempotency.OutcomeUndecided:
+		p.reject(w, t.r, apierror.Unclaimed.New("the key could not be claimed"))
 		return
-	case idempotency.Taken:
-		c.repeat(w, t, ruling.Answer)
+	case idempotency.OutcomeConflict:
+		p.replayResponse(w, t, ruling.Response)
 		return
 	}
-	out := c.run(t)
-	switch t.way.Claim(out.cause) {
-	case attempt.Finish:
-		c.finish(key, token, kept(out))
-	case attempt.Withdraw:
-		c.withdraw(key, token)
-	case attempt.Leave: // repeats are told that the operation is at work until its window is over
+	out := p.forward(t)
+	switch t.retries.ClaimAction(out.cause) {
+	case attempt.CompleteClaim:
+		p.completeClaim(key, token, storedResponse(out))
+	case attempt.RevokeClaim:
+		p.revokeClaim(key, token)
+	case attempt.KeepClaim: // repeats are told that the operation is at work until its window is over
 	}
-	c.answer(w, t, out)
+	p.respond(w, t, out)
 }
 
-// repeat answers a request whose key was claimed before.
-func (c *Proxy) repeat(w http.ResponseWriter, t *task, first *idempotency.Answer) {
+// replayResponse answers a request whose key was claimed before.
+func (p *Proxy) replayResponse(w http.ResponseWriter, t *clientRequest, first *idempotency.Response) {
 	if first == nil {
-		c.refuse(w, t.r, apierror.AtWork.New("the operation is at work"))
+		p.reject(w, t.r, apierror.AtWork.New("the operation is at work"))
 		return
 	}
 	header := http.Header{}
 	for name, value := range first.Headers {
 		header.Set(name, value)
 	}
-	c.answer(w, t, outcome{cause: attempt.Answered, status: first.Status, header: header, body: first.Body})
+	p.respond(w, t, attemptResult{cause: attempt.Answered, status: first.Status, header: header, body: first.Body})
 }
 
-// kept is what repeats of an operation are told.
-func kept(out outcome) *idempotency.Answer {
-	a := &idempotency.Answer{Status: out.status, Headers: map[string]string{}, Body: out.body}
+// storedResponse is what repeats of an operation are told.
+func storedResponse(out attemptResult) *idempotency.Response {
+	a := &idempotency.Response{Status: out.status, Headers: map[string]string{}, Body: out.body}
 	for _, name := range []string{"X-Server-Seal", "Content-Type"} {
 		if v := out.header.Get(name); v != "" {
 			a.Headers[name] = v
@@ -118,42 +118,42 @@
 	return a
 }
 
-// run sends a request to servers until one answers, or no further try is allowed.
-func (c *Proxy) run(t *task) outcome {
-	budget := c.asks(t.service)
-	told := outcome{cause: attempt.NoRoom, err: fmt.Errorf("no room at %s", t.service)}
-	t.pass = c.reservations.enter(c, t)
-	defer c.reservations.leave(c, t.pass, t.service)
-	way := &t.way
-	way.Safe, way.Most = t.route.Kind == config.Safe, t.route.Tries
+// forward sends a request to servers until one answers, or no further try is allowed.
+func (p *Proxy) forward(t *clientRequest) attemptResult {
+	budget := p.countRequest(t.service)
+	told := attemptResult{cause: attempt.NoCapacity, err: fmt.Errorf("no room at %s", t.service)}
+	t.admission = p.reservations.enter(p, t)
+	defer p.reservations.release(p, t.admission, t.service)
+	way := &t.retries
+	way.Safe, way.MaxSent = t.route.Kind == config.Safe, t.route.MaxServers
 	for {
-		if t.until-c.now()-wayBack < leastTime {
+		if t.deadline-p.now()-returnMargin < minAttemptTime {
 			if way.Sent == 0 {
-				return outcome{cause: attempt.NoTime, err: errNoTime}
+				return attemptResult{cause: attempt.NoTime, err: errDeadlineTooNear}
 			}
 			return told
 		}
-		u := c.seize(t, way.Sent > 0)
+		u := p.acquireUpstream(t, way.Sent > 0)
 		if u == nil {
 			if way.Paid {
-				c.back(budget)
+				p.refundRetry(budget)
 			}
 			if way.Sent == 0 {
-				told.cause = attempt.NoRoom
+				told.cause = attempt.NoCapacity
 			}
 			return told
 		}
-		out := c.tryAt(t, u)
+		out := p.attemptAt(t, u)
 		if way.Supersedes(out.cause) {
 			told = out
 		}
-		held := t.rest == nil || !t.rest.touched.Load()
-		next := way.Over(out.cause, held)
-		if next == attempt.Stop || c.now() > t.until-leastTime {
+		held := t.bodyTail == nil || !t.bodyTail.started.Load()
+		next := way.AfterAttempt(out.cause, held)
+		if next == attempt.Stop || p.now() > t.deadline-minAttemptTime {
 			return told
 		}
-		if next == attempt.Pay {
-			if !c.spend(budget, t.pass) {
+		if next == attempt.RetryPaid {
+			if !p.spendRetry(budget, t.admission) {
 				return told
 			}
 			way.Paid = true
@@ -161,56 +161,56 @@
 	}
 }
 
-// errNoTime says that the deadline is too near for any server.
-var errNoTime = errors.New("no time left")
+// errDeadlineTooNear says that the deadline is too near for any server.
+var errDeadlineTooNear = errors.New("no time left")
 
-// tryAt is one try with what is counted of it.
-func (c *Proxy) tryAt(t *task, u *upstream) outcome {
-	t.tried = append(t.tried, u)
-	out := c.try(t, u)
-	c.metrics.Tries.WithLabelValues(out.cause.Row().Ending.String()).Inc()
-	c.waiting.wake(t.service)
+// attemptAt is one try with what is counted of it.
+func (p *Proxy) attemptAt(t *clientRequest, u *upstream) attemptResult {
+	t.attempted = append(t.attempted, u)
+	out := p.attemptOnce(t, u)
+	p.metrics.Tries.WithLabelValues(out.cause.Consequence().Outcome.String()).Inc()
+	p.queue.wake(t.service)
 	return out
 }
 
-// seize finds a server with room, waiting a little for one.
-func (c *Proxy) seize(t *task, further bool) *upstream {
-	if u := c.place(t); u != nil || further || !c.serves(t.service) {
+// acquireUpstream finds a server with room, waiting a little for one.
+func (p *Proxy) acquireUpstream(t *clientRequest, further bool) *upstream {
+	if u := p.tryPick(t); u != nil || further || !p.serves(t.service) {
 		return u // without any server there is nothing to wait for
 	}
-	limit, rank := min(time.Duration(float64(t.aim)*waitShare), (t.until-c.now())/4), t.route.Priority
+	limit, rank := min(time.Duration(float64(t.latencyTarget)*queueShare), (t.deadline-p.now())/4), t.route.Priority
 	if t.stale { // it comes after all that can still be in time, and has nothing to lose by waiting
-		limit, rank = (t.until-c.now())/3, rank+staleRank
+		limit, rank = (t.deadline-p.now())/3, rank+staleRankOffset
 	}
-	if c.reservations.first(t.pass) {
-		rank -= bookedRank
+	if p.reservations.hasPriority(t.admission) {
+		rank -= bookedRankOffset
 	}
-	w := c.waiting.wait(t.service, rank, c.now())
-	defer c.waiting.leave(t.service, w)
+	w := p.queue.enqueue(t.service, rank, p.now())
+	defer p.queue.remove(t.service, w)
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	for {
 		select {
 		case <-w.wake:
-			if u := c.place(t); u != nil {
+			if u := p.tryPick(t); u != nil {
 				return u
 			}
 		case <-timer.C:
-			return c.place(t)
-		case <-c.ending:
+			return p.tryPick(t)
+		case <-p.abort:
 			return nil
 		}
 	}
 }
 
-// place picks a server, if the request may have room at its service.
-func (c *Proxy) place(t *task) *upstream {
-	if !c.reservations.admit(t.pass, c.now()) {
+// tryPick picks a server, if the request may have room at its service.
+func (p *Proxy) tryPick(t *clientRequest) *upstream {
+	if !p.reservations.admit(t.admission, p.now()) {
 		return nil
 	}
-	u := c.pick(t.service, t.tried)
-	if u == nil && t.way.Sent == 0 {
-		c.reservations.back(t.pass)
+	u := p.pick(t.service, t.attempted)
+	if u == nil && t.retries.Sent == 0 {
+		p.reservations.undoAdmit(t.admission)
 	}
 	return u
 }
--- a/internal/edge/proxy/fuzz_test.go
+++ b/internal/edge/proxy/fuzz_test.go
@@ -62,8 +62,8 @@
 			}()
 			return near, nil
 		}
-		c.configure(&peer.Config{Version: 1, Whole: []byte(plan)})
-		c.heard([]registry.Entry{{ID: "i-1", Service: "tags", Address: "i-1:80", Zone: "hall", Capacity: 2, Seq: 1}})
+		c.applyConfig(&peer.Config{Version: 1, Snapshot: []byte(plan)})
+		c.updateServers([]registry.Entry{{ID: "i-1", Service: "tags", Address: "i-1:80", Zone: "hall", Capacity: 2, Seq: 1}})
 		go func() {
 			defer close(done)
 			c.ServeHTTP(httptest.NewRecorder(), r)
--- a/internal/edge/proxy/headers.go
+++ b/internal/edge/proxy/headers.go
@@ -10,17 +10,17 @@
 	"strings"
 )
 
-// hop are the headers that concern one connection. Expect is among them: what it asks for was granted here, and a server
+// hopByHop are the headers that concern one connection. Expect is among them: what it asks for was granted here, and a server
 // that doesn't answer it would never be sent the body.
-var hop = map[string]bool{"Connection": true, "Expect": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
+var hopByHop = map[string]bool{"Connection": true, "Expect": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Proxy-Authenticate": true, "Proxy-Authorization": true}
 
-// endToEnd copies the headers that concern more than one connection.
-func endToEnd(from http.Header) http.Header {
+// copyEndToEnd copies the headers that concern more than one connection.
+func copyEndToEnd(from http.Header) http.Header {
 	to := make(http.Header, len(from)+2)
 	named := from.Values("Connection")
 	for name, values := range from {
-		if !hop[name] {
+		if !hopByHop[name] {
 			to[name] = values
 		}
 	}
@@ -33,9 +33,9 @@
 }
 
 // request makes what is sent to the server.
-func (c *Proxy) request(ctx context.Context, t *task, u *upstream) *http.Request {
-	header := endToEnd(t.r.Header)
-	left := max(1, (t.until - c.now() - wayBack).Milliseconds())
+func (p *Proxy) request(ctx context.Context, t *clientRequest, u *upstream) *http.Request {
+	header := copyEndToEnd(t.r.Header)
+	left := max(1, (t.deadline - p.now() - returnMargin).Milliseconds())
 	header["X-Deadline-Ms"] = []string{strconv.FormatInt(left, 10)}
 	header["X-Expected-Instance"] = []string{u.ID}
 	for _, name := range []string{"X-Attempt-Id", "X-Operation-Key"} { // whatever the client's Connection header names
@@ -54,8 +54,8 @@
 	}
 	req := (&http.Request{Method: t.r.Method, URL: target, Host: t.r.Host, Header: header, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1}).WithContext(ctx)
 	switch {
-	case t.rest != nil:
-		req.Body = io.NopCloser(io.MultiReader(bytes.NewReader(t.body), t.rest))
+	case t.bodyTail != nil:
+		req.Body = io.NopCloser(io.MultiReader(bytes.NewReader(t.body), t.bodyTail))
 		req.ContentLength = t.length
 	case len(t.body) > 0:
 		req.Body = io.NopCloser(bytes.NewReader(t.body))
--- a/internal/edge/proxy/leaving_test.go
+++ b/internal/edge/proxy/leaving_test.go
@@ -20,7 +20,7 @@
 		listener := &oneConn{near}
 		done := make(chan struct{})
 		go func() {
-			h.leave(listener)
+			h.shutDown(listener)
 			ended = time.Since(began)
 			close(done)
 		}()
--- a/internal/edge/proxy/log_test.go
+++ b/internal/edge/proxy/log_test.go
@@ -34,9 +34,9 @@
 		for range 40 {
 			h.ask("GET", "/none/x", "")
 		}
-		h.g.Expect(lines()).To(HaveLen(notedMost), "a flood of refusals costs no more than that")
+		h.g.Expect(lines()).To(HaveLen(maxLogLinesPerSecond), "a flood of refusals costs no more than that")
 		w := httptest.NewRecorder()
-		h.ready(w, httptest.NewRequest("GET", "/metrics", nil))
+		h.serveReadiness(w, httptest.NewRequest("GET", "/metrics", nil))
 		h.g.Expect(w.Body.String()).To(ContainSubstring(fmt.Sprintf(`mulleinwood_given_up_total{error="mulleinwood.no_route",role="edge"} %d`, 41)))
 	})
 }
--- a/internal/edge/proxy/matrix_test.go
+++ b/internal/edge/proxy/matrix_test.go
@@ -111,7 +111,7 @@
 	if !safe && ran > 1 {
 		a.find("%s was sent %d times", id, ran)
 	}
-	if attempt.Promising(status) && ran > 0 {
+	if attempt.PromisesNotRun(status) && ran > 0 {
 		a.find("%s was promised by a %d and sent", id, status)
 	}
 }
@@ -267,9 +267,11 @@
 // run plays the case: a probe and, in the same segment behind it, another request of the same client. It gives the probe's
 // status; 0: the connection was broken off.
 func (p *peers) run(h *hall, through func(http.Handler) http.Handler) int {
-	h.rule = func(idempotency.Record) (idempotency.Ruling, *idempotency.Answer) { return idempotency.Stands, nil }
+	h.rule = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
+		return idempotency.OutcomeGranted, nil
+	}
 	if through != nil {
-		h.door.handler = through(h.Proxy)
+		h.clients.handler = through(h.Proxy)
 	}
 	h.Proxy.dial = p.dial
 	h.serve("i-1", good)
@@ -278,16 +280,16 @@
 	}
 	if p.real { // no time is measured
 		patient := strings.ReplaceAll(strings.Replace(plan, `"r1"`, `"r2"`, 1), `"deadline_s":2`, `"deadline_s":60`)
-		h.g.Expect(h.configure(&peer.Config{Version: 2, Whole: []byte(patient)})).To(BeTrue())
+		h.g.Expect(h.applyConfig(&peer.Config{Version: 2, Snapshot: []byte(patient)})).To(BeTrue())
 	}
 	for range 8 { // fills the budget
-		h.asks("tags")
+		h.countRequest("tags")
 	}
 	client, shut := p.client(h)
 	defer p.served.Wait()
 	defer func() { // the edge's own connections
 		for _, u := range h.upstreams.All() {
-			u.Host.(*upstream).end()
+			u.Attachment.(*upstream).close()
 		}
 	}()
 	defer shut()
@@ -336,22 +338,22 @@
 	if p.real {
 		front, err := net.Listen("tcp", "127.0.0.1:0")
 		h.g.Expect(err).NotTo(HaveOccurred())
-		go func() { _ = h.door.open(front) }()
+		go func() { _ = h.clients.serve(front) }()
 		conn, err = net.Dial("tcp", front.Addr().String())
 		h.g.Expect(err).NotTo(HaveOccurred())
 		return conn, func() { conn.Close(); front.Close() }
 	}
 	s := street{in: make(chan net.Conn)}
 	ended := make(chan struct{})
-	go func() { _ = h.door.open(s); close(ended) }()
+	go func() { _ = h.clients.serve(s); close(ended) }()
 	synctest.Wait()
 	conn = h.walkIn(s)
 	return conn, func() {
 		conn.Close()
 		close(s.in)
 		<-ended
-		close(h.door.lobby.closed)
-		h.conns.sweep(0, 0)
+		close(h.clients.handoff.closed)
+		h.clientConns.closeStale(0, 0)
 	}
 }
 
--- a/internal/edge/proxy/proxy.go
+++ b/internal/edge/proxy/proxy.go
@@ -29,76 +29,76 @@
 
 // Spans of an edge.
 const (
-	reportEvery = time.Second
-	sweepEvery  = time.Second
-	tombstones  = 90 * time.Second
-	leaveAfter  = 2500 * time.Millisecond // of a stop: by then the platform sends no new connections
-	leaveQuiet  = 700 * time.Millisecond  // without any request
+	reportInterval  = time.Second
+	sweepInterval   = time.Second
+	tombstones      = 90 * time.Second
+	minShutdown     = 2500 * time.Millisecond // of a stop: by then the platform sends no new connections
+	quietBeforeExit = 700 * time.Millisecond  // without any request
 )
 
 // Proxy is one edge.
 type Proxy struct {
-	set      *nodesettings.Settings
-	security *peer.Security
-	logger   log.Logger
-	began    time.Time
-	life     uint64
+	settings    *nodesettings.Settings
+	security    *peer.Security
+	logger      log.Logger
+	startedAt   time.Time
+	incarnation uint64
 
-	tree  atomic.Pointer[config.Tree]
-	edges atomic.Int32 // in the whole fleet, as the controller last told
+	tree       atomic.Pointer[config.Tree]
+	fleetEdges atomic.Int32 // in the whole fleet, as the controller last told
 
-	mu       sync.Mutex
-	registry *registry.Registry
-	budgets  map[string]*retrybudget.Budget
-	asked    map[string]*peer.Asked
+	mu           sync.Mutex
+	registry     *registry.Registry
+	budgets      map[string]*retrybudget.Budget
+	serviceStats map[string]*peer.ServiceStats
 
-	doubted map[string]time.Duration // services whose connections are not reused for what must not run twice, until when
-	noted   struct {                 // under mu
+	distrusted   map[string]time.Duration // services whose connections are not reused for what must not run twice, until when
+	rejectionLog struct {                 // under mu
 		second int64
 		lines  map[string]int
 	}
-	upstreams    upstreams
-	metrics      *metrics.Metrics
-	controller   controllerLink
-	claims       claims
-	reservations reservations
-	conns        conns
-	door         door
-	held         account
-	dial         func(ctx context.Context, network, address string) (net.Conn, error)
-	dialer       *http.Transport
-	waiting      queue
-	leaving      atomic.Bool
-	lastCall     atomic.Bool   // nothing is begun any more: the process is about to end
-	ending       chan struct{} // closed when what waits here and was not sent is given up
-	inFlight     atomic.Int64
-	lastSeen     atomic.Int64 // when a request last came, on the steady clock
+	upstreams     upstreams
+	metrics       *metrics.Metrics
+	session       controllerSession
+	claims        claims
+	reservations  reservations
+	clientConns   connTracker
+	clients       clientListener
+	bodyMemory    memoryBudget
+	dial          func(ctx context.Context, network, address string) (net.Conn, error)
+	dialer        *http.Transport
+	queue         queue
+	shuttingDown  atomic.Bool
+	rejecting     atomic.Bool   // nothing is begun any more: the process is about to end
+	abort         chan struct{} // closed when what waits here and was not sent is given up
+	inFlight      atomic.Int64
+	lastRequestAt atomic.Int64 // when a request last came, on the steady clock
 }
 
 // New makes an edge that holds nothing yet.
 func New(set *nodesettings.Settings, logger log.Logger) *Proxy {
-	c := &Proxy{set: set, logger: logger, began: time.Now(), life: rand.Uint64() | 1,
-		budgets: map[string]*retrybudget.Budget{}, asked: map[string]*peer.Asked{}}
+	c := &Proxy{settings: set, logger: logger, startedAt: time.Now(), incarnation: rand.Uint64() | 1,
+		budgets: map[string]*retrybudget.Budget{}, serviceStats: map[string]*peer.ServiceStats{}}
 	c.registry = registry.New(tombstones)
 	c.metrics = metrics.New(metrics.Edge)
 	c.upstreams.Picker = picker.New(set.Zone, rand.Float64)
-	c.controller.known, c.controller.zones, c.controller.calls = map[string]bool{}, map[string]string{}, make(chan struct{}, 1)
+	c.session.known, c.session.zoneByIP, c.session.dialing = map[string]bool{}, map[string]string{}, make(chan struct{}, 1)
 	for _, ip := range set.SeedIPs() {
-		c.controller.known[ip] = true
+		c.session.known[ip] = true
 	}
-	c.doubted = map[string]time.Duration{}
-	c.noted.lines = map[string]int{}
-	c.reservations.held.Life, c.reservations.gates, c.reservations.wants = c.life, map[string]*reservation.Gate{}, map[string]int{}
-	c.reservations.kick = make(chan struct{}, 1)
-	c.claims.open = map[idempotency.Token]*claim{}
-	c.conns.all, c.conns.most = map[net.Conn]*use{}, max(16, int(clientShare*float64(set.Limits.FileHandles-keptHandles)))
-	c.door = door{handler: c, conns: &c.conns}
-	c.held.left.Store(int64(heldShare * set.Limits.MemoryMB * (1 << 20)))
-	c.ending = make(chan struct{})
-	c.waiting.waiters = map[string][]*waiter{}
-	c.dial = (&net.Dialer{Timeout: dialLimit, KeepAlive: 5 * time.Second, Control: cutSoon}).DialContext
+	c.distrusted = map[string]time.Duration{}
+	c.rejectionLog.lines = map[string]int{}
+	c.reservations.leases.Incarnation, c.reservations.gates, c.reservations.wanted = c.incarnation, map[string]*reservation.AdmissionGate{}, map[string]int{}
+	c.reservations.wake = make(chan struct{}, 1)
+	c.claims.open = map[idempotency.Token]*pendingClaim{}
+	c.clientConns.conns, c.clientConns.limit = map[net.Conn]*connUse{}, max(16, int(clientHandleShare*float64(set.Limits.FileHandles-reservedHandles)))
+	c.clients = clientListener{handler: c, conns: &c.clientConns}
+	c.bodyMemory.available.Store(int64(bodyMemoryShare * set.Limits.MemoryMB * (1 << 20)))
+	c.abort = make(chan struct{})
+	c.queue.waiters = map[string][]*waiter{}
+	c.dial = (&net.Dialer{Timeout: dialTimeout, KeepAlive: 5 * time.Second, Control: setUserTimeout}).DialContext
 	c.dialer = &http.Transport{DisableCompression: true, Proxy: nil, WriteBufferSize: 4 << 10, ReadBufferSize: 4 << 10,
-		MaxResponseHeaderBytes: 64 << 10, DialContext: c.dialWatched}
+		MaxResponseHeaderBytes: 64 << 10, DialContext: c.dialTracked}
 	return c
 }
 
@@ -115,81 +115,81 @@
 	if err != nil {
 		return err
 	}
-	probe := &http.Server{Handler: http.HandlerFunc(c.ready), IdleTimeout: time.Minute, ReadHeaderTimeout: headerWait}
-	for _, serve := range []func() error{func() error { return c.door.open(front) }, func() error { return probe.Serve(readiness) }} {
+	probe := &http.Server{Handler: http.HandlerFunc(c.serveReadiness), IdleTimeout: time.Minute, ReadHeaderTimeout: defaultHeaderTimeout}
+	for _, serve := range []func() error{func() error { return c.clients.serve(front) }, func() error { return probe.Serve(readiness) }} {
 		go func() {
-			if err := serve(); !errors.Is(err, http.ErrServerClosed) && !c.leaving.Load() {
+			if err := serve(); !errors.Is(err, http.ErrServerClosed) && !c.shuttingDown.Load() {
 				_ = logger.Log("event", "listener ends", "cause", err)
 			}
 		}()
 	}
 	_ = logger.Log("event", "edge starts", "node", set.Node, "zone", set.Zone)
-	go c.controller.run(c)
+	go c.session.run(c)
 	go c.reservations.run(ctx, c)
 	go func() {
 		for range reloads {
 			c.reload()
 		}
 	}()
-	c.work(ctx)
-	c.leave(front)
+	c.runPeriodic(ctx)
+	c.shutDown(front)
 	_ = logger.Log("event", "edge ends", "node", set.Node)
 	return nil
 }
 
 // reload takes the settings file's seeds over: the only part of it that a running edge has use for. A file that is wrong
 // changes nothing.
-func (c *Proxy) reload() {
-	if err := c.security.Reload(); err != nil {
-		_ = c.logger.Log("event", "inner TLS not taken over", "cause", err)
+func (p *Proxy) reload() {
+	if err := p.security.Reload(); err != nil {
+		_ = p.logger.Log("event", "inner TLS not taken over", "cause", err)
 	}
 	set, err := nodesettings.Load()
 	if err != nil {
-		_ = c.logger.Log("event", "settings not taken over", "cause", err)
+		_ = p.logger.Log("event", "settings not taken over", "cause", err)
 		return
 	}
-	c.controller.learn(set.SeedIPs())
-	_ = c.logger.Log("event", "settings read again", "seeds", strings.Join(set.Seeds, " "))
+	p.session.addKnown(set.SeedIPs())
+	_ = p.logger.Log("event", "settings read again", "seeds", strings.Join(set.Seeds, " "))
 }
 
 // now is the steady time since the process began.
-func (c *Proxy) now() time.Duration { return time.Since(c.began) }
+func (p *Proxy) now() time.Duration { return time.Since(p.startedAt) }
 
-// ready tells the platform whether to send clients here.
-func (c *Proxy) ready(w http.ResponseWriter, r *http.Request) {
+// serveReadiness tells the platform whether to send clients here.
+func (p *Proxy) serveReadiness(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/metrics" {
-		c.metrics.Handler().ServeHTTP(w, r)
+		p.metrics.Handler().ServeHTTP(w, r)
 		return
 	}
 	if r.URL.Path != "/readiness" {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	if c.leaving.Load() || c.tree.Load() == nil || !c.knowsServers() {
+	if p.shuttingDown.Load() || p.tree.Load() == nil || !p.knowsServers() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-func (c *Proxy) knowsServers() bool {
-	c.upstreams.mu.Lock()
-	defer c.upstreams.mu.Unlock()
-	return c.upstreams.Len() > 0
+func (p *Proxy) knowsServers() bool {
+	p.upstreams.mu.Lock()
+	defer p.upstreams.mu.Unlock()
+	return p.upstreams.Len() > 0
 }
 
-// work does what is due by the clock.
-func (c *Proxy) work(ctx context.Context) {
-	tick := time.NewTicker(reportEvery)
+// runPeriodic does what is due by the clock.
+func (p *Proxy) runPeriodic(ctx context.Context) {
+	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			c.report()
-			c.sweep()
-			c.claims.sayAgain(c)
+			p.sendReport()
+			p.closeIdle()
+			p.claims.resendRevocations(p)
 		}
 	}
 }
@@ -197,33 +197,33 @@
 // Spans before the end of the grace. What is read so late that it could not be answered any more is refused at once, and
 // what still waits here is refused early enough for the answer to leave: nothing of it has run.
 const (
-	refuseBefore = 600 * time.Millisecond
-	giveUpBefore = 400 * time.Millisecond
-	endBefore    = 200 * time.Millisecond
+	rejectBefore = 600 * time.Millisecond
+	abortBefore  = 400 * time.Millisecond
+	exitBefore   = 200 * time.Millisecond
 )
 
-// leave ends in order: not ready at once, and serving until nothing comes any more or the time that is granted is
+// shutDown ends in order: not ready at once, and serving until nothing comes any more or the time that is granted is
 // nearly over. It guards against breaking off what runs and against closing doors that clients still come to.
-func (c *Proxy) leave(front net.Listener) {
-	c.leaving.Store(true)
-	_ = c.logger.Log("event", "told to end", "in_flight", c.inFlight.Load())
-	start := c.now()
-	grace := c.set.Seconds("grace_s", 6)
+func (p *Proxy) shutDown(front net.Listener) {
+	p.shuttingDown.Store(true)
+	_ = p.logger.Log("event", "told to end", "in_flight", p.inFlight.Load())
+	start := p.now()
+	grace := p.settings.Seconds("grace_s", 6)
 	closed, given := false, false
 	for {
 		time.Sleep(50 * time.Millisecond)
-		gone := c.now() - start
-		idle := c.inFlight.Load() == 0
-		quiet := c.now()-time.Duration(c.lastSeen.Load()) > leaveQuiet
-		if idle && quiet && gone > min(leaveAfter, grace/2) || gone > grace-endBefore {
+		gone := p.now() - start
+		idle := p.inFlight.Load() == 0
+		quiet := p.now()-time.Duration(p.lastRequestAt.Load()) > quietBeforeExit
+		if idle && quiet && gone > min(minShutdown, grace/2) || gone > grace-exitBefore {
 			return
 		}
-		if gone > grace-refuseBefore {
-			c.lastCall.Store(true)
+		if gone > grace-rejectBefore {
+			p.rejecting.Store(true)
 		}
-		if !given && gone > grace-giveUpBefore {
+		if !given && gone > grace-abortBefore {
 			given = true
-			close(c.ending)
+			close(p.abort)
 		}
 		if !closed && gone > grace-time.Second {
 			closed = true
@@ -235,43 +235,43 @@
 	}
 }
 
-// sweep closes what has been idle for too long, on both sides.
-func (c *Proxy) sweep() {
-	if tree := c.tree.Load(); tree != nil && tree.Config.Limits.Idle > 0 {
+// closeIdle closes what has been idle for too long, on both sides.
+func (p *Proxy) closeIdle() {
+	if tree := p.tree.Load(); tree != nil && tree.Config.Limits.Idle > 0 {
 		idle, longest := time.Duration((tree.Config.Limits.Idle+0.5)*float64(time.Second)), 0.0
 		for _, r := range tree.Config.Routes {
 			longest = max(longest, r.Deadline)
 		}
-		c.conns.sweep(idle, idle+time.Duration(longest*float64(time.Second))+activeBeyond)
+		p.clientConns.closeStale(idle, idle+time.Duration(longest*float64(time.Second))+stuckAfter)
 	}
-	c.mu.Lock()
-	c.registry.Forget(c.now())
-	c.mu.Unlock()
-	c.upstreams.mu.Lock()
-	upstreams := c.upstreams.All()
-	c.upstreams.mu.Unlock()
+	p.mu.Lock()
+	p.registry.Prune(p.now())
+	p.mu.Unlock()
+	p.upstreams.mu.Lock()
+	upstreams := p.upstreams.All()
+	p.upstreams.mu.Unlock()
 	for _, u := range upstreams {
-		u.Host.(*upstream).sweep(c.now())
+		u.Attachment.(*upstream).closeIdle(p.now())
 	}
 }
 
-// report tells the controller what was met since the last report.
-func (c *Proxy) report() {
-	r := &peer.Report{Period: reportEvery.Seconds()}
-	c.upstreams.mu.Lock()
-	for _, u := range c.upstreams.All() {
-		if m := c.upstreams.Met(u); m.Tries > 0 {
-			r.Met = append(r.Met, peer.Met{Server: u.ID, Tries: m.Tries, Failed: m.Failed, Time: m.Time})
+// sendReport tells the controller what was met since the last report.
+func (p *Proxy) sendReport() {
+	r := &peer.Report{Period: reportInterval.Seconds()}
+	p.upstreams.mu.Lock()
+	for _, u := range p.upstreams.All() {
+		if m := p.upstreams.TakeStats(u); m.Attempts > 0 {
+			r.Servers = append(r.Servers, peer.ServerStats{Server: u.ID, Attempts: m.Attempts, Failed: m.Failed, TotalTime: m.TotalTime})
 		}
 	}
-	c.upstreams.mu.Unlock()
-	c.mu.Lock()
-	for _, a := range c.asked {
-		r.Asked = append(r.Asked, *a)
+	p.upstreams.mu.Unlock()
+	p.mu.Lock()
+	for _, a := range p.serviceStats {
+		r.Services = append(r.Services, *a)
 	}
-	clear(c.asked)
-	c.mu.Unlock()
-	if len(r.Met)+len(r.Asked) > 0 {
-		c.controller.send(&peer.Frame{Report: r})
+	clear(p.serviceStats)
+	p.mu.Unlock()
+	if len(r.Servers)+len(r.Services) > 0 {
+		p.session.send(&peer.Frame{Report: r})
 	}
 }
--- a/internal/edge/proxy/proxy_test.go
+++ b/internal/edge/proxy/proxy_test.go
@@ -48,7 +48,7 @@
 	got           []*http.Request                       // what servers were sent
 	bodies        []string
 	dials         int
-	rule          func(idempotency.Record) (idempotency.Ruling, *idempotency.Answer)
+	rule          func(idempotency.Record) (idempotency.Outcome, *idempotency.Response)
 	voids         []idempotency.Record
 	kept          []idempotency.Record
 	controllerEnd *peer.Link
@@ -71,22 +71,22 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	h := &hall{Proxy: New(set, log.NewNopLogger()), g: g, servers: map[string]func(*http.Request) string{}}
 	h.Proxy.dial = h.dial
-	g.Expect(h.configure(&peer.Config{Version: 1, Whole: []byte(plan)})).To(BeTrue())
+	g.Expect(h.applyConfig(&peer.Config{Version: 1, Snapshot: []byte(plan)})).To(BeTrue())
 	near, far := net.Pipe()
 	link := peer.NewLink(near)
-	h.controller.link = link
+	h.session.link = link
 	h.controllerEnd = peer.NewLink(far)
-	go func() { _ = link.Read(func(f *peer.Frame) { h.frame(link, f) }) }()
+	go func() { _ = link.Read(func(f *peer.Frame) { h.handleFrame(link, f) }) }()
 	go func() { _ = h.controllerEnd.Read(h.frameAtController) }()
 	play(h)
 }
 
 // close ends what runs beside the edge.
 func (h *hall) close() {
-	h.controller.link.Close()
+	h.session.link.Close()
 	h.controllerEnd.Close()
 	for _, u := range h.upstreams.All() {
-		u.Host.(*upstream).end()
+		u.Attachment.(*upstream).close()
 	}
 }
 
@@ -96,11 +96,11 @@
 	for _, r := range f.Claims {
 		if h.rule != nil {
 			ruling, answer := h.rule(r)
-			h.controllerEnd.Send(&peer.Frame{Rulings: []peer.Ruling{{Token: r.Token, Ruling: ruling, Answer: answer}}})
+			h.controllerEnd.Send(&peer.Frame{Outcomes: []peer.ClaimOutcome{{Token: r.Token, Outcome: ruling, Response: answer}}})
 		}
 	}
-	h.voids = append(h.voids, f.Voids...)
-	h.kept = append(h.kept, f.Done...)
+	h.voids = append(h.voids, f.Revocations...)
+	h.kept = append(h.kept, f.Responses...)
 }
 
 // dial connects to a scripted server.
@@ -144,7 +144,7 @@
 	h.mu.Lock()
 	h.servers[id+":80"] = answer
 	h.mu.Unlock()
-	h.heard([]registry.Entry{{ID: id, Service: "tags", Address: id + ":80", Zone: "hall", Capacity: 2, Seq: 1}})
+	h.updateServers([]registry.Entry{{ID: id, Service: "tags", Address: id + ":80", Zone: "hall", Capacity: 2, Seq: 1}})
 }
 
 func (h *hall) ask(method, path, body string, headers ...string) *httptest.ResponseRecorder {
@@ -237,7 +237,7 @@
 				h.serve("i-1", script)
 				h.serve("i-2", script)
 				for range 4 { // fills the budget
-					h.asks("tags")
+					h.countRequest("tags")
 				}
 				w := h.ask("POST", c.path, "x")
 				h.g.Expect(w.Code).To(Equal(c.status))
@@ -271,8 +271,8 @@
 	in(t, func(h *hall) {
 		h.serve("i-1", good)
 		h.g.Expect(h.ask("GET", "/s/x", "").Code).To(Equal(200))
-		h.heard([]registry.Entry{{ID: "i-1", Service: "tags", Address: "i-1:80", Seq: 2, State: registry.Draining}})
-		h.heard([]registry.Entry{{ID: "i-1", Service: "tags", Address: "i-1:80", Seq: 1}}) // late
+		h.updateServers([]registry.Entry{{ID: "i-1", Service: "tags", Address: "i-1:80", Seq: 2, State: registry.Draining}})
+		h.updateServers([]registry.Entry{{ID: "i-1", Service: "tags", Address: "i-1:80", Seq: 1}}) // late
 		h.g.Expect(h.ask("GET", "/s/x", "").Code).To(Equal(503))
 		h.g.Expect(h.got).To(HaveLen(1))
 	})
@@ -284,7 +284,7 @@
 		h.ask("GET", "/s/x", "")
 		h.ask("GET", "/s/x", "")
 		h.g.Expect(h.dials).To(Equal(1))
-		h.heard([]registry.Entry{{ID: "i-1", Seq: 2, State: registry.Gone}, {ID: "i-2", Service: "tags", Address: "i-1:80", Zone: "hall", Capacity: 2, Seq: 1}})
+		h.updateServers([]registry.Entry{{ID: "i-1", Seq: 2, State: registry.Removed}, {ID: "i-2", Service: "tags", Address: "i-1:80", Zone: "hall", Capacity: 2, Seq: 1}})
 		h.ask("GET", "/s/x", "")
 		h.g.Expect(h.dials).To(Equal(2))
 		h.g.Expect(h.got[2].Header.Get("X-Expected-Instance")).To(Equal("i-2"))
@@ -292,20 +292,24 @@
 }
 
 func TestKeyedOperations(t *testing.T) {
-	stands := func(idempotency.Record) (idempotency.Ruling, *idempotency.Answer) { return idempotency.Stands, nil }
+	stands := func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
+		return idempotency.OutcomeGranted, nil
+	}
 	t.Run("run once claimed, and their answer is kept", func(t *testing.T) {
 		in(t, func(h *hall) {
 			h.rule = stands
 			h.serve("i-1", good)
 			h.g.Expect(h.ask("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(200))
 			h.g.Expect(h.kept).To(HaveLen(1))
-			h.g.Expect(string(h.kept[0].Answer.Body)).To(Equal("bytes"))
-			h.g.Expect(h.kept[0].Answer.Headers).To(HaveKeyWithValue("X-Server-Seal", "seal"))
+			h.g.Expect(string(h.kept[0].Response.Body)).To(Equal("bytes"))
+			h.g.Expect(h.kept[0].Response.Headers).To(HaveKeyWithValue("X-Server-Seal", "seal"))
 		})
 	})
 	t.Run("are 409 while another runs them", func(t *testing.T) {
 		in(t, func(h *hall) {
-			h.rule = func(idempotency.Record) (idempotency.Ruling, *idempotency.Answer) { return idempotency.Taken, nil }
+			h.rule = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
+				return idempotency.OutcomeConflict, nil
+			}
 			h.serve("i-1", good)
 			h.g.Expect(h.ask("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(409))
 			h.g.Expect(h.got).To(BeEmpty())
@@ -313,8 +317,8 @@
 	})
 	t.Run("repeat the first answer, for this try", func(t *testing.T) {
 		in(t, func(h *hall) {
-			h.rule = func(idempotency.Record) (idempotency.Ruling, *idempotency.Answer) {
-				return idempotency.Taken, &idempotency.Answer{Status: 201, Headers: map[string]string{"X-Server-Seal": "first"}, Body: []byte("one")}
+			h.rule = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
+				return idempotency.OutcomeConflict, &idempotency.Response{Status: 201, Headers: map[string]string{"X-Server-Seal": "first"}, Body: []byte("one")}
 			}
 			w := h.ask("POST", "/k/x", "x", "X-Operation-Key", "k")
 			h.g.Expect(w.Code).To(Equal(201))
@@ -350,14 +354,14 @@
 	t.Run("are refused early while no controller can be reached, and withdrawn once one can", func(t *testing.T) {
 		in(t, func(h *hall) {
 			h.serve("i-1", good)
-			link := h.controller.link
-			h.controller.link, h.controller.known = nil, map[string]bool{}
+			link := h.session.link
+			h.session.link, h.session.known = nil, map[string]bool{}
 			w := h.ask("POST", "/k/x", "x", "X-Operation-Key", "k")
 			h.g.Expect(w.Code).To(Equal(503))
 			h.g.Expect(w.Header().Get("Retry-After")).NotTo(BeEmpty())
 			h.g.Expect(h.now()).To(BeNumerically("<=", 100*time.Millisecond), "a fifth of the aim and a little")
-			h.controller.link = link
-			h.claims.again(h.Proxy)
+			h.session.link = link
+			h.claims.resendPending(h.Proxy)
 			synctest.Wait()
 			h.g.Expect(h.voids).To(HaveLen(1))
 			h.g.Expect(h.got).To(BeEmpty())
@@ -371,9 +375,9 @@
 			defer guest.Close()
 			var claims, voids int
 			go func() {
-				_ = other.Read(func(f *peer.Frame) { claims, voids = claims+len(f.Claims), voids+len(f.Voids) })
+				_ = other.Read(func(f *peer.Frame) { claims, voids = claims+len(f.Claims), voids+len(f.Revocations) })
 			}()
-			h.controller.guest = guest
+			h.session.secondary = guest
 			h.g.Expect(h.ask("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(503))
 			h.g.Expect(claims).To(Equal(1))
 			h.g.Expect(voids).To(Equal(1))
@@ -470,10 +474,10 @@
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	in(t, func(h *hall) {
 		newer := strings.Replace(plan, `"r1"`, `"r5"`, 1)
-		h.g.Expect(h.configure(&peer.Config{Version: 5, Whole: []byte(newer)})).To(BeTrue())
-		h.g.Expect(h.configure(&peer.Config{Version: 1, Whole: []byte(plan)})).To(BeTrue())
+		h.g.Expect(h.applyConfig(&peer.Config{Version: 5, Snapshot: []byte(newer)})).To(BeTrue())
+		h.g.Expect(h.applyConfig(&peer.Config{Version: 1, Snapshot: []byte(plan)})).To(BeTrue())
 		h.g.Expect(h.tree.Load().Config.Version).To(Equal(config.Version(5)))
-		h.g.Expect(h.configure(&peer.Config{Version: 9, Base: 7, Change: []byte(`{"version":"r9"}`)})).To(BeFalse(), "a change on another version needs the whole")
+		h.g.Expect(h.applyConfig(&peer.Config{Version: 9, Base: 7, Delta: []byte(`{"version":"r9"}`)})).To(BeFalse(), "a change on another version needs the whole")
 	})
 }
 
@@ -489,8 +493,8 @@
 		b.Fatal(err)
 	}
 	c := New(set, log.NewNopLogger())
-	c.configure(&peer.Config{Version: 1, Whole: []byte(plan)})
-	c.heard([]registry.Entry{{ID: "i-1", Service: "tags", Address: server.Listener.Addr().String(), Zone: "hall", Capacity: 2, Seq: 1}})
+	c.applyConfig(&peer.Config{Version: 1, Snapshot: []byte(plan)})
+	c.updateServers([]registry.Entry{{ID: "i-1", Service: "tags", Address: server.Listener.Addr().String(), Zone: "hall", Capacity: 2, Seq: 1}})
 	b.ReportAllocs()
 	for b.Loop() {
 		r := httptest.NewRequest("GET", "http://a.example/s/x", nil)
@@ -522,11 +526,11 @@
 		all.Go(func() { slow = h.send("GET", "/s/slow", "", "X-Deadline-Ms", "2000") })
 		synctest.Wait()
 		left := false
-		all.Go(func() { h.leave(front); left = true })
+		all.Go(func() { h.shutDown(front); left = true })
 		time.Sleep(time.Second)
 		synctest.Wait()
 		ready := httptest.NewRecorder()
-		h.ready(ready, httptest.NewRequest("GET", "/readiness", nil))
+		h.serveReadiness(ready, httptest.NewRequest("GET", "/readiness", nil))
 		h.g.Expect(ready.Code).To(Equal(503))
 		w := h.ask("GET", "/s/new", "")
 		h.g.Expect(w.Code).To(Equal(200))
@@ -544,12 +548,12 @@
 func TestOneOfManyEdgesRunsAKey(t *testing.T) {
 	in(t, func(h *hall) {
 		taken := map[idempotency.Key]idempotency.Token{}
-		h.rule = func(r idempotency.Record) (idempotency.Ruling, *idempotency.Answer) {
+		h.rule = func(r idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
 			if first, ok := taken[r.Key]; ok && first != r.Token {
-				return idempotency.Taken, nil
+				return idempotency.OutcomeConflict, nil
 			}
 			taken[r.Key] = r.Token
-			return idempotency.Stands, nil
+			return idempotency.OutcomeGranted, nil
 		}
 		h.serve("i-1", good)
 		var all sync.WaitGroup
--- a/internal/edge/proxy/queue.go
+++ b/internal/edge/proxy/queue.go
@@ -18,8 +18,8 @@
 	wake  chan struct{}
 }
 
-// wait joins a service's queue.
-func (q *queue) wait(service string, rank int, now time.Duration) *waiter {
+// enqueue joins a service's queue.
+func (q *queue) enqueue(service string, rank int, now time.Duration) *waiter {
 	w := &waiter{rank: rank, since: now, wake: make(chan struct{}, 1)}
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -34,8 +34,8 @@
 	return w
 }
 
-// leave takes a waiter out.
-func (q *queue) leave(service string, w *waiter) {
+// remove takes a waiter out.
+func (q *queue) remove(service string, w *waiter) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.waiters[service] = slices.DeleteFunc(q.waiters[service], func(o *waiter) bool { return o == w })
--- a/internal/edge/proxy/reservations_test.go
+++ b/internal/edge/proxy/reservations_test.go
@@ -52,18 +52,18 @@
 
 // hold gives the edge reservations and its parts of them.
 func (h *hall) hold(list []reservation.Reservation, parts map[string]int, full map[string]bool) {
-	h.reservations.take(h.Proxy, &peer.Reservations{Term: 3, List: list})
-	h.reservations.lease(h.Proxy, reservation.Lease{Life: h.life, Stamp: h.now(), Term: 3, Seq: 1, For: 10 * time.Second, Parts: parts, Full: full})
+	h.reservations.handleAnnouncement(h.Proxy, &peer.Reservations{Term: 3, List: list})
+	h.reservations.handleLease(h.Proxy, reservation.Lease{Incarnation: h.incarnation, Stamp: h.now(), Term: 3, Seq: 1, Duration: 10 * time.Second, Shares: parts, Exhausted: full})
 }
 
 func TestOthersDoNotTakeAReservation(t *testing.T) {
 	in(t, func(h *hall) {
-		h.g.Expect(h.configure(&peer.Config{Version: 2, Whole: []byte(twoTenants)})).To(BeTrue())
+		h.g.Expect(h.applyConfig(&peer.Config{Version: 2, Snapshot: []byte(twoTenants)})).To(BeTrue())
 		for i := range 4 { // eight slots
 			h.serve(fmt.Sprint("i-", i), works(h, 300*time.Millisecond))
 		}
-		list := []reservation.Reservation{{ID: "flyer", Tenant: "A.example", Service: "tags", Slots: 6}, {ID: reservation.Rest("tags"), Service: "tags", Slots: 2}}
-		h.hold(list, map[string]int{"flyer": 6, reservation.Rest("tags"): 2}, map[string]bool{reservation.Rest("tags"): true})
+		list := []reservation.Reservation{{ID: "flyer", Tenant: "A.example", Service: "tags", Slots: 6}, {ID: reservation.OthersID("tags"), Service: "tags", Slots: 2}}
+		h.hold(list, map[string]int{"flyer": 6, reservation.OthersID("tags"): 2}, map[string]bool{reservation.OthersID("tags"): true})
 		others := h.flood(30, "b.example")
 		time.Sleep(20 * time.Millisecond)
 		booked := h.flood(4, "a.example")
@@ -74,8 +74,8 @@
 		h.g.Expect(h.reservations.gates["tags"].Idle()).To(BeTrue(), "all room is given back")
 
 		// The booking ends: nobody is held any more.
-		h.reservations.take(h.Proxy, &peer.Reservations{Term: 3})
-		h.g.Expect(h.reservations.on.Load()).To(BeFalse())
+		h.reservations.handleAnnouncement(h.Proxy, &peer.Reservations{Term: 3})
+		h.g.Expect(h.reservations.active.Load()).To(BeFalse())
 		h.g.Expect(h.flood(8, "b.example")()).To(Equal(map[int]int{200: 8}))
 	})
 }
@@ -83,23 +83,23 @@
 // The booking is cancelled while others run under its reservation: they run on, nobody is held any more, and every slot is given back.
 func TestABookingEndsWhileItsReservationIsLent(t *testing.T) {
 	in(t, func(h *hall) {
-		h.g.Expect(h.configure(&peer.Config{Version: 2, Whole: []byte(twoTenants)})).To(BeTrue())
+		h.g.Expect(h.applyConfig(&peer.Config{Version: 2, Snapshot: []byte(twoTenants)})).To(BeTrue())
 		for i := range 4 {
 			h.serve(fmt.Sprint("i-", i), works(h, 300*time.Millisecond))
 		}
-		list := []reservation.Reservation{{ID: "flyer", Tenant: "a.example", Service: "tags", Slots: 7}, {ID: reservation.Rest("tags"), Service: "tags", Slots: 1}}
-		h.hold(list, map[string]int{"flyer": 7, reservation.Rest("tags"): 1}, map[string]bool{reservation.Rest("tags"): true})
+		list := []reservation.Reservation{{ID: "flyer", Tenant: "a.example", Service: "tags", Slots: 7}, {ID: reservation.OthersID("tags"), Service: "tags", Slots: 1}}
+		h.hold(list, map[string]int{"flyer": 7, reservation.OthersID("tags"): 1}, map[string]bool{reservation.OthersID("tags"): true})
 		lent := h.flood(3, "b.example")
 		booked := h.flood(1, "a.example")
-		h.reservations.take(h.Proxy, &peer.Reservations{Term: 3})
+		h.reservations.handleAnnouncement(h.Proxy, &peer.Reservations{Term: 3})
 		h.g.Expect(h.reservations.gates).To(HaveLen(1), "requests still run under it")
 		more := h.flood(4, "b.example")
 		h.g.Expect(lent()).To(Equal(map[int]int{200: 3}))
 		h.g.Expect(booked()).To(Equal(map[int]int{200: 1}))
 		h.g.Expect(more()).To(Equal(map[int]int{200: 4}))
-		h.reservations.say(h.Proxy)
+		h.reservations.sendDemand(h.Proxy)
 		h.g.Expect(h.reservations.gates).To(BeEmpty())
-		h.g.Expect(h.reservations.on.Load()).To(BeFalse())
+		h.g.Expect(h.reservations.active.Load()).To(BeFalse())
 	})
 }
 
@@ -107,15 +107,15 @@
 // Once it is used up, what exceeds it competes like everyone else.
 func TestAnEdgeWithASmallPartSendsNobodyAway(t *testing.T) {
 	in(t, func(h *hall) {
-		h.g.Expect(h.configure(&peer.Config{Version: 2, Whole: []byte(twoTenants)})).To(BeTrue())
+		h.g.Expect(h.applyConfig(&peer.Config{Version: 2, Snapshot: []byte(twoTenants)})).To(BeTrue())
 		for i := range 4 {
 			h.serve(fmt.Sprint("i-", i), works(h, 300*time.Millisecond))
 		}
-		list := []reservation.Reservation{{ID: "flyer", Tenant: "a.example", Service: "tags", Slots: 6}, {ID: reservation.Rest("tags"), Service: "tags", Slots: 2}}
-		h.hold(list, map[string]int{"flyer": 1, reservation.Rest("tags"): 0}, nil)
+		list := []reservation.Reservation{{ID: "flyer", Tenant: "a.example", Service: "tags", Slots: 6}, {ID: reservation.OthersID("tags"), Service: "tags", Slots: 2}}
+		h.hold(list, map[string]int{"flyer": 1, reservation.OthersID("tags"): 0}, nil)
 		h.g.Expect(h.flood(6, "a.example")()).To(Equal(map[int]int{200: 6}))
-		h.reservations.lease(h.Proxy, reservation.Lease{Life: h.life, Stamp: h.now(), Term: 3, Seq: 2, For: 10 * time.Second,
-			Parts: map[string]int{"flyer": 1, reservation.Rest("tags"): 2}, Full: map[string]bool{"flyer": true, reservation.Rest("tags"): true}})
+		h.reservations.handleLease(h.Proxy, reservation.Lease{Incarnation: h.incarnation, Stamp: h.now(), Term: 3, Seq: 2, Duration: 10 * time.Second,
+			Shares: map[string]int{"flyer": 1, reservation.OthersID("tags"): 2}, Exhausted: map[string]bool{"flyer": true, reservation.OthersID("tags"): true}})
 		h.g.Expect(h.flood(8, "a.example")()[200]).To(Equal(3), "one booked, two as everybody")
 	})
 }
@@ -124,17 +124,17 @@
 // leader that was on its way says nothing any more.
 func TestAnEdgeWithoutALease(t *testing.T) {
 	in(t, func(h *hall) {
-		h.g.Expect(h.configure(&peer.Config{Version: 2, Whole: []byte(twoTenants)})).To(BeTrue())
+		h.g.Expect(h.applyConfig(&peer.Config{Version: 2, Snapshot: []byte(twoTenants)})).To(BeTrue())
 		for i := range 4 {
 			h.serve(fmt.Sprint("i-", i), works(h, 300*time.Millisecond))
 		}
-		h.edges.Store(2)
-		list := []reservation.Reservation{{ID: "flyer", Tenant: "a.example", Service: "tags", Slots: 4}, {ID: reservation.Rest("tags"), Service: "tags", Slots: 4}}
-		h.hold(list, map[string]int{"flyer": 4, reservation.Rest("tags"): 4}, map[string]bool{reservation.Rest("tags"): true})
+		h.fleetEdges.Store(2)
+		list := []reservation.Reservation{{ID: "flyer", Tenant: "a.example", Service: "tags", Slots: 4}, {ID: reservation.OthersID("tags"), Service: "tags", Slots: 4}}
+		h.hold(list, map[string]int{"flyer": 4, reservation.OthersID("tags"): 4}, map[string]bool{reservation.OthersID("tags"): true})
 		time.Sleep(11 * time.Second)
-		h.reservations.say(h.Proxy)
-		h.reservations.take(h.Proxy, &peer.Reservations{Term: 4, List: list})
-		h.reservations.lease(h.Proxy, reservation.Lease{Life: h.life, Stamp: h.now(), Term: 3, Seq: 9, For: 10 * time.Second, Parts: map[string]int{reservation.Rest("tags"): 8}})
+		h.reservations.sendDemand(h.Proxy)
+		h.reservations.handleAnnouncement(h.Proxy, &peer.Reservations{Term: 4, List: list})
+		h.reservations.handleLease(h.Proxy, reservation.Lease{Incarnation: h.incarnation, Stamp: h.now(), Term: 3, Seq: 9, Duration: 10 * time.Second, Shares: map[string]int{reservation.OthersID("tags"): 8}})
 		others := h.flood(10, "b.example")
 		booked := h.flood(4, "a.example")
 		h.g.Expect(booked()).To(Equal(map[int]int{200: 4}))
--- a/internal/edge/proxy/task.go
+++ b/internal/edge/proxy/task.go
@@ -11,46 +11,46 @@
 	"mulleinwood/internal/platform/apierror"
 )
 
-// task is a request on its way.
-type task struct {
-	r       *http.Request
-	id      string
-	body    []byte // or its beginning, if there is a rest
-	length  int64  // of the whole body; -1: it comes in chunks
-	rest    *rest
-	booked  int64 // of the account of what is held
-	route   *config.Route
-	service string
-	until   time.Duration
-	aim     time.Duration
-	began   time.Duration
-	tried   []*upstream
-	way     attempt.Attempt
-	pass    *pass
-	stale   bool // the client has waited for longer than the aim: what is fresh is worth more
+// clientRequest is a request on its way.
+type clientRequest struct {
+	r             *http.Request
+	id            string
+	body          []byte // or its beginning, if there is a rest
+	length        int64  // of the whole body; -1: it comes in chunks
+	bodyTail      *bodyTail
+	bodyBytes     int64 // of the account of what is held
+	route         *config.Route
+	service       string
+	deadline      time.Duration
+	latencyTarget time.Duration
+	receivedAt    time.Duration
+	attempted     []*upstream
+	retries       attempt.Retries
+	admission     *admission
+	stale         bool // the client has waited for longer than the aim: what is fresh is worth more
 }
 
-// take reads a request whole and checks what its route needs.
-func (c *Proxy) take(w http.ResponseWriter, r *http.Request, tree *config.Tree, route *config.Route, now time.Duration) (*task, error) {
-	t := &task{r: r, id: r.Header.Get("X-Attempt-Id"), route: route, began: now, aim: time.Duration(route.Setpoint * float64(time.Second))}
+// readRequest reads a request whole and checks what its route needs.
+func (p *Proxy) readRequest(w http.ResponseWriter, r *http.Request, tree *config.Tree, route *config.Route, now time.Duration) (*clientRequest, error) {
+	t := &clientRequest{r: r, id: r.Header.Get("X-Attempt-Id"), route: route, receivedAt: now, latencyTarget: time.Duration(route.LatencyTarget * float64(time.Second))}
 	if t.id == "" {
 		return nil, apierror.Malformed.New("X-Attempt-Id is missing")
 	}
 	if route.Kind == config.Keyed && r.Header.Get("X-Operation-Key") == "" {
 		return nil, apierror.Malformed.New("X-Operation-Key is missing on a keyed route")
 	}
-	t.until = now + time.Duration(route.Deadline*float64(time.Second))
+	t.deadline = now + time.Duration(route.Deadline*float64(time.Second))
 	if text := r.Header.Get("X-Deadline-Ms"); text != "" {
 		ms, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(ms >= 0) { // not a number is no time either
 			return nil, apierror.Malformed.New("X-Deadline-Ms %q is no time", text)
 		}
 		ms = min(ms, route.Deadline*1000) // a longer time need not fit into a duration
-		t.until = now + time.Duration(ms*float64(time.Millisecond))
-		t.stale = route.Deadline-ms/1000 > route.Setpoint
+		t.deadline = now + time.Duration(ms*float64(time.Millisecond))
+		t.stale = route.Deadline-ms/1000 > route.LatencyTarget
 	}
 	if r.Body != nil && r.ContentLength != 0 {
-		if err := c.takeBody(w, t, tree.Config.Limits.BodyBytes); err != nil {
+		if err := p.bufferBody(w, t, tree.Config.Limits.BodyBytes); err != nil {
 			return t, err
 		}
 	}
@@ -63,11 +63,11 @@
 	shares := route.Shares()
 	sum := 0.0
 	for _, s := range shares {
-		sum += s.Gain
+		sum += s.Weight
 	}
 	at := rand.Float64() * sum
 	for _, s := range shares {
-		if at -= s.Gain; at < 0 {
+		if at -= s.Weight; at < 0 {
 			return s.Service
 		}
 	}
--- a/internal/edge/proxy/upstreams.go
+++ b/internal/edge/proxy/upstreams.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	dialLimit   = 400 * time.Millisecond
-	userTimeout = 2000                    // milliseconds that sent bytes may stay unacknowledged: a cut is silent
-	idleUnknown = 8 * time.Second         // a server's idle time, where it doesn't say
-	idleEarly   = 1500 * time.Millisecond // a connection is closed here that much before the server closes it
+	dialTimeout       = 400 * time.Millisecond
+	userTimeoutMillis = 2000                    // milliseconds that sent bytes may stay unacknowledged: a cut is silent
+	defaultServerIdle = 8 * time.Second         // a server's idle time, where it doesn't say
+	idleMargin        = 1500 * time.Millisecond // a connection is closed here that much before the server closes it
 )
 
-// cutSoon has the kernel end connections whose peer is silent.
-func cutSoon(_, _ string, raw syscall.RawConn) error {
+// setUserTimeout has the kernel end connections whose peer is silent.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, userTimeout) // a platform without it: deadlines remain
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, userTimeoutMillis) // a platform without it: deadlines remain
 	})
 }
 
@@ -36,16 +36,16 @@
 	*picker.Upstream
 	address string
 
-	mu      sync.Mutex
-	idle    []*serverConn
-	idleFor time.Duration
-	dead    bool
+	mu          sync.Mutex
+	idle        []*serverConn
+	idleTimeout time.Duration
+	closed      bool
 }
 
 // serverConn is a connection to a server that carries one request at a time.
 type serverConn struct {
 	conn    *http.ClientConn
-	watched *watchedConn
+	tracked *trackedConn
 	since   time.Duration // idle
 	used    bool          // it carried a request before
 }
@@ -56,54 +56,54 @@
 	*picker.Picker
 }
 
-// heard takes news of servers.
-func (c *Proxy) heard(entries []registry.Entry) {
-	c.mu.Lock()
-	c.upstreams.mu.Lock()
+// updateServers takes news of servers.
+func (p *Proxy) updateServers(entries []registry.Entry) {
+	p.mu.Lock()
+	p.upstreams.mu.Lock()
 	changed := false
 	var ended []*upstream
 	for _, e := range entries {
-		now, _ := c.registry.Take(e, c.now())
+		now, _ := p.registry.Apply(e, p.now())
 		switch {
-		case now.State != registry.Ready || now.Lapsed:
-			if u := c.upstreams.End(e.ID); u != nil {
-				ended = append(ended, u.Host.(*upstream))
+		case now.State != registry.Ready || now.Expired:
+			if u := p.upstreams.Remove(e.ID); u != nil {
+				ended = append(ended, u.Attachment.(*upstream))
 				changed = true
 			}
-		case c.upstreams.Upstream(e.ID) == nil && now.Address != "":
-			u := &upstream{address: now.Address, idleFor: idleUnknown}
-			u.Upstream = &picker.Upstream{ID: now.ID, Service: now.Service, Zone: now.Zone, Capacity: now.Capacity, Host: u}
-			c.upstreams.Add(u.Upstream)
+		case p.upstreams.Get(e.ID) == nil && now.Address != "":
+			u := &upstream{address: now.Address, idleTimeout: defaultServerIdle}
+			u.Upstream = &picker.Upstream{ID: now.ID, Service: now.Service, Zone: now.Zone, Capacity: now.Capacity, Attachment: u}
+			p.upstreams.Add(u.Upstream)
 			changed = true
 		}
-		c.upstreams.Silent(e.ID, now.Silent)
+		p.upstreams.SetTimedOut(e.ID, now.TimedOut)
 	}
-	c.upstreams.mu.Unlock()
-	c.mu.Unlock()
+	p.upstreams.mu.Unlock()
+	p.mu.Unlock()
 	for _, u := range ended {
-		u.end()
+		u.close()
 	}
 	if changed {
-		c.waiting.wakeAll()
+		p.queue.wakeAll()
 	}
 }
 
-// weigh takes the tables' changed lines.
-func (c *Proxy) weigh(w *peer.Weights) {
-	c.upstreams.mu.Lock()
-	defer c.upstreams.mu.Unlock()
-	for _, service := range w.Whole {
-		c.upstreams.Unweigh(service)
+// updateWeights takes the tables' changed lines.
+func (p *Proxy) updateWeights(w *peer.Weights) {
+	p.upstreams.mu.Lock()
+	defer p.upstreams.mu.Unlock()
+	for _, service := range w.Replaced {
+		p.upstreams.ClearWeights(service)
 	}
-	for _, one := range w.Lines {
-		c.upstreams.Weigh(one.Server, one.Weight)
+	for _, one := range w.Changed {
+		p.upstreams.SetWeight(one.Server, one.Weight)
 	}
 }
 
-// end closes an upstream: nothing new is sent, what is out goes on.
-func (u *upstream) end() {
+// close closes an upstream: nothing new is sent, what is out goes on.
+func (u *upstream) close() {
 	u.mu.Lock()
-	u.dead = true
+	u.closed = true
 	idle := u.idle
 	u.idle = nil
 	u.mu.Unlock()
@@ -112,18 +112,18 @@
 	}
 }
 
-// left tells whether the upstream's server is leaving or gone.
-func (u *upstream) left() bool {
+// isDraining tells whether the upstream's server is leaving or gone.
+func (u *upstream) isDraining() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.dead
+	return u.closed
 }
 
-func (u *upstream) sweep(now time.Duration) {
+func (u *upstream) closeIdle(now time.Duration) {
 	u.mu.Lock()
 	var old []*serverConn
 	u.idle = slices.DeleteFunc(u.idle, func(k *serverConn) bool {
-		if now-k.since > u.idleFor-idleEarly || k.conn.Err() != nil {
+		if now-k.since > u.idleTimeout-idleMargin || k.conn.Err() != nil {
 			old = append(old, k)
 			return true
 		}
@@ -136,32 +136,32 @@
 }
 
 // pick chooses a server that this request was not at yet, and books a place on it.
-func (c *Proxy) pick(service string, not []*upstream) *upstream {
-	c.upstreams.mu.Lock()
-	defer c.upstreams.mu.Unlock()
-	u := c.upstreams.Pick(service, func(u *picker.Upstream) bool { return slices.Contains(not, u.Host.(*upstream)) }, c.now())
+func (p *Proxy) pick(service string, not []*upstream) *upstream {
+	p.upstreams.mu.Lock()
+	defer p.upstreams.mu.Unlock()
+	u := p.upstreams.Pick(service, func(u *picker.Upstream) bool { return slices.Contains(not, u.Attachment.(*upstream)) }, p.now())
 	if u == nil {
 		return nil
 	}
-	return u.Host.(*upstream)
+	return u.Attachment.(*upstream)
 }
 
-func (c *Proxy) serves(service string) bool {
-	c.upstreams.mu.Lock()
-	defer c.upstreams.mu.Unlock()
-	return c.upstreams.Serves(service)
+func (p *Proxy) serves(service string) bool {
+	p.upstreams.mu.Lock()
+	defer p.upstreams.mu.Unlock()
+	return p.upstreams.Serves(service)
 }
 
-// done gives the booked place back and counts how it went.
-func (c *Proxy) done(u *upstream, took time.Duration, arrived, answered bool) {
-	c.upstreams.mu.Lock()
-	defer c.upstreams.mu.Unlock()
-	c.upstreams.Done(u.Upstream, took, arrived, answered, c.now())
+// releaseUpstream gives the booked place back and counts how it went.
+func (p *Proxy) releaseUpstream(u *upstream, took time.Duration, arrived, answered bool) {
+	p.upstreams.mu.Lock()
+	defer p.upstreams.mu.Unlock()
+	p.upstreams.Release(u.Upstream, took, arrived, answered, p.now())
 }
 
 // connect gives a connection that is free, or a new one.
-func (c *Proxy) connect(ctx context.Context, u *upstream, fresh bool) (*serverConn, error) {
-	now := c.now()
+func (p *Proxy) connect(ctx context.Context, u *upstream, fresh bool) (*serverConn, error) {
+	now := p.now()
 	for !fresh {
 		u.mu.Lock()
 		n := len(u.idle)
@@ -171,16 +171,16 @@
 		}
 		k := u.idle[n-1]
 		u.idle = u.idle[:n-1]
-		old := now-k.since > u.idleFor-idleEarly
+		old := now-k.since > u.idleTimeout-idleMargin
 		u.mu.Unlock()
-		if !old && k.conn.Err() == nil && k.watched.clean() {
+		if !old && k.conn.Err() == nil && k.tracked.clean() {
 			k.used = true
 			return k, nil
 		}
 		k.conn.Close()
 	}
 	k := &serverConn{}
-	conn, err := c.dialer.NewClientConn(context.WithValue(ctx, watchedKey{}, &k.watched), "http", u.address)
+	conn, err := p.dialer.NewClientConn(context.WithValue(ctx, trackedConnKey{}, &k.tracked), "http", u.address)
 	if err != nil {
 		return nil, err
 	}
@@ -188,14 +188,14 @@
 	return k, nil
 }
 
-// free takes a connection back.
-func (u *upstream) free(k *serverConn, now time.Duration, header http.Header) {
+// putIdle takes a connection back.
+func (u *upstream) putIdle(k *serverConn, now time.Duration, header http.Header) {
 	if v := header.Get("Keep-Alive"); v != "" {
 		for _, part := range strings.Split(v, ",") {
 			if name, figure, ok := strings.Cut(strings.TrimSpace(part), "="); ok && name == "timeout" {
 				if s, err := strconv.Atoi(figure); err == nil && s > 0 {
 					u.mu.Lock()
-					u.idleFor = max(time.Duration(s)*time.Second, idleEarly+100*time.Millisecond)
+					u.idleTimeout = max(time.Duration(s)*time.Second, idleMargin+100*time.Millisecond)
 					u.mu.Unlock()
 				}
 			}
@@ -204,7 +204,7 @@
 	var oldest *serverConn
 	u.mu.Lock()
 	k.since = now
-	keep := !u.dead && k.conn.Err() == nil
+	keep := !u.closed && k.conn.Err() == nil
 	if keep {
 		u.idle = append(u.idle, k)
 		if len(u.idle) > u.Capacity+1 { // more than ever run at once: new ones were made for distrust
@@ -221,8 +221,8 @@
 	}
 }
 
-// tell takes the server's word on its load: running, waiting, slots.
-func (c *Proxy) tell(u *upstream, header http.Header) {
+// reportLoad takes the server's word on its load: running, waiting, slots.
+func (p *Proxy) reportLoad(u *upstream, header http.Header) {
 	var figures [3]float64
 	parts := strings.Split(header.Get("X-Server-Load"), ",")
 	if len(parts) != len(figures) {
@@ -235,7 +235,7 @@
 		}
 		figures[i] = x
 	}
-	c.upstreams.mu.Lock()
-	defer c.upstreams.mu.Unlock()
-	c.upstreams.Told(u.Upstream, figures[0], figures[1], c.now())
+	p.upstreams.mu.Lock()
+	defer p.upstreams.mu.Unlock()
+	p.upstreams.ReportLoad(u.Upstream, figures[0], figures[1], p.now())
 }
--- a/internal/edge/proxy/variants_test.go
+++ b/internal/edge/proxy/variants_test.go
@@ -102,7 +102,7 @@
 					w := h.send("GET", "/s/x", "", "X-Attempt-Id", "after")
 					h.g.Expect(w.Code).To(Equal(200))
 					for _, u := range h.upstreams.All() {
-						u.Host.(*upstream).end()
+						u.Attachment.(*upstream).close()
 					}
 					p.served.Wait()
 					if sent < len(text) {
@@ -128,7 +128,7 @@
 		h.serve("i-1", good)
 		client, shut := p.client(h)
 		defer p.served.Wait()
-		defer func() { h.upstreams.Upstream("i-1").Host.(*upstream).end() }()
+		defer func() { h.upstreams.Get("i-1").Attachment.(*upstream).close() }()
 		defer shut()
 		ids := strings.Split("abcdefghijklmnopqrstuvwxyz", "")
 		var text strings.Builder
--- a/internal/edge/proxy/watched.go
+++ b/internal/edge/proxy/watched.go
@@ -7,9 +7,9 @@
 	"sync/atomic"
 )
 
-// watchedConn is a connection to a server that tells what net/http doesn't: whether any byte of a request was written, and
+// trackedConn is a connection to a server that tells what net/http doesn't: whether any byte of a request was written, and
 // whether bytes that belong to no request lie behind an answer.
-type watchedConn struct {
+type trackedConn struct {
 	net.Conn
 	written atomic.Bool
 
@@ -19,31 +19,31 @@
 	closed  bool
 }
 
-// watchedKey finds in a dial's context where the new connection is noted.
-type watchedKey struct{}
+// trackedConnKey finds in a dial's context where the new connection is noted.
+type trackedConnKey struct{}
 
-// dialWatched makes a connection for the transport.
-func (c *Proxy) dialWatched(ctx context.Context, network, address string) (net.Conn, error) {
-	conn, err := c.dial(ctx, network, address)
+// dialTracked makes a connection for the transport.
+func (p *Proxy) dialTracked(ctx context.Context, network, address string) (net.Conn, error) {
+	conn, err := p.dial(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	w := &watchedConn{Conn: conn}
+	w := &trackedConn{Conn: conn}
 	w.changed.L = &w.mu
-	if at, ok := ctx.Value(watchedKey{}).(**watchedConn); ok {
+	if at, ok := ctx.Value(trackedConnKey{}).(**trackedConn); ok {
 		*at = w
 	}
 	return w, nil
 }
 
-// begin is called before a request is handed to net/http.
-func (w *watchedConn) begin() { w.written.Store(false) }
+// resetWritten is called before a request is handed to net/http.
+func (w *trackedConn) resetWritten() { w.written.Store(false) }
 
-// wrote tells whether a byte of the request may have left. It is final once the connection is closed.
-func (w *watchedConn) wrote() bool { return w.written.Load() }
+// hasWritten tells whether a byte of the request may have left. It is final once the connection is closed.
+func (w *trackedConn) hasWritten() bool { return w.written.Load() }
 
 // Write notes that bytes leave before they do, and takes it back where the connection took none.
-func (w *watchedConn) Write(p []byte) (int, error) {
+func (w *trackedConn) Write(p []byte) (int, error) {
 	before := w.written.Swap(true)
 	n, err := w.Conn.Write(p)
 	if n == 0 && err != nil {
@@ -53,14 +53,14 @@
 }
 
 // Read notes that net/http has taken all that came.
-func (w *watchedConn) Read(p []byte) (int, error) {
+func (w *trackedConn) Read(p []byte) (int, error) {
 	w.setReading(true)
 	n, err := w.Conn.Read(p)
 	w.setReading(false)
 	return n, err
 }
 
-func (w *watchedConn) setReading(reading bool) {
+func (w *trackedConn) setReading(reading bool) {
 	w.mu.Lock()
 	w.reading = reading
 	w.mu.Unlock()
@@ -70,7 +70,7 @@
 }
 
 // Close wakes those who wait for the connection to become clean.
-func (w *watchedConn) Close() error {
+func (w *trackedConn) Close() error {
 	w.mu.Lock()
 	w.closed = true
 	w.mu.Unlock()
@@ -80,7 +80,7 @@
 
 // clean tells whether nothing is left of what came. After an answer net/http either waits for more, or finds surplus bytes
 // and closes the connection; it does one of them at once.
-func (w *watchedConn) clean() bool {
+func (w *trackedConn) clean() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for !w.reading && !w.closed {
--- a/internal/edge/retrybudget/retrybudget.go
+++ b/internal/edge/retrybudget/retrybudget.go
@@ -8,39 +8,39 @@
 
 // Budget is one edge's budget for one service.
 type Budget struct {
-	earn   float64
-	budget float64
-	most   float64
+	earnPerRequest float64
+	tokens         float64
+	limit          float64
 }
 
 // New makes a retry budget for a fleet-wide ratio and slack. Edges is how many share the slack; 0: not known yet.
 func New(ratio, slack float64, edges int) *Budget {
-	b := &Budget{earn: ratio * earnShare}
-	b.Share(slack, edges)
+	b := &Budget{earnPerRequest: ratio * earnShare}
+	b.SetShare(slack, edges)
 	return b
 }
 
-// Share sets the most that the budget holds: half of the slack, dealt to all edges and as many more.
-func (b *Budget) Share(slack float64, edges int) {
+// SetShare sets the most that the budget holds: half of the slack, dealt to all edges and as many more.
+func (b *Budget) SetShare(slack float64, edges int) {
 	if edges <= 0 {
-		b.most = min(1, slack/2)
+		b.limit = min(1, slack/2)
 	} else {
-		b.most = max(1, slack/2/float64(2*edges))
+		b.limit = max(1, slack/2/float64(2*edges))
 	}
-	b.budget = min(b.budget, b.most)
+	b.tokens = min(b.tokens, b.limit)
 }
 
-// Request counts a request that was taken.
-func (b *Budget) Request() { b.budget = min(b.most, b.budget+b.earn) }
+// Earn counts a request that was taken.
+func (b *Budget) Earn() { b.tokens = min(b.limit, b.tokens+b.earnPerRequest) }
 
 // Spend takes one further try out of the budget; if keep is set, only where another one is left in a budget that holds two.
-func (b *Budget) Spend(keep bool) bool {
-	if b.budget < 1 || keep && b.most >= 2 && b.budget < 2 {
+func (b *Budget) Spend(keepOne bool) bool {
+	if b.tokens < 1 || keepOne && b.limit >= 2 && b.tokens < 2 {
 		return false
 	}
-	b.budget--
+	b.tokens--
 	return true
 }
 
-// Back returns a try that reached no server.
-func (b *Budget) Back() { b.budget = min(b.most, b.budget+1) }
+// Refund returns a try that reached no server.
+func (b *Budget) Refund() { b.tokens = min(b.limit, b.tokens+1) }
--- a/internal/edge/retrybudget/retrybudget_test.go
+++ b/internal/edge/retrybudget/retrybudget_test.go
@@ -36,12 +36,12 @@
 				i := rng.IntN(len(edges))
 				edges[i] = retrybudget.New(ratio, slack, len(edges))
 				for n := 0; refill && n < 100; n++ {
-					edges[i].Request()
+					edges[i].Earn()
 				}
 			}
 			for range rate {
 				e := edges[rng.IntN(len(edges))]
-				e.Request()
+				e.Earn()
 				requests[now]++
 				for rng.IntN(3) > 0 && e.Spend(false) {
 					spent[now]++
--- a/internal/operator/bookings.go
+++ b/internal/operator/bookings.go
@@ -4,12 +4,12 @@
 
 // Bookings is the book as a controller tells it. Times are seconds of the core's time of day.
 type Bookings struct {
-	Version  string                `json:"version"`
-	Now      float64               `json:"now"`
-	Bookings []reservation.Booking `json:"bookings"`
-	Past     []reservation.Past    `json:"past"`
-	Lacks    map[string]float64    `json:"lacks"` // slots that bookings of now lack, by id
-	Use      []Use                 `json:"use"`
+	Version  string                    `json:"version"`
+	Now      float64                   `json:"now"`
+	Bookings []reservation.Booking     `json:"bookings"`
+	Past     []reservation.PastBooking `json:"past"`
+	Lacks    map[string]float64        `json:"lacks"` // slots that bookings of now lack, by id
+	Use      []Use                     `json:"use"`
 }
 
 // Use is a reservation that is held now and how much of it is wanted, in work or waiting.
--- a/internal/operator/plan.go
+++ b/internal/operator/plan.go
@@ -96,7 +96,7 @@
 		}
 		*f.into = span.Seconds()
 	}
-	if b = b.Whole(); b.Slots <= 0 {
+	if b = b.WithSlots(); b.Slots <= 0 {
 		return b, apierror.Invalid.New("booking %s: it takes slots, or rate and work", e.ID)
 	}
 	return b, nil
--- a/internal/platform/apierror/apierror.go
+++ b/internal/platform/apierror/apierror.go
@@ -33,14 +33,14 @@
 	UnknownCall = space.NewType("unknown_call") // no such call
 )
 
-// Answer is how a kind is told to a caller. Retry is the Retry-After in seconds, 0 for none: it stands only where the
+// Response is how a kind is told to a caller. Retry is the Retry-After in seconds, 0 for none: it stands only where the
 // request has not run and never will.
-type Answer struct {
-	Status int
-	Retry  float64
+type Response struct {
+	Status     int
+	RetryAfter float64
 }
 
-var answers = map[*errorx.Type]Answer{
+var responses = map[*errorx.Type]Response{
 	NoRoute:     {http.StatusNotFound, 0},
 	Malformed:   {http.StatusBadRequest, 0},
 	TooLarge:    {http.StatusRequestEntityTooLarge, 0},
@@ -63,13 +63,13 @@
 }
 
 // For finds the answer to an error; one of no kind of ours is an unconfirmed outcome.
-func For(err error) Answer {
-	for kind, answer := range answers {
+func For(err error) Response {
+	for kind, answer := range responses {
 		if errorx.IsOfType(err, kind) {
 			return answer
 		}
 	}
-	return answers[PerhapsRun]
+	return responses[PerhapsRun]
 }
 
 // Kind is the short name of an error's kind, for logs.
--- a/internal/platform/nodesettings/nodesettings.go
+++ b/internal/platform/nodesettings/nodesettings.go
@@ -127,26 +127,26 @@
 // doesn't see, stacks and bytes that wait in the kernel.
 const memoryShare = 0.75
 
-// KeepMemory has the collector work harder before the process is ended for its memory.
-func (s *Settings) KeepMemory() {
+// ApplyMemoryLimit has the collector work harder before the process is ended for its memory.
+func (s *Settings) ApplyMemoryLimit() {
 	debug.SetMemoryLimit(int64(memoryShare * s.Limits.MemoryMB * (1 << 20)))
 }
 
 // Bound gives a bound of the rules, or what to assume where the file doesn't name it.
-func (s *Settings) Bound(name string, otherwise float64) float64 {
+func (s *Settings) Bound(name string, fallback float64) float64 {
 	if x, ok := s.bounds[name]; ok {
 		return x
 	}
-	return otherwise
+	return fallback
 }
 
 // Seconds gives a bound that is a time.
-func (s *Settings) Seconds(name string, otherwise float64) time.Duration {
-	return time.Duration(s.Bound(name, otherwise) * float64(time.Second))
+func (s *Settings) Seconds(name string, fallback float64) time.Duration {
+	return time.Duration(s.Bound(name, fallback) * float64(time.Second))
 }
 
-// Inner is the address at which a control planner with this IP takes inner traffic.
-func (s *Settings) Inner(ip string) string { return fmt.Sprintf("%s:%d", ip, s.InnerPorts[0]) }
+// InnerAddress is the address at which a control planner with this IP takes inner traffic.
+func (s *Settings) InnerAddress(ip string) string { return fmt.Sprintf("%s:%d", ip, s.InnerPorts[0]) }
 
 // SeedIPs are the hosts of the seeds.
 func (s *Settings) SeedIPs() []string {
--- a/internal/platform/nodesettings/nodesettings_test.go
+++ b/internal/platform/nodesettings/nodesettings_test.go
@@ -44,7 +44,7 @@
 		Expect(s.Bound("retry_slack", 0)).To(Equal(60.0))
 		Expect(s.Bound("other", 7)).To(Equal(7.0))
 		Expect(s.Tolerance.Machines).To(Equal(2))
-		Expect(s.Inner("10.0.0.9")).To(Equal("10.0.0.9:7620"))
+		Expect(s.InnerAddress("10.0.0.9")).To(Equal("10.0.0.9:7620"))
 		Expect(*s.DataDir).To(Equal("/data/x"))
 	})
 	DescribeTable("is refused in one line that names file and field", func(old, new, field string) {
--- a/internal/platform/peer/compare.go
+++ b/internal/platform/peer/compare.go
@@ -6,51 +6,51 @@
 	"mulleinwood/internal/control/registry"
 )
 
-// Comparing tells when to ask the other end of a link which cells differ: once two of its full summaries in a row had
+// DigestComparison tells when to ask the other end of a link which cells differ: once two of its full summaries in a row had
 // another sum, since news may be on its way, and not again for a while.
-type Comparing struct {
-	differed int
-	asked    time.Duration
-	did      bool
+type DigestComparison struct {
+	differed    int
+	requestedAt time.Duration
+	requested   bool
 }
 
-const compareAgain = 4 * time.Second
+const compareInterval = 4 * time.Second
 
 // Due takes a full summary's sum.
-func (c *Comparing) Due(theirs, ours uint64, now time.Duration) bool {
+func (c *DigestComparison) Due(theirs, ours uint64, now time.Duration) bool {
 	if theirs == ours {
 		c.differed = 0
 		return false
 	}
 	c.differed++
-	if c.differed < 2 || c.did && now-c.asked < compareAgain {
+	if c.differed < 2 || c.requested && now-c.requestedAt < compareInterval {
 		return false
 	}
-	c.asked, c.did = now, true
+	c.requestedAt, c.requested = now, true
 	return true
 }
 
 // Compare answers what the other end says of its cells, after its Entries were taken: whoever is asked sends its lives of
 // the cells that differ, and whoever asked sends its own of those that still do. It guards against news that was missed
 // while links came and went, however that happened.
-func (c *Cells) Compare(d *registry.Registry, now time.Duration) *Frame {
-	ours, zones, here := d.Sums(), map[string]bool{}, map[string]uint64{}
-	for zone, sum := range c.Sums {
-		if ours[zone] != sum {
+func (c *Digests) Compare(servers *registry.Registry, now time.Duration) *Frame {
+	ours, zones, here := servers.ZoneDigests(), map[string]bool{}, map[string]uint64{}
+	for zone, digest := range c.ByZone {
+		if ours[zone] != digest {
 			zones[zone], here[zone] = true, ours[zone]
 		}
 	}
-	for zone, sum := range ours {
-		if _, told := c.Sums[zone]; !told && !c.Answer && sum != 0 { // a cell that the other end doesn't know
-			zones[zone], here[zone] = true, sum
+	for zone, digest := range ours {
+		if _, known := c.ByZone[zone]; !known && !c.Reply && digest != 0 { // a cell that the other end doesn't know
+			zones[zone], here[zone] = true, digest
 		}
 	}
 	switch {
 	case len(zones) == 0:
 		return nil
-	case c.Answer:
-		return &Frame{Entries: d.In(zones, now)}
+	case c.Reply:
+		return &Frame{Entries: servers.InZones(zones, now)}
 	default:
-		return &Frame{Entries: d.In(zones, now), Cells: &Cells{Sums: here, Answer: true}}
+		return &Frame{Entries: servers.InZones(zones, now), Digests: &Digests{ByZone: here, Reply: true}}
 	}
 }
--- a/internal/platform/peer/compare_test.go
+++ b/internal/platform/peer/compare_test.go
@@ -22,37 +22,37 @@
 		a, b := registry.New(time.Minute), registry.New(time.Minute)
 		for range rng.IntN(30) {
 			e := registry.Entry{ID: fmt.Sprint("i-", rng.IntN(8)), Service: "tags", Address: "x:1", Capacity: 2, Seq: uint64(rng.IntN(5)),
-				State: registry.State(rng.IntN(3)), Silent: rng.IntN(4) == 0, Owner: string(rune('p' + rng.IntN(2)))}
+				State: registry.State(rng.IntN(3)), TimedOut: rng.IntN(4) == 0, Owner: string(rune('p' + rng.IntN(2)))}
 			e.Zone = string(rune('a' + int(e.ID[2]-'0')%3)) // a life doesn't move
 			if rng.IntN(3) > 0 {
-				a.Take(e, 0)
+				a.Apply(e, 0)
 			}
 			if rng.IntN(3) > 0 {
-				b.Take(e, 0)
+				b.Apply(e, 0)
 			}
 		}
 		take := func(d *registry.Registry, f *peer.Frame) {
 			for _, e := range f.Entries {
-				d.Take(e, 0)
+				d.Apply(e, 0)
 			}
 			bytes += len(f.Entries)
 		}
-		ask := &peer.Frame{Cells: &peer.Cells{Sums: a.Sums()}}
-		if answer := ask.Cells.Compare(b, 0); answer != nil {
+		ask := &peer.Frame{Digests: &peer.Digests{ByZone: a.ZoneDigests()}}
+		if answer := ask.Digests.Compare(b, 0); answer != nil {
 			take(a, answer)
-			if last := answer.Cells.Compare(a, 0); last != nil {
+			if last := answer.Digests.Compare(a, 0); last != nil {
 				take(b, last)
 			}
 		}
-		g.Expect(a.Sum()).To(Equal(b.Sum()))
-		g.Expect((&peer.Cells{Sums: a.Sums()}).Compare(b, 0)).To(BeNil())
+		g.Expect(a.Digest()).To(Equal(b.Digest()))
+		g.Expect((&peer.Digests{ByZone: a.ZoneDigests()}).Compare(b, 0)).To(BeNil())
 	}
 	g.Expect(bytes).To(BeNumerically(">", 500))
 }
 
 func TestComparingWaitsForNewsOnItsWay(t *testing.T) {
 	g := NewWithT(t)
-	c := peer.Comparing{}
+	c := peer.DigestComparison{}
 	g.Expect(c.Due(1, 2, 1*time.Second)).To(BeFalse(), "it may be on its way")
 	g.Expect(c.Due(2, 2, 2*time.Second)).To(BeFalse())
 	g.Expect(c.Due(1, 2, 3*time.Second)).To(BeFalse())
--- a/internal/platform/peer/link.go
+++ b/internal/platform/peer/link.go
@@ -14,13 +14,13 @@
 
 // Spans of a link. Both ends send summaries; a peer that is silent for longer than Silence is taken to be cut off.
 const (
-	SummaryEvery = 250 * time.Millisecond
-	Silence      = 800 * time.Millisecond
-	frameMost    = 16 << 20
-	queueMost    = 64 << 20
+	SummaryInterval = 250 * time.Millisecond
+	LinkTimeout     = 800 * time.Millisecond
+	maxFrameBytes   = 16 << 20
+	maxQueueBytes   = 64 << 20
 )
 
-var decoding = func() cbor.DecMode {
+var decMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 20}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
@@ -30,14 +30,14 @@
 
 // Link is a connection to another process. Send never waits; a peer that doesn't read is cut off.
 type Link struct {
-	conn    net.Conn
-	mu      sync.Mutex
-	queue   [][]byte
-	queued  int
-	wake    chan struct{}
-	writing bool // what was taken from queue is not written yet
-	closed  chan struct{}
-	closing sync.Once
+	conn        net.Conn
+	mu          sync.Mutex
+	queue       [][]byte
+	queuedBytes int
+	wake        chan struct{}
+	writing     bool // what was taken from queue is not written yet
+	closed      chan struct{}
+	closeOnce   sync.Once
 }
 
 // NewLink takes over a connection and starts its writer.
@@ -62,8 +62,8 @@
 	copy(packet[4:], body)
 	l.mu.Lock()
 	l.queue = append(l.queue, packet)
-	l.queued += len(packet)
-	full := l.queued > queueMost
+	l.queuedBytes += len(packet)
+	full := l.queuedBytes > maxQueueBytes
 	l.mu.Unlock()
 	if full { // guards memory against a peer that doesn't read
 		l.Close()
@@ -77,14 +77,14 @@
 
 // Close ends the link.
 func (l *Link) Close() {
-	l.closing.Do(func() {
+	l.closeOnce.Do(func() {
 		close(l.closed)
 		l.conn.Close()
 	})
 }
 
-// drainPoll is how often a process that ends looks whether a link's queue is written.
-const drainPoll = 2 * time.Millisecond
+// drainPollInterval is how often a process that ends looks whether a link's queue is written.
+const drainPollInterval = 2 * time.Millisecond
 
 // Drain waits until all that was sent is written, the link has ended or the limit is reached.
 func (l *Link) Drain(limit time.Time) {
@@ -98,7 +98,7 @@
 		select {
 		case <-l.closed:
 			return
-		case <-time.After(drainPoll):
+		case <-time.After(drainPollInterval):
 		}
 	}
 }
@@ -116,7 +116,7 @@
 		}
 		l.mu.Lock()
 		packets := net.Buffers(l.queue)
-		l.queue, l.queued, l.writing = nil, 0, len(packets) > 0
+		l.queue, l.queuedBytes, l.writing = nil, 0, len(packets) > 0
 		l.mu.Unlock()
 		if len(packets) == 0 {
 			continue
@@ -140,26 +140,26 @@
 	}
 }
 
-var errFrame = errors.New("a frame is longer than any that is sent")
+var errFrameTooLong = errors.New("a frame is longer than any that is sent")
 
 // Read hands each frame to do until the link ends, the peer is silent for too long or sends what can't be read.
-func (l *Link) Read(do func(*Frame)) error {
+func (l *Link) Read(handle func(*Frame)) error {
 	defer l.Close()
 	in := bufio.NewReaderSize(l.conn, 16<<10)
 	var head [4]byte
 	for {
-		if err := l.conn.SetReadDeadline(time.Now().Add(Silence)); err != nil {
+		if err := l.conn.SetReadDeadline(time.Now().Add(LinkTimeout)); err != nil {
 			return err
 		}
 		if _, err := io.ReadFull(in, head[:]); err != nil {
 			return err
 		}
 		n := binary.BigEndian.Uint32(head[:])
-		if n > frameMost {
-			return errFrame
+		if n > maxFrameBytes {
+			return errFrameTooLong
 		}
 		if n > 64<<10 { // large ones may take longer than a summary
-			if err := l.conn.SetReadDeadline(time.Now().Add(4 * Silence)); err != nil {
+			if err := l.conn.SetReadDeadline(time.Now().Add(4 * LinkTimeout)); err != nil {
 				return err
 			}
 		}
@@ -168,9 +168,9 @@
 			return err
 		}
 		f := &Frame{}
-		if err := decoding.Unmarshal(body, f); err != nil {
+		if err := decMode.Unmarshal(body, f); err != nil {
 			return err
 		}
-		do(f)
+		handle(f)
 	}
 }
--- a/internal/platform/peer/peer_test.go
+++ b/internal/platform/peer/peer_test.go
@@ -20,9 +20,9 @@
 		a, b := net.Pipe()
 		from, to := peer.NewLink(a), peer.NewLink(b)
 		var got []uint64
-		go func() { _ = to.Read(func(f *peer.Frame) { got = append(got, f.Receipt) }) }()
+		go func() { _ = to.Read(func(f *peer.Frame) { got = append(got, f.AckID) }) }()
 		for i := range uint64(50) {
-			from.Send(&peer.Frame{Receipt: i + 1, Entries: []registry.Entry{{ID: "i-1"}}})
+			from.Send(&peer.Frame{AckID: i + 1, Entries: []registry.Entry{{ID: "i-1"}}})
 		}
 		synctest.Wait()
 		g.Expect(got).To(HaveLen(50))
@@ -45,7 +45,7 @@
 		began := time.Now()
 		err := link.Read(func(*peer.Frame) {})
 		g.Expect(err).To(HaveOccurred())
-		g.Expect(time.Since(began)).To(Equal(peer.Silence))
+		g.Expect(time.Since(began)).To(Equal(peer.LinkTimeout))
 		<-link.Closed()
 	})
 }
@@ -74,7 +74,7 @@
 }
 
 func FuzzFrame(f *testing.F) {
-	good, err := cbor.Marshal(&peer.Frame{Receipt: 7, Entries: []registry.Entry{{ID: "i-1", Seq: 3}}, Hello: &peer.Hello{Node: "n"}})
+	good, err := cbor.Marshal(&peer.Frame{AckID: 7, Entries: []registry.Entry{{ID: "i-1", Seq: 3}}, Handshake: &peer.Handshake{Node: "n"}})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/platform/peer/secure.go
+++ b/internal/platform/peer/secure.go
@@ -19,12 +19,12 @@
 // Security is what links prove themselves with: a certificate and its key, and the authorities that others' are believed
 // from, from three files of a folder. A nil Security is none: links are plain, and the network is the guard.
 type Security struct {
-	dir string
-	own string // address that links are made from: it is what the certificate names
-	now atomic.Pointer[papers]
+	dir     string
+	ownIP   string // address that links are made from: it is what the certificate names
+	current atomic.Pointer[credentials]
 }
 
-type papers struct {
+type credentials struct {
 	certificate tls.Certificate
 	authorities *x509.CertPool
 }
@@ -41,7 +41,7 @@
 	if dir == "" {
 		return nil, nil
 	}
-	s := &Security{dir: dir, own: own}
+	s := &Security{dir: dir, ownIP: own}
 	return s, s.Reload()
 }
 
@@ -59,11 +59,11 @@
 	if err != nil {
 		return fmt.Errorf("inner TLS: %w", err)
 	}
-	p := &papers{certificate: certificate, authorities: x509.NewCertPool()}
+	p := &credentials{certificate: certificate, authorities: x509.NewCertPool()}
 	if !p.authorities.AppendCertsFromPEM(text) {
 		return fmt.Errorf("inner TLS: %s holds no certificate", authorityFile)
 	}
-	s.now.Store(p)
+	s.current.Store(p)
 	return nil
 }
 
@@ -71,7 +71,7 @@
 func (s *Security) Dial(address string, limit time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: limit}
 	if s != nil {
-		dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(s.own)}
+		dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(s.ownIP)}
 	}
 	conn, err := dialer.Dial("tcp", address)
 	if err != nil || s == nil {
@@ -82,9 +82,9 @@
 		conn.Close()
 		return nil, err
 	}
-	p := s.now.Load()
+	p := s.current.Load()
 	secured := tls.Client(conn, &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{p.certificate}, RootCAs: p.authorities, ServerName: host})
-	return shake(secured)
+	return completeHandshake(secured)
 }
 
 // Accept takes a connection over that another process made, and has it prove that it is at the address it calls from. It
@@ -93,10 +93,10 @@
 	if s == nil {
 		return conn, nil
 	}
-	p := s.now.Load()
+	p := s.current.Load()
 	secured := tls.Server(conn, &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{p.certificate}, ClientCAs: p.authorities,
 		ClientAuth: tls.RequireAndVerifyClientCert})
-	if _, err := shake(secured); err != nil {
+	if _, err := completeHandshake(secured); err != nil {
 		return nil, err
 	}
 	if err := secured.ConnectionState().PeerCertificates[0].VerifyHostname(RemoteIP(conn)); err != nil {
@@ -106,7 +106,7 @@
 	return secured, nil
 }
 
-func shake(conn *tls.Conn) (net.Conn, error) {
+func completeHandshake(conn *tls.Conn) (net.Conn, error) {
 	ctx, done := context.WithTimeout(context.Background(), handshakeLimit)
 	defer done()
 	if err := conn.HandshakeContext(ctx); err != nil {
@@ -125,12 +125,12 @@
 	return host
 }
 
-var errImpostor = errors.New("the peer says that it has another address")
+var errAddressMismatch = errors.New("the peer says that it has another address")
 
-// Believe holds what a peer says of its address against what it proved.
-func (s *Security) Believe(conn net.Conn, hello *Hello) error {
+// VerifyAddress holds what a peer says of its address against what it proved.
+func (s *Security) VerifyAddress(conn net.Conn, hello *Handshake) error {
 	if s != nil && hello.IP != RemoteIP(conn) {
-		return fmt.Errorf("%w: %s, not %s", errImpostor, hello.IP, RemoteIP(conn))
+		return fmt.Errorf("%w: %s, not %s", errAddressMismatch, hello.IP, RemoteIP(conn))
 	}
 	return nil
 }
--- a/internal/platform/peer/secure_test.go
+++ b/internal/platform/peer/secure_test.go
@@ -163,8 +163,8 @@
 	conn, err := net.Dial("tcp", l.Addr().String())
 	g.Expect(err).NotTo(HaveOccurred())
 	defer conn.Close()
-	g.Expect((&peer.Security{}).Believe(conn, &peer.Hello{IP: "127.0.0.1"})).To(Succeed())
-	g.Expect((&peer.Security{}).Believe(conn, &peer.Hello{IP: "10.0.0.9"})).NotTo(Succeed())
+	g.Expect((&peer.Security{}).VerifyAddress(conn, &peer.Handshake{IP: "127.0.0.1"})).To(Succeed())
+	g.Expect((&peer.Security{}).VerifyAddress(conn, &peer.Handshake{IP: "10.0.0.9"})).NotTo(Succeed())
 	var none *peer.Security
-	g.Expect(none.Believe(conn, &peer.Hello{IP: "10.0.0.9"})).To(Succeed())
+	g.Expect(none.VerifyAddress(conn, &peer.Handshake{IP: "10.0.0.9"})).To(Succeed())
 }
--- a/internal/platform/storage/entries_test.go
+++ b/internal/platform/storage/entries_test.go
@@ -16,7 +16,7 @@
 			Entries: []consensus.Entry{{Term: 1, Index: 1, Membership: &consensus.Membership{Epoch: 3, Voters: []string{"a", "a", "b"}}}}}})).To(Succeed())
 		Expect(st.Close()).To(Succeed())
 		st, s := open(dir)
-		Expect(s.Spoilt).To(MatchError(ContainSubstring("names a voter twice")))
+		Expect(s.Corrupt).To(MatchError(ContainSubstring("names a voter twice")))
 		Expect(st.Close()).To(Succeed())
 	})
 })
--- a/internal/platform/storage/growth_test.go
+++ b/internal/platform/storage/growth_test.go
@@ -35,15 +35,15 @@
 			b := &storage.Batch{}
 			for range 100 {
 				n++
-				r := idempotency.Record{Key: idempotency.KeyOf("t", fmt.Sprint(n)), Token: idempotency.Token{Life: 1, N: n}, Answer: &idempotency.Answer{Status: 200, Body: make([]byte, 1000)}}
-				b.Records = append(b.Records, r)
+				r := idempotency.Record{Key: idempotency.KeyOf("t", fmt.Sprint(n)), Token: idempotency.Token{Incarnation: 1, Sequence: n}, Response: &idempotency.Response{Status: 200, Body: make([]byte, 1000)}}
+				b.Claims = append(b.Claims, r)
 			}
 			index++
 			b.Entries = []consensus.Entry{{Term: 1, Index: index, Data: make([]byte, 2000)}}
 			if index%64 == 0 {
 				b.Entries, b.Snapshot = nil, &consensus.Snapshot{Term: 1, Index: index, Data: make([]byte, 50_000)}
 			}
-			b.Servers = []registry.Entry{{ID: fmt.Sprint("i-", index), Address: "x:1"}, {ID: fmt.Sprint("i-", index-min(index, 20)), State: registry.Gone}}
+			b.Servers = []registry.Entry{{ID: fmt.Sprint("i-", index), Address: "x:1"}, {ID: fmt.Sprint("i-", index-min(index, 20)), State: registry.Removed}}
 			g.Expect(st.Commit([]*storage.Batch{b})).To(Succeed())
 			if second == 600 {
 				early = size()
@@ -54,9 +54,9 @@
 		g.Expect(st.Close()).To(Succeed())
 		st, s, err := storage.Open(dir, window, 64<<20)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(s.Spoilt).NotTo(HaveOccurred())
-		g.Expect(len(s.Records)).To(BeNumerically("<=", 100*24), "eight spans, each of which ends with the first write after ten seconds")
-		g.Expect(len(s.Records)).To(BeNumerically(">=", 100*12))
+		g.Expect(s.Corrupt).NotTo(HaveOccurred())
+		g.Expect(len(s.Claims)).To(BeNumerically("<=", 100*24), "eight spans, each of which ends with the first write after ten seconds")
+		g.Expect(len(s.Claims)).To(BeNumerically(">=", 100*12))
 		g.Expect(len(s.Entries)).To(BeNumerically("<", 64))
 		g.Expect(len(s.Servers)).To(BeNumerically("<=", 21))
 		g.Expect(st.Close()).To(Succeed())
