--- a/internal/platform/storage/membership_test.go
+++ b/internal/platform/storage/membership_test.go
@@ -22,17 +22,17 @@
 		dir := GinkgoT().TempDir()
 		st, _ := open(dir)
 		joint := consensus.Membership{Epoch: 5, Cluster: 9, Voters: former.Voters, Next: final.Voters}
-		Expect(st.Commit([]*storage.Batch{{Identity: "c", LedgerBlank: &yes}, {Membership: &joint}})).To(Succeed())
-		Expect(st.Commit([]*storage.Batch{{Records: []idempotency.Record{record(1)}, Hard: &consensus.HardState{Term: 3}}})).To(Succeed())
+		Expect(st.Commit([]*storage.Batch{{Identity: "c", Recovering: &yes}, {Membership: &joint}})).To(Succeed())
+		Expect(st.Commit([]*storage.Batch{{Claims: []idempotency.Record{record(1)}, Hard: &consensus.HardState{Term: 3}}})).To(Succeed())
 		Expect(st.Close()).To(Succeed())
 		st, s := open(dir)
 		Expect(s.Identity).To(Equal("c"))
 		Expect(s.Membership).To(Equal(joint))
-		Expect(s.LedgerBlank).To(BeTrue())
-		Expect(st.Commit([]*storage.Batch{{LedgerBlank: &no}})).To(Succeed())
+		Expect(s.Recovering).To(BeTrue())
+		Expect(st.Commit([]*storage.Batch{{Recovering: &no}})).To(Succeed())
 		Expect(st.Close()).To(Succeed())
 		st, s = open(dir)
-		Expect(s.LedgerBlank).To(BeFalse())
+		Expect(s.Recovering).To(BeFalse())
 		Expect(s.Membership).To(Equal(joint))
 		Expect(st.Close()).To(Succeed())
 	})
@@ -53,32 +53,32 @@
 		for _, flag := range []*bool{nil, &no, &yes} {
 			dir := GinkgoT().TempDir()
 			st, _ := open(dir)
-			hard := consensus.HardState{Term: 5, Vote: "b", Lost: flag == &yes}
-			Expect(st.Commit([]*storage.Batch{{Members: former.Voters, Hard: &hard, LedgerBlank: flag, Records: []idempotency.Record{record(1)}}})).To(Succeed())
+			hard := consensus.HardState{Term: 5, Vote: "b", DiskLost: flag == &yes}
+			Expect(st.Commit([]*storage.Batch{{BootstrapVoters: former.Voters, Hard: &hard, Recovering: flag, Claims: []idempotency.Record{record(1)}}})).To(Succeed())
 			Expect(st.Close()).To(Succeed())
 			st, s := open(dir)
-			Expect(s.Spoilt).NotTo(HaveOccurred())
+			Expect(s.Corrupt).NotTo(HaveOccurred())
 			Expect(s.New).To(BeFalse())
 			Expect(s.Identity).To(BeEmpty())
 			Expect(s.Membership).To(BeZero())
-			Expect(s.Members).To(Equal(former.Voters))
+			Expect(s.BootstrapVoters).To(Equal(former.Voters))
 			Expect(s.Hard).To(Equal(hard))
-			Expect(s.LedgerBlank).To(Equal(flag == &yes))
-			Expect(s.Records).To(HaveLen(1))
+			Expect(s.Recovering).To(Equal(flag == &yes))
+			Expect(s.Claims).To(HaveLen(1))
 			Expect(st.Close()).To(Succeed())
 		}
 	})
 	DescribeTable("that can't be make the file spoilt, whole", func(b *storage.Batch, cause string) {
 		dir := GinkgoT().TempDir()
 		st, _ := open(dir)
-		Expect(st.Commit([]*storage.Batch{{Members: former.Voters, Identity: "c", Hard: &consensus.HardState{Term: 3}, Records: []idempotency.Record{record(1)}}, b})).To(Succeed())
+		Expect(st.Commit([]*storage.Batch{{BootstrapVoters: former.Voters, Identity: "c", Hard: &consensus.HardState{Term: 3}, Claims: []idempotency.Record{record(1)}}, b})).To(Succeed())
 		Expect(st.Close()).To(Succeed())
 		before, err := os.ReadFile(filepath.Join(dir, "exchange.db"))
 		Expect(err).NotTo(HaveOccurred())
 		st, s := open(dir)
-		Expect(s.Spoilt).To(MatchError(ContainSubstring(cause)))
+		Expect(s.Corrupt).To(MatchError(ContainSubstring(cause)))
 		Expect(s.New).To(BeTrue())
-		Expect([]any{s.Members, s.Records, s.Entries}).To(HaveEach(BeEmpty()))
+		Expect([]any{s.BootstrapVoters, s.Claims, s.Entries}).To(HaveEach(BeEmpty()))
 		Expect(s.Identity).To(BeEmpty())
 		Expect(os.ReadFile(filepath.Join(dir, "exchange.db.spoilt"))).To(Equal(before), "for whoever looks into it")
 		Expect(st.Close()).To(Succeed())
@@ -92,9 +92,9 @@
 	It("change together when a replica is voted out, whichever write the power is lost in", func() {
 		dir := GinkgoT().TempDir()
 		st, _ := open(dir)
-		Expect(st.Commit([]*storage.Batch{{Identity: "c", Membership: &former, LedgerBlank: &no, Members: former.Voters, Hard: &consensus.HardState{Term: 3}}})).To(Succeed())
-		Expect(st.Commit([]*storage.Batch{{Records: []idempotency.Record{record(1)}}})).To(Succeed())
-		Expect(st.Commit([]*storage.Batch{{Identity: "c#1", Membership: &final, LedgerBlank: &yes}})).To(Succeed())
+		Expect(st.Commit([]*storage.Batch{{Identity: "c", Membership: &former, Recovering: &no, BootstrapVoters: former.Voters, Hard: &consensus.HardState{Term: 3}}})).To(Succeed())
+		Expect(st.Commit([]*storage.Batch{{Claims: []idempotency.Record{record(1)}}})).To(Succeed())
+		Expect(st.Commit([]*storage.Batch{{Identity: "c#1", Membership: &final, Recovering: &yes}})).To(Succeed())
 		Expect(st.Close()).To(Succeed())
 		whole, err := os.ReadFile(filepath.Join(dir, "exchange.db"))
 		Expect(err).NotTo(HaveOccurred())
@@ -109,17 +109,17 @@
 			}
 			Expect(os.WriteFile(filepath.Join(cut, "exchange.db"), text, 0o600)).To(Succeed())
 			other, s := open(cut)
-			Expect(s.Spoilt).NotTo(HaveOccurred())
+			Expect(s.Corrupt).NotTo(HaveOccurred())
 			seen[s.Identity] = true
 			switch s.Identity {
 			case "c":
 				Expect(s.Membership).To(Equal(former))
-				Expect(s.LedgerBlank).To(BeFalse())
+				Expect(s.Recovering).To(BeFalse())
 			case "c#1":
 				Expect(s.Membership).To(Equal(final))
-				Expect(s.LedgerBlank).To(BeTrue())
+				Expect(s.Recovering).To(BeTrue())
 			}
-			Expect(s.Records).To(HaveLen(1))
+			Expect(s.Claims).To(HaveLen(1))
 			Expect(other.Close()).To(Succeed())
 		}
 		Expect(seen).To(HaveLen(2), "before and after")
@@ -127,7 +127,7 @@
 	It("are nothing or all when the power is lost in the first write of a disk", func() {
 		dir := GinkgoT().TempDir()
 		st, _ := open(dir)
-		Expect(st.Commit([]*storage.Batch{{Identity: "c", LedgerBlank: &no, Members: former.Voters, Hard: &consensus.HardState{}}})).To(Succeed())
+		Expect(st.Commit([]*storage.Batch{{Identity: "c", Recovering: &no, BootstrapVoters: former.Voters, Hard: &consensus.HardState{}}})).To(Succeed())
 		Expect(st.Close()).To(Succeed())
 		whole, err := os.ReadFile(filepath.Join(dir, "exchange.db"))
 		Expect(err).NotTo(HaveOccurred())
@@ -139,11 +139,11 @@
 			}
 			Expect(os.WriteFile(filepath.Join(cut, "exchange.db"), text, 0o600)).To(Succeed())
 			other, s := open(cut)
-			Expect(s.Spoilt).NotTo(HaveOccurred())
+			Expect(s.Corrupt).NotTo(HaveOccurred())
 			if s.Identity == "" {
-				Expect(s.Members).To(BeEmpty())
+				Expect(s.BootstrapVoters).To(BeEmpty())
 			} else {
-				Expect(s.Members).To(Equal(former.Voters))
+				Expect(s.BootstrapVoters).To(Equal(former.Voters))
 			}
 			Expect(other.Close()).To(Succeed())
 		}
--- a/internal/platform/storage/open.go
+++ b/internal/platform/storage/open.go
@@ -22,32 +22,32 @@
 )
 
 const (
-	fileName  = "exchange.db"
-	startMmap = 64 << 20
-	sealSize  = 8
-	startsBad = 5 // starts in a row that end while the file is opened, after which it is not opened again
+	fileName        = "exchange.db"
+	initialMmapSize = 64 << 20
+	checksumSize    = 8
+	maxFailedStarts = 5 // starts in a row that end while the file is opened, after which it is not opened again
 )
 
 // seal adds a sum over a key and its value: a bit that flips in a page, or a value that turns up under another key, is
 // seen when it is read.
 func seal(key, body []byte) []byte {
-	return binary.BigEndian.AppendUint64(body, sum(key, body))
+	return binary.BigEndian.AppendUint64(body, checksum(key, body))
 }
 
-func sum(key, body []byte) uint64 { return xxh3.HashSeed(body, xxh3.Hash(key)) }
+func checksum(key, body []byte) uint64 { return xxh3.HashSeed(body, xxh3.Hash(key)) }
 
-var errSum = errors.New("a value and its sum differ")
+var errChecksum = errors.New("a value and its sum differ")
 
 // unseal gives the value under a key, if it is what was put there.
 func unseal(key, sealed []byte) ([]byte, error) {
-	n := len(sealed) - sealSize
-	if n < 0 || binary.BigEndian.Uint64(sealed[n:]) != sum(key, sealed[:n]) {
-		return nil, fmt.Errorf("%w: %q", errSum, key)
+	n := len(sealed) - checksumSize
+	if n < 0 || binary.BigEndian.Uint64(sealed[n:]) != checksum(key, sealed[:n]) {
+		return nil, fmt.Errorf("%w: %q", errChecksum, key)
 	}
 	return sealed[:n], nil
 }
 
-func get(key, sealed []byte, into any) error {
+func decodeSealed(key, sealed []byte, into any) error {
 	body, err := unseal(key, sealed)
 	if err != nil {
 		return err
@@ -64,22 +64,22 @@
 // A file that can't be believed is worth as much as an empty disk, and no more: it is put aside, and State.Spoilt says
 // why. It is read through once before it is opened for writing, since a torn or spoilt page makes bbolt panic, some of it
 // where nobody can recover.
-func Open(dir string, window time.Duration, answers int64) (*Storage, *State, error) {
+func Open(dir string, window time.Duration, maxResponseBytes int64) (*Storage, *State, error) {
 	path := filepath.Join(dir, fileName)
-	tries := path + ".opening"
-	spoilt := crashLoop(tries)
-	if spoilt == nil {
-		spoilt = believe(path)
+	startsPath := path + ".opening"
+	corrupt := countFailedStarts(startsPath)
+	if corrupt == nil {
+		corrupt = verifyFile(path)
 	}
-	if errno := syscall.Errno(0); errors.Is(spoilt, errFormat) || errors.As(spoilt, &errno) || errors.Is(spoilt, bolterrors.ErrTimeout) {
-		return nil, nil, fmt.Errorf("read %s: %w", path, spoilt) // what can't be read now may be sound
+	if errno := syscall.Errno(0); errors.Is(corrupt, errFormat) || errors.As(corrupt, &errno) || errors.Is(corrupt, bolterrors.ErrTimeout) {
+		return nil, nil, fmt.Errorf("read %s: %w", path, corrupt) // what can't be read now may be sound
 	}
 	var db *bolt.DB
 	var err error
-	if spoilt == nil {
-		db, spoilt, err = openDB(path)
+	if corrupt == nil {
+		db, corrupt, err = openDB(path)
 	}
-	if spoilt != nil {
+	if corrupt != nil {
 		if err := os.Rename(path, path+".spoilt"); err != nil {
 			return nil, nil, fmt.Errorf("put %s aside: %w", path, err)
 		}
@@ -88,44 +88,44 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("open %s: %w", path, err)
 	}
-	st := &Storage{db: db, span: window / 6, answers: answers, spans: spans{from: time.Now()}}
+	st := &Storage{db: db, spanLength: window / 6, maxResponseBytes: maxResponseBytes, spans: spans{startedAt: time.Now()}}
 	s, err := st.load()
 	if err != nil {
 		db.Close()
 		return nil, nil, fmt.Errorf("read %s: %w", path, err)
 	}
-	s.Spoilt = spoilt
-	_ = os.Remove(tries) // one that stays is counted from the next time on
+	s.Corrupt = corrupt
+	_ = os.Remove(startsPath) // one that stays is counted from the next time on
 	return st, s, nil
 }
 
 // openDB opens a file for writing. bbolt looks for free pages then, and panics where pages contradict each other.
-func openDB(path string) (db *bolt.DB, spoilt, err error) {
+func openDB(path string) (db *bolt.DB, corrupt, err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			spoilt = fmt.Errorf("pages contradict each other: %v", r)
+			corrupt = fmt.Errorf("pages contradict each other: %v", r)
 		}
 	}()
-	db, err = bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Second, NoFreelistSync: true, FreelistType: bolt.FreelistMapType, InitialMmapSize: startMmap})
+	db, err = bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Second, NoFreelistSync: true, FreelistType: bolt.FreelistMapType, InitialMmapSize: initialMmapSize})
 	return db, nil, err
 }
 
-// crashLoop counts starts that ended while the file was opened. What is spoilt in a way that reading doesn't show may end
+// countFailedStarts counts starts that ended while the file was opened. What is spoilt in a way that reading doesn't show may end
 // the process each time; it guards against a machine that never comes back for it.
-func crashLoop(tries string) error {
-	text, _ := os.ReadFile(tries) // none: the last start went well
-	if len(text) >= startsBad {
-		_ = os.Remove(tries)
+func countFailedStarts(path string) error {
+	text, _ := os.ReadFile(path) // none: the last start went well
+	if len(text) >= maxFailedStarts {
+		_ = os.Remove(path)
 		return fmt.Errorf("%d starts in a row ended while it was opened", len(text))
 	}
-	if err := os.WriteFile(tries, append(text, '.'), 0o600); err != nil {
+	if err := os.WriteFile(path, append(text, '.'), 0o600); err != nil {
 		return nil // a full disk: the file itself may still be sound
 	}
 	return nil
 }
 
-// believe reads a file through, without changing it, and says why it can't be believed.
-func believe(path string) (err error) {
+// verifyFile reads a file through, without changing it, and says why it can't be believed.
+func verifyFile(path string) (err error) {
 	info, err := os.Stat(path)
 	if errors.Is(err, fs.ErrNotExist) || err == nil && info.Size() == 0 {
 		return nil
@@ -137,7 +137,7 @@
 			err = fmt.Errorf("a page can't be read: %v", r)
 		}
 	}()
-	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Second, ReadOnly: true, InitialMmapSize: startMmap})
+	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Second, ReadOnly: true, InitialMmapSize: initialMmapSize})
 	if err != nil {
 		return err
 	}
@@ -163,7 +163,7 @@
 		}
 		if err := each(tx.Bucket(serversBucket), func(k, v []byte) error {
 			var e registry.Entry
-			if err := get(k, v, &e); err != nil {
+			if err := decodeSealed(k, v, &e); err != nil {
 				return fmt.Errorf("servers: %w", err)
 			}
 			s.Servers = append(s.Servers, e)
@@ -171,13 +171,13 @@
 		}); err != nil {
 			return err
 		}
-		return st.readClaims(tx.Bucket(ledgerBucket), s)
+		return st.readClaims(tx.Bucket(claimsBucket), s)
 	})
 	if err != nil || !s.New || st.db.IsReadOnly() {
 		return s, err
 	}
 	return s, st.db.Update(func(tx *bolt.Tx) error {
-		for _, name := range [][]byte{metaBucket, logBucket, ledgerBucket, serversBucket} {
+		for _, name := range [][]byte{metaBucket, logBucket, claimsBucket, serversBucket} {
 			if _, err := tx.CreateBucket(name); err != nil {
 				return err
 			}
@@ -210,14 +210,14 @@
 	for _, one := range []struct {
 		key  []byte
 		into any
-	}{{hardKey, &s.Hard}, {snapKey, &s.Snapshot}, {membersKey, &s.Members}, {identityKey, &s.Identity}, {membershipKey, &s.Membership}} {
+	}{{hardKey, &s.Hard}, {snapshotKey, &s.Snapshot}, {bootstrapVotersKey, &s.BootstrapVoters}, {identityKey, &s.Identity}, {membershipKey, &s.Membership}} {
 		if b := meta.Get(one.key); b != nil {
-			if err := get(one.key, b, one.into); err != nil {
+			if err := decodeSealed(one.key, b, one.into); err != nil {
 				return fmt.Errorf("%s: %w", one.key, err)
 			}
 		}
 	}
-	if len(s.Members) > 0 && meta.Get(hardKey) == nil {
+	if len(s.BootstrapVoters) > 0 && meta.Get(hardKey) == nil {
 		return errors.New("there are members and no votes")
 	}
 	for _, m := range []consensus.Membership{s.Membership, s.Snapshot.Membership} {
@@ -225,12 +225,12 @@
 			return err
 		}
 	}
-	if b := meta.Get(blankKey); b != nil {
-		flag, err := unseal(blankKey, b)
+	if b := meta.Get(recoveringKey); b != nil {
+		flag, err := unseal(recoveringKey, b)
 		if err != nil {
-			return fmt.Errorf("%s: %w", blankKey, err)
+			return fmt.Errorf("%s: %w", recoveringKey, err)
 		}
-		s.LedgerBlank = len(flag) > 0
+		s.Recovering = len(flag) > 0
 	}
 	return nil
 }
@@ -239,7 +239,7 @@
 	next := s.Snapshot.Index + 1
 	return each(log, func(k, v []byte) error {
 		var e consensus.Entry
-		if err := get(k, v, &e); err != nil {
+		if err := decodeSealed(k, v, &e); err != nil {
 			return fmt.Errorf("log: %w", err)
 		}
 		if err := e.Validate(); err != nil {
@@ -259,10 +259,10 @@
 		return errBucket
 	}
 	return ledger.ForEachBucket(func(name []byte) error {
-		st.gens, st.bytes = append(st.gens, binary.BigEndian.Uint64(name)), append(st.bytes, 0)
+		st.ids, st.sizes = append(st.ids, binary.BigEndian.Uint64(name)), append(st.sizes, 0)
 		return ledger.Bucket(name).ForEach(func(k, v []byte) error {
 			var r idempotency.Record
-			if err := get(k, v, &r); err != nil {
+			if err := decodeSealed(k, v, &r); err != nil {
 				return fmt.Errorf("ledger: %w", err)
 			}
 			n := binary.BigEndian.Uint64(k)
@@ -270,10 +270,10 @@
 				return fmt.Errorf("ledger: line %d after line %d", n, st.seq)
 			}
 			st.seq = n
-			if r.Answer != nil {
-				st.bytes[len(st.bytes)-1] += int64(len(r.Answer.Body))
+			if r.Response != nil {
+				st.sizes[len(st.sizes)-1] += int64(len(r.Response.Body))
 			}
-			s.Records = append(s.Records, r)
+			s.Claims = append(s.Claims, r)
 			return nil
 		})
 	})
--- a/internal/platform/storage/storage_test.go
+++ b/internal/platform/storage/storage_test.go
@@ -33,7 +33,7 @@
 }
 
 func record(n uint64) idempotency.Record {
-	return idempotency.Record{Key: idempotency.Key{byte(n)}, Token: idempotency.Token{Life: 1, N: n}}
+	return idempotency.Record{Key: idempotency.Key{byte(n)}, Token: idempotency.Token{Incarnation: 1, Sequence: n}}
 }
 
 var _ = Describe("a storage file", func() {
@@ -51,23 +51,23 @@
 		st, _ := open(dir)
 		hard := consensus.HardState{Term: 4, Vote: "b", Commit: 2}
 		Expect(st.Commit([]*storage.Batch{
-			{Members: []string{"a", "b", "c"}, Hard: &hard, Entries: []consensus.Entry{{Term: 3, Index: 1}, {Term: 3, Index: 2}, {Term: 3, Index: 3}}},
+			{BootstrapVoters: []string{"a", "b", "c"}, Hard: &hard, Entries: []consensus.Entry{{Term: 3, Index: 1}, {Term: 3, Index: 2}, {Term: 3, Index: 3}}},
 			{Truncate: 3, Entries: []consensus.Entry{{Term: 4, Index: 3, Data: []byte("x")}}},
-			{Records: []idempotency.Record{record(1), record(2)}},
+			{Claims: []idempotency.Record{record(1), record(2)}},
 		})).To(Succeed())
 		Expect(st.Close()).To(Succeed())
 		st, s := open(dir)
 		Expect(s.Hard).To(Equal(hard))
-		Expect(s.Members).To(Equal([]string{"a", "b", "c"}))
+		Expect(s.BootstrapVoters).To(Equal([]string{"a", "b", "c"}))
 		Expect(s.Entries).To(HaveLen(3))
 		Expect(s.Entries[2]).To(Equal(consensus.Entry{Term: 4, Index: 3, Data: []byte("x")}))
-		Expect(s.Records).To(Equal([]idempotency.Record{record(1), record(2)}))
-		Expect(st.Commit([]*storage.Batch{{Snapshot: &consensus.Snapshot{Term: 4, Index: 3, Data: []byte("s")}}, {Records: []idempotency.Record{record(3)}}})).To(Succeed())
+		Expect(s.Claims).To(Equal([]idempotency.Record{record(1), record(2)}))
+		Expect(st.Commit([]*storage.Batch{{Snapshot: &consensus.Snapshot{Term: 4, Index: 3, Data: []byte("s")}}, {Claims: []idempotency.Record{record(3)}}})).To(Succeed())
 		Expect(st.Close()).To(Succeed())
 		st, s = open(dir)
 		Expect(s.Entries).To(BeEmpty())
 		Expect(s.Snapshot.Data).To(Equal([]byte("s")))
-		Expect(s.Records).To(HaveLen(3))
+		Expect(s.Claims).To(HaveLen(3))
 		Expect(st.Close()).To(Succeed())
 	})
 	It("keeps servers until they are gone", func() {
@@ -76,7 +76,7 @@
 		one, two := registry.Entry{ID: "i-1", Service: "tags", Address: "x:1", Seq: 3}, registry.Entry{ID: "i-2", Service: "tags", Address: "x:2", Seq: 4}
 		Expect(st.Commit([]*storage.Batch{{Servers: []registry.Entry{one, two}}})).To(Succeed())
 		one.State = registry.Draining
-		two.State = registry.Gone
+		two.State = registry.Removed
 		Expect(st.Commit([]*storage.Batch{{Servers: []registry.Entry{one, two}}})).To(Succeed())
 		Expect(st.Close()).To(Succeed())
 		st, s := open(dir)
@@ -95,7 +95,7 @@
 		dir := GinkgoT().TempDir()
 		st, _ := open(dir)
 		for n := range uint64(20) {
-			Expect(st.Commit([]*storage.Batch{{Hard: &consensus.HardState{Term: n + 1}, Records: []idempotency.Record{record(n)}}})).To(Succeed())
+			Expect(st.Commit([]*storage.Batch{{Hard: &consensus.HardState{Term: n + 1}, Claims: []idempotency.Record{record(n)}}})).To(Succeed())
 		}
 		Expect(st.Close()).To(Succeed())
 		whole, err := os.ReadFile(filepath.Join(dir, "exchange.db"))
@@ -112,7 +112,7 @@
 			other, s, err := storage.Open(cut, window, 64<<20)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(s.Hard.Term).To(BeElementOf(uint64(19), uint64(20)))
-			Expect(len(s.Records)).To(BeElementOf(19, 20))
+			Expect(len(s.Claims)).To(BeElementOf(19, 20))
 			Expect(other.Close()).To(Succeed())
 		}
 	})
@@ -120,9 +120,9 @@
 		dir := GinkgoT().TempDir()
 		st, _ := open(dir)
 		for n := range uint64(60) {
-			Expect(st.Commit([]*storage.Batch{{Members: []string{"a", "b", "c"}, Hard: &consensus.HardState{Term: n + 1},
+			Expect(st.Commit([]*storage.Batch{{BootstrapVoters: []string{"a", "b", "c"}, Hard: &consensus.HardState{Term: n + 1},
 				Entries: []consensus.Entry{{Term: n + 1, Index: n + 1, Data: []byte("change")}}, Servers: []registry.Entry{{ID: fmt.Sprint("i-", n%9), Service: "tags", Address: "x:1", Seq: n}},
-				Records: []idempotency.Record{record(n), {Key: idempotency.Key{byte(n)}, Token: idempotency.Token{Life: 1, N: n}, Answer: &idempotency.Answer{Status: 200, Body: make([]byte, 300)}}}}})).To(Succeed())
+				Claims: []idempotency.Record{record(n), {Key: idempotency.Key{byte(n)}, Token: idempotency.Token{Incarnation: 1, Sequence: n}, Response: &idempotency.Response{Status: 200, Body: make([]byte, 300)}}}}})).To(Succeed())
 		}
 		Expect(st.Close()).To(Succeed())
 		whole, err := os.ReadFile(filepath.Join(dir, "exchange.db"))
@@ -130,7 +130,7 @@
 		used := len(bytes.TrimRight(whole, "\x00")) // the file is made longer than what is in it
 		st, good := open(dir)
 		Expect(st.Close()).To(Succeed())
-		Expect(good.Records).To(HaveLen(120))
+		Expect(good.Claims).To(HaveLen(120))
 		rng := rand.New(rand.NewPCG(2, 2))
 		spoilt, same := 0, 0
 		for round := range 200 {
@@ -148,15 +148,15 @@
 			Expect(os.WriteFile(filepath.Join(touched, "exchange.db"), text, 0o600)).To(Succeed())
 			other, s, err := storage.Open(touched, window, 64<<20)
 			Expect(err).NotTo(HaveOccurred(), what)
-			if s.Spoilt != nil || s.New {
+			if s.Corrupt != nil || s.New {
 				spoilt++
 				Expect(s.New).To(BeTrue(), what)
-				Expect(s.Members).To(BeEmpty(), what)
+				Expect(s.BootstrapVoters).To(BeEmpty(), what)
 			} else {
 				same++
 				Expect(s).To(Equal(good), what)
 			}
-			Expect(other.Commit([]*storage.Batch{{Records: []idempotency.Record{record(1)}}})).To(Succeed(), what)
+			Expect(other.Commit([]*storage.Batch{{Claims: []idempotency.Record{record(1)}}})).To(Succeed(), what)
 			Expect(other.Close()).To(Succeed())
 		}
 		Expect(spoilt).To(BeNumerically(">", 30))
@@ -165,7 +165,7 @@
 	It("is put aside when its opening ends the process again and again", func() {
 		dir := GinkgoT().TempDir()
 		st, _ := open(dir)
-		Expect(st.Commit([]*storage.Batch{{Members: []string{"a"}, Hard: &consensus.HardState{Term: 7}}})).To(Succeed())
+		Expect(st.Commit([]*storage.Batch{{BootstrapVoters: []string{"a"}, Hard: &consensus.HardState{Term: 7}}})).To(Succeed())
 		Expect(st.Close()).To(Succeed())
 		tries := filepath.Join(dir, "exchange.db.opening")
 		Expect(os.WriteFile(tries, []byte("...."), 0o600)).To(Succeed())
@@ -176,7 +176,7 @@
 		Expect(os.WriteFile(tries, []byte("....."), 0o600)).To(Succeed())
 		st, s = open(dir)
 		Expect(s.New).To(BeTrue())
-		Expect(s.Spoilt).To(MatchError(ContainSubstring("5 starts in a row")))
+		Expect(s.Corrupt).To(MatchError(ContainSubstring("5 starts in a row")))
 		Expect(st.Close()).To(Succeed())
 	})
 	It("leaves a file of another format alone", func() {
@@ -199,12 +199,12 @@
 		Expect(err).NotTo(HaveOccurred())
 		for n := range uint64(9) {
 			r := record(n)
-			r.Answer = &idempotency.Answer{Status: 200, Body: make([]byte, 300)}
-			Expect(st.Commit([]*storage.Batch{{Records: []idempotency.Record{record(n), r}}})).To(Succeed())
+			r.Response = &idempotency.Response{Status: 200, Body: make([]byte, 300)}
+			Expect(st.Commit([]*storage.Batch{{Claims: []idempotency.Record{record(n), r}}})).To(Succeed())
 		}
 		Expect(st.Close()).To(Succeed())
 		st, s := open(dir)
-		Expect(s.Records).To(HaveLen(9+3), "all claims, and as many answers as there is room for")
+		Expect(s.Claims).To(HaveLen(9+3), "all claims, and as many answers as there is room for")
 		Expect(st.Close()).To(Succeed())
 	})
 })
--- a/internal/simulation/audit_members.go
+++ b/internal/simulation/audit_members.go
@@ -68,8 +68,8 @@
 }
 
 // auditGrant holds a grant against what the store itself has applied durably: one that was voted out grants nothing.
-func (w *world) auditGrant(n *node, v idempotency.Verdict) {
-	if v == idempotency.Granted && !n.disk.membership.Contains(n.identity) && n.disk.membership.Epoch > 0 {
+func (w *world) auditGrant(n *node, v idempotency.GrantReply) {
+	if v == idempotency.ReplyGranted && !n.disk.membership.Contains(n.identity) && n.disk.membership.Epoch > 0 {
 		w.broken("REMOVED: %s has applied membership %d, which it is no part of, and grants a claim", n.identity, n.disk.membership.Epoch)
 	}
 }
@@ -90,7 +90,7 @@
 	}
 	for _, r := range n.answers() {
 		kept := slices.ContainsFunc(w.nodes, func(o *node) bool {
-			return o != n && !o.gone && o.claimStore.Answer(r.Key, r.Token) != nil
+			return o != n && !o.gone && o.claimStore.Response(r.Key, r.Token) != nil
 		})
 		if w.result.HandedOver++; !kept {
 			w.broken("KEPT: %s ended in order and took the only copy of an answer along", n.name)
@@ -102,7 +102,7 @@
 func (w *world) wanting() string {
 	var leader *node
 	for _, n := range w.nodes {
-		if w.running(n.n) && n.member.Role() == consensus.Leader && n.member.Attached(w.now) {
+		if w.running(n.n) && n.member.Role() == consensus.Leader && n.member.HasQuorumContact(w.now) {
 			leader = n
 		}
 	}
@@ -128,7 +128,7 @@
 			return id + " is down"
 		case n.leaving:
 			return id + " leaves"
-		case n.claimStore.Blank():
+		case n.claimStore.Recovering():
 			return id + "'s store of claims is not ready"
 		case n.epoch != m.Epoch:
 			return id + " has not applied the membership"
--- a/internal/simulation/bookings.go
+++ b/internal/simulation/bookings.go
@@ -56,7 +56,7 @@
 // nodeReservations is a controller's part of booked slots.
 type nodeReservations struct {
 	clock  *reservation.Clock
-	dealer *reservation.Dealer
+	dealer *reservation.Allocator
 	round  uint64
 	asked  time.Duration
 	proven time.Duration
@@ -68,16 +68,16 @@
 
 // edgeReservations is an edge's.
 type edgeReservations struct {
-	held  reservation.Holding
+	held  reservation.LeaseHolder
 	told  []reservation.Reservation
-	gate  *reservation.Gate
+	gate  *reservation.AdmissionGate
 	wants map[string]int
 	next  time.Duration
 }
 
 // pass is what a request holds of a gate.
 type pass struct {
-	gate               *reservation.Gate
+	gate               *reservation.AdmissionGate
 	reservation, under string
 	at                 time.Duration
 	in                 bool
@@ -113,7 +113,7 @@
 		}
 	}
 	b := reservation.Booking{ID: "busy", Tenant: "tenant", Service: w.services[0], Start: 1e6 + bookedFrom.Seconds(), End: 2e6, Slots: float64(int(whole * busy.Booked)), Owner: "hall"}
-	data, err := cbor.Marshal(statemachine.Change{Book: &reservation.Op{Call: "busy", Base: n.state.Book.Version, Puts: []reservation.Booking{b}, Now: n.reservations.clock.Now(w.now)}})
+	data, err := cbor.Marshal(statemachine.Change{Bookings: &reservation.Op{Call: "busy", Base: n.state.Bookings.Version, Puts: []reservation.Booking{b}, Now: n.reservations.clock.Now(w.now)}})
 	if err != nil {
 		panic(err) // plain values
 	}
@@ -131,34 +131,34 @@
 // dealReservations is what a controller does for booked slots: as the program does.
 func (w *world) dealReservations(n *node) {
 	r := &n.reservations
-	if w.now < r.next || n.member.Role() != consensus.Leader || n.state.Book.Version == 0 {
+	if w.now < r.next || n.member.Role() != consensus.Leader || n.state.Bookings.Version == 0 {
 		return
 	}
 	r.next = w.now + dealOf
 	if r.dealer == nil || r.dealer.Term() != n.member.Term() {
-		r.dealer, r.round, r.proven = reservation.NewDealer(n.member.Term(), w.now), 0, 0
+		r.dealer, r.round, r.proven = reservation.NewAllocator(n.member.Term(), w.now), 0, 0
 		if w.day.Fault == "a new dealer deals at once" {
-			r.dealer = reservation.NewDealer(n.member.Term(), -time.Hour)
+			r.dealer = reservation.NewAllocator(n.member.Term(), -time.Hour)
 		}
 	}
-	if r.round > 0 && n.member.Confirmed(r.round) {
+	if r.round > 0 && n.member.ReadConfirmed(r.round) {
 		r.proven = r.asked
 	}
-	r.round, r.asked = n.member.Confirm(w.now), w.now
+	r.round, r.asked = n.member.ReadIndex(w.now), w.now
 	w.settle(n)
-	if r.proven == 0 || w.now-r.proven > reservation.Confirmed {
+	if r.proven == 0 || w.now-r.proven > reservation.LeaderProofTTL {
 		return
 	}
-	carry := map[string]reservation.Carry{}
+	carry := map[string]reservation.Capacity{}
 	for _, e := range n.registry.All(w.now) {
-		if e.State == registry.Ready && !e.Silent {
+		if e.State == registry.Ready && !e.TimedOut {
 			if carry[e.Service] == nil {
-				carry[e.Service] = reservation.Carry{}
+				carry[e.Service] = reservation.Capacity{}
 			}
 			carry[e.Service][e.Zone] += float64(e.Capacity)
 		}
 	}
-	r.told, r.term, r.from = n.state.Book.Reservations(carry, r.clock.Now(w.now)), n.member.Term(), n.n
+	r.told, r.term, r.from = n.state.Bookings.ReservationsAt(carry, r.clock.Now(w.now)), n.member.Term(), n.n
 	told, term := r.told, r.term
 	for _, o := range w.nodes {
 		if k := w.between(n.n, o.n); o != n && k != nil {
@@ -173,13 +173,13 @@
 		return
 	}
 	r.dealer.Plan(told, w.now)
-	leases := r.dealer.Deal(w.now)
+	leases := r.dealer.Allocate(w.now)
 	for i := range w.edges {
 		lease, ok := leases[linkName(-1-i)]
 		if !ok {
 			continue
 		}
-		w.relay(n.n, w.edges[i].controller, i, func(e *edge) { e.reservations.held.Take(lease) })
+		w.relay(n.n, w.edges[i].controller, i, func(e *edge) { e.reservations.held.Accept(lease) })
 	}
 }
 
@@ -208,7 +208,7 @@
 		controller := w.nodes[e.controller]
 		if controller.reservations.term > 0 {
 			r.told = controller.reservations.told
-			r.held.Follow(controller.reservations.term)
+			r.held.FollowTerm(controller.reservations.term)
 		}
 		if len(r.told) > 0 {
 			wants := map[string]int{}
@@ -219,7 +219,7 @@
 			w.wired(k, -1-e.n, func() {
 				hand := func() {
 					if d := w.nodes[controller.reservations.from].reservations.dealer; d != nil {
-						d.Heard(linkName(-1-e.n), demand, w.now)
+						d.HandleDemand(linkName(-1-e.n), demand, w.now)
 					}
 				}
 				if controller.reservations.from == controller.n {
@@ -230,21 +230,21 @@
 			})
 		}
 	}
-	r.gate.Keep(func(id string) bool {
+	r.gate.Retain(func(id string) bool {
 		return slices.ContainsFunc(r.told, func(o reservation.Reservation) bool { return o.ID == id })
 	})
 	if len(r.told) == 0 {
-		r.gate.Free()
+		r.gate.UnlimitOthers()
 	}
 	for _, one := range r.told {
-		part, full, known := r.held.Part(one.ID, w.now)
+		part, full, known := r.held.Share(one.ID, w.now)
 		switch {
-		case one.ID != reservation.Rest(one.Service):
-			r.gate.Part(one.ID, part, one.Slots, full)
+		case one.ID != reservation.OthersID(one.Service):
+			r.gate.SetShare(one.ID, part, one.Slots, full)
 		case known:
-			r.gate.Others(part, one.Slots, full)
+			r.gate.LimitOthers(part, one.Slots, full)
 		default:
-			r.gate.Others((one.Slots+len(w.edges)-1)/len(w.edges), one.Slots, true)
+			r.gate.LimitOthers((one.Slots+len(w.edges)-1)/len(w.edges), one.Slots, true)
 		}
 	}
 }
@@ -256,7 +256,7 @@
 	}
 	whole, sum := 0, 0
 	for _, n := range w.nodes {
-		if n.member.Role() == consensus.Leader && n.reservations.proven > 0 && w.now-n.reservations.proven <= reservation.Confirmed {
+		if n.member.Role() == consensus.Leader && n.reservations.proven > 0 && w.now-n.reservations.proven <= reservation.LeaderProofTTL {
 			for _, one := range n.reservations.told {
 				if one.ID == "busy" {
 					whole = one.Slots
@@ -268,7 +268,7 @@
 	const lasts = 44 // of these looks: a lease and the time that a proof is good for
 	most := slices.Max(w.wholes[max(0, len(w.wholes)-lasts):])
 	for _, e := range w.edges {
-		part, _, _ := e.reservations.held.Part("busy", w.now)
+		part, _, _ := e.reservations.held.Share("busy", w.now)
 		sum += part
 	}
 	if sum > most {
@@ -312,13 +312,13 @@
 	if q.counts {
 		q.side.Asked++
 	}
-	q.way = attempt.Attempt{Safe: true, Most: triesMost}
+	q.way = attempt.Retries{Safe: true, MaxSent: triesMost}
 	w.result.Requests++
 	w.asked[q.service] = append(w.asked[q.service], w.now)
 	e.asked[q.service]++
-	e.budget(q.service, len(w.edges)).Request()
+	e.budget(q.service, len(w.edges)).Earn()
 	if len(e.reservations.told) > 0 {
-		q.pass = &pass{gate: e.reservations.gate, reservation: reservation.Rest(q.service)}
+		q.pass = &pass{gate: e.reservations.gate, reservation: reservation.OthersID(q.service)}
 		if tenant {
 			q.pass.reservation = "busy"
 		}
@@ -336,7 +336,7 @@
 		p.at = w.now
 	}
 	if u = w.pick(e, q); u == nil && q.pass != nil && q.way.Sent == 0 {
-		q.pass.gate.Done(q.pass.under, 0)
+		q.pass.gate.Release(q.pass.under, 0)
 		q.pass.in = false
 	}
 	return u
@@ -346,7 +346,7 @@
 func (w *world) leaves(q *request, served, refused bool) {
 	if p := q.pass; p != nil {
 		if q.edge.reservations.wants[p.reservation]--; p.in {
-			p.gate.Done(p.under, max(1, w.now-p.at))
+			p.gate.Release(p.under, max(1, w.now-p.at))
 		}
 	}
 	if q.side == nil {
--- a/internal/simulation/capacity_test.go
+++ b/internal/simulation/capacity_test.go
@@ -52,7 +52,7 @@
 func (s scale) directory() *registry.Registry {
 	d := registry.New(90 * time.Second)
 	for n := range s.servers {
-		d.Take(s.server(n, 1), 0)
+		d.Apply(s.server(n, 1), 0)
 	}
 	return d
 }
@@ -61,10 +61,10 @@
 func (s scale) board(d *registry.Registry) *broadcast.Broadcaster {
 	board := broadcast.New(d)
 	for n := range s.home() {
-		board.Join(fmt.Sprint("edge ", n), true)
+		board.AddPeer(fmt.Sprint("edge ", n), true)
 	}
 	for n := range controllers - 1 {
-		board.Join(fmt.Sprint("controller ", n), false)
+		board.AddPeer(fmt.Sprint("controller ", n), false)
 	}
 	return board
 }
@@ -138,8 +138,8 @@
 		seq, sends := uint64(1), 0
 		for b.Loop() {
 			seq++
-			board.Call(s.server(int(seq)%s.servers, seq), seq, time.Duration(seq))
-			sends += len(board.Take().Sends)
+			board.HandleServerCall(s.server(int(seq)%s.servers, seq), seq, time.Duration(seq))
+			sends += len(board.TakeOutput().Messages)
 		}
 		b.ReportMetric(float64(sends)/float64(b.N), "sends/op")
 	})
@@ -149,7 +149,7 @@
 	parts(b, func(b *testing.B, s scale) {
 		d := s.directory()
 		for b.Loop() {
-			d.Silence("10.0.0.1", func(string) bool { return false }, time.Hour, time.Second)
+			d.MarkTimedOut("10.0.0.1", func(string) bool { return false }, time.Hour, time.Second)
 		}
 	})
 }
@@ -161,13 +161,13 @@
 		for b.Loop() {
 			e := s.server(s.servers+n, 2)
 			e.State = registry.Draining
-			board.Call(e, uint64(n), time.Duration(n))
-			for _, one := range board.Take().Sends {
+			board.HandleServerCall(e, uint64(n), time.Duration(n))
+			for _, one := range board.TakeOutput().Messages {
 				sends++
 				if n == 0 {
-					bytes += size(b, &peer.Frame{Entries: one.Entries, Receipt: one.Receipt})
+					bytes += size(b, &peer.Frame{Entries: one.Entries, AckID: one.AckID})
 				}
-				board.Received(one.To, one.Receipt)
+				board.HandleAck(one.To, one.AckID)
 			}
 			n++
 		}
@@ -210,9 +210,9 @@
 			roster[i] = rand.Uint32()
 		}
 		for b.Loop() {
-			x.Deal(roster, roster[0])
+			x.AssignSlots(roster, roster[0])
 		}
-		b.ReportMetric(size(b, &peer.Frame{Summary: &peer.Summary{Full: true, Roster: roster}}), "wire-bytes")
+		b.ReportMetric(size(b, &peer.Frame{Summary: &peer.Summary{Full: true, ZoneEdges: roster}}), "wire-bytes")
 	})
 }
 
@@ -223,12 +223,12 @@
 		for i := range roster {
 			roster[i] = uint32(i)
 		}
-		x.Deal(roster, 0)
+		x.AssignSlots(roster, 0)
 		now := time.Duration(0)
 		for b.Loop() {
 			now += time.Millisecond
 			if l := x.Pick("service-0", func(*picker.Upstream) bool { return false }, now); l != nil {
-				x.Done(l, 0, true, true, now)
+				x.Release(l, 0, true, true, now)
 			}
 		}
 	})
@@ -241,11 +241,11 @@
 		for z := range zones {
 			names = append(names, fmt.Sprint("z", z))
 		}
-		var others []weights.Others
+		var others []weights.PeerTraffic
 		for n := range controllers - 1 {
-			o := weights.Others{Edges: s.home()}
+			o := weights.PeerTraffic{Edges: s.home()}
 			for service := range s.services {
-				o.Usual = append(o.Usual, peer.Zoned{Service: fmt.Sprint("service-", service), Zone: names[n%zones], Rate: 17})
+				o.TrafficByZone = append(o.TrafficByZone, peer.ZoneTraffic{Service: fmt.Sprint("service-", service), Zone: names[n%zones], Rate: 17})
 			}
 			others = append(others, o)
 		}
@@ -255,23 +255,23 @@
 				r := &peer.Report{Period: 1}
 				for range metEach {
 					e := s.server(rng.IntN(s.servers), 1)
-					r.Met = append(r.Met, peer.Met{Server: e.ID, Tries: 1, Time: 0.1 + 0.05*rng.Float64()})
-					r.Asked = append(r.Asked, peer.Asked{Service: e.Service, Requests: 1})
+					r.Servers = append(r.Servers, peer.ServerStats{Server: e.ID, Attempts: 1, TotalTime: 0.1 + 0.05*rng.Float64()})
+					r.Services = append(r.Services, peer.ServiceStats{Service: e.Service, Requests: 1})
 				}
-				g.Report(fmt.Sprint("e", n), r, func(id string) (string, bool) { e, ok := d.Get(id); return e.Service, ok })
+				g.HandleReport(fmt.Sprint("e", n), r, func(id string) (string, bool) { e, ok := d.Get(id); return e.Service, ok })
 			}
 			for range 4 {
-				for edge, w := range g.Tick(now, func() []weights.Others { return others }) {
-					lines += len(w.Lines)
+				for edge, w := range g.Tick(now, func() []weights.PeerTraffic { return others }) {
+					lines += len(w.Changed)
 					sent += size(b, &peer.Frame{Weights: w})
-					g.Report(edge, &peer.Report{Applied: w.Marks}, nil)
+					g.HandleReport(edge, &peer.Report{Applied: w.Tokens}, nil)
 				}
 				now += 250 * time.Millisecond
 			}
 		}
 		made, bytes := heap(func() any {
 			g := weights.New("z0", names, 1, func() int { return controllers }, func(string, string) {})
-			g.Changed(d.All(0), 0)
+			g.UpdateServers(d.All(0), 0)
 			for n := range s.home() {
 				g.Join(fmt.Sprint("e", n), "z0")
 			}
@@ -293,15 +293,15 @@
 
 func BenchmarkCapacityPulse(b *testing.B) { // a full pulse from a controller to another, one a second
 	parts(b, func(b *testing.B, s scale) {
-		p := &peer.Summary{Attached: true, Full: true, Version: 1, Edges: s.home(), Fleet: s.edges, Sum: rand.Uint64(), Clock: 1e9, Crew: map[string][]uint32{}}
+		p := &peer.Summary{Attached: true, Full: true, Version: 1, Edges: s.home(), Fleet: s.edges, RegistryDigest: rand.Uint64(), Clock: 1e9, EdgesByZone: map[string][]uint32{}}
 		for n := range controllers - 1 {
 			p.Controllers = append(p.Controllers, fmt.Sprint("10.0.0.", n))
 		}
 		for n := range s.services {
-			p.Usual = append(p.Usual, peer.Zoned{Service: fmt.Sprint("service-", n), Zone: "z0", Rate: 17.3})
+			p.TrafficByZone = append(p.TrafficByZone, peer.ZoneTraffic{Service: fmt.Sprint("service-", n), Zone: "z0", Rate: 17.3})
 		}
 		for range s.home() {
-			p.Crew["z0"] = append(p.Crew["z0"], rand.Uint32())
+			p.EdgesByZone["z0"] = append(p.EdgesByZone["z0"], rand.Uint32())
 		}
 		var text []byte
 		for b.Loop() {
@@ -408,13 +408,13 @@
 				coordinator, stores, n := idempotency.NewCoordinator(names, time.Second, time.Second), map[string]*idempotency.Store{}, uint64(0)
 				claim := func() {
 					n++
-					r := idempotency.Record{Key: idempotency.KeyOf("t", fmt.Sprint(n)), Token: idempotency.Token{Life: 1, N: n}, Home: "10.0.0.1"}
-					for asks := coordinator.Open(r, 0); len(asks) > 0; {
+					r := idempotency.Record{Key: idempotency.KeyOf("t", fmt.Sprint(n)), Token: idempotency.Token{Incarnation: 1, Sequence: n}, ResponseHolder: "10.0.0.1"}
+					for asks := coordinator.Start(r, 0); len(asks) > 0; {
 						a := asks[0]
 						asks = asks[1:]
-						v, holder, _ := stores[a.To].Claim(a.Record, 0)
-						stores[a.To].Stored(a.Record.Key, a.Record.Token)
-						more, _ := coordinator.Verdict(a.To, a.Record.Token, v, holder, 0)
+						v, holder, _ := stores[a.To].Grant(a.Record, 0)
+						stores[a.To].MarkDurable(a.Record.Key, a.Record.Token)
+						more, _ := coordinator.HandleReply(a.To, a.Record.Token, v, holder, 0)
 						asks = append(asks, more...)
 					}
 				}
@@ -431,7 +431,7 @@
 					claim()
 				}
 				b.ReportMetric(bytes/float64(held*(members/2+1)), "heap/key")
-				b.ReportMetric(size(b, &peer.Frame{Asks: []idempotency.Record{{Key: idempotency.KeyOf("t", "1"), Token: idempotency.Token{Life: 1 << 60, N: n}, Home: "10.0.0.1"}}}), "ask-bytes")
+				b.ReportMetric(size(b, &peer.Frame{GrantRequests: []idempotency.Record{{Key: idempotency.KeyOf("t", "1"), Token: idempotency.Token{Incarnation: 1 << 60, Sequence: n}, ResponseHolder: "10.0.0.1"}}}), "ask-bytes")
 			})
 		}
 	}
@@ -442,7 +442,7 @@
 		x, met := s.picker(), 0
 		for b.Loop() {
 			for _, l := range x.All() {
-				if x.Met(l).Tries > 0 {
+				if x.TakeStats(l).Attempts > 0 {
 					met++
 				}
 			}
@@ -482,7 +482,7 @@
 				one := &storage.Batch{}
 				for range batch {
 					n++
-					one.Records = append(one.Records, idempotency.Record{Key: idempotency.KeyOf("t", fmt.Sprint(n)), Token: idempotency.Token{Life: 1 << 60, N: n}, Home: "10.0.0.1"})
+					one.Claims = append(one.Claims, idempotency.Record{Key: idempotency.KeyOf("t", fmt.Sprint(n)), Token: idempotency.Token{Incarnation: 1 << 60, Sequence: n}, ResponseHolder: "10.0.0.1"})
 				}
 				if err := a.Commit([]*storage.Batch{one}); err != nil {
 					b.Fatal(err)
--- a/internal/simulation/claims.go
+++ b/internal/simulation/claims.go
@@ -11,12 +11,12 @@
 
 // judge puts a claim to a node's claim store; a grant is told once it is durable. One that is asked under a membership
 // older than the newest that is durable here is granted nothing.
-func (w *world) judge(n *node, r idempotency.Record, epoch uint64, tell func(idempotency.Verdict, idempotency.Record)) {
+func (w *world) judge(n *node, r idempotency.Record, epoch uint64, tell func(idempotency.GrantReply, idempotency.Record)) {
 	if w.fenced(n, epoch) {
-		tell(idempotency.Behind, idempotency.Record{})
+		tell(idempotency.ReplyStaleEpoch, idempotency.Record{})
 		return
 	}
-	v, holder, store := n.claimStore.Claim(r, w.now)
+	v, holder, store := n.claimStore.Grant(r, w.now)
 	if !store {
 		tell(v, holder)
 		return
@@ -26,10 +26,10 @@
 	}
 	w.persist(n, func(d *disk) { d.records = append(d.records, r) }, func(ok bool) {
 		if !ok {
-			n.claimStore.Failed(r.Key, r.Token)
+			n.claimStore.MarkFailed(r.Key, r.Token)
 		}
-		if !ok || !n.claimStore.Stored(r.Key, r.Token) {
-			v = idempotency.Unable
+		if !ok || !n.claimStore.MarkDurable(r.Key, r.Token) {
+			v = idempotency.ReplyUnavailable
 		}
 		if w.day.Fault != "grants before storing" {
 			w.auditGrant(n, v)
@@ -50,20 +50,20 @@
 }
 
 // ask puts claims to claim stores. A verdict counts for the replica that the store's machine is when it tells it.
-func (w *world) ask(n *node, asks []idempotency.Ask) {
+func (w *world) ask(n *node, asks []idempotency.GrantRequest) {
 	for _, a := range asks {
 		r, epoch := a.Record, n.membership.Epoch
 		if a.To == n.identity {
-			w.judge(n, r, epoch, func(v idempotency.Verdict, holder idempotency.Record) { w.verdict(n, a.To, r.Token, v, holder) })
+			w.judge(n, r, epoch, func(v idempotency.GrantReply, holder idempotency.Record) { w.verdict(n, a.To, r.Token, v, holder) })
 			continue
 		}
 		to := w.replicaAt(n, a.To)
 		if to == nil {
-			w.verdict(n, a.To, r.Token, idempotency.Unable, idempotency.Record{})
+			w.verdict(n, a.To, r.Token, idempotency.ReplyUnavailable, idempotency.Record{})
 			continue
 		}
 		w.send(n.n, to.n, func() {
-			w.judge(to, r, epoch, func(v idempotency.Verdict, holder idempotency.Record) {
+			w.judge(to, r, epoch, func(v idempotency.GrantReply, holder idempotency.Record) {
 				from := to.identity
 				w.send(to.n, n.n, func() { w.verdict(n, from, r.Token, v, holder) })
 			})
@@ -71,18 +71,18 @@
 	}
 }
 
-func (w *world) verdict(n *node, from string, token idempotency.Token, v idempotency.Verdict, holder idempotency.Record) {
-	more, done := n.coordinator.Verdict(from, token, v, holder, w.now)
+func (w *world) verdict(n *node, from string, token idempotency.Token, v idempotency.GrantReply, holder idempotency.Record) {
+	more, done := n.coordinator.HandleReply(from, token, v, holder, w.now)
 	w.ask(n, more)
 	if done != nil {
 		w.ruled(n, *done)
 	}
 }
 
-func (w *world) ruled(n *node, o idempotency.Outcome) {
+func (w *world) ruled(n *node, o idempotency.Result) {
 	if tell := n.claims[o.Token]; tell != nil {
 		delete(n.claims, o.Token)
-		tell(o.Ruling)
+		tell(o.Outcome)
 	}
 }
 
@@ -98,7 +98,7 @@
 		}
 		w.tried[key] = true
 		w.next++
-		r := idempotency.Record{Key: key, Token: idempotency.Token{Life: uint64(e.n + 1), N: w.next}}
+		r := idempotency.Record{Key: key, Token: idempotency.Token{Incarnation: uint64(e.n + 1), Sequence: w.next}}
 		e.open[r.Token] = &claim{record: r, since: w.now}
 		w.claim(e, r, w.controllerOr(e, w.some()))
 	}
@@ -106,7 +106,7 @@
 	for _, c := range e.open {
 		open = append(open, c)
 	}
-	slices.SortFunc(open, func(a, b *claim) int { return cmp.Compare(a.record.Token.N, b.record.Token.N) })
+	slices.SortFunc(open, func(a, b *claim) int { return cmp.Compare(a.record.Token.Sequence, b.record.Token.Sequence) })
 	for _, c := range open {
 		switch age := w.now - c.since; {
 		case age > giveUp:
@@ -139,7 +139,7 @@
 	n := w.nodes[at]
 	w.send(-1-e.n, at, func() {
 		life := e.life
-		n.claims[r.Token] = func(ruling idempotency.Ruling) {
+		n.claims[r.Token] = func(ruling idempotency.Outcome) {
 			w.send(at, -1-e.n, func() {
 				if e.life == life {
 					w.heard(e, r, ruling)
@@ -147,23 +147,23 @@
 			})
 		}
 		if len(n.membership.Voters) == 0 {
-			w.ruled(n, idempotency.Outcome{Token: r.Token, Ruling: idempotency.Refused})
+			w.ruled(n, idempotency.Result{Token: r.Token, Outcome: idempotency.OutcomeUndecided})
 			return
 		}
-		w.ask(n, n.coordinator.Open(idempotency.Record{Key: r.Key, Token: r.Token, Home: n.name}, w.now))
+		w.ask(n, n.coordinator.Start(idempotency.Record{Key: r.Key, Token: r.Token, ResponseHolder: n.name}, w.now))
 	})
 }
 
 // heard takes a ruling as an edge does: the first to decide is believed.
-func (w *world) heard(e *edge, r idempotency.Record, ruling idempotency.Ruling) {
+func (w *world) heard(e *edge, r idempotency.Record, ruling idempotency.Outcome) {
 	c := e.open[r.Token]
 	if c == nil {
 		return
 	}
-	if c.asked--; ruling == idempotency.Refused && c.asked > 0 {
+	if c.asked--; ruling == idempotency.OutcomeUndecided && c.asked > 0 {
 		return
 	}
-	if ruling != idempotency.Stands {
+	if ruling != idempotency.OutcomeGranted {
 		w.withdraw(e, c)
 		return
 	}
@@ -191,7 +191,7 @@
 func (w *world) sayVoid(e *edge, r idempotency.Record) {
 	for _, n := range w.nodes {
 		w.send(-1-e.n, n.n, func() {
-			if line, store := n.claimStore.Void(r.Key, r.Token, w.now); store {
+			if line, store := n.claimStore.Revoke(r.Key, r.Token, w.now); store {
 				w.persist(n, func(d *disk) { d.records = append(d.records, line) }, func(bool) {})
 			}
 		})
--- a/internal/simulation/controllers.go
+++ b/internal/simulation/controllers.go
@@ -53,11 +53,11 @@
 	state       *statemachine.StateMachine
 	saved       []byte // by the last snapshot but one, for a planted fault
 	waiting     map[uint64]waiter
-	claims      map[idempotency.Token]func(idempotency.Ruling)
+	claims      map[idempotency.Token]func(idempotency.Outcome)
 
 	reservations nodeReservations
 	tables       *weights.Tables
-	others       map[int]weights.Others // what other controllers' edges bring, as last told
+	others       map[int]weights.PeerTraffic // what other controllers' edges bring, as last told
 	registry     *registry.Registry
 	broadcaster  *broadcast.Broadcaster
 	calls        map[uint64]func()
@@ -110,7 +110,7 @@
 		n.claimStore.Load(r, w.now)
 	}
 	n.coordinator = idempotency.NewCoordinator(nil, hedge, limit)
-	n.state, n.waiting, n.claims = statemachine.New(), map[uint64]waiter{}, map[idempotency.Token]func(idempotency.Ruling){}
+	n.state, n.waiting, n.claims = statemachine.New(), map[uint64]waiter{}, map[idempotency.Token]func(idempotency.Outcome){}
 	n.leaving, n.retired, n.reading, n.unread, n.leased = false, false, nil, nil, 0
 	w.setStores(n)
 	n.registry = registry.New(90 * time.Second)
@@ -118,7 +118,7 @@
 	for _, id := range slices.Sorted(maps.Keys(n.disk.servers)) {
 		e := n.disk.servers[id]
 		e.Owner = n.name
-		n.registry.Take(e, w.now)
+		n.registry.Apply(e, w.now)
 	}
 	w.newTables(n)
 	w.newReservations(n)
@@ -145,8 +145,8 @@
 		since, gone := n.goneSince[slices.Index(w.names, owner)]
 		return gone && w.now-since > 2500*time.Millisecond
 	}
-	if changed := n.registry.Silence(n.name, lost, 5*beatOf/2, w.now); len(changed) > 0 {
-		n.broadcaster.Changed(changed, w.now)
+	if changed := n.registry.MarkTimedOut(n.name, lost, 5*beatOf/2, w.now); len(changed) > 0 {
+		n.broadcaster.Publish(changed, w.now)
 	}
 	w.flush(n)
 	w.weigh(n)
--- a/internal/simulation/departure.go
+++ b/internal/simulation/departure.go
@@ -126,7 +126,7 @@
 	answers := n.answers()
 	w.wired(k, n.n, func() {
 		for _, r := range answers {
-			to.claimStore.Done(r, w.now)
+			to.claimStore.Complete(r, w.now)
 		}
 		w.persistSurely(to, func(d *disk) { d.records = append(d.records, answers...) }, func() {
 			if k.up {
@@ -138,7 +138,7 @@
 
 // answers are those that a controller keeps, with their claims.
 func (n *node) answers() (all []idempotency.Record) {
-	n.claimStore.EachAnswer(func(r idempotency.Record) { all = append(all, r) })
+	n.claimStore.EachResponse(func(r idempotency.Record) { all = append(all, r) })
 	sortRecords(all)
 	return all
 }
@@ -150,9 +150,9 @@
 	}
 	if k := w.between(e.controller, -1-e.n); k != nil {
 		n := w.nodes[e.controller]
-		r.Home, r.Answer = n.name, &idempotency.Answer{Status: 200}
+		r.ResponseHolder, r.Response = n.name, &idempotency.Response{Status: 200}
 		w.wired(k, -1-e.n, func() {
-			n.claimStore.Done(r, w.now)
+			n.claimStore.Complete(r, w.now)
 			w.persist(n, func(d *disk) { d.records = append(d.records, r) }, func(bool) {})
 		})
 	}
--- a/internal/simulation/edges.go
+++ b/internal/simulation/edges.go
@@ -53,7 +53,7 @@
 	e.life++
 	e.open, e.voids = map[idempotency.Token]*claim{}, nil
 	e.registry, e.asked, e.bare = registry.New(90*time.Second), map[string]int{}, map[string]time.Duration{}
-	e.reservations = edgeReservations{held: reservation.Holding{Life: uint64(e.life)}, gate: reservation.NewGate(), wants: map[string]int{}}
+	e.reservations = edgeReservations{held: reservation.LeaseHolder{Incarnation: uint64(e.life)}, gate: reservation.NewAdmissionGate(), wants: map[string]int{}}
 	e.arrived = w.now // as a new life, which holds nothing
 	e.picker = picker.New(zoneName(e.zone()), w.rng.Float64)
 	e.budgets, e.met, e.version = map[string]*retrybudget.Budget{}, map[string]bool{}, 0
--- a/internal/simulation/founding.go
+++ b/internal/simulation/founding.go
@@ -56,7 +56,7 @@
 // foundStore lets the store of a founder grant: under the identity of a first start it never granted anything before.
 func (w *world) foundStore(n *node) {
 	if n.identity == n.name && slices.Contains(n.membership.Voters, n.identity) {
-		n.claimStore.Restored()
+		n.claimStore.FinishRecovery()
 		w.persistSurely(n, func(d *disk) { d.blank = false }, func() {})
 	}
 }
--- a/internal/simulation/growth_test.go
+++ b/internal/simulation/growth_test.go
@@ -45,7 +45,7 @@
 func known(f fleet) *registry.Registry {
 	d := registry.New(time.Minute)
 	for n := range f.servers {
-		d.Take(entry(n, 1), 0)
+		d.Apply(entry(n, 1), 0)
 	}
 	return d
 }
@@ -64,13 +64,13 @@
 		d := known(f)
 		broadcaster := broadcast.New(d)
 		for n := range f.edges / halls {
-			broadcaster.Join(fmt.Sprint("edge ", n), true)
+			broadcaster.AddPeer(fmt.Sprint("edge ", n), true)
 		}
 		seq, sends := uint64(1), 0
 		for b.Loop() {
 			seq++
-			broadcaster.Call(entry(int(seq)%f.servers, seq), seq, time.Duration(seq))
-			sends += len(broadcaster.Take().Sends)
+			broadcaster.HandleServerCall(entry(int(seq)%f.servers, seq), seq, time.Duration(seq))
+			sends += len(broadcaster.TakeOutput().Messages)
 		}
 		b.ReportMetric(float64(sends)/float64(b.N), "sends/op")
 	})
@@ -80,16 +80,16 @@
 	grow(b, func(b *testing.B, f fleet) {
 		broadcaster := broadcast.New(known(f))
 		for n := range f.edges / halls {
-			broadcaster.Join(fmt.Sprint("edge ", n), true)
+			broadcaster.AddPeer(fmt.Sprint("edge ", n), true)
 		}
 		n, sends, bytes := f.servers, 0, 0.0
 		for b.Loop() {
 			n++
-			broadcaster.Call(entry(n, 1), uint64(n), time.Duration(n))
-			for _, s := range broadcaster.Take().Sends {
+			broadcaster.HandleServerCall(entry(n, 1), uint64(n), time.Duration(n))
+			for _, s := range broadcaster.TakeOutput().Messages {
 				sends++
 				if n == f.servers+1 {
-					bytes += size(b, &peer.Frame{Entries: s.Entries, Receipt: s.Receipt})
+					bytes += size(b, &peer.Frame{Entries: s.Entries, AckID: s.AckID})
 				}
 			}
 		}
@@ -104,7 +104,7 @@
 		whole := configuration(f)
 		var frame *peer.Frame
 		for b.Loop() {
-			frame = &peer.Frame{Hello: &peer.Hello{Node: "x"}, Entries: d.All(0), Config: &peer.Config{Version: 1, Whole: whole}}
+			frame = &peer.Frame{Handshake: &peer.Handshake{Node: "x"}, Entries: d.All(0), Config: &peer.Config{Version: 1, Snapshot: whole}}
 			if _, err := cbor.Marshal(frame); err != nil {
 				b.Fatal(err)
 			}
@@ -117,7 +117,7 @@
 	grow(b, func(b *testing.B, f fleet) {
 		g := weights.New("z0", []string{"z0", "z1", "z2", "z3"}, 1, func() int { return 3 }, func(string, string) {})
 		d := known(f)
-		g.Changed(d.All(0), 0)
+		g.UpdateServers(d.All(0), 0)
 		for n := range f.edges / halls {
 			g.Join(fmt.Sprint("e", n), "z0")
 		}
@@ -127,13 +127,13 @@
 			for n := range f.edges / halls {
 				r := &peer.Report{Period: 1}
 				for s := range f.servers {
-					r.Met = append(r.Met, peer.Met{Server: fmt.Sprint("i-", s), Tries: 4, Time: 0.4 + 0.2*rng.Float64()})
+					r.Servers = append(r.Servers, peer.ServerStats{Server: fmt.Sprint("i-", s), Attempts: 4, TotalTime: 0.4 + 0.2*rng.Float64()})
 				}
-				g.Report(fmt.Sprint("e", n), r, func(id string) (string, bool) { e, ok := d.Get(id); return e.Service, ok })
+				g.HandleReport(fmt.Sprint("e", n), r, func(id string) (string, bool) { e, ok := d.Get(id); return e.Service, ok })
 			}
 			for range 4 {
-				for edge, w := range g.Tick(now, func() []weights.Others { return nil }) {
-					g.Report(edge, &peer.Report{Applied: w.Marks}, nil)
+				for edge, w := range g.Tick(now, func() []weights.PeerTraffic { return nil }) {
+					g.HandleReport(edge, &peer.Report{Applied: w.Tokens}, nil)
 				}
 				now += 250 * time.Millisecond
 			}
@@ -190,12 +190,12 @@
 		for i := range roster {
 			roster[i] = uint32(i)
 		}
-		x.Deal(roster, 0)
+		x.AssignSlots(roster, 0)
 		now := time.Duration(0)
 		for b.Loop() {
 			now += time.Millisecond
 			if u := x.Pick("service-0", func(*picker.Upstream) bool { return false }, now); u != nil {
-				x.Done(u, 0, true, true, now)
+				x.Release(u, 0, true, true, now)
 			}
 		}
 	})
@@ -209,13 +209,13 @@
 			n := uint64(0)
 			claim := func() {
 				n++
-				r := idempotency.Record{Key: idempotency.KeyOf("t", fmt.Sprint(n)), Token: idempotency.Token{Life: 1, N: n}}
-				for asks := coordinator.Open(r, 0); len(asks) > 0; {
+				r := idempotency.Record{Key: idempotency.KeyOf("t", fmt.Sprint(n)), Token: idempotency.Token{Incarnation: 1, Sequence: n}}
+				for asks := coordinator.Start(r, 0); len(asks) > 0; {
 					a := asks[0]
 					asks = asks[1:]
-					v, holder, _ := stores[a.To].Claim(a.Record, 0)
-					stores[a.To].Stored(a.Record.Key, a.Record.Token)
-					more, _ := coordinator.Verdict(a.To, a.Record.Token, v, holder, 0)
+					v, holder, _ := stores[a.To].Grant(a.Record, 0)
+					stores[a.To].MarkDurable(a.Record.Key, a.Record.Token)
+					more, _ := coordinator.HandleReply(a.To, a.Record.Token, v, holder, 0)
 					asks = append(asks, more...)
 				}
 			}
--- a/internal/simulation/members.go
+++ b/internal/simulation/members.go
@@ -61,10 +61,10 @@
 	case retired && w.day.Fault == "a retired identity is kept", retired && w.day.Fault == "a removed member grants":
 		retired = false
 	case retired:
-		n.claimStore.Revoke()
+		n.claimStore.BeginRecovery()
 		n.retired = true
 		drawn = membership.Identity(n.name, w.rng.Uint64()|1)
-	case m.Contains(n.identity) && n.claimStore.Blank():
+	case m.Contains(n.identity) && n.claimStore.Recovering():
 		n.copied, n.nextCopy = map[string]bool{}, 0
 		w.foundStore(n)
 	}
@@ -76,7 +76,7 @@
 		n.epoch = max(n.epoch, m.Epoch)
 		if drawn != "" {
 			n.identity = drawn
-			n.member.Rename(drawn)
+			n.member.SetID(drawn)
 		}
 		w.tellStanding(n)
 	})
@@ -97,7 +97,7 @@
 }
 
 func (n *node) standing() standing {
-	return standing{identity: n.identity, epoch: n.epoch, ready: !n.claimStore.Blank(), leaving: n.leaving}
+	return standing{identity: n.identity, epoch: n.epoch, ready: !n.claimStore.Recovering(), leaving: n.leaving}
 }
 
 // tellStanding tells all linked controllers of this one's part.
@@ -130,7 +130,7 @@
 }
 
 func (w *world) forgetGrants(n *node, identity string) {
-	for _, o := range n.coordinator.Forget(identity) {
+	for _, o := range n.coordinator.ForgetGrants(identity) {
 		w.ruled(n, o)
 	}
 }
@@ -156,26 +156,26 @@
 		return
 	}
 	switch d := n.manager.Decide(w.view(n), w.now); d.Action {
-	case membership.Begin:
+	case membership.ActionBegin:
 		_ = n.member.BeginChange(d.Next, w.now) // an error: it may not begin yet
-	case membership.Adopt, membership.Abandon:
-		_ = n.member.FinishChange(d.Action == membership.Adopt, w.now) // an error: it may not end yet
-	case membership.PassLeadership:
-		n.member.PassLeadership(d.To, w.now)
+	case membership.ActionAdopt, membership.ActionAbandon:
+		_ = n.member.FinishChange(d.Action == membership.ActionAdopt, w.now) // an error: it may not end yet
+	case membership.TransferLeadership:
+		n.member.TransferLeadership(d.To, w.now)
 	}
 }
 
 // view is what the membership manager decides by.
 func (w *world) view(n *node) membership.View {
 	own := n.standing()
-	v := membership.View{Self: n.identity, Term: n.member.Term(), Membership: n.member.Membership(), Committed: n.member.MembershipCommitted(), Wanted: w.day.Members}
-	v.Controllers = append(v.Controllers, membership.Controller{ID: n.identity, Zone: zoneName(n.zone), Counted: true, Linked: true, CaughtUp: true,
-		Leaving: own.leaving, Epoch: own.epoch, Ready: own.ready})
+	v := membership.View{Self: n.identity, Term: n.member.Term(), Membership: n.member.Membership(), Committed: n.member.MembershipCommitted(), WantedVoters: w.day.Members}
+	v.Controllers = append(v.Controllers, membership.Controller{ID: n.identity, Zone: zoneName(n.zone), Counted: true, Connected: true, CaughtUp: true,
+		ShuttingDown: own.leaving, Epoch: own.epoch, Ready: own.ready})
 	for _, id := range slices.Sorted(maps.Keys(n.met)) {
 		met := n.met[id]
 		if p := w.replicaAt(n, id); p != nil {
 			s := n.standings[p.n]
-			met.Linked, met.Leaving, met.Epoch, met.Ready = true, s.leaving, s.epoch, s.ready
+			met.Connected, met.ShuttingDown, met.Epoch, met.Ready = true, s.leaving, s.epoch, s.ready
 			match, _, known := n.member.Match(id)
 			met.CaughtUp = known && match+caughtUpLag >= n.member.Commit()
 		} else if !v.Membership.Contains(id) {
@@ -188,7 +188,7 @@
 
 // entering tells that this replica is an entrant of the change under way whose store doesn't hold the others' claims yet.
 func (n *node) entering() bool {
-	return n.claimStore.Blank() && n.membership.Joint() && slices.Contains(n.membership.Next, n.identity) && !slices.Contains(n.membership.Voters, n.identity)
+	return n.claimStore.Recovering() && n.membership.Joint() && slices.Contains(n.membership.Next, n.identity) && !slices.Contains(n.membership.Voters, n.identity)
 }
 
 // askCopies asks the former voters' stores for what they hold, while this replica enters.
@@ -210,11 +210,11 @@
 	if (n.membership.Epoch != epoch || n.epoch < epoch) && w.day.Fault != "copies are sent early" {
 		return // it asks again
 	}
-	if n.claimStore.Blank() || !slices.Contains(n.membership.Voters, n.identity) {
+	if n.claimStore.Recovering() || !slices.Contains(n.membership.Voters, n.identity) {
 		return
 	}
 	var all []idempotency.Record
-	n.claimStore.Each(func(r idempotency.Record) { all = append(all, r) })
+	n.claimStore.EachClaim(func(r idempotency.Record) { all = append(all, r) })
 	sortRecords(all)
 	from := n.identity
 	w.send(n.n, to.n, func() { w.takeCopy(to, from, all, epoch) })
@@ -231,7 +231,7 @@
 	}
 	records := make([]idempotency.Record, len(all))
 	for i, r := range all {
-		records[i] = n.claimStore.Copy(r, w.now)
+		records[i] = n.claimStore.Import(r, w.now)
 	}
 	w.persistSurely(n, func(d *disk) { d.records = append(d.records, records...) }, func() {})
 	n.copied[from] = true
@@ -240,10 +240,10 @@
 		return
 	}
 	w.persistSurely(n, func(d *disk) { d.blank = false }, func() {
-		if n.membership.Epoch != epoch || !n.claimStore.Blank() {
+		if n.membership.Epoch != epoch || !n.claimStore.Recovering() {
 			return // the change is over meanwhile, or this was said before
 		}
-		n.claimStore.Restored()
+		n.claimStore.FinishRecovery()
 		w.tellStanding(n)
 	})
 }
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -225,13 +225,13 @@
 			e.Data, _ = cbor.Marshal(c)
 		}
 	}
-	had := len(n.state.Book.All)
+	had := len(n.state.Bookings.Active)
 	_, err := n.state.Apply(e)
-	if len(n.state.Book.All) < had {
+	if len(n.state.Bookings.Active) < had {
 		w.broken("LOST: a booking is gone from %s", n.name)
 	}
 	if w.day.Fault == "calls are forgotten" {
-		n.state.Taken = nil
+		n.state.Accepted = nil
 	}
 	if want := w.forceAt[e.Index-1]; n.state.Version() != want {
 		w.broken("CONFIG: %s holds r%d after entry %d, the history leads to r%d", n.name, n.state.Version(), e.Index, want)
@@ -251,10 +251,10 @@
 		if !w.running(n.n) {
 			continue
 		}
-		if n.member.Role() == consensus.Leader && n.member.Attached(w.now) && w.bookAcked && len(n.state.Book.All) == 0 {
+		if n.member.Role() == consensus.Leader && n.member.HasQuorumContact(w.now) && w.bookAcked && len(n.state.Bookings.Active) == 0 {
 			w.broken("LOST: a booking was acknowledged and %s, which leads, has none", n.name)
 		}
-		if n.member.Role() == consensus.Leader && n.member.Attached(w.now) && len(w.ackTimes) > 0 {
+		if n.member.Role() == consensus.Leader && n.member.HasQuorumContact(w.now) && len(w.ackTimes) > 0 {
 			if newest := w.ackTimes[len(w.ackTimes)-1]; n.state.Version() < newest.version && w.now-newest.at > contact {
 				w.broken("LOST: r%d is read back, r%d was acknowledged", n.state.Version(), newest.version)
 			}
--- a/internal/simulation/policies.go
+++ b/internal/simulation/policies.go
@@ -34,22 +34,22 @@
 		e.turn[q.service]++
 		u = fit[e.turn[q.service]%len(fit)]
 	case "least outstanding":
-		u = least(func(u *picker.Upstream) float64 { return float64(u.Out()) / float64(u.Capacity) })
+		u = least(func(u *picker.Upstream) float64 { return float64(u.InFlight()) / float64(u.Capacity) })
 	case "two choices":
 		a, b := fit[w.rng.IntN(len(fit))], fit[w.rng.IntN(len(fit))]
-		if u = a; b.Out()*a.Capacity < a.Out()*b.Capacity {
+		if u = a; b.InFlight()*a.Capacity < a.InFlight()*b.Capacity {
 			u = b
 		}
 	default:
 		u = least(w.trulyTakes)
 	}
-	e.picker.Book(u)
+	e.picker.Reserve(u)
 	return u
 }
 
 // trulyTakes is how long a request would take at a server, in units of its usual work: what an oracle sees.
 func (w *world) trulyTakes(u *picker.Upstream) float64 {
-	s := w.at[u.Host.(string)]
+	s := w.at[u.Attachment.(string)]
 	if s == nil || s.ended || s.id != u.ID {
 		return 1e9
 	}
--- a/internal/simulation/reads.go
+++ b/internal/simulation/reads.go
@@ -72,7 +72,7 @@
 		w.auditRead(n, n.state.Version(), acknowledged)
 		return
 	}
-	n.reading = append(n.reading, read{n.member.Confirm(w.now), w.now + callOver, acknowledged})
+	n.reading = append(n.reading, read{n.member.ReadIndex(w.now), w.now + callOver, acknowledged})
 	w.settle(n)
 }
 
@@ -82,7 +82,7 @@
 		if n.member.Role() != consensus.Leader || w.now > r.until {
 			return true
 		}
-		if !n.member.Confirmed(r.round) {
+		if !n.member.ReadConfirmed(r.round) {
 			return false
 		}
 		n.leased = readLease
--- a/internal/simulation/replication.go
+++ b/internal/simulation/replication.go
@@ -8,16 +8,16 @@
 
 // settle does what the consensus wants done.
 func (w *world) settle(n *node) {
-	out := n.member.Take()
-	w.post(n, out.Now)
+	out := n.member.TakeOutput()
+	w.post(n, out.Immediate)
 	if w.day.Fault == "tells before storing" {
-		w.post(n, out.After)
+		w.post(n, out.AfterSync)
 	}
-	if !out.Empty() || len(out.After) > 0 {
+	if !out.Empty() || len(out.AfterSync) > 0 {
 		w.persistOutput(n, out)
 	}
 	w.commit(n, out)
-	if n.state.Since > snapAfter {
+	if n.state.EntriesSinceSnapshot > snapAfter {
 		w.compact(n)
 	}
 }
@@ -34,7 +34,7 @@
 		n.saved = data
 	}
 	n.member.Compact(n.state.Index, data)
-	n.state.Since = 0
+	n.state.EntriesSinceSnapshot = 0
 }
 
 // post sends messages of the consensus to those who are linked under the identity that is meant.
@@ -56,10 +56,10 @@
 	index, term := out.Last()
 	w.persistSurely(n, func(d *disk) { d.storeOutput(out, w.day.Fault) }, func() {
 		if w.day.Fault != "tells before storing" {
-			w.post(n, out.After)
+			w.post(n, out.AfterSync)
 		}
 		if index > 0 {
-			n.member.Stored(index, term, w.now)
+			n.member.MarkDurable(index, term, w.now)
 		}
 	})
 }
@@ -95,6 +95,6 @@
 		w.broken("LOST: a snapshot of entry %d holds r%d, not r%d", s.Index, n.state.Version(), want)
 	}
 	if w.day.Fault == "digests are lost with the snapshot" {
-		n.state.Taken = nil
+		n.state.Accepted = nil
 	}
 }
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -30,7 +30,7 @@
 	life    int
 	began   time.Duration
 	calm    bool // the edge was in touch when it came
-	way     attempt.Attempt
+	way     attempt.Retries
 	tried   []*picker.Upstream
 	over    bool
 
@@ -43,17 +43,17 @@
 // edgeHears takes news of servers.
 func (w *world) edgeHears(e *edge, entries []registry.Entry) {
 	for _, entry := range entries {
-		now, _ := e.registry.Take(entry, w.now)
+		now, _ := e.registry.Apply(entry, w.now)
 		if w.day.Fault == "a late beat undoes a drain" {
 			now = entry
 		}
 		switch {
 		case now.State != registry.Ready:
-			e.picker.End(now.ID)
-		case e.picker.Upstream(now.ID) == nil && now.Address != "":
-			e.picker.Add(&picker.Upstream{ID: now.ID, Service: now.Service, Zone: now.Zone, Capacity: now.Capacity, Host: now.Address})
+			e.picker.Remove(now.ID)
+		case e.picker.Get(now.ID) == nil && now.Address != "":
+			e.picker.Add(&picker.Upstream{ID: now.ID, Service: now.Service, Zone: now.Zone, Capacity: now.Capacity, Attachment: now.Address})
 		}
-		e.picker.Silent(now.ID, now.Silent)
+		e.picker.SetTimedOut(now.ID, now.TimedOut)
 	}
 }
 
@@ -72,14 +72,14 @@
 	w.next++
 	q := &request{id: w.next, safe: w.rng.IntN(2) == 0, service: w.services[w.rng.IntN(len(w.services))], edge: e, life: e.life, began: w.now,
 		calm: w.calm() && e.calm <= w.now}
-	q.way = attempt.Attempt{Safe: q.safe, Most: triesMost}
+	q.way = attempt.Retries{Safe: q.safe, MaxSent: triesMost}
 	w.result.Requests++
 	w.asked[q.service] = append(w.asked[q.service], w.now)
 	e.asked[q.service]++
 	w.auditVersion(e, q.calm)
 	w.auditTables(e)
 	budget := e.budget(q.service, len(w.edges))
-	budget.Request()
+	budget.Earn()
 	w.seek(q)
 }
 
@@ -110,7 +110,7 @@
 	if u == nil {
 		if q.way.Sent > 0 || w.now-q.began >= waitFor || !e.picker.Serves(q.service) {
 			if q.way.Paid {
-				e.budget(q.service, len(w.edges)).Back()
+				e.budget(q.service, len(w.edges)).Refund()
 			}
 			w.finish(q, attempt.NotSent, 0)
 			return
@@ -126,7 +126,7 @@
 	met := e.met[u.ID]
 	e.met[u.ID] = true
 	onPool := met && w.rng.IntN(10) < pooled
-	t.answer = func(a attempt.Answer, status int, load [2]float64) {
+	t.answer = func(a attempt.Response, status int, load [2]float64) {
 		if t.over || e.life != q.life {
 			return
 		}
@@ -137,46 +137,46 @@
 		t.over = true
 		w.ended(q, t, a, status, load, onPool)
 	}
-	w.after(1+w.rng.IntN(4), func() { w.arrive(t, u.Host.(string)) })
+	w.after(1+w.rng.IntN(4), func() { w.arrive(t, u.Attachment.(string)) })
 	limit := q.began + patient - w.now
 	if !onPool { // nobody takes the connection at an address that is silent
-		if s := w.at[u.Host.(string)]; s != nil && s.ended && s.silent {
+		if s := w.at[u.Attachment.(string)]; s != nil && s.ended && s.silent {
 			limit = min(limit, dialFor)
 		}
 	}
 	w.after(int(limit/time.Millisecond), func() {
-		if s := w.at[u.Host.(string)]; !onPool && s != nil && s.ended && s.silent {
-			t.answer(attempt.Answer{}, 0, [2]float64{})
+		if s := w.at[u.Attachment.(string)]; !onPool && s != nil && s.ended && s.silent {
+			t.answer(attempt.Response{}, 0, [2]float64{})
 			return
 		}
-		t.answer(attempt.Answer{}, -1, [2]float64{})
+		t.answer(attempt.Response{}, -1, [2]float64{})
 	})
 }
 
 // ended takes how a try went, and goes on as the attempt's table says.
-func (w *world) ended(q *request, t *try, a attempt.Answer, status int, load [2]float64, onPool bool) {
+func (w *world) ended(q *request, t *try, a attempt.Response, status int, load [2]float64, onPool bool) {
 	e := q.edge
-	ending := a.Ending()
-	if !a.Came && status == 0 && !onPool && t.sent+dialFor >= w.now && !w.reached[t] {
+	ending := a.Outcome()
+	if !a.Received && status == 0 && !onPool && t.sent+dialFor >= w.now && !w.reached[t] {
 		ending = attempt.NotSent // the connection was refused
 	}
-	if w.day.Fault == "answers aren't told apart" && a.Came && !a.Ours {
+	if w.day.Fault == "answers aren't told apart" && a.Received && !a.OwnID {
 		ending = attempt.Ran
 	}
-	if w.day.Fault == "what broke off is tried again" && ending == attempt.Perhaps {
+	if w.day.Fault == "what broke off is tried again" && ending == attempt.Unknown {
 		ending = attempt.NotRun
 	}
-	e.picker.Done(t.l, w.now-t.sent, ending != attempt.NotSent, ending == attempt.Ran, w.now)
-	if a.Came && a.Ours {
-		e.picker.Told(t.l, load[0], load[1], w.now)
+	e.picker.Release(t.l, w.now-t.sent, ending != attempt.NotSent, ending == attempt.Ran, w.now)
+	if a.Received && a.OwnID {
+		e.picker.ReportLoad(t.l, load[0], load[1], w.now)
 	}
-	switch q.way.Ended(ending, status, true) {
+	switch q.way.AfterOutcome(ending, status, true) {
 	case attempt.Stop:
 		if ending == attempt.Ran && t.brings != q.id {
 			w.broken("MIXED: request %d is answered with what belongs to %d", q.id, t.brings)
 		}
 		w.finish(q, ending, status)
-	case attempt.Pay:
+	case attempt.RetryPaid:
 		if w.day.Fault != "tries cost nothing" && !e.budget(q.service, len(w.edges)).Spend(false) {
 			w.finish(q, ending, status)
 			return
@@ -189,7 +189,7 @@
 }
 
 // finish is what a client hears.
-func (w *world) finish(q *request, ending attempt.Ending, status int) {
+func (w *world) finish(q *request, ending attempt.Outcome, status int) {
 	q.over = true
 	w.leaves(q, ending == attempt.Ran && status < 500, ending == attempt.NotSent || ending == attempt.NotRun)
 	took := w.now - q.began
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -47,7 +47,7 @@
 	l      *picker.Upstream
 	expect string
 	sent   time.Duration
-	answer func(attempt.Answer, int, [2]float64)
+	answer func(attempt.Response, int, [2]float64)
 	brings uint64 // the request that the answer belongs to
 	over   bool   // the edge has stopped listening
 }
@@ -67,7 +67,7 @@
 		return
 	}
 	if s.leaving && (s.acked > 0 && w.now > s.acked+drainOf+100*time.Millisecond || w.now > s.asked+drainMost) {
-		w.call(s, registry.Gone)
+		w.call(s, registry.Removed)
 		w.end(s, false)
 		return
 	}
@@ -86,8 +86,8 @@
 	s.seq++
 	s.calling = true
 	e := registry.Entry{ID: s.id, Service: s.service, Address: s.address, Zone: fmt.Sprint("z", s.zone), Capacity: s.capacity, Seq: s.seq, State: state}
-	if state == registry.Gone {
-		e = registry.Entry{ID: s.id, State: registry.Gone}
+	if state == registry.Removed {
+		e = registry.Entry{ID: s.id, State: registry.Removed}
 	}
 	n := w.nodes[s.target]
 	answered := false
@@ -99,7 +99,7 @@
 		if w.day.Fault == "a late beat undoes a drain" && state == registry.Ready {
 			w.undo(n, e.ID)
 		}
-		if !w.running(n.n) || state > registry.Ready && !n.member.Attached(w.now) {
+		if !w.running(n.n) || state > registry.Ready && !n.member.HasQuorumContact(w.now) {
 			return
 		}
 		e.Owner = n.name
@@ -122,7 +122,7 @@
 			delete(n.calls, n.nextCall)
 			return
 		}
-		n.broadcaster.Call(e, n.nextCall, w.now)
+		n.broadcaster.HandleServerCall(e, n.nextCall, w.now)
 		w.flush(n)
 	})
 	w.after(int(callWait/time.Millisecond), func() {
@@ -143,13 +143,13 @@
 	n.broadcaster, n.calls = broadcast.New(n.registry), map[uint64]func(){}
 	for _, e := range all {
 		if e.ID != id {
-			n.registry.Take(e, w.now)
+			n.registry.Apply(e, w.now)
 		}
 	}
 	for _, k := range w.wires {
 		if k.up && (k.a == n.n || k.b == n.n) {
 			other := k.a + k.b - n.n
-			n.broadcaster.Join(linkName(other), other < 0)
+			n.broadcaster.AddPeer(linkName(other), other < 0)
 		}
 	}
 }
@@ -165,7 +165,7 @@
 func (w *world) end(s *server, silent bool) {
 	s.ended, s.silent = true, silent
 	for _, t := range append(s.running, s.queue...) {
-		w.after(1, func() { t.answer(attempt.Answer{}, 0, [2]float64{}) }) // the connection breaks
+		w.after(1, func() { t.answer(attempt.Response{}, 0, [2]float64{}) }) // the connection breaks
 	}
 	s.running, s.queue = nil, nil
 	service := w.services[w.rng.IntN(len(w.services))]
@@ -186,12 +186,12 @@
 	load := func() [2]float64 { return [2]float64{float64(len(s.running)), float64(len(s.queue))} }
 	if s == nil || s.ended {
 		if s == nil || !s.silent {
-			t.answer(attempt.Answer{}, 0, [2]float64{})
+			t.answer(attempt.Response{}, 0, [2]float64{})
 		}
 		return
 	}
 	if s.id != t.expect && w.day.Fault != "connections belong to an address" {
-		t.answer(attempt.Answer{Came: true, Ours: true, Ends: true, Whole: true, NotRun: true}, 421, load())
+		t.answer(attempt.Response{Received: true, OwnID: true, Delimited: true, Complete: true, NotRun: true}, 421, load())
 		return
 	}
 	w.arrived(t, s)
@@ -201,7 +201,7 @@
 	case len(s.queue) < queueOf*s.capacity:
 		s.queue = append(s.queue, t)
 	default:
-		t.answer(attempt.Answer{Came: true, Ours: true, Ends: true, Whole: true, NotRun: true}, 503, load())
+		t.answer(attempt.Response{Received: true, OwnID: true, Delimited: true, Complete: true, NotRun: true}, 503, load())
 	}
 }
 
@@ -228,17 +228,17 @@
 			}
 		}
 		load := [2]float64{float64(len(s.running)), float64(len(s.queue))}
-		a := attempt.Answer{Came: true, Ours: true, Ends: true, Whole: true, Good: true, Sealed: true}
+		a := attempt.Response{Received: true, OwnID: true, Delimited: true, Complete: true, Success: true, Sealed: true}
 		t.brings = t.q.id
 		switch {
 		case s.garbling > w.now && w.rng.IntN(8) == 0:
-			if a.Ours = w.rng.IntN(2) == 0; a.Ours {
-				a.Whole = false
+			if a.OwnID = w.rng.IntN(2) == 0; a.OwnID {
+				a.Complete = false
 			} else {
 				t.brings-- // one that came late, in this one's place
 			}
 		case s.sick > w.now && w.rng.IntN(5) > 0:
-			a.Whole = false
+			a.Complete = false
 		}
 		if s.losing > w.now && w.rng.IntN(8) == 0 {
 			return
--- a/internal/simulation/small.go
+++ b/internal/simulation/small.go
@@ -75,9 +75,9 @@
 	Identity string // that the sender has
 	Epoch    uint64
 	Record   idempotency.Record
-	Verdict  idempotency.Verdict
+	Verdict  idempotency.GrantReply
 	Holder   idempotency.Record
-	Ruling   idempotency.Ruling
+	Ruling   idempotency.Outcome
 	Records  []idempotency.Record
 }
 
@@ -126,7 +126,7 @@
 // forget has the others' coordinators take back what a replica granted that is no more.
 func (s *small) forget(identity string) {
 	for j := range s.Nodes {
-		for _, out := range s.Nodes[j].Coordinator.Forget(identity) {
+		for _, out := range s.Nodes[j].Coordinator.ForgetGrants(identity) {
 			s.ruled(j, out)
 		}
 	}
@@ -196,7 +196,7 @@
 	if s.entering(i) && !n.Asked {
 		all = append(all, fmt.Sprint("copy ", i))
 	}
-	if n.Coordinator.Busy() && !n.Hedged && s.bounds.Changes > 0 {
+	if n.Coordinator.HasPending() && !n.Hedged && s.bounds.Changes > 0 {
 		all = append(all, fmt.Sprint("hedge ", i))
 	}
 	return all
@@ -215,7 +215,7 @@
 			if lost = i < 0; lost {
 				break
 			}
-			ready = ready && !s.Nodes[i].Store.Blank() && s.Nodes[i].Epoch >= newest.Epoch
+			ready = ready && !s.Nodes[i].Store.Recovering() && s.Nodes[i].Epoch >= newest.Epoch
 		}
 		switch {
 		case lost:
@@ -247,12 +247,12 @@
 // whole tells that all voters' stores are sound: one may be lost.
 func (s *small) whole() bool {
 	newest := s.Log[len(s.Log)-1]
-	return !slices.ContainsFunc(newest.Voters, func(id string) bool { return s.nodeOf(id) < 0 || s.Nodes[s.nodeOf(id)].Store.Blank() })
+	return !slices.ContainsFunc(newest.Voters, func(id string) bool { return s.nodeOf(id) < 0 || s.Nodes[s.nodeOf(id)].Store.Recovering() })
 }
 
 func (s *small) entering(i int) bool {
 	m, id := s.membership(i), s.Nodes[i].Identity
-	return s.Nodes[i].Store.Blank() && slices.Contains(m.Next, id) && !slices.Contains(m.Voters, id)
+	return s.Nodes[i].Store.Recovering() && slices.Contains(m.Next, id) && !slices.Contains(m.Voters, id)
 }
 
 func (s *small) do(choice string) {
@@ -337,7 +337,7 @@
 	m := s.membership(i)
 	retired := former.Contains(n.Identity) && !m.Contains(n.Identity)
 	if retired {
-		n.Store.Revoke()
+		n.Store.BeginRecovery()
 	}
 	n.Copied, n.Asked = nil, false
 	n.Writes = append(n.Writes, smallWrite{Applied: n.Applied, Retired: retired})
@@ -354,7 +354,7 @@
 }
 
 func (s *small) record(edge int) idempotency.Record {
-	return idempotency.Record{Key: idempotency.KeyOf("t", smallKey), Token: idempotency.Token{Life: uint64(edge + 1), N: 1}}
+	return idempotency.Record{Key: idempotency.KeyOf("t", smallKey), Token: idempotency.Token{Incarnation: uint64(edge + 1), Sequence: 1}}
 }
 
 // void withdraws an edge's claim everywhere.
--- a/internal/simulation/small_claims.go
+++ b/internal/simulation/small_claims.go
@@ -18,13 +18,13 @@
 	n := &s.Nodes[to]
 	switch m.Kind {
 	case "claim":
-		s.ask(to, n.Coordinator.Open(m.Record, 0))
+		s.ask(to, n.Coordinator.Start(m.Record, 0))
 	case "ask":
 		s.judge(to, m.From, m.Record, m.Epoch)
 	case "verdict":
 		s.verdict(to, m.Identity, m.Record, m.Verdict, m.Holder)
 	case "void":
-		if line, store := n.Store.Void(m.Record.Key, m.Record.Token, 0); store {
+		if line, store := n.Store.Revoke(m.Record.Key, m.Record.Token, 0); store {
 			n.Writes = append(n.Writes, smallWrite{Records: []idempotency.Record{line}})
 		}
 	case "copy":
@@ -35,12 +35,12 @@
 }
 
 // heard gives an edge a ruling.
-func (s *small) heard(edge int, ruling idempotency.Ruling) {
+func (s *small) heard(edge int, ruling idempotency.Outcome) {
 	e := &s.Edges[edge]
 	if e.Over {
 		return
 	}
-	if ruling != idempotency.Stands {
+	if ruling != idempotency.OutcomeGranted {
 		s.void(edge)
 		return
 	}
@@ -56,12 +56,12 @@
 func (s *small) sendCopy(at int, m note) {
 	n := &s.Nodes[at]
 	early := s.membership(at).Epoch != m.Epoch || n.Epoch < m.Epoch
-	if early && s.bounds.Fault != "copies are sent before the joint membership" || n.Store.Blank() || !slices.Contains(s.membership(at).Voters, n.Identity) {
+	if early && s.bounds.Fault != "copies are sent before the joint membership" || n.Store.Recovering() || !slices.Contains(s.membership(at).Voters, n.Identity) {
 		s.Nodes[m.From].Asked = false // it asks again
 		return
 	}
 	var all []idempotency.Record
-	n.Store.Each(func(r idempotency.Record) { all = append(all, r) })
+	n.Store.EachClaim(func(r idempotency.Record) { all = append(all, r) })
 	s.post(at, m.From, note{Kind: "copied", Records: all, Epoch: m.Epoch})
 }
 
@@ -72,7 +72,7 @@
 	}
 	w := smallWrite{}
 	for _, r := range m.Records {
-		w.Records = append(w.Records, n.Store.Copy(r, 0))
+		w.Records = append(w.Records, n.Store.Import(r, 0))
 	}
 	n.Copied = append(slices.Clip(n.Copied), m.Identity)
 	slices.Sort(n.Copied)
@@ -81,14 +81,14 @@
 	n.Writes = append(n.Writes, w)
 }
 
-func (s *small) ask(from int, asks []idempotency.Ask) {
+func (s *small) ask(from int, asks []idempotency.GrantRequest) {
 	for _, a := range asks {
 		epoch, to := s.membership(from).Epoch, s.nodeOf(a.To)
 		switch {
 		case to == from:
 			s.judge(from, from, a.Record, epoch)
 		case to < 0:
-			s.verdict(from, a.To, a.Record, idempotency.Unable, idempotency.Record{})
+			s.verdict(from, a.To, a.Record, idempotency.ReplyUnavailable, idempotency.Record{})
 		default:
 			s.post(from, to, note{Kind: "ask", Record: a.Record, Epoch: epoch})
 		}
@@ -98,10 +98,10 @@
 func (s *small) judge(at, asker int, r idempotency.Record, epoch uint64) {
 	n := &s.Nodes[at]
 	if epoch < n.Epoch && s.bounds.Fault != "a store without the epoch fence" {
-		s.tellVerdict(at, asker, r, idempotency.Behind, idempotency.Record{})
+		s.tellVerdict(at, asker, r, idempotency.ReplyStaleEpoch, idempotency.Record{})
 		return
 	}
-	v, holder, store := n.Store.Claim(r, 0)
+	v, holder, store := n.Store.Grant(r, 0)
 	if !store || s.bounds.Fault == "grants before storing" {
 		s.tellVerdict(at, asker, r, v, holder)
 	}
@@ -110,7 +110,7 @@
 	}
 }
 
-func (s *small) tellVerdict(at, asker int, r idempotency.Record, v idempotency.Verdict, holder idempotency.Record) {
+func (s *small) tellVerdict(at, asker int, r idempotency.Record, v idempotency.GrantReply, holder idempotency.Record) {
 	if asker == at {
 		s.verdict(at, s.Nodes[at].Identity, r, v, holder)
 	} else {
@@ -118,16 +118,16 @@
 	}
 }
 
-func (s *small) verdict(at int, from string, r idempotency.Record, v idempotency.Verdict, holder idempotency.Record) {
-	asks, done := s.Nodes[at].Coordinator.Verdict(from, r.Token, v, holder, 0)
+func (s *small) verdict(at int, from string, r idempotency.Record, v idempotency.GrantReply, holder idempotency.Record) {
+	asks, done := s.Nodes[at].Coordinator.HandleReply(from, r.Token, v, holder, 0)
 	s.ask(at, asks)
 	if done != nil {
 		s.ruled(at, *done)
 	}
 }
 
-func (s *small) ruled(at int, o idempotency.Outcome) {
-	s.post(at, smallNodes-1+int(o.Token.Life), note{Kind: "ruling", Ruling: o.Ruling})
+func (s *small) ruled(at int, o idempotency.Result) {
+	s.post(at, smallNodes-1+int(o.Token.Incarnation), note{Kind: "ruling", Ruling: o.Outcome})
 }
 
 // written makes the first batch that waits for a node's disk durable.
@@ -139,14 +139,14 @@
 	if w.Applied > 0 {
 		s.appliedDurably(at, w)
 	}
-	if w.Restored && n.Store.Blank() && s.entering(at) {
+	if w.Restored && n.Store.Recovering() && s.entering(at) {
 		n.Disk.Blank = false
-		n.Store.Restored()
+		n.Store.FinishRecovery()
 	}
 	if w.Claim && s.bounds.Fault != "grants before storing" {
-		v := idempotency.Granted
-		if !n.Store.Stored(w.Record.Key, w.Record.Token) {
-			v = idempotency.Unable
+		v := idempotency.ReplyGranted
+		if !n.Store.MarkDurable(w.Record.Key, w.Record.Token) {
+			v = idempotency.ReplyUnavailable
 		}
 		s.tellVerdict(at, w.From, w.Record, v, idempotency.Record{})
 	}
--- a/internal/simulation/tables.go
+++ b/internal/simulation/tables.go
@@ -21,15 +21,15 @@
 		zones = append(zones, zoneName(i))
 	}
 	n.tables = weights.New(zoneName(n.zone), zones, w.rng.Uint64(), func() int { return len(n.membership.Voters) }, func(string, string) {})
-	n.others = map[int]weights.Others{}
+	n.others = map[int]weights.PeerTraffic{}
 	if n.registry != nil {
-		n.tables.Changed(n.registry.All(w.now), w.now)
+		n.tables.UpdateServers(n.registry.All(w.now), w.now)
 	}
 }
 
 // weigh sends a controller's edges what its tables order.
 func (w *world) weigh(n *node) {
-	orders := n.tables.Tick(w.now, func() (all []weights.Others) {
+	orders := n.tables.Tick(w.now, func() (all []weights.PeerTraffic) {
 		for i := range w.nodes {
 			if o, heard := n.others[i]; heard {
 				all = append(all, o)
@@ -40,18 +40,18 @@
 	for i, e := range w.edges {
 		name := linkName(-1 - i)
 		k, order := w.between(n.n, -1-i), orders[name]
-		if k == nil || order == nil || w.day.Fault == "a whole table is kept back" && len(order.Whole) > 0 {
+		if k == nil || order == nil || w.day.Fault == "a whole table is kept back" && len(order.Replaced) > 0 {
 			continue
 		}
 		w.wired(k, n.n, func() {
-			for _, service := range order.Whole {
-				e.picker.Unweigh(service)
+			for _, service := range order.Replaced {
+				e.picker.ClearWeights(service)
 			}
-			for _, l := range order.Lines {
-				e.picker.Weigh(l.Server, l.Weight)
+			for _, l := range order.Changed {
+				e.picker.SetWeight(l.Server, l.Weight)
 			}
-			if len(order.Marks) > 0 {
-				w.wired(k, -1-i, func() { n.tables.Report(name, &peer.Report{Applied: order.Marks}, nil) })
+			if len(order.Tokens) > 0 {
+				w.wired(k, -1-i, func() { n.tables.HandleReport(name, &peer.Report{Applied: order.Tokens}, nil) })
 			}
 		})
 	}
@@ -70,18 +70,18 @@
 	r := &peer.Report{Period: reportOf.Seconds()}
 	for _, service := range w.services {
 		for _, u := range e.picker.Upstreams(service) {
-			if m := e.picker.Met(u); m.Tries > 0 {
-				r.Met = append(r.Met, peer.Met{Server: u.ID, Tries: m.Tries, Failed: m.Failed, Time: m.Time})
+			if m := e.picker.TakeStats(u); m.Attempts > 0 {
+				r.Servers = append(r.Servers, peer.ServerStats{Server: u.ID, Attempts: m.Attempts, Failed: m.Failed, TotalTime: m.TotalTime})
 			}
 		}
 		if n := e.asked[service]; n > 0 {
-			r.Asked = append(r.Asked, peer.Asked{Service: service, Requests: uint32(n)})
+			r.Services = append(r.Services, peer.ServiceStats{Service: service, Requests: uint32(n)})
 		}
 	}
 	clear(e.asked)
 	n := w.nodes[e.controller]
 	w.wired(k, -1-e.n, func() {
-		n.tables.Report(linkName(-1-e.n), r, func(server string) (string, bool) {
+		n.tables.HandleReport(linkName(-1-e.n), r, func(server string) (string, bool) {
 			entry, known := n.registry.Get(server)
 			return entry.Service, known
 		})
@@ -96,10 +96,10 @@
 	}
 	n := w.nodes[e.controller]
 	for _, service := range w.services {
-		ordered := n.tables.Ordered(linkName(-1-e.n), service)
+		ordered := n.tables.OrderedWeights(linkName(-1-e.n), service)
 		upstreams := e.picker.Upstreams(service)
 		meant := slices.ContainsFunc(upstreams, func(u *picker.Upstream) bool { return ordered[u.ID] > 0 })
-		if !meant || slices.ContainsFunc(upstreams, (*picker.Upstream).Weighed) {
+		if !meant || slices.ContainsFunc(upstreams, (*picker.Upstream).HasWeight) {
 			delete(e.bare, service)
 			continue
 		}
--- a/internal/simulation/wires.go
+++ b/internal/simulation/wires.go
@@ -31,7 +31,7 @@
 	again  time.Duration // not made anew before
 	epoch  int
 	free   [2]time.Duration
-	cells  [2]peer.Comparing
+	cells  [2]peer.DigestComparison
 }
 
 func linkName(who int) string {
@@ -90,7 +90,7 @@
 		other := []int{k.b, k.a}[i]
 		if who >= 0 && w.life(who) == k.lives[i] {
 			n := w.nodes[who]
-			n.broadcaster.Left(linkName(other))
+			n.broadcaster.RemovePeer(linkName(other))
 			delete(n.others, other)
 			if other < 0 {
 				n.tables.Leave(linkName(other))
@@ -120,7 +120,7 @@
 			continue
 		}
 		n := w.nodes[who]
-		n.broadcaster.Join(linkName(other), other < 0)
+		n.broadcaster.AddPeer(linkName(other), other < 0)
 		delete(n.goneSince, other)
 		all, version := n.registry.All(w.now), n.state.Version()
 		if w.day.Fault == "an edge takes any version" { // and its controller lags behind at first
@@ -169,23 +169,23 @@
 
 // tell hands a controller what another process knows of servers.
 func (w *world) tell(n *node, from int, entries []registry.Entry, receipt uint64) {
-	n.broadcaster.Heard(linkName(from), entries, receipt, w.now)
+	n.broadcaster.HandleUpdate(linkName(from), entries, receipt, w.now)
 	w.flush(n)
 }
 
 // flush sends what a controller's broadcaster wants told.
 func (w *world) flush(n *node) {
-	out := n.broadcaster.Take()
-	if len(out.News) > 0 {
-		news := out.News
-		n.tables.Changed(news, w.now)
+	out := n.broadcaster.TakeOutput()
+	if len(out.Updates) > 0 {
+		news := out.Updates
+		n.tables.UpdateServers(news, w.now)
 		w.persist(n, func(d *disk) {
 			for _, e := range news {
 				d.servers[e.ID] = e
 			}
 		}, func(bool) {})
 	}
-	for _, s := range out.Sends {
+	for _, s := range out.Messages {
 		var kind string
 		var num int
 		if _, err := fmt.Sscan(s.To, &kind, &num); err != nil {
@@ -201,24 +201,24 @@
 		if num >= 0 {
 			w.wired(k, n.n, func() {
 				o := w.nodes[num]
-				if s.Received != 0 {
-					o.broadcaster.Received(linkName(n.n), s.Received)
+				if s.Acked != 0 {
+					o.broadcaster.HandleAck(linkName(n.n), s.Acked)
 				}
-				w.tell(o, n.n, s.Entries, s.Receipt)
+				w.tell(o, n.n, s.Entries, s.AckID)
 			})
 			continue
 		}
 		w.wired(k, n.n, func() {
 			w.edgeHears(w.edges[-1-num], s.Entries)
-			if s.Receipt != 0 {
+			if s.AckID != 0 {
 				w.wired(k, num, func() {
-					n.broadcaster.Received(linkName(num), s.Receipt)
+					n.broadcaster.HandleAck(linkName(num), s.AckID)
 					w.flush(n)
 				})
 			}
 		})
 	}
-	for _, call := range out.Done {
+	for _, call := range out.AckedCalls {
 		if done := n.calls[call]; done != nil {
 			delete(n.calls, call)
 			done()
@@ -230,7 +230,7 @@
 func (w *world) summarize(n *node) {
 	n.summaries++
 	full := n.summaries%fullOf == 0
-	attached, sum := n.member.Attached(w.now) && !n.leaving, n.registry.Sum()
+	attached, sum := n.member.HasQuorumContact(w.now) && !n.leaving, n.registry.Digest()
 	var hears []string
 	for _, k := range w.wires {
 		if k.up && k.a >= 0 && (k.a == n.n || k.b == n.n) {
@@ -238,8 +238,8 @@
 		}
 	}
 	wall := w.wallOf(n)
-	n.reservations.clock.Heard(n.name, wall, w.now)
-	mine := weights.Others{Usual: n.tables.Mine()}
+	n.reservations.clock.Observe(n.name, wall, w.now)
+	mine := weights.PeerTraffic{TrafficByZone: n.tables.OwnTraffic()}
 	for _, k := range w.wires {
 		mine.Edges += btoi(k.up && k.a < 0 && k.b == n.n)
 	}
@@ -252,26 +252,26 @@
 			if other >= 0 {
 				if o := w.nodes[other]; full {
 					o.others[n.n] = mine
-					o.reservations.clock.Heard(n.name, wall, w.now)
-					o.broadcaster.Hears(linkName(n.n), hears)
-					if k.cells[btoi(other == k.b)].Due(sum, o.registry.Sum(), w.now) {
-						w.compare(k, other, n.n, &peer.Cells{Sums: o.registry.Sums()})
+					o.reservations.clock.Observe(n.name, wall, w.now)
+					o.broadcaster.SetPeerLinks(linkName(n.n), hears)
+					if k.cells[btoi(other == k.b)].Due(sum, o.registry.Digest(), w.now) {
+						w.compare(k, other, n.n, &peer.Digests{ByZone: o.registry.ZoneDigests()})
 					}
 				}
 				return
 			}
 			e := w.edges[-1-other]
 			if w.day.Policy == "" {
-				e.picker.Deal(w.roster(e.zone()), uint32(e.n))
+				e.picker.AssignSlots(w.roster(e.zone()), uint32(e.n))
 			}
 			if e.attached = attached; !attached && w.now > e.look {
 				e.look = w.now + 2*lookAfter
-				if to := w.bestController(e); to != nowhere && to != e.controller && w.nodes[to].member.Attached(w.now) && !w.nodes[to].leaving {
+				if to := w.bestController(e); to != nowhere && to != e.controller && w.nodes[to].member.HasQuorumContact(w.now) && !w.nodes[to].leaving {
 					e.controller = to
 				}
 			}
-			if full && k.cells[0].Due(sum, e.registry.Sum(), w.now) {
-				w.compare(k, other, n.n, &peer.Cells{Sums: e.registry.Sums()})
+			if full && k.cells[0].Due(sum, e.registry.Digest(), w.now) {
+				w.compare(k, other, n.n, &peer.Digests{ByZone: e.registry.ZoneDigests()})
 			}
 		})
 	}
@@ -291,7 +291,7 @@
 }
 
 // compare carries one step of comparing cells.
-func (w *world) compare(k *wire, from, to int, cells *peer.Cells) {
+func (w *world) compare(k *wire, from, to int, cells *peer.Digests) {
 	w.wired(k, from, func() {
 		servers := w.registryOf(to)
 		answer := cells.Compare(servers, w.now)
@@ -304,8 +304,8 @@
 			} else {
 				w.tell(w.nodes[from], to, answer.Entries, 0)
 			}
-			if answer.Cells != nil {
-				if last := answer.Cells.Compare(w.registryOf(from), w.now); last != nil {
+			if answer.Digests != nil {
+				if last := answer.Digests.Compare(w.registryOf(from), w.now); last != nil {
 					w.wired(k, from, func() {
 						if to >= 0 {
 							w.tell(w.nodes[to], from, last.Entries, 0)
@@ -334,7 +334,7 @@
 		if !w.passes(-1-e.n, n.n) || !w.running(n.n) {
 			continue
 		}
-		if s := 1 + btoi(n.member.Attached(w.now) && !n.leaving); s > score {
+		if s := 1 + btoi(n.member.HasQuorumContact(w.now) && !n.leaving); s > score {
 			best, score = n.n, s
 		}
 	}
