--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -10,10 +10,10 @@
 	"github.com/urfave/cli/v3"
 
 	"mulleinwood/internal/control/controller"
+	"mulleinwood/internal/peer"
 	"mulleinwood/internal/platform/apierror"
 	"mulleinwood/internal/platform/lifecycle"
 	"mulleinwood/internal/platform/nodesettings"
-	"mulleinwood/internal/platform/peer"
 )
 
 func main() {
--- a/cmd/operator/bookings.go
+++ b/cmd/operator/bookings.go
@@ -88,8 +88,8 @@
 
 func stateOf(b *operator.Bookings, one reservation.Booking) string {
 	switch wants := one.SlotsAt(b.Now); {
-	case b.Lacks[one.ID] > 0:
-		return fmt.Sprintf("in danger: lacks %.1f", b.Lacks[one.ID])
+	case b.Shortfalls[one.ID] > 0:
+		return fmt.Sprintf("in danger: lacks %.1f", b.Shortfalls[one.ID])
 	case wants > 0:
 		return fmt.Sprintf("holds %.1f", wants)
 	case b.Now < one.Start:
@@ -175,7 +175,7 @@
 	return tellBooked(cmd, fmt.Sprintf("%s, %.1f slots", id, one.Slots), dry, said)
 }
 
-func putBooking(ctx context.Context, c *operator.Client, version string, dry bool, path string, what any) (*operator.Booked, error) {
+func putBooking(ctx context.Context, c *operator.Client, version string, dry bool, path string, what any) (*operator.BookingResult, error) {
 	body, err := json.Marshal(what)
 	if err != nil {
 		return nil, err
@@ -187,22 +187,22 @@
 	if err != nil {
 		return nil, err
 	}
-	said := &operator.Booked{}
+	said := &operator.BookingResult{}
 	return said, json.Unmarshal(text, said)
 }
 
-func tellBooked(cmd *cli.Command, what string, dry bool, said *operator.Booked) error {
+func tellBooked(cmd *cli.Command, what string, dry bool, said *operator.BookingResult) error {
 	if cmd.Bool("json") {
 		if err := printJSON(said); err != nil {
 			return err
 		}
-	} else if said.Kept && dry {
+	} else if said.Accepted && dry {
 		fmt.Printf("%s could be kept\n", what)
-	} else if said.Kept {
+	} else if said.Accepted {
 		fmt.Printf("%s: booked, %s\n", what, said.Version)
 	}
-	if !said.Kept {
-		return fmt.Errorf("booking %s can't be kept, %.1f slots could", said.ID, said.Could)
+	if !said.Accepted {
+		return fmt.Errorf("booking %s can't be kept, %.1f slots could", said.ID, said.Available)
 	}
 	return nil
 }
@@ -243,7 +243,7 @@
 		return err
 	}
 	dry := cmd.Bool("dry-run")
-	said, err := putBooking(ctx, c, b.Version, dry, "/bookings", operator.Days{Bookings: all})
+	said, err := putBooking(ctx, c, b.Version, dry, "/bookings", operator.BookingList{Bookings: all})
 	if err != nil {
 		return err
 	}
@@ -259,8 +259,8 @@
 		if err != nil {
 			return err
 		}
-		for _, u := range b.Use {
-			uses = append(uses, operator.Noted{At: b.Now, Use: u})
+		for _, u := range b.Usage {
+			uses = append(uses, operator.Noted{At: b.Now, ReservationUse: u})
 			fmt.Println(operator.At(b.Now) + "," + u.ID + "," + strconv.Itoa(u.Slots) + "," + strconv.Itoa(u.Wanted))
 		}
 		select {
--- a/cmd/operator/main.go
+++ b/cmd/operator/main.go
@@ -214,12 +214,12 @@
 }
 
 // seen asks all controllers; it fails if none answers.
-func seen(ctx context.Context, cmd *cli.Command) ([]operator.View, []string, error) {
+func seen(ctx context.Context, cmd *cli.Command) ([]operator.Status, []string, error) {
 	c, err := client(cmd)
 	if err != nil {
 		return nil, nil, err
 	}
-	views, silent := c.Each(ctx)
+	views, silent := c.Statuses(ctx)
 	if len(views) == 0 {
 		return nil, silent, fmt.Errorf("no controller answers: %v", silent)
 	}
@@ -240,7 +240,7 @@
 	}
 	best := views[0]
 	for _, v := range views {
-		if v.Attached && !best.Attached {
+		if v.InContact && !best.InContact {
 			best = v
 		}
 	}
@@ -257,7 +257,7 @@
 	return table("SERVICE\tSERVER\tZONE\tADDRESS\tSTATE\tSLOTS\tWEIGHT", func(w *tabwriter.Writer) {
 		for _, s := range best.Servers {
 			state := s.State
-			if s.Silent {
+			if s.TimedOut {
 				state += ", silent"
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%.2f\n", s.Service, s.ID, s.Zone, s.Address, state, s.Capacity, s.Weight)
--- a/cmd/operator/members.go
+++ b/cmd/operator/members.go
@@ -35,7 +35,7 @@
 	if m.Votes {
 		part = "votes"
 	}
-	if m.Leaving {
+	if m.ShuttingDown {
 		part += ", leaves"
 	}
 	return part
@@ -46,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	leading := slices.IndexFunc(views, func(v operator.View) bool { return v.Leader == v.IP })
+	leading := slices.IndexFunc(views, func(v operator.Status) bool { return v.Leader == v.IP })
 	if leading < 0 {
 		return fmt.Errorf("none of %d controllers that answer leads, %d are silent", len(views), len(silent))
 	}
@@ -60,13 +60,13 @@
 		fmt.Printf("a change is under way to %s\n", strings.Join(m.Next, " "))
 	}
 	return table("IDENTITY\tPART\tLINKED\tCLAIMS\tEPOCH\tLACKS", func(w *tabwriter.Writer) {
-		fmt.Fprintf(w, "%s\tleads\tyes\t%s\t%d\t0\n", m.Identity, ready(!leader.LedgerBlank), m.Epoch)
+		fmt.Fprintf(w, "%s\tleads\tyes\t%s\t%d\t0\n", m.Identity, ready(!leader.Recovering), m.Epoch)
 		for _, r := range m.Replicas {
-			part := vote(operator.Membership{Votes: r.Votes, Leaving: r.Leaving})
-			if m.Votes && !r.Votes && r.Linked {
+			part := vote(operator.Membership{Votes: r.Votes, ShuttingDown: r.ShuttingDown})
+			if m.Votes && !r.Votes && r.Connected {
 				part = "stands by"
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\n", r.Identity, part, yes(r.Linked), ready(r.Ready), r.Epoch, r.Behind)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\n", r.Identity, part, yes(r.Connected), ready(r.Ready), r.Epoch, r.Lag)
 		}
 	})
 }
@@ -102,7 +102,7 @@
 	if err != nil {
 		return err
 	}
-	var made operator.Replaced
+	var made operator.ReplacementResult
 	if err := json.Unmarshal(text, &made); err != nil {
 		return fmt.Errorf("the answer can't be read: %w", err)
 	}
--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -23,9 +23,9 @@
 	"mulleinwood/internal/control/registry"
 	"mulleinwood/internal/control/reservation"
 	"mulleinwood/internal/control/statemachine"
+	"mulleinwood/internal/control/storage"
+	"mulleinwood/internal/peer"
 	"mulleinwood/internal/planner/record"
-	"mulleinwood/internal/platform/peer"
-	"mulleinwood/internal/platform/storage"
 )
 
 var update = flag.Bool("update", false, "write the files under testdata again")
--- a/internal/control/controller/authority_test.go
+++ b/internal/control/controller/authority_test.go
@@ -15,7 +15,7 @@
 
 	"mulleinwood/internal/control/consensus"
 	"mulleinwood/internal/operator"
-	"mulleinwood/internal/platform/peer"
+	"mulleinwood/internal/peer"
 )
 
 const (
@@ -297,9 +297,9 @@
 		}
 		one := h.begins(http.MethodGet, "/status", "", "")
 		g.Expect(one.status()).To(Equal(http.StatusOK))
-		var v operator.View
+		var v operator.Status
 		g.Expect(json.Unmarshal(one.w.Body.Bytes(), &v)).To(Succeed())
-		g.Expect(v.Attached).To(BeFalse())
+		g.Expect(v.InContact).To(BeFalse())
 		g.Expect(v.Membership.Epoch).To(BeEquivalentTo(2))
 		h.stop()
 	})
--- a/internal/control/controller/bookings.go
+++ b/internal/control/controller/bookings.go
@@ -19,8 +19,8 @@
 	"mulleinwood/internal/control/reservation"
 	"mulleinwood/internal/control/statemachine"
 	"mulleinwood/internal/operator"
+	"mulleinwood/internal/peer"
 	"mulleinwood/internal/platform/apierror"
-	"mulleinwood/internal/platform/peer"
 )
 
 const (
@@ -175,7 +175,7 @@
 // bookings is the book, as operators read it.
 func (c *Controller) bookings() ([]byte, error) {
 	now := c.now()
-	b := operator.Bookings{Version: bookVersion(c.state.Bookings.Version), Now: c.reservations.clock.Now(now), Past: c.state.Bookings.Past, Lacks: map[string]float64{}, Use: []operator.Use{}}
+	b := operator.Bookings{Version: bookVersion(c.state.Bookings.Version), Now: c.reservations.clock.Now(now), Past: c.state.Bookings.Past, Shortfalls: map[string]float64{}, Usage: []operator.ReservationUse{}}
 	for _, one := range c.state.Bookings.Active {
 		b.Bookings = append(b.Bookings, one)
 	}
@@ -184,13 +184,13 @@
 	})
 	for service, carry := range c.carryBooked() {
 		for id, lacks := range c.state.Bookings.Shortfalls(service, carry, b.Now) {
-			b.Lacks[id] = lacks
+			b.Shortfalls[id] = lacks
 		}
 	}
 	if told := c.reservations.told; told != nil && c.reservations.dealer != nil {
 		use := c.reservations.dealer.Wanted(now)
 		for _, r := range told.List {
-			b.Use = append(b.Use, operator.Use{Reservation: r, Wanted: use[r.ID]})
+			b.Usage = append(b.Usage, operator.ReservationUse{Reservation: r, Wanted: use[r.ID]})
 		}
 	}
 	return json.Marshal(b)
@@ -258,7 +258,7 @@
 		case a.err != nil:
 			refuse(w, a.err)
 		default:
-			reply(w, http.StatusOK, operator.Booked{Version: bookVersion(a.version), Could: a.could, Kept: a.kept, ID: a.id})
+			reply(w, http.StatusOK, operator.BookingResult{Version: bookVersion(a.version), Available: a.could, Accepted: a.kept, ID: a.id})
 		}
 	case <-r.Context().Done():
 	}
@@ -271,7 +271,7 @@
 		err = json.Unmarshal(body, &all[0])
 		all[0].ID = id
 	} else {
-		var list operator.Days
+		var list operator.BookingList
 		err = json.Unmarshal(body, &list)
 		all = list.Bookings
 	}
--- a/internal/control/controller/claims_test.go
+++ b/internal/control/controller/claims_test.go
@@ -9,8 +9,8 @@
 
 	"mulleinwood/internal/control/consensus"
 	"mulleinwood/internal/control/idempotency"
-	"mulleinwood/internal/platform/peer"
-	"mulleinwood/internal/platform/storage"
+	"mulleinwood/internal/control/storage"
+	"mulleinwood/internal/peer"
 )
 
 // refuse has the disk take no write until mend.
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -25,12 +25,12 @@
 	"mulleinwood/internal/control/registry"
 	"mulleinwood/internal/control/reservation"
 	"mulleinwood/internal/control/statemachine"
+	"mulleinwood/internal/control/storage"
 	"mulleinwood/internal/control/weights"
+	"mulleinwood/internal/peer"
 	"mulleinwood/internal/platform/lifecycle"
 	"mulleinwood/internal/platform/metrics"
 	"mulleinwood/internal/platform/nodesettings"
-	"mulleinwood/internal/platform/peer"
-	"mulleinwood/internal/platform/storage"
 )
 
 // Spans of the control plane. They follow from how soon a second's bounds have to be met, not from a deployment.
--- a/internal/control/controller/departure.go
+++ b/internal/control/controller/departure.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"mulleinwood/internal/control/idempotency"
-	"mulleinwood/internal/platform/peer"
+	"mulleinwood/internal/peer"
 )
 
 // Spans of an end in order, all within the platform's grace.
--- a/internal/control/controller/departure_test.go
+++ b/internal/control/controller/departure_test.go
@@ -12,7 +12,7 @@
 	"mulleinwood/internal/control/idempotency"
 	"mulleinwood/internal/control/reservation"
 	"mulleinwood/internal/control/statemachine"
-	"mulleinwood/internal/platform/peer"
+	"mulleinwood/internal/peer"
 )
 
 // One that is voted out while it leaves hands its answers on, and ends once they are durable elsewhere; if nobody says so,
--- a/internal/control/controller/first_vote_test.go
+++ b/internal/control/controller/first_vote_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 
 	"mulleinwood/internal/control/consensus"
-	"mulleinwood/internal/platform/peer"
+	"mulleinwood/internal/peer"
 )
 
 func TestVoteBeforeTheFirstMembersAreKnownIsKept(t *testing.T) {
--- a/internal/control/controller/handed_over_test.go
+++ b/internal/control/controller/handed_over_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 
 	"mulleinwood/internal/control/idempotency"
-	"mulleinwood/internal/platform/peer"
+	"mulleinwood/internal/peer"
 )
 
 func TestAnswersThatAreHandedOverAreDurableBeforeThatIsSaid(t *testing.T) {
--- a/internal/control/controller/harness_test.go
+++ b/internal/control/controller/harness_test.go
@@ -24,11 +24,11 @@
 	"mulleinwood/internal/control/registry"
 	"mulleinwood/internal/control/reservation"
 	"mulleinwood/internal/control/statemachine"
+	"mulleinwood/internal/control/storage"
 	"mulleinwood/internal/control/weights"
+	"mulleinwood/internal/peer"
 	"mulleinwood/internal/platform/metrics"
 	"mulleinwood/internal/platform/nodesettings"
-	"mulleinwood/internal/platform/peer"
-	"mulleinwood/internal/platform/storage"
 )
 
 const (
--- a/internal/control/controller/identity_test.go
+++ b/internal/control/controller/identity_test.go
@@ -11,8 +11,8 @@
 
 	"mulleinwood/internal/control/consensus"
 	"mulleinwood/internal/control/idempotency"
-	"mulleinwood/internal/platform/peer"
-	"mulleinwood/internal/platform/storage"
+	"mulleinwood/internal/control/storage"
+	"mulleinwood/internal/peer"
 )
 
 func record(n uint64) idempotency.Record {
--- a/internal/control/controller/keys.go
+++ b/internal/control/controller/keys.go
@@ -7,8 +7,8 @@
 	"mulleinwood/internal/control/consensus"
 	"mulleinwood/internal/control/idempotency"
 	"mulleinwood/internal/control/membership"
-	"mulleinwood/internal/platform/peer"
-	"mulleinwood/internal/platform/storage"
+	"mulleinwood/internal/control/storage"
+	"mulleinwood/internal/peer"
 )
 
 // fetch waits for an answer that another controller holds.
--- a/internal/control/controller/links.go
+++ b/internal/control/controller/links.go
@@ -8,7 +8,7 @@
 
 	"mulleinwood/internal/control/membership"
 	"mulleinwood/internal/control/weights"
-	"mulleinwood/internal/platform/peer"
+	"mulleinwood/internal/peer"
 )
 
 // remote is a process at the other end of a link.
--- a/internal/control/controller/members.go
+++ b/internal/control/controller/members.go
@@ -16,7 +16,7 @@
 
 // memberOutcome is the outcome of an operator's call that replaces a voter.
 type memberOutcome struct {
-	made   operator.Replaced
+	made   operator.ReplacementResult
 	leader string
 	err    error
 }
@@ -69,7 +69,7 @@
 		done <- memberOutcome{err: apierror.Conflict.Wrap(err, "voter %s", call.Voter)}
 		return
 	}
-	made := operator.Replaced{Epoch: c.membership.Epoch, Voters: c.membership.Voters, Next: next}
+	made := operator.ReplacementResult{Epoch: c.membership.Epoch, Voters: c.membership.Voters, Next: next}
 	if call.DryRun || slices.Equal(next, made.Voters) {
 		done <- memberOutcome{made: made}
 		return
--- a/internal/control/controller/members_test.go
+++ b/internal/control/controller/members_test.go
@@ -11,7 +11,7 @@
 
 	"mulleinwood/internal/control/consensus"
 	"mulleinwood/internal/operator"
-	"mulleinwood/internal/platform/peer"
+	"mulleinwood/internal/peer"
 )
 
 // A controller of another cluster is refused with one line that names it, and nothing that it says counts here.
@@ -52,7 +52,7 @@
 	return h.begins(http.MethodPost, "/members", "", string(body))
 }
 
-func (c *call) replaced(g *WithT) (made operator.Replaced) {
+func (c *call) replaced(g *WithT) (made operator.ReplacementResult) {
 	g.Expect(c.status()).To(Equal(http.StatusOK))
 	g.Expect(json.Unmarshal(c.w.Body.Bytes(), &made)).To(Succeed())
 	return made
@@ -115,7 +115,7 @@
 			h, _ := leading(t)
 			last := h.replica.Last()
 			made := h.replaces(ipC, "", true).replaced(g)
-			g.Expect(made).To(Equal(operator.Replaced{Epoch: 2, Voters: three.Voters, Next: []string{ipA, ipB, standby}}))
+			g.Expect(made).To(Equal(operator.ReplacementResult{Epoch: 2, Voters: three.Voters, Next: []string{ipA, ipB, standby}}))
 			g.Expect(h.replica.Last()).To(Equal(last))
 			h.stop()
 		})
@@ -130,7 +130,7 @@
 			g.Expect(during.status()).To(Equal(http.StatusServiceUnavailable))
 			g.Expect(during.w.Body.String()).To(ContainSubstring("under way"))
 			h.confirms(b)
-			g.Expect(out.replaced(g)).To(Equal(operator.Replaced{Epoch: 3, Voters: three.Voters, Next: []string{ipA, ipB, standby}}))
+			g.Expect(out.replaced(g)).To(Equal(operator.ReplacementResult{Epoch: 3, Voters: three.Voters, Next: []string{ipA, ipB, standby}}))
 			g.Expect(h.membership).To(Equal(joint))
 			h.stop()
 		})
--- a/internal/control/controller/membership.go
+++ b/internal/control/controller/membership.go
@@ -10,9 +10,9 @@
 
 	"mulleinwood/internal/control/consensus"
 	"mulleinwood/internal/control/membership"
+	"mulleinwood/internal/control/storage"
 	"mulleinwood/internal/operator"
-	"mulleinwood/internal/platform/peer"
-	"mulleinwood/internal/platform/storage"
+	"mulleinwood/internal/peer"
 )
 
 const (
@@ -307,7 +307,7 @@
 func (c *Controller) membershipView() operator.Membership {
 	m := c.membership
 	view := operator.Membership{Identity: c.identity, Cluster: fmt.Sprintf("%016x", m.Cluster), Epoch: m.Epoch, Voters: m.Voters, Next: m.Next,
-		Votes: m.Contains(c.identity), Leaving: c.leaving}
+		Votes: m.Contains(c.identity), ShuttingDown: c.leaving}
 	if !c.leads() {
 		return view
 	}
@@ -315,9 +315,9 @@
 		if r.ID == c.identity {
 			continue
 		}
-		one := operator.Replica{Identity: r.ID, Votes: m.Contains(r.ID), Linked: r.Connected, Ready: r.Ready, Leaving: r.ShuttingDown, Epoch: r.Epoch}
+		one := operator.Replica{Identity: r.ID, Votes: m.Contains(r.ID), Connected: r.Connected, Ready: r.Ready, ShuttingDown: r.ShuttingDown, Epoch: r.Epoch}
 		if match, _, known := c.replica.Match(r.ID); known {
-			one.Behind = c.replica.Commit() - min(match, c.replica.Commit())
+			one.Lag = c.replica.Commit() - min(match, c.replica.Commit())
 		}
 		view.Replicas = append(view.Replicas, one)
 	}
--- a/internal/control/controller/operator.go
+++ b/internal/control/controller/operator.go
@@ -18,8 +18,8 @@
 	"mulleinwood/internal/control/membership"
 	"mulleinwood/internal/control/statemachine"
 	"mulleinwood/internal/operator"
+	"mulleinwood/internal/peer"
 	"mulleinwood/internal/platform/apierror"
-	"mulleinwood/internal/platform/peer"
 )
 
 const bodyMost = 32 << 20
@@ -345,10 +345,10 @@
 
 // status tells operators how this planner sees the system.
 func (c *Controller) status(w http.ResponseWriter, _ *http.Request) {
-	done := make(chan operator.View, 1)
+	done := make(chan operator.Status, 1)
 	c.do(func() {
-		v := operator.View{Node: c.set.Node, IP: c.set.IP, Zone: c.set.Zone, Attached: c.attached(), Version: config.Version(c.state.Version()).String(),
-			Leader: c.leader(), Members: c.membership.Voters, Keys: c.claimStore.Len(), LedgerBlank: c.claimStore.Recovering(), DiskRefuses: c.store.failing, DiskMs: c.store.took()}
+		v := operator.Status{Node: c.set.Node, IP: c.set.IP, Zone: c.set.Zone, InContact: c.attached(), Version: config.Version(c.state.Version()).String(),
+			Leader: c.leader(), Members: c.membership.Voters, Keys: c.claimStore.Len(), Recovering: c.claimStore.Recovering(), DiskFailing: c.store.failing, DiskMs: c.store.took()}
 		for _, e := range c.edges {
 			v.Edges = append(v.Edges, e.node)
 		}
@@ -360,10 +360,10 @@
 		slices.Sort(v.Control)
 		for _, e := range c.registry.All(c.now()) {
 			v.Servers = append(v.Servers, operator.Server{ID: e.ID, Service: e.Service, Zone: e.Zone, Address: e.Address,
-				State: e.State.String(), Silent: e.TimedOut, Capacity: e.Capacity, Weight: c.tables.Weight(e.ID)})
+				State: e.State.String(), TimedOut: e.TimedOut, Capacity: e.Capacity, Weight: c.tables.Weight(e.ID)})
 		}
-		v.Endangered = c.endangered()
-		v.Term, v.Commit, v.Last = c.replica.Term(), c.replica.Commit(), c.replica.Last()
+		v.BookingShortfalls = c.endangered()
+		v.Term, v.Commit, v.LastIndex = c.replica.Term(), c.replica.Commit(), c.replica.Last()
 		v.Membership = c.membershipView()
 		done <- v
 	})
--- a/internal/control/controller/store.go
+++ b/internal/control/controller/store.go
@@ -5,7 +5,7 @@
 
 	"mulleinwood/internal/control/idempotency"
 	"mulleinwood/internal/control/registry"
-	"mulleinwood/internal/platform/storage"
+	"mulleinwood/internal/control/storage"
 )
 
 // store gathers what has to become durable while the disk is at work, so that one sync serves all of it.
--- a/internal/control/controller/strangers_test.go
+++ b/internal/control/controller/strangers_test.go
@@ -6,7 +6,7 @@
 
 	. "github.com/onsi/gomega"
 
-	"mulleinwood/internal/platform/peer"
+	"mulleinwood/internal/peer"
 )
 
 func TestLinkOfAnotherClusterThatShowsLater(t *testing.T) {
--- a/internal/platform/storage/entries_test.go
+++ b/internal/control/storage/entries_test.go
@@ -5,7 +5,7 @@
 	. "github.com/onsi/gomega"
 
 	"mulleinwood/internal/control/consensus"
-	"mulleinwood/internal/platform/storage"
+	"mulleinwood/internal/control/storage"
 )
 
 var _ = Describe("a membership in the log on disk", func() {
--- a/internal/platform/storage/growth_test.go
+++ b/internal/control/storage/growth_test.go
@@ -13,7 +13,7 @@
 	"mulleinwood/internal/control/consensus"
 	"mulleinwood/internal/control/idempotency"
 	"mulleinwood/internal/control/registry"
-	"mulleinwood/internal/platform/storage"
+	"mulleinwood/internal/control/storage"
 )
 
 // Two simulated hours of claims with answers, changes with snapshots, and servers that come and go: the file is as large
--- a/internal/platform/storage/membership_test.go
+++ b/internal/control/storage/membership_test.go
@@ -10,7 +10,7 @@
 
 	"mulleinwood/internal/control/consensus"
 	"mulleinwood/internal/control/idempotency"
-	"mulleinwood/internal/platform/storage"
+	"mulleinwood/internal/control/storage"
 )
 
 var _ = Describe("a replica's identity and membership on disk", func() {
--- a/internal/platform/storage/storage_test.go
+++ b/internal/control/storage/storage_test.go
@@ -16,7 +16,7 @@
 	"mulleinwood/internal/control/consensus"
 	"mulleinwood/internal/control/idempotency"
 	"mulleinwood/internal/control/registry"
-	"mulleinwood/internal/platform/storage"
+	"mulleinwood/internal/control/storage"
 )
 
 func TestStorage(t *testing.T) {
--- a/internal/control/weights/weights.go
+++ b/internal/control/weights/weights.go
@@ -12,7 +12,7 @@
 
 	"mulleinwood/internal/config"
 	"mulleinwood/internal/control/registry"
-	"mulleinwood/internal/platform/peer"
+	"mulleinwood/internal/peer"
 	"mulleinwood/rules"
 )
 
--- a/internal/control/weights/weights_test.go
+++ b/internal/control/weights/weights_test.go
@@ -10,7 +10,7 @@
 	"mulleinwood/internal/config"
 	"mulleinwood/internal/control/registry"
 	"mulleinwood/internal/control/weights"
-	"mulleinwood/internal/platform/peer"
+	"mulleinwood/internal/peer"
 )
 
 const step = 250 * time.Millisecond
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -39,7 +39,7 @@
 
 const (
 	controlPort   = 18649
-	frontPort     = 18641
+	clientPort    = 18641
 	readinessPort = 18640
 	innerPort     = 17620
 	calm          = 15 * time.Second
@@ -48,7 +48,7 @@
 
 func (d *Demo) settings(name, role, ip string, first bool) string {
 	controller := role == "controller"
-	data, listen := "null", fmt.Sprintf("  front: %q\n  readiness: %q\n", address(ip, frontPort), address(ip, readinessPort))
+	data, listen := "null", fmt.Sprintf("  front: %q\n  readiness: %q\n", address(ip, clientPort), address(ip, readinessPort))
 	if controller {
 		data, listen = fmt.Sprintf("%q", filepath.Join(d.Dir, name)), fmt.Sprintf("  control: %q\n", address(ip, controlPort))
 	}
@@ -185,7 +185,7 @@
 }
 
 func (d *Demo) once(edge int, method, path, body string, headers ...string) (status int, answer, retryAfter string, err error) {
-	req, err := http.NewRequest(method, "http://"+address(fmt.Sprintf("127.0.61.1%d", edge), frontPort)+path, strings.NewReader(body))
+	req, err := http.NewRequest(method, "http://"+address(fmt.Sprintf("127.0.61.1%d", edge), clientPort)+path, strings.NewReader(body))
 	if err != nil {
 		return 0, "", "", err
 	}
--- a/internal/edge/proxy/bodies_test.go
+++ b/internal/edge/proxy/bodies_test.go
@@ -15,7 +15,7 @@
 
 	. "github.com/onsi/gomega"
 
-	"mulleinwood/internal/platform/peer"
+	"mulleinwood/internal/peer"
 )
 
 // allow puts a configuration with these limits in force.
--- a/internal/edge/proxy/budget.go
+++ b/internal/edge/proxy/budget.go
@@ -2,7 +2,7 @@
 
 import (
 	"mulleinwood/internal/edge/retrybudget"
-	"mulleinwood/internal/platform/peer"
+	"mulleinwood/internal/peer"
 )
 
 // countRequest counts a request for a service and gives the service's retry budget.
--- a/internal/edge/proxy/claims.go
+++ b/internal/edge/proxy/claims.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"mulleinwood/internal/control/idempotency"
-	"mulleinwood/internal/platform/peer"
+	"mulleinwood/internal/peer"
 )
 
 // claims are those that this edge has asked for and not heard of.
--- a/internal/edge/proxy/controllerlink.go
+++ b/internal/edge/proxy/controllerlink.go
@@ -10,7 +10,7 @@
 	"github.com/zeebo/xxh3"
 
 	"mulleinwood/internal/config"
-	"mulleinwood/internal/platform/peer"
+	"mulleinwood/internal/peer"
 )
 
 // controllerSession is the link to the controller that an edge belongs to: of its zone, if one there hears the rest of the core.
--- a/internal/edge/proxy/fuzz_test.go
+++ b/internal/edge/proxy/fuzz_test.go
@@ -14,8 +14,8 @@
 	"github.com/go-kit/log"
 
 	"mulleinwood/internal/control/registry"
+	"mulleinwood/internal/peer"
 	"mulleinwood/internal/platform/nodesettings"
-	"mulleinwood/internal/platform/peer"
 )
 
 // FuzzRequest has a client send any bytes. What reaches the server is what net/http read of them, on a route, and no more:
--- a/internal/edge/proxy/matrix_test.go
+++ b/internal/edge/proxy/matrix_test.go
@@ -20,7 +20,7 @@
 
 	"mulleinwood/internal/control/idempotency"
 	"mulleinwood/internal/edge/attempt"
-	"mulleinwood/internal/platform/peer"
+	"mulleinwood/internal/peer"
 )
 
 // The boundaries of a request and its answer, at which a scripted server acts.
--- a/internal/edge/proxy/proxy.go
+++ b/internal/edge/proxy/proxy.go
@@ -21,10 +21,10 @@
 	"mulleinwood/internal/control/reservation"
 	"mulleinwood/internal/edge/picker"
 	"mulleinwood/internal/edge/retrybudget"
+	"mulleinwood/internal/peer"
 	"mulleinwood/internal/platform/lifecycle"
 	"mulleinwood/internal/platform/metrics"
 	"mulleinwood/internal/platform/nodesettings"
-	"mulleinwood/internal/platform/peer"
 )
 
 // Spans of an edge.
--- a/internal/edge/proxy/proxy_test.go
+++ b/internal/edge/proxy/proxy_test.go
@@ -21,8 +21,8 @@
 	"mulleinwood/internal/config"
 	"mulleinwood/internal/control/idempotency"
 	"mulleinwood/internal/control/registry"
+	"mulleinwood/internal/peer"
 	"mulleinwood/internal/platform/nodesettings"
-	"mulleinwood/internal/platform/peer"
 )
 
 const settings = `
--- a/internal/edge/proxy/reservations.go
+++ b/internal/edge/proxy/reservations.go
@@ -10,7 +10,7 @@
 
 	"mulleinwood/internal/config"
 	"mulleinwood/internal/control/reservation"
-	"mulleinwood/internal/platform/peer"
+	"mulleinwood/internal/peer"
 )
 
 const (
--- a/internal/edge/proxy/reservations_test.go
+++ b/internal/edge/proxy/reservations_test.go
@@ -13,7 +13,7 @@
 	. "github.com/onsi/gomega"
 
 	"mulleinwood/internal/control/reservation"
-	"mulleinwood/internal/platform/peer"
+	"mulleinwood/internal/peer"
 )
 
 // flood is many requests of a tenant at once, each of which a server works on for a while.
--- a/internal/edge/proxy/upstreams.go
+++ b/internal/edge/proxy/upstreams.go
@@ -14,7 +14,7 @@
 
 	"mulleinwood/internal/control/registry"
 	"mulleinwood/internal/edge/picker"
-	"mulleinwood/internal/platform/peer"
+	"mulleinwood/internal/peer"
 )
 
 const (
--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -15,23 +15,23 @@
 )
 
 //go:embed config.cue
-var shape string
+var schema string
 
 // Check says what is wrong with a configuration file, or with a file of changes, in one line with its place. A change can
 // be judged in full only by the controllers, which hold what it changes.
 func Check(path string, text []byte, change bool) error {
 	expr, err := json.Extract(path, text)
 	if err != nil {
-		return apierror.Invalid.New("%s", firstOf(err, path))
+		return apierror.Invalid.New("%s", firstError(err, path))
 	}
 	name := "#Config"
 	if change {
 		name = "#Change"
 	}
 	ctx := cuecontext.New()
-	value := ctx.CompileString(shape).LookupPath(cue.ParsePath(name)).Unify(ctx.BuildExpr(expr))
+	value := ctx.CompileString(schema).LookupPath(cue.ParsePath(name)).Unify(ctx.BuildExpr(expr))
 	if err := value.Validate(cue.Concrete(true)); err != nil {
-		return apierror.Invalid.New("%s", firstOf(err, path))
+		return apierror.Invalid.New("%s", firstError(err, path))
 	}
 	if change {
 		return nil
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// firstOf folds CUE's errors into the first, with its place in the file.
-func firstOf(err error, path string) string {
+// firstError folds CUE's errors into the first, with its place in the file.
+func firstError(err error, path string) string {
 	all := errors.Errors(err)
 	if len(all) == 0 {
 		return err.Error()
--- a/internal/operator/diff.go
+++ b/internal/operator/diff.go
@@ -37,7 +37,7 @@
 
 // items flattens a configuration into named parts, each in canonical bytes.
 func items(text []byte) (map[string][]byte, error) {
-	var whole struct {
+	var document struct {
 		Services []map[string]any `json:"services"`
 		Limits   map[string]any   `json:"limits"`
 		Plants   []struct {
@@ -45,7 +45,7 @@
 			Channels []map[string]any `json:"channels"`
 		} `json:"plants"`
 	}
-	if err := json.Unmarshal(text, &whole); err != nil {
+	if err := json.Unmarshal(text, &document); err != nil {
 		return nil, err
 	}
 	all := map[string][]byte{}
@@ -54,20 +54,20 @@
 		all[name] = b
 		return err
 	}
-	for _, s := range whole.Services {
+	for _, s := range document.Services {
 		if err := put(fmt.Sprint("service ", s["name"]), s); err != nil {
 			return nil, err
 		}
 	}
-	for _, p := range whole.Plants {
+	for _, p := range document.Plants {
 		for _, r := range p.Channels {
 			if err := put(fmt.Sprint("route ", r["name"], " of ", p.Plant), r); err != nil {
 				return nil, err
 			}
 		}
 	}
-	if whole.Limits != nil {
-		if err := put("limits", whole.Limits); err != nil {
+	if document.Limits != nil {
+		if err := put("limits", document.Limits); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -55,26 +55,26 @@
 })
 
 var _ = Describe("what needs looking at", func() {
-	well := func() []operator.View {
-		return []operator.View{{Node: "a", Leader: "a", Attached: true, Commit: 5}, {Node: "b", Leader: "a", Attached: true, Commit: 5}}
+	well := func() []operator.Status {
+		return []operator.Status{{Node: "a", Leader: "a", InContact: true, Commit: 5}, {Node: "b", Leader: "a", InContact: true, Commit: 5}}
 	}
-	DescribeTable("names the fault", func(change func([]operator.View), want string) {
+	DescribeTable("names the fault", func(change func([]operator.Status), want string) {
 		views := well()
 		Expect(operator.Faults(views, nil)).To(BeEmpty())
 		change(views)
 		Expect(operator.Faults(views, nil)).To(ContainElement(ContainSubstring(want)))
 	},
-		Entry("cut off", func(v []operator.View) { v[1].Attached = false }, "b is cut off"),
-		Entry("behind", func(v []operator.View) { v[1].Commit = 3 }, "b lags: it is at change 3 of 5"),
-		Entry("an empty disk of a voter", func(v []operator.View) { v[1].LedgerBlank, v[1].Membership.Votes = true, true }, "b has an empty disk"),
-		Entry("a full disk", func(v []operator.View) { v[0].DiskRefuses = true }, "a has a disk that refuses"),
-		Entry("a slow disk", func(v []operator.View) { v[0].DiskMs = 80 }, "80 ms"),
-		Entry("no leader", func(v []operator.View) { v[0].Leader, v[1].Leader = "", "" }, "nobody leads"),
-		Entry("two leaders", func(v []operator.View) { v[1].Leader = "b" }, "don't agree"),
+		Entry("cut off", func(v []operator.Status) { v[1].InContact = false }, "b is cut off"),
+		Entry("behind", func(v []operator.Status) { v[1].Commit = 3 }, "b lags: it is at change 3 of 5"),
+		Entry("an empty disk of a voter", func(v []operator.Status) { v[1].Recovering, v[1].Membership.Votes = true, true }, "b has an empty disk"),
+		Entry("a full disk", func(v []operator.Status) { v[0].DiskFailing = true }, "a has a disk that refuses"),
+		Entry("a slow disk", func(v []operator.Status) { v[0].DiskMs = 80 }, "80 ms"),
+		Entry("no leader", func(v []operator.Status) { v[0].Leader, v[1].Leader = "", "" }, "nobody leads"),
+		Entry("two leaders", func(v []operator.Status) { v[1].Leader = "b" }, "don't agree"),
 	)
 	It("is not a controller without a vote, which holds no claims", func() {
 		views := well()
-		views[1].LedgerBlank = true
+		views[1].Recovering = true
 		Expect(operator.Faults(views, nil)).To(BeEmpty())
 	})
 })
--- a/internal/operator/plan.go
+++ b/internal/operator/plan.go
@@ -40,12 +40,12 @@
 func Plan(path string, text []byte) ([]reservation.Booking, error) {
 	expr, err := cuejson.Extract(path, text)
 	if err != nil {
-		return nil, apierror.Invalid.New("%s", firstOf(err, path))
+		return nil, apierror.Invalid.New("%s", firstError(err, path))
 	}
 	ctx := cuecontext.New()
 	value := ctx.CompileString(planShape).LookupPath(cue.ParsePath("#Plan")).Unify(ctx.BuildExpr(expr))
 	if err := value.Validate(cue.Concrete(true)); err != nil {
-		return nil, apierror.Invalid.New("%s", firstOf(err, path))
+		return nil, apierror.Invalid.New("%s", firstError(err, path))
 	}
 	var file struct {
 		Bookings []Entry `json:"bookings"`
--- a/internal/operator/plot.go
+++ b/internal/operator/plot.go
@@ -14,7 +14,7 @@
 // Noted is how a reservation was at a time.
 type Noted struct {
 	At float64
-	Use
+	ReservationUse
 }
 
 // PlotUse draws each reservation, and what was wanted of it, over time.
--- a/internal/platform/peer/compare_test.go
+++ b/internal/peer/compare_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 
 	"mulleinwood/internal/control/registry"
-	"mulleinwood/internal/platform/peer"
+	"mulleinwood/internal/peer"
 )
 
 // Two planners that heard different parts of the news, in any order and with any of it missing, hold the same after one
--- a/internal/platform/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 
 	"mulleinwood/internal/control/registry"
-	"mulleinwood/internal/platform/peer"
+	"mulleinwood/internal/peer"
 )
 
 func TestFramesArriveInOrder(t *testing.T) {
--- a/internal/platform/peer/secure_test.go
+++ b/internal/peer/secure_test.go
@@ -15,7 +15,7 @@
 
 	. "github.com/onsi/gomega"
 
-	"mulleinwood/internal/platform/peer"
+	"mulleinwood/internal/peer"
 )
 
 // authority signs certificates for a test.
--- a/internal/simulation/capacity_test.go
+++ b/internal/simulation/capacity_test.go
@@ -17,10 +17,10 @@
 	"mulleinwood/internal/control/idempotency"
 	"mulleinwood/internal/control/registry"
 	"mulleinwood/internal/control/statemachine"
+	"mulleinwood/internal/control/storage"
 	"mulleinwood/internal/control/weights"
 	"mulleinwood/internal/edge/picker"
-	"mulleinwood/internal/platform/peer"
-	"mulleinwood/internal/platform/storage"
+	"mulleinwood/internal/peer"
 )
 
 // Capacity: what one event costs the deciders at an eighth, a quarter, a half and the whole of the size that docs/CAPACITY.md
--- a/internal/simulation/growth_test.go
+++ b/internal/simulation/growth_test.go
@@ -17,7 +17,7 @@
 	"mulleinwood/internal/control/statemachine"
 	"mulleinwood/internal/control/weights"
 	"mulleinwood/internal/edge/picker"
-	"mulleinwood/internal/platform/peer"
+	"mulleinwood/internal/peer"
 )
 
 // Growth by size: what one event costs as a system grows one, two, four and eight times from edges x servers x routes of a
--- a/internal/simulation/tables.go
+++ b/internal/simulation/tables.go
@@ -6,7 +6,7 @@
 
 	"mulleinwood/internal/control/weights"
 	"mulleinwood/internal/edge/picker"
-	"mulleinwood/internal/platform/peer"
+	"mulleinwood/internal/peer"
 )
 
 const (
--- a/internal/simulation/wires.go
+++ b/internal/simulation/wires.go
@@ -8,7 +8,7 @@
 
 	"mulleinwood/internal/control/registry"
 	"mulleinwood/internal/control/weights"
-	"mulleinwood/internal/platform/peer"
+	"mulleinwood/internal/peer"
 )
 
 // Spans of links and controllers, as the programs have them.
