--- a/internal/control/consensus/membership.go
+++ b/internal/control/consensus/membership.go
@@ -188,9 +188,19 @@
 	return nil
 }
 
-// FinishChange ends the change under way: with adopt the new voters remain, without it the former ones.
-func (r *Replica) FinishChange(adopt bool, now time.Duration) error {
+// AdoptChange ends the change under way: the next voters remain.
+func (r *Replica) AdoptChange(now time.Duration) error {
 	r.now = now
+	return r.finishChange(r.Membership().Next)
+}
+
+// AbandonChange ends the change under way: the voters from before it remain.
+func (r *Replica) AbandonChange(now time.Duration) error {
+	r.now = now
+	return r.finishChange(r.Membership().Voters)
+}
+
+func (r *Replica) finishChange(voters []string) error {
 	if err := r.checkChangeAllowed(); err != nil {
 		return err
 	}
@@ -198,14 +208,10 @@
 	if !current.Joint() {
 		return ErrNotChanging
 	}
-	final := Membership{Epoch: current.Epoch + 1, Cluster: current.Cluster, Voters: current.Voters}
-	if adopt {
-		final.Voters = current.Next
-	}
-	if !slices.Contains(final.Voters, r.id) {
+	if !slices.Contains(voters, r.id) {
 		return ErrLeaderRemoved
 	}
-	r.appendMembership(final)
+	r.appendMembership(Membership{Epoch: current.Epoch + 1, Cluster: current.Cluster, Voters: voters})
 	return nil
 }
 
--- a/internal/control/consensus/world_test.go
+++ b/internal/control/consensus/world_test.go
@@ -284,7 +284,11 @@
 	}
 	if current.Joint() {
 		lost := slices.ContainsFunc(current.Next, func(id string) bool { return w.machine(id) == nil })
-		_ = m.replica.FinishChange(!lost && w.rng.IntN(4) > 0, w.now) // an error: it may not be finished yet
+		if finish := m.replica.AbandonChange; lost || w.rng.IntN(4) == 0 {
+			_ = finish(w.now) // an error: it may not be finished yet
+		} else {
+			_ = m.replica.AdoptChange(w.now)
+		}
 		return
 	}
 	_ = m.replica.BeginChange(next, w.now) // an error: it may not begin yet
--- a/internal/control/controller/answers_test.go
+++ b/internal/control/controller/answers_test.go
@@ -150,10 +150,10 @@
 		h := start(t, ipA, dir, false)
 		b := h.linked(ipB)
 		h.lead(b)
-		g.Expect(config.Version(h.state.Version()).String()).To(Equal("r2"))
-		g.Expect(h.replica.Term()).To(BeNumerically(">", 5))
-		g.Expect(h.claimStore.Recovering()).To(BeFalse())
-		a := h.claimStore.Response(idempotency.Key{1}, idempotency.Token{Incarnation: 5, Sequence: 1})
+		g.Expect(config.Version(h.consensus.state.Version()).String()).To(Equal("r2"))
+		g.Expect(h.consensus.replica.Term()).To(BeNumerically(">", 5))
+		g.Expect(h.claims.store.Recovering()).To(BeFalse())
+		a := h.claims.store.Response(idempotency.Key{1}, idempotency.Token{Incarnation: 5, Sequence: 1})
 		g.Expect(a).NotTo(BeNil())
 		g.Expect(string(a.Body)).To(Equal("paid"))
 		read := h.begins(http.MethodGet, "/bookings", "", "")
@@ -161,7 +161,7 @@
 		g.Expect(read.status()).To(Equal(http.StatusOK))
 		g.Expect(read.w.Body.String()).To(ContainSubstring(`"id":"fair"`))
 		var ids []string
-		for _, e := range h.registry.All(h.now()) {
+		for _, e := range h.servers.registry.All(h.now()) {
 			ids = append(ids, e.ID)
 		}
 		g.Expect(ids).To(Equal([]string{"i-1", "i-2", "i-3"}))
--- a/internal/control/controller/authority_test.go
+++ b/internal/control/controller/authority_test.go
@@ -41,7 +41,7 @@
 	}
 	go func() {
 		defer close(one.answered)
-		h.handler().ServeHTTP(one.w, r)
+		newControlAPI(h.Controller).handler().ServeHTTP(one.w, r)
 	}()
 	h.turn()
 	return one
@@ -109,11 +109,11 @@
 		g.Expect([]int{read.status(), order.status()}).To(HaveEach(0), "nobody has answered this round")
 		h.pass(500 * time.Millisecond)
 		g.Expect([]int{read.status(), order.status()}).To(HaveEach(0))
-		h.pass(2 * callLimit)
+		h.pass(2 * callTimeout)
 		g.Expect(read.status()).To(Equal(http.StatusServiceUnavailable))
 		g.Expect(order.status()).To(Equal(http.StatusBadGateway), "it may still be taken")
-		g.Expect(h.leads()).To(BeFalse())
-		g.Expect(h.attached()).To(BeFalse())
+		g.Expect(h.consensus.leads()).To(BeFalse())
+		g.Expect(h.consensus.inContact()).To(BeFalse())
 		h.stop()
 	})
 }
@@ -124,7 +124,7 @@
 		g := NewWithT(t)
 		h, b := voterAt(t)
 		h.lead(b)
-		before := consensus.Message{Kind: consensus.AppendReply, Term: h.replica.Term(), OK: true, Index: h.replica.Last()}
+		before := consensus.Message{Kind: consensus.AppendReply, Term: h.consensus.replica.Term(), OK: true, Index: h.consensus.replica.Last()}
 		read := h.begins(http.MethodGet, "/config", "", "")
 		b.agrees(before)
 		g.Expect(read.status()).To(BeZero())
@@ -143,15 +143,15 @@
 		h.lead(b)
 		read := h.begins(http.MethodGet, "/config", "", "")
 		time.Sleep(20 * time.Second) // b leads by now, and has agreed on other things
-		g.Expect(h.attached()).To(BeFalse())
+		g.Expect(h.consensus.inContact()).To(BeFalse())
 		late := h.begins(http.MethodGet, "/config", "", "")
 		order := h.begins(http.MethodPut, "/config", "r0", firstConfig)
 		drain := h.begins(http.MethodDelete, "/instances/i-1", "", "")
 		g.Expect(drain.status()).To(Equal(http.StatusServiceUnavailable))
-		b.agrees(consensus.Message{Kind: consensus.AppendReply, Term: h.replica.Term(), OK: true, Index: 2}) // was on its way all the time
+		b.agrees(consensus.Message{Kind: consensus.AppendReply, Term: h.consensus.replica.Term(), OK: true, Index: 2}) // was on its way all the time
 		g.Expect([]int{late.status(), order.status()}).To(HaveEach(0))
-		h.follow(b, h.replica.Term()+3, consensus.Message{Index: 1, LogTerm: 4})
-		h.pass(tickEvery)
+		h.follow(b, h.consensus.replica.Term()+3, consensus.Message{Index: 1, LogTerm: 4})
+		h.pass(tickInterval)
 		g.Expect([]int{read.status(), late.status()}).To(HaveEach(http.StatusServiceUnavailable))
 		g.Expect(order.status()).To(Equal(http.StatusBadGateway))
 		h.stop()
@@ -164,19 +164,19 @@
 		g := NewWithT(t)
 		h, b := voterAt(t)
 		h.lead(b)
-		term, at := h.replica.Term(), h.replica.Last()+1
+		term, at := h.consensus.replica.Term(), h.consensus.replica.Last()+1
 		one := h.begins(http.MethodPut, "/config", "r0", firstConfig)
 		g.Expect(one.status()).To(BeZero())
 		// Another leader's entry takes its place, and is committed, in the same turn.
 		h.follow(b, term+1, consensus.Message{Index: at - 1, LogTerm: term, Commit: at, Entries: []consensus.Entry{{Term: term + 1, Index: at}}})
 		g.Expect(one.status()).To(Equal(http.StatusBadGateway))
-		g.Expect(h.state.Version()).To(BeZero())
-		g.Expect(h.waiters).To(BeEmpty())
+		g.Expect(h.consensus.state.Version()).To(BeZero())
+		g.Expect(h.consensus.proposals).To(BeEmpty())
 
 		h.lead(b)
 		one = h.begins(http.MethodPut, "/config", "r0", firstConfig)
-		index := h.replica.Last()
-		h.wait(index, waiter{until: h.now() + callLimit, answer: func(uint64, error) {}}) // it leads again and proposes at the same index
+		index := h.consensus.replica.Last()
+		h.consensus.awaitEntry(index, 0, func(uint64, error) {}) // it leads again and proposes at the same index
 		g.Expect(one.status()).To(Equal(http.StatusBadGateway))
 		h.stop()
 	})
@@ -241,7 +241,7 @@
 		for i, status := range []int{200, 200, 200, http.StatusPreconditionFailed} {
 			g.Expect(again[i].status()).To(Equal(status))
 		}
-		g.Expect(h.state.Version()).To(BeEquivalentTo(101))
+		g.Expect(h.consensus.state.Version()).To(BeEquivalentTo(101))
 		h.stop()
 	})
 }
@@ -257,7 +257,7 @@
 		g.Expect(beat("ready").status()).To(Equal(http.StatusOK))
 		g.Expect(beat("draining").status()).To(Equal(http.StatusServiceUnavailable))
 		g.Expect(h.begins(http.MethodDelete, "/instances/i-1", "", "").status()).To(Equal(http.StatusServiceUnavailable))
-		e, _ := h.registry.Get("i-1")
+		e, _ := h.servers.registry.Get("i-1")
 		g.Expect(e.State).To(BeZero())
 		// In contact: the leader is heard, and says that it hears this controller.
 		h.follow(b, 5, consensus.Message{Index: 1, LogTerm: 4})
@@ -280,9 +280,9 @@
 		g := NewWithT(t)
 		h, b := voterAt(t)
 		h.follow(b, 5, consensus.Message{Index: 1, LogTerm: 4})
-		g.Expect(h.makeSummary(false).Attached).To(BeTrue())
+		g.Expect(h.shortSummary().Attached).To(BeTrue())
 		b.agrees(consensus.Message{Kind: consensus.Append, Term: 5, Index: 1, LogTerm: 4})
-		g.Expect(h.makeSummary(false).Attached).To(BeFalse(), "its edges look for another controller")
+		g.Expect(h.shortSummary().Attached).To(BeFalse(), "its edges look for another controller")
 		h.stop()
 	})
 }
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -1,369 +1,314 @@
-// Package controller is the runtime of a controller process: it owns the deciders (consensus, registry, claim store, weights),
-// feeds them with what comes in on sockets and timers, and does what they say. One goroutine owns all of them; whatever
-// waits for a disk or a peer is a callback that it runs later.
+// Package controller is the runtime of a controller process. It owns the deciders of the control plane (consensus, state
+// machine, membership manager, claim store, registry, weight tables, reservations), feeds them with what comes in on
+// sockets and timers, and does what they say.
+//
+// One goroutine, the owner, runs all of it: see Controller.loop. Other goroutines (links, HTTP handlers, disk writes) hand
+// it functions through an inbox and never touch its state; whatever waits for a disk or a peer is a callback that the owner
+// runs later. Each part has a file and a state of its own:
+//
+//	environment       facts of the platform, log, clock
+//	writer            what has to become durable, in order, one sync at a time
+//	consensusRuntime  the replica, the state machine and the calls that wait for them
+//	memberService     who votes, and this replica's identity
+//	linkTable         links to edges and controllers; session.go dials, accepts and dispatches
+//	claimsService     claims of keyed operations
+//	registrar         the register of servers
+//	weightService     weights of servers, for the edges
+//	reservationService  booked capacity
+//	controlAPI        the HTTP endpoints of servers and operators
+//	shutdown          the end in order
 package controller
 
 import (
 	"context"
 	"errors"
-	"maps"
+	"fmt"
 	"math/rand/v2"
 	"net"
 	"net/http"
 	"os"
-	"slices"
 	"strings"
-	"sync/atomic"
 	"time"
 
 	"github.com/go-kit/log"
 
-	"mulleinwood/internal/control/broadcast"
 	"mulleinwood/internal/control/consensus"
-	"mulleinwood/internal/control/idempotency"
 	"mulleinwood/internal/control/membership"
 	"mulleinwood/internal/control/registry"
-	"mulleinwood/internal/control/reservation"
 	"mulleinwood/internal/control/statemachine"
 	"mulleinwood/internal/control/storage"
-	"mulleinwood/internal/control/weights"
 	"mulleinwood/internal/peer"
 	"mulleinwood/internal/platform/lifecycle"
 	"mulleinwood/internal/platform/metrics"
 	"mulleinwood/internal/platform/nodesettings"
 )
 
-// Spans of the control plane. They follow from how soon a second's bounds have to be met, not from a deployment.
 const (
-	tickEvery       = 50 * time.Millisecond
-	busyTick        = 10 * time.Millisecond // while claims wait for verdicts
-	heartbeatEvery  = 150 * time.Millisecond
-	electionTimeout = 500 * time.Millisecond
-	silentBeats     = 2.5 // beats that a server may leave out
-	ownerLost       = 2500 * time.Millisecond
-	tombstones      = 90 * time.Second
-	keySlack        = 5 * time.Second
-	claimHedge      = 20 * time.Millisecond
-	claimLimit      = 900 * time.Millisecond
-	fetchLimit      = 300 * time.Millisecond
-	redialEvery     = 300 * time.Millisecond
-	dialLimit       = 400 * time.Millisecond
-	forgetAfter     = 2 * time.Minute // without an answer, of a controller that has no vote
-	storeAgain      = 100 * time.Millisecond
-	lazyMost        = 100 * time.Millisecond // that a line waits for the disk when nobody waits for the line
-	callLimit       = 1500 * time.Millisecond
-	compactAfter    = 64 // entries of the log
-	fullEvery       = 4  // summaries, of which one is full
-	memoryShare     = 0.25
-	diskShare       = 0.25 // what is freed in the file is used again only once no older head needs it
+	tickInterval = 50 * time.Millisecond
+	// claimTickInterval is used while claims wait for replies: a slow store is noticed after claimHedgeDelay.
+	claimTickInterval = 10 * time.Millisecond
+	inboxSize         = 1024
+
+	readHeaderTimeout = 5 * time.Second
+	idleTimeout       = 30 * time.Second
+	maxHeaderBytes    = 32 << 10
 )
 
-// Controller is one control planner.
+// Config is what a controller starts with. All fields but Security are required.
+type Config struct {
+	Settings *nodesettings.Settings
+	Security *peer.Security // nil: links to other processes are plain
+	Logger   log.Logger
+}
+
+// Controller is one controller process. All fields belong to the owner's goroutine, but for the embedded environment,
+// security, inbox and linkCtx, which don't change after the start.
 type Controller struct {
-	set      *nodesettings.Settings
+	*environment
 	security *peer.Security
-	logger   log.Logger
-	began    time.Time
-	life     uint64
 	inbox    chan func()
+	linkCtx  context.Context // ends the goroutines that dial
 
-	metrics               *metrics.Metrics
-	storage               *storage.Storage
-	store                 store
-	first                 bool     // the whole system starts for the first time, and this disk is empty
-	members               []string // the voters that the cluster started with, where this disk knows them
-	identity              string
-	cluster               atomic.Uint64 // 0: not known yet
-	replica               *consensus.Replica
-	membership            consensus.Membership // the newest that was applied
-	epoch                 uint64               // of the newest that was applied durably
-	manager               membership.Manager
-	met                   map[string]membership.Controller // replicas that were linked at some time
-	state                 *statemachine.StateMachine
-	waiters               map[uint64]waiter
-	reads                 []read
-	registry              *registry.Registry
-	claimStore            *idempotency.Store
-	coordinator           *idempotency.Coordinator
-	copied                map[string]bool    // replicas whose claims were copied for the change under way
-	peers                 map[string]*remote // controllers by IP
-	edges                 map[string]*remote // by IP
-	guests                map[*remote]bool
-	broadcaster           *broadcast.Broadcaster
-	calls                 map[uint64]func() // of servers, to be acknowledged
-	nextCall              uint64
-	fetches               map[idempotency.Token]*fetch
-	tables                *weights.Tables
-	reservations          reservations
-	known                 map[string]bool // IPs of controllers
-	claimers              map[idempotency.Token]*remote
-	goneSince             map[string]time.Duration // controllers out of reach
-	nextSummary, nextCopy time.Duration
-	summaries             int
-	leaving               bool // told to end
-	retired               bool // voted out since its start
-	departure             departure
-	unreadable            bool              // a snapshot could not be read: the state here is not what was committed
-	strangers             map[string]uint64 // controllers of other clusters that were refused, by address
-	said                  string            // role last logged
+	storage      *storage.Storage
+	writer       *writer
+	links        *linkTable
+	consensus    *consensusRuntime
+	members      *memberService
+	claims       *claimsService
+	servers      *registrar
+	weights      *weightService
+	reservations *reservationService
+	summaries    summarySchedule
+	shutdown     shutdown
 }
 
-// Run serves until ctx ends.
-func Run(ctx context.Context, set *nodesettings.Settings, security *peer.Security, logger log.Logger) error {
-	c := &Controller{set: set, security: security, logger: logger, began: time.Now(), life: rand.Uint64() | 1, inbox: make(chan func(), 1024),
-		waiters: map[uint64]waiter{}, state: statemachine.New(), copied: map[string]bool{}, met: map[string]membership.Controller{},
-		peers: map[string]*remote{}, edges: map[string]*remote{}, guests: map[*remote]bool{}, calls: map[uint64]func(){},
-		fetches: map[idempotency.Token]*fetch{}, known: map[string]bool{}, claimers: map[idempotency.Token]*remote{},
-		goneSince: map[string]time.Duration{}}
+// Run serves until ctx ends, and then until the shutdown in order is done.
+func Run(ctx context.Context, config Config) error {
+	linkCtx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // links are needed during the shutdown, too
+	defer cancel()
+	c := newController(config, rand.Uint64()|1)
+	c.linkCtx = linkCtx
 	reloads := lifecycle.Reloads()
-	c.registry = registry.New(tombstones)
-	c.broadcaster = broadcast.New(c.registry)
-	c.metrics = metrics.New(metrics.Controller)
-	c.tables = weights.New(set.Zone, slices.Collect(maps.Keys(set.Zones)), c.life, func() int { return len(c.membership.Voters) }, func(service, note string) {
-		_ = logger.Log("event", "table", "service", service, "note", note)
-	})
-	c.reservations.clock = reservation.NewClock()
 	if err := c.open(); err != nil {
 		return err
 	}
-	defer c.storage.Close()
-	listener, err := net.Listen("tcp", set.InnerAddress(set.IP))
+	defer c.closeStorage()
+	inner, err := listen(ctx, c.settings.InnerAddress(c.settings.IP))
 	if err != nil {
 		return err
 	}
-	defer listener.Close()
-	control, err := net.Listen("tcp", set.Listen.Control)
+	defer closeListener(inner)
+	control, err := listen(ctx, c.settings.Listen.Control)
 	if err != nil {
 		return err
 	}
-	server := &http.Server{Handler: c.handler(), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second,
-		MaxHeaderBytes: 32 << 10}
-	go func() {
-		if err := server.Serve(control); !errors.Is(err, http.ErrServerClosed) {
-			_ = logger.Log("event", "control calls end", "cause", err)
-		}
-	}()
-	defer shutdown(server)
-	go c.accept(listener)
-	_ = logger.Log("event", "controller starts", "node", set.Node, "zone", set.Zone, "identity", c.identity, "epoch", c.membership.Epoch, "voters", strings.Join(c.membership.Voters, " "))
+	server := &http.Server{Handler: newControlAPI(c).handler(), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout,
+		MaxHeaderBytes: maxHeaderBytes}
+	go c.serveControl(server, control)
+	defer stopServer(server)
+	go c.acceptLinks(linkCtx, inner)
+	c.logEvent("controller starts", "node", c.settings.Node, "zone", c.settings.Zone, "identity", c.members.identity,
+		"epoch", c.members.current.Epoch, "voters", strings.Join(c.members.current.Voters, " "))
 	go func() {
 		for range reloads {
-			c.do(c.reload)
+			c.runOnOwner(c.reload)
 		}
 	}()
 	c.loop(ctx)
-	c.drainLinks()
-	_ = logger.Log("event", "controller ends", "node", set.Node)
+	c.links.drain(drainTimeout)
+	c.logEvent("controller ends", "node", c.settings.Node)
 	return nil
 }
 
-// reload takes the settings file's seeds over: the only part of it that a running controller has use for. A file that is
-// wrong changes nothing.
-func (c *Controller) reload() {
-	if err := c.security.Reload(); err != nil {
-		_ = c.logger.Log("event", "inner TLS not taken over", "cause", err)
-	}
-	set, err := nodesettings.Load()
-	if err != nil {
-		_ = c.logger.Log("event", "settings not taken over", "cause", err)
-		return
-	}
-	for _, ip := range set.SeedIPs() {
-		c.meet(ip)
+func listen(ctx context.Context, address string) (net.Listener, error) {
+	var config net.ListenConfig
+	return config.Listen(ctx, "tcp", address)
+}
+
+// closeListener stops accepting. Nothing is lost if it fails: the process ends.
+func closeListener(l net.Listener) { _ = l.Close() }
+
+// closeStorage closes the file. All that was acknowledged is durable already.
+func (c *Controller) closeStorage() {
+	if err := c.storage.Close(); err != nil {
+		c.logEvent("storage close failed", "cause", err)
 	}
-	_ = c.logger.Log("event", "settings read again", "seeds", strings.Join(set.Seeds, " "))
 }
 
-// now is the steady time since the process began: jumps of the time of day don't show in it.
-func (c *Controller) now() time.Duration { return time.Since(c.began) }
+func (c *Controller) serveControl(server *http.Server, l net.Listener) {
+	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+		c.logEvent("control endpoint ends", "cause", err)
+	}
+}
 
-// do has the owner run a function.
-func (c *Controller) do(f func()) { c.inbox <- f }
+// newController makes a controller without its disk; open completes it. The incarnation names this run of the process.
+func newController(config Config, incarnation uint64) *Controller {
+	env := &environment{settings: config.Settings, logger: config.Logger, metrics: metrics.New(metrics.Controller),
+		startedAt: time.Now(), incarnation: incarnation}
+	c := &Controller{environment: env, security: config.Security, inbox: make(chan func(), inboxSize), linkCtx: context.Background()}
+	c.writer = &writer{environment: env, runOnOwner: c.runOnOwner, commit: func(batches []*storage.Batch) error { return c.storage.Commit(batches) }}
+	c.links = newLinkTable(env)
+	c.consensus = &consensusRuntime{environment: env, writer: c.writer, events: c, state: statemachine.New(), proposals: map[uint64]proposal{}}
+	c.members = &memberService{environment: env, writer: c.writer, links: c.links, consensus: c.consensus, addController: c.addController,
+		shuttingDown: func() bool { return c.shutdown.started }, seen: map[string]membership.Controller{}}
+	c.servers = newRegistrar(env, c.links, c.consensus.inContact, c.handleServerUpdates)
+	c.weights = newWeightService(env, c.links, func() int { return len(c.members.current.Voters) }, c.serviceOfServer)
+	c.reservations = newReservationService(env, c.links, c.consensus, c.servers.registry)
+	return c
+}
 
+// open reads the disk and makes what starts from it.
 func (c *Controller) open() error {
 	dir := os.TempDir()
-	if c.set.DataDir != nil {
-		dir = *c.set.DataDir
+	if c.settings.DataDir != nil {
+		dir = *c.settings.DataDir
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return err
+		return fmt.Errorf("make data directory: %w", err)
 	}
-	window := c.set.Seconds("key_window_s", 60) + keySlack
-	answers := c.answersMost()
-	a, state, err := storage.Open(dir, window, answers)
+	opened, state, err := storage.Open(dir, keyWindow(c.environment), maxResponseBytes(c.environment))
 	if err != nil {
 		return err
 	}
-	c.storage = a
+	c.storage = opened
 	if state.Corrupt != nil {
-		_ = c.logger.Log("event", "disk spoilt", "put aside", "exchange.db.spoilt", "cause", state.Corrupt)
-	}
-	for _, ip := range c.set.SeedIPs() {
-		c.known[ip] = true
-	}
-	delete(c.known, c.set.IP)
-	if err := c.drawIdentity(state); err != nil {
-		return err
-	}
-	c.first = c.set.FirstStart && c.identity == membership.Identity(c.set.IP, 0)
-	c.members = state.BootstrapVoters
-	c.claimStore = idempotency.NewStore(window, state.Recovering)
-	c.claimStore.SetMaxResponseBytes(answers)
-	for _, r := range state.Claims {
-		c.claimStore.Load(r, c.now())
+		c.logEvent("data file corrupt", "moved_to", storage.CorruptFileName, "cause", state.Corrupt)
 	}
-	for _, e := range state.Servers { // as they were: their next beats confirm them, or their silence takes them out
-		e.WarmupLeft, e.Owner = 0, c.set.IP
-		if now, news := c.registry.Apply(e, c.now()); news {
-			c.tables.UpdateServers([]registry.Entry{now}, c.now())
-		}
+	if err := c.members.initIdentity(state, c.storage.Commit); err != nil {
+		return fmt.Errorf("store the identity: %w", err)
 	}
-	c.join(state)
+	c.members.load(state)
+	c.claims = newClaimsService(c.environment, c.writer, c.links, c.members, state)
+	c.claims.onSynced = func() { c.shutdown.handOverSynced = true }
+	c.members.claims = c.claims
+	c.weights.tables.UpdateServers(c.servers.load(state.Servers), c.now())
+	c.consensus.replica = consensus.New(consensus.Config{ID: c.members.identity,
+		Timing: consensus.Timing{Heartbeat: heartbeatInterval, ElectionTimeout: electionTimeout}, Seed: c.incarnation,
+		Membership: bootstrapMembership(state.BootstrapVoters), Hard: state.Hard, Snapshot: state.Snapshot, Log: state.Entries, Now: c.now()})
+	c.claims.setStores()
+	c.learnAddresses()
 	return nil
 }
 
-// join starts this controller's part in the consensus, with what its disk held.
-func (c *Controller) join(state *storage.State) {
-	started := consensus.Membership{}
-	if len(state.BootstrapVoters) > 0 {
-		started = consensus.Membership{Epoch: 1, Voters: state.BootstrapVoters}
+// learnAddresses notes the controllers that are dialled from the start: the seeds and all voters.
+func (c *Controller) learnAddresses() {
+	for _, ip := range c.settings.SeedIPs() {
+		c.links.known[ip] = true
 	}
-	c.replica = consensus.New(consensus.Config{ID: c.identity, Timing: consensus.Timing{Heartbeat: heartbeatEvery, ElectionTimeout: electionTimeout},
-		Seed: c.life, Membership: started, Hard: state.Hard, Snapshot: state.Snapshot, Log: state.Entries, Now: c.now()})
-	c.coordinator = idempotency.NewCoordinator(nil, claimHedge, claimLimit)
-	c.membership, c.epoch = state.Membership, state.Membership.Epoch
-	if c.membership.Epoch == 0 {
-		c.membership, c.epoch = started, started.Epoch
-	}
-	c.cluster.Store(c.membership.Cluster)
-	c.setStores()
-	for _, ip := range membership.Addresses(c.membership.All()) {
-		if ip != c.set.IP {
-			c.known[ip] = true
-		}
+	for _, ip := range membership.Addresses(c.members.current.All()) {
+		c.links.known[ip] = true
 	}
+	delete(c.links.known, c.settings.IP)
 }
 
-// answersMost is how many bytes the answers of keyed operations may take, in memory and on disk.
-func (c *Controller) answersMost() int64 {
-	most := memoryShare * c.set.Limits.MemoryMB
-	if disk := c.set.Limits.DiskMB; disk > 0 {
-		most = min(most, diskShare*disk)
+// reload takes over what a running controller has use for of the settings file: the seeds. It also reads the certificates
+// again. A file that is wrong changes nothing.
+func (c *Controller) reload() {
+	if err := c.security.Reload(); err != nil {
+		c.logEvent("inner TLS rejected", "cause", err)
 	}
-	return int64(most * (1 << 20))
+	settings, err := nodesettings.Load()
+	if err != nil {
+		c.logEvent("settings rejected", "cause", err)
+		return
+	}
+	for _, ip := range settings.SeedIPs() {
+		c.addController(ip)
+	}
+	c.logEvent("settings reloaded", "seeds", strings.Join(settings.Seeds, " "))
 }
 
+// runOnOwner has the owner run a function. It blocks while the inbox is full.
+func (c *Controller) runOnOwner(f func()) { c.inbox <- f }
+
+// loop is the owner. Each turn runs all that came in together and then does what the deciders want done, so that one write
+// to disk and one frame a peer serve all of it.
 func (c *Controller) loop(ctx context.Context) {
-	tick := time.NewTimer(tickEvery)
+	tick := time.NewTimer(tickInterval)
 	defer tick.Stop()
-	told := ctx.Done()
-	for !c.departed() {
+	stop := ctx.Done()
+	for !c.shutdown.done {
 		select {
-		case <-told:
-			told = nil
-			c.beginLeaving()
+		case <-stop:
+			stop = nil
+			c.beginShutdown()
 		case f := <-c.inbox:
 			f()
-			for more := true; more; { // what came in together is decided and stored together
-				select {
-				case f := <-c.inbox:
-					f()
-				default:
-					more = false
-				}
-			}
+			c.drainInbox()
 		case <-tick.C:
 			c.tick()
-			next := tickEvery
-			if c.coordinator.HasPending() {
-				next = busyTick
-			}
-			tick.Reset(next)
+			tick.Reset(c.nextTick())
 		}
-		c.settle()
+		c.endTurn()
 	}
 }
 
-func (c *Controller) tick() {
-	now := c.now()
-	if !c.unreadable {
-		c.replica.Tick(now)
-	}
-	asks, done := c.coordinator.Tick(now)
-	c.askStores(asks)
-	for _, o := range done {
-		c.ruled(o)
-	}
-	c.claimStore.Expire(now)
-	c.found()
-	c.manage(now)
-	c.askCopies(now)
-	c.depart(now)
-	c.summarize(now)
-	c.overdue(now)
-	c.broadcaster.Tick(now)
-	c.pushWeights(now)
-	c.dealReservations(now)
-	changed := c.registry.MarkTimedOut(c.set.IP, c.lost, time.Duration(silentBeats*c.set.BeatPeriod*float64(time.Second)), now)
-	if len(changed) > 0 {
-		for _, e := range changed {
-			_ = c.logger.Log("event", "server silent", "server", e.ID, "service", e.Service, "gone", e.Ended())
+func (c *Controller) drainInbox() {
+	for {
+		select {
+		case f := <-c.inbox:
+			f()
+		default:
+			return
 		}
-		c.broadcaster.Publish(changed, now)
 	}
 }
 
-// settle does what the consensus wants done after the events of a turn, and hands the disk what has gathered.
-func (c *Controller) settle() {
-	out := c.replica.TakeOutput()
-	for _, m := range out.Immediate {
-		c.sendAgree(m)
-	}
-	if !out.Empty() || len(out.AfterSync) > 0 {
-		index, term := out.Last()
-		after := out.AfterSync
-		done := func(bool) {
-			for _, m := range after {
-				c.sendAgree(m)
-			}
-			if index > 0 {
-				c.replica.MarkDurable(index, term, c.now())
-			}
-		}
-		if out.Empty() && c.store.idleAgree() {
-			done(true)
-		} else {
-			c.store.agree(&storage.Batch{Hard: out.Hard, Snapshot: out.Snapshot, Truncate: out.Truncate, Entries: out.Entries}, done)
-		}
+func (c *Controller) nextTick() time.Duration {
+	if c.claims.coordinator.HasPending() {
+		return claimTickInterval
 	}
-	c.apply(out)
-	c.answerReads()
-	c.sayRole()
-	c.tell()
-	c.store.run(c)
+	return tickInterval
 }
 
-func (c *Controller) sayRole() {
-	role := "follower of " + c.replica.Leader()
-	if c.replica.Role() == consensus.Leader {
-		role = "leader"
-	} else if c.replica.Leader() == "" {
-		role = "no leader"
-	}
-	if !c.replica.Votes() {
-		role += ", no vote"
-	}
-	if role != c.said {
-		c.said = role
-		_ = c.logger.Log("event", "role", "role", role, "term", c.replica.Term(), "commit", c.replica.Commit())
-	}
+// tick does what is due by the clock.
+func (c *Controller) tick() {
+	now := c.now()
+	c.consensus.tick(now)
+	c.claims.tick(now)
+	c.members.chooseBootstrapVoters()
+	c.members.manage(now)
+	c.claims.requestCopies(now)
+	c.continueShutdown(now)
+	c.sendSummaries(now)
+	c.consensus.expireProposals(now)
+	c.claims.expireQueries(now)
+	c.servers.broadcaster.Tick(now)
+	c.weights.push(now)
+	c.reservations.allocate(now)
+	c.servers.expireHeartbeats(now)
+}
+
+// endTurn does what the deciders want done after the events of a turn, and hands the disk what has gathered.
+func (c *Controller) endTurn() {
+	c.consensus.process()
+	c.servers.publish()
+	c.writer.flush()
 }
 
-func (c *Controller) sendAgree(m consensus.Message) {
-	if p := c.replicaAt(m.To); p != nil {
-		p.link.Send(&peer.Frame{Consensus: []consensus.Message{m}})
+// sendConsensus implements consensusEvents.
+func (c *Controller) sendConsensus(m consensus.Message) {
+	if p := c.links.replica(m.To); p != nil {
+		p.link.Send(peer.ConsensusMessages{m})
 	}
 }
 
-// attached tells whether this planner is in contact with a majority of the voters.
-func (c *Controller) attached() bool { return !c.unreadable && c.replica.HasQuorumContact(c.now()) }
+// membershipCommitted implements consensusEvents.
+func (c *Controller) membershipCommitted(m consensus.Membership) { c.members.apply(m) }
+
+// configChanged implements consensusEvents.
+func (c *Controller) configChanged(update *peer.Config) {
+	c.links.sendToEdges(update)
+	c.weights.tables.SetConfig(c.consensus.state.Config)
+}
+
+// handleServerUpdates takes what changed of servers to the disk and to the weight tables.
+func (c *Controller) handleServerUpdates(entries []registry.Entry) {
+	c.writer.writeServers(entries)
+	c.weights.tables.UpdateServers(entries, c.now())
+}
+
+func (c *Controller) serviceOfServer(server string) (service string, known bool) {
+	e, known := c.servers.registry.Get(server)
+	return e.Service, known
+}
--- a/internal/control/controller/departure_test.go
+++ b/internal/control/controller/departure_test.go
@@ -29,16 +29,16 @@
 			r.Response = &idempotency.Response{Status: 200, Body: []byte("done")}
 			b.says(&peer.Frame{Responses: []idempotency.Record{r}})
 			h.follow(b, 5, consensus.Message{Index: 1, LogTerm: 4})
-			h.pass(tickEvery)
-			h.beginLeaving()
-			h.pass(2 * leaveAtLeast)
-			g.Expect(h.departed()).To(BeFalse(), "somebody stands by: it waits for its vote to go there")
+			h.pass(tickInterval)
+			h.beginShutdown()
+			h.pass(2 * minShutdown)
+			g.Expect(h.shutdown.done).To(BeFalse(), "somebody stands by: it waits for its vote to go there")
 			final := consensus.Membership{Epoch: 4, Cluster: cluster, Voters: []string{ipA, ipB, "10.0.0.4#d"}}
 			b.hears()
 			d.hears()
 			h.follow(b, 5, consensus.Message{Index: 1, LogTerm: 4, Commit: 3, Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &joint}, {Term: 5, Index: 3, Membership: &final}}})
-			h.pass(tickEvery)
-			g.Expect(h.departed()).To(BeFalse())
+			h.pass(tickInterval)
+			g.Expect(h.shutdown.done).To(BeFalse())
 			got, sync := 0, uint64(0)
 			var heir *script
 			for _, s := range []*script{b, d} {
@@ -52,13 +52,13 @@
 			g.Expect(heir).NotTo(BeNil())
 			if answered {
 				heir.says(&peer.Frame{SyncReply: sync})
-				h.pass(tickEvery)
-				g.Expect(h.departed()).To(BeTrue())
+				h.pass(tickInterval)
+				g.Expect(h.shutdown.done).To(BeTrue())
 			} else {
-				h.pass(handOverFor / 2)
-				g.Expect(h.departed()).To(BeFalse())
-				h.pass(handOverFor)
-				g.Expect(h.departed()).To(BeTrue())
+				h.pass(handOverTimeout / 2)
+				g.Expect(h.shutdown.done).To(BeFalse())
+				h.pass(handOverTimeout)
+				g.Expect(h.shutdown.done).To(BeTrue())
 			}
 			h.stop()
 		})
@@ -71,10 +71,10 @@
 		g := NewWithT(t)
 		h, b := voterAt(t)
 		h.lead(b)
-		h.pass(tickEvery)
+		h.pass(tickInterval)
 		b.hears()
-		h.beginLeaving()
-		h.pass(2 * tickEvery)
+		h.beginShutdown()
+		h.pass(2 * tickInterval)
 		asked := false
 		for _, f := range b.hears() {
 			for _, m := range f.Consensus {
@@ -83,10 +83,10 @@
 			g.Expect(f.Summary == nil || !f.Summary.Attached).To(BeTrue(), "edges look for another controller")
 		}
 		g.Expect(asked).To(BeTrue())
-		g.Expect(h.departed()).To(BeFalse())
-		h.follow(b, h.replica.Term()+1, consensus.Message{Index: h.replica.Last(), LogTerm: h.replica.Term()})
-		h.pass(tickEvery)
-		g.Expect(h.departed()).To(BeTrue(), "nobody stands by: it keeps its vote, and ends as for a restart")
+		g.Expect(h.shutdown.done).To(BeFalse())
+		h.follow(b, h.consensus.replica.Term()+1, consensus.Message{Index: h.consensus.replica.Last(), LogTerm: h.consensus.replica.Term()})
+		h.pass(tickInterval)
+		g.Expect(h.shutdown.done).To(BeTrue(), "nobody stands by: it keeps its vote, and ends as for a restart")
 		h.stop()
 	})
 }
@@ -97,13 +97,13 @@
 		g := NewWithT(t)
 		h, _ := voterAt(t)
 		h.linked("10.0.0.4#d") // stands by, but nobody leads who could vote it in
-		h.pass(tickEvery)
-		h.beginLeaving()
+		h.pass(tickInterval)
+		h.beginShutdown()
 		h.pass(4 * time.Second)
-		g.Expect(h.departed()).To(BeFalse())
+		g.Expect(h.shutdown.done).To(BeFalse())
 		h.pass(2 * time.Second)
-		g.Expect(h.departed()).To(BeTrue())
-		g.Expect(h.log.with("ends before all was handed on")).NotTo(BeEmpty())
+		g.Expect(h.shutdown.done).To(BeTrue())
+		g.Expect(h.log.with("shutdown deadline exceeded")).NotTo(BeEmpty())
 		h.stop()
 	})
 }
@@ -114,14 +114,14 @@
 		g := NewWithT(t)
 		h, b := voterAt(t)
 		h.lead(b)
-		now := wall()
+		now := wallClock()
 		op := reservation.Op{Call: "x", Now: now, Puts: []reservation.Booking{{ID: "x", Tenant: "t.example", Service: "s", Start: now, End: now + 3600, Slots: 1, Owner: "o"}}}
 		data, err := cbor.Marshal(statemachine.Change{Bookings: &op})
 		g.Expect(err).NotTo(HaveOccurred())
-		h.replica.Propose(data, h.now())
+		h.consensus.replica.Propose(data, h.now())
 		h.turn()
 		h.confirms(b)
-		g.Expect(h.state.Bookings.Active).To(HaveLen(1))
+		g.Expect(h.consensus.state.Bookings.Active).To(HaveLen(1))
 		told := func() (times int) {
 			for _, f := range b.hears() {
 				if f.Reservations != nil {
@@ -133,13 +133,13 @@
 		told()
 		h.pass(reservation.LeaderProofTTL)
 		g.Expect(told()).To(BeZero(), "nobody has answered a round")
-		h.pass(dealEvery)
+		h.pass(allocateInterval)
 		h.confirms(b)
-		h.pass(dealEvery + tickEvery)
+		h.pass(allocateInterval + tickInterval)
 		g.Expect(told()).To(BeNumerically(">", 0))
-		h.pass(reservation.LeaderProofTTL + dealEvery)
+		h.pass(reservation.LeaderProofTTL + allocateInterval)
 		told()
-		h.pass(reservationsAgain)
+		h.pass(announceInterval)
 		g.Expect(told()).To(BeZero(), "the last proof is too old")
 		h.stop()
 	})
--- a/internal/control/controller/fuzz_test.go
+++ b/internal/control/controller/fuzz_test.go
@@ -9,12 +9,8 @@
 
 	"github.com/go-kit/log"
 
-	"mulleinwood/internal/control/broadcast"
 	"mulleinwood/internal/control/consensus"
 	"mulleinwood/internal/control/registry"
-	"mulleinwood/internal/control/statemachine"
-	"mulleinwood/internal/control/weights"
-	"mulleinwood/internal/platform/metrics"
 	"mulleinwood/internal/platform/nodesettings"
 )
 
@@ -35,29 +31,26 @@
 		f.Fatal(err)
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		c := &Controller{set: set, logger: log.NewNopLogger(), inbox: make(chan func(), 4), calls: map[uint64]func(){}, peers: map[string]*remote{}, edges: map[string]*remote{}}
-		c.state, c.metrics = statemachine.New(), metrics.New(metrics.Controller)
-		c.replica = consensus.New(consensus.Config{ID: "10.0.0.1", Membership: consensus.Membership{Epoch: 1, Voters: []string{"10.0.0.1"}},
-			Timing: consensus.Timing{Heartbeat: heartbeatEvery, ElectionTimeout: electionTimeout}})
-		c.replica.Tick(time.Minute) // it leads, alone: what says that a server leaves is acknowledged
-		c.registry = registry.New(tombstones)
-		c.broadcaster, c.tables = broadcast.New(c.registry), weights.New("a", nil, 1, func() int { return 1 }, func(string, string) {})
+		c := newController(Config{Settings: set, Logger: log.NewNopLogger()}, 1)
+		c.consensus.replica = consensus.New(consensus.Config{ID: "10.0.0.1", Membership: consensus.Membership{Epoch: 1, Voters: []string{"10.0.0.1"}},
+			Timing: consensus.Timing{Heartbeat: heartbeatInterval, ElectionTimeout: electionTimeout}})
+		c.consensus.replica.Tick(time.Minute) // it leads, alone: what says that a server leaves is acknowledged
 		w := httptest.NewRecorder()
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			c.handler().ServeHTTP(w, httptest.NewRequest(http.MethodPut, "/instances/i-1", strings.NewReader(string(body))))
+			newControlAPI(c).handler().ServeHTTP(w, httptest.NewRequest(http.MethodPut, "/instances/i-1", strings.NewReader(string(body))))
 		}()
 		for waiting := true; waiting; {
 			select {
 			case turn := <-c.inbox:
 				turn()
-				c.tell()
+				c.servers.publish()
 			case <-done:
 				waiting = false
 			}
 		}
-		e, known := c.registry.Get("i-1")
+		e, known := c.servers.registry.Get("i-1")
 		switch {
 		case w.Code == http.StatusOK && !known:
 			t.Error("acknowledged and not known")
@@ -65,11 +58,11 @@
 			t.Errorf("refused with %d and known", w.Code)
 		case w.Code != http.StatusOK && w.Code/100 != 4:
 			t.Errorf("answered %d", w.Code)
-		case known && (e.Service == "" || e.Address == "" || e.Capacity < 1 || e.State > registry.Draining || e.WarmupLeft < 0 || e.WarmupLeft > warmupMost):
+		case known && (e.Service == "" || e.Address == "" || e.Capacity < 1 || e.State > registry.Draining || e.WarmupLeft < 0 || e.WarmupLeft > maxWarmup):
 			t.Errorf("taken as %+v", e)
 		}
 		if w.Code == http.StatusOK {
-			c.pushWeights(time.Second)
+			c.weights.push(time.Second)
 		}
 	})
 }
--- a/internal/control/controller/handed_over_test.go
+++ b/internal/control/controller/handed_over_test.go
@@ -19,9 +19,9 @@
 		r.Response = &idempotency.Response{Status: 200, Body: []byte("done")}
 		b.hears()
 		b.says(&peer.Frame{Responses: []idempotency.Record{r}, SyncRequest: 1})
-		h.pass(3 * storeAgain)
+		h.pass(3 * writeRetry)
 		h.mend()
-		h.pass(3 * storeAgain)
+		h.pass(3 * writeRetry)
 		said := false
 		for _, f := range b.hears() {
 			said = said || f.SyncReply == 1
--- a/internal/control/controller/harness_test.go
+++ b/internal/control/controller/harness_test.go
@@ -17,17 +17,11 @@
 	"github.com/go-kit/log"
 	. "github.com/onsi/gomega"
 
-	"mulleinwood/internal/control/broadcast"
 	"mulleinwood/internal/control/consensus"
 	"mulleinwood/internal/control/idempotency"
 	"mulleinwood/internal/control/membership"
-	"mulleinwood/internal/control/registry"
-	"mulleinwood/internal/control/reservation"
-	"mulleinwood/internal/control/statemachine"
 	"mulleinwood/internal/control/storage"
-	"mulleinwood/internal/control/weights"
 	"mulleinwood/internal/peer"
-	"mulleinwood/internal/platform/metrics"
 	"mulleinwood/internal/platform/nodesettings"
 )
 
@@ -92,20 +86,12 @@
 // start begins a controller's life on a disk. It dials nobody.
 func start(t *testing.T, ip, dir string, first bool) *host {
 	h := &host{t: t, g: NewWithT(t), dir: dir, log: &lines{}}
-	c := &Controller{set: settings(t, ip, dir, first), logger: log.NewLogfmtLogger(h.log), began: time.Now(), life: 99, inbox: make(chan func(), 1024),
-		waiters: map[uint64]waiter{}, state: statemachine.New(), copied: map[string]bool{}, met: map[string]membership.Controller{},
-		peers: map[string]*remote{}, edges: map[string]*remote{}, guests: map[*remote]bool{}, calls: map[uint64]func(){},
-		fetches: map[idempotency.Token]*fetch{}, known: map[string]bool{}, claimers: map[idempotency.Token]*remote{}, goneSince: map[string]time.Duration{}}
-	c.registry = registry.New(tombstones)
-	c.broadcaster = broadcast.New(c.registry)
-	c.metrics = metrics.New(metrics.Controller)
-	c.tables = weights.New("x", nil, c.life, func() int { return len(c.membership.Voters) }, func(string, string) {})
-	c.reservations.clock = reservation.NewClock()
-	c.nextSummary = time.Nanosecond // the first summary has all that are known dialled
+	c := newController(Config{Settings: settings(t, ip, dir, first), Logger: log.NewLogfmtLogger(h.log)}, 99)
+	c.summaries.next = time.Nanosecond // the first summary has all that are known dialled
 	h.Controller = c
 	h.g.Expect(c.open()).To(Succeed())
 	for i := range 20 { // and so has a meeting
-		c.known[fmt.Sprint("10.0.0.", i)] = true
+		c.links.known[fmt.Sprint("10.0.0.", i)] = true
 	}
 	t.Cleanup(h.end)
 	return h
@@ -129,7 +115,7 @@
 // turn lets everything that waits happen, the disk included, without any time passing.
 func (h *host) turn() {
 	for range 50 {
-		h.settle()
+		h.endTurn()
 		synctest.Wait()
 		idle := true
 		for more := true; more; {
@@ -151,7 +137,7 @@
 // pass lets time pass, tick by tick.
 func (h *host) pass(d time.Duration) {
 	for end := h.now() + d; h.now() < end; {
-		time.Sleep(tickEvery)
+		time.Sleep(tickInterval)
 		h.tick()
 		h.turn()
 	}
@@ -201,7 +187,7 @@
 // linked links a controller that calls itself by an identity.
 func (h *host) linked(identity string) *script {
 	s := h.meets(membership.Address(identity), &peer.Handshake{Node: "n-" + identity, IP: membership.Address(identity), Zone: "x", Incarnation: 5, Counted: true, Cluster: cluster})
-	s.says(&peer.Frame{ReplicaStatus: &peer.ReplicaStatus{Identity: identity, Cluster: cluster, Epoch: h.epoch, Ready: true}})
+	s.says(&peer.Frame{ReplicaStatus: &peer.ReplicaStatus{Identity: identity, Cluster: cluster, Epoch: h.members.durable, Ready: true}})
 	return s
 }
 
@@ -211,7 +197,7 @@
 	s := &script{h: h, p: &remote{link: peer.NewLink(mine), node: hello.Node, ip: ip, zone: hello.Zone, edge: hello.Edge}}
 	h.remotes = append(h.remotes, s.p)
 	go s.listen(theirs)
-	h.joined(s.p, hello)
+	h.handleJoin(s.p, hello)
 	h.turn()
 	return s
 }
@@ -239,7 +225,7 @@
 
 // says hands the controller a frame.
 func (s *script) says(f *peer.Frame) {
-	s.h.frame(s.p, f)
+	s.h.handleMessages(s.p, f.Messages())
 	s.h.turn()
 }
 
@@ -254,17 +240,17 @@
 }
 
 func (s *script) agrees(m consensus.Message) {
-	m.From, m.To = s.p.standing.Identity, s.h.replica.ID()
+	m.From, m.To = s.p.status.Identity, s.h.consensus.replica.ID()
 	s.says(&peer.Frame{Consensus: []consensus.Message{m}})
 }
 
 // lead has the controller elected by a peer, which holds its whole log.
 func (h *host) lead(by *script) {
 	h.pass(2 * electionTimeout)
-	term := h.replica.Term() + 1
+	term := h.consensus.replica.Term() + 1
 	by.agrees(consensus.Message{Kind: consensus.PreVoteReply, Term: term, OK: true})
 	by.agrees(consensus.Message{Kind: consensus.VoteReply, Term: term, OK: true})
-	h.g.Expect(h.leads()).To(BeTrue())
+	h.g.Expect(h.consensus.leads()).To(BeTrue())
 	h.confirms(by)
 }
 
@@ -276,7 +262,7 @@
 			round = max(round, m.ReadRound)
 		}
 	}
-	by.agrees(consensus.Message{Kind: consensus.AppendReply, Term: h.replica.Term(), OK: true, Index: h.replica.Last(), ReadRound: round})
+	by.agrees(consensus.Message{Kind: consensus.AppendReply, Term: h.consensus.replica.Term(), OK: true, Index: h.consensus.replica.Last(), ReadRound: round})
 }
 
 // follow has a peer lead, in contact with a majority.
@@ -297,7 +283,7 @@
 
 // identities of the replicas that the leader sends its log to.
 func (h *host) learners() (all []string) {
-	for _, r := range h.view().Controllers {
+	for _, r := range h.members.view().Controllers {
 		all = append(all, r.ID)
 	}
 	slices.Sort(all)
--- a/internal/control/controller/identity_test.go
+++ b/internal/control/controller/identity_test.go
@@ -25,17 +25,17 @@
 		g := NewWithT(t)
 		dir := t.TempDir()
 		h := start(t, ipD, dir, false)
-		drawn := h.identity
+		drawn := h.members.identity
 		g.Expect(drawn).To(HavePrefix(ipD + "#"))
-		g.Expect(h.store.pending).To(BeEmpty(), "nothing else waits for the disk yet")
+		g.Expect(h.writer.batches).To(BeEmpty(), "nothing else waits for the disk yet")
 		h.stop() // power is lost at once
 		s := held(t, dir)
 		g.Expect(s.Identity).To(Equal(drawn))
 		g.Expect(s.Recovering).To(BeTrue())
 		g.Expect([]any{s.Hard, s.Entries, s.Claims, s.Servers}).To(HaveEach(BeZero()))
 		h = start(t, ipD, dir, false)
-		g.Expect(h.identity).To(Equal(drawn))
-		g.Expect(h.replica.ID()).To(Equal(drawn))
+		g.Expect(h.members.identity).To(Equal(drawn))
+		g.Expect(h.consensus.replica.ID()).To(Equal(drawn))
 		h.stop()
 	})
 }
@@ -46,13 +46,13 @@
 		g := NewWithT(t)
 		dir := t.TempDir()
 		h := start(t, ipA, dir, true)
-		g.Expect(h.identity).To(Equal(ipA))
-		g.Expect(h.replica.Votes()).To(BeTrue())
-		g.Expect(h.claimStore.Recovering()).To(BeFalse())
+		g.Expect(h.members.identity).To(Equal(ipA))
+		g.Expect(h.consensus.replica.Votes()).To(BeTrue())
+		g.Expect(h.claims.store.Recovering()).To(BeFalse())
 		h.stop()
 		h = start(t, ipA, dir, false)
-		g.Expect(h.replica.Votes()).To(BeTrue())
-		g.Expect(h.claimStore.Recovering()).To(BeFalse())
+		g.Expect(h.consensus.replica.Votes()).To(BeTrue())
+		g.Expect(h.claims.store.Recovering()).To(BeFalse())
 		h.stop()
 	})
 }
@@ -65,18 +65,18 @@
 		seen := map[string]bool{ipA: true}
 		for range 5 {
 			h := start(t, ipA, t.TempDir(), false)
-			g.Expect(seen).NotTo(HaveKey(h.identity))
-			seen[h.identity] = true
-			g.Expect(h.replica.Votes()).To(BeFalse())
-			g.Expect(h.claimStore.Recovering()).To(BeTrue())
+			g.Expect(seen).NotTo(HaveKey(h.members.identity))
+			seen[h.members.identity] = true
+			g.Expect(h.consensus.replica.Votes()).To(BeFalse())
+			g.Expect(h.claims.store.Recovering()).To(BeTrue())
 			h.stop()
 		}
 		dir := t.TempDir()
 		g.Expect(os.WriteFile(filepath.Join(dir, "exchange.db"), []byte("no database"), 0o600)).To(Succeed())
 		h := start(t, ipA, dir, true)
-		g.Expect(h.identity).To(HavePrefix(ipA + "#"))
-		g.Expect(h.replica.Votes()).To(BeFalse())
-		g.Expect(h.log.with("disk spoilt")).To(HaveLen(1))
+		g.Expect(h.members.identity).To(HavePrefix(ipA + "#"))
+		g.Expect(h.consensus.replica.Votes()).To(BeFalse())
+		g.Expect(h.log.with("data file corrupt")).To(HaveLen(1))
 		h.stop()
 	})
 }
@@ -101,13 +101,13 @@
 					Entries: []consensus.Entry{{Term: 4, Index: 1}}, Claims: []idempotency.Record{record(1)}})
 				for range 2 { // and the same at the next start
 					h := start(t, ipA, dir, false)
-					g.Expect(h.identity == ipA).To(Equal(one.keeps), h.identity)
-					g.Expect(h.replica.Votes()).To(Equal(one.keeps))
-					g.Expect(h.claimStore.Recovering()).To(Equal(one.blank))
-					g.Expect(h.replica.Term()).To(BeEquivalentTo(5))
-					g.Expect(h.claimStore.Len()).To(Equal(1))
+					g.Expect(h.members.identity == ipA).To(Equal(one.keeps), h.members.identity)
+					g.Expect(h.consensus.replica.Votes()).To(Equal(one.keeps))
+					g.Expect(h.claims.store.Recovering()).To(Equal(one.blank))
+					g.Expect(h.consensus.replica.Term()).To(BeEquivalentTo(5))
+					g.Expect(h.claims.store.Len()).To(Equal(1))
 					if one.keeps {
-						g.Expect(h.membership.Voters).To(Equal(three.Voters))
+						g.Expect(h.members.current.Voters).To(Equal(three.Voters))
 					}
 					h.stop()
 				}
@@ -124,7 +124,7 @@
 		prepared(t, dir, &storage.Batch{BootstrapVoters: three.Voters, Hard: &consensus.HardState{Term: 5}, Recovering: &yes})
 		for range 2 {
 			h := start(t, ipA, dir, false)
-			g.Expect(h.claimStore.Recovering()).To(BeTrue())
+			g.Expect(h.claims.store.Recovering()).To(BeTrue())
 			h.stop()
 		}
 	})
@@ -146,9 +146,9 @@
 				b.Membership, b.Entries = &m, nil
 				prepared(t, dir, b)
 				h := start(t, ipA, dir, false)
-				g.Expect(h.identity).To(HavePrefix(ipA + "#"))
-				g.Expect(h.replica.Votes()).To(BeFalse())
-				g.Expect(h.log.with("disk spoilt")).To(ConsistOf(ContainSubstring("membership 4")))
+				g.Expect(h.members.identity).To(HavePrefix(ipA + "#"))
+				g.Expect(h.consensus.replica.Votes()).To(BeFalse())
+				g.Expect(h.log.with("data file corrupt")).To(ConsistOf(ContainSubstring("membership 4")))
 				g.Expect(filepath.Join(dir, "exchange.db.spoilt")).To(BeAnExistingFile())
 				h.stop()
 			})
@@ -179,11 +179,11 @@
 			g.Expect(s.Membership.Contains(ipC)).NotTo(Equal(retired), when)
 			return retired
 		}
-		h.frame(b.p, &peer.Frame{Consensus: []consensus.Message{{Kind: consensus.Append, From: ipB, To: ipC, Term: 5, Index: 1, LogTerm: 4, Commit: 3, LeaderInContact: true,
+		h.handleMessages(b.p, []peer.Message{peer.ConsensusMessages{{Kind: consensus.Append, From: ipB, To: ipC, Term: 5, Index: 1, LogTerm: 4, Commit: 3, LeaderInContact: true,
 			Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &joint}, {Term: 5, Index: 3, Membership: &final}}}}})
 		g.Expect(check("before its turn")).To(BeFalse())
-		h.settle() // applies, and hands the disk its first write
-		g.Expect(h.claimStore.Recovering()).To(BeTrue(), "it grants nothing before that is durable, either")
+		h.endTurn() // applies, and hands the disk its first write
+		g.Expect(h.claims.store.Recovering()).To(BeTrue(), "it grants nothing before that is durable, either")
 		for range 5 {
 			synctest.Wait()
 			check("between writes")
@@ -191,17 +191,17 @@
 				(<-h.inbox)()
 				check("between writes")
 			}
-			h.settle()
+			h.endTurn()
 		}
 		h.turn()
 		g.Expect(check("after all")).To(BeTrue())
-		g.Expect(h.identity).To(HavePrefix(ipC + "#"))
-		g.Expect(h.replica.ID()).To(Equal(h.identity))
-		g.Expect(h.replica.Votes()).To(BeFalse())
+		g.Expect(h.members.identity).To(HavePrefix(ipC + "#"))
+		g.Expect(h.consensus.replica.ID()).To(Equal(h.members.identity))
+		g.Expect(h.consensus.replica.Votes()).To(BeFalse())
 		h.stop()
 		h = start(t, ipC, dir, false)
-		g.Expect(h.replica.Votes()).To(BeFalse())
-		g.Expect(h.claimStore.Recovering()).To(BeTrue())
+		g.Expect(h.consensus.replica.Votes()).To(BeFalse())
+		g.Expect(h.claims.store.Recovering()).To(BeTrue())
 		h.stop()
 	})
 }
--- a/internal/control/controller/lagging_booking_test.go
+++ b/internal/control/controller/lagging_booking_test.go
@@ -25,10 +25,10 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		h.follow(b, 5, consensus.Message{Index: 1, LogTerm: 4, Entries: []consensus.Entry{{Term: 5, Index: 2, Data: data}}}) // b acknowledges it, and is lost
 		h.pass(2 * electionTimeout)
-		term := h.replica.Term() + 1
+		term := h.consensus.replica.Term() + 1
 		c.agrees(consensus.Message{Kind: consensus.PreVoteReply, Term: term, OK: true})
 		c.agrees(consensus.Message{Kind: consensus.VoteReply, Term: term, OK: true})
-		g.Expect(h.leads()).To(BeTrue())
+		g.Expect(h.consensus.leads()).To(BeTrue())
 		next := h.begins(http.MethodDelete, "/bookings/x", "b1", "")
 		g.Expect(next.status()).NotTo(Equal(http.StatusPreconditionFailed))
 		h.confirms(c)
--- a/internal/control/controller/members_test.go
+++ b/internal/control/controller/members_test.go
@@ -22,15 +22,15 @@
 		h.lead(b)
 		before := h.learners()
 		s := h.meets("10.0.0.8", &peer.Handshake{Node: "other", IP: "10.0.0.8", Zone: "x", Incarnation: 6, Counted: true, Cluster: cluster + 1})
-		g.Expect(h.log.with("stranger")).To(ConsistOf(And(ContainSubstring("10.0.0.8"), ContainSubstring("another cluster"))))
+		g.Expect(h.log.with("peer rejected")).To(ConsistOf(And(ContainSubstring("10.0.0.8"), ContainSubstring("another cluster"))))
 		<-s.p.link.Closed()
-		term := h.replica.Term()
+		term := h.consensus.replica.Term()
 		s.says(&peer.Frame{ReplicaStatus: &peer.ReplicaStatus{Identity: "10.0.0.8", Cluster: cluster + 1, Ready: true}})
 		s.says(&peer.Frame{Consensus: []consensus.Message{{Kind: consensus.Append, From: "10.0.0.8", To: ipA, Term: term + 50}}})
-		g.Expect(h.replica.Term()).To(Equal(term))
-		g.Expect(h.leads()).To(BeTrue())
+		g.Expect(h.consensus.replica.Term()).To(Equal(term))
+		g.Expect(h.consensus.leads()).To(BeTrue())
 		g.Expect(h.learners()).To(Equal(before))
-		g.Expect(h.peers).To(HaveLen(1))
+		g.Expect(h.links.controllers).To(HaveLen(1))
 		h.stop()
 	})
 }
@@ -41,7 +41,7 @@
 		g := NewWithT(t)
 		h, b := voterAt(t)
 		b.says(&peer.Frame{Consensus: []consensus.Message{{Kind: consensus.VoteRequest, From: ipB, To: ipA + "#5", Term: 90, Index: 9, LogTerm: 9}}})
-		g.Expect(h.replica.Term()).To(BeEquivalentTo(4))
+		g.Expect(h.consensus.replica.Term()).To(BeEquivalentTo(4))
 		h.stop()
 	})
 }
@@ -61,7 +61,7 @@
 // standsBy links a controller without a vote that is level with the log.
 func (h *host) standsBy(identity string) *script {
 	s := h.linked(identity)
-	h.pass(tickEvery) // the leader takes it for a learner
+	h.pass(tickInterval) // the leader takes it for a learner
 	h.confirms(s)
 	return s
 }
@@ -96,7 +96,7 @@
 					out := h.replaces(one.voter, one.by, dry)
 					g.Expect(out.status()).To(Equal(one.status))
 					g.Expect(out.w.Body.String()).To(ContainSubstring(one.says))
-					g.Expect(h.replica.Membership()).To(Equal(three))
+					g.Expect(h.consensus.replica.Membership()).To(Equal(three))
 					asked := false
 					for _, f := range b.hears() {
 						for _, m := range f.Consensus {
@@ -113,10 +113,10 @@
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
 			h, _ := leading(t)
-			last := h.replica.Last()
+			last := h.consensus.replica.Last()
 			made := h.replaces(ipC, "", true).replaced(g)
 			g.Expect(made).To(Equal(operator.ReplacementResult{Epoch: 2, Voters: three.Voters, Next: []string{ipA, ipB, standby}}))
-			g.Expect(h.replica.Last()).To(Equal(last))
+			g.Expect(h.consensus.replica.Last()).To(Equal(last))
 			h.stop()
 		})
 	})
@@ -131,7 +131,7 @@
 			g.Expect(during.w.Body.String()).To(ContainSubstring("under way"))
 			h.confirms(b)
 			g.Expect(out.replaced(g)).To(Equal(operator.ReplacementResult{Epoch: 3, Voters: three.Voters, Next: []string{ipA, ipB, standby}}))
-			g.Expect(h.membership).To(Equal(joint))
+			g.Expect(h.members.current).To(Equal(joint))
 			h.stop()
 		})
 	})
@@ -139,10 +139,10 @@
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
 			h, _ := leading(t)
-			last := h.replica.Last()
+			last := h.consensus.replica.Last()
 			made := h.replaces(ipC+"#2", ipC, false).replaced(g)
 			g.Expect(made.Next).To(Equal(three.Voters))
-			g.Expect(h.replica.Last()).To(Equal(last))
+			g.Expect(h.consensus.replica.Last()).To(Equal(last))
 			h.stop()
 		})
 	})
@@ -151,7 +151,7 @@
 			g := NewWithT(t)
 			h, _ := leading(t)
 			out := h.replaces(ipC, standby, false)
-			h.pass(2 * callLimit)
+			h.pass(2 * callTimeout)
 			g.Expect(out.status()).To(Equal(http.StatusBadGateway))
 			h.stop()
 		})
@@ -160,7 +160,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
 			h, _ := leading(t)
-			for _, body := range []string{"", "[", `{"voter":7}`, string(make([]byte, memberCallMost+1))} {
+			for _, body := range []string{"", "[", `{"voter":7}`, string(make([]byte, maxReplacementBody+1))} {
 				g.Expect(h.begins(http.MethodPost, "/members", "", body).status()).To(Equal(http.StatusBadRequest))
 			}
 			h.stop()
--- a/internal/control/controller/membership.go
+++ b/internal/control/controller/membership.go
@@ -6,6 +6,7 @@
 	"math/rand/v2"
 	"slices"
 	"strings"
+	"sync/atomic"
 	"time"
 
 	"mulleinwood/internal/control/consensus"
@@ -15,312 +16,334 @@
 	"mulleinwood/internal/peer"
 )
 
-const (
-	copyEvery   = 200 * time.Millisecond // between two requests for the claims of other stores
-	caughtUpLag = 16                     // entries by which a controller may lag and still count as level with the log
-	copyChunk   = 2000                   // claims in one frame
-)
+// caughtUpLag is by how many entries a controller may lag and still count as level with the log.
+const caughtUpLag = 16
 
-// drawIdentity gives a disk that has no identity yet its own, before anything else is written to it.
-func (c *Controller) drawIdentity(state *storage.State) error {
-	first := c.set.FirstStart && state.Corrupt == nil
-	blank := true
-	switch {
-	case state.Identity != "":
-		c.identity = state.Identity
+// memberService knows which replicas vote and what this one's part is. On a leader it also carries out what the membership
+// manager decides.
+type memberService struct {
+	*environment
+	writer    *writer
+	links     *linkTable
+	consensus *consensusRuntime
+	claims    *claimsService
+	// addController starts to dial a controller by its IP address.
+	addController func(ip string)
+	// shuttingDown reports whether this controller was asked to end.
+	shuttingDown func() bool
+
+	identity        string        // of this replica: its address, and a number drawn for its disk
+	cluster         atomic.Uint64 // 0: not known yet. Handshakes are sent from other goroutines.
+	firstStart      bool          // the whole system starts for the first time, and this disk is empty
+	bootstrapVoters []string      // voters that the cluster started with, where this disk knows them
+	current         consensus.Membership
+	durable         uint64 // epoch of the newest membership that is applied and durable
+	retired         bool   // voted out since the process started
+	manager         membership.Manager
+	seen            map[string]membership.Controller // replicas that were linked at some time, by identity
+}
+
+func (s *memberService) ownIdentity() string              { return s.identity }
+func (s *memberService) membership() consensus.Membership { return s.current }
+func (s *memberService) durableEpoch() uint64             { return s.durable }
+
+// initIdentity gives a disk that has no identity yet its own, before anything else is written to it.
+func (s *memberService) initIdentity(state *storage.State, commit func([]*storage.Batch) error) error {
+	if state.Identity != "" {
+		s.identity = state.Identity
 		return nil
-	case len(state.BootstrapVoters) > 0 && !state.Hard.DiskLost && !state.Recovering: // a file of an earlier version, whole
-		c.identity, blank = membership.Identity(c.set.IP, 0), false
-		if s := &state.Snapshot; s.Index > 0 && s.Membership.Epoch == 0 {
-			s.Membership = consensus.Membership{Epoch: 1, Voters: state.BootstrapVoters}
+	}
+	firstStart := s.settings.FirstStart && state.Corrupt == nil
+	recovering := true
+	switch {
+	case len(state.BootstrapVoters) > 0 && !state.Hard.DiskLost && !state.Recovering: // a complete file without an identity
+		s.identity, recovering = membership.Identity(s.settings.IP, 0), false
+		if snapshot := &state.Snapshot; snapshot.Index > 0 && snapshot.Membership.Epoch == 0 {
+			snapshot.Membership = consensus.Membership{Epoch: 1, Voters: state.BootstrapVoters}
 		}
-	case first:
-		c.identity = membership.Identity(c.set.IP, 0)
+	case firstStart:
+		s.identity = membership.Identity(s.settings.IP, 0)
 	default: // the disk was lost: what it voted and granted is not known
-		c.identity, state.BootstrapVoters = newIdentity(c.set.IP), nil
+		s.identity, state.BootstrapVoters = newIdentity(s.settings.IP), nil
 	}
-	state.Recovering = blank
-	batch := &storage.Batch{Identity: c.identity, Recovering: &blank}
-	if seeds := c.founders(); first && len(state.BootstrapVoters) == 0 && slices.Contains(seeds, c.set.IP) && len(seeds) >= c.wanted() {
-		blank = false // it never granted anything
+	state.Recovering = recovering
+	batch := &storage.Batch{Identity: s.identity, Recovering: &recovering}
+	if seeds := s.sortedSeeds(); firstStart && len(state.BootstrapVoters) == 0 && slices.Contains(seeds, s.settings.IP) && len(seeds) >= s.wantedVoters() {
+		recovering = false // it never granted anything
 		state.BootstrapVoters, state.Recovering = seeds, false
 		batch.BootstrapVoters, batch.Hard = seeds, &state.Hard
 	}
-	return c.storage.Commit([]*storage.Batch{batch})
+	return commit([]*storage.Batch{batch})
 }
 
 func newIdentity(ip string) string { return membership.Identity(ip, rand.Uint64()|1) }
 
-// founders are the voters of a first start whose seeds are enough of them.
-func (c *Controller) founders() []string {
-	seeds := c.set.SeedIPs()
-	slices.Sort(seeds)
-	return seeds
+// load takes over what the disk held of the membership.
+func (s *memberService) load(state *storage.State) {
+	s.firstStart = s.settings.FirstStart && s.identity == membership.Identity(s.settings.IP, 0)
+	s.bootstrapVoters = state.BootstrapVoters
+	s.current = state.Membership
+	if s.current.Epoch == 0 {
+		s.current = bootstrapMembership(state.BootstrapVoters)
+	}
+	s.durable = s.current.Epoch
+	s.cluster.Store(s.current.Cluster)
+}
+
+// bootstrapMembership is the membership of a cluster's first start; empty voters give the empty one.
+func bootstrapMembership(voters []string) consensus.Membership {
+	if len(voters) == 0 {
+		return consensus.Membership{}
+	}
+	return consensus.Membership{Epoch: 1, Voters: voters}
+}
+
+// sortedSeeds are the addresses of the seeds. If they are enough, they are the voters of a first start.
+func (s *memberService) sortedSeeds() []string {
+	return slices.Sorted(slices.Values(s.settings.SeedIPs()))
 }
 
-// wanted is how many voters the consensus needs, so that a majority remains when as many as are tolerated are lost.
-func (c *Controller) wanted() int {
-	return 2*max(c.set.Tolerance.Machines, min(1, c.set.Tolerance.Zones+c.set.Tolerance.Regions)) + 1
+// wantedVoters is how many voters the consensus needs, so that a majority remains when as many as are tolerated are lost.
+func (s *memberService) wantedVoters() int {
+	tolerated := s.settings.Tolerance
+	return 2*max(tolerated.Machines, min(1, tolerated.Zones+tolerated.Regions)) + 1
 }
 
-// found names the voters of a system that starts for the first time, where the seeds are too few to be all of them. One
-// alone decides, the first of the seeds; the others learn it from each other.
-func (c *Controller) found() {
-	seeds := c.founders()
-	if !c.first || len(c.members) > 0 || !c.set.Counted || len(seeds) == 0 || seeds[0] != c.set.IP {
+// chooseBootstrapVoters names the voters of a system that starts for the first time, where the seeds are too few to be all
+// of them. The first of the seeds alone decides; the others learn it from its handshake.
+func (s *memberService) chooseBootstrapVoters() {
+	seeds := s.sortedSeeds()
+	if !s.firstStart || len(s.bootstrapVoters) > 0 || !s.settings.Counted || len(seeds) == 0 || seeds[0] != s.settings.IP {
 		return
 	}
-	voters := []string{c.set.IP}
-	for ip, p := range c.peers {
+	candidates := []string{s.settings.IP}
+	for ip, p := range s.links.controllers {
 		if p.counted {
-			voters = append(voters, ip)
+			candidates = append(candidates, ip)
 		}
 	}
-	slices.Sort(voters)
-	slices.SortStableFunc(voters, func(a, b string) int { // the seeds are surely meant
-		return cmp.Compare(btoi(!slices.Contains(seeds, a)), btoi(!slices.Contains(seeds, b)))
-	})
-	if len(voters) < c.wanted() {
-		return
+	slices.Sort(candidates)
+	isSeed := func(ip string) bool { return slices.Contains(seeds, ip) }
+	voters := slices.Concat(filter(candidates, isSeed), filter(candidates, func(ip string) bool { return !isSeed(ip) }))
+	if wanted := s.wantedVoters(); len(voters) >= wanted {
+		s.handleBootstrapVoters(voters[:wanted])
 	}
-	c.bootstrap(voters[:c.wanted()])
 }
 
-func btoi(b bool) int {
-	if b {
-		return 1
+func filter(all []string, include func(string) bool) (some []string) {
+	for _, one := range all {
+		if include(one) {
+			some = append(some, one)
+		}
 	}
-	return 0
+	return some
 }
 
-// bootstrap takes the voters of a first start over, and tells all peers once that is durable.
-func (c *Controller) bootstrap(voters []string) {
-	if !c.first || len(c.members) > 0 || !c.replica.Bootstrap(voters) {
+// handleBootstrapVoters takes over the voters of a first start, and tells all peers once that is durable.
+func (s *memberService) handleBootstrapVoters(voters []string) {
+	if len(voters) == 0 || !s.firstStart || len(s.bootstrapVoters) > 0 || !s.consensus.replica.Bootstrap(voters) {
 		return
 	}
-	c.members = slices.Sorted(slices.Values(voters))
-	hard := c.replica.HardState() // a vote that was given before the voters were known stays
-	c.put(&storage.Batch{BootstrapVoters: c.members, Hard: &hard}, func(bool) {
-		for _, p := range c.peers {
-			hello := c.hello()
-			hello.BootstrapVoters = c.members
-			p.link.Send(&peer.Frame{Handshake: hello})
-		}
-	})
-	c.applyMembership(c.replica.Membership())
+	s.bootstrapVoters = slices.Sorted(slices.Values(voters))
+	hard := s.consensus.replica.HardState() // a vote that was given before the voters were known stays
+	s.writer.write(&storage.Batch{BootstrapVoters: s.bootstrapVoters, Hard: &hard}, s.announceBootstrapVoters)
+	s.apply(s.consensus.replica.Membership())
+}
+
+// announceBootstrapVoters repeats the handshake with the voters in it.
+func (s *memberService) announceBootstrapVoters() {
+	handshake := s.handshake()
+	handshake.BootstrapVoters = s.bootstrapVoters
+	s.links.sendToControllers(handshake)
 }
 
-// applyMembership takes over a membership that is committed. From when it is durable, this store of claims grants nothing
-// that is asked under an older one.
-func (c *Controller) applyMembership(m consensus.Membership) {
-	if m.Epoch <= c.membership.Epoch {
+// handshake holds only what never changes, since it is also sent from outside the owner.
+func (s *memberService) handshake() *peer.Handshake {
+	return &peer.Handshake{Node: s.settings.Node, IP: s.settings.IP, Zone: s.settings.Zone, Incarnation: s.incarnation,
+		Counted: s.settings.Counted, Cluster: s.cluster.Load()}
+}
+
+// apply takes over a membership that is committed. From when it is durable, this claim store grants nothing that is asked
+// under an older one.
+func (s *memberService) apply(m consensus.Membership) {
+	if m.Epoch <= s.current.Epoch {
 		return // the log is applied again after a start
 	}
-	former := c.membership
-	c.membership = m
-	c.cluster.Store(m.Cluster)
+	previous := s.current
+	s.current = m
+	s.cluster.Store(m.Cluster)
 	batch := &storage.Batch{Membership: &m}
-	drawn := "" // the next identity of a replica that is voted out
+	nextIdentity := "" // of a replica that is voted out
 	switch {
-	case former.Contains(c.identity) && !m.Contains(c.identity):
-		drawn = c.retire(batch)
-	case m.Contains(c.identity) && c.claimStore.Recovering():
-		c.copied, c.nextCopy = map[string]bool{}, 0
-		c.foundStore()
+	case previous.Contains(s.identity) && !m.Contains(s.identity):
+		nextIdentity = s.retire(batch)
+	case m.Contains(s.identity) && s.claims.store.Recovering():
+		s.claims.restartCopy()
+		s.finishRecoveryOfFounder()
 	}
-	c.put(batch, func(bool) {
-		c.epoch = max(c.epoch, m.Epoch)
-		if drawn != "" {
-			c.identity = drawn
-			c.replica.SetID(drawn)
+	s.writer.write(batch, func() {
+		s.durable = max(s.durable, m.Epoch)
+		if nextIdentity != "" {
+			s.identity = nextIdentity
+			s.consensus.replica.SetID(nextIdentity)
 		}
-		c.tellStanding()
+		s.announceStatus()
 	})
 	for _, ip := range membership.Addresses(m.All()) {
-		c.meet(ip)
-	}
-	c.setStores()
-	_ = c.logger.Log("event", "membership", "epoch", m.Epoch, "cluster", m.Cluster, "voters", strings.Join(m.Voters, " "),
-		"next", strings.Join(m.Next, " "), "votes", m.Contains(c.identity))
-}
-
-// setStores lets the coordinator ask the stores of the membership in force.
-func (c *Controller) setStores() {
-	asks, done := c.coordinator.SetStores(c.identity, c.membership.Voters, c.membership.Next)
-	c.askStores(asks)
-	for _, o := range done {
-		c.ruled(o)
+		s.addController(ip)
 	}
+	s.claims.setStores()
+	s.logEvent("membership changed", "epoch", m.Epoch, "cluster", m.Cluster, "voters", strings.Join(m.Voters, " "),
+		"next", strings.Join(m.Next, " "), "votes", m.Contains(s.identity))
 }
 
-// retire ends the part of an identity that was voted out: its claims count for nothing any more, and a new identity may be
-// voted in later.
-func (c *Controller) retire(batch *storage.Batch) (identity string) {
-	c.claimStore.BeginRecovery()
-	c.retired = true
-	yes := true
-	batch.Identity, batch.Recovering = newIdentity(c.set.IP), &yes
+// retire ends the part of an identity that was voted out: its grants count for nothing any more, and another identity of
+// this disk may be voted in later.
+func (s *memberService) retire(batch *storage.Batch) (nextIdentity string) {
+	s.claims.store.BeginRecovery()
+	s.retired = true
+	recovering := true
+	batch.Identity, batch.Recovering = newIdentity(s.settings.IP), &recovering
 	return batch.Identity
 }
 
-// foundStore lets the store of a founder grant: under the identity of a first start it never granted anything before.
-func (c *Controller) foundStore() {
-	if c.identity != membership.Identity(c.set.IP, 0) || !slices.Contains(c.membership.Voters, c.identity) {
+// finishRecoveryOfFounder lets the store of a voter of the first start grant: under that identity it never granted anything
+// before.
+func (s *memberService) finishRecoveryOfFounder() {
+	if s.identity != membership.Identity(s.settings.IP, 0) || !slices.Contains(s.current.Voters, s.identity) {
 		return
 	}
-	no := false
-	c.claimStore.FinishRecovery()
-	c.put(&storage.Batch{Recovering: &no}, nil)
+	recovering := false
+	s.claims.store.FinishRecovery()
+	s.writer.write(&storage.Batch{Recovering: &recovering}, nil)
 }
 
-// standing is what this controller says of its part in the consensus.
-func (c *Controller) standing() *peer.ReplicaStatus {
-	return &peer.ReplicaStatus{Identity: c.identity, Cluster: c.membership.Cluster, Epoch: c.epoch, Ready: !c.claimStore.Recovering(), ShuttingDown: c.leaving}
+// status is what this replica says of its part in the consensus.
+func (s *memberService) status() *peer.ReplicaStatus {
+	return &peer.ReplicaStatus{Identity: s.identity, Cluster: s.current.Cluster, Epoch: s.durable, Ready: !s.claims.store.Recovering(),
+		ShuttingDown: s.shuttingDown()}
 }
 
-// tellStanding tells it to all controllers.
-func (c *Controller) tellStanding() {
-	f := &peer.Frame{ReplicaStatus: c.standing()}
-	for _, p := range c.peers {
-		p.link.Send(f)
-	}
+// announceStatus tells all controllers of this replica's status.
+func (s *memberService) announceStatus() { s.links.sendToControllers(s.status()) }
+
+// otherCluster reports whether a process that names this cluster belongs to another one than this controller.
+func (s *memberService) otherCluster(cluster uint64) bool {
+	own := s.cluster.Load()
+	return own != 0 && cluster != 0 && cluster != own
 }
 
-// heardStanding takes a peer's word. Another identity at its address means that its disk was lost, or that it was voted
-// out: what it granted to claims that are still open is not relied on.
-func (c *Controller) heardStanding(p *remote, s *peer.ReplicaStatus) {
-	if mine := c.cluster.Load(); mine != 0 && s.Cluster != 0 && s.Cluster != mine {
-		c.refuseStranger(p, s.Cluster)
+// handleReplicaStatus takes over what a controller says of its replica. Another identity at its address means that its disk
+// was lost, or that it was voted out: what it granted to claims that are still open is not relied on.
+func (s *memberService) handleReplicaStatus(p *remote, status *peer.ReplicaStatus) {
+	if p.edge {
 		return
 	}
-	if former := p.standing.Identity; former != "" && former != s.Identity {
-		c.forgetGrants(former)
+	if s.otherCluster(status.Cluster) {
+		s.links.reject(p, status.Cluster)
+		return
 	}
-	p.standing = *s
-	c.known[p.ip] = true
-	for id := range c.met {
-		if membership.Address(id) == p.ip && id != s.Identity {
-			c.forgetGrants(id)
-			met := c.met[id]
-			met.Connected = false
-			c.met[id] = met
-		}
+	if previous := p.status.Identity; previous != "" && previous != status.Identity {
+		s.claims.forgetGrants(previous)
 	}
-	c.met[s.Identity] = membership.Controller{ID: s.Identity, Zone: p.zone, Counted: p.counted}
-}
-
-// refuseStranger ends the link to a controller of another cluster, with one line of log for as long as it keeps calling.
-func (c *Controller) refuseStranger(p *remote, cluster uint64) {
-	if c.strangers[p.ip] != cluster {
-		if c.strangers == nil {
-			c.strangers = map[string]uint64{}
+	p.status = *status
+	s.links.known[p.ip] = true
+	for identity, replica := range s.seen {
+		if membership.Address(identity) == p.ip && identity != status.Identity {
+			s.claims.forgetGrants(identity)
+			replica.Connected = false
+			s.seen[identity] = replica
 		}
-		c.strangers[p.ip] = cluster
-		_ = c.logger.Log("event", "stranger", "node", p.node, "ip", p.ip, "cause", "it belongs to another cluster", "cluster", cluster)
-	}
-	p.link.Close()
-}
-
-func (c *Controller) forgetGrants(identity string) {
-	for _, o := range c.coordinator.ForgetGrants(identity) {
-		c.ruled(o)
 	}
-}
-
-// replicaAt finds the link to a replica; nil while another one, or none, runs at its address.
-func (c *Controller) replicaAt(identity string) *remote {
-	if p := c.peers[membership.Address(identity)]; p != nil && p.standing.Identity == identity {
-		return p
-	}
-	return nil
+	s.seen[status.Identity] = membership.Controller{ID: status.Identity, Zone: p.zone, Counted: p.counted}
 }
 
 // manage lets a leader change the membership.
-func (c *Controller) manage(now time.Duration) {
-	var linked []string
-	for _, p := range c.peers {
-		if p.standing.Identity != "" {
-			linked = append(linked, p.standing.Identity)
-		}
+func (s *memberService) manage(now time.Duration) {
+	replica := s.consensus.replica
+	replica.SetLearners(s.links.identities())
+	if replica.ID() != s.identity { // it led when it was voted out
+		replica.SetID(s.identity)
 	}
-	slices.Sort(linked)
-	c.replica.SetLearners(linked)
-	if c.replica.ID() != c.identity { // it led when it was voted out
-		c.replica.SetID(c.identity)
+	if !s.consensus.leads() {
+		return
 	}
-	if !c.leads() {
+	d := s.manager.Decide(s.view(), now)
+	if d.Action == membership.ActionNone {
 		return
 	}
-	d := c.manager.Decide(c.view(), now)
-	var err error
+	err := s.carryOut(d, now)
+	s.logEvent("membership change", "action", d.Action, "cause", d.Cause, "next", strings.Join(d.Next, " "), "to", d.To, "error", err)
+}
+
+func (s *memberService) carryOut(d membership.Decision, now time.Duration) error {
+	replica := s.consensus.replica
 	switch d.Action {
-	case membership.ActionNone:
-		return
 	case membership.ActionBegin:
-		err = c.replica.BeginChange(d.Next, now)
-	case membership.ActionAdopt, membership.ActionAbandon:
-		err = c.replica.FinishChange(d.Action == membership.ActionAdopt, now)
+		return replica.BeginChange(d.Next, now)
+	case membership.ActionAdopt:
+		return replica.AdoptChange(now)
+	case membership.ActionAbandon:
+		return replica.AbandonChange(now)
 	case membership.TransferLeadership:
-		c.replica.TransferLeadership(d.To, now)
+		replica.TransferLeadership(d.To, now)
 	}
-	_ = c.logger.Log("event", "membership change", "action", d.Action, "cause", d.Cause, "next", strings.Join(d.Next, " "), "to", d.To, "error", err)
+	return nil
 }
 
 // view is what the membership manager decides by.
-func (c *Controller) view() membership.View {
-	v := membership.View{Self: c.identity, Term: c.replica.Term(), Membership: c.replica.Membership(), Committed: c.replica.MembershipCommitted(), WantedVoters: c.wanted()}
-	v.Controllers = append(v.Controllers, membership.Controller{ID: c.identity, Zone: c.set.Zone, Counted: c.set.Counted, Connected: true, CaughtUp: true,
-		ShuttingDown: c.leaving, Epoch: c.epoch, Ready: !c.claimStore.Recovering()})
-	for id, met := range c.met {
-		if p := c.replicaAt(id); p != nil {
-			met.Connected, met.ShuttingDown, met.Epoch, met.Ready = true, p.standing.ShuttingDown, p.standing.Epoch, p.standing.Ready
-			match, _, known := c.replica.Match(id)
-			met.CaughtUp = known && match+caughtUpLag >= c.replica.Commit()
-		} else if !v.Membership.Contains(id) {
-			delete(c.met, id) // it comes back as one that is met anew
+func (s *memberService) view() membership.View {
+	replica := s.consensus.replica
+	v := membership.View{Self: s.identity, Term: replica.Term(), Membership: replica.Membership(), Committed: replica.MembershipCommitted(),
+		WantedVoters: s.wantedVoters()}
+	v.Controllers = append(v.Controllers, membership.Controller{ID: s.identity, Zone: s.settings.Zone, Counted: s.settings.Counted, Connected: true,
+		CaughtUp: true, ShuttingDown: s.shuttingDown(), Epoch: s.durable, Ready: !s.claims.store.Recovering()})
+	for identity, one := range s.seen {
+		if p := s.links.replica(identity); p != nil {
+			one.Connected, one.ShuttingDown, one.Epoch, one.Ready = true, p.status.ShuttingDown, p.status.Epoch, p.status.Ready
+			match, _, known := replica.Match(identity)
+			one.CaughtUp = known && match+caughtUpLag >= replica.Commit()
+		} else if !v.Membership.Contains(identity) {
+			delete(s.seen, identity) // if it comes back, it is a new one
 			continue
 		}
-		v.Controllers = append(v.Controllers, met)
+		v.Controllers = append(v.Controllers, one)
 	}
 	return v
 }
 
-// entering tells that this replica is an entrant of the change under way whose store doesn't hold the others' claims yet.
-func (c *Controller) entering() bool {
-	return c.claimStore.Recovering() && c.membership.Joint() && slices.Contains(c.membership.Next, c.identity) && !slices.Contains(c.membership.Voters, c.identity)
-}
-
-// askCopies asks the former voters' stores for what they hold, while this replica enters.
-func (c *Controller) askCopies(now time.Duration) {
-	if !c.entering() || now < c.nextCopy {
-		return
-	}
-	c.nextCopy = now + copyEvery
-	for _, id := range c.membership.Voters {
-		if p := c.replicaAt(id); p != nil && !c.copied[id] {
-			p.link.Send(&peer.Frame{CopyRequest: true, Epoch: c.membership.Epoch})
+// transferLeadership hands leadership to any other voter that holds the complete log.
+func (s *memberService) transferLeadership() {
+	for _, identity := range s.current.Voters {
+		if identity != s.identity && s.consensus.replica.TransferLeadership(identity, s.now()) {
+			return
 		}
 	}
 }
 
-// membershipView is what operators are told of who votes.
-func (c *Controller) membershipView() operator.Membership {
-	m := c.membership
-	view := operator.Membership{Identity: c.identity, Cluster: fmt.Sprintf("%016x", m.Cluster), Epoch: m.Epoch, Voters: m.Voters, Next: m.Next,
-		Votes: m.Contains(c.identity), ShuttingDown: c.leaving}
-	if !c.leads() {
+// operatorView is what operators are told of who votes.
+func (s *memberService) operatorView() operator.Membership {
+	m := s.current
+	view := operator.Membership{Identity: s.identity, Cluster: fmt.Sprintf("%016x", m.Cluster), Epoch: m.Epoch, Voters: m.Voters, Next: m.Next,
+		Votes: m.Contains(s.identity), ShuttingDown: s.shuttingDown()}
+	if !s.consensus.leads() {
 		return view
 	}
-	for _, r := range c.view().Controllers {
-		if r.ID == c.identity {
-			continue
-		}
-		one := operator.Replica{Identity: r.ID, Votes: m.Contains(r.ID), Connected: r.Connected, Ready: r.Ready, ShuttingDown: r.ShuttingDown, Epoch: r.Epoch}
-		if match, _, known := c.replica.Match(r.ID); known {
-			one.Lag = c.replica.Commit() - min(match, c.replica.Commit())
+	for _, one := range s.view().Controllers {
+		if one.ID != s.identity {
+			view.Replicas = append(view.Replicas, s.operatorReplica(one))
 		}
-		view.Replicas = append(view.Replicas, one)
 	}
 	slices.SortFunc(view.Replicas, func(a, b operator.Replica) int { return cmp.Compare(a.Identity, b.Identity) })
 	return view
 }
+
+func (s *memberService) operatorReplica(one membership.Controller) operator.Replica {
+	r := operator.Replica{Identity: one.ID, Votes: s.current.Contains(one.ID), Connected: one.Connected, Ready: one.Ready,
+		ShuttingDown: one.ShuttingDown, Epoch: one.Epoch}
+	if match, _, known := s.consensus.replica.Match(one.ID); known {
+		commit := s.consensus.replica.Commit()
+		r.Lag = commit - min(match, commit)
+	}
+	return r
+}
--- a/internal/control/controller/membership_test.go
+++ b/internal/control/controller/membership_test.go
@@ -2,35 +2,35 @@
 
 import (
 	"testing"
-	"time"
 
 	"github.com/go-kit/log"
 
 	"mulleinwood/internal/control/consensus"
-	"mulleinwood/internal/control/idempotency"
+	"mulleinwood/internal/control/storage"
 	"mulleinwood/internal/platform/nodesettings"
 )
 
 // A replica that was away learns of its removal and of later changes at once, before any of that is durable. It keeps the
 // identity that it draws at its removal.
 func TestReplicaThatIsVotedOutKeepsItsNextIdentity(t *testing.T) {
-	c := &Controller{set: &nodesettings.Settings{IP: "10.0.0.3"}, logger: log.NewNopLogger(), began: time.Now(), identity: "10.0.0.3",
-		membership: consensus.Membership{Epoch: 4, Voters: []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}},
-		replica:    consensus.New(consensus.Config{ID: "10.0.0.3", Timing: consensus.Timing{Heartbeat: heartbeatEvery, ElectionTimeout: electionTimeout}}),
-		claimStore: idempotency.NewStore(time.Minute, false), coordinator: idempotency.NewCoordinator(nil, claimHedge, claimLimit),
-		known: map[string]bool{"10.0.0.1": true, "10.0.0.2": true, "10.0.0.4": true, "10.0.0.5": true}}
+	c := newController(Config{Settings: &nodesettings.Settings{IP: "10.0.0.3"}, Logger: log.NewNopLogger()}, 1)
+	c.members.identity, c.members.current = "10.0.0.3", consensus.Membership{Epoch: 4, Voters: []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}}
+	c.consensus.replica = consensus.New(consensus.Config{ID: "10.0.0.3", Timing: consensus.Timing{Heartbeat: heartbeatInterval, ElectionTimeout: electionTimeout}})
+	c.claims = newClaimsService(c.environment, c.writer, c.links, c.members, &storage.State{})
+	c.members.claims = c.claims
+	c.links.known = map[string]bool{"10.0.0.1": true, "10.0.0.2": true, "10.0.0.4": true, "10.0.0.5": true}
 	next := []string{"10.0.0.1", "10.0.0.2", "10.0.0.4"}
-	c.applyMembership(consensus.Membership{Epoch: 5, Voters: c.membership.Voters, Next: next})
-	c.applyMembership(consensus.Membership{Epoch: 6, Voters: next})
-	c.applyMembership(consensus.Membership{Epoch: 7, Voters: next, Next: []string{"10.0.0.1", "10.0.0.2", "10.0.0.5"}})
+	c.members.apply(consensus.Membership{Epoch: 5, Voters: c.members.current.Voters, Next: next})
+	c.members.apply(consensus.Membership{Epoch: 6, Voters: next})
+	c.members.apply(consensus.Membership{Epoch: 7, Voters: next, Next: []string{"10.0.0.1", "10.0.0.2", "10.0.0.5"}})
 	stored := ""
-	for i, b := range c.store.pending {
+	for i, b := range c.writer.batches {
 		if b.Identity != "" {
 			stored = b.Identity
 		}
-		c.store.after[i](true)
+		c.writer.afterBatches[i]()
 	}
-	if stored == "" || c.identity != stored || c.replica.ID() != stored {
-		t.Fatalf("the disk holds the identity %q, the controller goes by %q, its replica by %q", stored, c.identity, c.replica.ID())
+	if stored == "" || c.members.identity != stored || c.consensus.replica.ID() != stored {
+		t.Fatalf("the disk holds the identity %q, the controller goes by %q, its replica by %q", stored, c.members.identity, c.consensus.replica.ID())
 	}
 }
--- a/internal/control/controller/registrar.go
+++ b/internal/control/controller/registrar.go
@@ -1,106 +1,135 @@
 package controller
 
 import (
-	"encoding/json"
-	"io"
-	"net/http"
+	"time"
 
+	"mulleinwood/internal/control/broadcast"
 	"mulleinwood/internal/control/registry"
+	"mulleinwood/internal/peer"
 	"mulleinwood/internal/platform/apierror"
 )
 
-// heartbeatBody is what a server says of itself.
-type heartbeatBody struct {
-	Service  string  `json:"service"`
-	Address  string  `json:"address"`
-	Zone     string  `json:"zone"`
-	Version  string  `json:"version"`
-	Capacity int     `json:"capacity"`
-	State    string  `json:"state"`
-	Warmup   float64 `json:"warmup_left_s"`
-	Seq      uint64  `json:"call_seq"`
-}
-
 const (
-	beatMost   = 64 << 10
-	warmupMost = 3600.0  // seconds; a longer one is a mistake
-	slotsMost  = 1 << 20 // of a server
+	// missedHeartbeats is how many heartbeats a server may leave out before it counts as silent.
+	missedHeartbeats = 2.5
+	// tombstoneRetention is how long a server that is gone is remembered, so that a late heartbeat can't bring it back.
+	tombstoneRetention = 90 * time.Second
 )
 
-// beat takes a server's call. That a server is leaving is acknowledged once those who could send to it know.
-func (c *Controller) beat(w http.ResponseWriter, r *http.Request) {
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, beatMost))
-	if err != nil {
-		refuse(w, apierror.Malformed.Wrap(err, "body"))
-		return
-	}
-	var b heartbeatBody
-	if err := json.Unmarshal(text, &b); err != nil {
-		refuse(w, apierror.Malformed.New("body: %s", err))
-		return
-	}
-	if b.Service == "" || b.Address == "" || b.State != "ready" && b.State != "draining" || b.Capacity < 0 {
-		refuse(w, apierror.Malformed.New("a beat needs service, address, capacity and a state, ready or draining"))
-		return
-	}
-	e := registry.Entry{ID: r.PathValue("id"), Service: b.Service, Address: b.Address, Zone: b.Zone, Version: b.Version,
-		Capacity: min(max(1, b.Capacity), slotsMost), WarmupLeft: min(max(0, b.Warmup), warmupMost), Seq: b.Seq, Owner: c.set.IP}
-	if b.State == "draining" {
-		e.State = registry.Draining
+// registrar keeps the register of servers and spreads what changes in it.
+type registrar struct {
+	*environment
+	links       *linkTable
+	registry    *registry.Registry
+	broadcaster *broadcast.Broadcaster
+	inContact   func() bool            // with a majority of the voters
+	onUpdates   func([]registry.Entry) // is told what changed here
+
+	calls    map[uint64]func() // heartbeats and last calls that are not acknowledged yet
+	lastCall uint64
+}
+
+func newRegistrar(env *environment, links *linkTable, inContact func() bool, onUpdates func([]registry.Entry)) *registrar {
+	servers := registry.New(tombstoneRetention)
+	return &registrar{environment: env, links: links, registry: servers, broadcaster: broadcast.New(servers), inContact: inContact,
+		onUpdates: onUpdates, calls: map[uint64]func(){}}
+}
+
+// load takes over the servers that the disk held, as they were: their next heartbeats confirm them, or their silence takes
+// them out. It gives what is new here.
+func (r *registrar) load(entries []registry.Entry) (added []registry.Entry) {
+	for _, e := range entries {
+		e.WarmupLeft, e.Owner = 0, r.settings.IP
+		if current, updated := r.registry.Apply(e, r.now()); updated {
+			added = append(added, current)
+		}
 	}
-	c.register(w, r, e)
+	return added
 }
 
-// leave takes a server's last call.
-func (c *Controller) leave(w http.ResponseWriter, r *http.Request) {
-	c.register(w, r, registry.Entry{ID: r.PathValue("id"), State: registry.Removed, Owner: c.set.IP})
+func (r *registrar) handleMessage(p *remote, m peer.Message) {
+	switch m := m.(type) {
+	case peer.RegistryUpdate:
+		if len(m.Entries) > 0 {
+			r.broadcaster.HandleUpdate(p.peerName(), m.Entries, m.AckID, r.now())
+		}
+	case *peer.Digests:
+		if reply := m.Compare(r.registry, r.now()); reply != nil {
+			p.link.Send(reply...)
+		}
+	case peer.RegistryAck:
+		r.broadcaster.HandleAck(p.peerName(), uint64(m))
+	}
 }
 
-type registered struct {
-	target string
-	err    error
+// expireHeartbeats marks the servers whose heartbeats stopped, and spreads that.
+func (r *registrar) expireHeartbeats(now time.Duration) {
+	timeout := time.Duration(missedHeartbeats * r.settings.BeatPeriod * float64(time.Second))
+	changed := r.registry.MarkTimedOut(r.settings.IP, r.links.controllerLost, timeout, now)
+	if len(changed) == 0 {
+		return
+	}
+	for _, e := range changed {
+		r.logEvent("server timed out", "server", e.ID, "service", e.Service, "removed", e.Ended())
+	}
+	r.broadcaster.Publish(changed, now)
 }
 
-func (c *Controller) register(w http.ResponseWriter, r *http.Request, e registry.Entry) {
-	done := make(chan registered, 1)
-	c.do(func() { c.registerNow(e, done) })
-	select {
-	case a := <-done:
-		switch {
-		case a.err != nil:
-			refuse(w, a.err)
-		case a.target != "":
-			reply(w, http.StatusOK, map[string]string{"beat_target": a.target})
-		default:
-			reply(w, http.StatusOK, struct{}{})
+// publish does what the broadcaster has gathered: it sends updates and acknowledges calls.
+func (r *registrar) publish() {
+	out := r.broadcaster.TakeOutput()
+	if len(out.Updates) > 0 {
+		r.onUpdates(out.Updates)
+	}
+	for _, m := range out.Messages {
+		p := r.links.byPeerName(m.To)
+		if p == nil {
+			continue
+		}
+		if m.Acked != 0 {
+			p.link.Send(peer.RegistryAck(m.Acked))
+		} else {
+			p.link.Send(peer.RegistryUpdate{Entries: m.Entries, AckID: m.AckID})
+		}
+	}
+	for _, call := range out.AckedCalls {
+		if done := r.calls[call]; done != nil {
+			delete(r.calls, call)
+			done()
 		}
-	case <-r.Context().Done():
 	}
 }
 
-func (c *Controller) registerNow(e registry.Entry, done chan registered) {
-	if e.State > registry.Ready && !c.attached() {
-		// Cut off from the others, this planner can't let them know; another can.
-		done <- registered{err: apierror.NoLeader.New("cut off from the other planners")}
+// registration is the outcome of a server's call.
+type registration struct {
+	heartbeatTarget string // address for the server's later heartbeats; empty: this one
+	err             error
+}
+
+// register takes a server's call in. That a server drains or is gone is acknowledged once those who could send to it know;
+// a controller that is cut off from the others can't let them know, so it refuses the call and another one takes it.
+func (r *registrar) register(e registry.Entry, done chan<- registration) {
+	if e.State > registry.Ready && !r.inContact() {
+		done <- registration{err: apierror.NoLeader.New("cut off from the other controllers")}
 		return
 	}
-	c.nextCall++
-	answer := registered{target: c.beatTarget(e.Zone)}
-	c.calls[c.nextCall] = func() { done <- answer }
-	if changed, first := c.broadcaster.HandleServerCall(e, c.nextCall, c.now()); first {
-		_ = c.logger.Log("event", "server", "server", changed.ID, "service", changed.Service, "zone", changed.Zone,
+	r.lastCall++
+	reply := registration{heartbeatTarget: r.heartbeatTarget(e.Zone)}
+	r.calls[r.lastCall] = func() { done <- reply }
+	if changed, first := r.broadcaster.HandleServerCall(e, r.lastCall, r.now()); first {
+		r.logEvent("server changed", "server", changed.ID, "service", changed.Service, "zone", changed.Zone,
 			"address", changed.Address, "state", changed.State, "seq", changed.Seq)
 	}
 }
 
-// beatTarget is the controller of the server's zone, so that beats don't cross zones.
-func (c *Controller) beatTarget(zone string) string {
-	if zone == "" || zone == c.set.Zone {
+// heartbeatTarget is the control address of a controller of the server's zone, so that heartbeats don't cross zones.
+func (r *registrar) heartbeatTarget(zone string) string {
+	if zone == "" || zone == r.settings.Zone {
 		return ""
 	}
-	for ip, p := range c.peers {
-		if p.zone == zone && p.attached {
-			return c.controlOf(ip)
+	for ip, p := range r.links.controllers {
+		if p.zone == zone && p.summary.inContact {
+			return controlAddress(r.settings, ip)
 		}
 	}
 	return ""
--- /dev/null
+++ b/internal/control/controller/reservations.go
@@ -0,0 +1,253 @@
+package controller
+
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"slices"
+	"time"
+
+	"mulleinwood/internal/control/registry"
+	"mulleinwood/internal/control/reservation"
+	"mulleinwood/internal/operator"
+	"mulleinwood/internal/peer"
+)
+
+const (
+	allocateInterval = 250 * time.Millisecond
+	// announceInterval is how often reservations in force are announced again, for whoever missed them.
+	announceInterval = time.Second
+)
+
+// reservationService gives the edges their shares of booked slots. The leader says which reservations are in force and
+// allocates them; the other controllers pass that on between it and their edges. Without any booking it does nothing.
+type reservationService struct {
+	*environment
+	links     *linkTable
+	consensus *consensusRuntime
+	registry  *registry.Registry
+
+	clock        *reservation.Clock
+	allocator    *reservation.Allocator // of the term that this controller led last
+	proof        leaderProof
+	nextAllocate time.Duration
+	nextAnnounce time.Duration
+	announced    *peer.Reservations // as this controller last heard or said; nil: nothing yet
+	announcer    string             // IP of who said it
+	controllerOf map[string]string  // by IP of the edge
+}
+
+// leaderProof is what shows that this controller still leads: a read index that a majority has confirmed.
+type leaderProof struct {
+	readIndex   uint64
+	requestedAt time.Duration
+	provenAt    time.Duration // when the last one that was confirmed had been requested; 0: none
+}
+
+func newReservationService(env *environment, links *linkTable, c *consensusRuntime, servers *registry.Registry) *reservationService {
+	return &reservationService{environment: env, links: links, consensus: c, registry: servers, clock: reservation.NewClock()}
+}
+
+// capacities is what the services' servers carry at once, by service and zone: the slots of those that take requests.
+func (s *reservationService) capacities() map[string]reservation.Capacity {
+	all := map[string]reservation.Capacity{}
+	for _, e := range s.registry.All(s.now()) {
+		if e.State != registry.Ready || e.TimedOut {
+			continue
+		}
+		if all[e.Service] == nil {
+			all[e.Service] = reservation.Capacity{}
+		}
+		all[e.Service][e.Zone] += float64(e.Capacity)
+	}
+	return all
+}
+
+// bookedCapacities is capacities for all services that have bookings: one without any server carries nothing.
+func (s *reservationService) bookedCapacities() map[string]reservation.Capacity {
+	all := s.capacities()
+	for _, b := range s.ledger().Active {
+		if all[b.Service] == nil {
+			all[b.Service] = reservation.Capacity{}
+		}
+	}
+	return all
+}
+
+func (s *reservationService) ledger() *reservation.Ledger { return s.consensus.state.Bookings }
+
+// allocate announces the reservations and allocates them, while this controller is sure that it leads.
+func (s *reservationService) allocate(now time.Duration) {
+	if now < s.nextAllocate || !s.consensus.leads() || s.ledger().Version == 0 {
+		return
+	}
+	s.nextAllocate = now + allocateInterval
+	if term := s.consensus.replica.Term(); s.allocator == nil || s.allocator.Term() != term {
+		s.allocator = reservation.NewAllocator(term, now)
+		s.proof, s.nextAnnounce, s.controllerOf = leaderProof{}, 0, map[string]string{}
+	}
+	if !s.proveLeadership(now) {
+		return
+	}
+	list := s.ledger().ReservationsAt(s.capacities(), s.clock.Now(now))
+	s.announce(list, now)
+	if len(list) == 0 {
+		return
+	}
+	s.allocator.Plan(list, now)
+	s.sendLeases(s.allocator.Allocate(now))
+}
+
+// proveLeadership requests the next proof and reports whether the last one is recent enough.
+func (s *reservationService) proveLeadership(now time.Duration) bool {
+	replica := s.consensus.replica
+	if s.proof.readIndex > 0 && replica.ReadConfirmed(s.proof.readIndex) {
+		s.proof.provenAt = s.proof.requestedAt
+	}
+	s.proof.readIndex, s.proof.requestedAt = replica.ReadIndex(now), now
+	return s.proof.provenAt != 0 && now-s.proof.provenAt <= reservation.LeaderProofTTL
+}
+
+// announce tells the controllers, and the own edges, which reservations are in force, after a change and once in a while.
+func (s *reservationService) announce(list []reservation.Reservation, now time.Duration) {
+	term := s.allocator.Term()
+	changed := s.announced == nil || s.announced.Term != term || !slices.Equal(s.announced.List, list)
+	if changed || len(list) > 0 && now >= s.nextAnnounce {
+		s.nextAnnounce = now + announceInterval
+		s.announced, s.announcer = &peer.Reservations{Term: term, List: list}, s.settings.IP
+		s.links.sendToControllers(s.announced)
+	}
+	if changed {
+		s.logEvent("reservations changed", "count", len(list), "term", s.announced.Term)
+		s.links.sendToEdges(s.announced)
+	}
+}
+
+// announceTo tells a process that joins. A leader also tells that nothing is in force: the other may have missed an end.
+func (s *reservationService) announceTo(p *remote) {
+	if s.announced == nil {
+		return
+	}
+	if p.edge || s.consensus.leads() && s.announced.Term == s.consensus.replica.Term() {
+		p.link.Send(s.announced)
+	}
+}
+
+// sendLeases sends leases to the edges, through the controllers that they are attached to.
+func (s *reservationService) sendLeases(byEdge map[string]reservation.Lease) {
+	byController := map[string]peer.Leases{}
+	for edge, lease := range byEdge {
+		owner := s.controllerOf[edge]
+		byController[owner] = append(byController[owner], peer.EdgeLease{Edge: edge, Lease: lease})
+	}
+	for owner, leases := range byController {
+		slices.SortFunc(leases, func(a, b peer.EdgeLease) int { return cmp.Compare(a.Edge, b.Edge) })
+		if owner == s.settings.IP {
+			s.forwardLeases(leases)
+		} else if p := s.links.controllers[owner]; p != nil {
+			p.link.Send(leases)
+		}
+	}
+}
+
+// forwardLeases sends leases to the edges of this controller.
+func (s *reservationService) forwardLeases(leases peer.Leases) {
+	for _, l := range leases {
+		if e := s.links.edges[l.Edge]; e != nil {
+			e.link.Send(peer.Leases{l})
+		}
+	}
+}
+
+func (s *reservationService) handleMessage(p *remote, m peer.Message) {
+	switch m := m.(type) {
+	case *peer.Reservations:
+		if !p.edge {
+			s.handleReservations(p, m)
+		}
+	case peer.Demands:
+		s.handleDemands(p, m)
+	case peer.Leases:
+		if !p.edge {
+			s.forwardLeases(m)
+		}
+	}
+}
+
+// handleReservations takes over what the leader announces, unless it comes from an older term.
+func (s *reservationService) handleReservations(p *remote, m *peer.Reservations) {
+	last := s.announced
+	if last != nil && m.Term < last.Term {
+		return
+	}
+	same := last != nil && m.Term == last.Term && slices.Equal(m.List, last.List)
+	s.announced, s.announcer = m, p.ip
+	if !same {
+		s.links.sendToEdges(s.announced)
+	}
+}
+
+// handleDemands hands the demands of edges to the controller that announced the reservations, which allocates them.
+func (s *reservationService) handleDemands(p *remote, demands peer.Demands) {
+	if p.edge {
+		demands[0].Edge = p.ip
+		demands = demands[:1]
+	}
+	if s.announcer != s.settings.IP {
+		if allocator := s.links.controllers[s.announcer]; p.edge && allocator != nil {
+			allocator.link.Send(demands)
+		}
+		return
+	}
+	owner := p.ip
+	if p.edge {
+		owner = s.settings.IP
+	}
+	for _, d := range demands {
+		s.controllerOf[d.Edge] = owner
+		s.allocator.HandleDemand(d.Edge, d.Demand, s.now())
+	}
+}
+
+// operatorView is the ledger as operators read it, in JSON.
+func (s *reservationService) operatorView() ([]byte, error) {
+	now := s.now()
+	ledger := s.ledger()
+	view := operator.Bookings{Version: ledgerVersion(ledger.Version), Now: s.clock.Now(now), Past: ledger.Past,
+		Shortfalls: map[string]float64{}, Usage: []operator.ReservationUse{}}
+	for _, b := range ledger.Active {
+		view.Bookings = append(view.Bookings, b)
+	}
+	slices.SortFunc(view.Bookings, func(a, b reservation.Booking) int {
+		return cmp.Or(cmp.Compare(a.Start, b.Start), cmp.Compare(a.ID, b.ID))
+	})
+	for service, capacity := range s.bookedCapacities() {
+		for id, lacking := range ledger.Shortfalls(service, capacity, view.Now) {
+			view.Shortfalls[id] = lacking
+		}
+	}
+	if s.announced != nil && s.allocator != nil {
+		wanted := s.allocator.Wanted(now)
+		for _, r := range s.announced.List {
+			view.Usage = append(view.Usage, operator.ReservationUse{Reservation: r, Wanted: wanted[r.ID]})
+		}
+	}
+	return json.Marshal(view)
+}
+
+// shortfalls lists the bookings that can't be kept now, a line each, as the leader sees it.
+func (s *reservationService) shortfalls() (lines []string) {
+	if !s.consensus.leads() || len(s.ledger().Active) == 0 {
+		return nil
+	}
+	for service, capacity := range s.bookedCapacities() {
+		for id, lacking := range s.ledger().Shortfalls(service, capacity, s.clock.Now(s.now())) {
+			lines = append(lines, fmt.Sprintf("booking %s lacks %.1f slots of %s", id, lacking, service))
+		}
+	}
+	slices.Sort(lines)
+	return lines
+}
+
+// ledgerVersion writes a version of the ledger: b and a number.
+func ledgerVersion(n uint64) string { return fmt.Sprint("b", n) }
--- /dev/null
+++ b/internal/control/controller/session.go
@@ -0,0 +1,241 @@
+package controller
+
+import (
+	"context"
+	"net"
+	"time"
+
+	"mulleinwood/internal/peer"
+)
+
+const (
+	redialInterval = 300 * time.Millisecond
+	dialTimeout    = 400 * time.Millisecond
+)
+
+// acceptLinks takes in the links that other processes dial, until the listener is closed.
+func (c *Controller) acceptLinks(ctx context.Context, l net.Listener) {
+	for {
+		conn, err := l.Accept()
+		if err != nil {
+			return
+		}
+		go c.serveLink(ctx, conn)
+	}
+}
+
+// serveLink runs one accepted link. The first frame has to carry the handshake.
+func (c *Controller) serveLink(ctx context.Context, accepted net.Conn) {
+	conn, err := c.security.Accept(ctx, accepted)
+	if err != nil {
+		c.logEvent("peer rejected", "cause", err)
+		return
+	}
+	c.runLink(peer.NewLink(conn), func(link *peer.Link, h *peer.Handshake) *remote {
+		if err := c.security.VerifyAddress(conn, h); err != nil {
+			c.logEvent("peer rejected", "cause", err)
+			return nil
+		}
+		return &remote{link: link, node: h.Node, ip: h.IP, zone: h.Zone, edge: h.Edge, dialledByLower: h.IP < c.settings.IP}
+	})
+}
+
+// runLink reads a link until it ends, and hands what it brings to the owner. From the first handshake identify makes the
+// remote; nil refuses it.
+func (c *Controller) runLink(link *peer.Link, identify func(*peer.Link, *peer.Handshake) *remote) {
+	var p *remote
+	_ = link.Read(func(messages []peer.Message) { // how a link ends doesn't matter: it is dialled again
+		if p == nil {
+			handshake := handshakeIn(messages)
+			if handshake == nil {
+				link.Close()
+				return
+			}
+			if p = identify(link, handshake); p == nil {
+				link.Close()
+				return
+			}
+			c.runOnOwner(func() { c.handleJoin(p, handshake) })
+		}
+		c.runOnOwner(func() { c.handleMessages(p, messages) })
+	})
+	if p != nil {
+		c.runOnOwner(func() { c.handleLinkDown(p) })
+	}
+}
+
+func handshakeIn(messages []peer.Message) *peer.Handshake {
+	for _, m := range messages {
+		if h, ok := m.(*peer.Handshake); ok {
+			return h
+		}
+	}
+	return nil
+}
+
+// dialController keeps a link to another controller, until the address is forgotten. Of two controllers the one with the
+// lower address dials first; the other one follows a little later if no link came, since the first may not know it.
+func (c *Controller) dialController(ctx context.Context, ip string) {
+	if c.settings.IP > ip {
+		time.Sleep(2 * redialInterval)
+	}
+	for reachedAt := time.Now(); ctx.Err() == nil; time.Sleep(redialInterval) {
+		state := make(chan dialState, 1)
+		c.runOnOwner(func() { state <- c.links.dialState(ip, time.Since(reachedAt), c.members.current.All()) })
+		switch <-state {
+		case dialLinked:
+			reachedAt = time.Now()
+			continue
+		case dialForgotten:
+			return
+		}
+		conn, err := c.security.Dial(ctx, c.settings.InnerAddress(ip), dialTimeout)
+		if err != nil {
+			continue
+		}
+		link := peer.NewLink(conn)
+		link.Send(c.members.handshake())
+		c.runLink(link, func(link *peer.Link, h *peer.Handshake) *remote {
+			return &remote{link: link, node: h.Node, ip: ip, zone: h.Zone, dialledByLower: c.settings.IP < ip}
+		})
+	}
+}
+
+// addController starts to dial a controller that is not known yet.
+func (c *Controller) addController(ip string) {
+	if ip == c.settings.IP || c.links.known[ip] {
+		return
+	}
+	c.links.known[ip] = true
+	go c.dialController(c.linkCtx, ip)
+}
+
+// handleJoin takes a peer in and brings it up to date: a snapshot of what it needs, then changes.
+func (c *Controller) handleJoin(p *remote, h *peer.Handshake) {
+	if p.secondary = h.ProbeOnly; p.secondary {
+		p.link.Send(c.members.handshake(), c.summaries.full(c))
+		c.links.secondary[p] = true
+		return
+	}
+	if c.members.otherCluster(h.Cluster) {
+		c.links.reject(p, h.Cluster)
+		return
+	}
+	p.incarnation, p.counted = h.Incarnation, h.Counted
+	if p.edge {
+		c.links.addEdge(p)
+	} else {
+		if !c.links.addController(p) {
+			return
+		}
+		c.addController(p.ip)
+	}
+	c.reservations.announceTo(p)
+	c.servers.broadcaster.AddPeer(p.peerName(), p.edge)
+	c.logEvent("link up", "node", p.node, "ip", p.ip, "edge", p.edge)
+	c.sendSnapshot(p, h.Version)
+	if p.edge {
+		c.weights.tables.Join(p.ip, p.zone)
+	}
+}
+
+// sendSnapshot sends a new peer all that it needs; version is that of the configuration it has.
+func (c *Controller) sendSnapshot(p *remote, version uint64) {
+	handshake := c.members.handshake()
+	handshake.Recovering = c.claims.store.Recovering()
+	handshake.BootstrapVoters = c.members.bootstrapVoters
+	messages := []peer.Message{handshake, c.summaries.full(c), peer.RegistryUpdate{Entries: c.servers.registry.All(c.now())}}
+	if !p.edge {
+		messages = append(messages, c.members.status())
+	} else if version < c.consensus.state.Version() {
+		messages = append(messages, c.consensus.configSnapshot())
+	}
+	p.link.Send(messages...)
+}
+
+// handleLinkDown drops a peer whose link ended, unless another link has superseded it.
+func (c *Controller) handleLinkDown(p *remote) {
+	if !c.links.remove(p) {
+		return
+	}
+	if p.edge {
+		c.weights.tables.Leave(p.ip)
+	}
+	c.servers.broadcaster.RemovePeer(p.peerName())
+	c.logEvent("link down", "node", p.node, "ip", p.ip, "edge", p.edge)
+}
+
+// handleMessages handles what one frame of a peer holds.
+func (c *Controller) handleMessages(p *remote, messages []peer.Message) {
+	for _, m := range messages {
+		switch {
+		case p.secondary:
+			c.handleFromSecondary(p, m)
+		case c.links.current(p): // a message may be the reason for which the link was closed
+			c.handleMessage(p, m)
+		}
+	}
+}
+
+// handleFromSecondary handles a message of an edge that belongs to another controller: only its claims count here.
+func (c *Controller) handleFromSecondary(p *remote, m peer.Message) {
+	switch m := m.(type) {
+	case peer.ClaimRequests:
+		c.claims.handleClaimRequests(p, m)
+	case peer.Revocations:
+		c.claims.handleRevocations(p, m)
+	}
+}
+
+// handleMessage hands a message to the part that it is for.
+func (c *Controller) handleMessage(p *remote, m peer.Message) {
+	switch m := m.(type) {
+	case *peer.Handshake:
+		c.members.handleBootstrapVoters(m.BootstrapVoters)
+	case *peer.Summary:
+		c.handleSummary(p, m)
+	case *peer.ReplicaStatus:
+		c.members.handleReplicaStatus(p, m)
+	case peer.ConsensusMessages:
+		for _, one := range m {
+			c.consensus.replica.Step(one, c.now())
+		}
+	case peer.ConfigRequest:
+		p.link.Send(c.consensus.configSnapshot())
+	case *peer.Report:
+		c.weights.handleReport(p, m)
+	case peer.RegistryUpdate, *peer.Digests, peer.RegistryAck:
+		c.servers.handleMessage(p, m)
+	case *peer.Reservations, peer.Demands, peer.Leases:
+		c.reservations.handleMessage(p, m)
+	default:
+		c.claims.handleMessage(p, m)
+	}
+}
+
+// handleSummary keeps what a peer says of itself, and dials the controllers that it knows.
+func (c *Controller) handleSummary(p *remote, s *peer.Summary) {
+	p.summary.inContact, p.summary.edges = s.Attached, s.Edges
+	if s.Full {
+		c.handleFullSummary(p, s)
+	}
+	for _, ip := range s.Controllers {
+		c.addController(ip)
+	}
+}
+
+func (c *Controller) handleFullSummary(p *remote, s *peer.Summary) {
+	linkedTo := make([]string, 0, len(s.Controllers))
+	for _, ip := range s.Controllers {
+		linkedTo = append(linkedTo, controllerName(ip))
+	}
+	c.servers.broadcaster.SetPeerLinks(p.peerName(), linkedTo)
+	p.summary.trafficByZone, p.summary.edgesByZone = s.TrafficByZone, s.EdgesByZone
+	if s.Clock > 0 && !p.edge {
+		c.reservations.clock.Observe(p.ip, s.Clock, c.now())
+	}
+	if p.digests.Due(s.RegistryDigest, c.servers.registry.Digest(), c.now()) {
+		c.logEvent("digests compared", "with", p.node)
+		p.link.Send(&peer.Digests{ByZone: c.servers.registry.ZoneDigests()})
+	}
+}
--- a/internal/control/controller/strangers_test.go
+++ b/internal/control/controller/strangers_test.go
@@ -16,7 +16,7 @@
 		h.lead(b)
 		s := h.meets("10.0.0.8", &peer.Handshake{Node: "other", IP: "10.0.0.8", Zone: "x", Incarnation: 6, Counted: true}) // its cluster has no number yet
 		s.says(&peer.Frame{ReplicaStatus: &peer.ReplicaStatus{Identity: "10.0.0.8", Cluster: cluster + 1, Epoch: 2, Ready: true}})
-		h.pass(tickEvery)
+		h.pass(tickInterval)
 		g.Expect(h.learners()).NotTo(ContainElement("10.0.0.8"))
 		for _, f := range s.hears() {
 			g.Expect(f.Consensus).To(BeEmpty(), "it would take this log for its own")
@@ -31,9 +31,9 @@
 		h, _ := voterAt(t)
 		for range 20 {
 			h.meets("10.0.0.8", &peer.Handshake{Node: "other", IP: "10.0.0.8", Zone: "x", Incarnation: 6, Counted: true, Cluster: cluster + 1})
-			h.pass(redialEvery)
+			h.pass(redialInterval)
 		}
-		g.Expect(h.log.with("stranger")).To(HaveLen(1))
+		g.Expect(h.log.with("peer rejected")).To(HaveLen(1))
 		h.stop()
 	})
 }
--- a/internal/control/controller/unreadable_snapshot_test.go
+++ b/internal/control/controller/unreadable_snapshot_test.go
@@ -26,13 +26,13 @@
 		for range 20 { // its peer would elect it at any time
 			h.pass(electionTimeout)
 			for _, kind := range []consensus.Kind{consensus.PreVoteReply, consensus.VoteReply} {
-				b.agrees(consensus.Message{Kind: kind, Term: h.replica.Term() + 1, OK: true})
+				b.agrees(consensus.Message{Kind: kind, Term: h.consensus.replica.Term() + 1, OK: true})
 			}
-			g.Expect(h.leads()).To(BeFalse())
-			g.Expect(h.attached()).To(BeFalse(), "edges and servers go elsewhere")
+			g.Expect(h.consensus.leads()).To(BeFalse())
+			g.Expect(h.consensus.inContact()).To(BeFalse(), "edges and servers go elsewhere")
 		}
 		read := h.begins(http.MethodGet, "/config", "", "")
-		h.pass(2 * callLimit)
+		h.pass(2 * callTimeout)
 		g.Expect(read.status()).NotTo(Equal(http.StatusOK), read.w.Body.String())
 		h.stop()
 	})
--- a/internal/control/controller/voted_out_test.go
+++ b/internal/control/controller/voted_out_test.go
@@ -22,35 +22,37 @@
 		h := start(t, ipC, dir, false)
 		sb, sd := h.linked(ipB), h.linked("10.0.0.4#d")
 		h.pass(2 * electionTimeout)
-		term := h.replica.Term() + 1
+		term := h.consensus.replica.Term() + 1
 		for _, s := range []*script{sb, sd} {
 			s.agrees(consensus.Message{Kind: consensus.PreVoteReply, Term: term, OK: true})
 		}
 		for _, s := range []*script{sb, sd} {
 			s.agrees(consensus.Message{Kind: consensus.VoteReply, Term: term, OK: true})
 		}
-		g.Expect(h.leads()).To(BeTrue())
+		g.Expect(h.consensus.leads()).To(BeTrue())
 		asked := 0
 		for range 30 { // it doesn't finish the change itself: one that votes afterwards is asked to lead
-			h.pass(tickEvery)
+			h.pass(tickInterval)
 			for _, s := range []*script{sb, sd} {
 				for _, f := range s.hears() {
 					for _, m := range f.Consensus {
-						asked += btoi(m.Kind == consensus.TimeoutNow)
+						if m.Kind == consensus.TimeoutNow {
+							asked++
+						}
 					}
 				}
-				s.agrees(consensus.Message{Kind: consensus.AppendReply, Term: h.replica.Term(), OK: true, Index: h.replica.Last()})
+				s.agrees(consensus.Message{Kind: consensus.AppendReply, Term: h.consensus.replica.Term(), OK: true, Index: h.consensus.replica.Last()})
 			}
 		}
-		g.Expect(h.leads()).To(BeTrue())
-		g.Expect(h.membership.Joint()).To(BeTrue())
+		g.Expect(h.consensus.leads()).To(BeTrue())
+		g.Expect(h.members.current.Joint()).To(BeTrue())
 		g.Expect(asked).To(BeNumerically(">", 0))
-		last, final := h.replica.Last(), consensus.Membership{Epoch: joint.Epoch + 1, Cluster: joint.Cluster, Voters: joint.Next}
+		last, final := h.consensus.replica.Last(), consensus.Membership{Epoch: joint.Epoch + 1, Cluster: joint.Cluster, Voters: joint.Next}
 		h.follow(sb, term+1, consensus.Message{Index: last, LogTerm: term, Entries: []consensus.Entry{{Term: term + 1, Index: last + 1, Membership: &final}}, Commit: last + 1})
 		h.pass(4 * electionTimeout)
-		g.Expect(h.membership.Joint()).To(BeFalse())
-		g.Expect(h.identity).To(HavePrefix(ipC + "#"))
-		g.Expect(h.replica.ID()).To(Equal(h.identity))
+		g.Expect(h.members.current.Joint()).To(BeFalse())
+		g.Expect(h.members.identity).To(HavePrefix(ipC + "#"))
+		g.Expect(h.consensus.replica.ID()).To(Equal(h.members.identity))
 		h.stop()
 	})
 }
--- /dev/null
+++ b/internal/control/controller/weights.go
@@ -0,0 +1,50 @@
+package controller
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"mulleinwood/internal/control/weights"
+	"mulleinwood/internal/peer"
+)
+
+// weightService decides the weights by which the edges of this controller send.
+type weightService struct {
+	*environment
+	links     *linkTable
+	tables    *weights.Tables
+	serviceOf func(server string) (service string, known bool)
+}
+
+// newWeightService makes the tables; voters tells how many controllers decide beside each other.
+func newWeightService(env *environment, links *linkTable, voters func() int, serviceOf func(string) (string, bool)) *weightService {
+	s := &weightService{environment: env, links: links, serviceOf: serviceOf}
+	zones := slices.Collect(maps.Keys(env.settings.Zones))
+	s.tables = weights.New(env.settings.Zone, zones, env.incarnation, voters, func(service, note string) {
+		s.logEvent("weight table", "service", service, "note", note)
+	})
+	return s
+}
+
+func (s *weightService) handleReport(p *remote, report *peer.Report) {
+	s.tables.HandleReport(p.ip, report, s.serviceOf)
+}
+
+// push sends the edges the changes that the tables order.
+func (s *weightService) push(now time.Duration) {
+	orders := s.tables.Tick(now, s.peerTraffic)
+	for ip, changes := range orders {
+		if e := s.links.edges[ip]; e != nil {
+			e.link.Send(changes)
+		}
+	}
+}
+
+// peerTraffic is what the edges of the other controllers bring.
+func (s *weightService) peerTraffic() (all []weights.PeerTraffic) {
+	for _, p := range s.links.controllers {
+		all = append(all, weights.PeerTraffic{Edges: p.summary.edges, TrafficByZone: p.summary.trafficByZone})
+	}
+	return all
+}
--- a/internal/control/storage/open.go
+++ b/internal/control/storage/open.go
@@ -21,8 +21,17 @@
 	"mulleinwood/internal/control/registry"
 )
 
+// Names of the files in the data directory. They are those of the first version, whose data is still read.
+const (
+	fileName      = "exchange.db"
+	corruptSuffix = ".spoilt"
+	startsSuffix  = ".opening"
+
+	// CorruptFileName is where a file that can't be trusted is moved to.
+	CorruptFileName = fileName + corruptSuffix
+)
+
 const (
-	fileName        = "exchange.db"
 	initialMmapSize = 64 << 20
 	checksumSize    = 8
 	maxFailedStarts = 5 // starts in a row that end while the file is opened, after which it is not opened again
@@ -66,7 +75,7 @@
 // where nobody can recover.
 func Open(dir string, window time.Duration, maxResponseBytes int64) (*Storage, *State, error) {
 	path := filepath.Join(dir, fileName)
-	startsPath := path + ".opening"
+	startsPath := path + startsSuffix
 	corrupt := countFailedStarts(startsPath)
 	if corrupt == nil {
 		corrupt = verifyFile(path)
@@ -80,7 +89,7 @@
 		db, corrupt, err = openDB(path)
 	}
 	if corrupt != nil {
-		if err := os.Rename(path, path+".spoilt"); err != nil {
+		if err := os.Rename(path, path+corruptSuffix); err != nil {
 			return nil, nil, fmt.Errorf("put %s aside: %w", path, err)
 		}
 		db, _, err = openDB(path) // a new one
--- a/internal/peer/compare_test.go
+++ b/internal/peer/digests_test.go
@@ -12,12 +12,12 @@
 	"mulleinwood/internal/peer"
 )
 
-// Two planners that heard different parts of the news, in any order and with any of it missing, hold the same after one
-// exchange of cells, and then exchange nothing more.
-func TestComparingCellsMendsWhatWasMissed(t *testing.T) {
+// Two controllers that heard different updates, in any order and with any of them missing, know the same after one exchange
+// of digests, and then exchange nothing more.
+func TestCompareRepairsMissedUpdates(t *testing.T) {
 	g := NewWithT(t)
 	rng := rand.New(rand.NewPCG(3, 3))
-	bytes := 0
+	entries := 0
 	for range 500 {
 		a, b := registry.New(time.Minute), registry.New(time.Minute)
 		for range rng.IntN(30) {
@@ -31,26 +31,28 @@
 				b.Apply(e, 0)
 			}
 		}
-		take := func(d *registry.Registry, f *peer.Frame) {
+		apply := func(to *registry.Registry, messages []peer.Message) *peer.Digests {
+			f := peer.FrameOf(messages...)
 			for _, e := range f.Entries {
-				d.Apply(e, 0)
+				to.Apply(e, 0)
 			}
-			bytes += len(f.Entries)
+			entries += len(f.Entries)
+			return f.Digests
 		}
-		ask := &peer.Frame{Digests: &peer.Digests{ByZone: a.ZoneDigests()}}
-		if answer := ask.Digests.Compare(b, 0); answer != nil {
-			take(a, answer)
-			if last := answer.Digests.Compare(a, 0); last != nil {
-				take(b, last)
+		request := &peer.Digests{ByZone: a.ZoneDigests()}
+		if reply := request.Compare(b, 0); reply != nil {
+			digests := apply(a, reply)
+			if last := digests.Compare(a, 0); last != nil {
+				apply(b, last)
 			}
 		}
 		g.Expect(a.Digest()).To(Equal(b.Digest()))
 		g.Expect((&peer.Digests{ByZone: a.ZoneDigests()}).Compare(b, 0)).To(BeNil())
 	}
-	g.Expect(bytes).To(BeNumerically(">", 500))
+	g.Expect(entries).To(BeNumerically(">", 500))
 }
 
-func TestComparingWaitsForNewsOnItsWay(t *testing.T) {
+func TestCompareWaitsForUpdatesInFlight(t *testing.T) {
 	g := NewWithT(t)
 	c := peer.DigestComparison{}
 	g.Expect(c.Due(1, 2, 1*time.Second)).To(BeFalse(), "it may be on its way")
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -1,189 +1,182 @@
-// Package peer is the links between the gateway's own processes: frames of CBOR, each after its length, over one TCP
-// connection a pair. Both ends send summaries, so that a cut, which is silent, is heard within a second.
 package peer
 
 import (
-	"github.com/zeebo/xxh3"
-
 	"mulleinwood/internal/control/consensus"
 	"mulleinwood/internal/control/idempotency"
 	"mulleinwood/internal/control/registry"
-	"mulleinwood/internal/control/reservation"
 )
 
-// Frame is one message. Most have one field set; what is said together travels together.
+// Frame is the wire form of one or more messages. The numbers of the fields are the protocol; a retired one is not used
+// again.
 type Frame struct {
 	Handshake       *Handshake           `cbor:"1,keyasint,omitempty"`
 	Summary         *Summary             `cbor:"2,keyasint,omitempty"`
 	Consensus       []consensus.Message  `cbor:"3,keyasint,omitempty"`
 	Entries         []registry.Entry     `cbor:"4,keyasint,omitempty"`
-	AckID           uint64               `cbor:"5,keyasint,omitempty"` // to be sent back once Entries are in force
+	AckID           uint64               `cbor:"5,keyasint,omitempty"`
 	Acked           uint64               `cbor:"6,keyasint,omitempty"`
 	Config          *Config              `cbor:"7,keyasint,omitempty"`
 	Weights         *Weights             `cbor:"8,keyasint,omitempty"`
 	Report          *Report              `cbor:"9,keyasint,omitempty"`
-	Claims          []idempotency.Record `cbor:"10,keyasint,omitempty"` // edge to its controller
-	Outcomes        []ClaimOutcome       `cbor:"11,keyasint,omitempty"` // and back
-	GrantRequests   []idempotency.Record `cbor:"12,keyasint,omitempty"` // coordinator to claim store
-	GrantReplies    []GrantReply         `cbor:"13,keyasint,omitempty"` // and back
+	Claims          []idempotency.Record `cbor:"10,keyasint,omitempty"`
+	Outcomes        []ClaimOutcome       `cbor:"11,keyasint,omitempty"`
+	GrantRequests   []idempotency.Record `cbor:"12,keyasint,omitempty"`
+	GrantReplies    []GrantReply         `cbor:"13,keyasint,omitempty"`
 	Revocations     []idempotency.Record `cbor:"14,keyasint,omitempty"`
 	Responses       []idempotency.Record `cbor:"15,keyasint,omitempty"`
-	ResponseQueries []idempotency.Record `cbor:"16,keyasint,omitempty"` // an answer that another controller holds
+	ResponseQueries []idempotency.Record `cbor:"16,keyasint,omitempty"`
 	ResponseReplies []idempotency.Record `cbor:"17,keyasint,omitempty"`
-	CopyRequest     bool                 `cbor:"18,keyasint,omitempty"` // the whole claim store is wanted
+	CopyRequest     bool                 `cbor:"18,keyasint,omitempty"`
 	ClaimsChunk     *ClaimsChunk         `cbor:"19,keyasint,omitempty"`
-	SnapshotRequest bool                 `cbor:"20,keyasint,omitempty"` // a whole configuration is wanted
+	ConfigRequest   bool                 `cbor:"20,keyasint,omitempty"`
 	Digests         *Digests             `cbor:"21,keyasint,omitempty"`
 	Reservations    *Reservations        `cbor:"22,keyasint,omitempty"`
-	Demands         []EdgeDemand         `cbor:"23,keyasint,omitempty"` // edge to its controller, and on to the dealer
-	Leases          []EdgeLease          `cbor:"24,keyasint,omitempty"` // and back
-	ReplicaStatus   *ReplicaStatus       `cbor:"25,keyasint,omitempty"` // between controllers
-	Epoch           uint64               `cbor:"26,keyasint,omitempty"` // of the membership under which Asks, Copy and Copied are meant
-	SyncRequest     uint64               `cbor:"27,keyasint,omitempty"` // to be sent back as Synced once all before it is durable
+	Demands         []EdgeDemand         `cbor:"23,keyasint,omitempty"`
+	Leases          []EdgeLease          `cbor:"24,keyasint,omitempty"`
+	ReplicaStatus   *ReplicaStatus       `cbor:"25,keyasint,omitempty"`
+	Epoch           uint64               `cbor:"26,keyasint,omitempty"` // of GrantRequests, CopyRequest and ClaimsChunk
+	SyncRequest     uint64               `cbor:"27,keyasint,omitempty"`
 	SyncReply       uint64               `cbor:"28,keyasint,omitempty"`
 }
 
-// Reservations are all that are held, as the leader of a term says.
-type Reservations struct {
-	Term uint64                    `cbor:"1,keyasint"`
-	List []reservation.Reservation `cbor:"2,keyasint,omitempty"`
-}
-
-// EdgeDemand is an edge's word on its reservations.
-type EdgeDemand struct {
-	Edge   string             `cbor:"1,keyasint"` // IP
-	Demand reservation.Demand `cbor:"2,keyasint"`
-}
-
-// EdgeLease is an edge's parts of the reservations.
-type EdgeLease struct {
-	Edge  string            `cbor:"1,keyasint"`
-	Lease reservation.Lease `cbor:"2,keyasint"`
-}
-
-// ReplicaStatus is what a controller says of its part in the consensus.
-type ReplicaStatus struct {
-	Identity     string `cbor:"1,keyasint"`
-	Cluster      uint64 `cbor:"2,keyasint,omitempty"`
-	Epoch        uint64 `cbor:"3,keyasint,omitempty"` // of the newest membership that it applied durably
-	Ready        bool   `cbor:"4,keyasint,omitempty"` // its store of claims may grant
-	ShuttingDown bool   `cbor:"5,keyasint,omitempty"` // it was told to end
-}
-
-// Digests compares what two processes hold of servers, cell by cell. The answer comes with the lives of the cells that
-// differ in Entries.
-type Digests struct {
-	ByZone map[string]uint64 `cbor:"1,keyasint,omitempty"` // by zone
-	Reply  bool              `cbor:"2,keyasint,omitempty"`
-}
-
-// Handshake opens a connection, both ways.
-type Handshake struct {
-	Node            string   `cbor:"1,keyasint"`
-	IP              string   `cbor:"2,keyasint"`
-	Zone            string   `cbor:"3,keyasint"`
-	Edge            bool     `cbor:"4,keyasint,omitempty"`
-	Incarnation     uint64   `cbor:"5,keyasint"`
-	Version         uint64   `cbor:"6,keyasint,omitempty"`  // of the configuration held
-	BootstrapVoters []string `cbor:"7,keyasint,omitempty"`  // of the consensus, as a controller knows them
-	ProbeOnly       bool     `cbor:"8,keyasint,omitempty"`  // only to see how a controller is
-	Recovering      bool     `cbor:"9,keyasint,omitempty"`  // the disk came back empty: answers that others still hold are wanted
-	Counted         bool     `cbor:"10,keyasint,omitempty"` // a controller that the platform counts, and that may be a member
-	Cluster         uint64   `cbor:"11,keyasint,omitempty"` // that a controller belongs to; 0: not known yet
-}
-
-// Summary says that the sender lives. Attached: a controller that hears more than half of the core. Every few summaries are
-// full: with the controllers that the sender is linked to, and the traffic of its edges.
-type Summary struct {
-	Attached       bool          `cbor:"1,keyasint,omitempty"`
-	Version        uint64        `cbor:"2,keyasint,omitempty"`
-	Edges          int           `cbor:"3,keyasint,omitempty"` // whose controller the sender is
-	Fleet          int           `cbor:"7,keyasint,omitempty"` // edges of all controllers
-	Full           bool          `cbor:"6,keyasint,omitempty"`
-	Controllers    []string      `cbor:"4,keyasint,omitempty"`
-	TrafficByZone  []ZoneTraffic `cbor:"5,keyasint,omitempty"` // requests a second that the sender's edges bring
-	RegistryDigest uint64        `cbor:"8,keyasint,omitempty"` // of the servers that the sender knows, in full summaries
-
-	EdgesByZone map[string][]uint32 `cbor:"9,keyasint,omitempty"`  // to controllers: the sender's edges, by zone
-	ZoneEdges   []uint32            `cbor:"10,keyasint,omitempty"` // to an edge: all of its zone, once it has changed
-	Clock       float64             `cbor:"11,keyasint,omitempty"` // to controllers: the sender's time of day, in seconds
-}
-
-// EdgeHash is the short name of an edge in rosters.
-func EdgeHash(node string) uint32 { return uint32(xxh3.HashString(node)) }
-
-// ZoneTraffic is a zone's traffic of one service.
-type ZoneTraffic struct {
-	_       struct{} `cbor:",toarray"`
-	Service string
-	Zone    string
-	Rate    float64
-}
-
-// Config carries a configuration, whole or as the change that leads to it.
-type Config struct {
-	Version  uint64 `cbor:"1,keyasint"`
-	Base     uint64 `cbor:"2,keyasint,omitempty"` // the change applies to this version
-	Snapshot []byte `cbor:"3,keyasint,omitempty"`
-	Delta    []byte `cbor:"4,keyasint,omitempty"`
-}
-
-// Weights are changed lines of an edge's tables.
-type Weights struct {
-	Tokens   []uint64 `cbor:"1,keyasint,omitempty"` // to be answered by Report.Applied
-	Changed  []Weight `cbor:"3,keyasint,omitempty"`
-	Replaced []string `cbor:"4,keyasint,omitempty"` // services whose former table is over
-}
-
-// Weight is a server's in the table of its service; 0 takes it out.
-type Weight struct {
-	_      struct{} `cbor:",toarray"`
-	Server string
-	Weight float64
-}
-
-// Report is what an edge saw, since its last one.
-type Report struct {
-	Period   float64        `cbor:"1,keyasint"` // seconds
-	Servers  []ServerStats  `cbor:"2,keyasint,omitempty"`
-	Services []ServiceStats `cbor:"3,keyasint,omitempty"`
-	Applied  []uint64       `cbor:"4,keyasint,omitempty"` // tokens of weights
-}
-
-// ServerStats is what an edge met at one server.
-type ServerStats struct {
-	_         struct{} `cbor:",toarray"`
-	Server    string
-	Attempts  uint32
-	Failed    uint32
-	TotalTime float64 // seconds, over all answers
-}
-
-// ServiceStats counts the requests for a service.
-type ServiceStats struct {
-	_        struct{} `cbor:",toarray"`
-	Service  string
-	Requests uint32
-	Failed   uint32
-}
-
-// ClaimOutcome tells an edge the outcome of its claim.
-type ClaimOutcome struct {
-	Token    idempotency.Token     `cbor:"1,keyasint"`
-	Outcome  idempotency.Outcome   `cbor:"2,keyasint"`
-	Response *idempotency.Response `cbor:"3,keyasint,omitempty"` // of the first run
-}
-
-// GrantReply tells a coordinator what a claim store says.
-type GrantReply struct {
-	Token  idempotency.Token      `cbor:"1,keyasint"`
-	Reply  idempotency.GrantReply `cbor:"2,keyasint"`
-	Holder *idempotency.Record    `cbor:"3,keyasint,omitempty"`
-}
-
-// ClaimsChunk is a part of a claim store, for one that copies.
-type ClaimsChunk struct {
-	Records    []idempotency.Record `cbor:"1,keyasint,omitempty"`
-	Last       bool                 `cbor:"2,keyasint,omitempty"`
-	Recovering bool                 `cbor:"3,keyasint,omitempty"` // the sender knows nothing itself
-}
+// FrameOf puts messages into one frame. No two of them may be of the same type.
+func FrameOf(messages ...Message) *Frame {
+	f := &Frame{}
+	for _, m := range messages {
+		m.addTo(f)
+	}
+	return f
+}
+
+// Messages takes a frame apart, in the order in which the receiver handles them: who the sender is, what it says of the
+// cluster and of servers, then what depends on that. An update of the servers comes before the digests that were made
+// after it, and a SyncRequest after all that it covers.
+func (f *Frame) Messages() []Message {
+	all := make([]Message, 0, 2)
+	all = f.appendCluster(all)
+	all = f.appendTraffic(all)
+	all = f.appendReservations(all)
+	all = f.appendClaims(all)
+	if f.SyncRequest != 0 {
+		all = append(all, SyncRequest(f.SyncRequest))
+	}
+	if f.SyncReply != 0 {
+		all = append(all, SyncReply(f.SyncReply))
+	}
+	return all
+}
+
+func (f *Frame) appendCluster(all []Message) []Message {
+	if f.Handshake != nil {
+		all = append(all, f.Handshake)
+	}
+	if f.Summary != nil {
+		all = append(all, f.Summary)
+	}
+	if f.ReplicaStatus != nil {
+		all = append(all, f.ReplicaStatus)
+	}
+	if len(f.Consensus) > 0 {
+		all = append(all, ConsensusMessages(f.Consensus))
+	}
+	if len(f.Entries) > 0 || f.AckID != 0 {
+		all = append(all, RegistryUpdate{Entries: f.Entries, AckID: f.AckID})
+	}
+	if f.Digests != nil {
+		all = append(all, f.Digests)
+	}
+	if f.Acked != 0 {
+		all = append(all, RegistryAck(f.Acked))
+	}
+	return all
+}
+
+func (f *Frame) appendTraffic(all []Message) []Message {
+	if f.ConfigRequest {
+		all = append(all, ConfigRequest{})
+	}
+	if f.Config != nil {
+		all = append(all, f.Config)
+	}
+	if f.Weights != nil {
+		all = append(all, f.Weights)
+	}
+	if f.Report != nil {
+		all = append(all, f.Report)
+	}
+	return all
+}
+
+func (f *Frame) appendReservations(all []Message) []Message {
+	if f.Reservations != nil {
+		all = append(all, f.Reservations)
+	}
+	if len(f.Demands) > 0 {
+		all = append(all, Demands(f.Demands))
+	}
+	if len(f.Leases) > 0 {
+		all = append(all, Leases(f.Leases))
+	}
+	return all
+}
+
+func (f *Frame) appendClaims(all []Message) []Message {
+	if len(f.Claims) > 0 {
+		all = append(all, ClaimRequests(f.Claims))
+	}
+	if len(f.Outcomes) > 0 {
+		all = append(all, ClaimOutcomes(f.Outcomes))
+	}
+	if len(f.GrantRequests) > 0 {
+		all = append(all, GrantRequests{Epoch: f.Epoch, Records: f.GrantRequests})
+	}
+	if len(f.GrantReplies) > 0 {
+		all = append(all, GrantReplies(f.GrantReplies))
+	}
+	if len(f.Revocations) > 0 {
+		all = append(all, Revocations(f.Revocations))
+	}
+	if len(f.Responses) > 0 {
+		all = append(all, Responses(f.Responses))
+	}
+	if len(f.ResponseQueries) > 0 {
+		all = append(all, ResponseQueries(f.ResponseQueries))
+	}
+	if len(f.ResponseReplies) > 0 {
+		all = append(all, ResponseReplies(f.ResponseReplies))
+	}
+	if f.CopyRequest {
+		all = append(all, CopyRequest{Epoch: f.Epoch})
+	}
+	if f.ClaimsChunk != nil {
+		all = append(all, ClaimsCopy{Epoch: f.Epoch, ClaimsChunk: f.ClaimsChunk})
+	}
+	return all
+}
+
+func (h *Handshake) addTo(f *Frame)        { f.Handshake = h }
+func (s *Summary) addTo(f *Frame)          { f.Summary = s }
+func (s *ReplicaStatus) addTo(f *Frame)    { f.ReplicaStatus = s }
+func (m ConsensusMessages) addTo(f *Frame) { f.Consensus = m }
+func (u RegistryUpdate) addTo(f *Frame)    { f.Entries, f.AckID = u.Entries, u.AckID }
+func (a RegistryAck) addTo(f *Frame)       { f.Acked = uint64(a) }
+func (d *Digests) addTo(f *Frame)          { f.Digests = d }
+func (c *Config) addTo(f *Frame)           { f.Config = c }
+func (ConfigRequest) addTo(f *Frame)       { f.ConfigRequest = true }
+func (w *Weights) addTo(f *Frame)          { f.Weights = w }
+func (r *Report) addTo(f *Frame)           { f.Report = r }
+func (c ClaimRequests) addTo(f *Frame)     { f.Claims = c }
+func (o ClaimOutcomes) addTo(f *Frame)     { f.Outcomes = o }
+func (g GrantRequests) addTo(f *Frame)     { f.GrantRequests, f.Epoch = g.Records, g.Epoch }
+func (g GrantReplies) addTo(f *Frame)      { f.GrantReplies = g }
+func (r Revocations) addTo(f *Frame)       { f.Revocations = r }
+func (r Responses) addTo(f *Frame)         { f.Responses = r }
+func (q ResponseQueries) addTo(f *Frame)   { f.ResponseQueries = q }
+func (r ResponseReplies) addTo(f *Frame)   { f.ResponseReplies = r }
+func (c CopyRequest) addTo(f *Frame)       { f.CopyRequest, f.Epoch = true, c.Epoch }
+func (c ClaimsCopy) addTo(f *Frame)        { f.ClaimsChunk, f.Epoch = c.ClaimsChunk, c.Epoch }
+func (r *Reservations) addTo(f *Frame)     { f.Reservations = r }
+func (d Demands) addTo(f *Frame)           { f.Demands = d }
+func (l Leases) addTo(f *Frame)            { f.Leases = l }
+func (s SyncRequest) addTo(f *Frame)       { f.SyncRequest = uint64(s) }
+func (s SyncReply) addTo(f *Frame)         { f.SyncReply = uint64(s) }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -6,6 +6,7 @@
 	"errors"
 	"io"
 	"net"
+	"slices"
 	"sync"
 	"time"
 
@@ -13,26 +14,36 @@
 )
 
 // Spans of a link. Both ends send summaries; a peer that is silent for longer than Silence is taken to be cut off.
+// Timing and bounds of a link.
 const (
+	// SummaryInterval is how often each end sends a Summary.
 	SummaryInterval = 250 * time.Millisecond
-	LinkTimeout     = 800 * time.Millisecond
-	maxFrameBytes   = 16 << 20
-	maxQueueBytes   = 64 << 20
+	// LinkTimeout is how long a link may bring nothing before its peer counts as unreachable: three summaries, and a bit.
+	LinkTimeout = 800 * time.Millisecond
+
+	writeTimeout       = 2 * time.Second
+	maxFrameBytes      = 16 << 20
+	maxQueueBytes      = 64 << 20 // unwritten, after which a peer that doesn't read is disconnected
+	largeFrameBytes    = 64 << 10 // from which a frame may take longer than a summary
+	largeFrameTimeout  = 4 * LinkTimeout
+	readBufferBytes    = 16 << 10
+	lengthBytes        = 4
+	maxDecodedElements = 1 << 20 // of an array or a map
 )
 
 var decMode = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 20}.DecMode()
+	mode, err := cbor.DecOptions{MaxArrayElements: maxDecodedElements, MaxMapPairs: maxDecodedElements}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
 	}
 	return mode
 }()
 
-// Link is a connection to another process. Send never waits; a peer that doesn't read is cut off.
+// Link is a connection to another process. Its methods may be called by any goroutine; Read by one.
 type Link struct {
 	conn        net.Conn
 	mu          sync.Mutex
-	queue       [][]byte
+	queue       [][]byte // frames that are not written yet
 	queuedBytes int
 	wake        chan struct{}
 	writing     bool // what was taken from queue is not written yet
@@ -44,28 +55,23 @@
 func NewLink(conn net.Conn) *Link {
 	l := &Link{conn: conn, wake: make(chan struct{}, 1), closed: make(chan struct{})}
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetNoDelay(true)
+		_ = tcp.SetNoDelay(true) // it is the default; a connection that has failed shows that when it is read
 	}
 	go l.write()
 	return l
 }
 
-// Send queues a frame.
-func (l *Link) Send(f *Frame) {
-	body, err := cbor.Marshal(f)
+// Send queues messages as one frame. It never waits: a peer that doesn't read is disconnected once too much is queued.
+func (l *Link) Send(messages ...Message) {
+	body, err := cbor.Marshal(FrameOf(messages...))
 	if err != nil {
 		l.Close()
 		return
 	}
-	packet := make([]byte, 4+len(body))
+	packet := make([]byte, lengthBytes+len(body))
 	binary.BigEndian.PutUint32(packet, uint32(len(body)))
-	copy(packet[4:], body)
-	l.mu.Lock()
-	l.queue = append(l.queue, packet)
-	l.queuedBytes += len(packet)
-	full := l.queuedBytes > maxQueueBytes
-	l.mu.Unlock()
-	if full { // guards memory against a peer that doesn't read
+	copy(packet[lengthBytes:], body)
+	if l.enqueue(packet) > maxQueueBytes {
 		l.Close()
 		return
 	}
@@ -75,26 +81,29 @@
 	}
 }
 
+// enqueue reports how many bytes are queued now.
+func (l *Link) enqueue(packet []byte) int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.queue = append(l.queue, packet)
+	l.queuedBytes += len(packet)
+	return l.queuedBytes
+}
+
 // Close ends the link.
 func (l *Link) Close() {
 	l.closeOnce.Do(func() {
 		close(l.closed)
-		l.conn.Close()
+		_ = l.conn.Close() // nothing can be done about it, and the link is over either way
 	})
 }
 
-// drainPollInterval is how often a process that ends looks whether a link's queue is written.
+// drainPollInterval is how often Drain checks whether the queue is written.
 const drainPollInterval = 2 * time.Millisecond
 
-// Drain waits until all that was sent is written, the link has ended or the limit is reached.
-func (l *Link) Drain(limit time.Time) {
-	for time.Now().Before(limit) {
-		l.mu.Lock()
-		idle := len(l.queue) == 0 && !l.writing
-		l.mu.Unlock()
-		if idle {
-			return
-		}
+// Drain waits until all that was sent is written, the link has ended or the deadline is reached.
+func (l *Link) Drain(deadline time.Time) {
+	for time.Now().Before(deadline) && !l.idle() {
 		select {
 		case <-l.closed:
 			return
@@ -103,9 +112,17 @@
 	}
 }
 
+// idle reports whether all that was sent is written.
+func (l *Link) idle() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.queue) == 0 && !l.writing
+}
+
 // Closed is closed when the link has ended.
 func (l *Link) Closed() <-chan struct{} { return l.closed }
 
+// write is the link's writer, which ends with the link.
 func (l *Link) write() {
 	defer l.Close()
 	for {
@@ -114,24 +131,14 @@
 			return
 		case <-l.wake:
 		}
-		l.mu.Lock()
-		packets := net.Buffers(l.queue)
-		l.queue, l.queuedBytes, l.writing = nil, 0, len(packets) > 0
-		l.mu.Unlock()
+		packets := l.takeQueue()
 		if len(packets) == 0 {
 			continue
 		}
-		if err := l.conn.SetWriteDeadline(time.Now().Add(2 * time.Second)); err != nil {
+		if err := l.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 			return
 		}
-		if len(packets) > 1 { // one call for all that is waiting
-			var all []byte
-			for _, p := range packets {
-				all = append(all, p...)
-			}
-			packets = net.Buffers{all}
-		}
-		if _, err := l.conn.Write(packets[0]); err != nil {
+		if _, err := l.conn.Write(joined(packets)); err != nil {
 			return
 		}
 		l.mu.Lock()
@@ -140,37 +147,59 @@
 	}
 }
 
+func (l *Link) takeQueue() [][]byte {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	packets := l.queue
+	l.queue, l.queuedBytes, l.writing = nil, 0, len(packets) > 0
+	return packets
+}
+
+// joined is what is written by one call of the system.
+func joined(packets [][]byte) []byte {
+	if len(packets) == 1 {
+		return packets[0]
+	}
+	return slices.Concat(packets...)
+}
+
 var errFrameTooLong = errors.New("a frame is longer than any that is sent")
 
-// Read hands each frame to do until the link ends, the peer is silent for too long or sends what can't be read.
-func (l *Link) Read(handle func(*Frame)) error {
+// Read hands the messages of each frame to handle until the link ends, brings nothing for LinkTimeout or brings what can't
+// be decoded. It closes the link and says why it ended.
+func (l *Link) Read(handle func(messages []Message)) error {
 	defer l.Close()
-	in := bufio.NewReaderSize(l.conn, 16<<10)
-	var head [4]byte
+	in := bufio.NewReaderSize(l.conn, readBufferBytes)
 	for {
-		if err := l.conn.SetReadDeadline(time.Now().Add(LinkTimeout)); err != nil {
+		f, err := l.readFrame(in)
+		if err != nil {
 			return err
 		}
-		if _, err := io.ReadFull(in, head[:]); err != nil {
-			return err
-		}
-		n := binary.BigEndian.Uint32(head[:])
-		if n > maxFrameBytes {
-			return errFrameTooLong
-		}
-		if n > 64<<10 { // large ones may take longer than a summary
-			if err := l.conn.SetReadDeadline(time.Now().Add(4 * LinkTimeout)); err != nil {
-				return err
-			}
-		}
-		body := make([]byte, n)
-		if _, err := io.ReadFull(in, body); err != nil {
-			return err
-		}
-		f := &Frame{}
-		if err := decMode.Unmarshal(body, f); err != nil {
-			return err
+		handle(f.Messages())
+	}
+}
+
+func (l *Link) readFrame(in io.Reader) (*Frame, error) {
+	var head [lengthBytes]byte
+	if err := l.conn.SetReadDeadline(time.Now().Add(LinkTimeout)); err != nil {
+		return nil, err
+	}
+	if _, err := io.ReadFull(in, head[:]); err != nil {
+		return nil, err
+	}
+	length := binary.BigEndian.Uint32(head[:])
+	if length > maxFrameBytes {
+		return nil, errFrameTooLong
+	}
+	if length > largeFrameBytes {
+		if err := l.conn.SetReadDeadline(time.Now().Add(largeFrameTimeout)); err != nil {
+			return nil, err
 		}
-		handle(f)
 	}
+	body := make([]byte, length)
+	if _, err := io.ReadFull(in, body); err != nil {
+		return nil, err
+	}
+	f := &Frame{}
+	return f, decMode.Unmarshal(body, f)
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -20,9 +20,13 @@
 		a, b := net.Pipe()
 		from, to := peer.NewLink(a), peer.NewLink(b)
 		var got []uint64
-		go func() { _ = to.Read(func(f *peer.Frame) { got = append(got, f.AckID) }) }()
+		go func() {
+			_ = to.Read(func(messages []peer.Message) {
+				got = append(got, messages[0].(peer.RegistryUpdate).AckID)
+			})
+		}()
 		for i := range uint64(50) {
-			from.Send(&peer.Frame{AckID: i + 1, Entries: []registry.Entry{{ID: "i-1"}}})
+			from.Send(peer.RegistryUpdate{AckID: i + 1, Entries: []registry.Entry{{ID: "i-1"}}})
 		}
 		synctest.Wait()
 		g.Expect(got).To(HaveLen(50))
@@ -43,7 +47,7 @@
 		defer a.Close()
 		link := peer.NewLink(b)
 		began := time.Now()
-		err := link.Read(func(*peer.Frame) {})
+		err := link.Read(func([]peer.Message) {})
 		g.Expect(err).To(HaveOccurred())
 		g.Expect(time.Since(began)).To(Equal(peer.LinkTimeout))
 		<-link.Closed()
@@ -64,7 +68,7 @@
 				}()
 				link := peer.NewLink(b)
 				called := false
-				err := link.Read(func(*peer.Frame) { called = true })
+				err := link.Read(func([]peer.Message) { called = true })
 				g.Expect(err).To(HaveOccurred())
 				g.Expect(called).To(BeFalse())
 				a.Close()
@@ -86,7 +90,8 @@
 			_, _ = a.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...))
 			a.Close()
 		}()
-		_ = link.Read(func(got *peer.Frame) {
+		_ = link.Read(func(messages []peer.Message) {
+			got := peer.FrameOf(messages...)
 			if _, err := cbor.Marshal(got); err != nil {
 				t.Fatalf("taken, but can't be written: %v", err)
 			}
--- a/internal/peer/secure_test.go
+++ b/internal/peer/security_test.go
@@ -1,6 +1,7 @@
 package peer_test
 
 import (
+	"context"
 	"crypto/ecdsa"
 	"crypto/elliptic"
 	"crypto/rand"
@@ -81,14 +82,14 @@
 	go func() {
 		conn, err := l.Accept()
 		if err == nil {
-			if conn, err = at.Accept(conn); err == nil {
+			if conn, err = at.Accept(context.Background(), conn); err == nil {
 				_, err = conn.Write([]byte("x"))
 				conn.Close()
 			}
 		}
 		taken <- err
 	}()
-	conn, dialled := from.Dial(l.Addr().String(), time.Second)
+	conn, dialled := from.Dial(context.Background(), l.Addr().String(), time.Second)
 	if dialled == nil {
 		_, dialled = conn.Read(make([]byte, 1)) // a refusal of the other end shows here
 		conn.Close()
--- a/internal/simulation/members.go
+++ b/internal/simulation/members.go
@@ -158,8 +158,10 @@
 	switch d := n.manager.Decide(w.view(n), w.now); d.Action {
 	case membership.ActionBegin:
 		_ = n.member.BeginChange(d.Next, w.now) // an error: it may not begin yet
-	case membership.ActionAdopt, membership.ActionAbandon:
-		_ = n.member.FinishChange(d.Action == membership.ActionAdopt, w.now) // an error: it may not end yet
+	case membership.ActionAdopt:
+		_ = n.member.AdoptChange(w.now) // an error: it may not end yet
+	case membership.ActionAbandon:
+		_ = n.member.AbandonChange(w.now) // an error: it may not end yet
 	case membership.TransferLeadership:
 		n.member.TransferLeadership(d.To, w.now)
 	}
