--- a/internal/control/controller/answers_test.go
+++ b/internal/control/controller/answers_test.go
@@ -161,7 +161,7 @@
 		g.Expect(read.status()).To(Equal(http.StatusOK))
 		g.Expect(read.w.Body.String()).To(ContainSubstring(`"id":"fair"`))
 		var ids []string
-		for _, e := range h.servers.registry.All(h.now()) {
+		for _, e := range h.servers.registry.All(h.Now()) {
 			ids = append(ids, e.ID)
 		}
 		g.Expect(ids).To(Equal([]string{"i-1", "i-2", "i-3"}))
--- a/internal/control/controller/api.go
+++ b/internal/control/controller/api.go
@@ -45,7 +45,7 @@
 	mux.HandleFunc("DELETE /bookings/{id}", a.changeBookings)
 	mux.HandleFunc("POST /members", a.replaceMember)
 	mux.HandleFunc("GET /status", a.getStatus)
-	mux.Handle("GET /metrics", a.metrics.Handler())
+	mux.Handle("GET /metrics", a.Metrics.Handler())
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		writeError(w, apierror.UnknownCall.New("%s %s is no call", r.Method, r.URL.Path))
 	})
@@ -120,8 +120,8 @@
 func (a *controlAPI) writeOutcome(w http.ResponseWriter, r *http.Request, out outcome) {
 	raw, isRaw := out.body.(json.RawMessage)
 	switch {
-	case out.leader != "" && out.leader != a.settings.IP:
-		w.Header().Set("Location", "http://"+controlAddress(a.settings, out.leader)+r.URL.RequestURI())
+	case out.leader != "" && out.leader != a.Settings.IP:
+		w.Header().Set("Location", "http://"+controlAddress(a.Settings, out.leader)+r.URL.RequestURI())
 		w.WriteHeader(http.StatusTemporaryRedirect)
 	case out.err != nil:
 		writeError(w, out.err)
--- a/internal/control/controller/api_bookings.go
+++ b/internal/control/controller/api_bookings.go
@@ -122,7 +122,7 @@
 	if !a.consensus.replica.CommittedInTerm() {
 		return op, apierror.NoLeader.New("this leader has not caught up yet")
 	}
-	if op.Now = a.reservations.clock.Now(a.now()); op.Now == 0 {
+	if op.Now = a.reservations.clock.Now(a.Now()); op.Now == 0 {
 		op.Now = wallClock() // before the first summary
 	}
 	return op, nil
--- a/internal/control/controller/api_config.go
+++ b/internal/control/controller/api_config.go
@@ -116,7 +116,7 @@
 
 func (a *controlAPI) status() operator.Status {
 	replica, state := a.consensus.replica, a.consensus.state
-	s := operator.Status{Node: a.settings.Node, IP: a.settings.IP, Zone: a.settings.Zone, InContact: a.consensus.inContact(),
+	s := operator.Status{Node: a.Settings.Node, IP: a.Settings.IP, Zone: a.Settings.Zone, InContact: a.consensus.inContact(),
 		Version: config.Version(state.Version()).String(), Leader: a.consensus.leaderIP(), Members: a.members.current.Voters,
 		Keys: a.claims.store.Len(), Recovering: a.claims.store.Recovering(), DiskFailing: a.writer.failing, DiskMs: a.writer.meanMillis,
 		Term: replica.Term(), Commit: replica.Commit(), LastIndex: replica.Last(),
@@ -125,12 +125,12 @@
 		s.Edges = append(s.Edges, e.node)
 	}
 	for ip := range a.links.controllers {
-		s.Controllers, s.Control = append(s.Controllers, ip), append(s.Control, controlAddress(a.settings, ip))
+		s.Controllers, s.Control = append(s.Controllers, ip), append(s.Control, controlAddress(a.Settings, ip))
 	}
 	slices.Sort(s.Edges)
 	slices.Sort(s.Controllers)
 	slices.Sort(s.Control)
-	for _, e := range a.servers.registry.All(a.now()) {
+	for _, e := range a.servers.registry.All(a.Now()) {
 		s.Servers = append(s.Servers, operator.Server{ID: e.ID, Service: e.Service, Zone: e.Zone, Address: e.Address,
 			State: e.State.String(), TimedOut: e.TimedOut, Capacity: e.Capacity, Weight: a.weights.tables.Weight(e.ID)})
 	}
--- a/internal/control/controller/api_members.go
+++ b/internal/control/controller/api_members.go
@@ -43,11 +43,11 @@
 		return
 	}
 	replica := a.consensus.replica
-	if err := replica.BeginChange(next, a.now()); err != nil {
+	if err := replica.BeginChange(next, a.Now()); err != nil {
 		done <- outcome{err: apierror.NoLeader.Wrap(err, "not now")}
 		return
 	}
-	a.logEvent("membership change", "action", membership.ActionBegin, "cause", "an operator replaces "+call.Voter)
+	a.LogEvent("membership change", "action", membership.ActionBegin, "cause", "an operator replaces "+call.Voter)
 	result.Epoch = replica.Membership().Epoch
 	a.consensus.awaitEntry(replica.Last(), replica.Term(), func(_ uint64, err error) {
 		done <- outcome{body: result, err: err}
--- a/internal/control/controller/api_servers.go
+++ b/internal/control/controller/api_servers.go
@@ -54,12 +54,12 @@
 		writeError(w, apierror.Malformed.New("a heartbeat needs service, address, capacity and a state, ready or draining"))
 		return
 	}
-	a.register(w, r, h.entry(r.PathValue("id"), a.settings.IP))
+	a.register(w, r, h.entry(r.PathValue("id"), a.Settings.IP))
 }
 
 // deleteInstance takes a server's last call.
 func (a *controlAPI) deleteInstance(w http.ResponseWriter, r *http.Request) {
-	a.register(w, r, registry.Entry{ID: r.PathValue("id"), State: registry.Removed, Owner: a.settings.IP})
+	a.register(w, r, registry.Entry{ID: r.PathValue("id"), State: registry.Removed, Owner: a.Settings.IP})
 }
 
 func (a *controlAPI) register(w http.ResponseWriter, r *http.Request, e registry.Entry) {
--- a/internal/control/controller/claims.go
+++ b/internal/control/controller/claims.go
@@ -8,6 +8,7 @@
 	"mulleinwood/internal/control/idempotency"
 	"mulleinwood/internal/control/membership"
 	"mulleinwood/internal/control/storage"
+	"mulleinwood/internal/node"
 	"mulleinwood/internal/peer"
 )
 
@@ -47,7 +48,7 @@
 // claimsService runs the claim store of this controller and the coordinator of its edges' claims. A grant is told once it
 // is durable.
 type claimsService struct {
-	*environment
+	*node.Env
 	writer      *writer
 	links       *linkTable
 	members     membershipState
@@ -68,27 +69,27 @@
 	done     func(*idempotency.Response)
 }
 
-func newClaimsService(env *environment, w *writer, links *linkTable, members membershipState, state *storage.State) *claimsService {
-	s := &claimsService{environment: env, writer: w, links: links, members: members, claimants: map[idempotency.Token]*remote{},
+func newClaimsService(env *node.Env, w *writer, links *linkTable, members membershipState, state *storage.State) *claimsService {
+	s := &claimsService{Env: env, writer: w, links: links, members: members, claimants: map[idempotency.Token]*remote{},
 		queries: map[idempotency.Token]*responseQuery{}, copiedFrom: map[string]bool{}, onSynced: func() {}}
 	s.store = idempotency.NewStore(keyWindow(env), state.Recovering)
 	s.store.SetMaxResponseBytes(maxResponseBytes(env))
 	for _, r := range state.Claims {
-		s.store.Load(r, env.now())
+		s.store.Load(r, env.Now())
 	}
 	s.coordinator = idempotency.NewCoordinator(nil, claimHedgeDelay, claimTimeout)
 	return s
 }
 
 // keyWindow is how long claims are remembered.
-func keyWindow(env *environment) time.Duration {
-	return env.settings.Seconds("key_window_s", defaultKeyWindow) + keyWindowSlack
+func keyWindow(env *node.Env) time.Duration {
+	return env.Settings.Seconds("key_window_s", defaultKeyWindow) + keyWindowSlack
 }
 
 // maxResponseBytes is how many bytes the responses of keyed operations may take, in memory and on disk.
-func maxResponseBytes(env *environment) int64 {
-	megabytes := responseMemoryShare * env.settings.Limits.MemoryMB
-	if disk := env.settings.Limits.DiskMB; disk > 0 {
+func maxResponseBytes(env *node.Env) int64 {
+	megabytes := responseMemoryShare * env.Settings.Limits.MemoryMB
+	if disk := env.Settings.Limits.DiskMB; disk > 0 {
 		megabytes = min(megabytes, responseDiskShare*disk)
 	}
 	return int64(megabytes * (1 << 20))
@@ -146,9 +147,9 @@
 			p.link.Send(peer.ClaimOutcomes{{Token: r.Token, Outcome: idempotency.OutcomeUndecided}})
 			continue
 		}
-		r.ResponseHolder = s.settings.IP
+		r.ResponseHolder = s.Settings.IP
 		s.claimants[r.Token] = p
-		s.sendGrantRequests(s.coordinator.Start(r, s.now()))
+		s.sendGrantRequests(s.coordinator.Start(r, s.Now()))
 	}
 }
 
@@ -173,7 +174,7 @@
 		done(idempotency.ReplyStaleEpoch, idempotency.Record{})
 		return
 	}
-	reply, holder, mustStore := s.store.Grant(r, s.now())
+	reply, holder, mustStore := s.store.Grant(r, s.Now())
 	if !mustStore {
 		done(reply, holder)
 		return
@@ -217,7 +218,7 @@
 }
 
 func (s *claimsService) handleGrantReply(from string, token idempotency.Token, reply idempotency.GrantReply, holder idempotency.Record) {
-	requests, result := s.coordinator.HandleReply(from, token, reply, holder, s.now())
+	requests, result := s.coordinator.HandleReply(from, token, reply, holder, s.Now())
 	s.sendGrantRequests(requests)
 	if result != nil {
 		s.finishClaim(*result)
@@ -234,7 +235,7 @@
 // be asked about one claim, and only the claimant knows which of them it heard. Where another claim holds the key, the
 // response of its run goes along, if there is one.
 func (s *claimsService) finishClaim(result idempotency.Result) {
-	s.metrics.Claims.WithLabelValues(result.Outcome.String()).Inc()
+	s.Metrics.Claims.WithLabelValues(result.Outcome.String()).Inc()
 	claimant := s.claimants[result.Token]
 	delete(s.claimants, result.Token)
 	done := func(response *idempotency.Response) {
@@ -262,7 +263,7 @@
 	}
 	done = s.joinQuery(claim.Token, done)
 	s.links.sendToControllers(peer.ResponseQueries{{Key: claim.Key, Token: claim.Token}})
-	s.queries[claim.Token] = &responseQuery{deadline: s.now() + responseQueryTimeout, pending: len(s.links.controllers), done: done}
+	s.queries[claim.Token] = &responseQuery{deadline: s.Now() + responseQueryTimeout, pending: len(s.links.controllers), done: done}
 }
 
 // joinQuery lets one query serve all that wait for the same response.
@@ -289,7 +290,7 @@
 
 func (s *claimsService) revokeEverywhere(r idempotency.Record) {
 	for _, ip := range membership.Addresses(s.members.membership().All()) {
-		if ip == s.settings.IP {
+		if ip == s.Settings.IP {
 			s.revoke(r)
 		} else if p := s.links.controllers[ip]; p != nil {
 			p.link.Send(peer.Revocations{{Key: r.Key, Token: r.Token}})
@@ -298,7 +299,7 @@
 }
 
 func (s *claimsService) revoke(r idempotency.Record) {
-	if record, mustStore := s.store.Revoke(r.Key, r.Token, s.now()); mustStore {
+	if record, mustStore := s.store.Revoke(r.Key, r.Token, s.Now()); mustStore {
 		s.writer.writeClaim(record, nil)
 	}
 }
@@ -310,8 +311,8 @@
 		if r.Response == nil {
 			continue
 		}
-		r.ResponseHolder = s.settings.IP
-		s.store.Complete(r, s.now())
+		r.ResponseHolder = s.Settings.IP
+		s.store.Complete(r, s.Now())
 		if p.edge {
 			s.writer.writeClaim(r, nil)
 		} else {
@@ -405,7 +406,7 @@
 	}
 	records := make([]idempotency.Record, len(m.Records))
 	for i, r := range m.Records {
-		records[i] = s.store.Import(r, s.now())
+		records[i] = s.store.Import(r, s.Now())
 	}
 	s.writer.write(&storage.Batch{Claims: records}, nil) // durable before what says that the store is complete
 	if !m.Last {
@@ -426,7 +427,7 @@
 			return // the change is over meanwhile, or this was done before
 		}
 		s.store.FinishRecovery()
-		s.logEvent("claims copied", "keys", s.store.Len(), "epoch", epoch)
+		s.LogEvent("claims copied", "keys", s.store.Len(), "epoch", epoch)
 		s.members.announceStatus()
 	})
 }
--- a/internal/control/controller/claims_test.go
+++ b/internal/control/controller/claims_test.go
@@ -181,7 +181,7 @@
 		}
 		g.Expect(keys).To(HaveLen(40))
 		h = start(t, ipD, dir, false)
-		v, _, _ := h.claims.store.Grant(record(15), h.now())
+		v, _, _ := h.claims.store.Grant(record(15), h.Now())
 		g.Expect(v).To(Equal(idempotency.ReplyConflict), "a key that was copied is granted to nobody, after a start, too")
 		h.stop()
 	})
--- a/internal/control/controller/consensus.go
+++ b/internal/control/controller/consensus.go
@@ -12,6 +12,7 @@
 	"mulleinwood/internal/control/membership"
 	"mulleinwood/internal/control/statemachine"
 	"mulleinwood/internal/control/storage"
+	"mulleinwood/internal/node"
 	"mulleinwood/internal/peer"
 	"mulleinwood/internal/platform/apierror"
 )
@@ -40,7 +41,7 @@
 // consensusRuntime drives the replica: it stores and sends what the replica puts out, applies what is committed to the
 // state machine and answers the calls that waited for it.
 type consensusRuntime struct {
-	*environment
+	*node.Env
 	writer  *writer
 	events  consensusEvents
 	replica *consensus.Replica
@@ -79,7 +80,7 @@
 
 // inContact reports whether this controller is in contact with a majority of the voters.
 func (r *consensusRuntime) inContact() bool {
-	return !r.snapshotUnreadable && r.replica.HasQuorumContact(r.now())
+	return !r.snapshotUnreadable && r.replica.HasQuorumContact(r.Now())
 }
 
 func (r *consensusRuntime) tick(now time.Duration) {
@@ -112,7 +113,7 @@
 			r.events.sendConsensus(m)
 		}
 		if index > 0 {
-			r.replica.MarkDurable(index, term, r.now())
+			r.replica.MarkDurable(index, term, r.Now())
 		}
 	}
 	if out.Empty() && r.writer.idle() {
@@ -139,7 +140,7 @@
 		}
 	}
 	if v := r.state.Bookings.Version; v != bookingsBefore {
-		r.logEvent("bookings changed", "version", v, "active", len(r.state.Bookings.Active))
+		r.LogEvent("bookings changed", "version", v, "active", len(r.state.Bookings.Active))
 	}
 	if r.state.Version() != before {
 		delta := out.Install == nil && len(changes) == 1 && changes[0].Patch
@@ -151,7 +152,7 @@
 // install restores the state from a snapshot, and reports whether it could be read.
 func (r *consensusRuntime) install(s consensus.Snapshot) bool {
 	if err := r.state.Restore(s); err != nil {
-		r.logEvent("snapshot unreadable", "index", s.Index, "cause", err)
+		r.LogEvent("snapshot unreadable", "index", s.Index, "cause", err)
 		r.snapshotUnreadable = true
 		return false
 	}
@@ -168,7 +169,7 @@
 	}
 	change, err := r.state.Apply(e)
 	if change != nil {
-		r.logEvent("configuration changed", "version", config.Version(r.state.Version()), "index", e.Index, "term", e.Term,
+		r.LogEvent("configuration changed", "version", config.Version(r.state.Version()), "index", e.Index, "term", e.Term,
 			"routes", len(r.state.Config.Routes))
 	}
 	if p, ok := r.proposals[e.Index]; ok {
@@ -225,7 +226,7 @@
 		done(0, apierror.Malformed.Wrap(err, "change"))
 		return
 	}
-	index, term, _ := r.replica.Propose(data, r.now())
+	index, term, _ := r.replica.Propose(data, r.Now())
 	r.awaitEntry(index, term, done)
 }
 
@@ -235,12 +236,12 @@
 	if previous, ok := r.proposals[index]; ok {
 		previous.done(0, errSuperseded())
 	}
-	r.proposals[index] = proposal{term: term, deadline: r.now() + callTimeout, done: done}
+	r.proposals[index] = proposal{term: term, deadline: r.Now() + callTimeout, done: done}
 }
 
 // readConfirmed answers with what render gives once a majority has confirmed that this controller still leads.
 func (r *consensusRuntime) readConfirmed(render func() ([]byte, error), done func(body []byte, err error)) {
-	now := r.now()
+	now := r.Now()
 	r.reads = append(r.reads, read{readIndex: r.replica.ReadIndex(now), deadline: now + callTimeout, render: render, done: done})
 }
 
@@ -249,7 +250,7 @@
 		switch {
 		case r.leads() && r.replica.ReadConfirmed(one.readIndex):
 			one.done(one.render())
-		case !r.leads() || r.now() > one.deadline:
+		case !r.leads() || r.Now() > one.deadline:
 			one.done(nil, apierror.NoLeader.New("it could not be confirmed that this controller leads"))
 		default:
 			return false
@@ -280,6 +281,6 @@
 	}
 	if role != r.loggedRole {
 		r.loggedRole = role
-		r.logEvent("role changed", "role", role, "term", r.replica.Term(), "commit", r.replica.Commit())
+		r.LogEvent("role changed", "role", role, "term", r.replica.Term(), "commit", r.replica.Commit())
 	}
 }
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -6,7 +6,7 @@
 // it functions through an inbox and never touch its state; whatever waits for a disk or a peer is a callback that the owner
 // runs later. Each part has a file and a state of its own:
 //
-//	environment       facts of the platform, log, clock
+//	node.Env          facts of the platform, log, clock
 //	writer            what has to become durable, in order, one sync at a time
 //	consensusRuntime  the replica, the state machine and the calls that wait for them
 //	memberService     who votes, and this replica's identity
@@ -30,13 +30,12 @@
 	"strings"
 	"time"
 
-	"github.com/go-kit/log"
-
 	"mulleinwood/internal/control/consensus"
 	"mulleinwood/internal/control/membership"
 	"mulleinwood/internal/control/registry"
 	"mulleinwood/internal/control/statemachine"
 	"mulleinwood/internal/control/storage"
+	"mulleinwood/internal/node"
 	"mulleinwood/internal/peer"
 	"mulleinwood/internal/platform/lifecycle"
 	"mulleinwood/internal/platform/metrics"
@@ -54,17 +53,10 @@
 	maxHeaderBytes    = 32 << 10
 )
 
-// Config is what a controller starts with. All fields but Security are required.
-type Config struct {
-	Settings *nodesettings.Settings
-	Security *peer.Security // nil: links to other processes are plain
-	Logger   log.Logger
-}
-
-// Controller is one controller process. All fields belong to the owner's goroutine, but for the embedded environment,
+// Controller is one controller process. All fields belong to the owner's goroutine, but for the embedded Env,
 // security, inbox and linkCtx, which don't change after the start.
 type Controller struct {
-	*environment
+	*node.Env
 	security *peer.Security
 	inbox    chan func()
 	linkCtx  context.Context // ends the goroutines that dial
@@ -83,7 +75,7 @@
 }
 
 // Run serves until ctx ends, and then until the shutdown in order is done.
-func Run(ctx context.Context, config Config) error {
+func Run(ctx context.Context, config node.Config) error {
 	linkCtx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // links are needed during the shutdown, too
 	defer cancel()
 	c := newController(config, rand.Uint64()|1)
@@ -93,12 +85,12 @@
 		return err
 	}
 	defer c.closeStorage()
-	inner, err := listen(ctx, c.settings.InnerAddress(c.settings.IP))
+	inner, err := node.Listen(ctx, c.Settings.InnerAddress(c.Settings.IP))
 	if err != nil {
 		return err
 	}
 	defer closeListener(inner)
-	control, err := listen(ctx, c.settings.Listen.Control)
+	control, err := node.Listen(ctx, c.Settings.Listen.Control)
 	if err != nil {
 		return err
 	}
@@ -107,7 +99,7 @@
 	go c.serveControl(server, control)
 	defer stopServer(server)
 	go c.acceptLinks(linkCtx, inner)
-	c.logEvent("controller starts", "node", c.settings.Node, "zone", c.settings.Zone, "identity", c.members.identity,
+	c.LogEvent("controller starts", "node", c.Settings.Node, "zone", c.Settings.Zone, "identity", c.members.identity,
 		"epoch", c.members.current.Epoch, "voters", strings.Join(c.members.current.Voters, " "))
 	go func() {
 		for range reloads {
@@ -116,40 +108,34 @@
 	}()
 	c.loop(ctx)
 	c.links.drain(drainTimeout)
-	c.logEvent("controller ends", "node", c.settings.Node)
+	c.LogEvent("controller ends", "node", c.Settings.Node)
 	return nil
 }
 
-func listen(ctx context.Context, address string) (net.Listener, error) {
-	var config net.ListenConfig
-	return config.Listen(ctx, "tcp", address)
-}
-
 // closeListener stops accepting. Nothing is lost if it fails: the process ends.
 func closeListener(l net.Listener) { _ = l.Close() }
 
 // closeStorage closes the file. All that was acknowledged is durable already.
 func (c *Controller) closeStorage() {
 	if err := c.storage.Close(); err != nil {
-		c.logEvent("storage close failed", "cause", err)
+		c.LogEvent("storage close failed", "cause", err)
 	}
 }
 
 func (c *Controller) serveControl(server *http.Server, l net.Listener) {
 	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		c.logEvent("control endpoint ends", "cause", err)
+		c.LogEvent("control endpoint ends", "cause", err)
 	}
 }
 
 // newController makes a controller without its disk; open completes it. The incarnation names this run of the process.
-func newController(config Config, incarnation uint64) *Controller {
-	env := &environment{settings: config.Settings, logger: config.Logger, metrics: metrics.New(metrics.Controller),
-		startedAt: time.Now(), incarnation: incarnation}
-	c := &Controller{environment: env, security: config.Security, inbox: make(chan func(), inboxSize), linkCtx: context.Background()}
-	c.writer = &writer{environment: env, runOnOwner: c.runOnOwner, commit: func(batches []*storage.Batch) error { return c.storage.Commit(batches) }}
+func newController(config node.Config, incarnation uint64) *Controller {
+	env := node.NewEnv(config, metrics.Controller, incarnation)
+	c := &Controller{Env: env, security: config.Security, inbox: make(chan func(), inboxSize), linkCtx: context.Background()}
+	c.writer = &writer{Env: env, runOnOwner: c.runOnOwner, commit: func(batches []*storage.Batch) error { return c.storage.Commit(batches) }}
 	c.links = newLinkTable(env)
-	c.consensus = &consensusRuntime{environment: env, writer: c.writer, events: c, state: statemachine.New(), proposals: map[uint64]proposal{}}
-	c.members = &memberService{environment: env, writer: c.writer, links: c.links, consensus: c.consensus, addController: c.addController,
+	c.consensus = &consensusRuntime{Env: env, writer: c.writer, events: c, state: statemachine.New(), proposals: map[uint64]proposal{}}
+	c.members = &memberService{Env: env, writer: c.writer, links: c.links, consensus: c.consensus, addController: c.addController,
 		shuttingDown: func() bool { return c.shutdown.started }, seen: map[string]membership.Controller{}}
 	c.servers = newRegistrar(env, c.links, c.consensus.inContact, c.handleServerUpdates)
 	c.weights = newWeightService(env, c.links, func() int { return len(c.members.current.Voters) }, c.serviceOfServer)
@@ -160,31 +146,31 @@
 // open reads the disk and makes what starts from it.
 func (c *Controller) open() error {
 	dir := os.TempDir()
-	if c.settings.DataDir != nil {
-		dir = *c.settings.DataDir
+	if c.Settings.DataDir != nil {
+		dir = *c.Settings.DataDir
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("make data directory: %w", err)
 	}
-	opened, state, err := storage.Open(dir, keyWindow(c.environment), maxResponseBytes(c.environment))
+	opened, state, err := storage.Open(dir, keyWindow(c.Env), maxResponseBytes(c.Env))
 	if err != nil {
 		return err
 	}
 	c.storage = opened
 	if state.Corrupt != nil {
-		c.logEvent("data file corrupt", "moved_to", storage.CorruptFileName, "cause", state.Corrupt)
+		c.LogEvent("data file corrupt", "moved_to", storage.CorruptFileName, "cause", state.Corrupt)
 	}
 	if err := c.members.initIdentity(state, c.storage.Commit); err != nil {
 		return fmt.Errorf("store the identity: %w", err)
 	}
 	c.members.load(state)
-	c.claims = newClaimsService(c.environment, c.writer, c.links, c.members, state)
+	c.claims = newClaimsService(c.Env, c.writer, c.links, c.members, state)
 	c.claims.onSynced = func() { c.shutdown.handOverSynced = true }
 	c.members.claims = c.claims
-	c.weights.tables.UpdateServers(c.servers.load(state.Servers), c.now())
+	c.weights.tables.UpdateServers(c.servers.load(state.Servers), c.Now())
 	c.consensus.replica = consensus.New(consensus.Config{ID: c.members.identity,
-		Timing: consensus.Timing{Heartbeat: heartbeatInterval, ElectionTimeout: electionTimeout}, Seed: c.incarnation,
-		Membership: bootstrapMembership(state.BootstrapVoters), Hard: state.Hard, Snapshot: state.Snapshot, Log: state.Entries, Now: c.now()})
+		Timing: consensus.Timing{Heartbeat: heartbeatInterval, ElectionTimeout: electionTimeout}, Seed: c.Incarnation,
+		Membership: bootstrapMembership(state.BootstrapVoters), Hard: state.Hard, Snapshot: state.Snapshot, Log: state.Entries, Now: c.Now()})
 	c.claims.setStores()
 	c.learnAddresses()
 	return nil
@@ -192,30 +178,30 @@
 
 // learnAddresses notes the controllers that are dialled from the start: the seeds and all voters.
 func (c *Controller) learnAddresses() {
-	for _, ip := range c.settings.SeedIPs() {
+	for _, ip := range c.Settings.SeedIPs() {
 		c.links.known[ip] = true
 	}
 	for _, ip := range membership.Addresses(c.members.current.All()) {
 		c.links.known[ip] = true
 	}
-	delete(c.links.known, c.settings.IP)
+	delete(c.links.known, c.Settings.IP)
 }
 
 // reload takes over what a running controller has use for of the settings file: the seeds. It also reads the certificates
 // again. A file that is wrong changes nothing.
 func (c *Controller) reload() {
 	if err := c.security.Reload(); err != nil {
-		c.logEvent("inner TLS rejected", "cause", err)
+		c.LogEvent("inner TLS rejected", "cause", err)
 	}
 	settings, err := nodesettings.Load()
 	if err != nil {
-		c.logEvent("settings rejected", "cause", err)
+		c.LogEvent("settings rejected", "cause", err)
 		return
 	}
 	for _, ip := range settings.SeedIPs() {
 		c.addController(ip)
 	}
-	c.logEvent("settings reloaded", "seeds", strings.Join(settings.Seeds, " "))
+	c.LogEvent("settings reloaded", "seeds", strings.Join(settings.Seeds, " "))
 }
 
 // runOnOwner has the owner run a function. It blocks while the inbox is full.
@@ -263,7 +249,7 @@
 
 // tick does what is due by the clock.
 func (c *Controller) tick() {
-	now := c.now()
+	now := c.Now()
 	c.consensus.tick(now)
 	c.claims.tick(now)
 	c.members.chooseBootstrapVoters()
@@ -305,7 +291,7 @@
 // handleServerUpdates takes what changed of servers to the disk and to the weight tables.
 func (c *Controller) handleServerUpdates(entries []registry.Entry) {
 	c.writer.writeServers(entries)
-	c.weights.tables.UpdateServers(entries, c.now())
+	c.weights.tables.UpdateServers(entries, c.Now())
 }
 
 func (c *Controller) serviceOfServer(server string) (service string, known bool) {
--- a/internal/control/controller/departure_test.go
+++ b/internal/control/controller/departure_test.go
@@ -118,7 +118,7 @@
 		op := reservation.Op{Call: "x", Now: now, Puts: []reservation.Booking{{ID: "x", Tenant: "t.example", Service: "s", Start: now, End: now + 3600, Slots: 1, Owner: "o"}}}
 		data, err := cbor.Marshal(statemachine.Change{Bookings: &op})
 		g.Expect(err).NotTo(HaveOccurred())
-		h.consensus.replica.Propose(data, h.now())
+		h.consensus.replica.Propose(data, h.Now())
 		h.turn()
 		h.confirms(b)
 		g.Expect(h.consensus.state.Bookings.Active).To(HaveLen(1))
--- a/internal/control/controller/fuzz_test.go
+++ b/internal/control/controller/fuzz_test.go
@@ -11,6 +11,7 @@
 
 	"mulleinwood/internal/control/consensus"
 	"mulleinwood/internal/control/registry"
+	"mulleinwood/internal/node"
 	"mulleinwood/internal/platform/nodesettings"
 )
 
@@ -31,7 +32,7 @@
 		f.Fatal(err)
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		c := newController(Config{Settings: set, Logger: log.NewNopLogger()}, 1)
+		c := newController(node.Config{Settings: set, Logger: log.NewNopLogger()}, 1)
 		c.consensus.replica = consensus.New(consensus.Config{ID: "10.0.0.1", Membership: consensus.Membership{Epoch: 1, Voters: []string{"10.0.0.1"}},
 			Timing: consensus.Timing{Heartbeat: heartbeatInterval, ElectionTimeout: electionTimeout}})
 		c.consensus.replica.Tick(time.Minute) // it leads, alone: what says that a server leaves is acknowledged
--- a/internal/control/controller/harness_test.go
+++ b/internal/control/controller/harness_test.go
@@ -21,6 +21,7 @@
 	"mulleinwood/internal/control/idempotency"
 	"mulleinwood/internal/control/membership"
 	"mulleinwood/internal/control/storage"
+	"mulleinwood/internal/node"
 	"mulleinwood/internal/peer"
 	"mulleinwood/internal/platform/nodesettings"
 )
@@ -86,7 +87,7 @@
 // start begins a controller's life on a disk. It dials nobody.
 func start(t *testing.T, ip, dir string, first bool) *host {
 	h := &host{t: t, g: NewWithT(t), dir: dir, log: &lines{}}
-	c := newController(Config{Settings: settings(t, ip, dir, first), Logger: log.NewLogfmtLogger(h.log)}, 99)
+	c := newController(node.Config{Settings: settings(t, ip, dir, first), Logger: log.NewLogfmtLogger(h.log)}, 99)
 	c.summaries.next = time.Nanosecond // the first summary has all that are known dialled
 	h.Controller = c
 	h.g.Expect(c.open()).To(Succeed())
@@ -136,7 +137,7 @@
 
 // pass lets time pass, tick by tick.
 func (h *host) pass(d time.Duration) {
-	for end := h.now() + d; h.now() < end; {
+	for end := h.Now() + d; h.Now() < end; {
 		time.Sleep(tickInterval)
 		h.tick()
 		h.turn()
--- a/internal/control/controller/links.go
+++ b/internal/control/controller/links.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"mulleinwood/internal/control/membership"
+	"mulleinwood/internal/node"
 	"mulleinwood/internal/peer"
 )
 
@@ -62,7 +63,7 @@
 
 // linkTable holds the links to other processes and the addresses of controllers.
 type linkTable struct {
-	*environment
+	*node.Env
 	controllers map[string]*remote // by IP
 	edges       map[string]*remote // by IP
 	secondary   map[*remote]bool
@@ -71,8 +72,8 @@
 	rejected    map[string]uint64        // clusters of controllers that were rejected, by IP
 }
 
-func newLinkTable(env *environment) *linkTable {
-	return &linkTable{environment: env, controllers: map[string]*remote{}, edges: map[string]*remote{}, secondary: map[*remote]bool{},
+func newLinkTable(env *node.Env) *linkTable {
+	return &linkTable{Env: env, controllers: map[string]*remote{}, edges: map[string]*remote{}, secondary: map[*remote]bool{},
 		known: map[string]bool{}, unreachable: map[string]time.Duration{}, rejected: map[string]uint64{}}
 }
 
@@ -154,7 +155,7 @@
 		delete(t.edges, p.ip)
 	case !p.edge && t.controllers[p.ip] == p:
 		delete(t.controllers, p.ip)
-		t.unreachable[p.ip] = t.now()
+		t.unreachable[p.ip] = t.Now()
 	default:
 		return false
 	}
@@ -165,22 +166,22 @@
 func (t *linkTable) reject(p *remote, cluster uint64) {
 	if t.rejected[p.ip] != cluster {
 		t.rejected[p.ip] = cluster
-		t.logEvent("peer rejected", "node", p.node, "ip", p.ip, "cause", "it belongs to another cluster", "cluster", cluster)
+		t.LogEvent("peer rejected", "node", p.node, "ip", p.ip, "cause", "it belongs to another cluster", "cluster", cluster)
 	}
 	p.link.Close()
 }
 
 // controllerLost reports whether a controller has been unreachable for longer than its servers need to find another.
 func (t *linkTable) controllerLost(ip string) bool {
-	if ip == t.settings.IP || t.controllers[ip] != nil {
+	if ip == t.Settings.IP || t.controllers[ip] != nil {
 		return false
 	}
 	since, known := t.unreachable[ip]
 	if !known {
-		t.unreachable[ip] = t.now()
+		t.unreachable[ip] = t.Now()
 		return false
 	}
-	return t.now()-since > controllerLostAfter
+	return t.Now()-since > controllerLostAfter
 }
 
 // zoneEdgeHashes lists a zone's edges, whichever controller they are attached to.
@@ -213,7 +214,7 @@
 	switch {
 	case t.controllers[ip] != nil:
 		return dialLinked
-	case unreachable < forgetAfter || slices.Contains(membership.Addresses(voters), ip) || slices.Contains(t.settings.SeedIPs(), ip):
+	case unreachable < forgetAfter || slices.Contains(membership.Addresses(voters), ip) || slices.Contains(t.Settings.SeedIPs(), ip):
 		return dialWanted
 	}
 	delete(t.known, ip)
--- a/internal/control/controller/membership.go
+++ b/internal/control/controller/membership.go
@@ -12,6 +12,7 @@
 	"mulleinwood/internal/control/consensus"
 	"mulleinwood/internal/control/membership"
 	"mulleinwood/internal/control/storage"
+	"mulleinwood/internal/node"
 	"mulleinwood/internal/operator"
 	"mulleinwood/internal/peer"
 )
@@ -22,7 +23,7 @@
 // memberService knows which replicas vote and what this one's part is. On a leader it also carries out what the membership
 // manager decides.
 type memberService struct {
-	*environment
+	*node.Env
 	writer    *writer
 	links     *linkTable
 	consensus *consensusRuntime
@@ -53,22 +54,22 @@
 		s.identity = state.Identity
 		return nil
 	}
-	firstStart := s.settings.FirstStart && state.Corrupt == nil
+	firstStart := s.Settings.FirstStart && state.Corrupt == nil
 	recovering := true
 	switch {
 	case len(state.BootstrapVoters) > 0 && !state.Hard.DiskLost && !state.Recovering: // a complete file without an identity
-		s.identity, recovering = membership.Identity(s.settings.IP, 0), false
+		s.identity, recovering = membership.Identity(s.Settings.IP, 0), false
 		if snapshot := &state.Snapshot; snapshot.Index > 0 && snapshot.Membership.Epoch == 0 {
 			snapshot.Membership = consensus.Membership{Epoch: 1, Voters: state.BootstrapVoters}
 		}
 	case firstStart:
-		s.identity = membership.Identity(s.settings.IP, 0)
+		s.identity = membership.Identity(s.Settings.IP, 0)
 	default: // the disk was lost: what it voted and granted is not known
-		s.identity, state.BootstrapVoters = newIdentity(s.settings.IP), nil
+		s.identity, state.BootstrapVoters = newIdentity(s.Settings.IP), nil
 	}
 	state.Recovering = recovering
 	batch := &storage.Batch{Identity: s.identity, Recovering: &recovering}
-	if seeds := s.sortedSeeds(); firstStart && len(state.BootstrapVoters) == 0 && slices.Contains(seeds, s.settings.IP) && len(seeds) >= s.wantedVoters() {
+	if seeds := s.sortedSeeds(); firstStart && len(state.BootstrapVoters) == 0 && slices.Contains(seeds, s.Settings.IP) && len(seeds) >= s.wantedVoters() {
 		recovering = false // it never granted anything
 		state.BootstrapVoters, state.Recovering = seeds, false
 		batch.BootstrapVoters, batch.Hard = seeds, &state.Hard
@@ -80,7 +81,7 @@
 
 // load takes over what the disk held of the membership.
 func (s *memberService) load(state *storage.State) {
-	s.firstStart = s.settings.FirstStart && s.identity == membership.Identity(s.settings.IP, 0)
+	s.firstStart = s.Settings.FirstStart && s.identity == membership.Identity(s.Settings.IP, 0)
 	s.bootstrapVoters = state.BootstrapVoters
 	s.current = state.Membership
 	if s.current.Epoch == 0 {
@@ -100,12 +101,12 @@
 
 // sortedSeeds are the addresses of the seeds. If they are enough, they are the voters of a first start.
 func (s *memberService) sortedSeeds() []string {
-	return slices.Sorted(slices.Values(s.settings.SeedIPs()))
+	return slices.Sorted(slices.Values(s.Settings.SeedIPs()))
 }
 
 // wantedVoters is how many voters the consensus needs, so that a majority remains when as many as are tolerated are lost.
 func (s *memberService) wantedVoters() int {
-	tolerated := s.settings.Tolerance
+	tolerated := s.Settings.Tolerance
 	return 2*max(tolerated.Machines, min(1, tolerated.Zones+tolerated.Regions)) + 1
 }
 
@@ -113,10 +114,10 @@
 // of them. The first of the seeds alone decides; the others learn it from its handshake.
 func (s *memberService) chooseBootstrapVoters() {
 	seeds := s.sortedSeeds()
-	if !s.firstStart || len(s.bootstrapVoters) > 0 || !s.settings.Counted || len(seeds) == 0 || seeds[0] != s.settings.IP {
+	if !s.firstStart || len(s.bootstrapVoters) > 0 || !s.Settings.Counted || len(seeds) == 0 || seeds[0] != s.Settings.IP {
 		return
 	}
-	candidates := []string{s.settings.IP}
+	candidates := []string{s.Settings.IP}
 	for ip, p := range s.links.controllers {
 		if p.counted {
 			candidates = append(candidates, ip)
@@ -159,8 +160,8 @@
 
 // handshake holds only what never changes, since it is also sent from outside the owner.
 func (s *memberService) handshake() *peer.Handshake {
-	return &peer.Handshake{Node: s.settings.Node, IP: s.settings.IP, Zone: s.settings.Zone, Incarnation: s.incarnation,
-		Counted: s.settings.Counted, Cluster: s.cluster.Load()}
+	return &peer.Handshake{Node: s.Settings.Node, IP: s.Settings.IP, Zone: s.Settings.Zone, Incarnation: s.Incarnation,
+		Counted: s.Settings.Counted, Cluster: s.cluster.Load()}
 }
 
 // apply takes over a membership that is committed. From when it is durable, this claim store grants nothing that is asked
@@ -193,7 +194,7 @@
 		s.addController(ip)
 	}
 	s.claims.setStores()
-	s.logEvent("membership changed", "epoch", m.Epoch, "cluster", m.Cluster, "voters", strings.Join(m.Voters, " "),
+	s.LogEvent("membership changed", "epoch", m.Epoch, "cluster", m.Cluster, "voters", strings.Join(m.Voters, " "),
 		"next", strings.Join(m.Next, " "), "votes", m.Contains(s.identity))
 }
 
@@ -203,14 +204,14 @@
 	s.claims.store.BeginRecovery()
 	s.retired = true
 	recovering := true
-	batch.Identity, batch.Recovering = newIdentity(s.settings.IP), &recovering
+	batch.Identity, batch.Recovering = newIdentity(s.Settings.IP), &recovering
 	return batch.Identity
 }
 
 // finishRecoveryOfFounder lets the store of a voter of the first start grant: under that identity it never granted anything
 // before.
 func (s *memberService) finishRecoveryOfFounder() {
-	if s.identity != membership.Identity(s.settings.IP, 0) || !slices.Contains(s.current.Voters, s.identity) {
+	if s.identity != membership.Identity(s.Settings.IP, 0) || !slices.Contains(s.current.Voters, s.identity) {
 		return
 	}
 	recovering := false
@@ -273,7 +274,7 @@
 		return
 	}
 	err := s.carryOut(d, now)
-	s.logEvent("membership change", "action", d.Action, "cause", d.Cause, "next", strings.Join(d.Next, " "), "to", d.To, "error", err)
+	s.LogEvent("membership change", "action", d.Action, "cause", d.Cause, "next", strings.Join(d.Next, " "), "to", d.To, "error", err)
 }
 
 func (s *memberService) carryOut(d membership.Decision, now time.Duration) error {
@@ -296,7 +297,7 @@
 	replica := s.consensus.replica
 	v := membership.View{Self: s.identity, Term: replica.Term(), Membership: replica.Membership(), Committed: replica.MembershipCommitted(),
 		WantedVoters: s.wantedVoters()}
-	v.Controllers = append(v.Controllers, membership.Controller{ID: s.identity, Zone: s.settings.Zone, Counted: s.settings.Counted, Connected: true,
+	v.Controllers = append(v.Controllers, membership.Controller{ID: s.identity, Zone: s.Settings.Zone, Counted: s.Settings.Counted, Connected: true,
 		CaughtUp: true, ShuttingDown: s.shuttingDown(), Epoch: s.durable, Ready: !s.claims.store.Recovering()})
 	for identity, one := range s.seen {
 		if p := s.links.replica(identity); p != nil {
@@ -315,7 +316,7 @@
 // transferLeadership hands leadership to any other voter that holds the complete log.
 func (s *memberService) transferLeadership() {
 	for _, identity := range s.current.Voters {
-		if identity != s.identity && s.consensus.replica.TransferLeadership(identity, s.now()) {
+		if identity != s.identity && s.consensus.replica.TransferLeadership(identity, s.Now()) {
 			return
 		}
 	}
--- a/internal/control/controller/registrar.go
+++ b/internal/control/controller/registrar.go
@@ -5,6 +5,7 @@
 
 	"mulleinwood/internal/control/broadcast"
 	"mulleinwood/internal/control/registry"
+	"mulleinwood/internal/node"
 	"mulleinwood/internal/peer"
 	"mulleinwood/internal/platform/apierror"
 )
@@ -18,7 +19,7 @@
 
 // registrar keeps the register of servers and spreads what changes in it.
 type registrar struct {
-	*environment
+	*node.Env
 	links       *linkTable
 	registry    *registry.Registry
 	broadcaster *broadcast.Broadcaster
@@ -29,9 +30,9 @@
 	lastCall uint64
 }
 
-func newRegistrar(env *environment, links *linkTable, inContact func() bool, onUpdates func([]registry.Entry)) *registrar {
+func newRegistrar(env *node.Env, links *linkTable, inContact func() bool, onUpdates func([]registry.Entry)) *registrar {
 	servers := registry.New(tombstoneRetention)
-	return &registrar{environment: env, links: links, registry: servers, broadcaster: broadcast.New(servers), inContact: inContact,
+	return &registrar{Env: env, links: links, registry: servers, broadcaster: broadcast.New(servers), inContact: inContact,
 		onUpdates: onUpdates, calls: map[uint64]func(){}}
 }
 
@@ -39,8 +40,8 @@
 // them out. It gives what is new here.
 func (r *registrar) load(entries []registry.Entry) (added []registry.Entry) {
 	for _, e := range entries {
-		e.WarmupLeft, e.Owner = 0, r.settings.IP
-		if current, updated := r.registry.Apply(e, r.now()); updated {
+		e.WarmupLeft, e.Owner = 0, r.Settings.IP
+		if current, updated := r.registry.Apply(e, r.Now()); updated {
 			added = append(added, current)
 		}
 	}
@@ -51,10 +52,10 @@
 	switch m := m.(type) {
 	case peer.RegistryUpdate:
 		if len(m.Entries) > 0 {
-			r.broadcaster.HandleUpdate(p.peerName(), m.Entries, m.AckID, r.now())
+			r.broadcaster.HandleUpdate(p.peerName(), m.Entries, m.AckID, r.Now())
 		}
 	case *peer.Digests:
-		if reply := m.Compare(r.registry, r.now()); reply != nil {
+		if reply := m.Compare(r.registry, r.Now()); reply != nil {
 			p.link.Send(reply...)
 		}
 	case peer.RegistryAck:
@@ -64,13 +65,13 @@
 
 // expireHeartbeats marks the servers whose heartbeats stopped, and spreads that.
 func (r *registrar) expireHeartbeats(now time.Duration) {
-	timeout := time.Duration(missedHeartbeats * r.settings.BeatPeriod * float64(time.Second))
-	changed := r.registry.MarkTimedOut(r.settings.IP, r.links.controllerLost, timeout, now)
+	timeout := time.Duration(missedHeartbeats * r.Settings.BeatPeriod * float64(time.Second))
+	changed := r.registry.MarkTimedOut(r.Settings.IP, r.links.controllerLost, timeout, now)
 	if len(changed) == 0 {
 		return
 	}
 	for _, e := range changed {
-		r.logEvent("server timed out", "server", e.ID, "service", e.Service, "removed", e.Ended())
+		r.LogEvent("server timed out", "server", e.ID, "service", e.Service, "removed", e.Ended())
 	}
 	r.broadcaster.Publish(changed, now)
 }
@@ -116,20 +117,20 @@
 	r.lastCall++
 	reply := registration{heartbeatTarget: r.heartbeatTarget(e.Zone)}
 	r.calls[r.lastCall] = func() { done <- reply }
-	if changed, first := r.broadcaster.HandleServerCall(e, r.lastCall, r.now()); first {
-		r.logEvent("server changed", "server", changed.ID, "service", changed.Service, "zone", changed.Zone,
+	if changed, first := r.broadcaster.HandleServerCall(e, r.lastCall, r.Now()); first {
+		r.LogEvent("server changed", "server", changed.ID, "service", changed.Service, "zone", changed.Zone,
 			"address", changed.Address, "state", changed.State, "seq", changed.Seq)
 	}
 }
 
 // heartbeatTarget is the control address of a controller of the server's zone, so that heartbeats don't cross zones.
 func (r *registrar) heartbeatTarget(zone string) string {
-	if zone == "" || zone == r.settings.Zone {
+	if zone == "" || zone == r.Settings.Zone {
 		return ""
 	}
 	for ip, p := range r.links.controllers {
 		if p.zone == zone && p.summary.inContact {
-			return controlAddress(r.settings, ip)
+			return controlAddress(r.Settings, ip)
 		}
 	}
 	return ""
--- a/internal/control/controller/reservations.go
+++ b/internal/control/controller/reservations.go
@@ -9,6 +9,7 @@
 
 	"mulleinwood/internal/control/registry"
 	"mulleinwood/internal/control/reservation"
+	"mulleinwood/internal/node"
 	"mulleinwood/internal/operator"
 	"mulleinwood/internal/peer"
 )
@@ -22,7 +23,7 @@
 // reservationService gives the edges their shares of booked slots. The leader says which reservations are in force and
 // allocates them; the other controllers pass that on between it and their edges. Without any booking it does nothing.
 type reservationService struct {
-	*environment
+	*node.Env
 	links     *linkTable
 	consensus *consensusRuntime
 	registry  *registry.Registry
@@ -44,14 +45,14 @@
 	provenAt    time.Duration // when the last one that was confirmed had been requested; 0: none
 }
 
-func newReservationService(env *environment, links *linkTable, c *consensusRuntime, servers *registry.Registry) *reservationService {
-	return &reservationService{environment: env, links: links, consensus: c, registry: servers, clock: reservation.NewClock()}
+func newReservationService(env *node.Env, links *linkTable, c *consensusRuntime, servers *registry.Registry) *reservationService {
+	return &reservationService{Env: env, links: links, consensus: c, registry: servers, clock: reservation.NewClock()}
 }
 
 // capacities is what the services' servers carry at once, by service and zone: the slots of those that take requests.
 func (s *reservationService) capacities() map[string]reservation.Capacity {
 	all := map[string]reservation.Capacity{}
-	for _, e := range s.registry.All(s.now()) {
+	for _, e := range s.registry.All(s.Now()) {
 		if e.State != registry.Ready || e.TimedOut {
 			continue
 		}
@@ -114,11 +115,11 @@
 	changed := s.announced == nil || s.announced.Term != term || !slices.Equal(s.announced.List, list)
 	if changed || len(list) > 0 && now >= s.nextAnnounce {
 		s.nextAnnounce = now + announceInterval
-		s.announced, s.announcer = &peer.Reservations{Term: term, List: list}, s.settings.IP
+		s.announced, s.announcer = &peer.Reservations{Term: term, List: list}, s.Settings.IP
 		s.links.sendToControllers(s.announced)
 	}
 	if changed {
-		s.logEvent("reservations changed", "count", len(list), "term", s.announced.Term)
+		s.LogEvent("reservations changed", "count", len(list), "term", s.announced.Term)
 		s.links.sendToEdges(s.announced)
 	}
 }
@@ -142,7 +143,7 @@
 	}
 	for owner, leases := range byController {
 		slices.SortFunc(leases, func(a, b peer.EdgeLease) int { return cmp.Compare(a.Edge, b.Edge) })
-		if owner == s.settings.IP {
+		if owner == s.Settings.IP {
 			s.forwardLeases(leases)
 		} else if p := s.links.controllers[owner]; p != nil {
 			p.link.Send(leases)
@@ -193,7 +194,7 @@
 		demands[0].Edge = p.ip
 		demands = demands[:1]
 	}
-	if s.announcer != s.settings.IP {
+	if s.announcer != s.Settings.IP {
 		if allocator := s.links.controllers[s.announcer]; p.edge && allocator != nil {
 			allocator.link.Send(demands)
 		}
@@ -201,17 +202,17 @@
 	}
 	owner := p.ip
 	if p.edge {
-		owner = s.settings.IP
+		owner = s.Settings.IP
 	}
 	for _, d := range demands {
 		s.controllerOf[d.Edge] = owner
-		s.allocator.HandleDemand(d.Edge, d.Demand, s.now())
+		s.allocator.HandleDemand(d.Edge, d.Demand, s.Now())
 	}
 }
 
 // operatorView is the ledger as operators read it, in JSON.
 func (s *reservationService) operatorView() ([]byte, error) {
-	now := s.now()
+	now := s.Now()
 	ledger := s.ledger()
 	view := operator.Bookings{Version: ledgerVersion(ledger.Version), Now: s.clock.Now(now), Past: ledger.Past,
 		Shortfalls: map[string]float64{}, Usage: []operator.ReservationUse{}}
@@ -241,7 +242,7 @@
 		return nil
 	}
 	for service, capacity := range s.bookedCapacities() {
-		for id, lacking := range s.ledger().Shortfalls(service, capacity, s.clock.Now(s.now())) {
+		for id, lacking := range s.ledger().Shortfalls(service, capacity, s.clock.Now(s.Now())) {
 			lines = append(lines, fmt.Sprintf("booking %s lacks %.1f slots of %s", id, lacking, service))
 		}
 	}
--- a/internal/control/controller/session.go
+++ b/internal/control/controller/session.go
@@ -28,15 +28,15 @@
 func (c *Controller) serveLink(ctx context.Context, accepted net.Conn) {
 	conn, err := c.security.Accept(ctx, accepted)
 	if err != nil {
-		c.logEvent("peer rejected", "cause", err)
+		c.LogEvent("peer rejected", "cause", err)
 		return
 	}
 	c.runLink(peer.NewLink(conn), func(link *peer.Link, h *peer.Handshake) *remote {
 		if err := c.security.VerifyAddress(conn, h); err != nil {
-			c.logEvent("peer rejected", "cause", err)
+			c.LogEvent("peer rejected", "cause", err)
 			return nil
 		}
-		return &remote{link: link, node: h.Node, ip: h.IP, zone: h.Zone, edge: h.Edge, dialledByLower: h.IP < c.settings.IP}
+		return &remote{link: link, node: h.Node, ip: h.IP, zone: h.Zone, edge: h.Edge, dialledByLower: h.IP < c.Settings.IP}
 	})
 }
 
@@ -76,7 +76,7 @@
 // dialController keeps a link to another controller, until the address is forgotten. Of two controllers the one with the
 // lower address dials first; the other one follows a little later if no link came, since the first may not know it.
 func (c *Controller) dialController(ctx context.Context, ip string) {
-	if c.settings.IP > ip {
+	if c.Settings.IP > ip {
 		time.Sleep(2 * redialInterval)
 	}
 	for reachedAt := time.Now(); ctx.Err() == nil; time.Sleep(redialInterval) {
@@ -89,21 +89,21 @@
 		case dialForgotten:
 			return
 		}
-		conn, err := c.security.Dial(ctx, c.settings.InnerAddress(ip), dialTimeout)
+		conn, err := c.security.Dial(ctx, c.Settings.InnerAddress(ip), dialTimeout)
 		if err != nil {
 			continue
 		}
 		link := peer.NewLink(conn)
 		link.Send(c.members.handshake())
 		c.runLink(link, func(link *peer.Link, h *peer.Handshake) *remote {
-			return &remote{link: link, node: h.Node, ip: ip, zone: h.Zone, dialledByLower: c.settings.IP < ip}
+			return &remote{link: link, node: h.Node, ip: ip, zone: h.Zone, dialledByLower: c.Settings.IP < ip}
 		})
 	}
 }
 
 // addController starts to dial a controller that is not known yet.
 func (c *Controller) addController(ip string) {
-	if ip == c.settings.IP || c.links.known[ip] {
+	if ip == c.Settings.IP || c.links.known[ip] {
 		return
 	}
 	c.links.known[ip] = true
@@ -132,7 +132,7 @@
 	}
 	c.reservations.announceTo(p)
 	c.servers.broadcaster.AddPeer(p.peerName(), p.edge)
-	c.logEvent("link up", "node", p.node, "ip", p.ip, "edge", p.edge)
+	c.LogEvent("link up", "node", p.node, "ip", p.ip, "edge", p.edge)
 	c.sendSnapshot(p, h.Version)
 	if p.edge {
 		c.weights.tables.Join(p.ip, p.zone)
@@ -144,7 +144,7 @@
 	handshake := c.members.handshake()
 	handshake.Recovering = c.claims.store.Recovering()
 	handshake.BootstrapVoters = c.members.bootstrapVoters
-	messages := []peer.Message{handshake, c.summaries.full(c), peer.RegistryUpdate{Entries: c.servers.registry.All(c.now())}}
+	messages := []peer.Message{handshake, c.summaries.full(c), peer.RegistryUpdate{Entries: c.servers.registry.All(c.Now())}}
 	if !p.edge {
 		messages = append(messages, c.members.status())
 	} else if version < c.consensus.state.Version() {
@@ -162,7 +162,7 @@
 		c.weights.tables.Leave(p.ip)
 	}
 	c.servers.broadcaster.RemovePeer(p.peerName())
-	c.logEvent("link down", "node", p.node, "ip", p.ip, "edge", p.edge)
+	c.LogEvent("link down", "node", p.node, "ip", p.ip, "edge", p.edge)
 }
 
 // handleMessages handles what one frame of a peer holds.
@@ -198,7 +198,7 @@
 		c.members.handleReplicaStatus(p, m)
 	case peer.ConsensusMessages:
 		for _, one := range m {
-			c.consensus.replica.Step(one, c.now())
+			c.consensus.replica.Step(one, c.Now())
 		}
 	case peer.ConfigRequest:
 		p.link.Send(c.consensus.configSnapshot())
@@ -232,10 +232,10 @@
 	c.servers.broadcaster.SetPeerLinks(p.peerName(), linkedTo)
 	p.summary.trafficByZone, p.summary.edgesByZone = s.TrafficByZone, s.EdgesByZone
 	if s.Clock > 0 && !p.edge {
-		c.reservations.clock.Observe(p.ip, s.Clock, c.now())
+		c.reservations.clock.Observe(p.ip, s.Clock, c.Now())
 	}
-	if p.digests.Due(s.RegistryDigest, c.servers.registry.Digest(), c.now()) {
-		c.logEvent("digests compared", "with", p.node)
+	if p.digests.Due(s.RegistryDigest, c.servers.registry.Digest(), c.Now()) {
+		c.LogEvent("digests compared", "with", p.node)
 		p.link.Send(&peer.Digests{ByZone: c.servers.registry.ZoneDigests()})
 	}
 }
--- a/internal/control/controller/shutdown.go
+++ b/internal/control/controller/shutdown.go
@@ -34,10 +34,10 @@
 
 // beginShutdown is called once, on SIGTERM.
 func (c *Controller) beginShutdown() {
-	now := c.now()
-	grace := c.settings.Seconds("grace_s", defaultGrace)
+	now := c.Now()
+	grace := c.Settings.Seconds("grace_s", defaultGrace)
 	c.shutdown = shutdown{started: true, startedAt: now, deadline: now + max(minShutdown, grace-exitReserve)}
-	c.logEvent("shutdown requested", "leads", c.consensus.leads(), "votes", c.consensus.replica.Votes(), "edges", len(c.links.edges))
+	c.LogEvent("shutdown requested", "leads", c.consensus.leads(), "votes", c.consensus.replica.Votes(), "edges", len(c.links.edges))
 	c.members.announceStatus()
 	c.summaries.sendNow(now)
 	c.sendSummaries(now)
@@ -51,7 +51,7 @@
 	c.summaries.sendNow(now) // edges that are still here look for another controller at each summary
 	switch {
 	case now > c.shutdown.deadline:
-		c.logEvent("shutdown deadline exceeded", "leads", c.consensus.leads(), "votes", c.consensus.replica.Votes())
+		c.LogEvent("shutdown deadline exceeded", "leads", c.consensus.leads(), "votes", c.consensus.replica.Votes())
 		c.shutdown.done = true
 	case !c.mustWait(now):
 		c.shutdown.done = true
@@ -116,7 +116,7 @@
 		if p.status.ShuttingDown {
 			continue
 		}
-		if p.zone == c.settings.Zone {
+		if p.zone == c.Settings.Zone {
 			return p
 		}
 		if target == nil || p.ip == c.consensus.leaderIP() {
@@ -137,7 +137,7 @@
 		}
 	})
 	to.link.Send(chunk, peer.SyncRequest(handOverSyncID))
-	c.logEvent("responses handed over", "to", to.node, "responses", count)
+	c.LogEvent("responses handed over", "to", to.node, "responses", count)
 }
 
 // stopServer ends the calls of servers and operators that are being answered, within a bound.
--- a/internal/control/controller/summaries.go
+++ b/internal/control/controller/summaries.go
@@ -89,7 +89,7 @@
 	toControllers.TrafficByZone = c.weights.tables.OwnTraffic()
 	toControllers.EdgesByZone = map[string][]uint32{}
 	toControllers.Clock = wallClock()
-	c.reservations.clock.Observe(c.settings.IP, toControllers.Clock, now)
+	c.reservations.clock.Observe(c.Settings.IP, toControllers.Clock, now)
 	for _, e := range c.links.edges {
 		toControllers.EdgesByZone[e.zone] = append(toControllers.EdgesByZone[e.zone], peer.EdgeHash(e.node))
 	}
--- a/internal/control/controller/weights.go
+++ b/internal/control/controller/weights.go
@@ -6,23 +6,24 @@
 	"time"
 
 	"mulleinwood/internal/control/weights"
+	"mulleinwood/internal/node"
 	"mulleinwood/internal/peer"
 )
 
 // weightService decides the weights by which the edges of this controller send.
 type weightService struct {
-	*environment
+	*node.Env
 	links     *linkTable
 	tables    *weights.Tables
 	serviceOf func(server string) (service string, known bool)
 }
 
 // newWeightService makes the tables; voters tells how many controllers decide beside each other.
-func newWeightService(env *environment, links *linkTable, voters func() int, serviceOf func(string) (string, bool)) *weightService {
-	s := &weightService{environment: env, links: links, serviceOf: serviceOf}
-	zones := slices.Collect(maps.Keys(env.settings.Zones))
-	s.tables = weights.New(env.settings.Zone, zones, env.incarnation, voters, func(service, note string) {
-		s.logEvent("weight table", "service", service, "note", note)
+func newWeightService(env *node.Env, links *linkTable, voters func() int, serviceOf func(string) (string, bool)) *weightService {
+	s := &weightService{Env: env, links: links, serviceOf: serviceOf}
+	zones := slices.Collect(maps.Keys(env.Settings.Zones))
+	s.tables = weights.New(env.Settings.Zone, zones, env.Incarnation, voters, func(service, note string) {
+		s.LogEvent("weight table", "service", service, "note", note)
 	})
 	return s
 }
--- a/internal/control/controller/writer.go
+++ b/internal/control/controller/writer.go
@@ -6,6 +6,7 @@
 	"mulleinwood/internal/control/idempotency"
 	"mulleinwood/internal/control/registry"
 	"mulleinwood/internal/control/storage"
+	"mulleinwood/internal/node"
 )
 
 const (
@@ -20,7 +21,7 @@
 // writer gathers what has to become durable while the disk is busy, so that one sync serves all of it. It is owned by the
 // controller's goroutine; only the write itself runs on another one.
 type writer struct {
-	*environment
+	*node.Env
 	commit     func([]*storage.Batch) error // blocks until the batches are durable
 	runOnOwner func(func())
 
@@ -71,7 +72,7 @@
 
 func (w *writer) deferWrite() {
 	if w.deferredSince == 0 {
-		w.deferredSince = w.now()
+		w.deferredSince = w.Now()
 	}
 }
 
@@ -84,7 +85,7 @@
 // flush hands the disk what has gathered, if it is free. A disk that refuses keeps the batches waiting, since nothing of
 // them may be acknowledged or dropped. Claims are refused at once: other claim stores can take them.
 func (w *writer) flush() {
-	now := w.now()
+	now := w.Now()
 	waiting := now < w.retryAt
 	if w.busy || !w.due(now) || waiting && len(w.claims) == 0 {
 		return
@@ -120,11 +121,11 @@
 	}
 	w.batches, w.afterBatches, w.claims, w.afterClaims, w.servers = nil, nil, nil, nil, nil
 	w.busy, w.deferredSince = true, 0
-	startedAt := w.now()
+	startedAt := w.Now()
 	go func() {
 		err := w.commit(all)
-		took := w.now() - startedAt
-		w.metrics.Syncs.Observe(took.Seconds())
+		took := w.Now() - startedAt
+		w.Metrics.Syncs.Observe(took.Seconds())
 		w.runOnOwner(func() { w.finishWrite(p, took, err) })
 	}()
 }
@@ -137,7 +138,7 @@
 		w.keepForRetry(p, err)
 	} else {
 		if w.failing {
-			w.logEvent("disk recovered")
+			w.LogEvent("disk recovered")
 		}
 		w.failing = false
 		for _, done := range p.afterBatches {
@@ -151,9 +152,9 @@
 
 func (w *writer) keepForRetry(p pendingWrite, err error) {
 	if !w.failing {
-		w.logEvent("disk write failed", "cause", err)
+		w.LogEvent("disk write failed", "cause", err)
 	}
-	w.failing, w.retryAt = true, w.now()+writeRetry
+	w.failing, w.retryAt = true, w.Now()+writeRetry
 	w.batches = append(p.batches, w.batches...)
 	w.afterBatches = append(p.afterBatches, w.afterBatches...)
 	w.servers = append(p.servers, w.servers...)
--- a/internal/edge/proxy/answers_test.go
+++ b/internal/edge/proxy/answers_test.go
@@ -78,7 +78,7 @@
 				h.serve("i-1", server.answer)
 			} else {
 				h.upstreams.mu.Lock()
-				u := h.upstreams.Remove("i-1")
+				u := h.upstreams.picker.Remove("i-1")
 				h.upstreams.mu.Unlock()
 				u.Attachment.(*upstream).close()
 			}
--- a/internal/edge/proxy/bodies_test.go
+++ b/internal/edge/proxy/bodies_test.go
@@ -54,7 +54,7 @@
 	close(s.in)
 	<-ended
 	close(h.clients.handoff.closed)
-	h.clientConns.closeStale(0, 0)
+	h.clients.conns.closeStale(0, 0)
 }
 
 func TestLongBodiesAreSentOnceAndWhole(t *testing.T) {
@@ -63,7 +63,7 @@
 		h.serve("i-1", cut)
 		h.serve("i-2", cut)
 		for range 4 { // fills the budget
-			h.countRequest("tags")
+			h.traffic.countRequest("tags")
 		}
 		long := strings.Repeat("0123456789", 50_000)
 		h.g.Expect(h.ask("POST", "/s/x", long).Code).To(Equal(502))
@@ -95,7 +95,8 @@
 				a.available.Store(left)
 				text := strings.Repeat("x", size)
 				src := iotest.DataErrReader(strings.NewReader(text))
-				body, whole, booked, err := a.buffer(src, told, maxBufferedRequest)
+				got, err := a.buffer(src, told, maxBufferedRequest)
+				body, whole, booked := got.data, got.complete, got.reserved
 				g.Expect(err).NotTo(HaveOccurred())
 				more, _ := io.ReadAll(src)
 				g.Expect(string(body)+string(more) == text).To(BeTrue(), "left %d, size %d", left, size)
@@ -142,7 +143,7 @@
 						h.g.Expect(err).To(MatchError(io.ErrUnexpectedEOF))
 					}
 					synctest.Wait()
-					h.g.Expect(h.upstreams.Get("i-1").InFlight()).To(Equal(0), "its place is given back")
+					h.g.Expect(h.upstreams.picker.Get("i-1").InFlight()).To(Equal(0), "its place is given back")
 				})
 			})
 		})
@@ -247,7 +248,7 @@
 
 func TestTheLongestIdleMakesRoom(t *testing.T) {
 	in(t, func(h *hall) {
-		h.clientConns.limit = 2
+		h.clients.conns.limit = 2
 		h.serve("i-1", hang)
 		h.opened(func(s street) {
 			first := h.walkIn(s)
--- a/internal/edge/proxy/claims.go
+++ b/internal/edge/proxy/claims.go
@@ -6,185 +6,236 @@
 	"time"
 
 	"mulleinwood/internal/control/idempotency"
+	"mulleinwood/internal/node"
 	"mulleinwood/internal/peer"
 )
 
-// claims are those that this edge has asked for and not heard of.
-type claims struct {
-	mu          sync.Mutex
-	next        uint64
-	open        map[idempotency.Token]*pendingClaim
-	kept        []timedRecord // of the last window, oldest first: a controller that loses its disk is given them again
-	keptBytes   int           // bytes of their bodies
-	revocations []timedRecord // claims that were withdrawn lately
+const (
+	// claimHedgeDelay is how long the own controller may take before another one is asked, too: it may have died, and a
+	// network partition is noticed only by its silence.
+	claimHedgeDelay = 60 * time.Millisecond
+	// revocationRepeat is how long a revocation is repeated: as long as controllers that lost power take to be back.
+	revocationRepeat = 4 * time.Second
+	// maxKeptBytes bounds the memory that kept responses take: an edge has a small machine.
+	maxKeptBytes = 8 << 20
+	// maxKeptPerFrame is how many kept responses are sent in one frame.
+	maxKeptPerFrame  = 100
+	defaultKeyWindow = 60 // seconds, where the settings don't say
+)
+
+// claimSender is what the tracker needs of the links to controllers.
+type claimSender interface {
+	// send hands a message to the own controller, and reports whether there is one.
+	send(m peer.Message) bool
+	// sendSecondary hands a message to another controller, and reports whether one could be reached.
+	sendSecondary(m peer.Message) bool
+	// sendBoth hands a message to both, as far as there are links to them.
+	sendBoth(m peer.Message)
+	// connected reports whether there is a link to either.
+	connected() bool
 }
 
-// revocationRepeat is how long a withdrawal is repeated: as long as a core that lost power takes to be back.
-const revocationRepeat = 4 * time.Second
+// claimTracker claims the keys of operations, and keeps what a controller may want to hear again.
+type claimTracker struct {
+	*node.Env
+	controllers claimSender
+	abort       <-chan struct{} // closed when requests that wait are refused
+
+	mu          sync.Mutex
+	sequence    uint64
+	pending     map[idempotency.Token]*pendingClaim
+	kept        []timedRecord // responses of the last window, oldest first: a controller that lost its disk gets them again
+	keptBytes   int           // of their bodies
+	revocations []timedRecord // that are still repeated
+}
 
 type timedRecord struct {
 	at     time.Duration
 	record idempotency.Record
 }
 
-// maxKeptBytes bounds the memory that kept answers take: an edge has a small machine.
-const maxKeptBytes = 8 << 20
-
+// pendingClaim waits for its outcome.
 type pendingClaim struct {
 	record    idempotency.Record
-	requested int // controllers that were asked and have not ruled
+	requested int // controllers that were asked and have not answered
 	outcome   chan peer.ClaimOutcome
 }
 
-// claimHedge is how long the controller has before another is asked, too: it may have died, and a cut is heard
-// only by its silence.
-const claimHedge = 60 * time.Millisecond
-
-// acquireClaim asks for the right to run a key's operation. If no controller can be reached early, or none answers clearly in
-// time, it is withdrawn: nothing was run under it, and nothing ever will be.
-func (p *Proxy) acquireClaim(key idempotency.Key, early, limit time.Duration) (idempotency.Token, peer.ClaimOutcome) {
-	k := &p.claims
-	k.mu.Lock()
-	k.next++
-	r := idempotency.Record{Key: key, Token: idempotency.Token{Incarnation: p.incarnation, Sequence: k.next}}
-	one := &pendingClaim{record: r, outcome: make(chan peer.ClaimOutcome, 1)}
-	k.open[r.Token] = one
-	k.mu.Unlock()
-	hedge := claimHedge
-	if !k.requestGrant(p.session.send, one) {
-		hedge = 0
+func newClaimTracker(env *node.Env, controllers claimSender, abort <-chan struct{}) *claimTracker {
+	return &claimTracker{Env: env, controllers: controllers, abort: abort, pending: map[idempotency.Token]*pendingClaim{}}
+}
+
+// acquire asks for the right to run a key's operation. If no controller can be reached after giveUpEarly, or none decides
+// within limit, the outcome is undecided. A claim that is not granted is revoked: nothing was run under it, and nothing
+// ever will be.
+func (t *claimTracker) acquire(key idempotency.Key, giveUpEarly, limit time.Duration) (idempotency.Record, peer.ClaimOutcome) {
+	c := t.open(key)
+	defer t.closeClaim(c)
+	hedgeDelay := claimHedgeDelay
+	if !t.requestGrant(t.controllers.send, c) {
+		hedgeDelay = 0
+	}
+	hedge := time.AfterFunc(hedgeDelay, func() { t.requestGrant(t.controllers.sendSecondary, c) })
+	defer hedge.Stop()
+	outcome := t.await(c, giveUpEarly, limit)
+	if outcome.Outcome != idempotency.OutcomeGranted {
+		t.revoke(c.record)
 	}
-	second := time.AfterFunc(hedge, func() { k.requestGrant(p.session.sendSecondary(p), one) })
-	defer second.Stop()
-	defer func() {
-		k.mu.Lock()
-		delete(k.open, r.Token)
-		k.mu.Unlock()
-	}()
-	began := p.now()
-	timer := time.NewTimer(min(early, limit))
+	return c.record, outcome
+}
+
+func (t *claimTracker) open(key idempotency.Key) *pendingClaim {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.sequence++
+	token := idempotency.Token{Incarnation: t.Incarnation, Sequence: t.sequence}
+	c := &pendingClaim{record: idempotency.Record{Key: key, Token: token}, outcome: make(chan peer.ClaimOutcome, 1)}
+	t.pending[token] = c
+	return c
+}
+
+func (t *claimTracker) closeClaim(c *pendingClaim) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.pending, c.record.Token)
+}
+
+// await waits for the outcome of a claim.
+func (t *claimTracker) await(c *pendingClaim, giveUpEarly, limit time.Duration) peer.ClaimOutcome {
+	undecided := peer.ClaimOutcome{Token: c.record.Token, Outcome: idempotency.OutcomeUndecided}
+	startedAt := t.Now()
+	timer := time.NewTimer(min(giveUpEarly, limit))
 	defer timer.Stop()
 	for {
 		select {
-		case ruling := <-one.outcome:
-			if ruling.Outcome != idempotency.OutcomeGranted {
-				p.revokeClaim(r.Key, r.Token)
-			}
-			return r.Token, ruling
-		case <-p.abort:
-			p.revokeClaim(r.Key, r.Token)
-			return r.Token, peer.ClaimOutcome{Token: r.Token, Outcome: idempotency.OutcomeUndecided}
+		case outcome := <-c.outcome:
+			return outcome
+		case <-t.abort:
+			return undecided
 		case <-timer.C:
-			if gone := p.now() - began; gone < limit && p.session.connected() {
-				timer.Reset(limit - gone) // somebody is at it
-				continue
+			passed := t.Now() - startedAt
+			if passed >= limit || !t.controllers.connected() {
+				return undecided
 			}
-			p.revokeClaim(r.Key, r.Token)
-			return r.Token, peer.ClaimOutcome{Token: r.Token, Outcome: idempotency.OutcomeUndecided}
+			timer.Reset(limit - passed) // a controller is at it
 		}
 	}
 }
 
-// revokeClaim voids a claim under which nothing was run. It is said again for a while: a core that could not rule on the
-// claim may not hear of its end either, and whoever holds it would turn away the client's next try.
-func (p *Proxy) revokeClaim(key idempotency.Key, token idempotency.Token) {
-	r := idempotency.Record{Key: key, Token: token}
-	p.session.sendBoth(&peer.Frame{Revocations: []idempotency.Record{r}})
-	p.claims.mu.Lock()
-	defer p.claims.mu.Unlock()
-	p.claims.revocations = append(p.claims.revocations, timedRecord{p.now(), r})
-}
-
-// resendRevocations repeats what was withdrawn lately.
-func (k *claims) resendRevocations(c *Proxy) {
-	k.mu.Lock()
-	now := c.now()
-	k.revocations = slices.DeleteFunc(k.revocations, func(v timedRecord) bool { return now-v.at > revocationRepeat })
-	f := &peer.Frame{}
-	for _, v := range k.revocations {
-		f.Revocations = append(f.Revocations, v.record)
+// requestGrant asks one more controller, unless the claim is decided. It reports whether nobody else has to be asked for
+// lack of a link.
+func (t *claimTracker) requestGrant(send func(peer.Message) bool, c *pendingClaim) bool {
+	if !t.countRequest(c) {
+		return true
+	}
+	if send(peer.ClaimRequests{c.record}) {
+		return true
 	}
-	k.mu.Unlock()
-	if len(f.Revocations) > 0 {
-		c.session.sendBoth(f)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	c.requested--
+	return false
+}
+
+// countRequest counts a controller that is asked, and reports whether the claim is still pending.
+func (t *claimTracker) countRequest(c *pendingClaim) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.pending[c.record.Token] == nil {
+		return false
 	}
+	c.requested++
+	return true
 }
 
-// completeClaim has the answer of a claim's run kept, for repeats.
-func (p *Proxy) completeClaim(key idempotency.Key, token idempotency.Token, a *idempotency.Response) {
-	r := idempotency.Record{Key: key, Token: token, Response: a}
-	p.session.send(&peer.Frame{Responses: []idempotency.Record{r}})
-	k, now, window := &p.claims, p.now(), p.settings.Seconds("key_window_s", 60)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.kept, k.keptBytes = append(k.kept, timedRecord{now, r}), k.keptBytes+len(a.Body)
-	n := 0
-	for ; n < len(k.kept) && (now-k.kept[n].at > window || k.keptBytes > maxKeptBytes); n++ {
-		k.keptBytes -= len(k.kept[n].record.Response.Body)
+// handleOutcome takes a controller's word on a claim. That one could not decide it matters only once no other one is asked;
+// the first to decide is believed, and then nobody is asked any more.
+func (t *claimTracker) handleOutcome(outcome peer.ClaimOutcome) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	c := t.pending[outcome.Token]
+	if c == nil {
+		return
 	}
-	if n > 0 {
-		k.kept = slices.Delete(k.kept, 0, n)
+	c.requested--
+	if outcome.Outcome == idempotency.OutcomeUndecided && c.requested > 0 {
+		return
 	}
+	delete(t.pending, outcome.Token)
+	c.outcome <- outcome // it has room for the one outcome
 }
 
-// sendKept gives a controller whose disk came back empty the answers that this edge still holds.
-func (k *claims) sendKept(link *peer.Link) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	f := &peer.Frame{}
-	for i, a := range k.kept {
-		if f.Responses = append(f.Responses, a.record); len(f.Responses) == 100 || i == len(k.kept)-1 {
-			link.Send(f)
-			f = &peer.Frame{}
-		}
+// resendPending puts pending claims to a new controller: the previous one may have died with them.
+func (t *claimTracker) resendPending() {
+	t.resendRevocations()
+	for _, c := range t.allPending() {
+		t.requestGrant(t.controllers.send, c)
 	}
 }
 
-// requestGrant asks one controller more, unless the claim is decided.
-func (k *claims) requestGrant(send func(*peer.Frame) bool, one *pendingClaim) bool {
-	k.mu.Lock()
-	if k.open[one.record.Token] == nil {
-		k.mu.Unlock()
-		return true
+func (t *claimTracker) allPending() (all []*pendingClaim) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, c := range t.pending {
+		all = append(all, c)
 	}
-	one.requested++
-	k.mu.Unlock()
-	if send(&peer.Frame{Claims: []idempotency.Record{one.record}}) {
-		return true
-	}
-	k.mu.Lock()
-	one.requested--
-	k.mu.Unlock()
-	return false
+	return all
 }
 
-// handleOutcome takes a controller's word. That one could not decide it matters only once no other is asked: the first to decide
-// is believed, and then nobody is asked again.
-func (k *claims) handleOutcome(r peer.ClaimOutcome) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	one := k.open[r.Token]
-	if one == nil {
-		return
+// revoke withdraws a claim under which nothing was run. It is repeated for a while: a controller that could not decide on
+// the claim may not hear of its end either, and a store that holds it would refuse the client's next attempt.
+func (t *claimTracker) revoke(claim idempotency.Record) {
+	r := idempotency.Record{Key: claim.Key, Token: claim.Token}
+	t.controllers.sendBoth(peer.Revocations{r})
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.revocations = append(t.revocations, timedRecord{t.Now(), r})
+}
+
+// resendRevocations repeats what was revoked lately.
+func (t *claimTracker) resendRevocations() {
+	if recent := t.recentRevocations(); len(recent) > 0 {
+		t.controllers.sendBoth(recent)
 	}
-	one.requested--
-	if r.Outcome == idempotency.OutcomeUndecided && one.requested > 0 {
-		return
+}
+
+func (t *claimTracker) recentRevocations() (recent peer.Revocations) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.Now()
+	t.revocations = slices.DeleteFunc(t.revocations, func(r timedRecord) bool { return now-r.at > revocationRepeat })
+	for _, r := range t.revocations {
+		recent = append(recent, r.record)
 	}
-	delete(k.open, r.Token)
-	one.outcome <- r // it has room for the one ruling
+	return recent
 }
 
-// resendPending puts open claims to a new controller: the former may have died with them.
-func (k *claims) resendPending(c *Proxy) {
-	k.resendRevocations(c)
-	k.mu.Lock()
-	var all []*pendingClaim
-	for _, one := range k.open {
-		all = append(all, one)
+// complete has the response of a claim's run kept for repeats: by the controller, and here for one that loses its disk.
+func (t *claimTracker) complete(claim idempotency.Record, response *idempotency.Response) {
+	r := idempotency.Record{Key: claim.Key, Token: claim.Token, Response: response}
+	t.controllers.send(peer.Responses{r})
+	now, window := t.Now(), t.Settings.Seconds("key_window_s", defaultKeyWindow)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.kept, t.keptBytes = append(t.kept, timedRecord{now, r}), t.keptBytes+len(response.Body)
+	expired := 0
+	for ; expired < len(t.kept) && (now-t.kept[expired].at > window || t.keptBytes > maxKeptBytes); expired++ {
+		t.keptBytes -= len(t.kept[expired].record.Response.Body)
+	}
+	if expired > 0 {
+		t.kept = slices.Delete(t.kept, 0, expired)
 	}
-	k.mu.Unlock()
-	for _, one := range all {
-		k.requestGrant(c.session.send, one)
+}
+
+// sendKept gives a controller whose disk came back empty the responses that are still kept here.
+func (t *claimTracker) sendKept(link *peer.Link) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for chunk := range slices.Chunk(t.kept, maxKeptPerFrame) {
+		var responses peer.Responses
+		for _, r := range chunk {
+			responses = append(responses, r.record)
+		}
+		link.Send(responses)
 	}
 }
--- a/internal/edge/proxy/faults_test.go
+++ b/internal/edge/proxy/faults_test.go
@@ -33,7 +33,7 @@
 		})
 	}
 	for range 4 { // fills the budget
-		h.countRequest("tags")
+		h.traffic.countRequest("tags")
 	}
 }
 
@@ -121,8 +121,8 @@
 func TestNothingWrittenMayBeSentAgain(t *testing.T) {
 	in(t, func(h *hall) {
 		h.once(good, "i-1", "i-2")
-		dial, ended := h.Proxy.dial, 0
-		h.Proxy.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+		dial, ended := h.upstreams.dial, 0
+		h.upstreams.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			if ended == 0 {
 				ended++
 				near, far := net.Pipe()
@@ -137,7 +137,7 @@
 	in(t, func(h *hall) {
 		h.serve("i-1", good)
 		h.ask("GET", "/s/x", "")
-		u := h.upstreams.Get("i-1").Attachment.(*upstream)
+		u := h.upstreams.picker.Get("i-1").Attachment.(*upstream)
 		idle := u.idle[0].tracked
 		idle.Conn = refusing{idle.Conn} // it fails at the next write
 		h.g.Expect(h.ask("POST", "/u/x", "x").Code).To(Equal(200))
@@ -201,7 +201,7 @@
 	in(t, func(h *hall) {
 		h.allow(2, `{}`)
 		got := make(chan string, 1)
-		h.Proxy.dial = func(context.Context, string, string) (net.Conn, error) {
+		h.upstreams.dial = func(context.Context, string, string) (net.Conn, error) {
 			near, far := net.Pipe()
 			go func() {
 				r, err := http.ReadRequest(bufio.NewReader(far))
@@ -263,9 +263,9 @@
 func TestServerThatLeavesWhileItIsDialled(t *testing.T) {
 	in(t, func(h *hall) {
 		h.serve("i-1", good)
-		dial := h.Proxy.dial
-		h.Proxy.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
-			h.updateServers([]registry.Entry{{ID: "i-1", Service: "tags", Address: "i-1:80", Seq: 2, State: registry.Draining}})
+		dial := h.upstreams.dial
+		h.upstreams.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+			h.upstreams.update([]registry.Entry{{ID: "i-1", Service: "tags", Address: "i-1:80", Seq: 2, State: registry.Draining}})
 			return dial(ctx, network, address)
 		}
 		h.g.Expect(h.ask("POST", "/u/x", "x").Code).To(Equal(503))
@@ -295,10 +295,10 @@
 			h.g.Expect(err).NotTo(HaveOccurred())
 			conn.Close()
 			synctest.Wait()
-			u := h.upstreams.Get("i-1")
+			u := h.upstreams.picker.Get("i-1")
 			h.g.Expect(u.InFlight()).To(Equal(0))
 			h.g.Expect(u.Attachment.(*upstream).idle).To(BeEmpty())
-			h.g.Expect(h.inFlight.Load()).To(BeZero())
+			h.g.Expect(h.shutdown.inFlight.Load()).To(BeZero())
 		})
 	})
 }
--- a/internal/edge/proxy/fuzz_test.go
+++ b/internal/edge/proxy/fuzz_test.go
@@ -14,6 +14,7 @@
 	"github.com/go-kit/log"
 
 	"mulleinwood/internal/control/registry"
+	"mulleinwood/internal/node"
 	"mulleinwood/internal/peer"
 	"mulleinwood/internal/platform/nodesettings"
 )
@@ -42,12 +43,12 @@
 		}
 		body, bodyErr := io.ReadAll(io.LimitReader(r.Body, 1<<20))
 		r.Body = io.NopCloser(bytes.NewReader(body))
-		c := New(set, log.NewNopLogger())
+		c := New(node.Config{Settings: set, Logger: log.NewNopLogger()})
 		var got []*http.Request
 		var bodies []string
 		done := make(chan struct{})
 		served := make(chan struct{}, 8)
-		c.dial = func(context.Context, string, string) (net.Conn, error) {
+		c.upstreams.dial = func(context.Context, string, string) (net.Conn, error) {
 			near, far := net.Pipe()
 			go func() {
 				defer func() { far.Close(); served <- struct{}{} }()
@@ -63,7 +64,7 @@
 			return near, nil
 		}
 		c.applyConfig(&peer.Config{Version: 1, Snapshot: []byte(plan)})
-		c.updateServers([]registry.Entry{{ID: "i-1", Service: "tags", Address: "i-1:80", Zone: "hall", Capacity: 2, Seq: 1}})
+		c.upstreams.update([]registry.Entry{{ID: "i-1", Service: "tags", Address: "i-1:80", Zone: "hall", Capacity: 2, Seq: 1}})
 		go func() {
 			defer close(done)
 			c.ServeHTTP(httptest.NewRecorder(), r)
--- a/internal/edge/proxy/headers.go
+++ b/internal/edge/proxy/headers.go
@@ -10,12 +10,12 @@
 	"strings"
 )
 
-// hopByHop are the headers that concern one connection. Expect is among them: what it asks for was granted here, and a server
-// that doesn't answer it would never be sent the body.
+// hopByHop are the headers that concern one connection. Expect is among them: this edge has granted what it asks for, and a
+// server that doesn't answer it would never be sent the body.
 var hopByHop = map[string]bool{"Connection": true, "Expect": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Proxy-Authenticate": true, "Proxy-Authorization": true}
 
-// copyEndToEnd copies the headers that concern more than one connection.
+// copyEndToEnd copies the headers that concern more than one connection: all but hopByHop and those that Connection names.
 func copyEndToEnd(from http.Header) http.Header {
 	to := make(http.Header, len(from)+2)
 	named := from.Values("Connection")
@@ -32,36 +32,45 @@
 	return to
 }
 
-// request makes what is sent to the server.
-func (p *Proxy) request(ctx context.Context, t *clientRequest, u *upstream) *http.Request {
-	header := copyEndToEnd(t.r.Header)
-	left := max(1, (t.deadline - p.now() - returnMargin).Milliseconds())
-	header["X-Deadline-Ms"] = []string{strconv.FormatInt(left, 10)}
-	header["X-Expected-Instance"] = []string{u.ID}
-	for _, name := range []string{"X-Attempt-Id", "X-Operation-Key"} { // whatever the client's Connection header names
-		if values := t.r.Header[name]; values != nil {
+// upstreamRequest makes what is sent to the server: method, path and body as they came, end-to-end headers, and those that
+// this edge sets itself.
+func (p *Proxy) upstreamRequest(ctx context.Context, req *clientRequest, u *upstream) *http.Request {
+	client := req.http
+	header := copyEndToEnd(client.Header)
+	left := max(1, (req.timeLeft(p.Now()) - returnMargin).Milliseconds())
+	header[headerDeadline] = []string{strconv.FormatInt(left, 10)}
+	header[headerExpectedInstance] = []string{u.ID}
+	for _, name := range []string{headerAttemptID, headerOperationKey} { // whatever the client's Connection header names
+		if values := client.Header[name]; values != nil {
 			header[name] = values
 		}
 	}
 	if header["User-Agent"] == nil {
 		header["User-Agent"] = []string{""} // so that none is added
 	}
-	target := &url.URL{Scheme: "http", Host: u.address, Opaque: t.r.RequestURI}
-	if strings.HasPrefix(t.r.RequestURI, "//") || !strings.HasPrefix(t.r.RequestURI, "/") {
-		copied := *t.r.URL
-		target = &copied
-		target.Scheme, target.Host = "http", u.address
-	}
-	req := (&http.Request{Method: t.r.Method, URL: target, Host: t.r.Host, Header: header, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1}).WithContext(ctx)
+	out := (&http.Request{Method: client.Method, URL: req.target(u.address), Host: client.Host, Header: header,
+		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1}).WithContext(ctx)
 	switch {
-	case t.bodyTail != nil:
-		req.Body = io.NopCloser(io.MultiReader(bytes.NewReader(t.body), t.bodyTail))
-		req.ContentLength = t.length
-	case len(t.body) > 0:
-		req.Body = io.NopCloser(bytes.NewReader(t.body))
-		req.ContentLength = t.length
-	case t.r.Body != nil && t.r.ContentLength != 0:
-		req.Body = http.NoBody
+	case req.bodyTail != nil:
+		out.Body = io.NopCloser(io.MultiReader(bytes.NewReader(req.body), req.bodyTail))
+		out.ContentLength = req.length
+	case len(req.body) > 0:
+		out.Body = io.NopCloser(bytes.NewReader(req.body))
+		out.ContentLength = req.length
+	case client.Body != nil && client.ContentLength != 0:
+		out.Body = http.NoBody
+	}
+	return out
+}
+
+// target is the URL by which net/http writes the client's request target unchanged. As an opaque part a target that begins
+// with two slashes would be read as a host, and an absolute one would be sent as it is.
+func (req *clientRequest) target(address string) *url.URL {
+	uri := req.http.RequestURI
+	if strings.HasPrefix(uri, "/") && !strings.HasPrefix(uri, "//") {
+		return &url.URL{Scheme: "http", Host: address, Opaque: uri}
 	}
-	return req
+	target := *req.http.URL
+	target.Scheme, target.Host = "http", address
+	return &target
 }
--- a/internal/edge/proxy/log_test.go
+++ b/internal/edge/proxy/log_test.go
@@ -18,7 +18,7 @@
 func TestLogTellsWhatWasGivenUpAndWhy(t *testing.T) {
 	in(t, func(h *hall) {
 		var text bytes.Buffer
-		h.logger = log.NewLogfmtLogger(&text)
+		h.Logger = log.NewLogfmtLogger(&text)
 		lines := func() []string {
 			all := strings.Split(strings.TrimSpace(text.String()), "\n")
 			text.Reset()
@@ -26,8 +26,8 @@
 		}
 		h.serve("i-1", cut)
 		h.ask("GET", "/u/x", "")
-		h.g.Expect(lines()).To(ConsistOf(And(ContainSubstring(`event="given up"`), ContainSubstring("kind=mulleinwood.perhaps_run"),
-			ContainSubstring("try=try-1"), ContainSubstring("host=a.example"), ContainSubstring("i-1 breaks off"))))
+		h.g.Expect(lines()).To(ConsistOf(And(ContainSubstring(`event="request failed"`), ContainSubstring("kind=mulleinwood.perhaps_run"),
+			ContainSubstring("attempt=try-1"), ContainSubstring("host=a.example"), ContainSubstring("i-1 breaks off"))))
 		h.ask("GET", "/none/x", "")
 		h.g.Expect(lines()).To(ConsistOf(And(ContainSubstring("no_route"), ContainSubstring("/none/x"))))
 		time.Sleep(time.Second)
--- a/internal/edge/proxy/matrix_test.go
+++ b/internal/edge/proxy/matrix_test.go
@@ -273,7 +273,7 @@
 	if through != nil {
 		h.clients.handler = through(h.Proxy)
 	}
-	h.Proxy.dial = p.dial
+	h.upstreams.dial = p.dial
 	h.serve("i-1", good)
 	if !p.alone {
 		h.serve("i-2", good)
@@ -283,12 +283,12 @@
 		h.g.Expect(h.applyConfig(&peer.Config{Version: 2, Snapshot: []byte(patient)})).To(BeTrue())
 	}
 	for range 8 { // fills the budget
-		h.countRequest("tags")
+		h.traffic.countRequest("tags")
 	}
 	client, shut := p.client(h)
 	defer p.served.Wait()
 	defer func() { // the edge's own connections
-		for _, u := range h.upstreams.All() {
+		for _, u := range h.upstreams.picker.All() {
 			u.Attachment.(*upstream).close()
 		}
 	}()
@@ -353,7 +353,7 @@
 		close(s.in)
 		<-ended
 		close(h.clients.handoff.closed)
-		h.clientConns.closeStale(0, 0)
+		h.clients.conns.closeStale(0, 0)
 	}
 }
 
--- /dev/null
+++ b/internal/edge/proxy/pipeline.go
@@ -0,0 +1,247 @@
+package proxy
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"strings"
+	"time"
+
+	"mulleinwood/internal/config"
+	"mulleinwood/internal/control/idempotency"
+	"mulleinwood/internal/edge/attempt"
+	"mulleinwood/internal/edge/retrybudget"
+	"mulleinwood/internal/platform/apierror"
+)
+
+const (
+	// queueShare is the share of the latency target that a request may wait here for a slot at a server.
+	queueShare = 0.2
+	// claimShare is the share of the time left that a claim may take.
+	claimShare   = 0.5
+	maxClaimWait = 1200 * time.Millisecond
+	// returnMargin is kept of the deadline for the response's way back to the client.
+	returnMargin = 5 * time.Millisecond
+	// minAttemptTime is the time left below which no attempt is begun.
+	minAttemptTime = 10 * time.Millisecond
+
+	// Ranks in the queue, around the routes' priorities: a lower rank goes first.
+	staleRankOffset  = 1000
+	bookedRankOffset = 1000
+)
+
+// ServeHTTP serves a client's request.
+func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	s := p.shutdown
+	s.inFlight.Add(1)
+	defer s.inFlight.Add(-1)
+	now := p.Now()
+	s.lastRequestAt.Store(int64(now))
+	if s.requested.Load() {
+		w.Header().Set("Connection", "close")
+	}
+	if s.rejecting.Load() {
+		p.reject(w, r, errShuttingDown)
+		return
+	}
+	tree := p.tree.Load()
+	if tree == nil {
+		p.reject(w, r, apierror.NotReady.New("no configuration yet"))
+		return
+	}
+	route, err := findRoute(tree, r)
+	if err != nil {
+		p.reject(w, r, err)
+		return
+	}
+	req, err := p.readRequest(w, r, tree, route, now)
+	if req != nil {
+		defer func() { p.bodyMemory.release(req.bodyBytes) }()
+	}
+	switch {
+	case err != nil:
+		p.reject(w, r, err)
+	case route.Kind == config.Keyed:
+		p.serveKeyed(w, req)
+	default:
+		p.respond(w, req, p.forward(req))
+	}
+}
+
+// findRoute finds a request's route by its host and path.
+func findRoute(tree *config.Tree, r *http.Request) (*config.Route, error) {
+	path, _, _ := strings.Cut(r.RequestURI, "?")
+	if !strings.HasPrefix(path, "/") { // an absolute URI, which servers have to accept, too
+		path = r.URL.EscapedPath()
+	}
+	route := tree.Find(r.Host, path)
+	if route == nil {
+		return nil, apierror.NoRoute.New("no route for %s%s", r.Host, path)
+	}
+	return route, nil
+}
+
+// serveKeyed runs an operation at most once: its key is claimed before the first byte leaves for a server, and the response
+// is kept for repeats.
+func (p *Proxy) serveKeyed(w http.ResponseWriter, req *clientRequest) {
+	key := idempotency.KeyOf(strings.ToLower(req.http.Host), req.http.Header.Get(headerOperationKey))
+	giveUpEarly := scale(req.latencyTarget, queueShare)
+	limit := min(maxClaimWait, scale(req.timeLeft(p.Now()), claimShare))
+	claim, outcome := p.claims.acquire(key, giveUpEarly, limit)
+	switch outcome.Outcome {
+	case idempotency.OutcomeUndecided:
+		p.reject(w, req.http, apierror.Unclaimed.New("the key could not be claimed"))
+		return
+	case idempotency.OutcomeConflict:
+		p.replay(w, req, outcome.Response)
+		return
+	}
+	result := p.forward(req)
+	switch req.retries.ClaimAction(result.cause) {
+	case attempt.CompleteClaim:
+		p.claims.complete(claim, storedResponse(result))
+	case attempt.RevokeClaim:
+		p.claims.revoke(claim)
+	case attempt.KeepClaim: // repeats are told that the operation is in progress until its window is over
+	}
+	p.respond(w, req, result)
+}
+
+// scale gives a share of a duration.
+func scale(d time.Duration, share float64) time.Duration { return time.Duration(float64(d) * share) }
+
+// replay answers a request whose key was claimed before with the response of the first run; nil: it is not known.
+func (p *Proxy) replay(w http.ResponseWriter, req *clientRequest, first *idempotency.Response) {
+	if first == nil {
+		p.reject(w, req.http, apierror.AtWork.New("the operation is in progress"))
+		return
+	}
+	header := http.Header{}
+	for name, value := range first.Headers {
+		header.Set(name, value)
+	}
+	p.respond(w, req, attemptResult{cause: attempt.Answered, status: first.Status, header: header, body: first.Body})
+}
+
+// storedResponse is what repeats of an operation are told.
+func storedResponse(result attemptResult) *idempotency.Response {
+	stored := &idempotency.Response{Status: result.status, Headers: map[string]string{}, Body: result.body}
+	for _, name := range []string{headerServerSeal, "Content-Type"} {
+		if v := result.header.Get(name); v != "" {
+			stored.Headers[name] = v
+		}
+	}
+	return stored
+}
+
+// errDeadlineTooNear says that the deadline is too near for any server.
+var errDeadlineTooNear = errors.New("no time left")
+
+// forward sends a request to servers until one answers or no retry is allowed.
+func (p *Proxy) forward(req *clientRequest) attemptResult {
+	budget := p.traffic.countRequest(req.service)
+	req.admission = p.reservations.enter(req.route, req.service)
+	defer p.reservations.leave(req.admission, req.service)
+	retries := &req.retries
+	retries.Safe, retries.MaxSent = req.route.Kind == config.Safe, req.route.MaxServers
+	result := attemptResult{cause: attempt.NoCapacity, err: fmt.Errorf("no capacity at %s", req.service)}
+	for {
+		if req.timeLeft(p.Now())-returnMargin < minAttemptTime {
+			if retries.Sent == 0 {
+				return attemptResult{cause: attempt.NoTime, err: errDeadlineTooNear}
+			}
+			return result
+		}
+		u := p.acquireUpstream(req)
+		if u == nil {
+			if retries.Paid {
+				p.traffic.refundRetry(budget)
+			}
+			if retries.Sent == 0 {
+				result.cause = attempt.NoCapacity
+			}
+			return result
+		}
+		last := p.attemptAt(req, u)
+		if retries.Supersedes(last.cause) {
+			result = last
+		}
+		if !p.mayRetry(req, last.cause, budget) {
+			return result
+		}
+	}
+}
+
+// mayRetry decides whether another server is tried after an attempt that is over, and takes a retry out of the budget where
+// the next server may be the second that the request reaches.
+func (p *Proxy) mayRetry(req *clientRequest, cause attempt.Cause, budget *retrybudget.Budget) bool {
+	next := req.retries.AfterAttempt(cause, req.bodyTail.resendable())
+	if next == attempt.Stop || p.Now() > req.deadline-minAttemptTime {
+		return false
+	}
+	if next == attempt.RetryPaid {
+		req.retries.Paid = p.traffic.spendRetry(budget, req.admission)
+		return req.retries.Paid
+	}
+	return true
+}
+
+// attemptAt makes one attempt and counts it.
+func (p *Proxy) attemptAt(req *clientRequest, u *upstream) attemptResult {
+	req.attempted = append(req.attempted, u)
+	result := p.attemptOnce(req, u)
+	p.Metrics.Tries.WithLabelValues(result.cause.Consequence().Outcome.String()).Inc()
+	p.queue.wake(req.service)
+	return result
+}
+
+// acquireUpstream finds a server with a free slot. Before the first attempt it waits a little for one.
+func (p *Proxy) acquireUpstream(req *clientRequest) *upstream {
+	retry := req.retries.Sent > 0
+	if u := p.tryPick(req); u != nil || retry || !p.upstreams.serves(req.service) {
+		return u // without any server there is nothing to wait for
+	}
+	limit, rank := p.queuePlace(req)
+	w := p.queue.enqueue(req.service, rank)
+	defer p.queue.remove(req.service, w)
+	timer := time.NewTimer(limit)
+	defer timer.Stop()
+	for {
+		select {
+		case <-w.wake:
+			if u := p.tryPick(req); u != nil {
+				return u
+			}
+		case <-timer.C:
+			return p.tryPick(req)
+		case <-p.shutdown.abort:
+			return nil
+		}
+	}
+}
+
+// queuePlace says how long a request may wait for a server, and at which rank. A stale one comes after all that can still
+// be in time, and has nothing to lose by waiting.
+func (p *Proxy) queuePlace(req *clientRequest) (limit time.Duration, rank int) {
+	left := req.timeLeft(p.Now())
+	limit, rank = min(scale(req.latencyTarget, queueShare), left/4), req.route.Priority
+	if req.stale {
+		limit, rank = left/3, rank+staleRankOffset
+	}
+	if p.reservations.hasPriority(req.admission) {
+		rank -= bookedRankOffset
+	}
+	return limit, rank
+}
+
+// tryPick picks a server and reserves a slot there, if the request may have one at its service.
+func (p *Proxy) tryPick(req *clientRequest) *upstream {
+	if !p.reservations.admit(req.admission) {
+		return nil
+	}
+	u := p.upstreams.pick(req.service, req.attempted)
+	if u == nil && req.retries.Sent == 0 {
+		p.reservations.undoAdmit(req.admission)
+	}
+	return u
+}
--- a/internal/edge/proxy/proxy.go
+++ b/internal/edge/proxy/proxy.go
@@ -1,5 +1,19 @@
 // Package proxy is the runtime of an edge process: it takes clients' requests, finds their route, sends each to a server
 // of the route's service and answers with what that server said.
+//
+// Requests run on goroutines of their own, so each part owns its state together with a lock of its own, and no part calls
+// another one while it holds its lock:
+//
+//	clientListener     clients' connections, under the limits of the configuration
+//	pipeline.go        the way of a request: route, claim, attempts, response
+//	roundTrip          one attempt at one server
+//	upstreamPool       servers, their connections, and the picker that chooses among them
+//	trafficCounter     requests by service, and the retry budgets that they earn
+//	requestQueue       requests that wait for a slot at a server
+//	reservationGates   shares of booked capacity
+//	claimTracker       claims of keyed operations
+//	controllerSession  the link to this edge's controller
+//	shutdown           the end in order
 package proxy
 
 import (
@@ -9,176 +23,126 @@
 	"net"
 	"net/http"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/go-kit/log"
-
 	"mulleinwood/internal/config"
-	"mulleinwood/internal/control/idempotency"
 	"mulleinwood/internal/control/registry"
-	"mulleinwood/internal/control/reservation"
-	"mulleinwood/internal/edge/picker"
-	"mulleinwood/internal/edge/retrybudget"
+	"mulleinwood/internal/node"
 	"mulleinwood/internal/peer"
 	"mulleinwood/internal/platform/lifecycle"
 	"mulleinwood/internal/platform/metrics"
 	"mulleinwood/internal/platform/nodesettings"
 )
 
-// Spans of an edge.
-const (
-	reportInterval  = time.Second
-	sweepInterval   = time.Second
-	tombstones      = 90 * time.Second
-	minShutdown     = 2500 * time.Millisecond // of a stop: by then the platform sends no new connections
-	quietBeforeExit = 700 * time.Millisecond  // without any request
-)
+// reportInterval is how often an edge reports to its controller, and closes what has been idle for too long.
+const reportInterval = time.Second
 
-// Proxy is one edge.
+// Proxy is one edge. Its methods may be called by any goroutine.
 type Proxy struct {
-	settings    *nodesettings.Settings
-	security    *peer.Security
-	logger      log.Logger
-	startedAt   time.Time
-	incarnation uint64
+	*node.Env
+	security *peer.Security
 
-	tree       atomic.Pointer[config.Tree]
-	fleetEdges atomic.Int32 // in the whole fleet, as the controller last told
+	tree       atomic.Pointer[config.Tree] // of the configuration in force; nil: none yet
+	fleetEdges atomic.Int32                // edges of the whole fleet, as the controller last said
 
-	mu           sync.Mutex
-	registry     *registry.Registry
-	budgets      map[string]*retrybudget.Budget
-	serviceStats map[string]*peer.ServiceStats
-
-	distrusted   map[string]time.Duration // services whose connections are not reused for what must not run twice, until when
-	rejectionLog struct {                 // under mu
-		second int64
-		lines  map[string]int
-	}
-	upstreams     upstreams
-	metrics       *metrics.Metrics
-	session       controllerSession
-	claims        claims
-	reservations  reservations
-	clientConns   connTracker
-	clients       clientListener
-	bodyMemory    memoryBudget
-	dial          func(ctx context.Context, network, address string) (net.Conn, error)
-	dialer        *http.Transport
-	queue         queue
-	shuttingDown  atomic.Bool
-	rejecting     atomic.Bool   // nothing is begun any more: the process is about to end
-	abort         chan struct{} // closed when what waits here and was not sent is given up
-	inFlight      atomic.Int64
-	lastRequestAt atomic.Int64 // when a request last came, on the steady clock
+	clients      *clientListener
+	bodyMemory   *memoryBudget
+	upstreams    *upstreamPool
+	traffic      *trafficCounter
+	queue        *requestQueue
+	reservations *reservationGates
+	claims       *claimTracker
+	session      *controllerSession
+	shutdown     *shutdown
+	rejections   *rejectionLog
 }
 
-// New makes an edge that holds nothing yet.
-func New(set *nodesettings.Settings, logger log.Logger) *Proxy {
-	c := &Proxy{settings: set, logger: logger, startedAt: time.Now(), incarnation: rand.Uint64() | 1,
-		budgets: map[string]*retrybudget.Budget{}, serviceStats: map[string]*peer.ServiceStats{}}
-	c.registry = registry.New(tombstones)
-	c.metrics = metrics.New(metrics.Edge)
-	c.upstreams.Picker = picker.New(set.Zone, rand.Float64)
-	c.session.known, c.session.zoneByIP, c.session.dialing = map[string]bool{}, map[string]string{}, make(chan struct{}, 1)
-	for _, ip := range set.SeedIPs() {
-		c.session.known[ip] = true
-	}
-	c.distrusted = map[string]time.Duration{}
-	c.rejectionLog.lines = map[string]int{}
-	c.reservations.leases.Incarnation, c.reservations.gates, c.reservations.wanted = c.incarnation, map[string]*reservation.AdmissionGate{}, map[string]int{}
-	c.reservations.wake = make(chan struct{}, 1)
-	c.claims.open = map[idempotency.Token]*pendingClaim{}
-	c.clientConns.conns, c.clientConns.limit = map[net.Conn]*connUse{}, max(16, int(clientHandleShare*float64(set.Limits.FileHandles-reservedHandles)))
-	c.clients = clientListener{handler: c, conns: &c.clientConns}
-	c.bodyMemory.available.Store(int64(bodyMemoryShare * set.Limits.MemoryMB * (1 << 20)))
-	c.abort = make(chan struct{})
-	c.queue.waiters = map[string][]*waiter{}
-	c.dial = (&net.Dialer{Timeout: dialTimeout, KeepAlive: 5 * time.Second, Control: setUserTimeout}).DialContext
-	c.dialer = &http.Transport{DisableCompression: true, Proxy: nil, WriteBufferSize: 4 << 10, ReadBufferSize: 4 << 10,
-		MaxResponseHeaderBytes: 64 << 10, DialContext: c.dialTracked}
-	return c
+// New makes an edge that knows no configuration and no server yet.
+func New(c node.Config) *Proxy {
+	p := &Proxy{Env: node.NewEnv(c, metrics.Edge, rand.Uint64()|1), security: c.Security}
+	limits := c.Settings.Limits
+	p.clients = newClientListener(p, maxClientConns(limits.FileHandles))
+	p.bodyMemory = newMemoryBudget(int64(bodyMemoryShare * limits.MemoryMB * (1 << 20)))
+	p.queue = newRequestQueue()
+	p.upstreams = newUpstreamPool(p.Env, p.queue.wakeAll)
+	p.traffic = newTrafficCounter(p.Settings, &p.fleetEdges)
+	p.session = newControllerSession(p.Env, c.Security, p)
+	p.shutdown = newShutdown()
+	p.claims = newClaimTracker(p.Env, p.session, p.shutdown.abort)
+	p.reservations = newReservationGates(p.Env, p.queue, &p.fleetEdges, p.session.send)
+	p.rejections = &rejectionLog{}
+	return p
 }
 
-// Run serves until ctx ends, and then until what it has taken is answered.
-func Run(ctx context.Context, set *nodesettings.Settings, security *peer.Security, logger log.Logger) error {
-	c := New(set, logger)
-	c.security = security
+// Run serves until ctx ends, and then until what was accepted is answered.
+func Run(ctx context.Context, c node.Config) error {
+	p := New(c)
 	reloads := lifecycle.Reloads()
-	front, err := net.Listen("tcp", set.Listen.Front)
+	front, err := node.Listen(ctx, p.Settings.Listen.Front)
 	if err != nil {
 		return err
 	}
-	readiness, err := net.Listen("tcp", set.Listen.Readiness)
+	readiness, err := node.Listen(ctx, p.Settings.Listen.Readiness)
 	if err != nil {
 		return err
 	}
-	probe := &http.Server{Handler: http.HandlerFunc(c.serveReadiness), IdleTimeout: time.Minute, ReadHeaderTimeout: defaultHeaderTimeout}
-	for _, serve := range []func() error{func() error { return c.clients.serve(front) }, func() error { return probe.Serve(readiness) }} {
-		go func() {
-			if err := serve(); !errors.Is(err, http.ErrServerClosed) && !c.shuttingDown.Load() {
-				_ = logger.Log("event", "listener ends", "cause", err)
-			}
-		}()
-	}
-	_ = logger.Log("event", "edge starts", "node", set.Node, "zone", set.Zone)
-	go c.session.run(c)
-	go c.reservations.run(ctx, c)
+	probe := &http.Server{Handler: http.HandlerFunc(p.serveReadiness), IdleTimeout: time.Minute, ReadHeaderTimeout: defaultHeaderTimeout}
+	go p.serve(func() error { return p.clients.serve(front) })
+	go p.serve(func() error { return probe.Serve(readiness) })
+	p.LogEvent("edge starts", "node", p.Settings.Node, "zone", p.Settings.Zone)
+	sessionCtx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // the session is needed during the shutdown, too
+	defer cancel()
+	go p.session.run(sessionCtx)
+	go p.reservations.run(ctx)
 	go func() {
 		for range reloads {
-			c.reload()
+			p.reload()
 		}
 	}()
-	c.runPeriodic(ctx)
-	c.shutDown(front)
-	_ = logger.Log("event", "edge ends", "node", set.Node)
+	p.runPeriodic(ctx)
+	p.shutDown(front)
+	p.LogEvent("edge ends", "node", p.Settings.Node)
 	return nil
 }
 
-// reload takes the settings file's seeds over: the only part of it that a running edge has use for. A file that is wrong
-// changes nothing.
+// serve runs a listener until it is closed.
+func (p *Proxy) serve(listen func() error) {
+	if err := listen(); !errors.Is(err, http.ErrServerClosed) && !p.shutdown.requested.Load() {
+		p.LogEvent("listener ends", "cause", err)
+	}
+}
+
+// reload takes over what a running edge has use for of the settings file: the seeds. It also reads the certificates again.
+// A file that is wrong changes nothing.
 func (p *Proxy) reload() {
 	if err := p.security.Reload(); err != nil {
-		_ = p.logger.Log("event", "inner TLS not taken over", "cause", err)
+		p.LogEvent("inner TLS rejected", "cause", err)
 	}
-	set, err := nodesettings.Load()
+	settings, err := nodesettings.Load()
 	if err != nil {
-		_ = p.logger.Log("event", "settings not taken over", "cause", err)
+		p.LogEvent("settings rejected", "cause", err)
 		return
 	}
-	p.session.addKnown(set.SeedIPs())
-	_ = p.logger.Log("event", "settings read again", "seeds", strings.Join(set.Seeds, " "))
+	p.session.addKnown(settings.SeedIPs())
+	p.LogEvent("settings reloaded", "seeds", strings.Join(settings.Seeds, " "))
 }
 
-// now is the steady time since the process began.
-func (p *Proxy) now() time.Duration { return time.Since(p.startedAt) }
-
-// serveReadiness tells the platform whether to send clients here.
+// serveReadiness tells the platform whether to send clients here, and serves the counters.
 func (p *Proxy) serveReadiness(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path == "/metrics" {
-		p.metrics.Handler().ServeHTTP(w, r)
-		return
-	}
-	if r.URL.Path != "/readiness" {
+	switch {
+	case r.URL.Path == "/metrics":
+		p.Metrics.Handler().ServeHTTP(w, r)
+	case r.URL.Path != "/readiness":
 		w.WriteHeader(http.StatusNotFound)
-		return
-	}
-	if p.shuttingDown.Load() || p.tree.Load() == nil || !p.knowsServers() {
+	case p.shutdown.requested.Load() || p.tree.Load() == nil || p.upstreams.empty():
 		w.WriteHeader(http.StatusServiceUnavailable)
-		return
+	default:
+		w.WriteHeader(http.StatusOK)
 	}
-	w.WriteHeader(http.StatusOK)
-}
-
-func (p *Proxy) knowsServers() bool {
-	p.upstreams.mu.Lock()
-	defer p.upstreams.mu.Unlock()
-	return p.upstreams.Len() > 0
 }
 
-// runPeriodic does what is due by the clock.
+// runPeriodic does what is due by the clock, until ctx ends.
 func (p *Proxy) runPeriodic(ctx context.Context) {
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
@@ -189,89 +153,131 @@
 		case <-tick.C:
 			p.sendReport()
 			p.closeIdle()
-			p.claims.resendRevocations(p)
+			p.claims.resendRevocations()
 		}
 	}
 }
 
-// Spans before the end of the grace. What is read so late that it could not be answered any more is refused at once, and
-// what still waits here is refused early enough for the answer to leave: nothing of it has run.
-const (
-	rejectBefore = 600 * time.Millisecond
-	abortBefore  = 400 * time.Millisecond
-	exitBefore   = 200 * time.Millisecond
-)
-
-// shutDown ends in order: not ready at once, and serving until nothing comes any more or the time that is granted is
-// nearly over. It guards against breaking off what runs and against closing doors that clients still come to.
-func (p *Proxy) shutDown(front net.Listener) {
-	p.shuttingDown.Store(true)
-	_ = p.logger.Log("event", "told to end", "in_flight", p.inFlight.Load())
-	start := p.now()
-	grace := p.settings.Seconds("grace_s", 6)
-	closed, given := false, false
-	for {
-		time.Sleep(50 * time.Millisecond)
-		gone := p.now() - start
-		idle := p.inFlight.Load() == 0
-		quiet := p.now()-time.Duration(p.lastRequestAt.Load()) > quietBeforeExit
-		if idle && quiet && gone > min(minShutdown, grace/2) || gone > grace-exitBefore {
-			return
-		}
-		if gone > grace-rejectBefore {
-			p.rejecting.Store(true)
-		}
-		if !given && gone > grace-abortBefore {
-			given = true
-			close(p.abort)
-		}
-		if !closed && gone > grace-time.Second {
-			closed = true
-			front.Close()
-		}
-		if closed && idle {
-			return
-		}
+// sendReport tells the controller what was counted since the last report.
+func (p *Proxy) sendReport() {
+	report := &peer.Report{Period: reportInterval.Seconds(), Servers: p.upstreams.takeStats(), Services: p.traffic.takeStats()}
+	if len(report.Servers)+len(report.Services) > 0 {
+		p.session.send(report)
 	}
 }
 
 // closeIdle closes what has been idle for too long, on both sides.
 func (p *Proxy) closeIdle() {
 	if tree := p.tree.Load(); tree != nil && tree.Config.Limits.Idle > 0 {
-		idle, longest := time.Duration((tree.Config.Limits.Idle+0.5)*float64(time.Second)), 0.0
+		const slack = 0.5 // seconds, for a request that is on its way
+		idle := seconds(tree.Config.Limits.Idle + slack)
+		longest := 0.0
 		for _, r := range tree.Config.Routes {
 			longest = max(longest, r.Deadline)
 		}
-		p.clientConns.closeStale(idle, idle+time.Duration(longest*float64(time.Second))+stuckAfter)
+		p.clients.conns.closeStale(idle, idle+seconds(longest)+stuckAfter)
 	}
-	p.mu.Lock()
-	p.registry.Prune(p.now())
-	p.mu.Unlock()
-	p.upstreams.mu.Lock()
-	upstreams := p.upstreams.All()
-	p.upstreams.mu.Unlock()
-	for _, u := range upstreams {
-		u.Attachment.(*upstream).closeIdle(p.now())
+	p.upstreams.closeIdle()
+}
+
+// seconds turns a time of the configuration into a duration.
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
+// current is what a new controller is told of this edge: the version of its configuration, and the servers that it knows.
+func (p *Proxy) current() (version uint64, servers []registry.Entry) {
+	if tree := p.tree.Load(); tree != nil {
+		version = uint64(tree.Config.Version)
 	}
+	return version, p.upstreams.entries()
 }
 
-// sendReport tells the controller what was met since the last report.
-func (p *Proxy) sendReport() {
-	r := &peer.Report{Period: reportInterval.Seconds()}
-	p.upstreams.mu.Lock()
-	for _, u := range p.upstreams.All() {
-		if m := p.upstreams.TakeStats(u); m.Attempts > 0 {
-			r.Servers = append(r.Servers, peer.ServerStats{Server: u.ID, Attempts: m.Attempts, Failed: m.Failed, TotalTime: m.TotalTime})
+// handleAttached puts open claims to a new controller: the previous one may have died with them.
+func (p *Proxy) handleAttached() { p.claims.resendPending() }
+
+// handleOutcomes hands on the outcomes of claims.
+func (p *Proxy) handleOutcomes(outcomes peer.ClaimOutcomes) {
+	for _, one := range outcomes {
+		p.claims.handleOutcome(one)
+	}
+}
+
+// handleSummary takes what the controller says of the fleet.
+func (p *Proxy) handleSummary(s *peer.Summary) {
+	p.fleetEdges.Store(int32(s.Fleet))
+	if s.ZoneEdges != nil {
+		p.upstreams.assignSlots(s.ZoneEdges)
+	}
+}
+
+// registryDigests gives what the controller's digests are compared with.
+func (p *Proxy) registryDigests() (all uint64, byZone map[string]uint64) {
+	return p.upstreams.digests()
+}
+
+// handleMessage handles a message of the controller.
+func (p *Proxy) handleMessage(link *peer.Link, m peer.Message) {
+	switch m := m.(type) {
+	case peer.RegistryUpdate:
+		if len(m.Entries) > 0 {
+			p.upstreams.update(m.Entries)
+		}
+		if m.AckID != 0 {
+			link.Send(peer.RegistryAck(m.AckID))
+		}
+	case *peer.Digests:
+		if reply := p.upstreams.compare(m); reply != nil {
+			link.Send(reply...)
+		}
+	case *peer.Handshake:
+		if m.Recovering {
+			p.claims.sendKept(link)
+		}
+	case *peer.Config:
+		if !p.applyConfig(m) {
+			link.Send(peer.ConfigRequest{})
+		}
+	case *peer.Weights:
+		p.upstreams.updateWeights(m)
+		if len(m.Tokens) > 0 {
+			link.Send(&peer.Report{Applied: m.Tokens})
 		}
+	case peer.ClaimOutcomes:
+		p.handleOutcomes(m)
+	case *peer.Reservations:
+		p.reservations.handleReservations(m)
+	case peer.Leases:
+		for _, l := range m {
+			p.reservations.handleLease(l.Lease)
+		}
+	}
+}
+
+// applyConfig puts a configuration into force, unless it is older than the one that is: within a life of the process the
+// version never goes back. It reports false if the complete configuration is needed.
+func (p *Proxy) applyConfig(m *peer.Config) (ok bool) {
+	tree := p.tree.Load()
+	if tree != nil && m.Version <= uint64(tree.Config.Version) {
+		return true
 	}
-	p.upstreams.mu.Unlock()
-	p.mu.Lock()
-	for _, a := range p.serviceStats {
-		r.Services = append(r.Services, *a)
+	var next *config.Config
+	var err error
+	switch {
+	case m.Snapshot != nil:
+		next, err = config.Parse(m.Snapshot)
+	case tree != nil && m.Base == uint64(tree.Config.Version):
+		next, err = tree.Config.Patch(m.Delta)
+	default:
+		return false
 	}
-	clear(p.serviceStats)
-	p.mu.Unlock()
-	if len(r.Servers)+len(r.Services) > 0 {
-		p.session.send(&peer.Frame{Report: r})
+	if err != nil {
+		p.LogEvent("configuration rejected", "version", m.Version, "cause", err)
+		return m.Snapshot != nil
 	}
+	p.tree.Store(config.NewTree(next))
+	p.clients.setLimits(next.Limits)
+	p.LogEvent("configuration changed", "version", next.Version, "routes", len(next.Routes))
+	return true
 }
+
+// closeConn closes a connection of which nothing more is expected, so that an error would change nothing.
+func closeConn(conn net.Conn) { _ = conn.Close() }
--- a/internal/edge/proxy/proxy_test.go
+++ b/internal/edge/proxy/proxy_test.go
@@ -21,6 +21,7 @@
 	"mulleinwood/internal/config"
 	"mulleinwood/internal/control/idempotency"
 	"mulleinwood/internal/control/registry"
+	"mulleinwood/internal/node"
 	"mulleinwood/internal/peer"
 	"mulleinwood/internal/platform/nodesettings"
 )
@@ -69,15 +70,21 @@
 	g := NewWithT(t)
 	set, err := nodesettings.Parse("test", []byte(settings))
 	g.Expect(err).NotTo(HaveOccurred())
-	h := &hall{Proxy: New(set, log.NewNopLogger()), g: g, servers: map[string]func(*http.Request) string{}}
-	h.Proxy.dial = h.dial
+	h := &hall{Proxy: New(node.Config{Settings: set, Logger: log.NewNopLogger()}), g: g, servers: map[string]func(*http.Request) string{}}
+	h.upstreams.dial = h.dial
 	g.Expect(h.applyConfig(&peer.Config{Version: 1, Snapshot: []byte(plan)})).To(BeTrue())
 	near, far := net.Pipe()
 	link := peer.NewLink(near)
 	h.session.link = link
 	h.controllerEnd = peer.NewLink(far)
-	go func() { _ = link.Read(func(f *peer.Frame) { h.handleFrame(link, f) }) }()
-	go func() { _ = h.controllerEnd.Read(h.frameAtController) }()
+	go func() {
+		_ = link.Read(func(messages []peer.Message) {
+			for _, m := range messages {
+				h.handleMessage(link, m)
+			}
+		})
+	}()
+	go func() { _ = h.controllerEnd.Read(h.handleAtController) }()
 	play(h)
 }
 
@@ -85,18 +92,19 @@
 func (h *hall) close() {
 	h.session.link.Close()
 	h.controllerEnd.Close()
-	for _, u := range h.upstreams.All() {
+	for _, u := range h.upstreams.picker.All() {
 		u.Attachment.(*upstream).close()
 	}
 }
 
-func (h *hall) frameAtController(f *peer.Frame) {
+func (h *hall) handleAtController(messages []peer.Message) {
+	f := peer.FrameOf(messages...)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, r := range f.Claims {
 		if h.rule != nil {
 			ruling, answer := h.rule(r)
-			h.controllerEnd.Send(&peer.Frame{Outcomes: []peer.ClaimOutcome{{Token: r.Token, Outcome: ruling, Response: answer}}})
+			h.controllerEnd.Send(peer.ClaimOutcomes{{Token: r.Token, Outcome: ruling, Response: answer}})
 		}
 	}
 	h.voids = append(h.voids, f.Revocations...)
@@ -144,7 +152,7 @@
 	h.mu.Lock()
 	h.servers[id+":80"] = answer
 	h.mu.Unlock()
-	h.updateServers([]registry.Entry{{ID: id, Service: "tags", Address: id + ":80", Zone: "hall", Capacity: 2, Seq: 1}})
+	h.upstreams.update([]registry.Entry{{ID: id, Service: "tags", Address: id + ":80", Zone: "hall", Capacity: 2, Seq: 1}})
 }
 
 func (h *hall) ask(method, path, body string, headers ...string) *httptest.ResponseRecorder {
@@ -237,7 +245,7 @@
 				h.serve("i-1", script)
 				h.serve("i-2", script)
 				for range 4 { // fills the budget
-					h.countRequest("tags")
+					h.traffic.countRequest("tags")
 				}
 				w := h.ask("POST", c.path, "x")
 				h.g.Expect(w.Code).To(Equal(c.status))
@@ -263,7 +271,7 @@
 		w := h.ask("GET", "/s/x", "")
 		h.g.Expect(w.Code).To(Equal(503))
 		h.g.Expect(w.Header().Get("Retry-After")).NotTo(BeEmpty())
-		h.g.Expect(h.now()).To(BeNumerically("<=", 100*time.Millisecond))
+		h.g.Expect(h.Now()).To(BeNumerically("<=", 100*time.Millisecond))
 	})
 }
 
@@ -271,8 +279,8 @@
 	in(t, func(h *hall) {
 		h.serve("i-1", good)
 		h.g.Expect(h.ask("GET", "/s/x", "").Code).To(Equal(200))
-		h.updateServers([]registry.Entry{{ID: "i-1", Service: "tags", Address: "i-1:80", Seq: 2, State: registry.Draining}})
-		h.updateServers([]registry.Entry{{ID: "i-1", Service: "tags", Address: "i-1:80", Seq: 1}}) // late
+		h.upstreams.update([]registry.Entry{{ID: "i-1", Service: "tags", Address: "i-1:80", Seq: 2, State: registry.Draining}})
+		h.upstreams.update([]registry.Entry{{ID: "i-1", Service: "tags", Address: "i-1:80", Seq: 1}}) // late
 		h.g.Expect(h.ask("GET", "/s/x", "").Code).To(Equal(503))
 		h.g.Expect(h.got).To(HaveLen(1))
 	})
@@ -284,7 +292,7 @@
 		h.ask("GET", "/s/x", "")
 		h.ask("GET", "/s/x", "")
 		h.g.Expect(h.dials).To(Equal(1))
-		h.updateServers([]registry.Entry{{ID: "i-1", Seq: 2, State: registry.Removed}, {ID: "i-2", Service: "tags", Address: "i-1:80", Zone: "hall", Capacity: 2, Seq: 1}})
+		h.upstreams.update([]registry.Entry{{ID: "i-1", Seq: 2, State: registry.Removed}, {ID: "i-2", Service: "tags", Address: "i-1:80", Zone: "hall", Capacity: 2, Seq: 1}})
 		h.ask("GET", "/s/x", "")
 		h.g.Expect(h.dials).To(Equal(2))
 		h.g.Expect(h.got[2].Header.Get("X-Expected-Instance")).To(Equal("i-2"))
@@ -359,9 +367,9 @@
 			w := h.ask("POST", "/k/x", "x", "X-Operation-Key", "k")
 			h.g.Expect(w.Code).To(Equal(503))
 			h.g.Expect(w.Header().Get("Retry-After")).NotTo(BeEmpty())
-			h.g.Expect(h.now()).To(BeNumerically("<=", 100*time.Millisecond), "a fifth of the aim and a little")
+			h.g.Expect(h.Now()).To(BeNumerically("<=", 100*time.Millisecond), "a fifth of the aim and a little")
 			h.session.link = link
-			h.claims.resendPending(h.Proxy)
+			h.claims.resendPending()
 			synctest.Wait()
 			h.g.Expect(h.voids).To(HaveLen(1))
 			h.g.Expect(h.got).To(BeEmpty())
@@ -375,7 +383,10 @@
 			defer guest.Close()
 			var claims, voids int
 			go func() {
-				_ = other.Read(func(f *peer.Frame) { claims, voids = claims+len(f.Claims), voids+len(f.Revocations) })
+				_ = other.Read(func(messages []peer.Message) {
+					f := peer.FrameOf(messages...)
+					claims, voids = claims+len(f.Claims), voids+len(f.Revocations)
+				})
 			}()
 			h.session.secondary = guest
 			h.g.Expect(h.ask("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(503))
@@ -391,7 +402,7 @@
 			h.rule = stands
 			h.serve("i-1", good)
 			h.ask("POST", "/k/x", "x", "X-Operation-Key", "k")
-			h.g.Expect(h.claims.open).To(BeEmpty())
+			h.g.Expect(h.claims.pending).To(BeEmpty())
 		})
 	})
 }
@@ -492,9 +503,9 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	c := New(set, log.NewNopLogger())
+	c := New(node.Config{Settings: set, Logger: log.NewNopLogger()})
 	c.applyConfig(&peer.Config{Version: 1, Snapshot: []byte(plan)})
-	c.updateServers([]registry.Entry{{ID: "i-1", Service: "tags", Address: server.Listener.Addr().String(), Zone: "hall", Capacity: 2, Seq: 1}})
+	c.upstreams.update([]registry.Entry{{ID: "i-1", Service: "tags", Address: server.Listener.Addr().String(), Zone: "hall", Capacity: 2, Seq: 1}})
 	b.ReportAllocs()
 	for b.Loop() {
 		r := httptest.NewRequest("GET", "http://a.example/s/x", nil)
@@ -540,7 +551,7 @@
 		all.Wait()
 		h.g.Expect(slow.Code).To(Equal(200))
 		h.g.Expect(left).To(BeTrue())
-		h.g.Expect(h.now()).To(BeNumerically("<", 5*time.Second))
+		h.g.Expect(h.Now()).To(BeNumerically("<", 5*time.Second))
 	})
 }
 
--- a/internal/edge/proxy/queue.go
+++ b/internal/edge/proxy/queue.go
@@ -3,24 +3,25 @@
 import (
 	"slices"
 	"sync"
-	"time"
 )
 
-// queue holds requests that wait for room at a server, by rank and then by arrival.
-type queue struct {
+// requestQueue holds the requests that wait for a slot at a server, by service, then by rank, then by arrival.
+type requestQueue struct {
 	mu      sync.Mutex
 	waiters map[string][]*waiter
 }
 
+// waiter is a request that waits. A value on wake tells it to try again.
 type waiter struct {
-	rank  int
-	since time.Duration
-	wake  chan struct{}
+	rank int // the lowest goes first
+	wake chan struct{}
 }
 
-// enqueue joins a service's queue.
-func (q *queue) enqueue(service string, rank int, now time.Duration) *waiter {
-	w := &waiter{rank: rank, since: now, wake: make(chan struct{}, 1)}
+func newRequestQueue() *requestQueue { return &requestQueue{waiters: map[string][]*waiter{}} }
+
+// enqueue joins a service's queue, behind all of the same rank. The waiter has to be removed again.
+func (q *requestQueue) enqueue(service string, rank int) *waiter {
+	w := &waiter{rank: rank, wake: make(chan struct{}, 1)}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	list := q.waiters[service]
@@ -35,34 +36,35 @@
 }
 
 // remove takes a waiter out.
-func (q *queue) remove(service string, w *waiter) {
+func (q *requestQueue) remove(service string, w *waiter) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.waiters[service] = slices.DeleteFunc(q.waiters[service], func(o *waiter) bool { return o == w })
+	q.waiters[service] = slices.DeleteFunc(q.waiters[service], func(other *waiter) bool { return other == w })
 }
 
-// wake lets the first waiter of a service look again.
-func (q *queue) wake(service string) {
+// wake has the first waiter of a service try again: a slot may be free.
+func (q *requestQueue) wake(service string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if list := q.waiters[service]; len(list) > 0 {
-		select {
-		case list[0].wake <- struct{}{}:
-		default:
-		}
+		list[0].notify()
 	}
 }
 
-// wakeAll lets all look again: servers came or went.
-func (q *queue) wakeAll() {
+// wakeAll has all waiters try again: servers came or went.
+func (q *requestQueue) wakeAll() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, list := range q.waiters {
 		for _, w := range list {
-			select {
-			case w.wake <- struct{}{}:
-			default:
-			}
+			w.notify()
 		}
 	}
 }
+
+func (w *waiter) notify() {
+	select {
+	case w.wake <- struct{}{}:
+	default: // it was told already
+	}
+}
--- a/internal/edge/proxy/reservations.go
+++ b/internal/edge/proxy/reservations.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"maps"
 	"slices"
 	"strings"
 	"sync"
@@ -10,184 +11,215 @@
 
 	"mulleinwood/internal/config"
 	"mulleinwood/internal/control/reservation"
+	"mulleinwood/internal/node"
 	"mulleinwood/internal/peer"
 )
 
-const (
-	demandInterval   = 250 * time.Millisecond
-	bookedRankOffset = 1000 // above every priority, while the booking has room
-)
+// demandInterval is how often an edge says what it wants of the reservations, while any is in force.
+const demandInterval = 250 * time.Millisecond
+
+// reservationGates holds an edge's shares of booked capacity: a gate for each service at which a reservation is in force.
+// Without bookings it costs a request one atomic load.
+type reservationGates struct {
+	*node.Env
+	queue      *requestQueue
+	fleetEdges *atomic.Int32
+	send       func(peer.Message) bool // to the controller
+	active     atomic.Bool             // a reservation is in force, or something runs under a gate
+	wake       chan struct{}
 
-// reservations holds an edge's part of booked slots: a gate for each service at which any is held. Without bookings it costs a
-// look at one flag for each request.
-type reservations struct {
-	active    atomic.Bool // any reservation is told, or something runs under a gate
 	mu        sync.Mutex
-	announced []reservation.Reservation
-	leases    reservation.LeaseHolder
-	gates     map[string]*reservation.AdmissionGate
-	wanted    map[string]int // by reservation, requests in work or waiting
-	wake      chan struct{}
+	announced []reservation.Reservation // in force, as the controller last said
+	lease     reservation.LeaseHolder
+	gates     map[string]*reservation.AdmissionGate // by service
+	wanted    map[string]int                        // by reservation: requests that run or wait
 }
 
-// admission is what a request holds of a gate.
+// admission is what a request holds of a gate. A nil one is that of a service without reservations.
 type admission struct {
 	gate        *reservation.AdmissionGate
-	reservation string // whose traffic it is
-	admittedAs  string // as what it was let in
+	reservation string // that the request may use
+	admittedAs  string // what it was admitted under; empty: as everybody
 	admittedAt  time.Duration
 	admitted    bool
 }
 
-// handleAnnouncement takes the controller's word on which reservations are held.
-func (r *reservations) handleAnnouncement(c *Proxy, f *peer.Reservations) {
-	r.mu.Lock()
-	r.leases.FollowTerm(f.Term)
-	r.announced = f.List
-	r.updateGates(c)
-	r.mu.Unlock()
-	_ = c.logger.Log("event", "rooms", "held", len(f.List), "term", f.Term)
+func newReservationGates(env *node.Env, queue *requestQueue, fleetEdges *atomic.Int32, send func(peer.Message) bool) *reservationGates {
+	return &reservationGates{Env: env, queue: queue, fleetEdges: fleetEdges, send: send, wake: make(chan struct{}, 1),
+		lease: reservation.LeaseHolder{Incarnation: env.Incarnation}, gates: map[string]*reservation.AdmissionGate{}, wanted: map[string]int{}}
+}
+
+// handleReservations takes over what the controller says is in force.
+func (g *reservationGates) handleReservations(m *peer.Reservations) {
+	g.mu.Lock()
+	g.lease.FollowTerm(m.Term)
+	g.announced = m.List
+	g.updateGates()
+	g.mu.Unlock()
+	g.LogEvent("reservations changed", "count", len(m.List), "term", m.Term)
 	select {
-	case r.wake <- struct{}{}:
+	case g.wake <- struct{}{}:
 	default:
 	}
 }
 
-// handleLease takes parts of reservations.
-func (r *reservations) handleLease(c *Proxy, l reservation.Lease) {
-	r.mu.Lock()
-	taken := r.leases.Accept(l)
-	if taken {
-		r.updateGates(c)
+// handleLease takes over a lease on shares of the reservations.
+func (g *reservationGates) handleLease(l reservation.Lease) {
+	if g.acceptLease(l) {
+		g.queue.wakeAll()
 	}
-	r.mu.Unlock()
-	if taken {
-		c.queue.wakeAll()
+}
+
+func (g *reservationGates) acceptLease(l reservation.Lease) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if !g.lease.Accept(l) {
+		return false
 	}
+	g.updateGates()
+	return true
 }
 
-// updateGates sets the gates as the parts are now. Without a lease, which a cut from the core for long brings about, others are
-// held to an even share, and what is booked goes on as room is found.
-func (r *reservations) updateGates(c *Proxy) {
-	now, fleet := c.now(), max(1, int(c.fleetEdges.Load()))
+// updateGates sets the gates to the shares as they are now. Without a lease, which a long partition brings about, the
+// requests of all who booked nothing are limited to an even share, and booked ones go on as slots are found.
+func (g *reservationGates) updateGates() {
 	services := map[string]bool{}
-	for _, one := range r.announced {
-		if services[one.Service] = true; r.gates[one.Service] == nil {
-			r.gates[one.Service] = reservation.NewAdmissionGate()
-		}
-		gate := r.gates[one.Service]
-		part, full, known := r.leases.Share(one.ID, now)
-		switch {
-		case one.ID != reservation.OthersID(one.Service):
-			gate.SetShare(one.ID, part, one.Slots, full)
-		case known:
-			gate.LimitOthers(part, one.Slots, full)
-		default:
-			gate.LimitOthers((one.Slots+fleet-1)/fleet, one.Slots, true)
-		}
+	for _, r := range g.announced {
+		services[r.Service] = true
+		g.setShare(r)
 	}
-	for service, gate := range r.gates {
+	for service, gate := range g.gates {
 		gate.Retain(func(id string) bool {
-			return slices.ContainsFunc(r.announced, func(one reservation.Reservation) bool { return one.ID == id && one.Service == service })
+			return slices.ContainsFunc(g.announced, func(r reservation.Reservation) bool { return r.ID == id && r.Service == service })
 		})
 		if !services[service] {
 			if gate.UnlimitOthers(); gate.Idle() {
-				delete(r.gates, service)
+				delete(g.gates, service)
 			}
 		}
 	}
-	r.active.Store(len(r.announced)+len(r.gates) > 0)
+	g.active.Store(len(g.announced)+len(g.gates) > 0)
 }
 
-// reservationFor finds the reservation that a request may use: that of its tenant at its service.
-func (r *reservations) reservationFor(c *Proxy, route *config.Route, service string) string {
-	tenant, found := strings.ToLower(route.Host), reservation.OthersID(service)
-	for _, one := range r.announced {
-		if one.Service == service && strings.ToLower(one.Tenant) == tenant && one.Tenant != "" && (one.Route == "" || one.Route == route.Name) && (one.Zone == "" || one.Zone == c.settings.Zone) {
-			if found = one.ID; r.gates[service].HasCapacity(found) {
-				break
-			}
+func (g *reservationGates) setShare(r reservation.Reservation) {
+	gate := g.gates[r.Service]
+	if gate == nil {
+		gate = reservation.NewAdmissionGate()
+		g.gates[r.Service] = gate
+	}
+	share, exhausted, known := g.lease.Share(r.ID, g.Now())
+	switch {
+	case r.ID != reservation.OthersID(r.Service):
+		gate.SetShare(r.ID, share, r.Slots, exhausted)
+	case known:
+		gate.LimitOthers(share, r.Slots, exhausted)
+	default:
+		edges := max(1, int(g.fleetEdges.Load()))
+		gate.LimitOthers((r.Slots+edges-1)/edges, r.Slots, true)
+	}
+}
+
+// reservationFor finds the reservation that a request may use: one of its tenant at its service, with capacity if there is
+// such a one.
+func (g *reservationGates) reservationFor(route *config.Route, service string) string {
+	found, tenant := reservation.OthersID(service), strings.ToLower(route.Host)
+	for _, r := range g.announced {
+		if r.Service != service || !g.mayUse(tenant, route.Name, r) {
+			continue
+		}
+		if found = r.ID; g.gates[service].HasCapacity(found) {
+			break
 		}
 	}
 	return found
 }
 
-// enter counts a request that wants room. It gives nil where no reservation is held at its service.
-func (r *reservations) enter(c *Proxy, t *clientRequest) *admission {
-	if !r.active.Load() {
+// mayUse reports whether a route's requests may use a reservation. Tenant is the route's host in lower case.
+func (g *reservationGates) mayUse(tenant, route string, r reservation.Reservation) bool {
+	ofTenant := r.Tenant != "" && strings.ToLower(r.Tenant) == tenant
+	return ofTenant && (r.Route == "" || r.Route == route) && (r.Zone == "" || r.Zone == g.Settings.Zone)
+}
+
+// enter counts a request that wants a slot. It gives nil where no reservation is in force at its service.
+func (g *reservationGates) enter(route *config.Route, service string) *admission {
+	if !g.active.Load() {
 		return nil
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	gate := r.gates[t.service]
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	gate := g.gates[service]
 	if gate == nil {
 		return nil
 	}
-	p := &admission{gate: gate, reservation: r.reservationFor(c, t.route, t.service)}
-	r.wanted[p.reservation]++
-	return p
+	a := &admission{gate: gate, reservation: g.reservationFor(route, service)}
+	g.wanted[a.reservation]++
+	return a
 }
 
-// admit lets a request in, once.
-func (r *reservations) admit(p *admission, now time.Duration) bool {
-	if p == nil || p.admitted {
+// admit admits a request, once; false: it has to wait.
+func (g *reservationGates) admit(a *admission) bool {
+	if a == nil || a.admitted {
 		return true
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	p.admittedAs, p.admitted = p.gate.Admit(p.reservation)
-	p.admittedAt = now
-	return p.admitted
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	a.admittedAs, a.admitted = a.gate.Admit(a.reservation)
+	a.admittedAt = g.Now()
+	return a.admitted
 }
 
-// undoAdmit undoes an admission that found no server.
-func (r *reservations) undoAdmit(p *admission) {
-	if p == nil || !p.admitted {
+// undoAdmit takes back an admission that found no server.
+func (g *reservationGates) undoAdmit(a *admission) {
+	if a == nil || !a.admitted {
 		return
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	p.gate.Release(p.admittedAs, 0)
-	p.admitted = false
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	a.gate.Release(a.admittedAs, 0)
+	a.admitted = false
 }
 
-// release ends a request.
-func (r *reservations) release(c *Proxy, p *admission, service string) {
-	if p == nil {
+// leave ends a request.
+func (g *reservationGates) leave(a *admission, service string) {
+	if a == nil {
 		return
 	}
-	r.mu.Lock()
-	if r.wanted[p.reservation]--; r.wanted[p.reservation] == 0 {
-		delete(r.wanted, p.reservation)
+	g.release(a)
+	g.queue.wake(service)
+}
+
+func (g *reservationGates) release(a *admission) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.wanted[a.reservation]--; g.wanted[a.reservation] == 0 {
+		delete(g.wanted, a.reservation)
 	}
-	if p.admitted {
-		p.gate.Release(p.admittedAs, max(1, c.now()-p.admittedAt))
+	if a.admitted {
+		a.gate.Release(a.admittedAs, max(1, g.Now()-a.admittedAt)) // a release of 0 would mean that it found no server
 	}
-	r.mu.Unlock()
-	c.queue.wake(service)
 }
 
-// hasPriority tells whether a request goes before all that booked nothing.
-func (r *reservations) hasPriority(p *admission) bool {
-	if p == nil {
+// hasPriority reports whether a request goes before all that booked nothing.
+func (g *reservationGates) hasPriority(a *admission) bool {
+	if a == nil {
 		return false
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return p.gate.HasCapacity(p.reservation)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return a.gate.HasCapacity(a.reservation)
 }
 
-// run says four times a second what is wanted, while any reservation is held. Otherwise it sleeps.
-func (r *reservations) run(ctx context.Context, c *Proxy) {
+// run sends the edge's demand while any reservation is in force, and sleeps otherwise, until ctx ends.
+func (g *reservationGates) run(ctx context.Context) {
 	for {
-		if !r.active.Load() {
+		if !g.active.Load() {
 			select {
 			case <-ctx.Done():
 				return
-			case <-r.wake:
+			case <-g.wake:
 			}
 		}
-		r.sendDemand(c)
+		g.sendDemand()
 		select {
 		case <-ctx.Done():
 			return
@@ -196,18 +228,18 @@
 	}
 }
 
-func (r *reservations) sendDemand(c *Proxy) {
-	r.mu.Lock()
-	r.updateGates(c)
-	wants := make(map[string]int, len(r.wanted))
-	for id, n := range r.wanted {
-		wants[id] = n
-	}
-	demand := r.leases.Demand(wants, c.now())
-	demand.Zone = c.settings.Zone
-	told := len(r.announced) > 0
-	r.mu.Unlock()
-	if told {
-		c.session.send(&peer.Frame{Demands: []peer.EdgeDemand{{Demand: demand}}})
+func (g *reservationGates) sendDemand() {
+	if demand, inForce := g.demand(); inForce {
+		g.send(peer.Demands{{Demand: demand}})
 	}
 }
+
+// demand is what this edge wants now, and whether any reservation is in force.
+func (g *reservationGates) demand() (demand reservation.Demand, inForce bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.updateGates()
+	demand = g.lease.Demand(maps.Clone(g.wanted), g.Now())
+	demand.Zone = g.Settings.Zone
+	return demand, len(g.announced) > 0
+}
--- a/internal/edge/proxy/reservations_test.go
+++ b/internal/edge/proxy/reservations_test.go
@@ -52,8 +52,8 @@
 
 // hold gives the edge reservations and its parts of them.
 func (h *hall) hold(list []reservation.Reservation, parts map[string]int, full map[string]bool) {
-	h.reservations.handleAnnouncement(h.Proxy, &peer.Reservations{Term: 3, List: list})
-	h.reservations.handleLease(h.Proxy, reservation.Lease{Incarnation: h.incarnation, Stamp: h.now(), Term: 3, Seq: 1, Duration: 10 * time.Second, Shares: parts, Exhausted: full})
+	h.reservations.handleReservations(&peer.Reservations{Term: 3, List: list})
+	h.reservations.handleLease(reservation.Lease{Incarnation: h.Incarnation, Stamp: h.Now(), Term: 3, Seq: 1, Duration: 10 * time.Second, Shares: parts, Exhausted: full})
 }
 
 func TestOthersDoNotTakeAReservation(t *testing.T) {
@@ -74,7 +74,7 @@
 		h.g.Expect(h.reservations.gates["tags"].Idle()).To(BeTrue(), "all room is given back")
 
 		// The booking ends: nobody is held any more.
-		h.reservations.handleAnnouncement(h.Proxy, &peer.Reservations{Term: 3})
+		h.reservations.handleReservations(&peer.Reservations{Term: 3})
 		h.g.Expect(h.reservations.active.Load()).To(BeFalse())
 		h.g.Expect(h.flood(8, "b.example")()).To(Equal(map[int]int{200: 8}))
 	})
@@ -91,13 +91,13 @@
 		h.hold(list, map[string]int{"flyer": 7, reservation.OthersID("tags"): 1}, map[string]bool{reservation.OthersID("tags"): true})
 		lent := h.flood(3, "b.example")
 		booked := h.flood(1, "a.example")
-		h.reservations.handleAnnouncement(h.Proxy, &peer.Reservations{Term: 3})
+		h.reservations.handleReservations(&peer.Reservations{Term: 3})
 		h.g.Expect(h.reservations.gates).To(HaveLen(1), "requests still run under it")
 		more := h.flood(4, "b.example")
 		h.g.Expect(lent()).To(Equal(map[int]int{200: 3}))
 		h.g.Expect(booked()).To(Equal(map[int]int{200: 1}))
 		h.g.Expect(more()).To(Equal(map[int]int{200: 4}))
-		h.reservations.sendDemand(h.Proxy)
+		h.reservations.sendDemand()
 		h.g.Expect(h.reservations.gates).To(BeEmpty())
 		h.g.Expect(h.reservations.active.Load()).To(BeFalse())
 	})
@@ -114,7 +114,7 @@
 		list := []reservation.Reservation{{ID: "flyer", Tenant: "a.example", Service: "tags", Slots: 6}, {ID: reservation.OthersID("tags"), Service: "tags", Slots: 2}}
 		h.hold(list, map[string]int{"flyer": 1, reservation.OthersID("tags"): 0}, nil)
 		h.g.Expect(h.flood(6, "a.example")()).To(Equal(map[int]int{200: 6}))
-		h.reservations.handleLease(h.Proxy, reservation.Lease{Incarnation: h.incarnation, Stamp: h.now(), Term: 3, Seq: 2, Duration: 10 * time.Second,
+		h.reservations.handleLease(reservation.Lease{Incarnation: h.Incarnation, Stamp: h.Now(), Term: 3, Seq: 2, Duration: 10 * time.Second,
 			Shares: map[string]int{"flyer": 1, reservation.OthersID("tags"): 2}, Exhausted: map[string]bool{"flyer": true, reservation.OthersID("tags"): true}})
 		h.g.Expect(h.flood(8, "a.example")()[200]).To(Equal(3), "one booked, two as everybody")
 	})
@@ -132,9 +132,9 @@
 		list := []reservation.Reservation{{ID: "flyer", Tenant: "a.example", Service: "tags", Slots: 4}, {ID: reservation.OthersID("tags"), Service: "tags", Slots: 4}}
 		h.hold(list, map[string]int{"flyer": 4, reservation.OthersID("tags"): 4}, map[string]bool{reservation.OthersID("tags"): true})
 		time.Sleep(11 * time.Second)
-		h.reservations.sendDemand(h.Proxy)
-		h.reservations.handleAnnouncement(h.Proxy, &peer.Reservations{Term: 4, List: list})
-		h.reservations.handleLease(h.Proxy, reservation.Lease{Incarnation: h.incarnation, Stamp: h.now(), Term: 3, Seq: 9, Duration: 10 * time.Second, Shares: map[string]int{reservation.OthersID("tags"): 8}})
+		h.reservations.sendDemand()
+		h.reservations.handleReservations(&peer.Reservations{Term: 4, List: list})
+		h.reservations.handleLease(reservation.Lease{Incarnation: h.Incarnation, Stamp: h.Now(), Term: 3, Seq: 9, Duration: 10 * time.Second, Shares: map[string]int{reservation.OthersID("tags"): 8}})
 		others := h.flood(10, "b.example")
 		booked := h.flood(4, "a.example")
 		h.g.Expect(booked()).To(Equal(map[int]int{200: 4}))
--- a/internal/edge/proxy/respond.go
+++ b/internal/edge/proxy/respond.go
@@ -6,6 +6,7 @@
 	"net"
 	"net/http"
 	"strconv"
+	"sync"
 	"time"
 
 	"github.com/joomcode/errorx"
@@ -14,74 +15,78 @@
 	"mulleinwood/internal/platform/apierror"
 )
 
-// respond passes on what a server said, or says why nobody did.
-func (p *Proxy) respond(w http.ResponseWriter, t *clientRequest, out attemptResult) {
-	if t.retries.Disposition(out.cause) != attempt.ForwardResponse {
-		p.reject(w, t.r, t.clientError(out))
+// maxLogLinesPerSecond bounds the lines of log for each kind of error.
+const maxLogLinesPerSecond = 5
+
+// respond forwards what a server said, or says why nobody did.
+func (p *Proxy) respond(w http.ResponseWriter, req *clientRequest, result attemptResult) {
+	if req.retries.Disposition(result.cause) != attempt.ForwardResponse {
+		p.reject(w, req.http, req.clientError(result))
 		return
 	}
-	t.writeHeader(w.Header(), out)
-	p.metrics.Requests.WithLabelValues(string(t.route.Kind), strconv.Itoa(out.status)).Inc()
-	if out.remaining != nil && t.bodyTail != nil {
-		// Without this net/http would take what the client still sends for itself, out of the middle of what the server gets.
-		_ = http.NewResponseController(w).EnableFullDuplex() // a writer without it is a test's
+	req.writeHeader(w.Header(), result)
+	p.Metrics.Requests.WithLabelValues(string(req.route.Kind), strconv.Itoa(result.status)).Inc()
+	if result.stream != nil && req.bodyTail != nil {
+		// Without this net/http would read what the client still sends, out of the middle of what the server gets.
+		_ = http.NewResponseController(w).EnableFullDuplex() // HTTP/1.1 connections always support it
 	}
-	w.WriteHeader(out.status)
-	_, err := w.Write(out.body) // a client that is gone has given up
-	if out.remaining != nil {
-		p.streamResponse(w, t, out, err)
+	w.WriteHeader(result.status)
+	_, err := w.Write(result.body) // a client that has gone has given up
+	if result.stream != nil {
+		p.streamResponse(w, req, result.stream, err)
 	}
 }
 
-// writeHeader makes the header of an answer that is passed on.
-func (r *clientRequest) writeHeader(h http.Header, out attemptResult) {
-	for name, values := range out.header {
+// writeHeader makes the header of a response that is forwarded.
+func (req *clientRequest) writeHeader(h http.Header, result attemptResult) {
+	for name, values := range result.header {
 		h[name] = values
 	}
-	h["X-Attempt-Id"] = []string{r.id}
+	h[headerAttemptID] = []string{req.id}
 	if h["Content-Type"] == nil {
 		h["Content-Type"] = nil // none is guessed
 	}
 	switch {
-	case bodiless(r.r.Method, out.status): // the length that the server told stands
-	case out.remaining == nil:
-		h["Content-Length"] = []string{strconv.Itoa(len(out.body))}
-	case out.length >= 0:
-		h["Content-Length"] = []string{strconv.FormatInt(out.length, 10)}
+	case bodiless(req.http.Method, result.status): // the length that the server told stands
+	case result.stream == nil:
+		h["Content-Length"] = []string{strconv.Itoa(len(result.body))}
+	case result.stream.length >= 0:
+		h["Content-Length"] = []string{strconv.FormatInt(result.stream.length, 10)}
 	}
 }
 
-// bodiless tells whether an answer has no body, whatever its header says.
+// bodiless reports whether a response has no body, whatever its header says.
 func bodiless(method string, status int) bool {
 	return method == http.MethodHead || status == http.StatusNoContent || status == http.StatusNotModified
 }
 
-// streamResponse hands on the rest of a long answer. One that was cut short must not look whole.
-func (p *Proxy) streamResponse(w http.ResponseWriter, t *clientRequest, out attemptResult, gone error) {
-	var broken error
-	if gone == nil {
-		broken, gone = copyBody(w, out.remaining)
-	}
-	cause := out.end(broken, gone)
+// streamResponse forwards the rest of a long response. One that was cut short must not look complete, so the client's
+// connection is broken off then. ToClient is the error of writing the beginning.
+func (p *Proxy) streamResponse(w http.ResponseWriter, req *clientRequest, stream *responseStream, toClient error) {
+	var fromServer error
+	if toClient == nil {
+		fromServer, toClient = copyBody(w, stream.remaining)
+	}
+	cause := stream.end(fromServer, toClient)
 	if cause.Consequence().Disposition != attempt.AbortConnection {
 		return
 	}
-	if broken != nil {
-		p.metrics.GivenUp.WithLabelValues(apierror.Kind(apierror.PerhapsRun.New("broken off"))).Inc()
-		p.logRejection(apierror.PerhapsRun.Wrap(broken, "answer breaks off"), t.r)
+	if fromServer != nil {
+		p.Metrics.GivenUp.WithLabelValues(apierror.Kind(apierror.PerhapsRun.New("broken off"))).Inc()
+		p.logRejection(apierror.PerhapsRun.Wrap(fromServer, "response breaks off"), req.http)
 	}
-	if out.length < 0 && !t.r.ProtoAtLeast(1, 1) {
+	if stream.length < 0 && !req.http.ProtoAtLeast(1, 1) {
 		resetConn(w)
 	}
-	panic(http.ErrAbortHandler)
+	panic(http.ErrAbortHandler) // net/http closes the connection for it
 }
 
-// resetConn ends a client's connection so that the client sees a failure. A client of HTTP/1.0 takes a close for the end of an
-// answer without a length.
+// resetConn ends a client's connection so that the client sees a failure: one of HTTP/1.0 takes a close for the end of a
+// response without a length.
 func resetConn(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
-		return // a writer without it is a test's
+		return // the abort that follows has to do
 	}
 	if client, ok := conn.(*clientConn); ok {
 		conn = client.Conn
@@ -89,25 +94,25 @@
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0) // one that has failed is closed all the same
 	}
-	conn.Close()
+	closeConn(conn)
 }
 
-// clientError is the error that the client is told where no answer is passed on.
-func (r *clientRequest) clientError(out attemptResult) error {
-	switch r.retries.Disposition(out.cause) {
+// clientError is the error that the client is told where no response is forwarded.
+func (req *clientRequest) clientError(result attemptResult) error {
+	switch req.retries.Disposition(result.cause) {
 	case attempt.SafeRefusal:
-		return r.safeRefusalKind(out.cause).Wrap(out.err, "%s", out.cause)
+		return req.safeRefusalKind(result.cause).Wrap(result.err, "%s", result.cause)
 	case attempt.GatewayTimeout:
-		return apierror.TimedOut.Wrap(out.err, "%s", out.cause)
+		return apierror.TimedOut.Wrap(result.err, "%s", result.cause)
 	default:
-		return apierror.PerhapsRun.Wrap(out.err, "%s", out.cause)
+		return apierror.PerhapsRun.Wrap(result.err, "%s", result.cause)
 	}
 }
 
 // safeRefusalKind is the kind of error by which a client is told that its request never ran.
-func (r *clientRequest) safeRefusalKind(cause attempt.Cause) *errorx.Type {
+func (req *clientRequest) safeRefusalKind(cause attempt.Cause) *errorx.Type {
 	switch {
-	case r.retries.Sent > 0:
+	case req.retries.Sent > 0:
 		return apierror.NotRun
 	case cause == attempt.NoCapacity || cause == attempt.NoTime:
 		return apierror.Busy
@@ -116,37 +121,50 @@
 	}
 }
 
-// reject answers an error as the table of kinds says.
+// reject answers an error as apierror's table says. Retry-After is spread over half of its value around it, so that clients
+// don't come back together.
 func (p *Proxy) reject(w http.ResponseWriter, r *http.Request, err error) {
-	a := apierror.For(err)
+	response := apierror.For(err)
 	h := w.Header()
-	if id := r.Header.Get("X-Attempt-Id"); id != "" {
-		h["X-Attempt-Id"] = []string{id}
+	if id := r.Header.Get(headerAttemptID); id != "" {
+		h[headerAttemptID] = []string{id}
 	}
-	if a.RetryAfter > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(a.RetryAfter*(0.75+rand.Float64()/2), 'f', 3, 64))
+	if response.RetryAfter > 0 {
+		spread := 0.75 + rand.Float64()/2
+		h.Set("Retry-After", strconv.FormatFloat(response.RetryAfter*spread, 'f', 3, 64))
 	}
 	h["Content-Type"] = []string{"text/plain"}
 	body := apierror.Kind(err) + "\n"
 	h["Content-Length"] = []string{strconv.Itoa(len(body))}
-	w.WriteHeader(a.Status)
-	_, _ = io.WriteString(w, body) // a client that is gone has given up
-	p.metrics.GivenUp.WithLabelValues(apierror.Kind(err)).Inc()
+	w.WriteHeader(response.Status)
+	_, _ = io.WriteString(w, body) // a client that has gone has given up
+	p.Metrics.GivenUp.WithLabelValues(apierror.Kind(err)).Inc()
 	p.logRejection(err, r)
 }
 
-// logRejection logs what was given up, with its cause: a few lines a second of each kind, since a flood of refusals should not
-// cost more than the requests did. The counters tell all.
+// rejectionLog counts the lines of the current second, by kind of error.
+type rejectionLog struct {
+	mu     sync.Mutex
+	second int64
+	lines  map[string]int
+}
+
+// allow counts a line and reports whether it may be written.
+func (l *rejectionLog) allow(kind string, now time.Duration) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if second := int64(now / time.Second); l.lines == nil || l.second != second {
+		l.second, l.lines = second, map[string]int{}
+	}
+	l.lines[kind]++
+	return l.lines[kind] <= maxLogLinesPerSecond
+}
+
+// logRejection logs a request that failed, with the cause: a few lines a second of each kind, since a flood of rejections
+// should not cost more than the requests did. The counters count all.
 func (p *Proxy) logRejection(err error, r *http.Request) {
-	kind, second := apierror.Kind(err), int64(p.now()/time.Second)
-	p.mu.Lock()
-	if p.rejectionLog.second != second {
-		p.rejectionLog.second, p.rejectionLog.lines = second, map[string]int{}
-	}
-	p.rejectionLog.lines[kind]++
-	n := p.rejectionLog.lines[kind]
-	p.mu.Unlock()
-	if n <= maxLogLinesPerSecond {
-		_ = p.logger.Log("event", "given up", "kind", kind, "try", r.Header.Get("X-Attempt-Id"), "host", r.Host, "cause", err)
+	kind := apierror.Kind(err)
+	if p.rejections.allow(kind, p.Now()) {
+		p.LogEvent("request failed", "kind", kind, "attempt", r.Header.Get(headerAttemptID), "host", r.Host, "cause", err)
 	}
 }
--- /dev/null
+++ b/internal/edge/proxy/roundtrip.go
@@ -0,0 +1,265 @@
+package proxy
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"mulleinwood/internal/config"
+	"mulleinwood/internal/edge/attempt"
+)
+
+// attemptResult is how an attempt ended, and the response if there is one.
+type attemptResult struct {
+	cause  attempt.Cause
+	status int
+	header http.Header // end-to-end headers only
+	body   []byte
+	stream *responseStream // nil: body is the complete response
+	err    error           // what happened, where no response can be forwarded
+}
+
+// responseStream is the rest of a response that is too long to be buffered. Its end has to be called.
+type responseStream struct {
+	remaining io.Reader
+	length    int64 // of the complete response; -1: not known
+	end       func(fromServer, toClient error) attempt.Cause
+}
+
+// roundTrip is one attempt at one server while it goes on. It belongs to the goroutine that serves the request.
+type roundTrip struct {
+	*Proxy
+	req      *clientRequest
+	upstream *upstream
+	ctx      context.Context // ends with the request's deadline, not with the client's connection
+	cancel   context.CancelFunc
+	conn     *serverConn
+	attempt  attempt.Attempt
+	sentAt   time.Duration
+}
+
+// errServerDraining says that a server began to drain while a connection to it was made.
+var errServerDraining = errors.New("server is draining")
+
+// attemptOnce sends the request to one server.
+func (p *Proxy) attemptOnce(req *clientRequest, u *upstream) attemptResult {
+	rt := &roundTrip{Proxy: p, req: req, upstream: u}
+	timeout := req.timeLeft(p.Now()) - returnMargin
+	rt.ctx, rt.cancel = context.WithTimeout(context.WithoutCancel(req.http.Context()), timeout)
+	var result attemptResult
+	if req.bodyTail != nil || req.unsafe() && p.upstreams.distrusts(u.Service) {
+		result = rt.doOnNewConn()
+	} else {
+		result = rt.do()
+	}
+	if result.stream == nil {
+		rt.cancel()
+	}
+	return result
+}
+
+// do makes the attempt on an idle connection, if there is one. If that ended before the first byte a new one replaces it:
+// nothing was sent.
+func (rt *roundTrip) do() attemptResult {
+	conn, err := rt.connect(rt.upstreams.connect)
+	if err != nil {
+		return rt.abandon(err)
+	}
+	resp, err := rt.send(conn)
+	if err == nil {
+		return rt.receive(resp)
+	}
+	unsent := rt.attempt.Cause == attempt.Unsent
+	if (unsent || rt.attempt.Cause == attempt.BrokenOff) && conn.reused && rt.ctx.Err() == nil {
+		rt.upstreams.distrust(rt.upstream.Service)
+		if unsent {
+			rt.attempt = attempt.Attempt{}
+			return rt.doOnNewConn()
+		}
+	}
+	return rt.fail(err)
+}
+
+// doOnNewConn makes the attempt on a new connection, where nothing of an earlier exchange can be left over.
+func (rt *roundTrip) doOnNewConn() attemptResult {
+	conn, err := rt.connect(rt.upstreams.dialConn)
+	if err != nil {
+		return rt.abandon(err)
+	}
+	resp, err := rt.send(conn)
+	if err != nil {
+		return rt.fail(err)
+	}
+	return rt.receive(resp)
+}
+
+// abandon ends an attempt for which there was no connection.
+func (rt *roundTrip) abandon(err error) attemptResult {
+	rt.upstreams.release(rt.upstream, usage{})
+	return attemptResult{cause: rt.attempt.Cause, err: err}
+}
+
+// fail ends an attempt that got no response. Where the client stopped sending, the server did nothing wrong.
+func (rt *roundTrip) fail(err error) attemptResult {
+	rt.upstreams.release(rt.upstream, usage{arrived: true, succeeded: rt.attempt.Cause == attempt.ClientStopped})
+	return attemptResult{cause: rt.attempt.Cause, err: fmt.Errorf("server %s: %w", rt.upstream.ID, err)}
+}
+
+// connect gets a connection, unless the server begins to drain meanwhile.
+func (rt *roundTrip) connect(get func(context.Context, *upstream) (*serverConn, error)) (*serverConn, error) {
+	rt.attempt.Handle(attempt.ConnectStarted)
+	ctx, cancel := context.WithTimeout(rt.ctx, dialTimeout)
+	defer cancel()
+	conn, err := get(ctx, rt.upstream)
+	if err != nil {
+		rt.attempt.Handle(attempt.ConnectionClosed)
+		return nil, fmt.Errorf("dial: %w", err)
+	}
+	rt.conn = conn
+	rt.attempt.Handle(attempt.ConnectionReady)
+	if rt.upstream.isDraining() {
+		conn.close()
+		rt.attempt.Handle(attempt.ServerDraining)
+		return nil, errServerDraining
+	}
+	return conn, nil
+}
+
+// send writes the request and waits for the head of a response.
+func (rt *roundTrip) send(conn *serverConn) (*http.Response, error) {
+	request := rt.upstreamRequest(rt.ctx, rt.req, rt.upstream)
+	rt.sentAt = rt.Now()
+	conn.tracked.resetWritten()
+	resp, err := conn.client.RoundTrip(request)
+	if err == nil {
+		rt.attempt.Handle(attempt.FirstByte)
+		rt.attempt.Handle(attempt.ResponseBegins)
+		return resp, nil
+	}
+	conn.close()
+	if conn.tracked.hasWritten() { // asked after the close: from then on no byte leaves
+		rt.attempt.Handle(attempt.FirstByte)
+	}
+	clientErr := rt.req.bodyTail.failure()
+	switch {
+	case rt.ctx.Err() != nil:
+		rt.attempt.Handle(attempt.DeadlineExceeded)
+	case clientErr != nil: // the client broke off, or was too slow: not the server's doing
+		rt.attempt.Handle(attempt.ClientClosed)
+		err = fmt.Errorf("body: %w", clientErr)
+	default:
+		rt.attempt.Handle(attempt.ConnectionClosed)
+	}
+	return nil, err
+}
+
+// receive reads a server's response: all of it if it is short, else its beginning.
+func (rt *roundTrip) receive(resp *http.Response) attemptResult {
+	header := copyEndToEnd(resp.Header)
+	response := rt.classify(resp, header)
+	var body []byte
+	var err error
+	if rt.attempt.HandleHead(response) {
+		body, err = rt.readBody(resp, &response)
+	}
+	result := attemptResult{cause: rt.attempt.Cause, status: resp.StatusCode, header: header, body: body}
+	outcome := result.cause.Consequence().Outcome
+	if outcome == attempt.Unknown {
+		rt.upstreams.distrust(rt.upstream.Service)
+	} else {
+		rt.upstreams.reportLoad(rt.upstream, resp.Header)
+	}
+	if result.cause != attempt.Streaming {
+		result.err = rt.describe(resp, err)
+	}
+	use := usage{took: rt.Now() - rt.sentAt, arrived: true, succeeded: outcome == attempt.Ran && result.status < http.StatusInternalServerError}
+	if rt.attempt.State == attempt.Done {
+		rt.finish(resp, use)
+		return result
+	}
+	result.stream = &responseStream{remaining: resp.Body, length: resp.ContentLength, end: func(fromServer, toClient error) attempt.Cause {
+		rt.handleStreamed(fromServer, toClient)
+		rt.finish(resp, use)
+		rt.cancel()
+		rt.queue.wake(rt.req.service)
+		return rt.attempt.Cause
+	}}
+	return result
+}
+
+// classify reads the head of a response. It belongs to this attempt only if it carries its id, once.
+func (rt *roundTrip) classify(resp *http.Response, header http.Header) attempt.Response {
+	ids := header[headerAttemptID]
+	return attempt.Response{
+		Received:  true,
+		OwnID:     len(ids) == 1 && ids[0] == rt.req.id,
+		Delimited: resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0 || bodiless(rt.req.http.Method, resp.StatusCode),
+		NotRun:    header.Get(headerNotRun) != "" || resp.StatusCode == http.StatusMisdirectedRequest,
+		Success:   resp.StatusCode/100 == 2,
+		Sealed:    header.Get(headerServerSeal) != "",
+		Switched:  resp.StatusCode == http.StatusSwitchingProtocols,
+		Encoded:   header["Content-Encoding"] != nil && rt.req.http.Header["Accept-Encoding"] == nil,
+		Status:    resp.StatusCode,
+	}
+}
+
+// readBody reads as much of a response's body as may be buffered.
+func (rt *roundTrip) readBody(resp *http.Response, response *attempt.Response) ([]byte, error) {
+	limit := int64(maxBufferedResponse)
+	if rt.req.route.Kind == config.Keyed {
+		limit = maxKeptResponse
+	}
+	body, err := rt.bodyMemory.buffer(resp.Body, resp.ContentLength, limit)
+	rt.req.bodyBytes += body.reserved
+	switch {
+	case err == nil:
+		response.Complete, response.Partial = true, !body.complete
+		rt.attempt.HandleBody(*response)
+	case rt.ctx.Err() != nil:
+		rt.attempt.Handle(attempt.DeadlineExceeded)
+	default:
+		rt.attempt.Handle(attempt.ConnectionClosed)
+	}
+	return body.data, err
+}
+
+// describe tells for the log why a response can't be forwarded.
+func (rt *roundTrip) describe(resp *http.Response, err error) error {
+	switch rt.attempt.Cause {
+	case attempt.Answered, attempt.Failed:
+		return nil
+	case attempt.Foreign:
+		return fmt.Errorf("response of server %s belongs to another attempt: %q", rt.upstream.ID, resp.Header[headerAttemptID])
+	}
+	if err != nil {
+		return fmt.Errorf("response of server %s breaks off: %w", rt.upstream.ID, err)
+	}
+	return fmt.Errorf("response of server %s has status %d", rt.upstream.ID, resp.StatusCode)
+}
+
+// handleStreamed takes how the forwarding of a long response ended.
+func (rt *roundTrip) handleStreamed(fromServer, toClient error) {
+	switch {
+	case fromServer != nil:
+		rt.attempt.Handle(attempt.ConnectionClosed)
+	case toClient != nil:
+		rt.attempt.Handle(attempt.ClientClosed)
+	default:
+		rt.attempt.HandleStreamed()
+	}
+}
+
+// finish gives the connection and the server's slot back.
+func (rt *roundTrip) finish(resp *http.Response, use usage) {
+	_ = resp.Body.Close() // its end was read, or the connection is closed below
+	reuse := rt.attempt.Cause.Consequence().ReuseConn && !resp.Close
+	if reuse && rt.req.bodyTail == nil { // after a long body it isn't known whether all of it was taken
+		rt.upstream.putIdle(rt.conn, rt.Now(), resp.Header)
+	} else {
+		rt.conn.close()
+	}
+	rt.upstreams.release(rt.upstream, use)
+}
--- a/internal/edge/proxy/leaving_test.go
+++ b/internal/edge/proxy/shutdown_test.go
@@ -24,8 +24,8 @@
 			ended = time.Since(began)
 			close(done)
 		}()
-		h.inFlight.Add(1) // another request that a server is still at work on
-		defer h.inFlight.Add(-1)
+		h.shutdown.inFlight.Add(1) // another request that a server is still at work on
+		defer h.shutdown.inFlight.Add(-1)
 		time.Sleep(after)
 		w = httptest.NewRecorder()
 		r := httptest.NewRequest(http.MethodPost, "/k/1", strings.NewReader("x"))
--- a/internal/edge/proxy/upstreams.go
+++ b/internal/edge/proxy/upstreams.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"net"
 	"net/http"
 	"slices"
 	"strconv"
@@ -14,228 +15,380 @@
 
 	"mulleinwood/internal/control/registry"
 	"mulleinwood/internal/edge/picker"
+	"mulleinwood/internal/node"
 	"mulleinwood/internal/peer"
 )
 
 const (
 	dialTimeout       = 400 * time.Millisecond
-	userTimeoutMillis = 2000                    // milliseconds that sent bytes may stay unacknowledged: a cut is silent
-	defaultServerIdle = 8 * time.Second         // a server's idle time, where it doesn't say
-	idleMargin        = 1500 * time.Millisecond // a connection is closed here that much before the server closes it
+	tcpKeepAlive      = 5 * time.Second
+	userTimeoutMillis = 2000 // that sent bytes may stay unacknowledged: a network partition is not reported otherwise
+
+	defaultServerIdle = 8 * time.Second         // how long a server keeps an idle connection, where it doesn't say
+	idleMargin        = 1500 * time.Millisecond // by which a connection is closed here before the server closes it
+	minServerIdle     = idleMargin + 100*time.Millisecond
+
+	// distrustDuration is how long the connections of a service are not reused for what must not run twice, after one
+	// of them was dropped or brought what belongs to no request.
+	distrustDuration   = 5 * time.Second
+	tombstoneRetention = 90 * time.Second // how long a server that is gone is remembered
+	transportBuffer    = 4 << 10
+	maxResponseHeader  = 64 << 10
 )
 
-// setUserTimeout has the kernel end connections whose peer is silent.
+// setUserTimeout has the kernel end connections whose peer doesn't acknowledge.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, userTimeoutMillis) // a platform without it: deadlines remain
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, userTimeoutMillis) // without it deadlines remain
 	})
 }
 
-// upstream is a picker's upstream with its connections. They end with it, whoever has the address next.
+// upstreamPool holds the servers that this edge knows, their connections, and the picker that chooses among them.
+type upstreamPool struct {
+	*node.Env
+	onChange  func() // called, without the lock, when servers came or went
+	dial      func(ctx context.Context, network, address string) (net.Conn, error)
+	transport *http.Transport
+
+	mu         sync.Mutex
+	registry   *registry.Registry
+	picker     *picker.Picker
+	distrusted map[string]time.Duration // services, and until when
+}
+
+func newUpstreamPool(env *node.Env, onChange func()) *upstreamPool {
+	p := &upstreamPool{Env: env, onChange: onChange, registry: registry.New(tombstoneRetention),
+		picker: picker.New(env.Settings.Zone, randomFloat), distrusted: map[string]time.Duration{}}
+	p.dial = (&net.Dialer{Timeout: dialTimeout, KeepAlive: tcpKeepAlive, Control: setUserTimeout}).DialContext
+	p.transport = &http.Transport{DisableCompression: true, Proxy: nil, WriteBufferSize: transportBuffer, ReadBufferSize: transportBuffer,
+		MaxResponseHeaderBytes: maxResponseHeader, DialContext: p.dialTracked}
+	return p
+}
+
+func (p *upstreamPool) dialTracked(ctx context.Context, network, address string) (net.Conn, error) {
+	conn, err := p.dial(ctx, network, address)
+	if err != nil {
+		return nil, err
+	}
+	return track(ctx, conn), nil
+}
+
+// upstream is a picker's upstream with its connections. They belong to one incarnation of a server and end with it,
+// whichever server has the address next.
 type upstream struct {
 	*picker.Upstream
 	address string
 
 	mu          sync.Mutex
-	idle        []*serverConn
-	idleTimeout time.Duration
+	idle        []*serverConn // the longest idle first
+	idleTimeout time.Duration // of the server
 	closed      bool
 }
 
-// serverConn is a connection to a server that carries one request at a time.
+// serverConn is a connection to a server. It carries one request at a time.
 type serverConn struct {
-	conn    *http.ClientConn
-	tracked *trackedConn
-	since   time.Duration // idle
-	used    bool          // it carried a request before
+	client    *http.ClientConn
+	tracked   *trackedConn
+	idleSince time.Duration
+	reused    bool // it carried a request before
 }
 
-// upstreams holds the picker, and a lock around it.
-type upstreams struct {
-	mu sync.Mutex
-	*picker.Picker
+// close closes a connection that is not used any more.
+func (c *serverConn) close() { _ = c.client.Close() } // there is nothing left to be lost on it
+
+// usable reports whether a connection may carry another request.
+func (c *serverConn) usable(now, idleTimeout time.Duration) bool {
+	return now-c.idleSince <= idleTimeout-idleMargin && c.client.Err() == nil
+}
+
+// usage is how an attempt went, as the picker counts it.
+type usage struct {
+	took      time.Duration
+	arrived   bool // at the server
+	succeeded bool
 }
 
-// updateServers takes news of servers.
-func (p *Proxy) updateServers(entries []registry.Entry) {
+// update takes over what changed of servers.
+func (p *upstreamPool) update(entries []registry.Entry) {
+	removed, changed := p.apply(entries)
+	for _, u := range removed {
+		u.close()
+	}
+	if changed {
+		p.onChange()
+	}
+}
+
+func (p *upstreamPool) apply(entries []registry.Entry) (removed []*upstream, changed bool) {
 	p.mu.Lock()
-	p.upstreams.mu.Lock()
-	changed := false
-	var ended []*upstream
-	for _, e := range entries {
-		now, _ := p.registry.Apply(e, p.now())
+	defer p.mu.Unlock()
+	for _, entry := range entries {
+		e, _ := p.registry.Apply(entry, p.Now())
 		switch {
-		case now.State != registry.Ready || now.Expired:
-			if u := p.upstreams.Remove(e.ID); u != nil {
-				ended = append(ended, u.Attachment.(*upstream))
-				changed = true
+		case e.State != registry.Ready || e.Expired:
+			if u := p.picker.Remove(e.ID); u != nil {
+				removed, changed = append(removed, u.Attachment.(*upstream)), true
 			}
-		case p.upstreams.Get(e.ID) == nil && now.Address != "":
-			u := &upstream{address: now.Address, idleTimeout: defaultServerIdle}
-			u.Upstream = &picker.Upstream{ID: now.ID, Service: now.Service, Zone: now.Zone, Capacity: now.Capacity, Attachment: u}
-			p.upstreams.Add(u.Upstream)
+		case p.picker.Get(e.ID) == nil && e.Address != "":
+			p.picker.Add(newUpstream(e).Upstream)
 			changed = true
 		}
-		p.upstreams.SetTimedOut(e.ID, now.TimedOut)
-	}
-	p.upstreams.mu.Unlock()
-	p.mu.Unlock()
-	for _, u := range ended {
-		u.close()
-	}
-	if changed {
-		p.queue.wakeAll()
+		p.picker.SetTimedOut(e.ID, e.TimedOut)
 	}
+	return removed, changed
+}
+
+func newUpstream(e registry.Entry) *upstream {
+	u := &upstream{address: e.Address, idleTimeout: defaultServerIdle}
+	u.Upstream = &picker.Upstream{ID: e.ID, Service: e.Service, Zone: e.Zone, Capacity: e.Capacity, Attachment: u}
+	return u
 }
 
-// updateWeights takes the tables' changed lines.
-func (p *Proxy) updateWeights(w *peer.Weights) {
-	p.upstreams.mu.Lock()
-	defer p.upstreams.mu.Unlock()
+// updateWeights takes over changed lines of the weight tables.
+func (p *upstreamPool) updateWeights(w *peer.Weights) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, service := range w.Replaced {
-		p.upstreams.ClearWeights(service)
+		p.picker.ClearWeights(service)
 	}
 	for _, one := range w.Changed {
-		p.upstreams.SetWeight(one.Server, one.Weight)
+		p.picker.SetWeight(one.Server, one.Weight)
 	}
 }
 
-// close closes an upstream: nothing new is sent, what is out goes on.
-func (u *upstream) close() {
-	u.mu.Lock()
-	u.closed = true
-	idle := u.idle
-	u.idle = nil
-	u.mu.Unlock()
-	for _, k := range idle {
-		k.conn.Close()
-	}
+// assignSlots divides the slots of the zone's servers among the zone's edges.
+func (p *upstreamPool) assignSlots(zoneEdges []uint32) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.picker.AssignSlots(zoneEdges, peer.EdgeHash(p.Settings.Node))
 }
 
-// isDraining tells whether the upstream's server is leaving or gone.
-func (u *upstream) isDraining() bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.closed
+// empty reports whether no server is known.
+func (p *upstreamPool) empty() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.picker.Len() == 0
 }
 
-func (u *upstream) closeIdle(now time.Duration) {
-	u.mu.Lock()
-	var old []*serverConn
-	u.idle = slices.DeleteFunc(u.idle, func(k *serverConn) bool {
-		if now-k.since > u.idleTimeout-idleMargin || k.conn.Err() != nil {
-			old = append(old, k)
-			return true
+// serves reports whether any server of a service is known.
+func (p *upstreamPool) serves(service string) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.picker.Serves(service)
+}
+
+// entries is all that is known of servers.
+func (p *upstreamPool) entries() []registry.Entry {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.registry.All(p.Now())
+}
+
+// digests are those of what is known of servers, altogether and by zone.
+func (p *upstreamPool) digests() (all uint64, byZone map[string]uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.registry.Digest(), p.registry.ZoneDigests()
+}
+
+// compare answers a controller's digests.
+func (p *upstreamPool) compare(d *peer.Digests) []peer.Message {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return d.Compare(p.registry, p.Now())
+}
+
+// takeStats gives what was counted at the servers since the last call.
+func (p *upstreamPool) takeStats() (all []peer.ServerStats) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, u := range p.picker.All() {
+		if s := p.picker.TakeStats(u); s.Attempts > 0 {
+			all = append(all, peer.ServerStats{Server: u.ID, Attempts: s.Attempts, Failed: s.Failed, TotalTime: s.TotalTime})
 		}
-		return false
-	})
-	u.mu.Unlock()
-	for _, k := range old {
-		k.conn.Close()
 	}
+	return all
 }
 
-// pick chooses a server that this request was not at yet, and books a place on it.
-func (p *Proxy) pick(service string, not []*upstream) *upstream {
-	p.upstreams.mu.Lock()
-	defer p.upstreams.mu.Unlock()
-	u := p.upstreams.Pick(service, func(u *picker.Upstream) bool { return slices.Contains(not, u.Attachment.(*upstream)) }, p.now())
+// pick chooses a server that is not among those already tried, and reserves a slot there; nil: none has room.
+func (p *upstreamPool) pick(service string, tried []*upstream) *upstream {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	wasTried := func(u *picker.Upstream) bool { return slices.Contains(tried, u.Attachment.(*upstream)) }
+	u := p.picker.Pick(service, wasTried, p.Now())
 	if u == nil {
 		return nil
 	}
 	return u.Attachment.(*upstream)
 }
 
-func (p *Proxy) serves(service string) bool {
-	p.upstreams.mu.Lock()
-	defer p.upstreams.mu.Unlock()
-	return p.upstreams.Serves(service)
+// release gives a reserved slot back and counts how the attempt went.
+func (p *upstreamPool) release(u *upstream, use usage) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.picker.Release(u.Upstream, use.took, use.arrived, use.succeeded, p.Now())
 }
 
-// releaseUpstream gives the booked place back and counts how it went.
-func (p *Proxy) releaseUpstream(u *upstream, took time.Duration, arrived, answered bool) {
-	p.upstreams.mu.Lock()
-	defer p.upstreams.mu.Unlock()
-	p.upstreams.Release(u.Upstream, took, arrived, answered, p.now())
+// reportLoad takes over a server's word on its load: running, waiting and slots, as X-Server-Load gives them.
+func (p *upstreamPool) reportLoad(u *upstream, header http.Header) {
+	const fields = 3
+	parts := strings.Split(header.Get(headerServerLoad), ",")
+	if len(parts) != fields {
+		return
+	}
+	var figures [fields]float64
+	for i, part := range parts {
+		x, err := strconv.ParseFloat(strings.TrimSpace(part), 64)
+		if err != nil || x < 0 {
+			return
+		}
+		figures[i] = x
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.picker.ReportLoad(u.Upstream, figures[0], figures[1], p.Now())
 }
 
-// connect gives a connection that is free, or a new one.
-func (p *Proxy) connect(ctx context.Context, u *upstream, fresh bool) (*serverConn, error) {
-	now := p.now()
-	for !fresh {
-		u.mu.Lock()
-		n := len(u.idle)
-		if n == 0 {
-			u.mu.Unlock()
-			break
+// distrust notes that a service's connections can't be reused safely for now: its servers drop them, or send on them what
+// belongs to no request. What must not run twice then goes on new connections, where nothing is left over; that costs
+// little beside an operation whose outcome nobody knows.
+func (p *upstreamPool) distrust(service string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.distrusted[service] = p.Now() + distrustDuration
+}
+
+func (p *upstreamPool) distrusts(service string) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.Now() < p.distrusted[service]
+}
+
+// connect gives an idle connection of the server, the latest used first, or a new one.
+func (p *upstreamPool) connect(ctx context.Context, u *upstream) (*serverConn, error) {
+	for {
+		conn, usable := u.takeIdle(p.Now())
+		if conn == nil {
+			return p.dialConn(ctx, u)
 		}
-		k := u.idle[n-1]
-		u.idle = u.idle[:n-1]
-		old := now-k.since > u.idleTimeout-idleMargin
-		u.mu.Unlock()
-		if !old && k.conn.Err() == nil && k.tracked.clean() {
-			k.used = true
-			return k, nil
+		if usable && conn.tracked.clean() {
+			conn.reused = true
+			return conn, nil
 		}
-		k.conn.Close()
+		conn.close()
 	}
-	k := &serverConn{}
-	conn, err := p.dialer.NewClientConn(context.WithValue(ctx, trackedConnKey{}, &k.tracked), "http", u.address)
+}
+
+// dialConn gives a new connection to the server.
+func (p *upstreamPool) dialConn(ctx context.Context, u *upstream) (*serverConn, error) {
+	conn := &serverConn{}
+	client, err := p.transport.NewClientConn(context.WithValue(ctx, trackedConnKey{}, &conn.tracked), "http", u.address)
 	if err != nil {
 		return nil, err
 	}
-	k.conn = conn
-	return k, nil
+	conn.client = client
+	return conn, nil
 }
 
-// putIdle takes a connection back.
-func (u *upstream) putIdle(k *serverConn, now time.Duration, header http.Header) {
-	if v := header.Get("Keep-Alive"); v != "" {
-		for _, part := range strings.Split(v, ",") {
-			if name, figure, ok := strings.Cut(strings.TrimSpace(part), "="); ok && name == "timeout" {
-				if s, err := strconv.Atoi(figure); err == nil && s > 0 {
-					u.mu.Lock()
-					u.idleTimeout = max(time.Duration(s)*time.Second, idleMargin+100*time.Millisecond)
-					u.mu.Unlock()
-				}
-			}
-		}
+// closeIdle closes the connections that were idle for too long, and forgets servers that are long gone.
+func (p *upstreamPool) closeIdle() {
+	p.mu.Lock()
+	p.registry.Prune(p.Now())
+	all := p.picker.All()
+	p.mu.Unlock()
+	for _, u := range all {
+		u.Attachment.(*upstream).closeIdle(p.Now())
 	}
-	var oldest *serverConn
+}
+
+// takeIdle takes the connection that was used last; nil: none is idle.
+func (u *upstream) takeIdle(now time.Duration) (conn *serverConn, usable bool) {
 	u.mu.Lock()
-	k.since = now
-	keep := !u.closed && k.conn.Err() == nil
-	if keep {
-		u.idle = append(u.idle, k)
-		if len(u.idle) > u.Capacity+1 { // more than ever run at once: new ones were made for distrust
-			oldest = u.idle[0]
-			u.idle = u.idle[1:]
-		}
+	defer u.mu.Unlock()
+	last := len(u.idle) - 1
+	if last < 0 {
+		return nil, false
 	}
+	conn = u.idle[last]
+	u.idle = u.idle[:last]
+	return conn, conn.usable(now, u.idleTimeout)
+}
+
+// close ends an upstream: nothing new is sent, what is in flight goes on.
+func (u *upstream) close() {
+	u.mu.Lock()
+	u.closed = true
+	idle := u.idle
+	u.idle = nil
 	u.mu.Unlock()
-	if oldest != nil {
-		oldest.conn.Close()
+	for _, conn := range idle {
+		conn.close()
 	}
-	if !keep {
-		k.conn.Close()
+}
+
+// isDraining reports whether the upstream's server is draining or gone.
+func (u *upstream) isDraining() bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.closed
+}
+
+func (u *upstream) closeIdle(now time.Duration) {
+	for _, conn := range u.takeUnusable(now) {
+		conn.close()
 	}
 }
 
-// reportLoad takes the server's word on its load: running, waiting, slots.
-func (p *Proxy) reportLoad(u *upstream, header http.Header) {
-	var figures [3]float64
-	parts := strings.Split(header.Get("X-Server-Load"), ",")
-	if len(parts) != len(figures) {
-		return
+func (u *upstream) takeUnusable(now time.Duration) (unusable []*serverConn) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.idle = slices.DeleteFunc(u.idle, func(conn *serverConn) bool {
+		if conn.usable(now, u.idleTimeout) {
+			return false
+		}
+		unusable = append(unusable, conn)
+		return true
+	})
+	return unusable
+}
+
+// putIdle takes a connection back after a response with this header.
+func (u *upstream) putIdle(conn *serverConn, now time.Duration, header http.Header) {
+	surplus := u.addIdle(conn, now, keepAliveTimeoutOf(header))
+	if surplus != nil {
+		surplus.close()
 	}
-	for i, p := range parts {
-		x, err := strconv.ParseFloat(strings.TrimSpace(p), 64)
-		if err != nil || x < 0 {
-			return
+}
+
+// addIdle gives the connection that has to be closed instead: the one itself if it can't be kept, or the longest idle one
+// where there are more than ever ran at once (new ones are made out of distrust). Timeout is the server's; 0: not told.
+func (u *upstream) addIdle(conn *serverConn, now, timeout time.Duration) (surplus *serverConn) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if timeout > 0 {
+		u.idleTimeout = max(timeout, minServerIdle)
+	}
+	conn.idleSince = now
+	if u.closed || conn.client.Err() != nil {
+		return conn
+	}
+	if u.idle = append(u.idle, conn); len(u.idle) > u.Capacity+1 {
+		surplus = u.idle[0]
+		u.idle = u.idle[1:]
+	}
+	return surplus
+}
+
+// keepAliveTimeoutOf reads how long the server keeps an idle connection from its Keep-Alive header; 0: it doesn't say.
+func keepAliveTimeoutOf(header http.Header) (timeout time.Duration) {
+	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
+		name, figure, ok := strings.Cut(strings.TrimSpace(part), "=")
+		if !ok || name != "timeout" {
+			continue
+		}
+		if s, err := strconv.Atoi(figure); err == nil && s > 0 {
+			timeout = time.Duration(s) * time.Second
 		}
-		figures[i] = x
 	}
-	p.upstreams.mu.Lock()
-	defer p.upstreams.mu.Unlock()
-	p.upstreams.ReportLoad(u.Upstream, figures[0], figures[1], p.now())
+	return timeout
 }
--- a/internal/edge/proxy/variants_test.go
+++ b/internal/edge/proxy/variants_test.go
@@ -85,7 +85,7 @@
 				try := func(h *hall) {
 					h.allow(3, `{}`)
 					p := &peers{play: play{at: boundaries, kind: "u", real: real}, auditor: newAuditor()}
-					h.Proxy.dial = p.dial
+					h.upstreams.dial = p.dial
 					h.serve("i-1", good)
 					client, shut := p.client(h)
 					_, err := io.WriteString(client, text[:sent])
@@ -97,11 +97,11 @@
 					if !real {
 						time.Sleep(3 * time.Second) // on the fake clock
 					}
-					h.g.Eventually(h.inFlight.Load, "30s", "1ms").Should(BeZero())
+					h.g.Eventually(h.shutdown.inFlight.Load, "30s", "1ms").Should(BeZero())
 					shut()
 					w := h.send("GET", "/s/x", "", "X-Attempt-Id", "after")
 					h.g.Expect(w.Code).To(Equal(200))
-					for _, u := range h.upstreams.All() {
+					for _, u := range h.upstreams.picker.All() {
 						u.Attachment.(*upstream).close()
 					}
 					p.served.Wait()
@@ -124,11 +124,11 @@
 func TestPipelinedAnswersComeInOrder(t *testing.T) {
 	in(t, func(h *hall) {
 		p := &peers{play: play{at: boundaries}, auditor: newAuditor()}
-		h.Proxy.dial = p.dial
+		h.upstreams.dial = p.dial
 		h.serve("i-1", good)
 		client, shut := p.client(h)
 		defer p.served.Wait()
-		defer func() { h.upstreams.Get("i-1").Attachment.(*upstream).close() }()
+		defer func() { h.upstreams.picker.Get("i-1").Attachment.(*upstream).close() }()
 		defer shut()
 		ids := strings.Split("abcdefghijklmnopqrstuvwxyz", "")
 		var text strings.Builder
--- a/internal/simulation/wires.go
+++ b/internal/simulation/wires.go
@@ -294,10 +294,11 @@
 func (w *world) compare(k *wire, from, to int, cells *peer.Digests) {
 	w.wired(k, from, func() {
 		servers := w.registryOf(to)
-		answer := cells.Compare(servers, w.now)
-		if answer == nil {
+		reply := cells.Compare(servers, w.now)
+		if reply == nil {
 			return
 		}
+		answer := peer.FrameOf(reply...)
 		w.wired(k, to, func() {
 			if from < 0 {
 				w.edgeHears(w.edges[-1-from], answer.Entries)
@@ -308,7 +309,7 @@
 				if last := answer.Digests.Compare(w.registryOf(from), w.now); last != nil {
 					w.wired(k, from, func() {
 						if to >= 0 {
-							w.tell(w.nodes[to], from, last.Entries, 0)
+							w.tell(w.nodes[to], from, peer.FrameOf(last...).Entries, 0)
 						}
 					})
 				}
