--- a/internal/control/broadcast/broadcast.go
+++ b/internal/control/broadcast/broadcast.go
@@ -1,211 +1,219 @@
-// Package broadcast spreads news of servers: it decides what a controller tells whom, and when a server's call is
-// acknowledged. News goes to all edges and controllers that are linked; that a server leaves is acknowledged once all of
-// them say that they hold it, or after a time: who is out of reach for that long is not in touch. It is a value fed with
-// events; what has to be sent and answered gathers until Take.
+// Package broadcast spreads what changes of servers: it decides which peers a controller tells what, and when a server's
+// call is acknowledged. A Broadcaster is a value fed with events; what has to be sent and acknowledged gathers until
+// TakeOutput.
+//
+// An update goes to all linked edges and controllers. A controller passes on what it heard from another one to its edges,
+// and to controllers that the other one has no link to. That a server drains or is gone is acknowledged once every peer has
+// said that the update is in force there, edges behind other controllers included, or after a time-out: a peer that is
+// unreachable for that long is not in touch, and no acknowledgement binds it.
 package broadcast
 
 import (
+	"maps"
 	"slices"
 	"time"
 
 	"mulleinwood/internal/control/registry"
 )
 
-// Waits for receipts.
 const (
-	edgesTimeout = 300 * time.Millisecond // for another controller's edges to say that they hold an entry
-	fleetTimeout = 600 * time.Millisecond // and for other controllers, theirs included
+	// edgesTimeout is how long acknowledgements are waited for before another controller is answered: its edges' time.
+	edgesTimeout = 300 * time.Millisecond
+	// fleetTimeout is how long they are waited for before a server is answered. It is twice as long, since other
+	// controllers wait for their edges first.
+	fleetTimeout = 600 * time.Millisecond
 )
 
-// Message is what one link is sent.
+// Message is what one peer is sent: an update, or an acknowledgement.
 type Message struct {
 	To      string
 	Entries []registry.Entry
-	AckID   uint64 // to be sent back once the entries are in force
-	Acked   uint64
+	AckID   uint64 // to be sent back once the entries are in force; 0: no acknowledgement is wanted
+	Acked   uint64 // the AckID of an update that is in force here; 0: none
 }
 
 // Output is what has gathered.
 type Output struct {
 	Messages   []Message
-	AckedCalls []uint64         // calls that are acknowledged now
-	Updates    []registry.Entry // what changed here, for the tables and the disk
+	AckedCalls []uint64         // calls of servers that are acknowledged now
+	Updates    []registry.Entry // what changed here, for the weight tables and the disk
 }
 
 // Broadcaster is one controller's part.
 type Broadcaster struct {
-	registry    *registry.Registry
-	links       map[string]*link
-	pending     map[uint64]*pendingAck
-	lastID      uint64
-	ackedStates map[string]registry.State // of servers that are leaving, what was acknowledged here
-	out         Output
+	registry *registry.Registry
+	peers    map[string]*linkedPeer
+	pending  map[uint64]*pendingAck
+	lastID   uint64
+	// ackedStates holds, for servers that drain, the state that was acknowledged here.
+	ackedStates map[string]registry.State
+	output      Output
 }
 
-type link struct {
+type linkedPeer struct {
 	edge     bool
-	linkedTo []string // controllers that it has links to
+	linkedTo []string // names of controllers that it has links to
 }
 
-// pendingAck waits until others hold what was spread.
+// pendingAck waits until others have an update in force.
 type pendingAck struct {
 	waitingFor map[string]bool
 	deadline   time.Duration
 	done       func()
 }
 
-// New makes a broadcaster over a registry.
+// New makes a broadcaster over a registry, which it changes.
 func New(servers *registry.Registry) *Broadcaster {
-	return &Broadcaster{registry: servers, links: map[string]*link{}, pending: map[uint64]*pendingAck{}, ackedStates: map[string]registry.State{}}
+	return &Broadcaster{registry: servers, peers: map[string]*linkedPeer{}, pending: map[uint64]*pendingAck{},
+		ackedStates: map[string]registry.State{}}
 }
 
 // TakeOutput hands out what has gathered.
 func (b *Broadcaster) TakeOutput() Output {
-	out := b.out
-	b.out = Output{}
-	return out
+	output := b.output
+	b.output = Output{}
+	return output
 }
 
-// AddPeer takes a link in, by a name that no other has. A new link of one that is there takes its place: what the former was
-// to answer comes with the snapshot that a new link begins with.
+// AddPeer adds a peer by a name that no other has. A new link of one that is there takes the place of the former, whose
+// acknowledgements come with the snapshot that a new link begins with.
 func (b *Broadcaster) AddPeer(name string, edge bool) {
 	b.RemovePeer(name)
-	b.links[name] = &link{edge: edge}
+	b.peers[name] = &linkedPeer{edge: edge}
 }
 
-// RemovePeer takes a link out: nobody waits for it.
+// RemovePeer drops a peer: its acknowledgements are not waited for any more.
 func (b *Broadcaster) RemovePeer(name string) {
-	if b.links[name] == nil {
+	if b.peers[name] == nil {
 		return
 	}
-	delete(b.links, name)
-	for _, r := range b.pending {
-		delete(r.waitingFor, name)
+	delete(b.peers, name)
+	for _, ack := range b.pending {
+		delete(ack.waitingFor, name)
 	}
 	b.completeAcked()
 }
 
-// SetPeerLinks notes which controllers another one is linked to.
+// SetPeerLinks notes the controllers that a peer is linked to.
 func (b *Broadcaster) SetPeerLinks(name string, controllers []string) {
-	if l := b.links[name]; l != nil {
-		l.linkedTo = controllers
+	if p := b.peers[name]; p != nil {
+		p.linkedTo = controllers
 	}
 }
 
-// HandleAck takes a receipt.
+// HandleAck takes a peer's acknowledgement.
 func (b *Broadcaster) HandleAck(name string, id uint64) {
-	if r := b.pending[id]; r != nil {
-		delete(r.waitingFor, name)
+	if ack := b.pending[id]; ack != nil {
+		delete(ack.waitingFor, name)
 		b.completeAcked()
 	}
 }
 
-// HandleUpdate takes what another process knows of servers, and passes on what is news. Want is the receipt that it asks for.
+// HandleUpdate takes what another process knows of servers, and passes on what is new. With an ackID other than 0 the
+// process is answered once that is in force.
 func (b *Broadcaster) HandleUpdate(from string, entries []registry.Entry, ackID uint64, now time.Duration) {
 	var updates []registry.Entry
 	for _, e := range entries {
-		if changed, updated := b.registry.Apply(e, now); updated {
-			updates = append(updates, changed)
+		if current, updated := b.registry.Apply(e, now); updated {
+			updates = append(updates, current)
 		}
 	}
-	var done func()
-	if ackID != 0 {
-		done = func() { b.out.Messages = append(b.out.Messages, Message{To: from, Acked: ackID}) }
+	if ackID == 0 {
+		b.send(updates, from, 0)
+		return
 	}
-	b.distribute(updates, from, edgesTimeout, now, done)
+	acknowledge := func() { b.output.Messages = append(b.output.Messages, Message{To: from, Acked: ackID}) }
+	b.sendAndWait(updates, from, now+edgesTimeout, acknowledge)
 }
 
 // Publish passes on what changed here by itself.
-func (b *Broadcaster) Publish(updates []registry.Entry, now time.Duration) {
-	b.distribute(updates, "", edgesTimeout, now, nil)
-}
+func (b *Broadcaster) Publish(updates []registry.Entry) { b.send(updates, "", 0) }
 
-// HandleServerCall takes a server's own word: a beat, or that it leaves or is gone. Call is what Done will hold once it is
-// acknowledged.
-func (b *Broadcaster) HandleServerCall(e registry.Entry, call uint64, now time.Duration) (changed registry.Entry, first bool) {
+// HandleServerCall takes a server's own word: a heartbeat, or that it drains or is gone. Output.AckedCalls will hold the
+// call once it is acknowledged. First reports whether the server was not known, or has another state than before.
+func (b *Broadcaster) HandleServerCall(e registry.Entry, call uint64, now time.Duration) (current registry.Entry, first bool) {
 	old, known := b.registry.Get(e.ID)
 	if e.State == registry.Removed && known {
-		e.Seq = old.Seq
-	}
-	changed, updated := b.registry.Apply(e, now)
-	draining := e.State > registry.Ready
-	var updates []registry.Entry
-	if updated || draining {
-		updates = append(updates, changed)
+		e.Seq = old.Seq // a DELETE has no number of its own
 	}
+	current, updated := b.registry.Apply(e, now)
+	first = !known || current.State != old.State
 	switch {
-	case !draining:
-		b.distribute(updates, "", edgesTimeout, now, nil)
-		b.out.AckedCalls = append(b.out.AckedCalls, call)
-	case known && old.State >= changed.State && !updated && b.ackedStates[e.ID] >= changed.State:
-		b.out.AckedCalls = append(b.out.AckedCalls, call) // said before, and known
+	case e.State == registry.Ready:
+		if updated {
+			b.send([]registry.Entry{current}, "", 0)
+		}
+		b.output.AckedCalls = append(b.output.AckedCalls, call)
+	case known && old.State >= current.State && !updated && b.ackedStates[e.ID] >= current.State:
+		b.output.AckedCalls = append(b.output.AckedCalls, call) // it was acknowledged before
 	default:
-		b.distribute(updates, "", fleetTimeout, now, func() {
-			if changed.State == registry.Removed {
-				delete(b.ackedStates, e.ID) // it calls no more
-			} else {
-				b.ackedStates[e.ID] = changed.State
-			}
-			b.out.AckedCalls = append(b.out.AckedCalls, call)
-		})
+		b.sendAndWait([]registry.Entry{current}, "", now+fleetTimeout, func() { b.acknowledgeCall(current, call) })
 	}
-	return changed, !known || changed.State != old.State
+	return current, first
 }
 
-// Tick gives up on receipts that don't come.
+func (b *Broadcaster) acknowledgeCall(e registry.Entry, call uint64) {
+	if e.State == registry.Removed {
+		delete(b.ackedStates, e.ID) // it calls no more
+	} else {
+		b.ackedStates[e.ID] = e.State
+	}
+	b.output.AckedCalls = append(b.output.AckedCalls, call)
+}
+
+// Tick gives up on acknowledgements that don't come in time.
 func (b *Broadcaster) Tick(now time.Duration) {
 	for _, id := range b.pendingIDs() {
-		if r := b.pending[id]; now > r.deadline {
+		if ack := b.pending[id]; now > ack.deadline {
 			delete(b.pending, id)
-			r.done()
+			ack.done()
 		}
 	}
 }
 
-// distribute tells edges and other controllers of news; done hears when those that have to know hold it. What another controller
-// told goes on to controllers that it has no link to itself.
-func (b *Broadcaster) distribute(updates []registry.Entry, from string, timeout, now time.Duration, done func()) {
-	waitingFor, id := map[string]bool{}, uint64(0)
-	if done != nil {
-		b.lastID++
-		id = b.lastID
+// send passes updates on and gives the peers that they go to.
+func (b *Broadcaster) send(updates []registry.Entry, from string, ackID uint64) (to map[string]bool) {
+	if len(updates) == 0 {
+		return nil
 	}
-	if len(updates) > 0 {
-		b.out.Updates = append(b.out.Updates, updates...)
-		source := b.links[from]
-		for name, l := range b.links {
-			if name != from && (l.edge || source == nil || source.edge || !slices.Contains(source.linkedTo, name)) {
-				waitingFor[name] = true
-			}
-		}
-		for _, name := range sorted(waitingFor) {
-			b.out.Messages = append(b.out.Messages, Message{To: name, Entries: updates, AckID: id})
-		}
+	b.output.Updates = append(b.output.Updates, updates...)
+	to = b.receivers(from)
+	for _, name := range slices.Sorted(maps.Keys(to)) {
+		b.output.Messages = append(b.output.Messages, Message{To: name, Entries: updates, AckID: ackID})
 	}
-	if done != nil {
-		b.pending[id] = &pendingAck{waitingFor: waitingFor, deadline: now + timeout, done: done}
-		b.completeAcked()
+	return to
+}
+
+// receivers are the peers that have to hear what a peer told: all edges, and the controllers that it doesn't tell itself.
+func (b *Broadcaster) receivers(from string) map[string]bool {
+	source := b.peers[from]
+	all := map[string]bool{}
+	for name, p := range b.peers {
+		told := source != nil && !source.edge && slices.Contains(source.linkedTo, name)
+		if name != from && (p.edge || !told) {
+			all[name] = true
+		}
 	}
+	return all
+}
+
+// sendAndWait passes updates on, and calls done once all that they go to have acknowledged them or the deadline is over.
+func (b *Broadcaster) sendAndWait(updates []registry.Entry, from string, deadline time.Duration, done func()) {
+	b.lastID++
+	id := b.lastID
+	b.pending[id] = &pendingAck{waitingFor: b.send(updates, from, id), deadline: deadline, done: done}
+	b.completeAcked()
 }
 
-// completeAcked ends the receipts that all have given.
+// completeAcked ends what all have acknowledged.
 func (b *Broadcaster) completeAcked() {
 	for _, id := range b.pendingIDs() {
-		if r := b.pending[id]; r != nil && len(r.waitingFor) == 0 {
+		if ack := b.pending[id]; ack != nil && len(ack.waitingFor) == 0 {
 			delete(b.pending, id)
-			r.done()
+			ack.done()
 		}
 	}
 }
 
-// pendingIDs gives the receipts as they began, so that the same events have the same outcome.
-func (b *Broadcaster) pendingIDs() []uint64 { return sorted(b.pending) }
-
-func sorted[K uint64 | string, V any](m map[K]V) []K {
-	keys := make([]K, 0, len(m))
-	for k := range m {
-		keys = append(keys, k)
-	}
-	slices.Sort(keys)
-	return keys
-}
+// pendingIDs lists what is waited for, oldest first, so that the same events have the same outcome.
+func (b *Broadcaster) pendingIDs() []uint64 { return slices.Sorted(maps.Keys(b.pending)) }
--- a/internal/control/controller/claims.go
+++ b/internal/control/controller/claims.go
@@ -218,7 +218,7 @@
 }
 
 func (s *claimsService) handleGrantReply(from string, token idempotency.Token, reply idempotency.GrantReply, holder idempotency.Record) {
-	requests, result := s.coordinator.HandleReply(from, token, reply, holder, s.Now())
+	requests, result := s.coordinator.HandleReply(from, token, reply, holder)
 	s.sendGrantRequests(requests)
 	if result != nil {
 		s.finishClaim(*result)
--- a/internal/control/controller/registrar.go
+++ b/internal/control/controller/registrar.go
@@ -73,7 +73,7 @@
 	for _, e := range changed {
 		r.LogEvent("server timed out", "server", e.ID, "service", e.Service, "removed", e.Ended())
 	}
-	r.broadcaster.Publish(changed, now)
+	r.broadcaster.Publish(changed)
 }
 
 // publish does what the broadcaster has gathered: it sends updates and acknowledges calls.
--- a/internal/control/idempotency/coordinator.go
+++ b/internal/control/idempotency/coordinator.go
@@ -1,46 +1,48 @@
 package idempotency
 
 import (
+	"cmp"
 	"slices"
 	"time"
 )
 
-// Outcome is the outcome of a claim.
+// Outcome of a claim. The numbers are sent between processes.
 type Outcome uint8
 
-// The rulings.
+// The outcomes.
 const (
-	OutcomeUndecided Outcome = iota // it could not be decided: the claimer withdraws it
-	OutcomeGranted                  // the claimer may run it
+	OutcomeUndecided Outcome = iota // not known in time: the claimant revokes the claim
+	OutcomeGranted                  // the claimant may run the operation
 	OutcomeConflict                 // another claim holds the key
 )
 
-func (r Outcome) String() string {
-	return [...]string{"refused", "stands", "taken"}[min(r, OutcomeConflict)]
+// String is the outcome's name in metrics. The names are those of the first version, since dashboards read them.
+func (o Outcome) String() string {
+	return [...]string{"refused", "stands", "taken"}[min(o, OutcomeConflict)]
 }
 
-// Result of a claim.
+// Result is the end of a claim.
 type Result struct {
 	Token   Token
 	Key     Key
 	Outcome Outcome
-	Holder  Record // of the claim that holds the key
+	Holder  Record // with OutcomeConflict: the claim that holds the key
 }
 
-// GrantRequest is a claim to be put to a store.
+// GrantRequest is a claim that is to be put to a store.
 type GrantRequest struct {
-	To     string
+	To     string // identity of the replica
 	Record Record
 }
 
-// Coordinator collects verdicts on claims. A claim stands with a majority of the stores, in a joint membership with a
-// majority of the former and of the next ones. The coordinator asks its own store and one more first, and the others when
-// that is slow or not enough: each asked store costs a sync and bytes between zones.
+// Coordinator collects grants for claims. It asks its own store and as many others as make a majority first, and the rest
+// when those are slow or not enough: each store that is asked costs a sync and bytes between zones. While the membership is
+// joint it asks all at once.
 type Coordinator struct {
 	self         string
 	voters       []string
-	next         []string // joint: after the change under way
-	requestOrder []string // in which stores are asked
+	next         []string // joint: the voters after the change under way
+	requestOrder []string // of voters and next, its own first
 	hedgeDelay   time.Duration
 	timeout      time.Duration
 	pending      map[Token]*pendingClaim
@@ -50,14 +52,14 @@
 	record       Record
 	requested    map[string]bool
 	replies      map[string]GrantReply
-	holderCounts map[Token]int
+	holderCounts map[Token]int // stores that named a claim as holder of the key
 	holders      map[Token]Record
 	startedAt    time.Duration
-	hedged       bool
+	hedged       bool // all stores were asked
 }
 
-// NewCoordinator makes a coordinator for these stores, its own first. It asks all of them after hedge and gives up after
-// limit.
+// NewCoordinator makes a coordinator for these stores, its own first. A claim asks all of them after hedgeDelay, and is
+// undecided after timeout.
 func NewCoordinator(stores []string, hedgeDelay, timeout time.Duration) *Coordinator {
 	c := &Coordinator{hedgeDelay: hedgeDelay, timeout: timeout, pending: map[Token]*pendingClaim{}}
 	if len(stores) > 0 {
@@ -67,15 +69,15 @@
 	return c
 }
 
-// SetStores changes the stores that count: voters, and during a change also next. Grants stay; what was asked of a store
-// that knew a newer membership is asked again.
+// SetStores changes the stores that count: voters, and during a change also next. Grants stay; stores that knew a newer
+// membership are asked again.
 func (c *Coordinator) SetStores(self string, voters, next []string) (requests []GrantRequest, results []Result) {
 	c.self, c.voters, c.next = self, slices.Clone(voters), slices.Clone(next)
 	all := slices.Concat(voters, next)
 	slices.Sort(all)
 	all = slices.Compact(all)
-	at := max(0, slices.Index(all, self))
-	c.requestOrder = slices.Concat(all[at:], all[:at])
+	own := max(0, slices.Index(all, self))
+	c.requestOrder = slices.Concat(all[own:], all[:own])
 	for _, p := range c.oldestFirst() {
 		requests = append(requests, c.retryStale(p)...)
 		more, result := c.evaluate(p)
@@ -87,7 +89,7 @@
 	return requests, results
 }
 
-// retryStale puts a claim once more to the stores that knew a newer membership than the one it was put under.
+// retryStale asks again the stores that knew a newer membership than the one under which they were asked.
 func (c *Coordinator) retryStale(p *pendingClaim) (requests []GrantRequest) {
 	for _, id := range c.requestOrder {
 		if p.replies[id] == ReplyStaleEpoch {
@@ -98,32 +100,23 @@
 	return requests
 }
 
-// oldestFirst are the open claims, oldest first.
+// oldestFirst lists the pending claims in a fixed order, so that the same events have the same outcome.
 func (c *Coordinator) oldestFirst() []*pendingClaim {
 	all := make([]*pendingClaim, 0, len(c.pending))
 	for _, p := range c.pending {
 		all = append(all, p)
 	}
 	slices.SortFunc(all, func(a, b *pendingClaim) int {
-		if a.startedAt != b.startedAt {
-			return int(a.startedAt - b.startedAt)
-		}
-		return compareTokens(a.record.Token, b.record.Token)
+		return cmp.Or(cmp.Compare(a.startedAt, b.startedAt), compareTokens(a.record.Token, b.record.Token))
 	})
 	return all
 }
 
 func compareTokens(a, b Token) int {
-	switch {
-	case a.Incarnation != b.Incarnation && a.Incarnation < b.Incarnation, a.Incarnation == b.Incarnation && a.Sequence < b.Sequence:
-		return -1
-	case a == b:
-		return 0
-	}
-	return 1
+	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Sequence, b.Sequence))
 }
 
-// Start starts a claim.
+// Start begins to collect grants for a claim. A claim that is pending already goes on as it was.
 func (c *Coordinator) Start(r Record, now time.Duration) []GrantRequest {
 	if c.pending[r.Token] != nil || len(c.voters) == 0 {
 		return nil
@@ -139,7 +132,7 @@
 
 func quorum(stores []string) int { return len(stores)/2 + 1 }
 
-// requestUpTo asks further stores until so many of those that count were asked.
+// requestUpTo asks further stores until count of those that matter were asked.
 func (c *Coordinator) requestUpTo(p *pendingClaim, count int) (requests []GrantRequest) {
 	requested := c.requestedCount(p)
 	for _, id := range c.requestOrder {
@@ -155,7 +148,7 @@
 	return requests
 }
 
-// requestedCount is how many of the stores that count were asked.
+// requestedCount is how many of the stores that matter were asked.
 func (c *Coordinator) requestedCount(p *pendingClaim) (count int) {
 	for _, id := range c.requestOrder {
 		if p.requested[id] {
@@ -165,8 +158,8 @@
 	return count
 }
 
-// HandleReply takes a store's verdict.
-func (c *Coordinator) HandleReply(from string, token Token, reply GrantReply, holder Record, now time.Duration) (requests []GrantRequest, result *Result) {
+// HandleReply takes a store's reply; holder counts with ReplyConflict. The first reply of a store is the one that counts.
+func (c *Coordinator) HandleReply(from string, token Token, reply GrantReply, holder Record) (requests []GrantRequest, result *Result) {
 	p := c.pending[token]
 	if p == nil {
 		return nil, nil
@@ -184,7 +177,10 @@
 
 // tally is how far a claim has come in one set of stores.
 type tally struct {
-	quorum, granted, inFlight, undecided int
+	quorum    int
+	granted   int
+	undecided int // stores that may still grant it
+	inFlight  int // of these, the ones that were asked
 }
 
 func (c *Coordinator) tally(p *pendingClaim, stores []string) tally {
@@ -208,19 +204,19 @@
 func (t tally) failed() bool    { return t.granted+t.undecided < t.quorum }
 func (t tally) needsMore() bool { return t.granted+t.inFlight < t.quorum }
 
+// evaluate ends a claim that is granted or can't be any more, and asks further stores where those that were asked are not
+// enough.
 func (c *Coordinator) evaluate(p *pendingClaim) (requests []GrantRequest, result *Result) {
 	sets := []tally{c.tally(p, c.voters)}
 	if len(c.next) > 0 {
 		sets = append(sets, c.tally(p, c.next))
 	}
-	inAllSets := func(is func(tally) bool) bool {
-		return !slices.ContainsFunc(sets, func(t tally) bool { return !is(t) })
-	}
+	notSucceeded := func(t tally) bool { return !t.succeeded() }
 	switch {
-	case inAllSets(tally.succeeded):
+	case !slices.ContainsFunc(sets, notSucceeded):
 		return nil, c.finish(p, Result{Outcome: OutcomeGranted})
 	case slices.ContainsFunc(sets, tally.failed):
-		return nil, c.finish(p, c.failureResult(p))
+		return nil, c.finish(p, failureResult(p))
 	case slices.ContainsFunc(sets, tally.needsMore):
 		return c.requestUpTo(p, c.requestedCount(p)+c.missingGrants(sets)), nil
 	}
@@ -235,15 +231,15 @@
 	return sets[0].quorum - sets[0].granted - sets[0].inFlight
 }
 
-// failureResult is the outcome of a claim that can't stand any more.
-func (c *Coordinator) failureResult(p *pendingClaim) Result {
+// failureResult is the end of a claim that can't be granted any more: a conflict with the claim that most stores named.
+func failureResult(p *pendingClaim) Result {
 	if len(p.holderCounts) == 0 {
 		return Result{Outcome: OutcomeUndecided}
 	}
 	best := Token{}
-	for t, n := range p.holderCounts {
-		if n > p.holderCounts[best] || n == p.holderCounts[best] && compareTokens(t, best) < 0 {
-			best = t
+	for token, count := range p.holderCounts {
+		if count > p.holderCounts[best] || count == p.holderCounts[best] && compareTokens(token, best) < 0 {
+			best = token
 		}
 	}
 	return Result{Outcome: OutcomeConflict, Holder: p.holders[best]}
@@ -255,7 +251,7 @@
 	return &result
 }
 
-// ForgetGrants takes back what a store granted to claims that are still open: its disk was lost.
+// ForgetGrants takes back what a store granted to pending claims: its disk was lost, or it counts for nothing any more.
 func (c *Coordinator) ForgetGrants(from string) (results []Result) {
 	for _, p := range c.oldestFirst() {
 		if p.replies[from] != ReplyGranted {
@@ -269,7 +265,7 @@
 	return results
 }
 
-// Tick asks further stores where the first are slow, and gives up on what takes too long.
+// Tick asks further stores where the first are slow, and gives up on claims that take too long.
 func (c *Coordinator) Tick(now time.Duration) (requests []GrantRequest, results []Result) {
 	for _, p := range c.oldestFirst() {
 		if now-p.startedAt > c.timeout {
@@ -285,5 +281,5 @@
 	return requests, results
 }
 
-// HasPending tells whether claims are open, for callers that set timers.
+// HasPending reports whether any claim is pending, for callers that set timers.
 func (c *Coordinator) HasPending() bool { return len(c.pending) > 0 }
--- a/internal/control/idempotency/fence_test.go
+++ b/internal/control/idempotency/fence_test.go
@@ -58,7 +58,7 @@
 	asks := c.Start(idempotency.Record{Key: w.key, Token: token(n)}, 0)
 	for len(asks) > 0 {
 		ask := asks[0]
-		more, done := c.HandleReply(ask.To, ask.Record.Token, w.stores[ask.To].judge(ask.Record, epoch), idempotency.Record{Token: token(99)}, 0)
+		more, done := c.HandleReply(ask.To, ask.Record.Token, w.stores[ask.To].judge(ask.Record, epoch), idempotency.Record{Token: token(99)})
 		if done != nil {
 			return done.Outcome == idempotency.OutcomeGranted
 		}
--- a/internal/control/idempotency/idempotency_test.go
+++ b/internal/control/idempotency/idempotency_test.go
@@ -135,18 +135,18 @@
 	It("lets a claim stand on more than half of the ledgers, whatever a stale claim holds elsewhere", func() {
 		c := idempotency.NewCoordinator([]string{"a", "b", "c"}, 20, 900)
 		open(c, 1)
-		c.HandleReply("a", token(1), idempotency.ReplyGranted, idempotency.Record{}, 1)
-		asks, _ := c.HandleReply("b", token(1), idempotency.ReplyConflict, idempotency.Record{Token: token(9)}, 1)
+		c.HandleReply("a", token(1), idempotency.ReplyGranted, idempotency.Record{})
+		asks, _ := c.HandleReply("b", token(1), idempotency.ReplyConflict, idempotency.Record{Token: token(9)})
 		Expect(asks).To(HaveLen(1))
-		_, done := c.HandleReply("c", token(1), idempotency.ReplyGranted, idempotency.Record{}, 1)
+		_, done := c.HandleReply("c", token(1), idempotency.ReplyGranted, idempotency.Record{})
 		Expect(done.Outcome).To(Equal(idempotency.OutcomeGranted))
 	})
 	It("takes back the grant of a ledger that began a new life", func() {
 		c := idempotency.NewCoordinator([]string{"a", "b", "c"}, 20, 900)
 		open(c, 1)
-		c.HandleReply("b", token(1), idempotency.ReplyGranted, idempotency.Record{}, 1)
+		c.HandleReply("b", token(1), idempotency.ReplyGranted, idempotency.Record{})
 		Expect(c.ForgetGrants("b")).To(BeEmpty())
-		_, done := c.HandleReply("a", token(1), idempotency.ReplyGranted, idempotency.Record{}, 2)
+		_, done := c.HandleReply("a", token(1), idempotency.ReplyGranted, idempotency.Record{})
 		Expect(done).To(BeNil())
 	})
 	It("refuses what can't be decided in time", func() {
--- a/internal/control/idempotency/world_test.go
+++ b/internal/control/idempotency/world_test.go
@@ -149,7 +149,7 @@
 }
 
 func (w *world) verdict(h *host, from string, t idempotency.Token, v idempotency.GrantReply, holder idempotency.Record) {
-	more, done := h.coordinator.HandleReply(from, t, v, holder, w.now())
+	more, done := h.coordinator.HandleReply(from, t, v, holder)
 	w.asks(h, more)
 	if done != nil {
 		w.ruled(*done)
--- a/internal/simulation/capacity_test.go
+++ b/internal/simulation/capacity_test.go
@@ -414,7 +414,7 @@
 						asks = asks[1:]
 						v, holder, _ := stores[a.To].Grant(a.Record, 0)
 						stores[a.To].MarkDurable(a.Record.Key, a.Record.Token)
-						more, _ := coordinator.HandleReply(a.To, a.Record.Token, v, holder, 0)
+						more, _ := coordinator.HandleReply(a.To, a.Record.Token, v, holder)
 						asks = append(asks, more...)
 					}
 				}
--- a/internal/simulation/claims.go
+++ b/internal/simulation/claims.go
@@ -72,7 +72,7 @@
 }
 
 func (w *world) verdict(n *node, from string, token idempotency.Token, v idempotency.GrantReply, holder idempotency.Record) {
-	more, done := n.coordinator.HandleReply(from, token, v, holder, w.now)
+	more, done := n.coordinator.HandleReply(from, token, v, holder)
 	w.ask(n, more)
 	if done != nil {
 		w.ruled(n, *done)
--- a/internal/simulation/controllers.go
+++ b/internal/simulation/controllers.go
@@ -146,7 +146,7 @@
 		return gone && w.now-since > 2500*time.Millisecond
 	}
 	if changed := n.registry.MarkTimedOut(n.name, lost, 5*beatOf/2, w.now); len(changed) > 0 {
-		n.broadcaster.Publish(changed, w.now)
+		n.broadcaster.Publish(changed)
 	}
 	w.flush(n)
 	w.weigh(n)
--- a/internal/simulation/small_claims.go
+++ b/internal/simulation/small_claims.go
@@ -119,7 +119,7 @@
 }
 
 func (s *small) verdict(at int, from string, r idempotency.Record, v idempotency.GrantReply, holder idempotency.Record) {
-	asks, done := s.Nodes[at].Coordinator.HandleReply(from, r.Token, v, holder, 0)
+	asks, done := s.Nodes[at].Coordinator.HandleReply(from, r.Token, v, holder)
 	s.ask(at, asks)
 	if done != nil {
 		s.ruled(at, *done)
