--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,9 @@
 // Package config holds the gateway's configuration: its form on the wire, its checks, how changes apply to it, and the tree
-// of matchers that finds a request's route. Nothing here does I/O.
+// that finds a request's route. Nothing here does I/O.
+//
+// The wire says plant for a host, channel for a route, setpoint for a latency target, gain for a weight and tries for the
+// number of servers that a request may reach. A configuration keeps the bytes that its items were sent as, and is read back
+// as it was put, fields that are not known included.
 package config
 
 import (
@@ -44,14 +48,14 @@
 // MarshalJSON writes a version.
 func (v Version) MarshalJSON() ([]byte, error) { return json.Marshal(v.String()) }
 
-// Kind says what may be repeated.
+// Kind says what a route's requests may be repeated for.
 type Kind string
 
 // The kinds of a route.
 const (
-	Safe   Kind = "safe"
-	Unsafe Kind = "unsafe"
-	Keyed  Kind = "keyed"
+	Safe   Kind = "safe"   // may run more than once
+	Unsafe Kind = "unsafe" // may run only once
+	Keyed  Kind = "keyed"  // run only once for each key, and are answered alike when they are repeated
 )
 
 // Share is a part of a split route.
@@ -60,20 +64,20 @@
 	Weight  float64 `json:"gain"`
 }
 
-// Route is one channel of a plant. It keeps the bytes that it was sent as.
+// Route says where the requests for a prefix of paths go. It is not changed once it is made.
 type Route struct {
-	Name          string  `json:"name"`
+	Name          string  `json:"name"` // unique in a configuration
 	Prefix        string  `json:"path_prefix"`
 	Kind          Kind    `json:"kind"`
-	Deadline      float64 `json:"deadline_s"`
-	LatencyTarget float64 `json:"setpoint_s"`
-	Priority      int     `json:"priority"`
-	Service       string  `json:"service"`
+	Deadline      float64 `json:"deadline_s"` // seconds that a request may take
+	LatencyTarget float64 `json:"setpoint_s"` // seconds in which it should be answered
+	Priority      int     `json:"priority"`   // the lowest goes first
+	Service       string  `json:"service"`    // or Split
 	Split         []Share `json:"split"`
-	MaxServers    int     `json:"tries"`
+	MaxServers    int     `json:"tries"` // that a request may reach
 
 	Host string          `json:"-"`
-	raw  json.RawMessage // as it was put: what is read back is what was sent
+	raw  json.RawMessage // as it was put
 }
 
 // Shares are the services that a route goes to.
@@ -89,29 +93,29 @@
 	Name        string `json:"name"`
 	HealthPath  string `json:"health_path"`
 	ConnLimit   int    `json:"conn_limit"`
-	SelfDedupes bool   `json:"self_dedupes"`
+	SelfDedupes bool   `json:"self_dedupes"` // its servers run a key's operation once by themselves
 
-	raw json.RawMessage
+	raw json.RawMessage // as it was put
 }
 
-// Limits bound what clients may send and how long they may take.
+// Limits bound what clients may send and how long they may take. 0 leaves a limit to the edge.
 type Limits struct {
 	HeaderBytes int     `json:"max_header_bytes"`
 	BodyBytes   int64   `json:"max_body_bytes"`
-	HeaderWait  float64 `json:"header_wait_s"`
-	Idle        float64 `json:"idle_s"`
+	HeaderWait  float64 `json:"header_wait_s"` // seconds for a header, from its first byte
+	Idle        float64 `json:"idle_s"`        // seconds that a connection may be idle
 }
 
-// Config is one whole configuration. It is not changed once it is made.
+// Config is one complete configuration. It is not changed once it is made.
 type Config struct {
 	Version  Version
-	Hosts    []string // hosts that have routes, in the order they came
-	Routes   []*Route // in the order of their hosts, as they are written
+	Hosts    []string // that have routes, in the order in which they came
+	Routes   []*Route // in the order of their hosts, then as they are written
 	Services []*Service
 	Limits   Limits
 
-	limits json.RawMessage
-	other  map[string]json.RawMessage // fields that we don't know
+	limits json.RawMessage            // as they were put
+	other  map[string]json.RawMessage // fields that are not known
 }
 
 type wireHost struct {
@@ -122,44 +126,44 @@
 type wireItems struct {
 	Services []json.RawMessage `json:"services"`
 	Limits   json.RawMessage   `json:"limits"`
-	Plants   []wireHost        `json:"plants"`
+	Hosts    []wireHost        `json:"plants"`
 }
 
-// Parse reads a whole configuration and checks it by itself.
+// Parse reads a complete configuration and checks it by itself.
 func Parse(body []byte) (*Config, error) {
-	var whole struct {
+	var document struct {
 		Version Version `json:"version"`
 		wireItems
 	}
-	if err := strict(body, &whole); err != nil {
+	if err := unmarshal(body, &document); err != nil {
 		return nil, err
 	}
-	if whole.Version == 0 {
+	if document.Version == 0 {
 		return nil, apierror.Invalid.New("version is missing")
 	}
-	c := &Config{Version: whole.Version, other: map[string]json.RawMessage{}}
+	c := &Config{Version: document.Version, other: map[string]json.RawMessage{}}
 	if err := json.Unmarshal(body, &c.other); err != nil {
 		return nil, apierror.Invalid.New("%s", err)
 	}
 	for _, known := range []string{"version", "services", "limits", "plants"} {
 		delete(c.other, known)
 	}
-	if err := c.upsert(whole.wireItems); err != nil {
+	if err := c.upsert(document.wireItems); err != nil {
 		return nil, err
 	}
 	c.groupRoutes()
 	return c, c.check()
 }
 
-// strict reads one JSON value and nothing after it.
-func strict(body []byte, into any) error {
+// unmarshal reads one JSON value with nothing after it.
+func unmarshal(body []byte, into any) error {
 	if err := json.Unmarshal(body, into); err != nil {
 		return apierror.Invalid.New("body can't be read: %s", err)
 	}
 	return nil
 }
 
-// Patch applies a change of named items; the configuration itself stays as it is.
+// Patch gives the configuration that a change of named items leads to; the present one stays as it is.
 func (c *Config) Patch(body []byte) (*Config, error) {
 	var change struct {
 		Version Version   `json:"version"`
@@ -167,10 +171,10 @@
 		Remove  struct {
 			Routes   []string `json:"routes"`
 			Services []string `json:"services"`
-			Plants   []string `json:"plants"`
+			Hosts    []string `json:"plants"`
 		} `json:"remove"`
 	}
-	if err := strict(body, &change); err != nil {
+	if err := unmarshal(body, &change); err != nil {
 		return nil, err
 	}
 	if change.Version <= c.Version {
@@ -179,8 +183,8 @@
 	next := *c
 	next.Version = change.Version
 	next.Hosts, next.Routes, next.Services = slices.Clone(c.Hosts), slices.Clone(c.Routes), slices.Clone(c.Services)
-	routes, plants, services := set(change.Remove.Routes), set(change.Remove.Plants), set(change.Remove.Services)
-	next.Routes = slices.DeleteFunc(next.Routes, func(r *Route) bool { return routes[r.Name] || plants[r.Host] })
+	routes, hosts, services := set(change.Remove.Routes), set(change.Remove.Hosts), set(change.Remove.Services)
+	next.Routes = slices.DeleteFunc(next.Routes, func(r *Route) bool { return routes[r.Name] || hosts[r.Host] })
 	next.Services = slices.DeleteFunc(next.Services, func(s *Service) bool { return services[s.Name] })
 	if err := next.upsert(change.Upsert); err != nil {
 		return nil, err
@@ -197,29 +201,29 @@
 	return s
 }
 
-// groupRoutes drops hosts without routes and groups routes by host: what was read from a snapshot and what changes led to are then
-// the same, and go on to the same.
+// groupRoutes drops hosts without routes and groups routes by host. What was read from a snapshot and what changes led to are
+// then the same, and the same changes go on to the same.
 func (c *Config) groupRoutes() {
-	if plants, ok := c.hostOrder(); ok {
-		c.Hosts = slices.Clone(plants) // without the room of those that have none
+	if hosts, ok := c.hostOrder(); ok {
+		c.Hosts = slices.Clone(hosts) // without the memory of those that have none
 		return
 	}
 	groups := c.groups()
-	plants, routes := make([]string, 0, len(groups)), make([]*Route, 0, len(c.Routes))
-	for _, name := range c.Hosts {
-		if group := groups[name]; len(group) > 0 {
-			plants, routes = append(plants, name), append(routes, group...)
+	hosts, routes := make([]string, 0, len(groups)), make([]*Route, 0, len(c.Routes))
+	for _, host := range c.Hosts {
+		if group := groups[host]; len(group) > 0 {
+			hosts, routes = append(hosts, host), append(routes, group...)
 		}
 	}
-	c.Hosts, c.Routes = plants, routes
+	c.Hosts, c.Routes = hosts, routes
 }
 
-// hostOrder tells whether routes are grouped in the order of their hosts, and which hosts have any.
-func (c *Config) hostOrder() (plants []string, ok bool) {
+// hostOrder reports whether the routes are grouped in the order of their hosts, and gives the hosts that have any.
+func (c *Config) hostOrder() (hosts []string, ok bool) {
 	rest := c.Hosts
-	plants = make([]string, 0, len(rest))
+	hosts = make([]string, 0, len(rest))
 	for _, r := range c.Routes {
-		if len(plants) > 0 && r.Host == plants[len(plants)-1] {
+		if len(hosts) > 0 && r.Host == hosts[len(hosts)-1] {
 			continue
 		}
 		for len(rest) > 0 && rest[0] != r.Host {
@@ -228,9 +232,9 @@
 		if len(rest) == 0 {
 			return nil, false
 		}
-		plants, rest = append(plants, rest[0]), rest[1:]
+		hosts, rest = append(hosts, rest[0]), rest[1:]
 	}
-	return plants, true
+	return hosts, true
 }
 
 // groups are the routes of each host, in order.
@@ -242,57 +246,85 @@
 	return groups
 }
 
+// upsert adds items, and replaces those of the same name.
 func (c *Config) upsert(items wireItems) error {
-	if len(items.Limits) > 0 {
-		c.Limits = Limits{} // one item, which is replaced as a whole, as it is read back
-		if err := json.Unmarshal(items.Limits, &c.Limits); err != nil {
-			return apierror.Invalid.New("limits: %s", err)
-		}
-		c.limits = items.Limits
+	if err := c.replaceLimits(items.Limits); err != nil {
+		return err
 	}
-	at := make(map[string]int, len(c.Services))
+	if err := c.upsertServices(items.Services); err != nil {
+		return err
+	}
+	c.addHosts(items.Hosts)
+	return c.upsertRoutes(items.Hosts)
+}
+
+// replaceLimits replaces the limits, which are one item, as they are read back.
+func (c *Config) replaceLimits(raw json.RawMessage) error {
+	if len(raw) == 0 {
+		return nil
+	}
+	c.Limits = Limits{}
+	if err := json.Unmarshal(raw, &c.Limits); err != nil {
+		return apierror.Invalid.New("limits: %s", err)
+	}
+	c.limits = raw
+	return nil
+}
+
+func (c *Config) upsertServices(items []json.RawMessage) error {
+	indexes := make(map[string]int, len(c.Services))
 	for i, s := range c.Services {
-		at[s.Name] = i
+		indexes[s.Name] = i
 	}
-	for _, raw := range items.Services {
+	for _, raw := range items {
 		s := &Service{raw: raw}
 		if err := json.Unmarshal(raw, s); err != nil {
 			return apierror.Invalid.New("service: %s", err)
 		}
-		if i, ok := at[s.Name]; ok {
+		if i, known := indexes[s.Name]; known {
 			c.Services[i] = s
-		} else {
-			at[s.Name] = len(c.Services)
-			c.Services = append(c.Services, s)
+			continue
 		}
+		indexes[s.Name] = len(c.Services)
+		c.Services = append(c.Services, s)
 	}
-	absent := make(map[string]bool, len(items.Plants)) // of the hosts of the change: a change is mostly small
-	for _, plant := range items.Plants {
-		absent[plant.Host] = true
-	}
-	for _, name := range c.Hosts {
-		delete(absent, name)
+	return nil
+}
+
+// addHosts adds the hosts that are new. Only the hosts of the change are put into a map, since a change is mostly small.
+func (c *Config) addHosts(hosts []wireHost) {
+	absent := make(map[string]bool, len(hosts))
+	for _, h := range hosts {
+		absent[h.Host] = true
+	}
+	for _, host := range c.Hosts {
+		delete(absent, host)
+	}
+	for _, h := range hosts {
+		if absent[h.Host] {
+			delete(absent, h.Host)
+			c.Hosts = append(c.Hosts, h.Host)
+		}
 	}
-	at = make(map[string]int, len(c.Routes))
+}
+
+func (c *Config) upsertRoutes(hosts []wireHost) error {
+	indexes := make(map[string]int, len(c.Routes))
 	for i, r := range c.Routes {
-		at[r.Name] = i
+		indexes[r.Name] = i
 	}
-	for _, plant := range items.Plants {
-		if absent[plant.Host] {
-			delete(absent, plant.Host)
-			c.Hosts = append(c.Hosts, plant.Host)
-		}
-		for _, raw := range plant.Routes {
-			r := &Route{raw: raw, Host: plant.Host}
+	for _, h := range hosts {
+		for _, raw := range h.Routes {
+			r := &Route{raw: raw, Host: h.Host}
 			if err := json.Unmarshal(raw, r); err != nil {
 				return apierror.Invalid.New("route: %s", err)
 			}
-			if i, ok := at[r.Name]; ok {
+			if i, known := indexes[r.Name]; known {
 				c.Routes[i] = r
-			} else {
-				at[r.Name] = len(c.Routes)
-				c.Routes = append(c.Routes, r)
+				continue
 			}
+			indexes[r.Name] = len(c.Routes)
+			c.Routes = append(c.Routes, r)
 		}
 	}
 	return nil
--- a/internal/control/consensus/membership.go
+++ b/internal/control/consensus/membership.go
@@ -15,10 +15,10 @@
 	Next    []string `cbor:"4,keyasint,omitempty"`
 }
 
-// Joint tells whether a change is under way.
+// Joint reports whether a change is under way.
 func (m Membership) Joint() bool { return len(m.Next) > 0 }
 
-// Contains tells whether a replica votes, before or after the change under way.
+// Contains reports whether a replica votes, before or after the change under way.
 func (m Membership) Contains(id string) bool {
 	return slices.Contains(m.Voters, id) || slices.Contains(m.Next, id)
 }
@@ -30,17 +30,17 @@
 	return slices.Compact(all)
 }
 
-// Quorum tells whether those for whom holds is true decide: a majority of Voters and, in a joint membership, of Next.
+// Quorum reports whether the replicas for which has is true decide: a majority of Voters and, in a joint membership, of Next.
 func (m Membership) Quorum(has func(id string) bool) bool {
 	return len(m.Voters) > 0 && majority(m.Voters, has) && (!m.Joint() || majority(m.Next, has))
 }
 
-// Equal compares two memberships.
+// Equal reports whether two memberships are the same, epoch included.
 func (m Membership) Equal(o Membership) bool {
 	return m.Epoch == o.Epoch && m.Cluster == o.Cluster && slices.Equal(m.Voters, o.Voters) && slices.Equal(m.Next, o.Next)
 }
 
-// Validate says why a membership that was read or received can't be one.
+// Validate says what is wrong with a membership that was read or received.
 func (m Membership) Validate() error {
 	for _, set := range [][]string{m.Voters, m.Next} {
 		sorted := slices.Sorted(slices.Values(set))
@@ -73,7 +73,7 @@
 // Membership is the newest in the log, committed or not.
 func (r *Replica) Membership() Membership { return r.memberships[len(r.memberships)-1].membership }
 
-// MembershipCommitted tells whether the newest membership in the log is committed.
+// MembershipCommitted reports whether the newest membership in the log is committed.
 func (r *Replica) MembershipCommitted() bool {
 	return r.memberships[len(r.memberships)-1].index <= r.commit
 }
@@ -88,22 +88,22 @@
 	return Membership{}
 }
 
-// applyMembershipEntry takes a log entry's membership into force as soon as it is appended.
+// applyMembershipEntry puts an entry's membership into force as soon as it is in the log.
 func (r *Replica) applyMembershipEntry(e Entry) {
 	if e.Membership != nil {
 		r.memberships = append(r.memberships, membershipEntry{e.Index, *e.Membership})
 	}
 }
 
-// revertMembership goes back to the membership before an entry that is cut off the log.
+// revertMembership goes back to the membership before an entry that is truncated.
 func (r *Replica) revertMembership(from uint64) {
 	for len(r.memberships) > 1 && r.memberships[len(r.memberships)-1].index >= from {
 		r.memberships = r.memberships[:len(r.memberships)-1]
 	}
 }
 
-// Bootstrap sets the voters of a cluster that starts for the first time. It changes nothing on a replica that has a
-// membership or a log.
+// Bootstrap sets the voters of a cluster that starts for the first time, and reports whether it did. It changes nothing on a
+// replica that has a membership or a log.
 func (r *Replica) Bootstrap(voters []string) bool {
 	if r.Membership().Epoch > 0 || r.last() > 0 {
 		return false
@@ -118,7 +118,7 @@
 	r.syncPeers()
 }
 
-// syncPeers keeps a leader's record of progress to those whom it sends the log to.
+// syncPeers keeps a leader's record of progress to the replicas that it sends the log to.
 func (r *Replica) syncPeers() {
 	if r.role != Leader {
 		return
@@ -136,7 +136,7 @@
 	}
 }
 
-// replicationTargets are all other replicas that a leader sends the log to: voters, then learners.
+// replicationTargets are the other replicas that a leader sends the log to: voters, then learners.
 func (r *Replica) replicationTargets() []string {
 	membership := r.Membership()
 	targets := slices.DeleteFunc(membership.All(), func(id string) bool { return id == r.id })
@@ -151,16 +151,17 @@
 // ChangeError says why a membership can't be changed now.
 type ChangeError string
 
+// Error implements error.
 func (e ChangeError) Error() string { return string(e) }
 
-// The reasons.
+// The reasons for which a membership can't be changed now.
 const (
 	ErrNotLeader     ChangeError = "this replica does not lead"
 	ErrOwnTerm       ChangeError = "no entry of the leader's own term is committed yet"
 	ErrChanging      ChangeError = "another change of the membership is under way"
 	ErrNotChanging   ChangeError = "no change of the membership is under way"
 	ErrNoChange      ChangeError = "the change leads to no other voters"
-	ErrLeaderRemoved ChangeError = "the leader itself would leave: leadership is passed on first"
+	ErrLeaderRemoved ChangeError = "the leader itself would lose its vote: leadership is transferred first"
 )
 
 // BeginChange appends a joint membership that leads to the voters next. It takes effect at once and has to be finished
@@ -216,7 +217,7 @@
 }
 
 // checkChangeAllowed guards every membership entry: the one before it is committed, and so is an entry of the leader's own term.
-// Without the latter a change that a former leader left uncommitted could overlap with this one.
+// Without the latter a change that an earlier leader left uncommitted could overlap with this one.
 func (r *Replica) checkChangeAllowed() error {
 	if r.role != Leader {
 		return ErrNotLeader
--- a/internal/control/consensus/message.go
+++ b/internal/control/consensus/message.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Entry is one change of the log. A leader's first entry of a term has neither data nor, in most cases, a membership.
+// Entry is one entry of the log. A leader's first entry of a term has neither data nor, in most cases, a membership.
 type Entry struct {
 	Term       uint64      `cbor:"1,keyasint"`
 	Index      uint64      `cbor:"2,keyasint"`
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// invalid tells that the entry holds a membership that can't be.
+// invalid reports whether the entry holds an impossible membership.
 func (e Entry) invalid() bool { return e.Validate() != nil }
 
 // Snapshot stands for all entries up to Index, and for the membership in force there.
@@ -49,7 +49,7 @@
 	VoteReply      Kind = 3
 	PreVoteRequest Kind = 4
 	PreVoteReply   Kind = 5
-	TimeoutNow     Kind = 8 // from a leader that leaves, to the replica that is to follow it
+	TimeoutNow     Kind = 8 // from a leader that transfers leadership to the receiver
 )
 
 // Message goes from one replica to another, named by their identities.
@@ -65,7 +65,7 @@
 	OK              bool    `cbor:"11,keyasint,omitempty"`
 	ReadRound       uint64  `cbor:"12,keyasint,omitempty"` // of the leader, for reads
 	LeaderInContact bool    `cbor:"14,keyasint,omitempty"` // Append: the leader lately heard the receiver
-	Chunk           *Chunk  `cbor:"15,keyasint,omitempty"` // Append: a part of a snapshot; AppendReply: how much of it is held
+	Chunk           *Chunk  `cbor:"15,keyasint,omitempty"` // Append: a part of a snapshot; AppendReply: how much of it the sender has
 }
 
 // Chunk is a part of a snapshot on its way. In a reply only Index, Sum and Offset are set.
@@ -73,13 +73,13 @@
 	Term       uint64     `cbor:"1,keyasint,omitempty"`
 	Index      uint64     `cbor:"2,keyasint"`
 	Membership Membership `cbor:"3,keyasint,omitempty"`
-	Checksum   uint64     `cbor:"4,keyasint"` // of the whole snapshot's data
+	Checksum   uint64     `cbor:"4,keyasint"` // of the data of the complete snapshot
 	Size       int        `cbor:"5,keyasint,omitempty"`
-	Offset     int        `cbor:"6,keyasint,omitempty"` // of Data in the whole, in bytes; in a reply, the bytes held
+	Offset     int        `cbor:"6,keyasint,omitempty"` // of Data, in bytes; in a reply, the bytes that are there
 	Data       []byte     `cbor:"7,keyasint,omitempty"`
 }
 
-// HardState is what must be durable before messages that tell of it leave.
+// HardState is what must be durable before messages that depend on it leave.
 type HardState struct {
 	Term uint64 `cbor:"1,keyasint"`
 	Vote string `cbor:"2,keyasint"`
@@ -90,19 +90,20 @@
 	Commit uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// Output is what has to be done after events. Now goes at once; After goes once the rest is stored.
+// Output is what the caller has to do after events: send Immediate, store the fields from Hard to Entries and then send
+// AfterSync and call MarkDurable, and apply Install and Committed to the state.
 type Output struct {
 	Hard      *HardState
 	Snapshot  *Snapshot // replaces log and snapshot on disk
 	Truncate  uint64    // entries from this index on are dropped first; 0: none
 	Entries   []Entry   // then these are added
-	Immediate []Message
-	AfterSync []Message
+	Immediate []Message // to be sent at once
+	AfterSync []Message // to be sent once all of the above is durable
 	Committed []Entry   // to be applied, in order
-	Install   *Snapshot // to be taken over before Committed
+	Install   *Snapshot // to replace the state, before Committed
 }
 
-// Empty tells that nothing has to be stored.
+// Empty reports whether nothing has to be stored.
 func (o *Output) Empty() bool {
 	return o.Hard == nil && o.Snapshot == nil && o.Truncate == 0 && len(o.Entries) == 0
 }
@@ -121,7 +122,7 @@
 // Timing holds a replica's time spans.
 type Timing struct {
 	Heartbeat       time.Duration // between two of a leader's messages
-	ElectionTimeout time.Duration // without a leader, before asking for votes; up to twice that by chance
+	ElectionTimeout time.Duration // without a leader, before campaigning; up to twice that at random
 }
 
 // contactTimeout is how old contact may be for a replica to count as in contact with a majority.
--- a/internal/control/consensus/replica.go
+++ b/internal/control/consensus/replica.go
@@ -5,61 +5,76 @@
 	"time"
 )
 
-// Config is what a replica starts with.
+// Config is what a replica starts with: what its disk held, and its timing.
 type Config struct {
-	ID         string
+	ID         string // identity of the replica
 	Timing     Timing
 	Seed       uint64     // of its random election timeouts
-	Membership Membership // that the cluster started with; none: the replica learns it from the log
+	Membership Membership // that the cluster started with; empty: the replica learns it from the log
 	Hard       HardState
 	Snapshot   Snapshot
 	Log        []Entry // after the snapshot
 	Now        time.Duration
 }
 
-// Replica is one controller's part in the consensus.
+// Replica is one controller's part in the consensus. It is not safe for concurrent use.
 type Replica struct {
 	id     string
 	timing Timing
 	rng    *rand.Rand
-	now    time.Duration
+	now    time.Duration // of the last event
+
+	logState
+	role Role
+	electionState
+	leaderState
+	incoming *snapshotAssembly // of a follower that receives a snapshot; nil: none
+	output   Output
+}
 
+// logState is what the replica knows of the log. applied <= commit <= last index, and durable <= last index.
+type logState struct {
 	hard        HardState
 	snapshot    Snapshot
-	log         []Entry           // after snapshot
-	memberships []membershipEntry // of snapshot first, then those of log
+	log         []Entry           // after snapshot, without a gap
+	memberships []membershipEntry // that of snapshot first, then those of log
 	durable     uint64            // last entry that is durable here
-	commit      uint64
-	applied     uint64
-
-	role             Role
-	leader           string
-	leaderHeardAt    time.Duration // from a leader
-	leaderHasQuorum  bool
-	electionDeadline time.Duration // point in time
-	votes            map[string]bool
-	preVote          bool
-	incoming         *snapshotAssembly
+	commit      uint64            // last entry that is known to be committed
+	applied     uint64            // last entry that was handed out to be applied
+}
+
+// electionState is what a follower or candidate knows of leaders and votes.
+type electionState struct {
+	leader           string          // identity, in the own term; empty: not known
+	leaderHeardAt    time.Duration   // of a leader: when its term began
+	leaderHasQuorum  bool            // as the leader last said: it was in contact with this replica
+	electionDeadline time.Duration   // when the replica campaigns
+	votes            map[string]bool // for a candidate, by voter
+	preVote          bool            // a candidate asks for pre-votes
+}
 
+// leaderState is what a leader knows of its peers. The learners are set on every replica, for when it leads.
+type leaderState struct {
 	learners  []string
-	peers     map[string]*progress // of a leader
-	readRound uint64
-	output    Output
+	peers     map[string]*progress // nil: the replica doesn't lead
+	readRound uint64               // of the newest read
 }
 
 // progress is what a leader knows of a peer.
 type progress struct {
-	match, next uint64
-	heardAt     time.Duration
-	readRound   uint64 // the newest that was answered
-	sentAt      time.Duration
-	transfer    *transfer
+	match     uint64 // last entry that is durable there and agrees with the own log
+	next      uint64 // first entry to be sent
+	heardAt   time.Duration
+	readRound uint64 // the newest that was answered
+	sentAt    time.Duration
+	transfer  *transfer // of a snapshot; nil: none
 }
 
 // New makes a replica from what its disk held.
 func New(c Config) *Replica {
-	r := &Replica{id: c.ID, timing: c.Timing, rng: rand.New(rand.NewPCG(c.Seed, 2)), now: c.Now, hard: c.Hard, snapshot: c.Snapshot,
-		log: c.Log, commit: c.Snapshot.Index, applied: c.Snapshot.Index, leaderHeardAt: c.Now}
+	r := &Replica{id: c.ID, timing: c.Timing, rng: rand.New(rand.NewPCG(c.Seed, 2)), now: c.Now}
+	r.hard, r.snapshot, r.log = c.Hard, c.Snapshot, c.Log
+	r.commit, r.applied, r.leaderHeardAt = c.Snapshot.Index, c.Snapshot.Index, c.Now
 	r.memberships = []membershipEntry{{0, c.Membership}}
 	if c.Snapshot.Index > 0 {
 		r.memberships = []membershipEntry{{c.Snapshot.Index, c.Snapshot.Membership}}
@@ -75,10 +90,11 @@
 	return r
 }
 
-// ID is the replica's identity.
+// ID is the identity of the replica.
 func (r *Replica) ID() string { return r.id }
 
-// SetID gives a replica that has no vote another identity, under which it may be voted in.
+// SetID gives a replica that has no vote another identity, under which it may become a voter. It changes nothing on one that
+// votes or leads.
 func (r *Replica) SetID(id string) {
 	if !r.Votes() && r.role == Follower {
 		r.id = id
@@ -88,10 +104,10 @@
 // Role is the replica's role.
 func (r *Replica) Role() Role { return r.role }
 
-// Leader is the identity of the leader, as far as it is known.
+// Leader is the identity of the leader of the own term; empty: it is not known.
 func (r *Replica) Leader() string { return r.leader }
 
-// Term is the newest term that was seen.
+// Term is the newest term that the replica has seen.
 func (r *Replica) Term() uint64 { return r.hard.Term }
 
 // Commit is the index of the last entry that is known to be committed.
@@ -106,7 +122,8 @@
 // HardState is the newest term and vote.
 func (r *Replica) HardState() HardState { return r.hard }
 
-// CommittedInTerm tells whether a leader has committed an entry of its own term, and so knows all that former leaders committed.
+// CommittedInTerm reports whether the replica leads and has committed an entry of its own term, and so knows all that
+// earlier leaders committed.
 func (r *Replica) CommittedInTerm() bool {
 	term, known := r.termAt(r.commit)
 	return r.role == Leader && known && term == r.hard.Term
@@ -115,10 +132,11 @@
 // Last is the index of the last entry of the log.
 func (r *Replica) Last() uint64 { return r.last() }
 
-// Votes tells whether the replica has a vote.
+// Votes reports whether the replica has a vote.
 func (r *Replica) Votes() bool { return r.Membership().Contains(r.id) }
 
-// Match is how far a peer's durable log is known to agree with the leader's, and when the peer was last heard.
+// Match is how far a peer's durable log is known to agree with the leader's, and when the peer was last heard. It is known
+// on a leader only, but for the replica itself.
 func (r *Replica) Match(id string) (index uint64, heardAt time.Duration, ok bool) {
 	if id == r.id {
 		return r.durable, r.now, true
@@ -137,7 +155,7 @@
 	return r.snapshot.Index
 }
 
-// termAt gives the term of an entry, and whether it is known.
+// termAt gives the term of an entry; false: it is before the snapshot or after the log.
 func (r *Replica) termAt(index uint64) (uint64, bool) {
 	if index == r.snapshot.Index {
 		return r.snapshot.Term, true
@@ -173,7 +191,7 @@
 	return msg
 }
 
-// TakeOutput hands out what has to be done and starts collecting anew.
+// TakeOutput hands out what has to be done since the last call, with the entries that were committed since then.
 func (r *Replica) TakeOutput() Output {
 	if r.applied < r.commit {
 		for i := r.applied + 1; i <= r.commit; i++ {
@@ -187,8 +205,8 @@
 	return out
 }
 
-// MarkDurable tells that an output is durable, by the index and term of its last entry (see Output.Last). A write whose entries
-// were cut off the log or replaced by a snapshot while it was under way counts for nothing: what took their place has a
+// MarkDurable tells that an output is durable, by the index and term of its last entry (see Output.Last). A write whose
+// entries were truncated or replaced by a snapshot while it was under way counts for nothing: what took their place has a
 // write of its own.
 func (r *Replica) MarkDurable(index, term uint64, now time.Duration) {
 	r.now = now
@@ -200,7 +218,7 @@
 	}
 }
 
-// Tick lets time pass.
+// Tick lets time pass. It is called several times in a heartbeat interval.
 func (r *Replica) Tick(now time.Duration) {
 	r.now = now
 	if r.role == Leader {
@@ -208,11 +226,11 @@
 		return
 	}
 	if now >= r.electionDeadline && r.Votes() {
-		r.campaign(true)
+		r.preCampaign()
 	}
 }
 
-// tickLeader sends heartbeats, and steps down when no majority was heard for long: whoever is asked should ask another.
+// tickLeader sends heartbeats, and steps down when no majority was heard for long, so that callers go to another replica.
 func (r *Replica) tickLeader() {
 	for _, id := range r.replicationTargets() {
 		if r.now-r.peers[id].sentAt >= r.timing.Heartbeat {
@@ -224,8 +242,8 @@
 	}
 }
 
-// HasQuorumContact tells whether the replica was lately in contact with a majority: a leader heard one, any other heard a leader
-// that had heard it too.
+// HasQuorumContact reports whether the replica was lately in contact with a majority: a leader heard one, any other replica
+// heard a leader that had heard it, too.
 func (r *Replica) HasQuorumContact(now time.Duration) bool {
 	span := r.timing.contactTimeout()
 	if r.role != Leader {
@@ -234,7 +252,8 @@
 	return r.Membership().Quorum(func(id string) bool { return id == r.id || now-r.peers[id].heardAt < span })
 }
 
-// Propose appends a change; only a leader can. It returns the change's place.
+// Propose appends an entry with data to the log of a leader, and gives the entry's index and term. It is not ok on a replica
+// that doesn't lead.
 func (r *Replica) Propose(data []byte, now time.Duration) (index, term uint64, ok bool) {
 	r.now = now
 	if r.role != Leader {
@@ -255,7 +274,8 @@
 	r.advance()
 }
 
-// advance commits what a majority holds durably. Only entries of the own term commit by counting.
+// advance commits what is durable on a majority. Only entries of the own term are committed by counting: an earlier one may
+// still be replaced.
 func (r *Replica) advance() {
 	index := r.last()
 	for ; index > r.commit; index-- {
@@ -281,7 +301,7 @@
 	})
 }
 
-// ReadIndex starts a round that shows whether the replica still leads; Confirmed tells.
+// ReadIndex starts a round of messages that shows whether the replica still leads, and gives its number for ReadConfirmed.
 func (r *Replica) ReadIndex(now time.Duration) uint64 {
 	r.now = now
 	r.readRound++
@@ -291,12 +311,12 @@
 	return r.readRound
 }
 
-// ReadConfirmed tells whether a majority answered a round, and all that was committed when it began is known here.
+// ReadConfirmed reports whether a majority answered a round, and all that was committed when it began is known here.
 func (r *Replica) ReadConfirmed(round uint64) bool {
 	return r.CommittedInTerm() && r.Membership().Quorum(func(id string) bool { return id == r.id || r.peers[id].readRound >= round })
 }
 
-// Compact replaces the log up to an applied entry by a snapshot.
+// Compact replaces the log up to an applied entry by a snapshot with data. It changes nothing for any other index.
 func (r *Replica) Compact(index uint64, data []byte) {
 	term, ok := r.termAt(index)
 	if !ok || index <= r.snapshot.Index || index > r.applied {
@@ -316,7 +336,7 @@
 	r.output.Snapshot, r.output.Truncate, r.output.Entries = &s, 0, append([]Entry(nil), r.log...)
 }
 
-// Step takes a message.
+// Step handles a message of another replica.
 func (r *Replica) Step(msg Message, now time.Duration) {
 	r.now = now
 	if msg.To != r.id || msg.From == r.id {
@@ -334,7 +354,7 @@
 		r.becomeFollower(msg.Term, "")
 	}
 	if msg.Term < r.hard.Term {
-		if msg.Kind == Append { // tells a former leader
+		if msg.Kind == Append { // tells an earlier leader of the newer term
 			r.sendAfterSync(Message{Kind: AppendReply, To: msg.From})
 		}
 		return
--- a/internal/control/consensus/replication.go
+++ b/internal/control/consensus/replication.go
@@ -4,9 +4,10 @@
 
 const (
 	batchBytes    = 256 << 10 // of entries in one message, unless a single entry is larger
-	inFlightBytes = 1 << 20   // of entries that are sent ahead of a peer's answers
+	inFlightBytes = 1 << 20   // of entries that are sent ahead of a peer's replies
 )
 
+// broadcastAppend sends all other replicas what they lack.
 func (r *Replica) broadcastAppend() {
 	for _, id := range r.replicationTargets() {
 		r.sendAppend(id)
@@ -17,7 +18,8 @@
 func (r *Replica) sendAppend(id string) {
 	p := r.peers[id]
 	p.sentAt = r.now
-	msg := Message{Kind: Append, To: id, Commit: r.commit, ReadRound: r.readRound, LeaderInContact: r.now-p.heardAt < r.timing.contactTimeout()}
+	msg := Message{Kind: Append, To: id, Commit: r.commit, ReadRound: r.readRound,
+		LeaderInContact: r.now-p.heardAt < r.timing.contactTimeout()}
 	term, known := r.termAt(p.next - 1)
 	if !known {
 		r.sendSnapshot(p, msg)
@@ -58,7 +60,7 @@
 	return bytes
 }
 
-// handleAppend takes what a leader sends.
+// handleAppend follows a leader: it appends the entries if the log matches before them, and replies.
 func (r *Replica) handleAppend(msg Message) {
 	if r.role != Follower || r.leader != msg.From {
 		r.becomeFollower(r.hard.Term, msg.From)
@@ -66,7 +68,7 @@
 	r.leaderHeardAt, r.leaderHasQuorum = r.now, msg.LeaderInContact
 	r.resetElectionTimer()
 	if slices.ContainsFunc(msg.Entries, Entry.invalid) {
-		return // nothing of a message that can't be is taken
+		return // nothing of a message with an impossible entry is used
 	}
 	reply := Message{Kind: AppendReply, To: msg.From, ReadRound: msg.ReadRound}
 	if msg.Chunk != nil {
@@ -75,7 +77,7 @@
 	}
 	term, known := r.termAt(msg.Index)
 	switch {
-	case msg.Index < r.snapshot.Index: // all of it may be older than the snapshot: what is committed here matches
+	case msg.Index < r.snapshot.Index: // it may all be older than the snapshot: what is committed here matches
 		reply.OK, reply.Index = true, r.commit
 	case !known || term != msg.LogTerm:
 		reply.Index = min(r.last(), max(r.commit, msg.Index-min(msg.Index, 1)))
@@ -87,7 +89,7 @@
 	}
 	r.commit = max(r.commit, min(msg.Commit, reply.Index))
 	if len(msg.Entries) == 0 {
-		// A heartbeat is answered at once, for what is durable: a slow disk shall not make its leader seem alone.
+		// A heartbeat is answered at once, for what is durable: a slow disk must not make its leader seem alone.
 		reply.Index = min(reply.Index, r.durable)
 		r.sendImmediately(reply)
 		return
@@ -95,7 +97,7 @@
 	r.sendAfterSync(reply)
 }
 
-// appendEntries takes entries over, dropping what conflicts with them.
+// appendEntries appends entries of the leader, dropping what conflicts with them.
 func (r *Replica) appendEntries(entries []Entry) {
 	for i, e := range entries {
 		if e.Index <= r.snapshot.Index {
@@ -116,7 +118,7 @@
 	}
 }
 
-// truncate drops the log from an entry on.
+// truncate drops the log from an entry on, with the memberships in it.
 func (r *Replica) truncate(from uint64) {
 	r.log = r.log[:from-r.snapshot.Index-1]
 	r.durable = min(r.durable, from-1)
@@ -127,7 +129,7 @@
 	}
 }
 
-// handleAppendReply takes a follower's answer.
+// handleAppendReply notes how far a follower's log matches, commits what a majority holds, and sends what is lacking.
 func (r *Replica) handleAppendReply(msg Message) {
 	p := r.peers[msg.From]
 	if r.role != Leader || p == nil {
--- a/internal/control/consensus/snapshot.go
+++ b/internal/control/consensus/snapshot.go
@@ -8,14 +8,14 @@
 
 const (
 	chunkBytes     = 256 << 10
-	chunkHeartbeat = 4 // heartbeats after which a chunk that was not answered is sent again
+	chunkHeartbeat = 4 // heartbeats after which a chunk without a reply is sent again
 )
 
 // transfer is a snapshot that a leader sends to one peer. It stays the same when newer snapshots are made meanwhile.
 type transfer struct {
 	snapshot      Snapshot
 	checksum      uint64
-	offset        int // held by the peer
+	offset        int // bytes that the peer has
 	awaitingReply bool
 	sentAt        time.Duration
 }
@@ -44,7 +44,7 @@
 	r.sendImmediately(msg)
 }
 
-// handleChunkReply takes a peer's word on how much of a snapshot it holds.
+// handleChunkReply notes how much of a snapshot a peer has.
 func (r *Replica) handleChunkReply(p *progress, c Chunk) {
 	t := p.transfer
 	if t == nil || c.Index != t.snapshot.Index || c.Checksum != t.checksum {
@@ -54,7 +54,7 @@
 	t.offset = min(max(0, c.Offset), len(t.snapshot.Data))
 }
 
-// handleChunk adds a chunk to what is here already. A snapshot that is complete and matches its sum is taken over.
+// handleChunk adds a chunk to what is here already. A snapshot that is complete and matches its checksum is installed.
 func (r *Replica) handleChunk(msg, reply Message) {
 	c := *msg.Chunk
 	if c.Index <= r.commit { // nothing of it is new
--- a/internal/control/controller/consensus.go
+++ b/internal/control/controller/consensus.go
@@ -143,8 +143,10 @@
 		r.LogEvent("bookings changed", "version", v, "active", len(r.state.Bookings.Active))
 	}
 	if r.state.Version() != before {
-		delta := out.Install == nil && len(changes) == 1 && changes[0].Patch
-		r.publishConfig(before, delta, changes)
+		if out.Install != nil {
+			changes = nil // the snapshot brought more than these
+		}
+		r.events.configChanged(r.configUpdate(before, changes))
 	}
 	r.compact()
 }
@@ -184,15 +186,17 @@
 
 func errSuperseded() error { return apierror.Unconfirmed.New("another change took its place") }
 
-// publishConfig tells the edges of the new configuration: by the change alone, where there was one and it is a delta.
-func (r *consensusRuntime) publishConfig(before uint64, delta bool, changes []*statemachine.Change) {
+// configUpdate is what edges are sent of the configuration that changes led to: the change itself, where there was one and it
+// is a delta.
+func (r *consensusRuntime) configUpdate(before uint64, changes []*statemachine.Change) *peer.Config {
+	if len(changes) == 1 && changes[0].Patch {
+		return &peer.Config{Version: r.state.Version(), Base: before, Delta: changes[0].Body}
+	}
 	update := &peer.Config{Version: r.state.Version()}
-	if delta {
-		update.Base, update.Delta = before, changes[0].Body
-	} else if body, err := json.Marshal(r.state.Config); err == nil {
+	if body, err := json.Marshal(r.state.Config); err == nil {
 		update.Snapshot = body
 	}
-	r.events.configChanged(update)
+	return update
 }
 
 // configSnapshot is the complete configuration, for an edge that has none or missed a change; nil: there is none yet.
--- a/internal/control/controller/members_test.go
+++ b/internal/control/controller/members_test.go
@@ -80,10 +80,10 @@
 		status    int
 		says      string
 	}{
-		"of the leader":                    {ipA, "", http.StatusServiceUnavailable, "leadership is passed on first"},
+		"of the leader":                    {ipA, "", http.StatusServiceUnavailable, "leadership is transferred first"},
 		"of nobody":                        {"10.0.0.7", "", http.StatusConflict, "no such voter"},
-		"by a voter":                       {ipC, ipB, http.StatusConflict, "nobody stands by"},
-		"by one who is not there":          {ipC, "10.0.0.5", http.StatusConflict, "nobody stands by"},
+		"by a voter":                       {ipC, ipB, http.StatusConflict, "there is no standby"},
+		"by one who is not there":          {ipC, "10.0.0.5", http.StatusConflict, "there is no standby"},
 		"of a voter by its former address": {ipC + "#2", "", http.StatusConflict, "no such voter"},
 		"that names no voter":              {"", "", http.StatusBadRequest, "names a voter"},
 	} {
--- a/internal/control/membership/identity.go
+++ b/internal/control/membership/identity.go
@@ -8,8 +8,8 @@
 // separator stands between the address and the number of the disk in an identity.
 const separator = "#"
 
-// Identity names a replica: its machine's IP address and a number drawn for its disk. The voters of a cluster's first
-// start are named by their address alone (disk 0), since that is all they know of each other.
+// Identity names a replica: its machine's IP address and a number drawn for its disk. The voters of a cluster's first start
+// are named by their address alone (disk 0), since that is all they know of each other.
 func Identity(ip string, disk uint64) string {
 	if disk == 0 {
 		return ip
--- a/internal/control/membership/manager.go
+++ b/internal/control/membership/manager.go
@@ -8,25 +8,26 @@
 	"mulleinwood/internal/control/consensus"
 )
 
-// Spans after which the leader acts on silence. A voter is replaced only where another controller stands by: a cut, a
-// freeze or a kill of the whole core without one changes nothing.
+// Times after which the leader acts on silence. A voter is replaced only where another controller is on standby: a network
+// partition, a frozen process or a restart of all controllers without a standby changes nothing. ReplaceAfter is above three
+// election timeouts, so that a leader that was just elected has heard everybody.
 const (
-	ReplaceAfter  = 1500 * time.Millisecond // a voter out of reach
-	AbandonAfter  = 2 * time.Second         // an entrant out of reach
-	ReadyTimeout  = 10 * time.Second        // for entrants, before a change is given up and begun anew
-	transferRetry = 200 * time.Millisecond  // between two attempts to pass leadership on
+	ReplaceAfter  = 1500 * time.Millisecond // that a voter is unreachable
+	AbandonAfter  = 2 * time.Second         // that a new voter is unreachable
+	ReadyTimeout  = 10 * time.Second        // for new voters to become ready, before the change is abandoned
+	transferRetry = 200 * time.Millisecond  // between two attempts to transfer leadership
 )
 
 // Controller is one controller as the leader sees it.
 type Controller struct {
 	ID           string
 	Zone         string
-	Counted      bool   // the platform counts its loss: it has a disk and may vote
-	Connected    bool   // in contact now
-	CaughtUp     bool   // its durable log is level with what the leader has committed
-	ShuttingDown bool   // told to end
+	Counted      bool // the platform counts its loss: it has a disk and may vote
+	Connected    bool // in contact now
+	CaughtUp     bool // its durable log is nearly level with what the leader has committed
+	ShuttingDown bool
 	Epoch        uint64 // of the membership that it has applied durably
-	Ready        bool   // its store of claims may grant
+	Ready        bool   // its claim store may grant
 }
 
 // View is what the leader sees.
@@ -35,7 +36,7 @@
 	Term         uint64
 	Membership   consensus.Membership // the newest in its log
 	Committed    bool                 // and whether that is committed
-	Controllers  []Controller         // all that are known, the leader among them
+	Controllers  []Controller         // all that are known, the leader included
 	WantedVoters int                  // voters, so that a majority remains when as many as are tolerated are lost
 }
 
@@ -46,13 +47,14 @@
 const (
 	ActionNone         Action = iota
 	ActionBegin               // a change that leads to the voters Next
-	ActionAdopt               // finish the change under way
-	ActionAbandon             // go back to the former voters
+	ActionAdopt               // finish the change under way: the next voters remain
+	ActionAbandon             // end the change under way: the voters from before it remain
 	TransferLeadership        // to the voter To
 )
 
+// String is the action's name in logs.
 func (a Action) String() string {
-	return [...]string{"none", "begin", "adopt", "abandon", "pass leadership"}[min(a, TransferLeadership)]
+	return [...]string{"none", "begin", "adopt", "abandon", "transfer leadership"}[min(a, TransferLeadership)]
 }
 
 // Decision is an action with its cause, in a few words for the log.
@@ -66,15 +68,15 @@
 // Manager decides for a leader. Its zero value is ready.
 type Manager struct {
 	term         uint64
-	unreachable  map[string]time.Duration // voters and entrants out of reach, since when
-	nextTransfer time.Duration            // leadership is not passed on again before
+	unreachable  map[string]time.Duration // voters and new voters, and since when
+	nextTransfer time.Duration            // leadership is not transferred again before
 	epoch        uint64                   // of the change under way
 	changeSeenAt time.Duration            // when it was first seen
 }
 
-// Decide says what to do now. It is called every few milliseconds while the replica leads.
+// Decide says what to do now. It is called at every tick while the replica leads.
 func (m *Manager) Decide(v View, now time.Duration) Decision {
-	if m.term != v.Term || m.unreachable == nil { // what a former leader saw doesn't count
+	if m.term != v.Term || m.unreachable == nil { // what was seen under an earlier term doesn't count
 		m.term, m.unreachable, m.nextTransfer = v.Term, map[string]time.Duration{}, 0
 	}
 	known := byID(v.Controllers)
@@ -99,7 +101,7 @@
 	return known
 }
 
-// trackReachability notes since when voters and entrants are out of reach.
+// trackReachability notes since when voters and new voters have been unreachable.
 func (m *Manager) trackReachability(v View, known map[string]Controller, now time.Duration) {
 	all := v.Membership.All()
 	for _, id := range all {
@@ -124,16 +126,16 @@
 	return now - since
 }
 
-// transfer hands leadership to another voter: a leader that leaves is replaced under the next one.
+// transfer hands leadership to another voter, before the own replica is replaced under that one.
 func (m *Manager) transfer(v View, known map[string]Controller, now time.Duration) Decision {
 	to := v.Membership.Voters
 	if v.Membership.Joint() {
 		to = v.Membership.Next
 	}
-	return m.transferTo(to, "the leader is told to end", v, known, now)
+	return m.transferTo(to, "the leader is shutting down", v, known, now)
 }
 
-// transferTo hands leadership to one of these voters, once in a while until it is taken over.
+// transferTo hands leadership to one of these voters, again and again until one leads.
 func (m *Manager) transferTo(ids []string, cause string, v View, known map[string]Controller, now time.Duration) Decision {
 	if now < m.nextTransfer {
 		return Decision{}
@@ -147,7 +149,7 @@
 	return Decision{}
 }
 
-// finishChange ends the change under way once all entrants are ready, or gives it up when one is lost.
+// finishChange adopts the change under way once all new voters are ready, or abandons it when one is lost.
 func (m *Manager) finishChange(v View, known map[string]Controller, now time.Duration) Decision {
 	if m.epoch != v.Membership.Epoch {
 		m.epoch, m.changeSeenAt = v.Membership.Epoch, now
@@ -159,20 +161,20 @@
 		}
 		c := known[id]
 		if m.unreachableFor(id, now) > AbandonAfter || c.ShuttingDown {
-			return m.endChange(ActionAbandon, "entrant "+id+" is lost", v, known, now)
+			return m.endChange(ActionAbandon, "new voter "+id+" is lost", v, known, now)
 		}
 		ready = ready && c.Ready && c.Epoch >= v.Membership.Epoch
 	}
 	switch {
 	case ready:
-		return m.endChange(ActionAdopt, "the entrants are ready", v, known, now)
+		return m.endChange(ActionAdopt, "the new voters are ready", v, known, now)
 	case now-m.changeSeenAt > ReadyTimeout:
-		return m.endChange(ActionAbandon, "the entrants are not ready in time", v, known, now)
+		return m.endChange(ActionAbandon, "the new voters are not ready in time", v, known, now)
 	}
 	return Decision{}
 }
 
-// endChange finishes a change, unless the leader would be no voter afterwards: then one that stays has to do it.
+// endChange ends a change, unless the leader would be no voter afterwards: then one that remains has to do it.
 func (m *Manager) endChange(action Action, cause string, v View, known map[string]Controller, now time.Duration) Decision {
 	after := v.Membership.Next
 	if action == ActionAbandon {
@@ -184,7 +186,7 @@
 	return Decision{Action: action, Cause: cause}
 }
 
-// planChange looks for voters that have to be replaced and for controllers that can take their place.
+// planChange looks for voters that have to be replaced, and for standbys that can take their place.
 func (m *Manager) planChange(v View, known map[string]Controller, now time.Duration) Decision {
 	standby := standbys(v)
 	if len(standby) == 0 {
@@ -222,7 +224,7 @@
 func standbys(v View) []Controller {
 	var standby []Controller
 	for _, c := range v.Controllers {
-		applied := c.Epoch == v.Membership.Epoch // one that has not heard of its own removal yet is no candidate
+		applied := c.Epoch == v.Membership.Epoch // one that may not have heard of its own removal is no candidate
 		if c.Counted && c.Connected && c.CaughtUp && applied && !c.ShuttingDown && !v.Membership.Contains(c.ID) {
 			standby = append(standby, c)
 		}
@@ -231,32 +233,32 @@
 	return standby
 }
 
-// replacementCause says why a voter should be replaced; empty: it should not.
+// replacementCause says why a voter should be replaced; empty: it should not be.
 func (m *Manager) replacementCause(id string, v View, known map[string]Controller, now time.Duration) string {
 	switch c := known[id]; {
 	case id == v.Self:
 		return ""
 	case c.Connected && c.ShuttingDown:
-		return "leaves"
+		return "is shutting down"
 	case c.Connected:
 		return ""
 	case diskReplaced(id, v.Controllers):
 		return "lost its disk"
 	case m.unreachableFor(id, now) > ReplaceAfter:
-		return "is out of reach"
+		return "is unreachable"
 	}
 	return ""
 }
 
-// diskReplaced tells that another replica runs at the voter's address.
+// diskReplaced reports whether another replica runs at the voter's address.
 func diskReplaced(id string, controllers []Controller) bool {
 	return slices.ContainsFunc(controllers, func(c Controller) bool {
 		return c.Connected && c.ID != id && Address(c.ID) == Address(id)
 	})
 }
 
-// chooseReplacement chooses who takes a voter's place: the replica at its own address, one of its zone, or one of the zone with
-// the fewest voters.
+// chooseReplacement chooses the standby that takes a voter's place, by its index: the replica at its own address, one of its
+// zone, or one of the zone with the fewest voters; below 0: there is none.
 func chooseReplacement(id string, known map[string]Controller, standby []Controller, voters []string) int {
 	for i, c := range standby {
 		if Address(c.ID) == Address(id) {
@@ -284,7 +286,7 @@
 	return count
 }
 
-// addVoters adds standbys, those of the zones with the fewest voters first.
+// addVoters adds standbys until there are as many voters as wanted, those of the zones with the fewest voters first.
 func addVoters(voters []string, known map[string]Controller, standby []Controller, wanted int) []string {
 	for len(voters) < wanted && len(standby) > 0 {
 		best := 0
@@ -299,8 +301,8 @@
 	return voters
 }
 
-// balanceZones moves a vote from a zone with two more voters to a zone with a standby, while all voters are in reach: the loss
-// of a zone should cost as few voters as possible.
+// balanceZones moves a vote from a zone with two more voters to a zone with a standby, while all voters are reachable: the
+// loss of a zone should cost as few voters as possible.
 func balanceZones(v View, known map[string]Controller, standby []Controller) (next []string, cause string) {
 	voters := v.Membership.Voters
 	for _, id := range voters {
@@ -323,14 +325,15 @@
 // ReplaceError says why a replacement that an operator asks for can't be made now.
 type ReplaceError string
 
+// Error implements error.
 func (r ReplaceError) Error() string { return string(r) }
 
-// The reasons.
+// The reasons for which a replacement can't be made now.
 const (
 	ErrChanging   ReplaceError = "another change of the membership is under way"
-	ErrVoterLeads ReplaceError = "the voter leads: leadership is passed on first"
+	ErrVoterLeads ReplaceError = "the voter leads: leadership is transferred first"
 	ErrNoVoter    ReplaceError = "no such voter"
-	ErrNoStandby  ReplaceError = "nobody stands by who could take the vote"
+	ErrNoStandby  ReplaceError = "there is no standby that could take the vote"
 )
 
 // Replace gives the voters after a replacement that an operator asks for, by any standby if by is empty. They are the
--- a/internal/control/reservation/gate.go
+++ b/internal/control/reservation/gate.go
@@ -84,7 +84,9 @@
 // lendable is the part of idle booked slots that may be lent: what becomes free by itself within the lending window. A
 // request that runs ends within a time t with a probability of 1 - exp(-t/mean) if durations are exponential; those that
 // vary less end sooner.
-func (g *AdmissionGate) lendable() float64 { return 1 - math.Exp(-lendingWindow.Seconds()/g.meanDuration) }
+func (g *AdmissionGate) lendable() float64 {
+	return 1 - math.Exp(-lendingWindow.Seconds()/g.meanDuration)
+}
 
 // lentSlots is how many of the booked slots others may use now.
 func (g *AdmissionGate) lentSlots() int {
--- a/internal/control/reservation/ledger.go
+++ b/internal/control/reservation/ledger.go
@@ -240,7 +240,9 @@
 }
 
 // corners are the times at which the course of the booking's slots changes.
-func (b *Booking) corners() []float64 { return []float64{b.Start - b.Ramp, b.Start, b.End, b.End + b.Ramp} }
+func (b *Booking) corners() []float64 {
+	return []float64{b.Start - b.Ramp, b.Start, b.End, b.End + b.Ramp}
+}
 
 // FirstShortfall finds the first of some bookings that could not be kept beside those before it and all that are there, and
 // how many slots of it could be; if all can be kept it tells that of the last. Services that capacities doesn't name have
--- a/internal/control/statemachine/statemachine.go
+++ b/internal/control/statemachine/statemachine.go
@@ -1,6 +1,6 @@
 // Package statemachine is the replicated state that the entries of the consensus log lead to: the configuration, the calls
-// that brought it there, and the book of bookings. It is a value fed with entries; every controller that applies the same
-// comes to the same.
+// that changed it lately, and the ledger of bookings. It is a value fed with entries. Apply is deterministic: every
+// controller that applies the same entries has the same state, and refuses the same changes.
 package statemachine
 
 import (
@@ -15,20 +15,20 @@
 	"mulleinwood/internal/platform/apierror"
 )
 
-// Change is a call of an operator, as the consensus's history holds it.
+// Change is a call of an operator, as an entry of the consensus log holds it.
 type Change struct {
-	Base  uint64 `cbor:"1,keyasint"`
-	Patch bool   `cbor:"2,keyasint,omitempty"`
-	Body  []byte `cbor:"3,keyasint"`
+	Base  uint64 `cbor:"1,keyasint"`           // version of the configuration that it is built on
+	Patch bool   `cbor:"2,keyasint,omitempty"` // Body is a change of the configuration, not a complete one
+	Body  []byte `cbor:"3,keyasint"`           // JSON, as the operator sent it
 
-	Bookings *reservation.Op `cbor:"4,keyasint,omitempty"` // instead: a change of the book
+	Bookings *reservation.Op `cbor:"4,keyasint,omitempty"` // instead: a change of the ledger of bookings
 }
 
-// digest tells calls apart: the same call again has the same.
+// digest names a call: the same call again has the same digest.
 func (c Change) digest() [32]byte {
 	h := sha256.New()
-	b, _ := cbor.Marshal(c.Base)
-	h.Write(b)
+	base, _ := cbor.Marshal(c.Base) // a number can always be encoded
+	h.Write(base)
 	if c.Patch {
 		h.Write([]byte{1})
 	}
@@ -36,29 +36,30 @@
 	return [32]byte(h.Sum(nil))
 }
 
-// Accepted is a configuration that was taken, and the call that brought it.
+// Accepted is a version of the configuration, and the digest of the call that brought it.
 type Accepted struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint64
 	Digest  [32]byte
 }
 
-// maxAccepted bounds how late the same call may come again: over changes of the leader, snapshots and replaced members, for as
-// long as a caller tries. A call takes 36 to 44 bytes of a snapshot.
+// maxAccepted bounds how late the same call may come again and be known: after changes of the leader, snapshots and replaced
+// voters, for as long as a caller retries. A call takes 36 to 44 bytes of a snapshot.
 const maxAccepted = 1024
 
-// StateMachine is the state after some entries. Its fields are to be read.
+// StateMachine is the state after some entries. Others may read its fields; only EntriesSinceSnapshot is set from outside,
+// to 0 when a snapshot is made.
 type StateMachine struct {
 	Config               *config.Config // nil before the first
 	Bookings             *reservation.Ledger
-	Accepted             []Accepted // oldest first
+	Accepted             []Accepted // the last ones, oldest first
 	Index                uint64     // of the last entry
-	EntriesSinceSnapshot int        // entries since the last snapshot
+	EntriesSinceSnapshot int
 
-	acceptedDigests map[[32]byte]struct{} // digests of Taken
+	acceptedDigests map[[32]byte]struct{} // of Accepted
 }
 
-// New makes an empty one.
+// New makes the state before the first entry.
 func New() *StateMachine { return &StateMachine{Bookings: reservation.NewLedger()} }
 
 // Version is that of the configuration; 0: there is none yet.
@@ -69,13 +70,13 @@
 	return uint64(m.Config.Version)
 }
 
-// Knows tells whether a call was taken lately.
+// Knows reports whether a call was accepted lately.
 func (m *StateMachine) Knows(c Change) bool {
 	return m.knows(c.digest())
 }
 
 func (m *StateMachine) knows(digest [32]byte) bool {
-	if m.acceptedDigests == nil || len(m.acceptedDigests) != len(m.Accepted) { // restored, or Taken was set from outside
+	if m.acceptedDigests == nil || len(m.acceptedDigests) != len(m.Accepted) { // it was restored
 		m.acceptedDigests = make(map[[32]byte]struct{}, len(m.Accepted))
 		for _, t := range m.Accepted {
 			m.acceptedDigests[t.Digest] = struct{}{}
@@ -85,7 +86,7 @@
 	return ok
 }
 
-// recordAccepted notes a call that was taken, and forgets the oldest ones.
+// recordAccepted notes a call that was accepted, and forgets the oldest ones.
 func (m *StateMachine) recordAccepted(t Accepted) {
 	m.Accepted = append(m.Accepted, t)
 	m.acceptedDigests[t.Digest] = struct{}{}
@@ -95,7 +96,8 @@
 	}
 }
 
-// Apply takes an entry. Every planner comes to the same outcome, so that a refused change is refused everywhere.
+// Apply applies the next entry. It gives the change of the configuration, if the entry was one and was accepted; an error
+// says why a change was refused. A call that is known already changes nothing and is no error.
 func (m *StateMachine) Apply(e consensus.Entry) (applied *Change, err error) {
 	m.Index = e.Index
 	m.EntriesSinceSnapshot++
@@ -111,7 +113,7 @@
 	}
 	digest := c.digest()
 	if m.knows(digest) {
-		return nil, nil // the same call again, after an answer that was lost
+		return nil, nil // the same call again, after a response that was lost
 	}
 	if c.Base != m.Version() {
 		return nil, apierror.Stale.New("built on %s, current is %s", config.Version(c.Base), config.Version(m.Version()))
@@ -125,7 +127,7 @@
 	return &c, nil
 }
 
-// Check gives the configuration that a change would lead to.
+// Check gives the configuration that a change would lead to, without applying it.
 func (m *StateMachine) Check(c Change) (*config.Config, error) {
 	if c.Patch {
 		if m.Config == nil {
@@ -147,16 +149,16 @@
 	Bookings *reservation.Ledger `cbor:"3,keyasint,omitempty"`
 }
 
-// sortedEncoding writes maps in the order of their keys: the same state is the same bytes at every replica.
+// sortedEncoding writes maps in the order of their keys, so that the same state is the same bytes at every replica.
 var sortedEncoding = func() cbor.EncMode {
 	mode, err := cbor.EncOptions{Sort: cbor.SortBytewiseLexical}.EncMode()
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // the options are constants
 	}
 	return mode
 }()
 
-// Save is the snapshot of a history.
+// Save gives the data of a snapshot of the state.
 func (m *StateMachine) Save() ([]byte, error) {
 	s := savedState{Accepted: m.Accepted}
 	if m.Bookings.Version > 0 {
@@ -171,7 +173,7 @@
 	return sortedEncoding.Marshal(s)
 }
 
-// Restore takes a snapshot over.
+// Restore replaces the state by that of a snapshot. After an error the state is unchanged.
 func (m *StateMachine) Restore(s consensus.Snapshot) error {
 	var saved savedState
 	if err := cbor.Unmarshal(s.Data, &saved); err != nil {
--- a/internal/control/weights/weights.go
+++ b/internal/control/weights/weights.go
@@ -1,7 +1,7 @@
-// Package weights decides in what shares each edge's requests go to a service's servers: one controller of the decision
-// module (rules) a service, fed with the registry, the configuration and what the edges of one controller process report.
-// What it orders goes to the edges merged, and the next changes wait for their answers. It is a value fed with events;
-// time is handed in.
+// Package weights decides in what shares each edge's requests go to a service's servers. For each service it drives one
+// controller of the decision module (package rules), which is fed with the register of servers, the configuration and the
+// reports of the edges that are attached to one gateway controller. What it orders goes to the edges merged, and further
+// changes wait for their acknowledgements. Tables is a value fed with events; time is handed in.
 package weights
 
 import (
@@ -16,50 +16,60 @@
 	"mulleinwood/rules"
 )
 
-// Tables are all services' tables, for the edges whose controller one planner is.
+// Tables holds the weight tables of all services, for the edges that are attached to one controller.
 type Tables struct {
-	zone          string
-	zones         []string
-	seed          uint64
-	instances     func() int
-	logNote       func(service, note string)
-	config        *config.Config
-	edges         map[string]string // zones, by edge
-	servers       map[string]registry.Entry
+	zone      string
+	zones     []string // sorted
+	seed      uint64
+	instances func() int
+	logNote   func(service, note string)
+
+	config        *config.Config            // nil: none yet
+	edges         map[string]string         // zones, by edge
+	servers       map[string]registry.Entry // that have not ended, by id
 	services      map[string]*table
-	tablesCreated uint64 // services so far
+	tablesCreated uint64
 	nextDecision  time.Duration
 }
 
-// PeerTraffic are what the edges of the other planners bring.
+// PeerTraffic is what the edges of another controller bring.
 type PeerTraffic struct {
 	Edges         int
 	TrafficByZone []peer.ZoneTraffic
 }
 
+// table is the weight table of one service. The decision module names servers and edges by numbers.
 type table struct {
 	service     string
-	tokenPrefix uint64 // above the module's own tokens: whose they are
+	tokenPrefix uint64
 	controller  *rules.Controller
-	ids         map[string]rules.ServerID
-	names       map[rules.ServerID]string
-	nextID      rules.ServerID
-	edges       map[string]rules.ProxyID // by IP
-	ips         map[rules.ProxyID]string
-	nextEdge    rules.ProxyID
-	events      []rules.Event
-	weights     map[string]map[string]float64 // by edge, what was ordered
-	factors     map[string]float64
+	events      []rules.Event // that the module has not seen yet
+
+	serverIDs   map[string]rules.ServerID
+	serverNames map[rules.ServerID]string
+	lastServer  rules.ServerID
+	edgeIDs     map[string]rules.ProxyID // by IP
+	edgeIPs     map[rules.ProxyID]string
+	lastEdge    rules.ProxyID
+	ordered     map[string]map[string]float64 // weights of servers, by edge, as they were ordered
 }
 
 const (
-	reportPeriod     = 1000.0 // milliseconds, between an edge's reports
-	unlimitedChannel = 1e6    // lines: a controller's links to its edges bound nothing
-	maxWarmupMillis  = 30000.0
+	reportPeriod     = 1000.0  // milliseconds between two reports of an edge
+	unlimitedChannel = 1e6     // lines a second: a controller's links to its edges limit nothing
+	maxWarmupMillis  = 30000.0 // in which the module takes a server for cold
 	decideInterval   = 250 * time.Millisecond
+	minTrafficRate   = 0.05 // requests a second, below which traffic isn't told
+
+	// Values for services that the configuration doesn't name, in milliseconds.
+	defaultLatencyTarget = 1000.0
+	defaultDeadline      = 5000.0
+	// initialEdgeRate is what an edge is thought to bring before its first report, in requests a second.
+	initialEdgeRate = 10
 )
 
-// New makes the tables of a planner in a zone. Instances is how many planners there are, as known when a service is met.
+// New makes the tables of a controller in a zone. Instances is how many controllers decide beside each other, as known when
+// a service is first met; logNote gets what the module says of its decisions.
 func New(zone string, zones []string, seed uint64, instances func() int, logNote func(service, note string)) *Tables {
 	t := &Tables{zone: zone, zones: slices.Sorted(slices.Values(zones)), seed: seed, instances: instances, logNote: logNote,
 		edges: map[string]string{}, servers: map[string]registry.Entry{}, services: map[string]*table{}}
@@ -73,32 +83,18 @@
 
 // tableFor finds a service's table, or makes it.
 func (t *Tables) tableFor(service string) *table {
-	s := t.services[service]
-	if s != nil {
+	if s := t.services[service]; s != nil {
 		return s
 	}
-	latencyTarget, deadline := 1000.0, 5000.0
-	if c := t.config; c != nil {
-		for _, r := range c.Routes {
-			for _, share := range r.Shares() {
-				if share.Service == service && r.LatencyTarget > 0 {
-					latencyTarget, deadline = r.LatencyTarget*1000, r.Deadline*1000
-				}
-			}
-		}
-	}
 	t.tablesCreated++
-	s = &table{service: service, tokenPrefix: t.tablesCreated << tokenPrefixShift, ids: map[string]rules.ServerID{}, names: map[rules.ServerID]string{}, edges: map[string]rules.ProxyID{},
-		ips: map[rules.ProxyID]string{}, weights: map[string]map[string]float64{}, factors: map[string]float64{}}
-	s.controller = rules.New(rules.Settings{Instances: max(1, t.instances()), Zone: t.zoneIndex(t.zone), Zones: len(t.zones), Proxies: 1,
-		Classes: []rules.Class{{Name: service, Aim: latencyTarget, Deadline: deadline, Worth: 1}}, Admission: rules.AdmitNone, RetryDefault: rules.RetryNever,
-		ReportPeriod: reportPeriod, QueueLines: unlimitedChannel, LinesPerSec: unlimitedChannel, HeadLines: 1,
-		ColdFor: maxWarmupMillis, StartCapacity: 0.5, FallMultiple: 100}, t.seed)
+	s := &table{service: service, tokenPrefix: t.tablesCreated << tokenPrefixShift, controller: rules.New(t.moduleSettings(service), t.seed),
+		serverIDs: map[string]rules.ServerID{}, serverNames: map[rules.ServerID]string{},
+		edgeIDs: map[string]rules.ProxyID{}, edgeIPs: map[rules.ProxyID]string{}, ordered: map[string]map[string]float64{}}
 	t.services[service] = s
 	for _, edge := range slices.Sorted(maps.Keys(t.edges)) {
 		s.join(t, edge)
 	}
-	for _, id := range slices.Sorted(maps.Keys(t.servers)) { // of a service that was forgotten and is back
+	for _, id := range slices.Sorted(maps.Keys(t.servers)) { // of a service that was dropped and is back
 		if e := t.servers[id]; e.Service == service {
 			s.updateServer(t, e, 0)
 		}
@@ -106,20 +102,45 @@
 	return s
 }
 
+func (t *Tables) moduleSettings(service string) rules.Settings {
+	latencyTarget, deadline := t.targets(service)
+	return rules.Settings{Instances: max(1, t.instances()), Zone: t.zoneIndex(t.zone), Zones: len(t.zones), Proxies: 1,
+		Classes:   []rules.Class{{Name: service, Aim: latencyTarget, Deadline: deadline, Worth: 1}},
+		Admission: rules.AdmitNone, RetryDefault: rules.RetryNever, ReportPeriod: reportPeriod,
+		QueueLines: unlimitedChannel, LinesPerSec: unlimitedChannel, HeadLines: 1,
+		ColdFor: maxWarmupMillis, StartCapacity: 0.5, FallMultiple: 100}
+}
+
+// targets are the latency target and the deadline of the last route to a service, in milliseconds.
+func (t *Tables) targets(service string) (latencyTarget, deadline float64) {
+	latencyTarget, deadline = defaultLatencyTarget, defaultDeadline
+	if t.config == nil {
+		return latencyTarget, deadline
+	}
+	for _, r := range t.config.Routes {
+		for _, share := range r.Shares() {
+			if share.Service == service && r.LatencyTarget > 0 {
+				latencyTarget, deadline = r.LatencyTarget*1000, r.Deadline*1000
+			}
+		}
+	}
+	return latencyTarget, deadline
+}
+
 func (s *table) join(t *Tables, edge string) {
-	id, ok := s.edges[edge]
-	if !ok {
-		s.nextEdge++
-		id = s.nextEdge
-		s.edges[edge], s.ips[id] = id, edge
+	id, known := s.edgeIDs[edge]
+	if !known {
+		s.lastEdge++
+		id = s.lastEdge
+		s.edgeIDs[edge], s.edgeIPs[id] = id, edge
 	}
-	if s.weights[edge] == nil { // the module knows what it ordered for an edge that was here before
-		s.weights[edge] = map[string]float64{}
+	if s.ordered[edge] == nil { // the module knows what it ordered for an edge that was here before
+		s.ordered[edge] = map[string]float64{}
 	}
-	s.events = append(s.events, rules.Joined{Proxy: id, Zone: t.zoneIndex(t.edges[edge]), Rate: 10, Fresh: true})
+	s.events = append(s.events, rules.Joined{Proxy: id, Zone: t.zoneIndex(t.edges[edge]), Rate: initialEdgeRate, Fresh: true})
 }
 
-// Join takes an edge in. It holds no table yet.
+// Join adds an edge, by its IP address. It holds no table yet.
 func (t *Tables) Join(edge, zone string) {
 	t.edges[edge] = zone
 	for _, s := range t.services {
@@ -131,13 +152,13 @@
 func (t *Tables) Leave(edge string) {
 	delete(t.edges, edge)
 	for _, s := range t.services {
-		if id, ok := s.edges[edge]; ok {
+		if id, ok := s.edgeIDs[edge]; ok {
 			s.events = append(s.events, rules.Left{Proxy: id})
 		}
 	}
 }
 
-// UpdateServers takes news of servers.
+// UpdateServers takes over what changed of servers.
 func (t *Tables) UpdateServers(updates []registry.Entry, now time.Duration) {
 	for _, e := range updates {
 		if e.Service == "" {
@@ -152,39 +173,52 @@
 }
 
 func (s *table) updateServer(t *Tables, e registry.Entry, now time.Duration) {
-	id, ok := s.ids[e.ID]
-	if !ok {
+	id, known := s.serverIDs[e.ID]
+	if !known {
 		if e.Ended() {
 			return
 		}
-		s.nextID++
-		id = s.nextID
-		s.ids[e.ID], s.names[id] = id, e.ID
+		s.lastServer++
+		id = s.lastServer
+		s.serverIDs[e.ID], s.serverNames[id] = id, e.ID
 	}
-	state := rules.Ready
+	s.events = append(s.events, rules.List{Kind: rules.ListChanges, Servers: []rules.Server{{ID: id, Weight: float64(e.Capacity),
+		Zone: t.zoneIndex(e.Zone), State: moduleState(e), StartedAt: moduleStart(e, now)}}})
+	if e.Ended() {
+		s.forgetServer(e.ID, id)
+	}
+}
+
+// moduleState is an entry's state in the decision module. A server that timed out gets nothing until it is heard again.
+func moduleState(e registry.Entry) rules.State {
 	switch {
 	case e.Ended() || e.TimedOut:
-		state = rules.Gone
+		return rules.Gone
 	case e.State == registry.Draining:
-		state = rules.Draining
+		return rules.Draining
 	}
-	started := 0.0
-	if e.WarmupLeft > 0 { // it is warm when the module's span is over
-		started = max(1, float64(now.Milliseconds())-maxWarmupMillis+e.WarmupLeft*1000)
+	return rules.Ready
+}
+
+// moduleStart is when the module takes a server to have started, in milliseconds, so that its warm-up ends when the server
+// says; 0: it is warm.
+func moduleStart(e registry.Entry, now time.Duration) float64 {
+	if e.WarmupLeft <= 0 {
+		return 0
 	}
-	s.events = append(s.events, rules.List{Kind: rules.ListChanges, Servers: []rules.Server{{ID: id, Weight: float64(e.Capacity),
-		Zone: t.zoneIndex(e.Zone), State: state, StartedAt: started}}})
-	if e.Ended() {
-		s.events = append(s.events, rules.Forgotten{Server: id})
-		delete(s.ids, e.ID)
-		delete(s.names, id)
-		for _, ordered := range s.weights {
-			delete(ordered, e.ID)
-		}
+	return max(1, float64(now.Milliseconds())-maxWarmupMillis+e.WarmupLeft*1000)
+}
+
+func (s *table) forgetServer(name string, id rules.ServerID) {
+	s.events = append(s.events, rules.Forgotten{Server: id})
+	delete(s.serverIDs, name)
+	delete(s.serverNames, id)
+	for _, ordered := range s.ordered {
+		delete(ordered, name)
 	}
 }
 
-// SetConfig follows a new configuration: services that it doesn't know any more are forgotten.
+// SetConfig follows a new configuration: services that it doesn't name are dropped.
 func (t *Tables) SetConfig(c *config.Config) {
 	t.config = c
 	for name := range t.services {
@@ -194,153 +228,175 @@
 	}
 }
 
-// HandleReport takes what an edge saw. Service names the service of a server that is known.
-func (t *Tables) HandleReport(edge string, r *peer.Report, service func(server string) (string, bool)) {
+// HandleReport takes what an edge counted. ServiceOf names the service of a server that is known.
+func (t *Tables) HandleReport(edge string, r *peer.Report, serviceOf func(server string) (service string, known bool)) {
 	period := max(1, r.Period*1000)
-	for _, m := range r.Servers {
-		name, known := service(m.Server)
-		if !known {
-			continue
-		}
-		s := t.tableFor(name)
-		id, ok := s.ids[m.Server]
-		if !ok {
-			continue
-		}
-		latency := 0.0
-		if n := m.Attempts - min(m.Attempts, m.Failed); n > 0 {
-			latency = m.TotalTime / float64(n) * 1000
+	for _, stats := range r.Servers {
+		if service, known := serviceOf(stats.Server); known {
+			t.tableFor(service).handleServerStats(t.zoneIndex(t.edges[edge]), stats, period)
 		}
-		s.events = append(s.events, rules.Heard{Zone: t.zoneIndex(t.edges[edge]), Server: id, Tries: float64(m.Attempts), Failed: float64(m.Failed), Latency: latency, Period: period})
 	}
-	for _, a := range r.Services {
-		s := t.tableFor(a.Service)
-		if id, ok := s.edges[edge]; ok {
-			s.events = append(s.events, rules.Demand{Proxy: id, Requests: float64(a.Requests), Unanswered: float64(a.Failed), Period: period})
+	for _, stats := range r.Services {
+		s := t.tableFor(stats.Service)
+		if id, ok := s.edgeIDs[edge]; ok {
+			s.events = append(s.events, rules.Demand{Proxy: id, Requests: float64(stats.Requests), Unanswered: float64(stats.Failed),
+				Period: period})
 		}
 	}
 	for _, token := range r.Applied {
-		for _, s := range t.services {
-			if id, ok := s.edges[edge]; ok && s.tokenPrefix == token&^tokenMask {
-				s.events = append(s.events, rules.Ack{Proxy: id, Token: uint32(token & tokenMask)})
-			}
+		t.handleApplied(edge, token)
+	}
+}
+
+func (s *table) handleServerStats(zone int, stats peer.ServerStats, period float64) {
+	id, known := s.serverIDs[stats.Server]
+	if !known {
+		return
+	}
+	latency := 0.0 // milliseconds
+	if succeeded := stats.Attempts - min(stats.Attempts, stats.Failed); succeeded > 0 {
+		latency = stats.TotalTime / float64(succeeded) * 1000
+	}
+	s.events = append(s.events, rules.Heard{Zone: zone, Server: id, Tries: float64(stats.Attempts), Failed: float64(stats.Failed),
+		Latency: latency, Period: period})
+}
+
+// handleApplied tells the table that a token belongs to that an edge has applied its orders.
+func (t *Tables) handleApplied(edge string, token uint64) {
+	for _, s := range t.services {
+		if id, ok := s.edgeIDs[edge]; ok && s.tokenPrefix == token&^tokenMask {
+			s.events = append(s.events, rules.Ack{Proxy: id, Token: uint32(token & tokenMask)})
 		}
 	}
 }
 
-// Tokens to an edge carry the table's number above the module's own: one that is answered after its table was forgotten is
-// nobody's.
+// Tokens to an edge carry the table's number above the module's own token: one that is returned after its table was dropped
+// is nobody's.
 const (
 	tokenPrefixShift = 32
 	tokenMask        = 1<<tokenPrefixShift - 1
 )
 
-func (t *Tables) names() []string {
-	names := make([]string, 0, len(t.services))
-	for name := range t.services {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	return names
-}
+func (t *Tables) serviceNames() []string { return slices.Sorted(maps.Keys(t.services)) }
 
-// OwnTraffic is what this planner's edges bring, by service and zone.
+// OwnTraffic is what the edges of this controller bring, by service and zone, in tenths of a request a second.
 func (t *Tables) OwnTraffic() (all []peer.ZoneTraffic) {
-	for _, name := range t.names() {
+	for _, name := range t.serviceNames() {
 		own, _ := t.services[name].controller.Mine()
-		for z, rate := range own.Usual {
-			if rate > 0.05 {
-				all = append(all, peer.ZoneTraffic{Service: name, Zone: t.zones[z], Rate: float64(int(rate*10)) / 10})
+		for zone, rate := range own.Usual {
+			if rate > minTrafficRate {
+				all = append(all, peer.ZoneTraffic{Service: name, Zone: t.zones[zone], Rate: float64(int(rate*10)) / 10})
 			}
 		}
 	}
 	return all
 }
 
-// Tick lets the controllers look, if it is time, and gives what they order, by edge. Others are told by those who know them.
+// Tick lets the module decide, if it is time, and gives what it orders, by edge. Peers gives what the edges of the other
+// controllers bring.
 func (t *Tables) Tick(now time.Duration, peers func() []PeerTraffic) map[string]*peer.Weights {
 	if now < t.nextDecision {
 		return nil
 	}
-	elsewhere := peers()
 	t.nextDecision = now + decideInterval
-	orders := map[string]*peer.Weights{}
-	for _, name := range t.names() {
+	elsewhere := peers()
+	o := &orders{byEdge: map[string]*peer.Weights{}}
+	for _, name := range t.serviceNames() {
 		s := t.services[name]
-		share := rules.Part{Channel: 1, Usual: make([]float64, len(t.zones)), Demands: []float64{0}}
-		for _, p := range elsewhere {
-			share.Joined += float64(p.Edges)
-			for _, u := range p.TrafficByZone {
-				if u.Service == name {
-					share.Usual[t.zoneIndex(u.Zone)] += u.Rate
-					share.Demands[0] += u.Rate
-				}
-			}
-		}
-		s.events = append(s.events, share)
+		s.events = append(s.events, t.trafficElsewhere(name, elsewhere))
 		actions := s.controller.Step(float64(now.Milliseconds())+1, s.events)
 		s.events = s.events[:0]
-		s.collectOrders(t, actions, orders)
+		o.collect(t, s, actions)
 	}
-	for _, w := range orders {
+	for _, w := range o.byEdge {
 		slices.SortFunc(w.Changed, func(a, b peer.Weight) int { return cmp.Compare(a.Server, b.Server) })
 	}
-	return orders
+	return o.byEdge
 }
 
-// collectOrders turns a controller's actions into what edges are sent.
-func (s *table) collectOrders(t *Tables, actions []rules.Action, orders map[string]*peer.Weights) {
-	touched := map[string]bool{}
-	to := func(id rules.ProxyID) *peer.Weights {
-		ip := s.ips[id]
-		touched[ip] = true
-		if orders[ip] == nil {
-			orders[ip] = &peer.Weights{}
+// trafficElsewhere is what the edges of the other controllers bring to a service.
+func (t *Tables) trafficElsewhere(service string, peers []PeerTraffic) rules.Part {
+	part := rules.Part{Channel: 1, Usual: make([]float64, len(t.zones)), Demands: []float64{0}}
+	for _, p := range peers {
+		part.Joined += float64(p.Edges)
+		for _, traffic := range p.TrafficByZone {
+			if traffic.Service == service {
+				part.Usual[t.zoneIndex(traffic.Zone)] += traffic.Rate
+				part.Demands[0] += traffic.Rate
+			}
 		}
-		return orders[ip]
 	}
-	for _, a := range actions {
-		switch a := a.(type) {
+	return part
+}
+
+// orders gathers what edges are sent after a decision.
+type orders struct {
+	byEdge  map[string]*peer.Weights
+	touched map[string]bool // edges that the present table orders something for
+}
+
+func (o *orders) to(edge string) *peer.Weights {
+	o.touched[edge] = true
+	if o.byEdge[edge] == nil {
+		o.byEdge[edge] = &peer.Weights{}
+	}
+	return o.byEdge[edge]
+}
+
+// collect turns the module's actions into orders.
+func (o *orders) collect(t *Tables, s *table, actions []rules.Action) {
+	o.touched = map[string]bool{}
+	for _, action := range actions {
+		switch action := action.(type) {
 		case rules.SetWeight:
-			w, name := to(rules.ProxyID(a.Table)), s.names[a.Server]
-			if name != "" {
-				w.Changed = append(w.Changed, peer.Weight{Server: name, Weight: a.Weight})
-				ordered := s.weights[s.ips[rules.ProxyID(a.Table)]]
-				if ordered[name] = a.Weight; a.Weight <= 0 {
-					delete(ordered, name)
-				}
-			}
-		case rules.Bind: // the whole table: what is not in it is out
-			ip := s.ips[a.Proxy]
-			w := to(a.Proxy)
-			w.Replaced = append(w.Replaced, s.service)
-			for name, weight := range s.weights[ip] {
-				if weight > 0 && !slices.ContainsFunc(w.Changed, func(l peer.Weight) bool { return l.Server == name }) {
-					w.Changed = append(w.Changed, peer.Weight{Server: name, Weight: weight})
-				}
-			}
+			o.setWeight(s, s.edgeIPs[rules.ProxyID(action.Table)], s.serverNames[action.Server], action.Weight)
+		case rules.Bind:
+			o.replaceTable(s, s.edgeIPs[action.Proxy])
 		case rules.Mark:
-			for ip := range touched {
-				orders[ip].Tokens = append(orders[ip].Tokens, s.tokenPrefix|uint64(a.Token))
+			for edge := range o.touched {
+				o.byEdge[edge].Tokens = append(o.byEdge[edge].Tokens, s.tokenPrefix|uint64(action.Token))
 			}
 		case rules.Log:
-			t.logNote(s.service, a.Text)
+			t.logNote(s.service, action.Text)
+		}
+	}
+}
+
+func (o *orders) setWeight(s *table, edge, server string, weight float64) {
+	w := o.to(edge)
+	if server == "" {
+		return // it has ended
+	}
+	w.Changed = append(w.Changed, peer.Weight{Server: server, Weight: weight})
+	ordered := s.ordered[edge]
+	if ordered[server] = weight; weight <= 0 {
+		delete(ordered, server)
+	}
+}
+
+// replaceTable orders the complete table: what is not in it is out.
+func (o *orders) replaceTable(s *table, edge string) {
+	w := o.to(edge)
+	w.Replaced = append(w.Replaced, s.service)
+	for server, weight := range s.ordered[edge] {
+		if weight > 0 && !slices.ContainsFunc(w.Changed, func(l peer.Weight) bool { return l.Server == server }) {
+			w.Changed = append(w.Changed, peer.Weight{Server: server, Weight: weight})
 		}
 	}
 }
 
-// OrderedWeights is the table of a service as it was ordered for an edge. It stays the tables'.
+// OrderedWeights is the table of a service as it was ordered for an edge. It must not be changed.
 func (t *Tables) OrderedWeights(edge, service string) map[string]float64 {
 	if s := t.services[service]; s != nil {
-		return s.weights[edge]
+		return s.ordered[edge]
 	}
 	return nil
 }
 
-// Weight is what some edge was last sent for a server.
+// Weight is what some edge was last sent for a server; 0: none.
 func (t *Tables) Weight(server string) float64 {
 	for _, s := range t.services {
-		for _, ordered := range s.weights {
+		for _, ordered := range s.ordered {
 			if w, ok := ordered[server]; ok && w > 0 {
 				return w
 			}
--- a/internal/edge/attempt/attempt.go
+++ b/internal/edge/attempt/attempt.go
@@ -1,93 +1,126 @@
-// Package attempt follows one request from server to server. A Try is the life of a request at one server, as a state
-// machine. How a try can end, and what follows from each way, stands in one table (endings.go): what the client is told,
-// whether the request may be sent again, whether the connection is kept and what becomes of the claim of a keyed
-// operation. The package does no I/O and reads no clock.
 package attempt
 
-// Next says what follows a try.
-type Next uint8
+// State is how far an attempt is. It only grows.
+type State uint8
 
-// What may follow.
+// The states of an attempt.
 const (
-	Stop      Next = iota
-	RetryFree      // another server, at no cost: none was reached yet, or it is paid for
-	RetryPaid      // another server, if the retry budget allows it
+	Chosen        State = iota // a server is chosen
+	Connecting                 // a connection is sought: an idle one, or a new one
+	Connected                  // there is one, and no byte of the request was written
+	Sending                    // the first byte was written, so the server may have any part
+	Sent                       // all of the request was written
+	Head                       // the response's head has begun
+	Body                       // the head belongs to this attempt, and the body is being read
+	StreamingBody              // the beginning of a long body was handed on to the client
+	Done
 )
 
-// serverErrorStatus is the status from which a server's answer is a failure of its own, which may be otherwise elsewhere.
-const serverErrorStatus = 500
+// String is the state's name.
+func (s State) String() string {
+	return [...]string{"chosen", "connecting", "connected", "sending", "sent", "head", "body", "streaming", "done"}[min(s, Done)]
+}
+
+// Event is what happens to an attempt.
+type Event uint8
 
-// maxAttempts bounds the servers that are tried, reached or not.
-const maxAttempts = 6
+// The events. What the runtime can't tell from its sockets it leaves out: states may be passed over, never gone back.
+const (
+	ConnectStarted   Event = iota
+	ConnectionReady        // an idle one was found, or a new one made
+	FirstByte              // the first byte of the request is being written
+	LastByte               // and the last one was
+	ResponseBegins         // the first byte of a response came
+	ConnectionClosed       // it was closed or reset, could not be made, or brought what is no response
+	DeadlineExceeded
+	ServerDraining
+	ClientClosed // the client broke off, or takes no more
+	events
+)
 
-// Retries is one request's way.
-type Retries struct {
-	Safe       bool // it may run more than once
-	MaxSent    int  // servers that it may reach
-	Sent       int  // tries that reached a server
-	Attempts   int
-	Paid       bool // for a further try that reached none yet
-	MayHaveRun bool // at one of the servers that were tried
+// Attempt is a request at one server. The zero value is ready.
+type Attempt struct {
+	State State
+	Cause Cause // once it is done
 }
 
-// AfterAttempt takes the cause for which a try is over. Held tells whether all of the request can be sent again, and nothing of
-// an answer was passed on.
-func (a *Retries) AfterAttempt(cause Cause, resendable bool) Next {
-	then := cause.Consequence()
-	a.Attempts++
-	if then.Outcome != NotSent {
-		a.Sent++
-		a.Paid = false
-	}
-	if then.Outcome.mayHaveRun() {
-		a.MayHaveRun = true
-	}
-	mayRetry := then.Retry == Always || then.Retry == IfSafe && a.Safe
+// Handle takes an event. One that the state has no use for changes nothing.
+func (a *Attempt) Handle(e Event) {
 	switch {
-	case !mayRetry || !resendable || a.Sent >= a.MaxSent || a.Attempts > maxAttempts:
-		return Stop
-	case a.Sent > 0 && !a.Paid: // the next server may be the second that it reaches
-		return RetryPaid
+	case a.State == Done:
+	case e <= ResponseBegins:
+		a.advance(e)
+	case e == ServerDraining && a.State > Connected: // what is in flight goes on
 	default:
-		return RetryFree
+		a.finish(a.failure(e))
 	}
 }
 
-// AfterOutcome is Over for those who know only the ending and the answer's status.
-func (a *Retries) AfterOutcome(e Outcome, status int, resendable bool) Next {
+// reached is the state that an event leads to.
+var reached = [...]State{
+	ConnectStarted:  Connecting,
+	ConnectionReady: Connected,
+	FirstByte:       Sending,
+	LastByte:        Sent,
+	ResponseBegins:  Head,
+}
+
+func (a *Attempt) advance(e Event) { a.State = max(a.State, reached[e]) }
+
+// failure is the cause for which an event ends the attempt in its state.
+func (a *Attempt) failure(e Event) Cause {
 	switch {
-	case e == NotSent:
-		return a.AfterAttempt(NoConnection, resendable)
-	case e == NotRun:
-		return a.AfterAttempt(TurnedAway, resendable)
-	case e == Ran && status >= serverErrorStatus:
-		return a.AfterAttempt(Failed, resendable)
-	case e == Ran:
-		return a.AfterAttempt(Answered, resendable)
+	case a.State == StreamingBody && e == ClientClosed:
+		return ClientGone
+	case a.State == StreamingBody:
+		return StreamCut
+	case a.State >= Sending && e == DeadlineExceeded:
+		return ResponseTimeout
+	case a.State >= Sending && e == ClientClosed:
+		return ClientStopped
+	case a.State == Body:
+		return Cut
+	case a.State >= Sending:
+		return BrokenOff
+	case e == ServerDraining:
+		return ServerLeft
+	case a.State == Connected:
+		return Unsent
 	default:
-		return a.AfterAttempt(BrokenOff, resendable)
+		return NoConnection
 	}
 }
 
-// Disposition is what the client may be told after a try that is over for this cause. A promise that the request never ran has
-// to hold for all servers that were tried, not only for the last one.
-func (a *Retries) Disposition(cause Cause) Disposition {
-	if disposition := cause.Consequence().Disposition; disposition != SafeRefusal || !a.MayHaveRun {
-		return disposition
+// HandleHead takes a response whose head has been read. It reports whether the body is worth reading.
+func (a *Attempt) HandleHead(r Response) bool {
+	if a.State == Done {
+		return false
+	}
+	if cause, ok := r.HeadCause(); !ok {
+		a.finish(cause)
+		return false
 	}
-	return BadGateway
+	a.State = Body
+	return true
 }
 
-// Supersedes tells whether an outcome for this cause takes the place of the former one. After a try that may have run, one
-// that never ran tells the client nothing new.
-func (a *Retries) Supersedes(cause Cause) bool {
-	return !a.MayHaveRun || cause.Consequence().Outcome.mayHaveRun()
+// HandleBody takes a response whose body has been read as far as it is buffered.
+func (a *Attempt) HandleBody(r Response) {
+	if a.State != Body {
+		return
+	}
+	if cause := r.Cause(); cause != Streaming {
+		a.finish(cause)
+		return
+	}
+	a.State, a.Cause = StreamingBody, Streaming
 }
 
-// ClaimAction is what becomes of a keyed operation's claim after a try that is over for this cause.
-func (a *Retries) ClaimAction(cause Cause) ClaimAction {
-	if action := cause.Consequence().Claim; action != RevokeClaim || !a.MayHaveRun {
-		return action
+// HandleStreamed takes the end of a long response, of which the client took all.
+func (a *Attempt) HandleStreamed() {
+	if a.State == StreamingBody {
+		a.finish(Streamed)
 	}
-	return KeepClaim
 }
+
+func (a *Attempt) finish(cause Cause) { a.State, a.Cause = Done, cause }
--- a/internal/edge/attempt/endings.go
+++ b/internal/edge/attempt/consequences.go
@@ -2,39 +2,40 @@
 
 import "net/http"
 
-// Outcome says what is known of a request after a try.
+// Outcome says what is known of a request after an attempt.
 type Outcome uint8
 
-// The endings. Only the first two allow a try elsewhere for what must not run twice, and a refusal that promises.
+// The outcomes. Only the first two allow an attempt elsewhere for what must not run twice, and a refusal that promises.
 const (
 	NotSent Outcome = iota // no byte left for the server
-	NotRun                 // the server says that it did not run
-	Ran                    // a whole answer of this try came, or began and is passed on
+	NotRun                 // the server says that it did not run the request
+	Ran                    // a complete response of this attempt came, or began and is forwarded
 	Unknown                // anything else
 )
 
-func (e Outcome) String() string {
-	return [...]string{"not_sent", "not_run", "ran", "perhaps"}[min(e, Unknown)]
+// String is the outcome's name in metrics. The names are those of the first version, since dashboards read them.
+func (o Outcome) String() string {
+	return [...]string{"not_sent", "not_run", "ran", "perhaps"}[min(o, Unknown)]
 }
 
-func (e Outcome) mayHaveRun() bool { return e == Ran || e == Unknown }
+func (o Outcome) mayHaveRun() bool { return o == Ran || o == Unknown }
 
 // Disposition is what the client may be told.
 type Disposition uint8
 
-// What the client may be told.
+// The dispositions.
 const (
-	SafeRefusal     Disposition = iota // 503 with Retry-After: it has not run and never will
-	ForwardResponse                    // the server's answer
+	SafeRefusal     Disposition = iota // 503 with Retry-After: the request has not run and never will
+	ForwardResponse                    // the server's response
 	BadGateway                         // 502: nothing is promised
 	GatewayTimeout                     // 504: nothing is promised
-	AbortConnection                    // the connection is broken off: part of an answer was passed on
+	AbortConnection                    // the client's connection is broken off: part of a response was forwarded
 )
 
 // RetryRule says for which requests another server may be tried.
 type RetryRule uint8
 
-// Which requests may be sent again.
+// The rules.
 const (
 	Never  RetryRule = iota
 	IfSafe           // those that may run more than once
@@ -44,49 +45,49 @@
 // ClaimAction is what becomes of a keyed operation's claim.
 type ClaimAction uint8
 
-// What becomes of a claim.
+// The actions.
 const (
 	KeepClaim     ClaimAction = iota // repeats are told 409 until the window is over
 	RevokeClaim                      // a repeat may run
-	CompleteClaim                    // the answer is kept for repeats
+	CompleteClaim                    // the response is kept for repeats
 )
 
-// Cause is the way in which a try came to be over: one line of the table.
+// Cause is the way in which an attempt ended: one line of the table.
 type Cause uint8
 
-// The causes, in the order of a try's life.
+// The causes, in the order of the states of an attempt.
 const (
-	NoCapacity      Cause = iota // no server was chosen: none has room
+	NoCapacity      Cause = iota // no server was chosen: none has a free slot
 	NoTime                       // none was chosen: the deadline is too near
-	NoConnection                 // no connection came about
-	ServerLeft                   // the server began to leave before the first byte
+	NoConnection                 // no connection could be made
+	ServerLeft                   // the server began to drain before the first byte
 	Unsent                       // the connection ended before the first byte
-	ResponseTimeout              // the time ran out after the first byte
-	BrokenOff                    // the connection ended, or brought bytes that are no answer, before a whole head
+	ResponseTimeout              // the deadline passed after the first byte
+	BrokenOff                    // the connection ended, or brought bytes that are no response, before a complete head
 	ClientStopped                // the client's body ended early after the first byte
-	Foreign                      // the answer has another try's id, none, or several
-	Switched                     // the answer changes the protocol
-	Endless                      // the answer doesn't tell its own end
-	Encoded                      // the answer's body has a content coding that was not asked for
+	Foreign                      // the response has another attempt's id, none, or several
+	Switched                     // the response changes the protocol
+	Endless                      // the response doesn't tell its own end
+	Encoded                      // the response's body has a content coding that was not asked for
 	Unproven                     // a status that promises, without the server's word that nothing ran
 	Contradictory                // a success that says that nothing ran
 	Unsealed                     // a success without a seal
-	Lengthy                      // the server turns it away at length
-	Cut                          // the answer's body ended early, and nothing of it was passed on
+	Lengthy                      // the server turns the request away at length
+	Cut                          // the response's body ended early, and nothing of it was forwarded
 	TurnedAway                   // the server says that it did not run the request
 	WrongServer                  // another server has the address: it did not run the request
-	Answered                     // a whole answer
-	Failed                       // a whole answer that is the server's own failure
-	Streaming                    // a long answer, whose beginning is held and which is passed on as it comes
-	Streamed                     // a long answer came up to its end and was passed on
-	StreamCut                    // a long answer ended early after its beginning was passed on
-	ClientGone                   // the client took no more of a long answer
+	Answered                     // a complete response
+	Failed                       // a complete response that is the server's own failure
+	Streaming                    // a long response, whose beginning is buffered and which is forwarded as it comes
+	Streamed                     // a long response came up to its end and was forwarded
+	StreamCut                    // a long response ended early after its beginning was forwarded
+	ClientGone                   // the client took no more of a long response
 	causes
 )
 
 // Consequence is what follows from a cause.
 type Consequence struct {
-	Name        string
+	Name        string // for logs and docs/attempts.md
 	Outcome     Outcome
 	Disposition Disposition
 	Retry       RetryRule
@@ -96,12 +97,12 @@
 
 // consequences is the one place where these decisions stand. docs/attempts.md shows it.
 var consequences = [causes]Consequence{
-	NoCapacity:      {"no_room", NotSent, SafeRefusal, Always, false, RevokeClaim},
+	NoCapacity:      {"no_capacity", NotSent, SafeRefusal, Always, false, RevokeClaim},
 	NoTime:          {"no_time", NotSent, SafeRefusal, Always, false, RevokeClaim},
 	NoConnection:    {"no_connection", NotSent, SafeRefusal, Always, false, RevokeClaim},
 	ServerLeft:      {"server_left", NotSent, SafeRefusal, Always, false, RevokeClaim},
 	Unsent:          {"unsent", NotSent, SafeRefusal, Always, false, RevokeClaim},
-	ResponseTimeout: {"silence", Unknown, GatewayTimeout, IfSafe, false, KeepClaim},
+	ResponseTimeout: {"response_timeout", Unknown, GatewayTimeout, IfSafe, false, KeepClaim},
 	BrokenOff:       {"broken_off", Unknown, BadGateway, IfSafe, false, KeepClaim},
 	ClientStopped:   {"client_stopped", Unknown, BadGateway, Never, false, KeepClaim},
 	Foreign:         {"foreign", Unknown, BadGateway, IfSafe, false, KeepClaim},
@@ -117,33 +118,34 @@
 	WrongServer:     {"wrong_server", NotRun, SafeRefusal, Always, false, RevokeClaim},
 	Answered:        {"answered", Ran, ForwardResponse, Never, true, CompleteClaim},
 	Failed:          {"failed", Ran, ForwardResponse, IfSafe, true, CompleteClaim},
-	Streaming:       {"passing", Ran, ForwardResponse, Never, false, KeepClaim},
-	Streamed:        {"passed_on", Ran, ForwardResponse, Never, true, KeepClaim},
-	StreamCut:       {"passing_cut", Ran, AbortConnection, Never, false, KeepClaim},
+	Streaming:       {"streaming", Ran, ForwardResponse, Never, false, KeepClaim},
+	Streamed:        {"streamed", Ran, ForwardResponse, Never, true, KeepClaim},
+	StreamCut:       {"stream_cut", Ran, AbortConnection, Never, false, KeepClaim},
 	ClientGone:      {"client_gone", Ran, AbortConnection, Never, false, KeepClaim},
 }
 
 // Consequence finds what follows from the cause.
 func (c Cause) Consequence() Consequence { return consequences[c] }
 
+// String is the cause's name in logs.
 func (c Cause) String() string { return consequences[c].Name }
 
 // Response is what came back from a server that was sent a request.
 type Response struct {
 	Received  bool // at all
-	OwnID     bool // it carries this try's id
+	OwnID     bool // it carries this attempt's id, once
 	Delimited bool // it tells its own end
-	Complete  bool // and came up to it, or is long and still coming
+	Complete  bool // and came up to it, or is Partial and still coming
 	NotRun    bool // it says that the request was not run
-	Success   bool // a success
-	Sealed    bool // with the server's seal
-	Partial   bool // it is not held whole, and still coming
+	Success   bool // its status is one of 2xx
+	Sealed    bool // it carries the server's seal
+	Partial   bool // it is too long to be buffered
 	Switched  bool // it changes the protocol
 	Encoded   bool // its body has a content coding that was not asked for
 	Status    int  // 0: not told, of a server that is known to keep the protocol
 }
 
-// PromisesNotRun tells whether a status promises that the request has not run and never will.
+// PromisesNotRun reports whether a status promises that the request has not run and never will.
 func PromisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -152,52 +154,52 @@
 	return false
 }
 
-// HeadCause is the cause for which an answer's head alone ends the try; ok tells that it doesn't, and the body counts.
-func (a Response) HeadCause() (cause Cause, ok bool) {
+// HeadCause is the cause for which a response's head alone ends the attempt; ok: it doesn't, and the body counts.
+func (r Response) HeadCause() (cause Cause, ok bool) {
 	switch {
-	case !a.Received:
+	case !r.Received:
 		return BrokenOff, false
-	case !a.OwnID:
+	case !r.OwnID:
 		return Foreign, false
-	case a.Switched:
+	case r.Switched:
 		return Switched, false
-	case !a.Delimited:
+	case !r.Delimited:
 		return Endless, false
-	case a.Encoded:
+	case r.Encoded:
 		return Encoded, false
-	case a.Success && a.NotRun:
+	case r.Success && r.NotRun:
 		return Contradictory, false
-	case a.Success && !a.Sealed:
+	case r.Success && !r.Sealed:
 		return Unsealed, false
-	case PromisesNotRun(a.Status) && !a.NotRun:
+	case PromisesNotRun(r.Status) && !r.NotRun:
 		return Unproven, false
 	}
 	return 0, true
 }
 
-// Cause tells how a try is over that brought this answer. Of an answer that is not this try's, or not whole, nothing is
-// believed: not even that it didn't run.
-func (a Response) Cause() Cause {
-	cause, ok := a.HeadCause()
+// Cause tells how an attempt ends that brought this response. Of a response that doesn't belong to the attempt, or is not
+// complete, nothing is believed: not even that the request didn't run.
+func (r Response) Cause() Cause {
+	cause, ok := r.HeadCause()
 	switch {
 	case !ok:
 		return cause
-	case !a.Complete:
+	case !r.Complete:
 		return Cut
-	case a.NotRun && a.Partial:
+	case r.NotRun && r.Partial:
 		return Lengthy
-	case a.NotRun && a.Status == http.StatusMisdirectedRequest:
+	case r.NotRun && r.Status == http.StatusMisdirectedRequest:
 		return WrongServer
-	case a.NotRun:
+	case r.NotRun:
 		return TurnedAway
-	case a.Partial:
+	case r.Partial:
 		return Streaming
-	case a.Status >= serverErrorStatus:
+	case r.Status >= serverErrorStatus:
 		return Failed
 	default:
 		return Answered
 	}
 }
 
-// Outcome is what is known after this answer.
-func (a Response) Outcome() Outcome { return a.Cause().Consequence().Outcome }
+// Outcome is what is known after this response.
+func (r Response) Outcome() Outcome { return r.Cause().Consequence().Outcome }
--- a/internal/edge/picker/picker_test.go
+++ b/internal/edge/picker/picker_test.go
@@ -94,11 +94,11 @@
 
 	p = hall(1, 0, 2, 1)
 	u := p.Pick("tags", nobody, 0)
-	p.Release(u, 0, false, false, 0)
+	p.Unreachable(u, 0)
 	for range 5 {
 		o := p.Pick("tags", nobody, time.Millisecond)
 		g.Expect(o).NotTo(BeIdenticalTo(u), "a server that could not be reached is in doubt")
-		p.Release(o, time.Millisecond, true, true, time.Millisecond)
+		p.Succeeded(o, time.Millisecond, time.Millisecond)
 	}
 	p.ReportLoad(p.Get("i-0"), 1, 3, time.Second)
 	p.ReportLoad(p.Get("i-1"), 0, 0, time.Second)
--- a/internal/edge/proxy/traffic.go
+++ b/internal/edge/proxy/traffic.go
@@ -55,7 +55,10 @@
 	keepOne := a != nil && a.admittedAs == ""
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return budget.Spend(keepOne)
+	if keepOne {
+		return budget.SpendUnlessLast()
+	}
+	return budget.Spend()
 }
 
 // refundRetry returns a retry that reached no server.
--- a/internal/edge/proxy/upstreams.go
+++ b/internal/edge/proxy/upstreams.go
@@ -226,7 +226,14 @@
 func (p *upstreamPool) release(u *upstream, use usage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.picker.Release(u.Upstream, use.took, use.arrived, use.succeeded, p.Now())
+	switch {
+	case use.succeeded:
+		p.picker.Succeeded(u.Upstream, use.took, p.Now())
+	case use.arrived:
+		p.picker.Failed(u.Upstream, p.Now())
+	default:
+		p.picker.Unreachable(u.Upstream, p.Now())
+	}
 }
 
 // reportLoad takes over a server's word on its load: running, waiting and slots, as X-Server-Load gives them.
--- a/internal/edge/retrybudget/retrybudget_test.go
+++ b/internal/edge/retrybudget/retrybudget_test.go
@@ -43,7 +43,7 @@
 				e := edges[rng.IntN(len(edges))]
 				e.Earn()
 				requests[now]++
-				for rng.IntN(3) > 0 && e.Spend(false) {
+				for rng.IntN(3) > 0 && e.Spend() {
 					spent[now]++
 				}
 			}
@@ -73,6 +73,6 @@
 		Expect(broken).To(BeNumerically(">", 0), "the planted fault was not seen")
 	})
 	It("start empty", func() {
-		Expect(retrybudget.New(ratio, slack, 10).Spend(false)).To(BeFalse())
+		Expect(retrybudget.New(ratio, slack, 10).Spend()).To(BeFalse())
 	})
 })
--- a/internal/simulation/capacity_test.go
+++ b/internal/simulation/capacity_test.go
@@ -228,7 +228,7 @@
 		for b.Loop() {
 			now += time.Millisecond
 			if l := x.Pick("service-0", func(*picker.Upstream) bool { return false }, now); l != nil {
-				x.Release(l, 0, true, true, now)
+				x.Succeeded(l, 0, now)
 			}
 		}
 	})
--- a/internal/simulation/growth_test.go
+++ b/internal/simulation/growth_test.go
@@ -195,7 +195,7 @@
 		for b.Loop() {
 			now += time.Millisecond
 			if u := x.Pick("service-0", func(*picker.Upstream) bool { return false }, now); u != nil {
-				x.Release(u, 0, true, true, now)
+				x.Succeeded(u, 0, now)
 			}
 		}
 	})
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -166,7 +166,14 @@
 	if w.day.Fault == "what broke off is tried again" && ending == attempt.Unknown {
 		ending = attempt.NotRun
 	}
-	e.picker.Release(t.l, w.now-t.sent, ending != attempt.NotSent, ending == attempt.Ran, w.now)
+	switch ending {
+	case attempt.Ran:
+		e.picker.Succeeded(t.l, w.now-t.sent, w.now)
+	case attempt.NotSent:
+		e.picker.Unreachable(t.l, w.now)
+	default:
+		e.picker.Failed(t.l, w.now)
+	}
 	if a.Received && a.OwnID {
 		e.picker.ReportLoad(t.l, load[0], load[1], w.now)
 	}
@@ -177,7 +184,7 @@
 		}
 		w.finish(q, ending, status)
 	case attempt.RetryPaid:
-		if w.day.Fault != "tries cost nothing" && !e.budget(q.service, len(w.edges)).Spend(false) {
+		if w.day.Fault != "tries cost nothing" && !e.budget(q.service, len(w.edges)).Spend() {
 			w.finish(q, ending, status)
 			return
 		}
