--- a/cmd/operator/main.go
+++ b/cmd/operator/main.go
@@ -115,14 +115,17 @@
 	if err != nil {
 		return err
 	}
-	change := cmd.Bool("change")
-	if err := operator.Check(cmd.Args().First(), text, change); err != nil {
-		return err
-	}
-	if change {
+	path := cmd.Args().First()
+	if cmd.Bool("change") {
+		if err := operator.CheckChange(path, text); err != nil {
+			return err
+		}
 		fmt.Println("valid by itself: the controllers judge it against what is in force")
 		return nil
 	}
+	if err := operator.CheckConfig(path, text); err != nil {
+		return err
+	}
 	config, err := config.Parse(text)
 	if err != nil {
 		return err
--- a/internal/control/broadcast/broadcast.go
+++ b/internal/control/broadcast/broadcast.go
@@ -68,8 +68,8 @@
 		ackedStates: map[string]registry.State{}}
 }
 
-// TakeOutput hands out what has gathered.
-func (b *Broadcaster) TakeOutput() Output {
+// DrainOutput hands out what has gathered.
+func (b *Broadcaster) DrainOutput() Output {
 	output := b.output
 	b.output = Output{}
 	return output
@@ -189,8 +189,8 @@
 	source := b.peers[from]
 	all := map[string]bool{}
 	for name, p := range b.peers {
-		told := source != nil && !source.edge && slices.Contains(source.linkedTo, name)
-		if name != from && (p.edge || !told) {
+		informed := source != nil && !source.edge && slices.Contains(source.linkedTo, name)
+		if name != from && (p.edge || !informed) {
 			all[name] = true
 		}
 	}
--- a/internal/control/consensus/message.go
+++ b/internal/control/consensus/message.go
@@ -65,7 +65,8 @@
 	OK              bool    `cbor:"11,keyasint,omitempty"`
 	ReadRound       uint64  `cbor:"12,keyasint,omitempty"` // of the leader, for reads
 	LeaderInContact bool    `cbor:"14,keyasint,omitempty"` // Append: the leader lately heard the receiver
-	Chunk           *Chunk  `cbor:"15,keyasint,omitempty"` // Append: a part of a snapshot; AppendReply: how much of it the sender has
+	// Append: a part of a snapshot; AppendReply: how much of it the sender has
+	Chunk *Chunk `cbor:"15,keyasint,omitempty"`
 }
 
 // Chunk is a part of a snapshot on its way. In a reply only Index, Sum and Offset are set.
--- a/internal/control/consensus/replica.go
+++ b/internal/control/consensus/replica.go
@@ -191,8 +191,8 @@
 	return msg
 }
 
-// TakeOutput hands out what has to be done since the last call, with the entries that were committed since then.
-func (r *Replica) TakeOutput() Output {
+// DrainOutput hands out what has to be done since the last call, with the entries that were committed since then.
+func (r *Replica) DrainOutput() Output {
 	if r.applied < r.commit {
 		for i := r.applied + 1; i <= r.commit; i++ {
 			r.output.Committed = append(r.output.Committed, r.log[i-r.snapshot.Index-1])
@@ -313,7 +313,10 @@
 
 // ReadConfirmed reports whether a majority answered a round, and all that was committed when it began is known here.
 func (r *Replica) ReadConfirmed(round uint64) bool {
-	return r.CommittedInTerm() && r.Membership().Quorum(func(id string) bool { return id == r.id || r.peers[id].readRound >= round })
+	if !r.CommittedInTerm() {
+		return false
+	}
+	return r.Membership().Quorum(func(id string) bool { return id == r.id || r.peers[id].readRound >= round })
 }
 
 // Compact replaces the log up to an applied entry by a snapshot with data. It changes nothing for any other index.
--- a/internal/control/consensus/replica_test.go
+++ b/internal/control/consensus/replica_test.go
@@ -73,13 +73,13 @@
 		c := replica("c", consensus.HardState{Term: 1})
 		first := []consensus.Entry{{Term: 1, Index: 1}, {Term: 1, Index: 2}}
 		c.Step(consensus.Message{Kind: consensus.Append, From: "a", To: "c", Term: 1, Entries: first}, time.Second)
-		under := c.TakeOutput()
+		under := c.DrainOutput()
 		c.Step(consensus.Message{Kind: consensus.Append, From: "b", To: "c", Term: 2, Entries: []consensus.Entry{{Term: 2, Index: 1}, {Term: 2, Index: 2}}}, time.Second)
-		c.TakeOutput()
+		c.DrainOutput()
 		index, term := under.Last()
 		c.MarkDurable(index, term, time.Second)
 		c.Step(consensus.Message{Kind: consensus.Append, From: "b", To: "c", Term: 2, Index: 2, LogTerm: 2}, time.Second)
-		Expect(ofKind(c.TakeOutput().Immediate, consensus.AppendReply)[0].Index).To(BeZero(), "what b sent is not on the disk yet")
+		Expect(ofKind(c.DrainOutput().Immediate, consensus.AppendReply)[0].Index).To(BeZero(), "what b sent is not on the disk yet")
 	})
 	It("takes nothing of a message with a membership that can't be", func() {
 		c := replica("c", consensus.HardState{Term: 1})
@@ -91,39 +91,39 @@
 	It("tells nobody of a vote that is not stored", func() {
 		r := replica("a", consensus.HardState{})
 		r.Step(consensus.Message{Kind: consensus.VoteRequest, From: "b", To: "a", Term: 3}, time.Second)
-		out := r.TakeOutput()
+		out := r.DrainOutput()
 		Expect(ofKind(out.Immediate, consensus.VoteReply)).To(BeEmpty())
 		Expect(ofKind(out.AfterSync, consensus.VoteReply)).To(HaveLen(1))
 		Expect(out.Hard.Vote).To(Equal("b"))
 	})
 	It("goes by what was committed as soon as it starts again", func() {
 		r := replica("a", consensus.HardState{Term: 3, Commit: 1}, consensus.Entry{Term: 2, Index: 1, Data: []byte("x")}, consensus.Entry{Term: 3, Index: 2})
-		Expect(r.TakeOutput().Committed).To(HaveLen(1))
+		Expect(r.DrainOutput().Committed).To(HaveLen(1))
 	})
 	It("votes once a term", func() {
 		r := replica("a", consensus.HardState{})
 		r.Step(consensus.Message{Kind: consensus.VoteRequest, From: "b", To: "a", Term: 3}, time.Second)
 		r.Step(consensus.Message{Kind: consensus.VoteRequest, From: "c", To: "a", Term: 3}, time.Second)
-		votes := ofKind(r.TakeOutput().AfterSync, consensus.VoteReply)
+		votes := ofKind(r.DrainOutput().AfterSync, consensus.VoteReply)
 		Expect(votes).To(HaveLen(2))
 		Expect(votes[1].OK).To(BeFalse())
 	})
 	It("steps down when it hears of a later term, and answers a former leader", func() {
 		r := replica("a", consensus.HardState{})
 		lead(r)
-		r.TakeOutput()
+		r.DrainOutput()
 		r.Step(consensus.Message{Kind: consensus.Append, From: "c", To: "a", Term: 9}, 11*time.Second)
 		Expect(r.Leader()).To(Equal("c"))
 		r.Step(consensus.Message{Kind: consensus.Append, From: "b", To: "a", Term: 2}, 11*time.Second)
-		replies := ofKind(r.TakeOutput().AfterSync, consensus.AppendReply)
+		replies := ofKind(r.DrainOutput().AfterSync, consensus.AppendReply)
 		Expect(replies[len(replies)-1].Term).To(Equal(uint64(9)))
 	})
 	It("doesn't depose a leader that others hear, after it was cut off", func() {
 		r := replica("a", consensus.HardState{Term: 4})
 		r.Step(consensus.Message{Kind: consensus.Append, From: "b", To: "a", Term: 4}, time.Second)
-		r.TakeOutput()
+		r.DrainOutput()
 		r.Step(consensus.Message{Kind: consensus.PreVoteRequest, From: "c", To: "a", Term: 5, Index: 9, LogTerm: 4}, time.Second+timing.Heartbeat)
-		Expect(ofKind(r.TakeOutput().AfterSync, consensus.PreVoteReply)[0].OK).To(BeFalse())
+		Expect(ofKind(r.DrainOutput().AfterSync, consensus.PreVoteReply)[0].OK).To(BeFalse())
 	})
 	It("is elected for the better log although another voted in a later term that nobody led", func() {
 		b := replica("b", consensus.HardState{Term: 6}, consensus.Entry{Term: 6, Index: 1}, consensus.Entry{Term: 6, Index: 2})
@@ -131,10 +131,10 @@
 		now := time.Second
 		for range 5 { // a is gone
 			b.Tick(now)
-			for _, m := range sentTo(b.TakeOutput().Immediate, "c") {
+			for _, m := range sentTo(b.DrainOutput().Immediate, "c") {
 				c.Step(m, now)
 			}
-			for _, m := range c.TakeOutput().AfterSync {
+			for _, m := range c.DrainOutput().AfterSync {
 				b.Step(m, now)
 			}
 			now += time.Second
@@ -175,12 +175,12 @@
 			stored(a)
 			holds(a, "b", a.Last())
 		}
-		a.TakeOutput()
+		a.DrainOutput()
 		a.Step(consensus.Message{Kind: consensus.AppendReply, From: "c", To: "a", Term: 1}, began) // it holds nothing
 		messages, most := 0, 0
 		for range 400 {
 			ahead := 0
-			for _, m := range sentTo(a.TakeOutput().Immediate, "c") {
+			for _, m := range sentTo(a.DrainOutput().Immediate, "c") {
 				bytes := 0
 				for _, e := range m.Entries {
 					bytes += len(e.Data)
@@ -189,7 +189,7 @@
 				c.Step(m, began)
 			}
 			Expect(ahead).To(BeNumerically("<=", 2<<20))
-			out := c.TakeOutput()
+			out := c.DrainOutput()
 			stored(c)
 			for _, m := range append(out.Immediate, out.AfterSync...) {
 				a.Step(m, began)
@@ -213,16 +213,16 @@
 		}
 		stored(a)
 		holds(a, "b", 6)
-		a.TakeOutput()
+		a.DrainOutput()
 		a.Compact(5, state)
-		a.TakeOutput()
+		a.DrainOutput()
 		a.Step(consensus.Message{Kind: consensus.AppendReply, From: "c", To: "a", Term: 1, Index: 0}, began)
 		return a
 	}
 	// exchange passes messages both ways until nothing more comes; it counts the chunks.
 	exchange := func(a, c *consensus.Replica, most int) (chunks int, installed *consensus.Snapshot) {
 		for range most {
-			sent := sentTo(a.TakeOutput().Immediate, "c")
+			sent := sentTo(a.DrainOutput().Immediate, "c")
 			for _, m := range sent {
 				if m.Chunk != nil {
 					chunks++
@@ -230,7 +230,7 @@
 				}
 				c.Step(m, began)
 			}
-			out := c.TakeOutput()
+			out := c.DrainOutput()
 			if out.Install != nil {
 				installed = out.Install
 			}
@@ -273,7 +273,7 @@
 		a.Propose([]byte("more"), began)
 		stored(a)
 		holds(a, "b", 7)
-		a.TakeOutput()
+		a.DrainOutput()
 		a.Compact(7, append([]byte("newer"), state...))
 		a.Tick(began + 5*timing.Heartbeat) // what was on its way is lost with what was taken above
 		chunks, _ := exchange(a, c, 80)
@@ -283,7 +283,7 @@
 	It("begins a snapshot anew that fails its sum", func() {
 		a, c := leading(), replica("c", consensus.HardState{})
 		exchange(a, c, 2)
-		for _, m := range sentTo(a.TakeOutput().Immediate, "c") {
+		for _, m := range sentTo(a.DrainOutput().Immediate, "c") {
 			if m.Chunk != nil {
 				spoilt := *m.Chunk
 				spoilt.Data = bytes.ToUpper(spoilt.Data)
@@ -291,7 +291,7 @@
 			}
 			c.Step(m, began)
 		}
-		for _, m := range c.TakeOutput().Immediate {
+		for _, m := range c.DrainOutput().Immediate {
 			a.Step(m, began)
 		}
 		_, installed := exchange(a, c, 50)
@@ -305,15 +305,15 @@
 				a.Propose(fmt.Appendf(nil, "change %d", i), began)
 				stored(a)
 				holds(a, "b", a.Last())
-				a.TakeOutput()
+				a.DrainOutput()
 				if i%64 == 63 {
 					a.Compact(a.Commit(), state)
-					a.TakeOutput()
+					a.DrainOutput()
 				}
 			}
 			a.Step(consensus.Message{Kind: consensus.AppendReply, From: "c", To: "a", Term: 1, Index: 0}, began)
 			for range 100 {
-				for _, m := range sentTo(a.TakeOutput().Immediate, "c") {
+				for _, m := range sentTo(a.DrainOutput().Immediate, "c") {
 					if m.Chunk != nil {
 						bytes += len(m.Chunk.Data)
 					}
@@ -322,7 +322,7 @@
 					}
 					c.Step(m, began)
 				}
-				out := c.TakeOutput()
+				out := c.DrainOutput()
 				stored(c)
 				for _, m := range append(out.Immediate, out.AfterSync...) {
 					a.Step(m, began)
@@ -430,11 +430,11 @@
 		lead(r)
 		Expect(r.TransferLeadership("b", began)).To(BeFalse())
 		holds(r, "b", 1)
-		r.TakeOutput()
+		r.DrainOutput()
 		Expect(r.TransferLeadership("b", began)).To(BeTrue())
 		b := replica("b", consensus.HardState{Term: 1}, consensus.Entry{Term: 1, Index: 1})
 		b.Step(consensus.Message{Kind: consensus.Append, From: "a", To: "b", Term: 1, Index: 1, LogTerm: 1}, began)
-		b.Step(ofKind(r.TakeOutput().Immediate, consensus.TimeoutNow)[0], began)
-		Expect(ofKind(b.TakeOutput().AfterSync, consensus.VoteRequest)).To(HaveLen(2))
+		b.Step(ofKind(r.DrainOutput().Immediate, consensus.TimeoutNow)[0], began)
+		Expect(ofKind(b.DrainOutput().AfterSync, consensus.VoteRequest)).To(HaveLen(2))
 	})
 })
--- a/internal/control/consensus/world_test.go
+++ b/internal/control/consensus/world_test.go
@@ -125,7 +125,7 @@
 }
 
 func (w *world) settle(m *machine) {
-	out := m.replica.TakeOutput()
+	out := m.replica.DrainOutput()
 	w.post(m, out.Immediate)
 	if w.fault == "acknowledges before storing" {
 		w.post(m, out.AfterSync)
--- a/internal/control/controller/authority_test.go
+++ b/internal/control/controller/authority_test.go
@@ -280,9 +280,9 @@
 		g := NewWithT(t)
 		h, b := voterAt(t)
 		h.follow(b, 5, consensus.Message{Index: 1, LogTerm: 4})
-		g.Expect(h.shortSummary().Attached).To(BeTrue())
+		g.Expect(h.shortSummary().InContact).To(BeTrue())
 		b.agrees(consensus.Message{Kind: consensus.Append, Term: 5, Index: 1, LogTerm: 4})
-		g.Expect(h.shortSummary().Attached).To(BeFalse(), "its edges look for another controller")
+		g.Expect(h.shortSummary().InContact).To(BeFalse(), "its edges look for another controller")
 		h.stop()
 	})
 }
--- a/internal/control/controller/claims.go
+++ b/internal/control/controller/claims.go
@@ -157,11 +157,11 @@
 func (s *claimsService) handleGrantRequests(p *remote, m peer.GrantRequests) {
 	for _, r := range m.Records {
 		s.requestGrant(r, m.Epoch, func(reply idempotency.GrantReply, holder idempotency.Record) {
-			answer := peer.GrantReply{Token: r.Token, Reply: reply}
+			message := peer.GrantReply{Token: r.Token, Reply: reply}
 			if reply == idempotency.ReplyConflict {
-				answer.Holder = &holder
+				message.Holder = &holder
 			}
-			p.link.Send(peer.GrantReplies{answer})
+			p.link.Send(peer.GrantReplies{message})
 		})
 	}
 }
@@ -217,7 +217,8 @@
 	}
 }
 
-func (s *claimsService) handleGrantReply(from string, token idempotency.Token, reply idempotency.GrantReply, holder idempotency.Record) {
+func (s *claimsService) handleGrantReply(from string, token idempotency.Token, reply idempotency.GrantReply,
+	holder idempotency.Record) {
 	requests, result := s.coordinator.HandleReply(from, token, reply, holder)
 	s.sendGrantRequests(requests)
 	if result != nil {
@@ -263,7 +264,8 @@
 	}
 	done = s.joinQuery(claim.Token, done)
 	s.links.sendToControllers(peer.ResponseQueries{{Key: claim.Key, Token: claim.Token}})
-	s.queries[claim.Token] = &responseQuery{deadline: s.Now() + responseQueryTimeout, pending: len(s.links.controllers), done: done}
+	s.queries[claim.Token] = &responseQuery{deadline: s.Now() + responseQueryTimeout, pending: len(s.links.controllers),
+		done: done}
 }
 
 // joinQuery lets one query serve all that wait for the same response.
--- a/internal/control/controller/consensus.go
+++ b/internal/control/controller/consensus.go
@@ -91,13 +91,13 @@
 
 // process does what the replica wants done after the events of a turn.
 func (r *consensusRuntime) process() {
-	out := r.replica.TakeOutput()
+	out := r.replica.DrainOutput()
 	for _, m := range out.Immediate {
 		r.events.sendConsensus(m)
 	}
 	r.store(&out)
 	r.apply(out)
-	r.answerReads()
+	r.completeReads()
 	r.logRole()
 }
 
@@ -249,7 +249,7 @@
 	r.reads = append(r.reads, read{readIndex: r.replica.ReadIndex(now), deadline: now + callTimeout, render: render, done: done})
 }
 
-func (r *consensusRuntime) answerReads() {
+func (r *consensusRuntime) completeReads() {
 	r.reads = slices.DeleteFunc(r.reads, func(one read) bool {
 		switch {
 		case r.leads() && r.replica.ReadConfirmed(one.readIndex):
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -132,9 +132,11 @@
 func newController(config node.Config, incarnation uint64) *Controller {
 	env := node.NewEnv(config, metrics.Controller, incarnation)
 	c := &Controller{Env: env, security: config.Security, inbox: make(chan func(), inboxSize), linkCtx: context.Background()}
-	c.writer = &writer{Env: env, runOnOwner: c.runOnOwner, commit: func(batches []*storage.Batch) error { return c.storage.Commit(batches) }}
+	c.writer = &writer{Env: env, runOnOwner: c.runOnOwner,
+		commit: func(batches []*storage.Batch) error { return c.storage.Commit(batches) }}
 	c.links = newLinkTable(env)
-	c.consensus = &consensusRuntime{Env: env, writer: c.writer, events: c, state: statemachine.New(), proposals: map[uint64]proposal{}}
+	c.consensus = &consensusRuntime{Env: env, writer: c.writer, events: c, state: statemachine.New(),
+		proposals: map[uint64]proposal{}}
 	c.members = &memberService{Env: env, writer: c.writer, links: c.links, consensus: c.consensus, addController: c.addController,
 		shuttingDown: func() bool { return c.shutdown.started }, seen: map[string]membership.Controller{}}
 	c.servers = newRegistrar(env, c.links, c.consensus.inContact, c.handleServerUpdates)
--- a/internal/control/controller/departure_test.go
+++ b/internal/control/controller/departure_test.go
@@ -80,7 +80,7 @@
 			for _, m := range f.Consensus {
 				asked = asked || m.Kind == consensus.TimeoutNow
 			}
-			g.Expect(f.Summary == nil || !f.Summary.Attached).To(BeTrue(), "edges look for another controller")
+			g.Expect(f.Summary == nil || !f.Summary.InContact).To(BeTrue(), "edges look for another controller")
 		}
 		g.Expect(asked).To(BeTrue())
 		g.Expect(h.shutdown.done).To(BeFalse())
--- a/internal/control/controller/links.go
+++ b/internal/control/controller/links.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// controllerLostAfter is how long a controller has to be unreachable before others watch over its servers: longer than
+	// controllerUnreachableAfter is how long a controller has to be unreachable before others watch over its servers: longer than
 	// servers need to find another controller.
-	controllerLostAfter = 2500 * time.Millisecond
+	controllerUnreachableAfter = 2500 * time.Millisecond
 	// forgetAfter is how long a controller without a vote may be unreachable before its address is not dialled any more.
 	forgetAfter = 2 * time.Minute
 )
@@ -171,8 +171,8 @@
 	p.link.Close()
 }
 
-// controllerLost reports whether a controller has been unreachable for longer than its servers need to find another.
-func (t *linkTable) controllerLost(ip string) bool {
+// controllerUnreachable reports whether a controller has been unreachable for longer than its servers need to find another.
+func (t *linkTable) controllerUnreachable(ip string) bool {
 	if ip == t.Settings.IP || t.controllers[ip] != nil {
 		return false
 	}
@@ -181,7 +181,7 @@
 		t.unreachable[ip] = t.Now()
 		return false
 	}
-	return t.Now()-since > controllerLostAfter
+	return t.Now()-since > controllerUnreachableAfter
 }
 
 // zoneEdgeHashes lists a zone's edges, whichever controller they are attached to.
@@ -214,7 +214,8 @@
 	switch {
 	case t.controllers[ip] != nil:
 		return dialLinked
-	case unreachable < forgetAfter || slices.Contains(membership.Addresses(voters), ip) || slices.Contains(t.Settings.SeedIPs(), ip):
+	case unreachable < forgetAfter || slices.Contains(membership.Addresses(voters), ip) ||
+		slices.Contains(t.Settings.SeedIPs(), ip):
 		return dialWanted
 	}
 	delete(t.known, ip)
--- a/internal/control/controller/membership.go
+++ b/internal/control/controller/membership.go
@@ -69,7 +69,8 @@
 	}
 	state.Recovering = recovering
 	batch := &storage.Batch{Identity: s.identity, Recovering: &recovering}
-	if seeds := s.sortedSeeds(); firstStart && len(state.BootstrapVoters) == 0 && slices.Contains(seeds, s.Settings.IP) && len(seeds) >= s.wantedVoters() {
+	if seeds := s.sortedSeeds(); firstStart && len(state.BootstrapVoters) == 0 && slices.Contains(seeds, s.Settings.IP) &&
+		len(seeds) >= s.wantedVoters() {
 		recovering = false // it never granted anything
 		state.BootstrapVoters, state.Recovering = seeds, false
 		batch.BootstrapVoters, batch.Hard = seeds, &state.Hard
@@ -180,7 +181,7 @@
 		nextIdentity = s.retire(batch)
 	case m.Contains(s.identity) && s.claims.store.Recovering():
 		s.claims.restartCopy()
-		s.finishRecoveryOfFounder()
+		s.finishRecoveryOfBootstrapVoter()
 	}
 	s.writer.write(batch, func() {
 		s.durable = max(s.durable, m.Epoch)
@@ -208,9 +209,9 @@
 	return batch.Identity
 }
 
-// finishRecoveryOfFounder lets the store of a voter of the first start grant: under that identity it never granted anything
+// finishRecoveryOfBootstrapVoter lets the store of a voter of the first start grant: under that identity it never granted anything
 // before.
-func (s *memberService) finishRecoveryOfFounder() {
+func (s *memberService) finishRecoveryOfBootstrapVoter() {
 	if s.identity != membership.Identity(s.Settings.IP, 0) || !slices.Contains(s.current.Voters, s.identity) {
 		return
 	}
@@ -221,7 +222,8 @@
 
 // status is what this replica says of its part in the consensus.
 func (s *memberService) status() *peer.ReplicaStatus {
-	return &peer.ReplicaStatus{Identity: s.identity, Cluster: s.current.Cluster, Epoch: s.durable, Ready: !s.claims.store.Recovering(),
+	return &peer.ReplicaStatus{Identity: s.identity, Cluster: s.current.Cluster, Epoch: s.durable,
+		Ready:        !s.claims.store.Recovering(),
 		ShuttingDown: s.shuttingDown()}
 }
 
@@ -274,7 +276,8 @@
 		return
 	}
 	err := s.carryOut(d, now)
-	s.LogEvent("membership change", "action", d.Action, "cause", d.Cause, "next", strings.Join(d.Next, " "), "to", d.To, "error", err)
+	s.LogEvent("membership change", "action", d.Action, "cause", d.Cause, "next", strings.Join(d.Next, " "), "to", d.To,
+		"error", err)
 }
 
 func (s *memberService) carryOut(d membership.Decision, now time.Duration) error {
@@ -295,9 +298,11 @@
 // view is what the membership manager decides by.
 func (s *memberService) view() membership.View {
 	replica := s.consensus.replica
-	v := membership.View{Self: s.identity, Term: replica.Term(), Membership: replica.Membership(), Committed: replica.MembershipCommitted(),
+	v := membership.View{Self: s.identity, Term: replica.Term(), Membership: replica.Membership(),
+		Committed:    replica.MembershipCommitted(),
 		WantedVoters: s.wantedVoters()}
-	v.Controllers = append(v.Controllers, membership.Controller{ID: s.identity, Zone: s.Settings.Zone, Counted: s.Settings.Counted, Connected: true,
+	v.Controllers = append(v.Controllers, membership.Controller{ID: s.identity, Zone: s.Settings.Zone,
+		Counted: s.Settings.Counted, Connected: true,
 		CaughtUp: true, ShuttingDown: s.shuttingDown(), Epoch: s.durable, Ready: !s.claims.store.Recovering()})
 	for identity, one := range s.seen {
 		if p := s.links.replica(identity); p != nil {
@@ -325,7 +330,8 @@
 // operatorView is what operators are told of who votes.
 func (s *memberService) operatorView() operator.Membership {
 	m := s.current
-	view := operator.Membership{Identity: s.identity, Cluster: fmt.Sprintf("%016x", m.Cluster), Epoch: m.Epoch, Voters: m.Voters, Next: m.Next,
+	view := operator.Membership{Identity: s.identity, Cluster: fmt.Sprintf("%016x", m.Cluster), Epoch: m.Epoch,
+		Voters: m.Voters, Next: m.Next,
 		Votes: m.Contains(s.identity), ShuttingDown: s.shuttingDown()}
 	if !s.consensus.leads() {
 		return view
--- a/internal/control/controller/registrar.go
+++ b/internal/control/controller/registrar.go
@@ -66,7 +66,7 @@
 // expireHeartbeats marks the servers whose heartbeats stopped, and spreads that.
 func (r *registrar) expireHeartbeats(now time.Duration) {
 	timeout := time.Duration(missedHeartbeats * r.Settings.BeatPeriod * float64(time.Second))
-	changed := r.registry.MarkTimedOut(r.Settings.IP, r.links.controllerLost, timeout, now)
+	changed := r.registry.MarkTimedOut(r.Settings.IP, r.links.controllerUnreachable, timeout, now)
 	if len(changed) == 0 {
 		return
 	}
@@ -78,7 +78,7 @@
 
 // publish does what the broadcaster has gathered: it sends updates and acknowledges calls.
 func (r *registrar) publish() {
-	out := r.broadcaster.TakeOutput()
+	out := r.broadcaster.DrainOutput()
 	if len(out.Updates) > 0 {
 		r.onUpdates(out.Updates)
 	}
--- a/internal/control/controller/session.go
+++ b/internal/control/controller/session.go
@@ -215,7 +215,7 @@
 
 // handleSummary keeps what a peer says of itself, and dials the controllers that it knows.
 func (c *Controller) handleSummary(p *remote, s *peer.Summary) {
-	p.summary.inContact, p.summary.edges = s.Attached, s.Edges
+	p.summary.inContact, p.summary.edges = s.InContact, s.Edges
 	if s.Full {
 		c.handleFullSummary(p, s)
 	}
--- a/internal/control/controller/shutdown.go
+++ b/internal/control/controller/shutdown.go
@@ -24,12 +24,12 @@
 // shutdown is the state of a controller that was asked to end. It ends in order: leadership is transferred, edges go
 // elsewhere, a standby takes over the vote, and what was kept here is handed over before the process exits.
 type shutdown struct {
-	started        bool
-	startedAt      time.Duration
-	deadline       time.Duration
-	handOverBegan  time.Duration // when responses were sent to another controller; 0: not yet
-	handOverSynced bool          // they are durable there
-	done           bool
+	started           bool
+	startedAt         time.Duration
+	deadline          time.Duration
+	handOverStartedAt time.Duration // when responses were sent to another controller; 0: not yet
+	handOverSynced    bool          // they are durable there
+	done              bool
 }
 
 // beginShutdown is called once, on SIGTERM.
@@ -37,7 +37,8 @@
 	now := c.Now()
 	grace := c.Settings.Seconds("grace_s", defaultGrace)
 	c.shutdown = shutdown{started: true, startedAt: now, deadline: now + max(minShutdown, grace-exitReserve)}
-	c.LogEvent("shutdown requested", "leads", c.consensus.leads(), "votes", c.consensus.replica.Votes(), "edges", len(c.links.edges))
+	c.LogEvent("shutdown requested", "leads", c.consensus.leads(), "votes", c.consensus.replica.Votes(), "edges",
+		len(c.links.edges))
 	c.members.announceStatus()
 	c.summaries.sendNow(now)
 	c.sendSummaries(now)
@@ -99,15 +100,15 @@
 // handedOver sends the responses that are kept here to another controller, once, and reports whether they are durable
 // there or waiting for that is over.
 func (c *Controller) handedOver(now time.Duration) bool {
-	if c.shutdown.handOverBegan == 0 {
-		c.shutdown.handOverBegan = now
+	if c.shutdown.handOverStartedAt == 0 {
+		c.shutdown.handOverStartedAt = now
 		if to := c.handOverTarget(); to != nil {
 			c.handOverResponses(to)
 		} else {
 			c.shutdown.handOverSynced = true
 		}
 	}
-	return c.shutdown.handOverSynced || now-c.shutdown.handOverBegan > handOverTimeout
+	return c.shutdown.handOverSynced || now-c.shutdown.handOverStartedAt > handOverTimeout
 }
 
 // handOverTarget is a controller of the own zone, else the leader, else any; nil: there is none.
--- a/internal/control/controller/summaries.go
+++ b/internal/control/controller/summaries.go
@@ -34,7 +34,7 @@
 // shortSummary says how this controller sees the system. One that shuts down calls itself cut off, so that edges look for
 // another controller.
 func (c *Controller) shortSummary() *peer.Summary {
-	summary := &peer.Summary{Attached: c.consensus.inContact() && !c.shutdown.started, Version: c.consensus.state.Version(),
+	summary := &peer.Summary{InContact: c.consensus.inContact() && !c.shutdown.started, Version: c.consensus.state.Version(),
 		Edges: len(c.links.edges), Fleet: len(c.links.edges)}
 	for _, other := range c.links.controllers {
 		summary.Fleet += other.summary.edges
--- a/internal/control/idempotency/coordinator.go
+++ b/internal/control/idempotency/coordinator.go
@@ -159,7 +159,8 @@
 }
 
 // HandleReply takes a store's reply; holder counts with ReplyConflict. The first reply of a store is the one that counts.
-func (c *Coordinator) HandleReply(from string, token Token, reply GrantReply, holder Record) (requests []GrantRequest, result *Result) {
+func (c *Coordinator) HandleReply(from string, token Token, reply GrantReply, holder Record) (requests []GrantRequest,
+	result *Result) {
 	p := c.pending[token]
 	if p == nil {
 		return nil, nil
--- a/internal/control/idempotency/store.go
+++ b/internal/control/idempotency/store.go
@@ -136,13 +136,13 @@
 func (s *Store) remove(c *claim) {
 	s.dropResponse(c)
 	delete(s.claims, c.Key)
-	gone := 0
-	for ; gone < len(s.responses); gone++ {
-		if c := s.find(s.responses[gone]); c != nil && c.Response != nil {
+	dropped := 0
+	for ; dropped < len(s.responses); dropped++ {
+		if c := s.find(s.responses[dropped]); c != nil && c.Response != nil {
 			break
 		}
 	}
-	s.responses = s.responses[gone:]
+	s.responses = s.responses[dropped:]
 }
 
 // Load takes over a record that the disk held, in the order in which they were written. Its age is not known: it counts
--- a/internal/control/registry/registry.go
+++ b/internal/control/registry/registry.go
@@ -188,16 +188,17 @@
 
 // MarkTimedOut marks the incarnations that were not heard for the timeout: those of this owner, and of owners that are lost.
 // Those that were timed out for the retention expire. It gives what others have to know, sorted by id.
-func (r *Registry) MarkTimedOut(owner string, ownerLost func(owner string) bool, timeout, now time.Duration) (changed []Entry) {
+func (r *Registry) MarkTimedOut(owner string, ownerUnreachable func(owner string) bool, timeout,
+	now time.Duration) (changed []Entry) {
 	r.Prune(now)
 	for _, one := range r.records {
-		silence := now - one.heardAt
+		sinceHeard := now - one.heardAt
 		switch {
 		case one.Ended():
 			continue
-		case !one.TimedOut && silence > timeout && (one.Owner == owner || ownerLost(one.Owner)):
+		case !one.TimedOut && sinceHeard > timeout && (one.Owner == owner || ownerUnreachable(one.Owner)):
 			one.TimedOut = true
-		case one.TimedOut && silence > r.retention:
+		case one.TimedOut && sinceHeard > r.retention:
 			one.expire()
 		default:
 			continue
--- a/internal/control/reservation/allocator.go
+++ b/internal/control/reservation/allocator.go
@@ -42,14 +42,14 @@
 
 // Demand is what an edge says of its reservations: what runs or waits there, and the lease that it holds.
 type Demand struct {
-	Incarnation uint64         `cbor:"1,keyasint"`
-	Stamp       time.Duration  `cbor:"2,keyasint"` // on the edge's own steady clock
-	Term        uint64         `cbor:"3,keyasint"` // whose leases it accepts
-	Seq         uint64         `cbor:"4,keyasint,omitempty"`
-	Wanted      map[string]int `cbor:"5,keyasint,omitempty"` // requests, by reservation
-	HeldShares  map[string]int `cbor:"6,keyasint,omitempty"` // by a lease of an earlier term, if it has none of this one
-	LeaseLeft   time.Duration  `cbor:"7,keyasint,omitempty"` // of that lease
-	Zone        string         `cbor:"8,keyasint,omitempty"`
+	Incarnation   uint64         `cbor:"1,keyasint"`
+	Stamp         time.Duration  `cbor:"2,keyasint"` // on the edge's own steady clock
+	Term          uint64         `cbor:"3,keyasint"` // whose leases it accepts
+	Seq           uint64         `cbor:"4,keyasint,omitempty"`
+	Wanted        map[string]int `cbor:"5,keyasint,omitempty"` // requests, by reservation
+	CurrentShares map[string]int `cbor:"6,keyasint,omitempty"` // by a lease of an earlier term, if it has none of this one
+	LeaseLeft     time.Duration  `cbor:"7,keyasint,omitempty"` // of that lease
+	Zone          string         `cbor:"8,keyasint,omitempty"`
 }
 
 // Lease gives an edge its shares of all reservations. It answers a Demand and counts from that one's stamp, on the edge's
@@ -148,20 +148,20 @@
 	if demand.Seq != 0 || demand.LeaseLeft <= 0 || now-a.since >= inheritedLeaseTTL {
 		return
 	}
-	e.leases = append(e.leases, grantedLease{0, now + demand.LeaseLeft, demand.HeldShares})
-	for id, slots := range demand.HeldShares {
+	e.leases = append(e.leases, grantedLease{0, now + demand.LeaseLeft, demand.CurrentShares})
+	for id, slots := range demand.CurrentShares {
 		a.inheritedShares[id] += slots
 	}
 }
 
-// maxHeld is the most that an edge may hold of a reservation now, by any lease that it may have received.
-func (e *edgeState) maxHeld(id string, now time.Duration) (most int) {
+// maxShare is the most that an edge may hold of a reservation now, by any lease that it may have received.
+func (e *edgeState) maxShare(id string, now time.Duration) (largest int) {
 	for _, l := range e.leases {
 		if now <= l.expiresAt {
-			most = max(most, l.shares[id])
+			largest = max(largest, l.shares[id])
 		}
 	}
-	return most
+	return largest
 }
 
 // Allocate gives every edge that was heard lately its next lease, by edge.
@@ -171,8 +171,9 @@
 	for _, name := range edges {
 		demand := a.edges[name].demand
 		a.seq++
-		leases[name] = Lease{Incarnation: demand.Incarnation, Stamp: demand.Stamp, Term: a.term, Seq: a.seq, Duration: leaseDuration,
-			Shares: map[string]int{}, Exhausted: map[string]bool{}}
+		leases[name] = Lease{Incarnation: demand.Incarnation, Stamp: demand.Stamp, Term: a.term, Seq: a.seq,
+			Duration: leaseDuration,
+			Shares:   map[string]int{}, Exhausted: map[string]bool{}}
 	}
 	for _, id := range slices.Sorted(maps.Keys(a.reservations)) {
 		a.allocateReservation(id, edges, now, leases)
@@ -215,14 +216,14 @@
 		wanted += a.wanted(name, id)
 	}
 	for _, e := range a.edges {
-		free -= e.maxHeld(id, now)
+		free -= e.maxShare(id, now)
 	}
 	// First those who are furthest below what they should have.
 	slices.SortStableFunc(edges, func(x, y string) int {
-		return cmp.Compare(a.edges[x].maxHeld(id, now)-targets[x], a.edges[y].maxHeld(id, now)-targets[y])
+		return cmp.Compare(a.edges[x].maxShare(id, now)-targets[x], a.edges[y].maxShare(id, now)-targets[y])
 	})
 	for _, name := range edges {
-		share := min(targets[name], a.edges[name].maxHeld(id, now))
+		share := min(targets[name], a.edges[name].maxShare(id, now))
 		if more := min(targets[name]-share, free); more > 0 {
 			share, free = share+more, free-more
 		}
@@ -334,7 +335,7 @@
 	case h.leaseTerm == h.term:
 		d.Seq = h.lease.Seq
 	case now < h.expiresAt:
-		d.HeldShares, d.LeaseLeft = h.lease.Shares, h.expiresAt-now
+		d.CurrentShares, d.LeaseLeft = h.lease.Shares, h.expiresAt-now
 	}
 	return d
 }
--- a/internal/control/reservation/ledger.go
+++ b/internal/control/reservation/ledger.go
@@ -50,15 +50,16 @@
 	return 0
 }
 
-// wholeSlotsAt is SlotsAt in whole slots, at least one while there is any.
-func (b *Booking) wholeSlotsAt(at float64) float64 { return math.Ceil(b.SlotsAt(at)) }
+// roundedSlotsAt is SlotsAt in whole slots, at least one while there is any.
+func (b *Booking) roundedSlotsAt(at float64) float64 { return math.Ceil(b.SlotsAt(at)) }
 
 func (b *Booking) validate() error {
 	switch {
 	case b.ID == "" || b.Tenant == "" || b.Service == "" || b.Owner == "":
 		return apierror.Invalid.New("a booking needs an id, a tenant, a service and an owner")
 	case strings.HasPrefix(b.ID, othersPrefix) || len(b.ID) > maxIDLength:
-		return apierror.Invalid.New("booking %.20q: an id does not begin with %s and has %d bytes at most", b.ID, othersPrefix, maxIDLength)
+		return apierror.Invalid.New("booking %.20q: an id does not begin with %s and has %d bytes at most", b.ID,
+			othersPrefix, maxIDLength)
 	case !(b.End > b.Start) || math.IsInf(b.End, 0) || !(b.Ramp >= 0) || math.IsInf(b.Ramp, 0): // not a number fails, too
 		return apierror.Invalid.New("booking %s: its end is not after its start, or its ramp is no time", b.ID)
 	case !(b.Slots > 0) || math.IsInf(b.Slots, 0):
@@ -195,11 +196,11 @@
 type Capacity map[string]float64
 
 // total is that of all zones.
-func (c Capacity) total() (sum float64) {
+func (c Capacity) total() (all float64) {
 	for _, slots := range c {
-		sum += slots
+		all += slots
 	}
-	return sum
+	return all
 }
 
 // AfterZoneLoss is what remains when the largest zone is lost; that of a single zone is all of it.
@@ -283,12 +284,13 @@
 // be kept of a booking is not reserved.
 func (l *Ledger) ReservationsAt(capacities map[string]Capacity, at float64) (reservations []Reservation) {
 	reserved := map[string]float64{}
-	due := func(b *Booking) float64 { return max(b.wholeSlotsAt(at), b.wholeSlotsAt(at+leadTime)) }
+	due := func(b *Booking) float64 { return max(b.roundedSlotsAt(at), b.roundedSlotsAt(at+leadTime)) }
 	for _, b := range l.byRank(func(b *Booking) bool { return due(b) > 0 }) {
 		left := capacities[b.Service].total() - reserved[b.Service]
 		slots := math.Floor(max(0, min(due(&b), left)))
 		reserved[b.Service] += slots
-		reservations = append(reservations, Reservation{ID: b.ID, Tenant: b.Tenant, Service: b.Service, Route: b.Route, Zone: b.Zone,
+		reservations = append(reservations, Reservation{ID: b.ID, Tenant: b.Tenant, Service: b.Service, Route: b.Route,
+			Zone:  b.Zone,
 			Slots: int(slots)})
 	}
 	for _, service := range slices.Sorted(maps.Keys(reserved)) {
--- a/internal/control/storage/open.go
+++ b/internal/control/storage/open.go
@@ -93,7 +93,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	st := &Storage{db: db, spanLength: window / spansPerWindow, maxResponseBytes: maxResponseBytes, spans: spans{startedAt: time.Now()}}
+	st := &Storage{db: db, spanLength: window / spansPerWindow, maxResponseBytes: maxResponseBytes,
+		spans: spans{startedAt: time.Now()}}
 	state, err := st.load()
 	if err != nil {
 		return nil, nil, errors.Join(fmt.Errorf("read %s: %w", path, err), db.Close())
--- a/internal/control/weights/weights.go
+++ b/internal/control/weights/weights.go
@@ -87,8 +87,9 @@
 		return s
 	}
 	t.tablesCreated++
-	s := &table{service: service, tokenPrefix: t.tablesCreated << tokenPrefixShift, controller: rules.New(t.moduleSettings(service), t.seed),
-		serverIDs: map[string]rules.ServerID{}, serverNames: map[rules.ServerID]string{},
+	s := &table{service: service, tokenPrefix: t.tablesCreated << tokenPrefixShift,
+		controller: rules.New(t.moduleSettings(service), t.seed),
+		serverIDs:  map[string]rules.ServerID{}, serverNames: map[rules.ServerID]string{},
 		edgeIDs: map[string]rules.ProxyID{}, edgeIPs: map[rules.ProxyID]string{}, ordered: map[string]map[string]float64{}}
 	t.services[service] = s
 	for _, edge := range slices.Sorted(maps.Keys(t.edges)) {
@@ -239,8 +240,9 @@
 	for _, stats := range r.Services {
 		s := t.tableFor(stats.Service)
 		if id, ok := s.edgeIDs[edge]; ok {
-			s.events = append(s.events, rules.Demand{Proxy: id, Requests: float64(stats.Requests), Unanswered: float64(stats.Failed),
-				Period: period})
+			s.events = append(s.events, rules.Demand{Proxy: id, Requests: float64(stats.Requests),
+				Unanswered: float64(stats.Failed),
+				Period:     period})
 		}
 	}
 	for _, token := range r.Applied {
--- a/internal/edge/attempt/attempt.go
+++ b/internal/edge/attempt/attempt.go
@@ -71,15 +71,15 @@
 func (a *Attempt) failure(e Event) Cause {
 	switch {
 	case a.State == StreamingBody && e == ClientClosed:
-		return ClientGone
+		return ClientDisconnected
 	case a.State == StreamingBody:
-		return StreamCut
+		return StreamTruncated
 	case a.State >= Sending && e == DeadlineExceeded:
 		return ResponseTimeout
 	case a.State >= Sending && e == ClientClosed:
 		return ClientStopped
 	case a.State == Body:
-		return Cut
+		return BodyTruncated
 	case a.State >= Sending:
 		return BrokenOff
 	case e == ServerDraining:
--- a/internal/edge/attempt/consequences.go
+++ b/internal/edge/attempt/consequences.go
@@ -57,31 +57,31 @@
 
 // The causes, in the order of the states of an attempt.
 const (
-	NoCapacity      Cause = iota // no server was chosen: none has a free slot
-	NoTime                       // none was chosen: the deadline is too near
-	NoConnection                 // no connection could be made
-	ServerLeft                   // the server began to drain before the first byte
-	Unsent                       // the connection ended before the first byte
-	ResponseTimeout              // the deadline passed after the first byte
-	BrokenOff                    // the connection ended, or brought bytes that are no response, before a complete head
-	ClientStopped                // the client's body ended early after the first byte
-	Foreign                      // the response has another attempt's id, none, or several
-	Switched                     // the response changes the protocol
-	Endless                      // the response doesn't tell its own end
-	Encoded                      // the response's body has a content coding that was not asked for
-	Unproven                     // a status that promises, without the server's word that nothing ran
-	Contradictory                // a success that says that nothing ran
-	Unsealed                     // a success without a seal
-	Lengthy                      // the server turns the request away at length
-	Cut                          // the response's body ended early, and nothing of it was forwarded
-	TurnedAway                   // the server says that it did not run the request
-	WrongServer                  // another server has the address: it did not run the request
-	Answered                     // a complete response
-	Failed                       // a complete response that is the server's own failure
-	Streaming                    // a long response, whose beginning is buffered and which is forwarded as it comes
-	Streamed                     // a long response came up to its end and was forwarded
-	StreamCut                    // a long response ended early after its beginning was forwarded
-	ClientGone                   // the client took no more of a long response
+	NoCapacity         Cause = iota // no server was chosen: none has a free slot
+	NoTime                          // none was chosen: the deadline is too near
+	NoConnection                    // no connection could be made
+	ServerLeft                      // the server began to drain before the first byte
+	Unsent                          // the connection ended before the first byte
+	ResponseTimeout                 // the deadline passed after the first byte
+	BrokenOff                       // the connection ended, or brought bytes that are no response, before a complete head
+	ClientStopped                   // the client's body ended early after the first byte
+	Foreign                         // the response has another attempt's id, none, or several
+	Switched                        // the response changes the protocol
+	Endless                         // the response doesn't tell its own end
+	Encoded                         // the response's body has a content coding that was not asked for
+	Unproven                        // a status that promises, without the server's word that nothing ran
+	Contradictory                   // a success that says that nothing ran
+	Unsealed                        // a success without a seal
+	Lengthy                         // the server turns the request away at length
+	BodyTruncated                   // the response's body ended early, and nothing of it was forwarded
+	TurnedAway                      // the server says that it did not run the request
+	WrongServer                     // another server has the address: it did not run the request
+	Answered                        // a complete response
+	Failed                          // a complete response that is the server's own failure
+	Streaming                       // a long response, whose beginning is buffered and which is forwarded as it comes
+	Streamed                        // a long response came up to its end and was forwarded
+	StreamTruncated                 // a long response ended early after its beginning was forwarded
+	ClientDisconnected              // the client took no more of a long response
 	causes
 )
 
@@ -97,31 +97,31 @@
 
 // consequences is the one place where these decisions stand. docs/attempts.md shows it.
 var consequences = [causes]Consequence{
-	NoCapacity:      {"no_capacity", NotSent, SafeRefusal, Always, false, RevokeClaim},
-	NoTime:          {"no_time", NotSent, SafeRefusal, Always, false, RevokeClaim},
-	NoConnection:    {"no_connection", NotSent, SafeRefusal, Always, false, RevokeClaim},
-	ServerLeft:      {"server_left", NotSent, SafeRefusal, Always, false, RevokeClaim},
-	Unsent:          {"unsent", NotSent, SafeRefusal, Always, false, RevokeClaim},
-	ResponseTimeout: {"response_timeout", Unknown, GatewayTimeout, IfSafe, false, KeepClaim},
-	BrokenOff:       {"broken_off", Unknown, BadGateway, IfSafe, false, KeepClaim},
-	ClientStopped:   {"client_stopped", Unknown, BadGateway, Never, false, KeepClaim},
-	Foreign:         {"foreign", Unknown, BadGateway, IfSafe, false, KeepClaim},
-	Switched:        {"switched", Unknown, BadGateway, IfSafe, false, KeepClaim},
-	Endless:         {"endless", Unknown, BadGateway, IfSafe, false, KeepClaim},
-	Encoded:         {"encoded", Unknown, BadGateway, IfSafe, false, KeepClaim},
-	Unproven:        {"unproven", Unknown, BadGateway, IfSafe, false, KeepClaim},
-	Contradictory:   {"contradictory", Unknown, BadGateway, IfSafe, false, KeepClaim},
-	Unsealed:        {"unsealed", Unknown, BadGateway, IfSafe, false, KeepClaim},
-	Lengthy:         {"lengthy", Unknown, BadGateway, IfSafe, false, KeepClaim},
-	Cut:             {"cut", Unknown, BadGateway, IfSafe, false, KeepClaim},
-	TurnedAway:      {"turned_away", NotRun, SafeRefusal, Always, true, RevokeClaim},
-	WrongServer:     {"wrong_server", NotRun, SafeRefusal, Always, false, RevokeClaim},
-	Answered:        {"answered", Ran, ForwardResponse, Never, true, CompleteClaim},
-	Failed:          {"failed", Ran, ForwardResponse, IfSafe, true, CompleteClaim},
-	Streaming:       {"streaming", Ran, ForwardResponse, Never, false, KeepClaim},
-	Streamed:        {"streamed", Ran, ForwardResponse, Never, true, KeepClaim},
-	StreamCut:       {"stream_cut", Ran, AbortConnection, Never, false, KeepClaim},
-	ClientGone:      {"client_gone", Ran, AbortConnection, Never, false, KeepClaim},
+	NoCapacity:         {"no_capacity", NotSent, SafeRefusal, Always, false, RevokeClaim},
+	NoTime:             {"no_time", NotSent, SafeRefusal, Always, false, RevokeClaim},
+	NoConnection:       {"no_connection", NotSent, SafeRefusal, Always, false, RevokeClaim},
+	ServerLeft:         {"server_left", NotSent, SafeRefusal, Always, false, RevokeClaim},
+	Unsent:             {"unsent", NotSent, SafeRefusal, Always, false, RevokeClaim},
+	ResponseTimeout:    {"response_timeout", Unknown, GatewayTimeout, IfSafe, false, KeepClaim},
+	BrokenOff:          {"broken_off", Unknown, BadGateway, IfSafe, false, KeepClaim},
+	ClientStopped:      {"client_stopped", Unknown, BadGateway, Never, false, KeepClaim},
+	Foreign:            {"foreign", Unknown, BadGateway, IfSafe, false, KeepClaim},
+	Switched:           {"switched", Unknown, BadGateway, IfSafe, false, KeepClaim},
+	Endless:            {"endless", Unknown, BadGateway, IfSafe, false, KeepClaim},
+	Encoded:            {"encoded", Unknown, BadGateway, IfSafe, false, KeepClaim},
+	Unproven:           {"unproven", Unknown, BadGateway, IfSafe, false, KeepClaim},
+	Contradictory:      {"contradictory", Unknown, BadGateway, IfSafe, false, KeepClaim},
+	Unsealed:           {"unsealed", Unknown, BadGateway, IfSafe, false, KeepClaim},
+	Lengthy:            {"lengthy", Unknown, BadGateway, IfSafe, false, KeepClaim},
+	BodyTruncated:      {"truncated", Unknown, BadGateway, IfSafe, false, KeepClaim},
+	TurnedAway:         {"turned_away", NotRun, SafeRefusal, Always, true, RevokeClaim},
+	WrongServer:        {"wrong_server", NotRun, SafeRefusal, Always, false, RevokeClaim},
+	Answered:           {"answered", Ran, ForwardResponse, Never, true, CompleteClaim},
+	Failed:             {"failed", Ran, ForwardResponse, IfSafe, true, CompleteClaim},
+	Streaming:          {"streaming", Ran, ForwardResponse, Never, false, KeepClaim},
+	Streamed:           {"streamed", Ran, ForwardResponse, Never, true, KeepClaim},
+	StreamTruncated:    {"stream_truncated", Ran, AbortConnection, Never, false, KeepClaim},
+	ClientDisconnected: {"client_disconnected", Ran, AbortConnection, Never, false, KeepClaim},
 }
 
 // Consequence finds what follows from the cause.
@@ -185,7 +185,7 @@
 	case !ok:
 		return cause
 	case !r.Complete:
-		return Cut
+		return BodyTruncated
 	case r.NotRun && r.Partial:
 		return Lengthy
 	case r.NotRun && r.Status == http.StatusMisdirectedRequest:
--- a/internal/edge/proxy/headers.go
+++ b/internal/edge/proxy/headers.go
@@ -12,7 +12,8 @@
 
 // hopByHop are the headers that concern one connection. Expect is among them: this edge has granted what it asks for, and a
 // server that doesn't answer it would never be sent the body.
-var hopByHop = map[string]bool{"Connection": true, "Expect": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
+var hopByHop = map[string]bool{"Connection": true, "Expect": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true,
+	"Trailer":           true,
 	"Transfer-Encoding": true, "Upgrade": true, "Proxy-Authenticate": true, "Proxy-Authorization": true}
 
 // copyEndToEnd copies the headers that concern more than one connection: all but hopByHop and those that Connection names.
--- a/internal/edge/proxy/listener.go
+++ b/internal/edge/proxy/listener.go
@@ -73,17 +73,18 @@
 func (l *handoffListener) Addr() net.Addr { return l.addr }
 
 // serve accepts connections until the listener is closed.
-func (l *clientListener) serve(front net.Listener) error {
-	l.replaceServer(front.Addr())
+func (l *clientListener) serve(listener net.Listener) error {
+	l.replaceServer(listener.Addr())
 	for {
-		accepted, err := front.Accept()
+		accepted, err := listener.Accept()
 		if err != nil {
 			return err
 		}
 		l.mu.Lock()
 		handoff := l.handoff
 		l.mu.Unlock()
-		conn := &clientConn{Conn: accepted, awaitingFirstByte: true, headerTimeout: handoff.headerTimeout, idleTimeout: handoff.idleTimeout}
+		conn := &clientConn{Conn: accepted, awaitingFirstByte: true, headerTimeout: handoff.headerTimeout,
+			idleTimeout: handoff.idleTimeout}
 		if !l.conns.admit(conn) {
 			closeConn(accepted)
 			continue
@@ -127,8 +128,9 @@
 	if limits.HeaderBytes > 0 {
 		maxHeader = limits.HeaderBytes
 	}
-	server := &http.Server{Handler: l.handler, ReadHeaderTimeout: next.headerTimeout, IdleTimeout: keepAliveTimeout, MaxHeaderBytes: maxHeader,
-		ConnState: l.conns.setState}
+	server := &http.Server{Handler: l.handler, ReadHeaderTimeout: next.headerTimeout, IdleTimeout: keepAliveTimeout,
+		MaxHeaderBytes: maxHeader,
+		ConnState:      l.conns.setState}
 	go func() { _ = server.Serve(next) }() // it ends when another server replaces it
 	if previous != nil {
 		time.AfterFunc(handoffGrace, func() { close(previous.closed) })
@@ -221,12 +223,12 @@
 
 // closeStale closes what has been idle, or busy with one request, for too long.
 func (t *connTracker) closeStale(maxIdle, maxActive time.Duration) {
-	for _, conn := range t.takeStale(maxIdle, maxActive) {
+	for _, conn := range t.removeStale(maxIdle, maxActive) {
 		closeConn(conn)
 	}
 }
 
-func (t *connTracker) takeStale(maxIdle, maxActive time.Duration) (stale []net.Conn) {
+func (t *connTracker) removeStale(maxIdle, maxActive time.Duration) (stale []net.Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for conn, use := range t.conns {
--- a/internal/edge/proxy/pipeline.go
+++ b/internal/edge/proxy/pipeline.go
@@ -201,7 +201,7 @@
 	if u := p.tryPick(req); u != nil || retry || !p.upstreams.serves(req.service) {
 		return u // without any server there is nothing to wait for
 	}
-	limit, rank := p.queuePlace(req)
+	limit, rank := p.queueLimits(req)
 	w := p.queue.enqueue(req.service, rank)
 	defer p.queue.remove(req.service, w)
 	timer := time.NewTimer(limit)
@@ -220,9 +220,9 @@
 	}
 }
 
-// queuePlace says how long a request may wait for a server, and at which rank. A stale one comes after all that can still
+// queueLimits says how long a request may wait for a server, and at which rank. A stale one comes after all that can still
 // be in time, and has nothing to lose by waiting.
-func (p *Proxy) queuePlace(req *clientRequest) (limit time.Duration, rank int) {
+func (p *Proxy) queueLimits(req *clientRequest) (limit time.Duration, rank int) {
 	left := req.timeLeft(p.Now())
 	limit, rank = min(scale(req.latencyTarget, queueShare), left/4), req.route.Priority
 	if req.stale {
--- a/internal/edge/proxy/proxy.go
+++ b/internal/edge/proxy/proxy.go
@@ -79,7 +79,7 @@
 func Run(ctx context.Context, c node.Config) error {
 	p := New(c)
 	reloads := lifecycle.Reloads()
-	front, err := node.Listen(ctx, p.Settings.Listen.Front)
+	listener, err := node.Listen(ctx, p.Settings.Listen.Front)
 	if err != nil {
 		return err
 	}
@@ -87,8 +87,9 @@
 	if err != nil {
 		return err
 	}
-	probe := &http.Server{Handler: http.HandlerFunc(p.serveReadiness), IdleTimeout: time.Minute, ReadHeaderTimeout: defaultHeaderTimeout}
-	go p.serve(func() error { return p.clients.serve(front) })
+	probe := &http.Server{Handler: http.HandlerFunc(p.serveReadiness), IdleTimeout: time.Minute,
+		ReadHeaderTimeout: defaultHeaderTimeout}
+	go p.serve(func() error { return p.clients.serve(listener) })
 	go p.serve(func() error { return probe.Serve(readiness) })
 	p.LogEvent("edge starts", "node", p.Settings.Node, "zone", p.Settings.Zone)
 	sessionCtx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // the session is needed during the shutdown, too
@@ -101,14 +102,14 @@
 		}
 	}()
 	p.runPeriodic(ctx)
-	p.shutDown(front)
+	p.shutDown(listener)
 	p.LogEvent("edge ends", "node", p.Settings.Node)
 	return nil
 }
 
 // serve runs a listener until it is closed.
-func (p *Proxy) serve(listen func() error) {
-	if err := listen(); !errors.Is(err, http.ErrServerClosed) && !p.shutdown.requested.Load() {
+func (p *Proxy) serve(accept func() error) {
+	if err := accept(); !errors.Is(err, http.ErrServerClosed) && !p.shutdown.requested.Load() {
 		p.LogEvent("listener ends", "cause", err)
 	}
 }
@@ -160,7 +161,7 @@
 
 // sendReport tells the controller what was counted since the last report.
 func (p *Proxy) sendReport() {
-	report := &peer.Report{Period: reportInterval.Seconds(), Servers: p.upstreams.takeStats(), Services: p.traffic.takeStats()}
+	report := &peer.Report{Period: reportInterval.Seconds(), Servers: p.upstreams.drainStats(), Services: p.traffic.drainStats()}
 	if len(report.Servers)+len(report.Services) > 0 {
 		p.session.send(report)
 	}
@@ -191,8 +192,8 @@
 	return version, p.upstreams.entries()
 }
 
-// handleAttached puts open claims to a new controller: the previous one may have died with them.
-func (p *Proxy) handleAttached() { p.claims.resendPending() }
+// handleControllerAttached puts open claims to a new controller: the previous one may have died with them.
+func (p *Proxy) handleControllerAttached() { p.claims.resendPending() }
 
 // handleOutcomes hands on the outcomes of claims.
 func (p *Proxy) handleOutcomes(outcomes peer.ClaimOutcomes) {
--- a/internal/edge/proxy/request.go
+++ b/internal/edge/proxy/request.go
@@ -50,7 +50,8 @@
 
 // readRequest reads a request and checks what its route needs. The request it gives with an error has only its reserved
 // memory to be released; it is nil if there is none.
-func (p *Proxy) readRequest(w http.ResponseWriter, r *http.Request, tree *config.Tree, route *config.Route, now time.Duration) (*clientRequest, error) {
+func (p *Proxy) readRequest(w http.ResponseWriter, r *http.Request, tree *config.Tree, route *config.Route,
+	now time.Duration) (*clientRequest, error) {
 	req := &clientRequest{http: r, id: r.Header.Get(headerAttemptID), route: route, latencyTarget: seconds(route.LatencyTarget)}
 	if req.id == "" {
 		return nil, apierror.Malformed.New("X-Attempt-Id is missing")
--- a/internal/edge/proxy/reservations.go
+++ b/internal/edge/proxy/reservations.go
@@ -44,7 +44,8 @@
 	admitted    bool
 }
 
-func newReservationGates(env *node.Env, queue *requestQueue, fleetEdges *atomic.Int32, send func(peer.Message) bool) *reservationGates {
+func newReservationGates(env *node.Env, queue *requestQueue, fleetEdges *atomic.Int32,
+	send func(peer.Message) bool) *reservationGates {
 	return &reservationGates{Env: env, queue: queue, fleetEdges: fleetEdges, send: send, wake: make(chan struct{}, 1),
 		lease: reservation.LeaseHolder{Incarnation: env.Incarnation}, gates: map[string]*reservation.AdmissionGate{}, wanted: map[string]int{}}
 }
@@ -90,7 +91,10 @@
 	}
 	for service, gate := range g.gates {
 		gate.Retain(func(id string) bool {
-			return slices.ContainsFunc(g.announced, func(r reservation.Reservation) bool { return r.ID == id && r.Service == service })
+			return slices.ContainsFunc(g.announced, func(r reservation.Reservation) bool {
+				return r.ID == id &&
+					r.Service == service
+			})
 		})
 		if !services[service] {
 			if gate.UnlimitOthers(); gate.Idle() {
--- a/internal/edge/proxy/roundtrip.go
+++ b/internal/edge/proxy/roundtrip.go
@@ -175,18 +175,20 @@
 	if result.cause != attempt.Streaming {
 		result.err = rt.describe(resp, err)
 	}
-	use := usage{took: rt.Now() - rt.sentAt, arrived: true, succeeded: outcome == attempt.Ran && result.status < http.StatusInternalServerError}
+	use := usage{took: rt.Now() - rt.sentAt, arrived: true, succeeded: outcome == attempt.Ran &&
+		result.status < http.StatusInternalServerError}
 	if rt.attempt.State == attempt.Done {
 		rt.finish(resp, use)
 		return result
 	}
-	result.stream = &responseStream{remaining: resp.Body, length: resp.ContentLength, end: func(fromServer, toClient error) attempt.Cause {
-		rt.handleStreamed(fromServer, toClient)
-		rt.finish(resp, use)
-		rt.cancel()
-		rt.queue.wake(rt.req.service)
-		return rt.attempt.Cause
-	}}
+	result.stream = &responseStream{remaining: resp.Body, length: resp.ContentLength,
+		end: func(fromServer, toClient error) attempt.Cause {
+			rt.handleStreamed(fromServer, toClient)
+			rt.finish(resp, use)
+			rt.cancel()
+			rt.queue.wake(rt.req.service)
+			return rt.attempt.Cause
+		}}
 	return result
 }
 
--- a/internal/edge/proxy/session.go
+++ b/internal/edge/proxy/session.go
@@ -35,7 +35,7 @@
 type sessionHandler interface {
 	// current is what a new controller is told: the version of the configuration and the known servers.
 	current() (configVersion uint64, servers []registry.Entry)
-	handleAttached()
+	handleControllerAttached()
 	handleSummary(s *peer.Summary)
 	handleMessage(link *peer.Link, m peer.Message)
 	handleOutcomes(outcomes peer.ClaimOutcomes)
@@ -108,20 +108,20 @@
 // the others.
 func (s *controllerSession) findController(ctx context.Context) (best controllerInfo, ok bool) {
 	ips := s.knownIPs()
-	answers := make(chan *controllerInfo, len(ips))
+	infos := make(chan *controllerInfo, len(ips))
 	for _, ip := range ips {
-		go func() { answers <- s.probe(ctx, ip) }()
+		go func() { infos <- s.probe(ctx, ip) }()
 	}
 	var graceOver <-chan time.Time
 	for range ips {
 		select {
-		case answer := <-answers:
-			if answer == nil {
+		case info := <-infos:
+			if info == nil {
 				continue
 			}
-			s.noteZone(answer)
-			if !ok || s.score(*answer) > s.score(best) {
-				best, ok = *answer, true
+			s.recordZone(info)
+			if !ok || s.score(*info) > s.score(best) {
+				best, ok = *info, true
 			}
 			if graceOver == nil {
 				graceOver = time.After(searchGrace)
@@ -133,7 +133,7 @@
 	return best, ok
 }
 
-func (s *controllerSession) noteZone(c *controllerInfo) {
+func (s *controllerSession) recordZone(c *controllerInfo) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.zoneByIP[c.ip] = c.zone
@@ -153,7 +153,8 @@
 }
 
 func (s *controllerSession) handshake() *peer.Handshake {
-	return &peer.Handshake{Node: s.Settings.Node, IP: s.Settings.IP, Zone: s.Settings.Zone, Edge: true, Incarnation: s.Incarnation}
+	return &peer.Handshake{Node: s.Settings.Node, IP: s.Settings.IP, Zone: s.Settings.Zone, Edge: true,
+		Incarnation: s.Incarnation}
 }
 
 func (s *controllerSession) probeHandshake() *peer.Handshake {
@@ -173,7 +174,7 @@
 	_ = link.Read(func(messages []peer.Message) { // no answer is an answer
 		got := peer.FrameOf(messages...)
 		if got.Handshake != nil && got.Summary != nil {
-			info = &controllerInfo{ip: ip, zone: got.Handshake.Zone, inContact: got.Summary.Attached}
+			info = &controllerInfo{ip: ip, zone: got.Handshake.Zone, inContact: got.Summary.InContact}
 		}
 		link.Close()
 	})
@@ -207,7 +208,7 @@
 		a.link.Send(peer.RegistryUpdate{Entries: servers})
 	}
 	s.setLink(a.link, c.ip)
-	s.handler.handleAttached()
+	s.handler.handleControllerAttached()
 	s.LogEvent("controller attached", "controller", c.ip, "zone", c.zone, "in_contact", c.inContact)
 	_ = a.link.Read(a.handleMessages) // that it ended is logged below; why doesn't matter
 	s.clearLink()
@@ -247,7 +248,7 @@
 			a.link.Send(&peer.Digests{ByZone: byZone})
 		}
 	}
-	if summary.Attached {
+	if summary.InContact {
 		a.detachedAt = 0
 		a.searchOwnZone(now)
 	} else {
--- a/internal/edge/proxy/shutdown.go
+++ b/internal/edge/proxy/shutdown.go
@@ -39,7 +39,7 @@
 
 // shutDown ends in order: not ready at once, and serving on until no request comes any more or the grace is nearly over.
 // Nothing that runs is cut off, and the listener stays open for clients that still come.
-func (p *Proxy) shutDown(front net.Listener) {
+func (p *Proxy) shutDown(listener net.Listener) {
 	s := p.shutdown
 	s.requested.Store(true)
 	p.LogEvent("shutdown requested", "in_flight", s.inFlight.Load())
@@ -62,7 +62,7 @@
 		}
 		if !closed && passed > grace-stopAcceptBefore {
 			closed = true
-			_ = front.Close() // the process is about to end: one that stays open ends with it
+			_ = listener.Close() // the process is about to end: one that stays open ends with it
 		}
 		if closed && idle {
 			return
--- a/internal/edge/proxy/tracked_conn.go
+++ b/internal/edge/proxy/tracked_conn.go
@@ -50,19 +50,22 @@
 
 // Read notes that net/http has read all that came.
 func (c *trackedConn) Read(p []byte) (int, error) {
-	c.setReading(true)
-	n, err := c.Conn.Read(p)
-	c.setReading(false)
-	return n, err
+	c.beginRead()
+	defer c.endRead()
+	return c.Conn.Read(p)
 }
 
-func (c *trackedConn) setReading(reading bool) {
+func (c *trackedConn) beginRead() {
 	c.mu.Lock()
-	c.reading = reading
+	c.reading = true
 	c.mu.Unlock()
-	if reading {
-		c.changed.Broadcast()
-	}
+	c.changed.Broadcast()
+}
+
+func (c *trackedConn) endRead() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.reading = false
 }
 
 // Close wakes those who wait for the connection to become clean.
--- a/internal/edge/proxy/traffic.go
+++ b/internal/edge/proxy/traffic.go
@@ -24,8 +24,9 @@
 }
 
 func newTrafficCounter(settings *nodesettings.Settings, fleetEdges *atomic.Int32) *trafficCounter {
-	return &trafficCounter{retryRatio: settings.Bound("retry_ratio", 0), retrySlack: settings.Bound("retry_slack", 0), fleetEdges: fleetEdges,
-		budgets: map[string]*retrybudget.Budget{}, stats: map[string]*peer.ServiceStats{}}
+	return &trafficCounter{retryRatio: settings.Bound("retry_ratio", 0), retrySlack: settings.Bound("retry_slack", 0),
+		fleetEdges: fleetEdges,
+		budgets:    map[string]*retrybudget.Budget{}, stats: map[string]*peer.ServiceStats{}}
 }
 
 // countRequest counts a request for a service and gives the service's retry budget.
@@ -68,8 +69,8 @@
 	budget.Refund()
 }
 
-// takeStats gives what was counted since the last call.
-func (t *trafficCounter) takeStats() (all []peer.ServiceStats) {
+// drainStats gives what was counted since the last call.
+func (t *trafficCounter) drainStats() (all []peer.ServiceStats) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range t.stats {
--- a/internal/edge/proxy/upstreams.go
+++ b/internal/edge/proxy/upstreams.go
@@ -60,7 +60,8 @@
 	p := &upstreamPool{Env: env, onChange: onChange, registry: registry.New(tombstoneRetention),
 		picker: picker.New(env.Settings.Zone, randomFloat), distrusted: map[string]time.Duration{}}
 	p.dial = (&net.Dialer{Timeout: dialTimeout, KeepAlive: tcpKeepAlive, Control: setUserTimeout}).DialContext
-	p.transport = &http.Transport{DisableCompression: true, Proxy: nil, WriteBufferSize: transportBuffer, ReadBufferSize: transportBuffer,
+	p.transport = &http.Transport{DisableCompression: true, Proxy: nil, WriteBufferSize: transportBuffer,
+		ReadBufferSize:         transportBuffer,
 		MaxResponseHeaderBytes: maxResponseHeader, DialContext: p.dialTracked}
 	return p
 }
@@ -198,12 +199,12 @@
 	return d.Compare(p.registry, p.Now())
 }
 
-// takeStats gives what was counted at the servers since the last call.
-func (p *upstreamPool) takeStats() (all []peer.ServerStats) {
+// drainStats gives what was counted at the servers since the last call.
+func (p *upstreamPool) drainStats() (all []peer.ServerStats) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, u := range p.picker.All() {
-		if s := p.picker.TakeStats(u); s.Attempts > 0 {
+		if s := p.picker.DrainStats(u); s.Attempts > 0 {
 			all = append(all, peer.ServerStats{Server: u.ID, Attempts: s.Attempts, Failed: s.Failed, TotalTime: s.TotalTime})
 		}
 	}
@@ -211,11 +212,11 @@
 }
 
 // pick chooses a server that is not among those already tried, and reserves a slot there; nil: none has room.
-func (p *upstreamPool) pick(service string, tried []*upstream) *upstream {
+func (p *upstreamPool) pick(service string, attempted []*upstream) *upstream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	wasTried := func(u *picker.Upstream) bool { return slices.Contains(tried, u.Attachment.(*upstream)) }
-	u := p.picker.Pick(service, wasTried, p.Now())
+	wasAttempted := func(u *picker.Upstream) bool { return slices.Contains(attempted, u.Attachment.(*upstream)) }
+	u := p.picker.Pick(service, wasAttempted, p.Now())
 	if u == nil {
 		return nil
 	}
@@ -274,7 +275,7 @@
 // connect gives an idle connection of the server, the latest used first, or a new one.
 func (p *upstreamPool) connect(ctx context.Context, u *upstream) (*serverConn, error) {
 	for {
-		conn, usable := u.takeIdle(p.Now())
+		conn, usable := u.popIdle(p.Now())
 		if conn == nil {
 			return p.dialConn(ctx, u)
 		}
@@ -308,8 +309,8 @@
 	}
 }
 
-// takeIdle takes the connection that was used last; nil: none is idle.
-func (u *upstream) takeIdle(now time.Duration) (conn *serverConn, usable bool) {
+// popIdle takes the connection that was used last; nil: none is idle.
+func (u *upstream) popIdle(now time.Duration) (conn *serverConn, usable bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	last := len(u.idle) - 1
@@ -341,12 +342,12 @@
 }
 
 func (u *upstream) closeIdle(now time.Duration) {
-	for _, conn := range u.takeUnusable(now) {
+	for _, conn := range u.removeUnusable(now) {
 		conn.close()
 	}
 }
 
-func (u *upstream) takeUnusable(now time.Duration) (unusable []*serverConn) {
+func (u *upstream) removeUnusable(now time.Duration) (unusable []*serverConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.idle = slices.DeleteFunc(u.idle, func(conn *serverConn) bool {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -38,7 +38,8 @@
 
 // NewEnv makes the environment of a process that starts now. Role is one of the roles of package metrics.
 func NewEnv(config Config, role string, incarnation uint64) *Env {
-	return &Env{Settings: config.Settings, Logger: config.Logger, Metrics: metrics.New(role), StartedAt: time.Now(), Incarnation: incarnation}
+	return &Env{Settings: config.Settings, Logger: config.Logger, Metrics: metrics.New(role), StartedAt: time.Now(),
+		Incarnation: incarnation}
 }
 
 // Now is the time since the process started, on the steady clock: jumps of the time of day don't show in it.
--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -17,38 +17,45 @@
 //go:embed config.cue
 var schema string
 
-// Check says what is wrong with a configuration file, or with a file of changes, in one line with its place. A change can
-// be judged in full only by the controllers, which hold what it changes.
-func Check(path string, text []byte, change bool) error {
+// CheckConfig says what is wrong with a configuration file, in one line with its place.
+func CheckConfig(path string, text []byte) error {
+	if err := checkShape(path, text, "#Config"); err != nil {
+		return err
+	}
+	if _, err := config.Parse(text); err != nil {
+		return fmt.Errorf("%s: %w", path, err)
+	}
+	return nil
+}
+
+// CheckChange says what is wrong with a file of changes, in one line with its place. Only the controllers can judge a change in
+// full: they hold what it changes.
+func CheckChange(path string, text []byte) error { return checkShape(path, text, "#Change") }
+
+// checkShape holds a file against a definition of the schema.
+func checkShape(path string, text []byte, definition string) error {
 	expr, err := json.Extract(path, text)
 	if err != nil {
 		return apierror.Invalid.New("%s", firstError(err, path))
 	}
-	name := "#Config"
-	if change {
-		name = "#Change"
-	}
 	ctx := cuecontext.New()
-	value := ctx.CompileString(schema).LookupPath(cue.ParsePath(name)).Unify(ctx.BuildExpr(expr))
+	value := ctx.CompileString(schema).LookupPath(cue.ParsePath(definition)).Unify(ctx.BuildExpr(expr))
 	if err := value.Validate(cue.Concrete(true)); err != nil {
 		return apierror.Invalid.New("%s", firstError(err, path))
 	}
-	if change {
-		return nil
-	}
-	if _, err := config.Parse(text); err != nil {
-		return fmt.Errorf("%s: %w", path, err)
-	}
 	return nil
 }
 
+// definitionNames takes the names of the schema's definitions out of CUE's errors.
+var definitionNames = strings.NewReplacer("#Config.", "", "#Change.", "")
+
 // firstError folds CUE's errors into the first, with its place in the file.
 func firstError(err error, path string) string {
 	all := errors.Errors(err)
 	if len(all) == 0 {
 		return err.Error()
 	}
-	text := strings.Join(strings.Fields(strings.ReplaceAll(strings.ReplaceAll(all[0].Error(), "#Config.", ""), "#Change.", "")), " ")
+	text := strings.Join(strings.Fields(definitionNames.Replace(all[0].Error())), " ")
 	for _, at := range errors.Positions(all[0]) {
 		if at.Filename() == path {
 			return fmt.Sprintf("%s:%d:%d: %s", path, at.Line(), at.Column(), strings.TrimPrefix(text, path+": "))
--- a/internal/operator/check_test.go
+++ b/internal/operator/check_test.go
@@ -17,7 +17,7 @@
 
 func TestCheckTellsWhatIsWrongAndWhere(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(operator.Check("f.json", []byte(config), false)).To(Succeed())
+	g.Expect(operator.CheckConfig("f.json", []byte(config))).To(Succeed())
 	for was, c := range map[string][2]string{
 		`"version":"r7"`:      {`"version":"7"`, `f.json:1:`},
 		`"kind":"safe"`:       {`"kind":"sure"`, `f.json:5:`},
@@ -32,10 +32,10 @@
 	} {
 		bad := strings.Replace(config, was, c[0], 1)
 		g.Expect(bad).NotTo(Equal(config), was)
-		err := operator.Check("f.json", []byte(bad), false)
+		err := operator.CheckConfig("f.json", []byte(bad))
 		g.Expect(err).To(MatchError(ContainSubstring(c[1])), was)
 		g.Expect(err.Error()).NotTo(ContainSubstring("\n"))
 	}
-	g.Expect(operator.Check("f.json", []byte(`{"version":"r9","remove":{"routes":["r-1"]}}`), true)).To(Succeed())
-	g.Expect(operator.Check("f.json", []byte(`{"version":"r9","remove":{"routes":[1]}}`), true)).To(MatchError(ContainSubstring("f.json:1:")))
+	g.Expect(operator.CheckChange("f.json", []byte(`{"version":"r9","remove":{"routes":["r-1"]}}`))).To(Succeed())
+	g.Expect(operator.CheckChange("f.json", []byte(`{"version":"r9","remove":{"routes":[1]}}`))).To(MatchError(ContainSubstring("f.json:1:")))
 }
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -88,8 +88,7 @@
 			return nil, err
 		}
 		text, err := io.ReadAll(resp.Body)
-		resp.Body.Close()
-		if err != nil {
+		if err = errors.Join(err, resp.Body.Close()); err != nil {
 			return nil, err
 		}
 		switch {
--- a/internal/operator/plan.go
+++ b/internal/operator/plan.go
@@ -71,7 +71,8 @@
 
 // Booking reads times and spans.
 func (e Entry) Booking() (reservation.Booking, error) {
-	b := reservation.Booking{ID: e.ID, Tenant: e.Tenant, Service: e.Service, Route: e.Route, Zone: e.Zone, Slots: e.Slots, Rate: e.Rate,
+	b := reservation.Booking{ID: e.ID, Tenant: e.Tenant, Service: e.Service, Route: e.Route, Zone: e.Zone, Slots: e.Slots,
+		Rate: e.Rate,
 		Rank: e.Rank, Owner: e.Owner, Reason: e.Reason}
 	for _, f := range []struct {
 		name, text string
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -131,7 +131,7 @@
 			return
 		case <-l.wake:
 		}
-		packets := l.takeQueue()
+		packets := l.drainQueue()
 		if len(packets) == 0 {
 			continue
 		}
@@ -147,7 +147,7 @@
 	}
 }
 
-func (l *Link) takeQueue() [][]byte {
+func (l *Link) drainQueue() [][]byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	packets := l.queue
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -24,15 +24,17 @@
 	Incarnation     uint64   `cbor:"5,keyasint"`           // drawn at random when the process starts
 	Version         uint64   `cbor:"6,keyasint,omitempty"` // of the configuration that an edge has; 0: none
 	BootstrapVoters []string `cbor:"7,keyasint,omitempty"` // identities of the voters of the cluster's first start
-	ProbeOnly       bool     `cbor:"8,keyasint,omitempty"` // an edge that probes, or sends claims, and belongs to another controller
-	Recovering      bool     `cbor:"9,keyasint,omitempty"` // the claim store lost its disk: responses that edges still have are wanted
-	Counted         bool     `cbor:"10,keyasint,omitempty"`
-	Cluster         uint64   `cbor:"11,keyasint,omitempty"` // that a controller belongs to; 0: not known yet
+	// an edge that probes, or sends claims, and belongs to another controller
+	ProbeOnly bool `cbor:"8,keyasint,omitempty"`
+	// the claim store lost its disk: responses that edges still have are wanted
+	Recovering bool   `cbor:"9,keyasint,omitempty"`
+	Counted    bool   `cbor:"10,keyasint,omitempty"`
+	Cluster    uint64 `cbor:"11,keyasint,omitempty"` // that a controller belongs to; 0: not known yet
 }
 
 // Summary is the heartbeat of a link. Every few of them are full and also carry what changes slowly.
 type Summary struct {
-	Attached    bool     `cbor:"1,keyasint,omitempty"` // the sender is a controller in contact with a majority of the voters
+	InContact   bool     `cbor:"1,keyasint,omitempty"` // the sender is a controller in contact with a majority of the voters
 	Version     uint64   `cbor:"2,keyasint,omitempty"` // of the configuration
 	Edges       int      `cbor:"3,keyasint,omitempty"` // attached to the sender
 	Fleet       int      `cbor:"7,keyasint,omitempty"` // edges of all controllers
--- a/internal/peer/security.go
+++ b/internal/peer/security.go
@@ -78,7 +78,7 @@
 	if err != nil || s == nil {
 		return conn, err
 	}
-	host, _, err := net.SplitHostPort(address)
+	ip, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return nil, closeWith(conn, err)
 	}
@@ -87,7 +87,7 @@
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{p.certificate},
 		RootCAs:      p.authorities,
-		ServerName:   host,
+		ServerName:   ip,
 	}))
 }
 
@@ -130,11 +130,11 @@
 
 // RemoteIP is the address at the other end of a connection.
 func RemoteIP(conn net.Conn) string {
-	host, _, err := net.SplitHostPort(conn.RemoteAddr().String())
+	ip, _, err := net.SplitHostPort(conn.RemoteAddr().String())
 	if err != nil {
 		return ""
 	}
-	return host
+	return ip
 }
 
 var errAddressMismatch = errors.New("the handshake names another address than the connection")
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -29,7 +29,8 @@
 	r := prometheus.NewRegistry()
 	labels := prometheus.Labels{"role": role}
 	vec := func(name, help string, by ...string) *prometheus.CounterVec {
-		c := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "mulleinwood", Name: name, Help: help, ConstLabels: labels}, by)
+		c := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "mulleinwood", Name: name, Help: help,
+			ConstLabels: labels}, by)
 		r.MustRegister(c)
 		return c
 	}
@@ -38,7 +39,8 @@
 		GivenUp:  vec("given_up_total", "Requests and calls given up, by kind of error.", "error"),
 		Tries:    vec("tries_total", "Tries at servers, by how they ended.", "ending"),
 		Claims:   vec("claims_total", "Claims of keyed operations, by ruling.", "ruling"),
-		Syncs: prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "mulleinwood", Name: "sync_seconds", Help: "Time that a write to disk took.",
+		Syncs: prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "mulleinwood", Name: "sync_seconds",
+			Help:        "Time that a write to disk took.",
 			ConstLabels: labels, Buckets: []float64{.001, .002, .005, .01, .02, .05, .1, .25, 1, 4}}),
 	}
 	if role == Controller {
--- a/internal/simulation/capacity_test.go
+++ b/internal/simulation/capacity_test.go
@@ -139,7 +139,7 @@
 		for b.Loop() {
 			seq++
 			board.HandleServerCall(s.server(int(seq)%s.servers, seq), seq, time.Duration(seq))
-			sends += len(board.TakeOutput().Messages)
+			sends += len(board.DrainOutput().Messages)
 		}
 		b.ReportMetric(float64(sends)/float64(b.N), "sends/op")
 	})
@@ -162,7 +162,7 @@
 			e := s.server(s.servers+n, 2)
 			e.State = registry.Draining
 			board.HandleServerCall(e, uint64(n), time.Duration(n))
-			for _, one := range board.TakeOutput().Messages {
+			for _, one := range board.DrainOutput().Messages {
 				sends++
 				if n == 0 {
 					bytes += size(b, &peer.Frame{Entries: one.Entries, AckID: one.AckID})
@@ -293,7 +293,7 @@
 
 func BenchmarkCapacityPulse(b *testing.B) { // a full pulse from a controller to another, one a second
 	parts(b, func(b *testing.B, s scale) {
-		p := &peer.Summary{Attached: true, Full: true, Version: 1, Edges: s.home(), Fleet: s.edges, RegistryDigest: rand.Uint64(), Clock: 1e9, EdgesByZone: map[string][]uint32{}}
+		p := &peer.Summary{InContact: true, Full: true, Version: 1, Edges: s.home(), Fleet: s.edges, RegistryDigest: rand.Uint64(), Clock: 1e9, EdgesByZone: map[string][]uint32{}}
 		for n := range controllers - 1 {
 			p.Controllers = append(p.Controllers, fmt.Sprint("10.0.0.", n))
 		}
@@ -442,7 +442,7 @@
 		x, met := s.picker(), 0
 		for b.Loop() {
 			for _, l := range x.All() {
-				if x.TakeStats(l).Attempts > 0 {
+				if x.DrainStats(l).Attempts > 0 {
 					met++
 				}
 			}
--- a/internal/simulation/growth_test.go
+++ b/internal/simulation/growth_test.go
@@ -70,7 +70,7 @@
 		for b.Loop() {
 			seq++
 			broadcaster.HandleServerCall(entry(int(seq)%f.servers, seq), seq, time.Duration(seq))
-			sends += len(broadcaster.TakeOutput().Messages)
+			sends += len(broadcaster.DrainOutput().Messages)
 		}
 		b.ReportMetric(float64(sends)/float64(b.N), "sends/op")
 	})
@@ -86,7 +86,7 @@
 		for b.Loop() {
 			n++
 			broadcaster.HandleServerCall(entry(n, 1), uint64(n), time.Duration(n))
-			for _, s := range broadcaster.TakeOutput().Messages {
+			for _, s := range broadcaster.DrainOutput().Messages {
 				sends++
 				if n == f.servers+1 {
 					bytes += size(b, &peer.Frame{Entries: s.Entries, AckID: s.AckID})
--- a/internal/simulation/replication.go
+++ b/internal/simulation/replication.go
@@ -8,7 +8,7 @@
 
 // settle does what the consensus wants done.
 func (w *world) settle(n *node) {
-	out := n.member.TakeOutput()
+	out := n.member.DrainOutput()
 	w.post(n, out.Immediate)
 	if w.day.Fault == "tells before storing" {
 		w.post(n, out.AfterSync)
--- a/internal/simulation/wires.go
+++ b/internal/simulation/wires.go
@@ -175,7 +175,7 @@
 
 // flush sends what a controller's broadcaster wants told.
 func (w *world) flush(n *node) {
-	out := n.broadcaster.TakeOutput()
+	out := n.broadcaster.DrainOutput()
 	if len(out.Updates) > 0 {
 		news := out.Updates
 		n.tables.UpdateServers(news, w.now)
