--- a/internal/control/weights/weights.go
+++ b/internal/control/weights/weights.go
@@ -106,10 +106,10 @@
 func (t *Tables) moduleSettings(service string) rules.Settings {
 	latencyTarget, deadline := t.targets(service)
 	return rules.Settings{Instances: max(1, t.instances()), Zone: t.zoneIndex(t.zone), Zones: len(t.zones), Proxies: 1,
-		Classes:   []rules.Class{{Name: service, Aim: latencyTarget, Deadline: deadline, Worth: 1}},
+		Classes:   []rules.Class{{Name: service, LatencyTarget: latencyTarget, Deadline: deadline, Value: 1}},
 		Admission: rules.AdmitNone, RetryDefault: rules.RetryNever, ReportPeriod: reportPeriod,
 		QueueLines: unlimitedChannel, LinesPerSec: unlimitedChannel, HeadLines: 1,
-		ColdFor: maxWarmupMillis, StartCapacity: 0.5, FallMultiple: 100}
+		WarmupTime: maxWarmupMillis, StartCapacity: 0.5, FallMultiple: 100}
 }
 
 // targets are the latency target and the deadline of the last route to a service, in milliseconds.
@@ -194,7 +194,7 @@
 func moduleState(e registry.Entry) rules.State {
 	switch {
 	case e.Ended() || e.TimedOut:
-		return rules.Gone
+		return rules.Removed
 	case e.State == registry.Draining:
 		return rules.Draining
 	}
@@ -285,7 +285,7 @@
 func (t *Tables) OwnTraffic() (all []peer.ZoneTraffic) {
 	for _, name := range t.serviceNames() {
 		own, _ := t.services[name].controller.Mine()
-		for zone, rate := range own.Usual {
+		for zone, rate := range own.TypicalRates {
 			if rate > minTrafficRate {
 				all = append(all, peer.ZoneTraffic{Service: name, Zone: t.zones[zone], Rate: float64(int(rate*10)) / 10})
 			}
@@ -318,12 +318,12 @@
 
 // trafficElsewhere is what the edges of the other controllers bring to a service.
 func (t *Tables) trafficElsewhere(service string, peers []PeerTraffic) rules.Part {
-	part := rules.Part{Channel: 1, Usual: make([]float64, len(t.zones)), Demands: []float64{0}}
+	part := rules.Part{Channel: 1, TypicalRates: make([]float64, len(t.zones)), Demands: []float64{0}}
 	for _, p := range peers {
 		part.Joined += float64(p.Edges)
 		for _, traffic := range p.TrafficByZone {
 			if traffic.Service == service {
-				part.Usual[t.zoneIndex(traffic.Zone)] += traffic.Rate
+				part.TypicalRates[t.zoneIndex(traffic.Zone)] += traffic.Rate
 				part.Demands[0] += traffic.Rate
 			}
 		}
--- a/internal/planner/audit/audit.go
+++ b/internal/planner/audit/audit.go
@@ -147,10 +147,11 @@
 	if a.set.QueueLines > 0 && a.queue > a.set.QueueLines {
 		a.broken(now, Channel, "%.0f lines wait, %.0f may", a.queue, a.set.QueueLines)
 	}
-	if a.set.MessagesMost > 0 {
+	if a.set.MaxMessages > 0 {
 		p.writes = slices.DeleteFunc(append(p.writes, now), func(at float64) bool { return now-at > a.set.MessagesOver })
-		if len(p.writes) > a.set.MessagesMost {
-			a.broken(now, Channel, "%d messages to proxy %d within %.0f ms, %d may be", len(p.writes), number, a.set.MessagesOver, a.set.MessagesMost)
+		if len(p.writes) > a.set.MaxMessages {
+			a.broken(now, Channel, "%d messages to proxy %d within %.0f ms, %d may be", len(p.writes), number,
+				a.set.MessagesOver, a.set.MaxMessages)
 		}
 	}
 	if o.Replace {
@@ -188,10 +189,10 @@
 // cold says whether a server has started lately, and its capacity as a share of its whole one.
 func (a *Auditor) capacity(now float64, s Server) (share float64, cold bool) {
 	age := now - s.StartedAt
-	if s.StartedAt == 0 || age >= a.set.ColdFor {
+	if s.StartedAt == 0 || age >= a.set.WarmupTime {
 		return 1, false
 	}
-	return a.set.StartCapacity + (1-a.set.StartCapacity)*max(0, age)/a.set.ColdFor, true
+	return a.set.StartCapacity + (1-a.set.StartCapacity)*max(0, age)/a.set.WarmupTime, true
 }
 
 // pickable says whether a proxy holds a line that it may pick.
@@ -246,7 +247,7 @@
 			}
 			load[name] += p.rate * weight / sum
 			e := a.servers[name]
-			if e == nil || p.joinedAt == 0 || e.State == rules.Ready || e.State == rules.Gone && a.set.DrainOnly {
+			if e == nil || p.joinedAt == 0 || e.State == rules.Ready || e.State == rules.Removed && a.set.DrainOnly {
 				continue
 			}
 			since := now - max(e.toldAt, a.begun+Start, p.joinedAt)
--- a/internal/planner/audit/audit_test.go
+++ b/internal/planner/audit/audit_test.go
@@ -9,8 +9,8 @@
 // TestEachRuleIsFound guards against an auditor that finds nothing: each rule is broken once, by the smallest step over its
 // limit, and the step before it is fine.
 func TestEachRuleIsFound(t *testing.T) {
-	set := rules.Settings{DrainGrace: 2000, Bare: 2500, QueueLines: 100, LinesPerSec: 100, MessagesMost: 3, MessagesOver: 10000,
-		ColdFor: 10000, StartCapacity: 0.2, FallMultiple: 2.5, FallAfter: 3000,
+	set := rules.Settings{DrainGrace: 2000, Bare: 2500, QueueLines: 100, LinesPerSec: 100, MaxMessages: 3, MessagesOver: 10000,
+		WarmupTime: 10000, StartCapacity: 0.2, FallMultiple: 2.5, FallAfter: 3000,
 		Classes: []rules.Class{{Name: "view"}, {Name: "post", Effect: rules.Keyed}, {Name: "pay", Effect: rules.Unsafe}}}
 	setup := func() *Auditor {
 		a := New(set, 0)
--- a/internal/planner/bench/cores.go
+++ b/internal/planner/bench/cores.go
@@ -128,7 +128,7 @@
 			err = stop
 		}
 	}()
-	swarm, err := newSwarm(p.Fleet, front, discovery)
+	swarm, err := newLoadGenerator(p.Fleet, front, discovery)
 	if err != nil {
 		return run, err
 	}
@@ -151,7 +151,8 @@
 	if err != nil {
 		return run, err
 	}
-	run = Run{Cores: n, Front: front, OverMachine: n > runtime.NumCPU(), JoinMS: float64(time.Since(begun)) / float64(time.Millisecond),
+	run = Run{Cores: n, Front: front, OverMachine: n > runtime.NumCPU(),
+		JoinMS:       float64(time.Since(begun)) / float64(time.Millisecond),
 		KiBPerStream: (joined.memory - before.memory) / float64(p.Proxies), QueueLimit: queueOfProxy * float64(p.Proxies)}
 
 	drained := make(chan struct{})
--- a/internal/planner/bench/decisions.go
+++ b/internal/planner/bench/decisions.go
@@ -38,18 +38,18 @@
 
 // The scripted day, in seconds. Tables stand before the first figure is taken.
 const (
-	daySeconds    = 150
-	settled       = 60  // from here to the overload, weights and spread count
-	overloadFrom  = 90  // servers get half as much again as they can do
-	overloadUntil = 130 // refusals count from 10 s after its beginning
-	slowPart      = 4   // each fourth server is slow
-	slowness      = 0.6
-	idleMS        = 90.0
+	scenarioSeconds = 150
+	settleTime      = 60  // from here to the overload, weights and spread count
+	overloadFrom    = 90  // servers get half as much again as they can do
+	overloadUntil   = 130 // refusals count from 10 s after its beginning
+	slowPart        = 4   // each fourth server is slow
+	slowness        = 0.6
+	idleMS          = 90.0
 )
 
-// day is a deployment in which nothing is at random but the counts in reports, drawn from the seed alone: all planners meet
+// scenarioRun is a deployment in which nothing is at random but the counts in reports, drawn from the seed alone: all planners meet
 // the same day.
-type day struct {
+type scenarioRun struct {
 	fleet   Fleet
 	group   *group
 	audit   *audit.Auditor
@@ -63,9 +63,9 @@
 
 // CompareDecisions plays the same day to planners of several numbers of cores.
 func CompareDecisions(f Fleet, counts []int, say func(string, ...any)) (Day, error) {
-	result := Day{Fleet: f, Seconds: daySeconds}
+	result := Day{Fleet: f, Seconds: scenarioSeconds}
 	for _, n := range counts {
-		say("%d cores: %d s of a day, simulated", n, daySeconds)
+		say("%d cores: %d s of a day, simulated", n, scenarioSeconds)
 		d, err := f.play(n)
 		if err != nil {
 			return result, fmt.Errorf("%d cores: %w", n, err)
@@ -76,7 +76,7 @@
 }
 
 func (f Fleet) play(n int) (Decisions, error) {
-	d := &day{fleet: f, result: Decisions{Cores: n}, ends: map[int]*end{}}
+	d := &scenarioRun{fleet: f, result: Decisions{Cores: n}, ends: map[int]*end{}}
 	var err error
 	if d.group, err = newGroup(f, n, d.ordered); err != nil {
 		return d.result, err
@@ -85,7 +85,7 @@
 		return d.result, err
 	}
 	draw := rand.New(rand.NewPCG(f.Seed, 12))
-	for look := range daySeconds * 10 {
+	for look := range scenarioSeconds * 10 {
 		if err := d.look(look, draw); err != nil {
 			return d.result, err
 		}
@@ -103,7 +103,7 @@
 }
 
 // begin opens the books and lets every proxy join.
-func (d *day) begin() error {
+func (d *scenarioRun) begin() error {
 	f := d.fleet
 	d.audit = audit.New(d.group.set.Rules, d.group.now)
 	for _, m := range d.group.known.Members {
@@ -126,9 +126,10 @@
 }
 
 // ordered is a message that a proxy has read.
-func (d *day) ordered(proxy int, o protocol.Orders) {
-	sent := audit.Order{Replace: o.Replace, Rows: map[string]float64{}, Retries: map[int]rules.Retry{}, Drop: o.Drop, Undrop: o.Undrop,
-		Lines: float64(o.Lines()) + headOfMessage}
+func (d *scenarioRun) ordered(proxy int, o protocol.Orders) {
+	sent := audit.Order{Replace: o.Replace, Rows: map[string]float64{}, Retries: map[int]rules.Retry{}, Drop: o.Drop,
+		Undrop: o.Undrop,
+		Lines:  float64(o.Lines()) + headOfMessage}
 	if o.Replace {
 		clear(d.tables[proxy])
 	}
@@ -152,7 +153,7 @@
 }
 
 // capacity of a server in requests a second: with the whole fleet, half of the day's traffic over what is needed.
-func (d *day) capacity(i int) float64 {
+func (d *scenarioRun) capacity(i int) float64 {
 	even := 0.0
 	for _, rate := range d.rates {
 		even += rate
@@ -170,9 +171,9 @@
 	worths = []float64{1, 5, 2}
 )
 
-func (d *day) look(look int, draw *rand.Rand) error {
+func (d *scenarioRun) look(look int, draw *rand.Rand) error {
 	g := d.group
-	g.now += lookEvery
+	g.now += decideInterval
 	second := look / 10
 	asked := 1.0
 	if second >= overloadFrom && second < overloadUntil {
@@ -202,7 +203,7 @@
 	return g.words()
 }
 
-func (d *day) change(i int, phase string, since float64) {
+func (d *scenarioRun) change(i int, phase string, since float64) {
 	d.group.change(member(i, phase, since))
 	state := rules.Ready
 	if phase != protocol.PhaseUp {
@@ -212,7 +213,7 @@
 }
 
 // report works out what the last second brought each server, and tells what was met.
-func (d *day) report(asked float64, second int, draw *rand.Rand) {
+func (d *scenarioRun) report(asked float64, second int, draw *rand.Rand) {
 	loads := make([][]float64, d.fleet.Servers) // requests a second, by zone of the proxies
 	for i := range loads {
 		loads[i] = make([]float64, len(zones))
@@ -230,7 +231,8 @@
 			worth += d.rates[p] * part * worths[k]
 			least[k], most[k] = min(least[k], level), max(most[k], level)
 			noise := 1 + 0.1*draw.NormFloat64()
-			d.group.said(d.ends[p], protocol.UsageReport{Proxy: p, Class: classes[k], Tries: math.Round(max(0, d.rates[p]*asked*part*noise)), Span: reportEvery})
+			d.group.said(d.ends[p], protocol.UsageReport{Proxy: p, Class: classes[k],
+				Tries: math.Round(max(0, d.rates[p]*asked*part*noise)), Span: reportEvery})
 		}
 		for name, weight := range table {
 			var i int
@@ -265,12 +267,13 @@
 				if use[i] > 1.2 {
 					failed = math.Round(tries * min(0.8, (use[i]-1.2)/2))
 				}
-				d.group.said(nil, protocol.ServerReport{Zone: zones[z], Server: fmt.Sprint("s-", i), Tries: tries, Failed: failed, Mean: mean, Span: reportEvery})
+				d.group.said(nil, protocol.ServerReport{Zone: zones[z], Server: fmt.Sprint("s-", i), Tries: tries,
+					Failed: failed, Mean: mean, Span: reportEvery})
 			}
 		}
 	}
 	switch {
-	case second >= settled && second < overloadFrom:
+	case second >= settleTime && second < overloadFrom:
 		d.samples.plain++
 		d.result.Learnt += (1 - (slow/slows)/(fast/fasts)) / (1 - slowness)
 		d.result.Spread += spread(use)
@@ -299,11 +302,14 @@
 
 // WriteTable prints the comparison for people.
 func (d Day) WriteTable(out io.Writer) error {
-	fmt.Fprintf(out, "%d proxies, %d servers, seed %d; %d s, simulated servers and clock\n\n", d.Proxies, d.Servers, d.Seed, d.Seconds)
+	fmt.Fprintf(out, "%d proxies, %d servers, seed %d; %d s, simulated servers and clock\n\n", d.Proxies, d.Servers, d.Seed,
+		d.Seconds)
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(table, "cores\tlearnt\tspread of use\trefused worth\tlevels apart\tmessages\tlines\tqueue most\tdrain ms most\tbreaks")
+	fmt.Fprintln(table,
+		"cores\tlearnt\tspread of use\trefused worth\tlevels apart\tmessages\tlines\tqueue most\tdrain ms most\tbreaks")
 	for _, e := range d.Each {
-		fmt.Fprintf(table, "%d\t%.2f\t%.3f\t%.3f\t%.3f\t%d\t%d\t%.0f\t%.0f\t%d\n", e.Cores, e.Learnt, e.Spread, e.Refused, e.Level, e.Messages, e.Lines,
+		fmt.Fprintf(table, "%d\t%.2f\t%.3f\t%.3f\t%.3f\t%d\t%d\t%.0f\t%.0f\t%d\n", e.Cores, e.Learnt, e.Spread, e.Refused,
+			e.Level, e.Messages, e.Lines,
 			e.QueueMost, e.DrainMost, e.Breaks)
 	}
 	return table.Flush()
@@ -318,7 +324,8 @@
 		refused = append(refused, plotter.XY{X: x, Y: e.Refused})
 		messages = append(messages, plotter.XY{X: x, Y: float64(e.Messages) / 1000})
 	}
-	left, err := chart("Decisions on the same day", "share", series{"spread of servers' use", blue, spread, false}, series{"refused worth in the overload", red, refused, false})
+	left, err := chart("Decisions on the same day", "share", series{"spread of servers' use", blue, spread, false},
+		series{"refused worth in the overload", red, refused, false})
 	if err != nil {
 		return err
 	}
--- a/internal/planner/bench/fleet.go
+++ b/internal/planner/bench/fleet.go
@@ -34,8 +34,9 @@
 // settings is the settings text that every planner of the deployment gets.
 func (f Fleet) settings() map[string]any {
 	class := func(name, effect string, aim, deadline, worth float64) map[string]any {
-		return map[string]any{"name": name, "slo": aim, "deadline": deadline, "idempotency": effect, "importance": worth, "late-worth": 0.1,
-			"group": "all", "repeat-window": 1000}
+		return map[string]any{"name": name, "slo": aim, "deadline": deadline, "idempotency": effect, "importance": worth,
+			"late-worth": 0.1,
+			"group":      "all", "repeat-window": 1000}
 	}
 	return map[string]any{
 		"replicas-of-me": 1, "me": 0, "my-zone": 0, "localities": zones, "kinds": []string{"m1"}, "granularity": 1,
@@ -64,7 +65,8 @@
 
 // member is a server as discovery lists it. Nothing listens at its address: nothing is sent there but probes.
 func member(i int, phase string, since float64) protocol.Member {
-	return protocol.Member{ID: fmt.Sprintf("s-%d", i), Address: "127.0.0.1:9", Zone: zones[i%len(zones)], Kind: "m1", Phase: phase, Size: 1, UpSince: since}
+	return protocol.Member{ID: fmt.Sprintf("s-%d", i), Address: "127.0.0.1:9", Zone: zones[i%len(zones)], Kind: "m1",
+		Phase: phase, Size: 1, UpSince: since}
 }
 
 // members is the whole fleet, up.
--- a/internal/planner/bench/fronts.go
+++ b/internal/planner/bench/fronts.go
@@ -27,13 +27,15 @@
 	fmt.Fprintf(out, "%d proxies, %d servers, seed %d; machine with %d cores, which the peers share; phases of %g s\n\n",
 		r.Proxies, r.Servers, r.Seed, r.CPUs, r.Seconds)
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(table, "cores\tfront\tevents/s\torders/s\tCPU µs/event\tof lines\tat events/s\tCPU\tdrain ms p50\tp99\tof lines\tKiB/stream\tMB\tbreaks")
+	fmt.Fprintln(table,
+		"cores\tfront\tevents/s\torders/s\tCPU µs/event\tof lines\tat events/s\tCPU\tdrain ms p50\tp99\tof lines\tKiB/stream\tMB\tbreaks")
 	for _, n := range r.Runs {
 		cpu, drain := "-", "-"
 		if lines, known := r.of(n.Cores, Lines); known && n.Front != Lines {
 			cpu, drain = fmt.Sprintf("%.2f", n.CPUPerEvent/lines.CPUPerEvent), fmt.Sprintf("%.2f", n.Drain.P99/lines.Drain.P99)
 		}
-		fmt.Fprintf(table, "%d\t%s\t%.0f\t%.0f\t%.2f\t%s\t%.0f\t%.2f\t%.0f\t%.0f\t%s\t%.1f\t%.0f\t%d\n", n.Cores, n.Front, n.EventsPerS, n.OrdersPerS,
+		fmt.Fprintf(table, "%d\t%s\t%.0f\t%.0f\t%.2f\t%s\t%.0f\t%.2f\t%.0f\t%.0f\t%s\t%.1f\t%.0f\t%d\n", n.Cores, n.Front,
+			n.EventsPerS, n.OrdersPerS,
 			n.CPUPerEvent, cpu, n.HalfRate, n.CPUAtHalf, n.Drain.P50, n.Drain.P99, drain, n.KiBPerStream, n.MemoryMB, n.Breaks)
 	}
 	return table.Flush()
@@ -58,7 +60,8 @@
 			drains = append(drains, series{string(front), colors[front], p99, false})
 		}
 	}
-	left, err := chart(fmt.Sprintf("Events handled (%d proxies, %d servers)", r.Proxies, r.Servers), "thousand a second", rates...)
+	left, err := chart(fmt.Sprintf("Events handled (%d proxies, %d servers)", r.Proxies, r.Servers), "thousand a second",
+		rates...)
 	if err != nil {
 		return err
 	}
--- a/internal/planner/bench/group.go
+++ b/internal/planner/bench/group.go
@@ -17,7 +17,7 @@
 type group struct {
 	set   settings.Settings
 	now   float64
-	desk  *cores.Desk
+	desk  *cores.Assigner
 	each  []*share
 	order func(proxy int, o protocol.Orders)
 	known protocol.List
@@ -64,9 +64,11 @@
 		return nil, err
 	}
 	set.Rules.Probes = false // nobody answers them here
-	g := &group{set: set, now: 1e6, order: order, each: make([]*share, n), known: protocol.List{Revision: 1, Complete: true, Members: f.members()}}
-	g.desk = cores.NewDesk(cores.Settings{Cores: n, Zones: len(zones), QueueLines: set.Rules.QueueLines, LinesPerSec: set.Rules.LinesPerSec,
-		Confirm: set.Rules.DrainGrace / 4, MovesPerS: 8, Rest: 10000}, g.now)
+	g := &group{set: set, now: 1e6, order: order, each: make([]*share, n),
+		known: protocol.List{Revision: 1, Complete: true, Members: f.members()}}
+	g.desk = cores.NewAssigner(cores.Settings{Cores: n, Zones: len(zones), QueueLines: set.Rules.QueueLines,
+		LinesPerSec: set.Rules.LinesPerSec,
+		Confirm:     set.Rules.DrainGrace / 4, MovesPerS: 8, Rest: 10000}, g.now)
 	for i := range n {
 		module := rules.New(set.Rules, f.Seed+uint64(i))
 		g.each[i] = &share{router: routing.NewFed(set, module, noCalls{}, g.known, 0, zerolog.Nop()), module: module}
@@ -79,7 +81,7 @@
 	ends[proxy] = &end{group: g, proxy: proxy}
 	g.desk.Joined(g.now, uint64(proxy)+1, proxy, proxy%len(zones), rate)
 	for _, c := range g.desk.Take() {
-		if c, ok := c.(cores.Place); ok {
+		if c, ok := c.(cores.Assignment); ok {
 			g.each[c.Core].router.Handle(routing.Handed{Peer: ends[proxy],
 				Attach: protocol.Attach{Proxy: proxy, Zone: zoneOf(proxy), Weight: rate, Fresh: true}})
 		}
@@ -91,12 +93,12 @@
 func (g *group) said(from *end, m protocol.Message) {
 	if _, all := m.(protocol.ServerReport); all {
 		for _, c := range g.each {
-			c.router.Handle(routing.Said{Peer: &end{proxy: -2}, Message: m})
+			c.router.Handle(routing.Reported{Peer: &end{proxy: -2}, Message: m})
 		}
 		return
 	}
 	if at, joined := g.desk.Home(from.proxy); joined {
-		g.each[at].router.Handle(routing.Said{Peer: from, Message: m})
+		g.each[at].router.Handle(routing.Reported{Peer: from, Message: m})
 	}
 }
 
@@ -106,8 +108,9 @@
 		if p := c.router.Progress(); p.Looks != c.looks {
 			c.looks = p.Looks
 			own, waiting := c.module.Mine()
-			g.desk.Said(g.now, i, 1, cores.Word{Seen: p.Seen, Done: p.Done, Deal: p.Deal, Waiting: waiting, Joined: own.Joined,
-				Usual: own.Usual, Demands: own.Demands})
+			g.desk.Said(g.now, i, 1, cores.CoreReport{Seen: p.Seen, Done: p.Done, Deal: p.Deal, Waiting: waiting,
+				Joined: own.Joined,
+				Usual:  own.TypicalRates, Demands: own.Demands})
 		}
 	}
 	g.desk.Tick(g.now)
@@ -119,7 +122,8 @@
 	for _, c := range g.desk.Take() {
 		switch c := c.(type) {
 		case cores.Share:
-			g.each[c.Core].router.Handle(routing.Dealt{Number: c.Deal, Part: rules.Part{Channel: c.Channel, Joined: c.Joined, Usual: c.Usual, Demands: c.Demands}})
+			g.each[c.Core].router.Handle(routing.Allocated{Number: c.Deal,
+				Part: rules.Part{Channel: c.Channel, Joined: c.Joined, TypicalRates: c.Usual, Demands: c.Demands}})
 		case cores.Cut, cores.End:
 			return errors.New("a core was cut off on a clock that nothing holds up")
 		}
@@ -132,6 +136,6 @@
 	epoch := g.desk.Changed(g.now)
 	g.desk.Take()
 	for _, c := range g.each {
-		c.router.Handle(routing.Told{List: protocol.List{Members: []protocol.Member{m}}, Epoch: epoch})
+		c.router.Handle(routing.Notified{List: protocol.List{Members: []protocol.Member{m}}, Epoch: epoch})
 	}
 }
--- a/internal/planner/bench/hammer.go
+++ b/internal/planner/bench/hammer.go
@@ -41,7 +41,8 @@
 		}
 		receiver.Bytes(now, text)
 		table, at := receiver.Table()
-		if want, known := sent[at.Number]; at.Number > 0 && (!known || at.Origin != origin || at.Proxy != 1 || !table.Equal(want)) {
+		if want, known := sent[at.Number]; at.Number > 0 &&
+			(!known || at.Origin != origin || at.Proxy != 1 || !table.Equal(want)) {
 			wrong++
 		}
 	}
--- a/internal/planner/bench/look.go
+++ b/internal/planner/bench/look.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	lookEvery  = 100.0 // milliseconds, the module's own pace
-	warmLooks  = 40    // until tables stand
-	measured   = 100   // looks
-	drainsLook = 5     // looks between two drains
+	decideInterval    = 100.0 // milliseconds, the module's own pace
+	warmLooks         = 40    // until tables stand
+	measured          = 100   // looks
+	decisionsPerDrain = 5     // looks between two drains
 )
 
 // Look is what looks cost at one number of cores, in milliseconds: the time until the last core has taken its turn and
@@ -79,9 +79,9 @@
 	}
 	times, joining := []float64{}, 0.0
 	for look := range warmLooks + measured {
-		g.now += lookEvery
-		if look > warmLooks && look%drainsLook == 0 {
-			at := look / drainsLook % f.Servers
+		g.now += decideInterval
+		if look > warmLooks && look%decisionsPerDrain == 0 {
+			at := look / decisionsPerDrain % f.Servers
 			g.change(member(at, protocol.PhaseDraining, 0))
 		}
 		for p := look % 10; p < f.Proxies; p += 10 { // each proxy once a second
@@ -95,7 +95,8 @@
 		}
 		for i := look % 10; i < f.Servers; i += 10 {
 			for _, zone := range zones {
-				g.said(nil, protocol.ServerReport{Zone: zone, Server: fmt.Sprint("s-", i), Tries: 20, Mean: 100 + float64(i*7%40), Span: reportEvery})
+				g.said(nil, protocol.ServerReport{Zone: zone, Server: fmt.Sprint("s-", i), Tries: 20, Mean: 100 +
+					float64(i*7%40), Span: reportEvery})
 			}
 		}
 		runtime.GC() // so that each look meets the same heap; a collection in the middle of one is measured all the same
@@ -122,13 +123,15 @@
 		}
 	}
 	slices.Sort(times)
-	return Look{Cores: n, OverMachine: n > runtime.NumCPU(), P50: times[len(times)/2], P99: times[len(times)*99/100], Max: times[len(times)-1],
+	return Look{Cores: n, OverMachine: n > runtime.NumCPU(), P50: times[len(times)/2], P99: times[len(times)*99/100],
+		Max:     times[len(times)-1],
 		Joining: joining, Messages: messages}, nil
 }
 
 // WriteTable prints the looks for people.
 func (l Looks) WriteTable(out io.Writer) error {
-	fmt.Fprintf(out, "%d proxies x %d servers in this process, without sockets; machine with %d cores\n\n", l.Proxies, l.Servers, l.CPUs)
+	fmt.Fprintf(out, "%d proxies x %d servers in this process, without sockets; machine with %d cores\n\n", l.Proxies,
+		l.Servers, l.CPUs)
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "cores\tlook ms p50\tp99\tmax\twhile all join, max\tmessages")
 	for _, k := range l.Looks {
@@ -148,7 +151,8 @@
 		p50 = append(p50, plotter.XY{X: float64(k.Cores), Y: k.P50})
 		p99 = append(p99, plotter.XY{X: float64(k.Cores), Y: k.P99})
 	}
-	p, err := chart(fmt.Sprintf("A look at %d proxies x %d servers", l.Proxies, l.Servers), "ms", series{"p50", blue, p50, false}, series{"p99", red, p99, false})
+	p, err := chart(fmt.Sprintf("A look at %d proxies x %d servers", l.Proxies, l.Servers), "ms",
+		series{"p50", blue, p50, false}, series{"p99", red, p99, false})
 	if err != nil {
 		return err
 	}
--- a/internal/planner/bench/peers.go
+++ b/internal/planner/bench/peers.go
@@ -79,7 +79,7 @@
 func (p *grpcProxy) await() error { return p.AwaitLoad() }
 
 // proxy lets one join.
-func (s *swarm) proxy(planner string, i int, rng *rand.Rand) (proxyPeer, error) {
+func (s *loadGenerator) proxy(planner string, i int, rng *rand.Rand) (proxyPeer, error) {
 	tries := make([]int, batchLines)
 	for line := range tries {
 		tries[line] = 3 + rng.IntN(9)
@@ -87,15 +87,18 @@
 	if s.front.grpc(i) {
 		batch := &load.LoadStatsRequest{}
 		for k, class := range classes {
-			batch.ClusterStats = append(batch.ClusterStats, &endpoint.ClusterStats{ClusterName: class, LoadReportInterval: durationpb.New(time.Second),
-				UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{{TotalIssuedRequests: uint64(tries[k])}}})
+			batch.ClusterStats = append(batch.ClusterStats,
+				&endpoint.ClusterStats{ClusterName: class, LoadReportInterval: durationpb.New(time.Second),
+					UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{{TotalIssuedRequests: uint64(tries[k])}}})
 		}
-		p, err := standin.JoinGRPC(planner, i, zoneOf(i), proxyRate, classes, nil, func(r *discovery.DiscoveryResponse) { s.tookGRPC(i, r) })
+		p, err := standin.JoinGRPC(planner, i, zoneOf(i), proxyRate, classes, nil,
+			func(r *discovery.DiscoveryResponse) { s.tookGRPC(i, r) })
 		return &grpcProxy{p, batch}, err
 	}
 	var batch []byte
 	for line, n := range tries {
-		batch = fmt.Appendf(batch, `{"t":"client_stats","proxy":%d,"class":%q,"tries":%d,"failed":0,"span_ms":1000}`+"\n", i, classes[line%len(classes)], n)
+		batch = fmt.Appendf(batch, `{"t":"client_stats","proxy":%d,"class":%q,"tries":%d,"failed":0,"span_ms":1000}`+"\n", i,
+			classes[line%len(classes)], n)
 	}
 	p, err := standin.Join(planner, i, zoneOf(i), proxyRate, func(parts []standin.Order) { s.took(i, parts) })
 	return &lineProxy{Proxy: p, batch: batch}, err
@@ -130,14 +133,15 @@
 
 func (c *grpcTeller) tell(most int) (int, error) {
 	n := min(most, serversAReport, len(c.met)-c.at)
-	err := c.Send(&load.LoadStatsRequest{ClusterStats: []*endpoint.ClusterStats{{ClusterName: "all", LoadReportInterval: durationpb.New(time.Second),
+	err := c.Send(&load.LoadStatsRequest{ClusterStats: []*endpoint.ClusterStats{{ClusterName: "all",
+		LoadReportInterval:    durationpb.New(time.Second),
 		UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{{UpstreamEndpointStats: c.met[c.at : c.at+n]}}}}})
 	c.at = (c.at + n) % len(c.met)
 	return n, err
 }
 
 // collector lets one join.
-func (s *swarm) collector(planner string, w int, rng *rand.Rand) (teller, error) {
+func (s *loadGenerator) collector(planner string, w int, rng *rand.Rand) (teller, error) {
 	zone := zones[w%len(zones)]
 	if s.front.grpc(w) {
 		c, err := standin.NewGRPCCollector(planner, zone, nil)
@@ -150,7 +154,8 @@
 	c, err := standin.NewCollector(planner, zone)
 	l := &lineTeller{Collector: c}
 	for i := range s.fleet.Servers {
-		l.text = fmt.Appendf(l.text, `{"t":"upstream_stats","zone":%q,"server":"s-%d","tries":%d,"failed":0,"mean_ms":%.1f,"span_ms":1000}`+"\n",
+		l.text = fmt.Appendf(l.text,
+			`{"t":"upstream_stats","zone":%q,"server":"s-%d","tries":%d,"failed":0,"mean_ms":%.1f,"span_ms":1000}`+"\n",
 			zone, i, 5+rng.IntN(10), 80+40*rng.Float64())
 	}
 	return l, err
@@ -158,7 +163,7 @@
 
 // tookGRPC is a message that a proxy has read by gRPC: whole assignments. What changed is told to the auditor, whose count
 // of lines is by that.
-func (s *swarm) tookGRPC(proxy int, r *discovery.DiscoveryResponse) {
+func (s *loadGenerator) tookGRPC(proxy int, r *discovery.DiscoveryResponse) {
 	at := time.Now()
 	o := audit.Order{Rows: map[string]float64{}, Retries: map[int]rules.Retry{}, Lines: headOfMessage + 1}
 	for i, packed := range r.GetResources() {
--- a/internal/planner/bench/planner.go
+++ b/internal/planner/bench/planner.go
@@ -48,21 +48,24 @@
 		return nil, err
 	}
 	p := &Planner{folder: folder, ended: make(chan error, 1), tail: &tail{}}
-	config, err := marshal(map[string]any{"name": "bench", "listen": "127.0.0.1:0", "discovery": discovery, "seed": strconv.FormatUint(f.Seed, 16),
+	config, err := marshal(map[string]any{"name": "bench", "listen": "127.0.0.1:0", "discovery": discovery,
+		"seed":   strconv.FormatUint(f.Seed, 16),
 		"limits": map[string]any{"cores": cores, "memory_mb": 4096, "sockets": sockets}, "settings": f.settings(),
 		"known": protocol.List{Members: []protocol.Member{}}})
 	if err == nil {
 		err = os.WriteFile(filepath.Join(folder, "config.json"), config, 0o600)
 	}
 	if err == nil {
-		err = os.WriteFile(filepath.Join(folder, "own.jsonc"), fmt.Appendf(nil, "{\"cores\": {\"count\": %d}, \"grpc\": {\"enabled\": %t}}\n", cores, grpc), 0o600)
+		err = os.WriteFile(filepath.Join(folder, "own.jsonc"),
+			fmt.Appendf(nil, "{\"cores\": {\"count\": %d}, \"grpc\": {\"enabled\": %t}}\n", cores, grpc), 0o600)
 	}
 	if err != nil {
 		os.RemoveAll(folder)
 		return nil, err
 	}
 	p.cmd = exec.CommandContext(ctx, command[0], command[1:]...)
-	p.cmd.Env = append(os.Environ(), "NODE_CONFIG="+filepath.Join(folder, "config.json"), "MULLEINWOOD_SETTINGS="+filepath.Join(folder, "own.jsonc"),
+	p.cmd.Env = append(os.Environ(), "NODE_CONFIG="+filepath.Join(folder, "config.json"),
+		"MULLEINWOOD_SETTINGS="+filepath.Join(folder, "own.jsonc"),
 		"NODE_NAME=", "NODE_LISTEN=", "NODE_DISCOVERY=")
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	log, err := p.cmd.StderrPipe()
--- a/internal/planner/bench/report.go
+++ b/internal/planner/bench/report.go
@@ -21,13 +21,15 @@
 	fmt.Fprintf(out, "%d proxies, %d servers, seed %d; machine with %d cores, which the peers share; phases of %g s\n\n",
 		r.Proxies, r.Servers, r.Seed, r.CPUs, r.Seconds)
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(table, "cores\tevents/s\torders/s\tCPU\tCPU µs/event\tat events/s\tCPU\tdrain ms p50\tp99\tp99.9\tmax\tKiB/stream\tMB\tqueue of limit\tbreaks")
+	fmt.Fprintln(table,
+		"cores\tevents/s\torders/s\tCPU\tCPU µs/event\tat events/s\tCPU\tdrain ms p50\tp99\tp99.9\tmax\tKiB/stream\tMB\tqueue of limit\tbreaks")
 	for _, n := range r.Runs {
 		mark := ""
 		if n.OverMachine {
 			mark = " (over the machine's)"
 		}
-		fmt.Fprintf(table, "%d%s\t%.0f\t%.0f\t%.2f\t%.2f\t%.0f\t%.2f\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%.0f\t%.0f of %.0f\t%d\n", n.Cores, mark, n.EventsPerS,
+		fmt.Fprintf(table, "%d%s\t%.0f\t%.0f\t%.2f\t%.2f\t%.0f\t%.2f\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%.0f\t%.0f of %.0f\t%d\n",
+			n.Cores, mark, n.EventsPerS,
 			n.OrdersPerS, n.CPUAtFull, n.CPUPerEvent, n.HalfRate, n.CPUAtHalf, n.Drain.P50, n.Drain.P99, n.Drain.P999, n.Drain.Max,
 			n.KiBPerStream, n.MemoryMB, n.QueueMost, n.QueueLimit, n.Breaks)
 	}
@@ -54,7 +56,8 @@
 	for _, n := range r.Runs {
 		x := float64(n.Cores)
 		rate = append(rate, plotter.XY{X: x, Y: n.EventsPerS / 1000})
-		ideal = append(ideal, plotter.XY{X: x, Y: r.Runs[0].EventsPerS / 1000 * min(x, float64(r.CPUs)) / float64(r.Runs[0].Cores)})
+		ideal = append(ideal, plotter.XY{X: x, Y: r.Runs[0].EventsPerS / 1000 * min(x,
+			float64(r.CPUs)) / float64(r.Runs[0].Cores)})
 		p50 = append(p50, plotter.XY{X: x, Y: n.Drain.P50})
 		p99 = append(p99, plotter.XY{X: x, Y: n.Drain.P99})
 	}
@@ -63,7 +66,8 @@
 	if err != nil {
 		return err
 	}
-	right, err := chart("From a drain to the last proxy's order", "ms", series{"p50", blue, p50, false}, series{"p99", red, p99, false})
+	right, err := chart("From a drain to the last proxy's order", "ms", series{"p50", blue, p50, false},
+		series{"p99", red, p99, false})
 	if err != nil {
 		return err
 	}
--- a/internal/planner/bench/swarm.go
+++ b/internal/planner/bench/swarm.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	batchLines  = 48 // of one write of a peer that floods
-	writers     = 4
-	patience    = 60 * time.Second
-	drainEvery  = 250 * time.Millisecond
-	backAfter   = 6 // drains until a drained server comes back, started anew
-	latencyMost = 60_000_000
+	batchLines = 48 // of one write of a peer that floods
+	writers    = 4
+	patience   = 60 * time.Second
+	drainEvery = 250 * time.Millisecond
+	backAfter  = 6 // drains until a drained server comes back, started anew
+	maxLatency = 60_000_000
 )
 
-// swarm is the peers of one planner, with an auditor that sees what they see.
-type swarm struct {
+// loadGenerator is the peers of one planner, with an auditor that sees what they see.
+type loadGenerator struct {
 	fleet     Fleet
 	front     Front
 	begun     time.Time
@@ -51,12 +51,12 @@
 	over   chan struct{}
 }
 
-func newSwarm(f Fleet, front Front, discovery *standin.Discovery) (*swarm, error) {
+func newLoadGenerator(f Fleet, front Front, discovery *standin.Discovery) (*loadGenerator, error) {
 	set, err := f.parsed()
 	if err != nil {
 		return nil, err
 	}
-	s := &swarm{fleet: f, front: front, begun: time.Now(), discovery: discovery, holders: map[string]map[int]bool{}}
+	s := &loadGenerator{fleet: f, front: front, begun: time.Now(), discovery: discovery, holders: map[string]map[int]bool{}}
 	s.auditor = audit.New(set.Rules, 0)
 	s.reset()
 	for _, m := range f.members() {
@@ -65,14 +65,16 @@
 	return s, nil
 }
 
-func (s *swarm) reset() {
-	s.whole, s.each = hdrhistogram.New(1, latencyMost, 3), hdrhistogram.New(1, latencyMost, 3)
+func (s *loadGenerator) reset() {
+	s.whole, s.each = hdrhistogram.New(1, maxLatency, 3), hdrhistogram.New(1, maxLatency, 3)
 }
 
-func (s *swarm) now() float64 { return float64(time.Since(s.begun)) / float64(time.Millisecond) }
+func (s *loadGenerator) now() float64 {
+	return float64(time.Since(s.begun)) / float64(time.Millisecond)
+}
 
 // join lets every proxy and the collectors join, and waits until each proxy has a whole table.
-func (s *swarm) join(planner string) error {
+func (s *loadGenerator) join(planner string) error {
 	rng := rand.New(rand.NewPCG(s.fleet.Seed, 3))
 	for i := range s.fleet.Proxies {
 		s.mu.Lock()
@@ -110,7 +112,7 @@
 	return nil
 }
 
-func (s *swarm) close() {
+func (s *loadGenerator) close() {
 	for _, p := range s.proxies {
 		p.Close()
 	}
@@ -120,7 +122,7 @@
 }
 
 // took is a message that a proxy has read and applied.
-func (s *swarm) took(proxy int, parts []standin.Order) {
+func (s *loadGenerator) took(proxy int, parts []standin.Order) {
 	at := time.Now()
 	o := audit.Order{Rows: map[string]float64{}, Retries: map[int]rules.Retry{}, Lines: headOfMessage}
 	for _, part := range parts {
@@ -142,7 +144,7 @@
 }
 
 // read notes a message that a proxy has read and applied.
-func (s *swarm) read(at time.Time, proxy int, o audit.Order) {
+func (s *loadGenerator) read(at time.Time, proxy int, o audit.Order) {
 	s.messages.Add(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,7 +176,7 @@
 }
 
 // change tells discovery and the auditor of a server.
-func (s *swarm) change(i int, phase string, since time.Time) {
+func (s *loadGenerator) change(i int, phase string, since time.Time) {
 	at, state := 0.0, rules.Ready
 	if phase != protocol.PhaseUp {
 		state = rules.Draining
@@ -192,7 +194,7 @@
 
 // flood has every peer write reports in the deployment's own proportion until a time, at a rate of so many a second; 0: as
 // fast as they are taken. It returns how many the planner has handled, and how long that took.
-func (s *swarm) flood(rate float64, span time.Duration) (events float64, took time.Duration, err error) {
+func (s *loadGenerator) flood(rate float64, span time.Duration) (events float64, took time.Duration, err error) {
 	begun := time.Now()
 	end := begun.Add(span)
 	usage := float64(s.fleet.Proxies * len(classes))
@@ -244,7 +246,7 @@
 }
 
 // settle waits until all that was written before has been taken.
-func (s *swarm) settle() error {
+func (s *loadGenerator) settle() error {
 	for i, p := range s.proxies {
 		if err := p.ask(); err != nil {
 			return fmt.Errorf("proxy %d: %w", i, err)
@@ -281,7 +283,7 @@
 
 // drains marks a server every while as draining, times until the last proxy has read the order that takes it out, and lets
 // the server come back later, started anew. It goes on until told to end.
-func (s *swarm) drains(end <-chan struct{}) {
+func (s *loadGenerator) drains(end <-chan struct{}) {
 	for n := 0; ; n++ {
 		select {
 		case <-end:
@@ -316,7 +318,7 @@
 }
 
 // audit lets the auditor look every tenth of a second until told to end.
-func (s *swarm) audit(end <-chan struct{}) {
+func (s *loadGenerator) audit(end <-chan struct{}) {
 	for {
 		select {
 		case <-end:
--- a/internal/planner/bench/versions.go
+++ b/internal/planner/bench/versions.go
@@ -73,12 +73,12 @@
 	origin := tables.Origin{Instance: "bench", Life: 1}
 	senders, receivers := map[int]*tables.Sender{}, map[int]*lossy{}
 	rng := rand.New(rand.NewPCG(f.Seed, 31))
-	back, noted := hdrhistogram.New(1, latencyMost, 3), hdrhistogram.New(1, latencyMost, 3)
+	back, noted := hdrhistogram.New(1, maxLatency, 3), hdrhistogram.New(1, maxLatency, 3)
 	loss := Loss{Share: share}
 	var versioning time.Duration
 	v.Changes, v.LineBytes, v.DeltaBytes, v.WholeBytes = 0, 0, 0, 0
 	var kept []record.Entry
-	d := &day{fleet: f, result: Decisions{Cores: 1}, ends: map[int]*end{}}
+	d := &scenarioRun{fleet: f, result: Decisions{Cores: 1}, ends: map[int]*end{}}
 	settle := func(proxy int) {
 		l := receivers[proxy]
 		_, at := l.receiver.Table()
@@ -107,7 +107,8 @@
 		d.ordered(proxy, o)
 		begun := time.Now()
 		if senders[proxy] == nil {
-			senders[proxy], receivers[proxy] = tables.NewSender(origin, uint32(proxy), nil), &lossy{receiver: tables.NewReceiver(uint32(proxy), nil)}
+			senders[proxy], receivers[proxy] = tables.NewSender(origin, uint32(proxy),
+				nil), &lossy{receiver: tables.NewReceiver(uint32(proxy), nil)}
 			receivers[proxy].receiver.Joined(d.group.now, origin)
 		}
 		s, l := senders[proxy], receivers[proxy]
@@ -163,7 +164,7 @@
 					settle(proxy)
 				}
 			}
-			for at := now; at < now+lookEvery; at += roundTrip {
+			for at := now; at < now+decideInterval; at += roundTrip {
 				a, asks := l.receiver.Ask(at)
 				if !asks {
 					continue
@@ -230,16 +231,20 @@
 
 // WriteTable prints the figures for people.
 func (v Versions) WriteTable(out io.Writer) error {
-	fmt.Fprintf(out, "%d proxies, %d servers, seed %d; %d s, simulated servers and clock\n\n", v.Proxies, v.Servers, v.Seed, v.Seconds)
-	fmt.Fprintf(out, "%d changes: a line %.0f bytes, a delta %.0f, a whole table %.0f (delta %.0f%% of whole)\n", v.Changes, v.LineBytes, v.DeltaBytes,
+	fmt.Fprintf(out, "%d proxies, %d servers, seed %d; %d s, simulated servers and clock\n\n", v.Proxies, v.Servers, v.Seed,
+		v.Seconds)
+	fmt.Fprintf(out, "%d changes: a line %.0f bytes, a delta %.0f, a whole table %.0f (delta %.0f%% of whole)\n", v.Changes,
+		v.LineBytes, v.DeltaBytes,
 		v.WholeBytes, 100*v.DeltaBytes/v.WholeBytes)
-	fmt.Fprintf(out, "versions %.1f µs a change, the rest of the planner's and the day's work %.1f µs; record %.1f µs and %.0f bytes a change\n", v.VersionCPU,
+	fmt.Fprintf(out,
+		"versions %.1f µs a change, the rest of the planner's and the day's work %.1f µs; record %.1f µs and %.0f bytes a change\n", v.VersionCPU,
 		v.StepCPU, v.RecordCPU, v.RecordBytes)
 	fmt.Fprintf(out, "%d deliveries checked, %d tables held that were not sent\n\n", v.Deliveries, v.Wrong)
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "lost\tin step again ms p50\tp99\tmax\tsince noticed p50\tp99\tmax\tlosses\tquestions\tanswered whole")
 	for _, l := range v.Losses {
-		fmt.Fprintf(table, "%.0f%%\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%d\t%d\t%d\n", 100*l.Share, l.Back.P50, l.Back.P99, l.Back.Max, l.Noted.P50, l.Noted.P99, l.Noted.Max, l.Back.Count, l.Asked, l.Whole)
+		fmt.Fprintf(table, "%.0f%%\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%d\t%d\t%d\n", 100*l.Share, l.Back.P50, l.Back.P99,
+			l.Back.Max, l.Noted.P50, l.Noted.P99, l.Noted.Max, l.Back.Count, l.Asked, l.Whole)
 	}
 	return table.Flush()
 }
@@ -251,7 +256,8 @@
 		p50 = append(p50, plotter.XY{X: 100 * l.Share, Y: l.Back.P50})
 		p99 = append(p99, plotter.XY{X: 100 * l.Share, Y: l.Back.P99})
 	}
-	p, err := chart(fmt.Sprintf("In step again after a loss (%d proxies)", v.Proxies), "ms", series{"p50", blue, p50, false}, series{"p99", red, p99, false})
+	p, err := chart(fmt.Sprintf("In step again after a loss (%d proxies)", v.Proxies), "ms", series{"p50", blue, p50, false},
+		series{"p99", red, p99, false})
 	if err != nil {
 		return err
 	}
--- a/internal/planner/cores/desk.go
+++ b/internal/planner/cores/desk.go
@@ -20,19 +20,19 @@
 }
 
 const (
-	// dealEvery is the time between two deals of the channel, and between two looks at how even the cores are.
-	dealEvery = 1000.0
-	// restMost is the longest rest, in rests.
-	restMost = 64
+	// allocateInterval is the time between two deals of the channel, and between two looks at how even the cores are.
+	allocateInterval = 1000.0
+	// maxRest is the longest rest, in rests.
+	maxRest = 64
 	// forgiven is how many rests without a fault make a core's earlier ones forgotten.
 	forgiven = 30
-	// heldUp is the share of Confirm after which a desk that was not asked takes it that the whole process stood still:
+	// stalled is the share of Confirm after which a desk that was not asked takes it that the whole process stood still:
 	// what its cores left unsaid meanwhile says nothing about them.
-	heldUp = 0.5
+	stalled = 0.5
 )
 
-// Word is what a core says after each look.
-type Word struct {
+// CoreReport is what a core says after each look.
+type CoreReport struct {
 	Seen    uint64    // changes of the list that its module has looked at
 	Done    uint64    // changes that no table of its proxies contradicts any more
 	Deal    uint64    // the number of the share that it works with
@@ -47,8 +47,8 @@
 
 // The commands, to be carried out in their order.
 type (
-	// Place gives a proxy's stream to a core, which sends it its whole table. Whoever had it can't order on it any more.
-	Place struct {
+	// Assignment gives a proxy's stream to a core, which sends it its whole table. Whoever had it can't order on it any more.
+	Assignment struct {
 		Stream     uint64
 		Proxy      int
 		Core, Life int
@@ -84,8 +84,8 @@
 		Joined         float64
 		Usual, Demands []float64
 	}
-	// Note is a line for the log.
-	Note struct {
+	// LogNote is a line for the log.
+	LogNote struct {
 		Core int
 		Text string
 	}
@@ -93,15 +93,15 @@
 	End struct{ Why string }
 )
 
-func (Place) command()     {}
-func (Leave) command()     {}
-func (Supersede) command() {}
-func (Tell) command()      {}
-func (Cut) command()       {}
-func (Begin) command()     {}
-func (Share) command()     {}
-func (Note) command()      {}
-func (End) command()       {}
+func (Assignment) command() {}
+func (Leave) command()      {}
+func (Supersede) command()  {}
+func (Tell) command()       {}
+func (Cut) command()        {}
+func (Begin) command()      {}
+func (Share) command()      {}
+func (LogNote) command()    {}
+func (End) command()        {}
 
 // core is a core's standing.
 type core struct {
@@ -109,7 +109,7 @@
 	life      int
 	spoken    bool    // it has said a word in this life: only such a one can take over
 	heard     float64 // its last word, or what stands for one
-	word      Word
+	word      CoreReport
 	unseen    float64 // since when a change of the list waits to be taken up; meaningful if word.Seen is behind
 	gone      bool    // what ran it has ended
 	backAt    float64
@@ -130,14 +130,14 @@
 	movedAt float64
 }
 
-// Desk divides a planner among its cores.
-type Desk struct {
+// Assigner divides a planner among its cores.
+type Assigner struct {
 	set    Settings
 	cores  []core
 	homes  map[int]*home // joined proxies, by number
 	crowds [][]crowd     // of the homes, by core and zone
 	last   map[int]int   // the core that had a proxy which is not here: its mirror is there
-	purse  *purse
+	purse  *channelBudget
 	epoch  uint64
 	asked  float64 // when the desk was last asked anything by its ticks
 	dealt  float64
@@ -145,10 +145,10 @@
 	out    []Command
 }
 
-// NewDesk returns a desk whose cores all begin their first life now.
-func NewDesk(set Settings, now float64) *Desk {
-	d := &Desk{set: set, cores: make([]core, set.Cores), homes: map[int]*home{}, last: map[int]int{},
-		purse: newPurse(set.Cores, set.QueueLines, set.LinesPerSec), asked: now, dealt: now}
+// NewAssigner returns a desk whose cores all begin their first life now.
+func NewAssigner(set Settings, now float64) *Assigner {
+	d := &Assigner{set: set, cores: make([]core, set.Cores), homes: map[int]*home{}, last: map[int]int{},
+		purse: newChannelBudget(set.Cores, set.QueueLines, set.LinesPerSec), asked: now, dealt: now}
 	for i := range d.cores {
 		d.crowds = append(d.crowds, make([]crowd, set.Zones))
 		d.cores[i] = core{live: true, life: 1, heard: now, faultless: now, rests: 1}
@@ -158,14 +158,14 @@
 }
 
 // Take returns the commands given since the last call.
-func (d *Desk) Take() []Command {
+func (d *Assigner) Take() []Command {
 	out := d.out
 	d.out = nil
 	return out
 }
 
 // Life is a core's present life; 0: it is out.
-func (d *Desk) Life(core int) int {
+func (d *Assigner) Life(core int) int {
 	if !d.cores[core].live {
 		return 0
 	}
@@ -173,7 +173,7 @@
 }
 
 // Home is the core that decides for a proxy.
-func (d *Desk) Home(proxy int) (core int, joined bool) {
+func (d *Assigner) Home(proxy int) (core int, joined bool) {
 	h := d.homes[proxy]
 	if h == nil {
 		return 0, false
@@ -182,7 +182,7 @@
 }
 
 // count adds a proxy to its core's crowds, or with sign -1 takes it out.
-func (d *Desk) count(h *home, sign float64) {
+func (d *Assigner) count(h *home, sign float64) {
 	c := &d.crowds[h.core][h.zone]
 	c.number += sign
 	if c.rate += sign * h.rate; c.number == 0 {
@@ -191,19 +191,19 @@
 }
 
 // rehome gives a proxy to another core.
-func (d *Desk) rehome(now float64, h *home, to int) {
+func (d *Assigner) rehome(now float64, h *home, to int) {
 	d.count(h, -1)
 	h.core, h.movedAt = to, now
 	d.count(h, 1)
 }
 
-func (d *Desk) note(core int, format string, args ...any) {
-	d.out = append(d.out, Note{Core: core, Text: fmt.Sprintf(format, args...)})
+func (d *Assigner) note(core int, format string, args ...any) {
+	d.out = append(d.out, LogNote{Core: core, Text: fmt.Sprintf(format, args...)})
 }
 
 // Joined takes a proxy's stream in. Larger streams are newer: an older one of the same proxy is ended, and so is this one
 // if it is the older. A proxy that comes back goes to the core that has its mirror, if that lives and is not overfull.
-func (d *Desk) Joined(now float64, stream uint64, proxy, zone int, rate float64) {
+func (d *Assigner) Joined(now float64, stream uint64, proxy, zone int, rate float64) {
 	at, known := d.last[proxy]
 	if old := d.homes[proxy]; old != nil {
 		if old.stream >= stream {
@@ -236,11 +236,11 @@
 	}
 	d.homes[proxy] = h
 	d.count(h, 1)
-	d.out = append(d.out, Place{Stream: stream, Proxy: proxy, Core: h.core, Life: d.cores[h.core].life})
+	d.out = append(d.out, Assignment{Stream: stream, Proxy: proxy, Core: h.core, Life: d.cores[h.core].life})
 }
 
 // Left says that a stream has ended. That of a proxy with a newer one changes nothing.
-func (d *Desk) Left(stream uint64, proxy int) {
+func (d *Assigner) Left(stream uint64, proxy int) {
 	h := d.homes[proxy]
 	if h == nil || h.stream != stream {
 		return
@@ -252,7 +252,7 @@
 }
 
 // Changed says that the list has changed. Every core is told; it takes it up with its next look.
-func (d *Desk) Changed(now float64) (epoch uint64) {
+func (d *Assigner) Changed(now float64) (epoch uint64) {
 	for i := range d.cores {
 		if c := &d.cores[i]; c.live {
 			if c.word.Seen >= d.epoch {
@@ -266,7 +266,7 @@
 }
 
 // Said takes a core's word. One of a life that is over is void.
-func (d *Desk) Said(now float64, core, life int, w Word) {
+func (d *Assigner) Said(now float64, core, life int, w CoreReport) {
 	c := &d.cores[core]
 	if !c.live || c.life != life {
 		return
@@ -285,7 +285,7 @@
 }
 
 // Died says that what ran a core has ended, by a panic or since it was cut off.
-func (d *Desk) Died(now float64, core, life int, why string) {
+func (d *Assigner) Died(now float64, core, life int, why string) {
 	c := &d.cores[core]
 	if c.life != life {
 		return
@@ -297,8 +297,8 @@
 }
 
 // Tick looks at the cores. It is to be called several times within Confirm.
-func (d *Desk) Tick(now float64) {
-	if late := now - d.asked; late > heldUp*d.set.Confirm {
+func (d *Assigner) Tick(now float64) {
+	if late := now - d.asked; late > stalled*d.set.Confirm {
 		for i := range d.cores {
 			d.cores[i].heard += late
 			d.cores[i].unseen += late
@@ -312,7 +312,7 @@
 			d.begin(now, i)
 		}
 	}
-	if now-d.dealt >= dealEvery {
+	if now-d.dealt >= allocateInterval {
 		d.dealt = now
 		d.even(now)
 		d.share()
@@ -320,14 +320,14 @@
 }
 
 // late says whether a core holds its proxies up: no word, or a change of the list that its module has not looked at.
-func (d *Desk) late(now float64, c *core) bool {
+func (d *Assigner) late(now float64, c *core) bool {
 	return now-c.heard > d.set.Confirm || c.word.Seen < d.epoch && now-c.unseen > d.set.Confirm
 }
 
 // watch cuts off cores that are late, if another is in time: where all are late it is the machine, and moving every proxy
 // would only add to that. A core that is in time but can't write what takes a server out, since the channel is slow, is
 // not late: whole tables would take the channel longer still.
-func (d *Desk) watch(now float64) {
+func (d *Assigner) watch(now float64) {
 	healthy := false
 	for i := range d.cores {
 		healthy = healthy || d.cores[i].live && d.cores[i].spoken && !d.late(now, &d.cores[i])
@@ -352,10 +352,10 @@
 }
 
 // cut takes a core out and gives its proxies to the others, those of the most traffic first.
-func (d *Desk) cut(now float64, at int, why string) {
+func (d *Assigner) cut(now float64, at int, why string) {
 	c := &d.cores[at]
 	c.live, c.backAt, c.faultless = false, now+c.rests*d.set.Rest, now+c.rests*d.set.Rest
-	c.rests = min(restMost, 2*c.rests)
+	c.rests = min(maxRest, 2*c.rests)
 	d.purse.cut(at)
 	d.out = append(d.out, Cut{Core: at, Life: c.life, Why: why})
 	var homeless []int
@@ -380,7 +380,7 @@
 			break
 		}
 		d.rehome(now, h, to)
-		d.out = append(d.out, Place{Stream: h.stream, Proxy: proxy, Core: to, Life: d.cores[to].life})
+		d.out = append(d.out, Assignment{Stream: h.stream, Proxy: proxy, Core: to, Life: d.cores[to].life})
 	}
 	if !slices.ContainsFunc(d.cores, func(c core) bool { return c.live }) {
 		d.out = append(d.out, End{Why: why})
@@ -388,15 +388,16 @@
 }
 
 // begin starts a core's next life. It gets proxies once it has a share of the channel.
-func (d *Desk) begin(now float64, at int) {
+func (d *Assigner) begin(now float64, at int) {
 	c := &d.cores[at]
-	*c = core{live: true, life: c.life + 1, heard: now, unseen: now, rests: c.rests, faultless: now, word: Word{Seen: d.epoch, Done: d.epoch}}
+	*c = core{live: true, life: c.life + 1, heard: now, unseen: now, rests: c.rests, faultless: now,
+		word: CoreReport{Seen: d.epoch, Done: d.epoch}}
 	d.purse.begin(at)
 	d.out = append(d.out, Begin{Core: at, Life: c.life, Epoch: d.epoch})
 }
 
 // meanRate is the mean rate of the proxies that are here.
-func (d *Desk) meanRate() float64 {
+func (d *Assigner) meanRate() float64 {
 	var all crowd
 	for _, zones := range d.crowds {
 		for _, c := range zones {
@@ -407,7 +408,7 @@
 }
 
 // loads is each core's cost, what of it is in a zone, and whether it may get proxies.
-func (d *Desk) loads(zone int) (all, inZone []float64, open []bool) {
+func (d *Assigner) loads(zone int) (all, inZone []float64, open []bool) {
 	all, inZone, open = make([]float64, len(d.cores)), make([]float64, len(d.cores)), make([]bool, len(d.cores))
 	mean := d.meanRate()
 	for i, zones := range d.crowds {
@@ -430,7 +431,7 @@
 }
 
 // even moves proxies from full cores to empty ones, unless a core has something to take up first.
-func (d *Desk) even(now float64) {
+func (d *Assigner) even(now float64) {
 	for i := range d.cores {
 		if c := &d.cores[i]; c.live && (c.word.Done < d.epoch || d.late(now, c)) {
 			return
@@ -448,20 +449,21 @@
 	}
 	var list []settler
 	for proxy, h := range d.homes {
-		list = append(list, settler{proxy: proxy, core: h.core, zone: h.zone, cost: cost(h.rate, mean), rested: now-h.movedAt >= moveRest})
+		list = append(list, settler{proxy: proxy, core: h.core, zone: h.zone, cost: cost(h.rate, mean),
+			rested: now-h.movedAt >= moveRest})
 	}
 	for _, m := range moves(list, open, d.set.MovesPerS) {
 		h := d.homes[m.proxy]
 		from := h.core
 		d.rehome(now, h, m.to)
 		d.out = append(d.out, Leave{Stream: h.stream, Proxy: m.proxy, Core: from, Life: d.cores[from].life},
-			Place{Stream: h.stream, Proxy: m.proxy, Core: m.to, Life: d.cores[m.to].life})
+			Assignment{Stream: h.stream, Proxy: m.proxy, Core: m.to, Life: d.cores[m.to].life})
 	}
 }
 
 // share deals the channel by the proxies that each core has, and tells each core what is its own and what the others
 // bring.
-func (d *Desk) share() {
+func (d *Assigner) share() {
 	needs := make([]float64, len(d.cores))
 	for _, h := range d.homes {
 		needs[h.core]++
--- a/internal/planner/cores/desk_test.go
+++ b/internal/planner/cores/desk_test.go
@@ -17,7 +17,7 @@
 
 // world is a desk and a host that carries its commands out, with books of its own.
 type world struct {
-	desk   *Desk
+	desk   *Assigner
 	now    float64
 	life   []int       // by core; 0: none
 	owner  map[int]int // proxy to core
@@ -33,7 +33,7 @@
 }
 
 func newWorld(n int) *world {
-	w := &world{desk: NewDesk(deskSettings(n), 0), life: make([]int, n), owner: map[int]int{}, stream: map[int]uint64{},
+	w := &world{desk: NewAssigner(deskSettings(n), 0), life: make([]int, n), owner: map[int]int{}, stream: map[int]uint64{},
 		told: make([]uint64, n), seen: make([]uint64, n), word: make([]float64, n), spoken: make([]bool, n), behind: make([]float64, n)}
 	w.carryOut()
 	return w
@@ -56,7 +56,7 @@
 			w.word[c.Core], w.behind[c.Core], w.spoken[c.Core] = w.now, w.now, false
 		case Cut:
 			w.life[c.Core] = 0
-		case Place:
+		case Assignment:
 			if w.life[c.Core] != c.Life {
 				w.fail("proxy %d is given to core %d, which is in life %d and not %d", c.Proxy, c.Core, w.life[c.Core], c.Life)
 			}
@@ -108,16 +108,16 @@
 	case "word":
 		if w.life[i] > 0 {
 			w.seen[i], w.word[i], w.behind[i], w.spoken[i] = w.told[i], w.now, w.now, true
-			w.desk.Said(w.now, i, w.life[i], Word{Seen: w.seen[i], Done: w.seen[i], Deal: w.desk.purse.holders[i].deal, Joined: 1})
+			w.desk.Said(w.now, i, w.life[i], CoreReport{Seen: w.seen[i], Done: w.seen[i], Deal: w.desk.purse.holders[i].deal, Joined: 1})
 		}
 	case "old word": // it looks, and doesn't see what it was told
 		if w.life[i] > 0 {
 			w.word[i], w.spoken[i] = w.now, true
-			w.desk.Said(w.now, i, w.life[i], Word{Seen: w.seen[i], Done: w.seen[i], Deal: w.desk.purse.holders[i].deal})
+			w.desk.Said(w.now, i, w.life[i], CoreReport{Seen: w.seen[i], Done: w.seen[i], Deal: w.desk.purse.holders[i].deal})
 		}
 	case "late word": // of a life that is over
 		if w.life[i] == 0 {
-			w.desk.Said(w.now, i, w.desk.cores[i].life, Word{Seen: 1 << 40, Deal: 1})
+			w.desk.Said(w.now, i, w.desk.cores[i].life, CoreReport{Seen: 1 << 40, Deal: 1})
 		}
 	case "die":
 		w.desk.Died(w.now, i, w.desk.cores[i].life, "panic")
@@ -303,11 +303,11 @@
 // TestHeldUpProcessCutsNobody guards against a process that stood still as a whole and then cuts off whichever core speaks
 // last.
 func TestHeldUpProcessCutsNobody(t *testing.T) {
-	d := NewDesk(deskSettings(4), 0)
+	d := NewAssigner(deskSettings(4), 0)
 	d.Tick(100)
 	d.Changed(150)
 	d.Tick(9000)
-	d.Said(9001, 0, 1, Word{Seen: 1, Done: 1})
+	d.Said(9001, 0, 1, CoreReport{Seen: 1, Done: 1})
 	d.Tick(9020)
 	for _, c := range d.Take() {
 		if cut, ok := c.(Cut); ok {
@@ -318,7 +318,7 @@
 
 // TestEvenUnderSkew: a few proxies that carry most of the traffic, and a storm of joins within a second.
 func TestEvenUnderSkew(t *testing.T) {
-	d := NewDesk(deskSettings(4), 0)
+	d := NewAssigner(deskSettings(4), 0)
 	for p := range 400 {
 		rate := 1.0
 		if p%40 == 0 {
--- a/internal/planner/cores/probes.go
+++ b/internal/planner/cores/probes.go
@@ -17,8 +17,8 @@
 	answered bool
 }
 
-// keptMost bounds the servers that are remembered; those of no probe under way go first.
-const keptMost = 1024
+// maxKept bounds the servers that are remembered; those of no probe under way go first.
+const maxKept = 1024
 
 // Ask is a core's wish to have a server probed. Start says that a probe is to be made now; otherwise, if again is true, the
 // core is to be told the latest answer at once, and if not, the one that is on its way.
@@ -62,7 +62,7 @@
 }
 
 func (p *Probes) prune() {
-	if len(p.of) < keptMost {
+	if len(p.of) < maxKept {
 		return
 	}
 	for name, s := range p.of {
--- a/internal/planner/cores/purse.go
+++ b/internal/planner/cores/purse.go
@@ -1,10 +1,10 @@
 package cores
 
-// purse deals the planner's channel to the cores, as shares of 1. Its one invariant: what cores may be using, taken at
+// channelBudget deals the planner's channel to the cores, as shares of 1. Its one invariant: what cores may be using, taken at
 // its worst, never sums up to more than the whole. A core that was told a smaller share may go on with the larger one until
 // it confirms, and lines that wait count as used although the share that let them in has shrunk; so a share is taken away
 // first and given to others only once it is known to be free.
-type purse struct {
+type channelBudget struct {
 	queue   float64 // lines that may wait in the whole channel
 	pace    float64 // lines a millisecond
 	holders []holder
@@ -26,12 +26,12 @@
 	floorPart = 0.5
 	// paceKept of its usual pace is what the channel is trusted to keep, as in the module.
 	paceKept = 0.5
-	// shareLeast is the least change of a share that is told.
-	shareLeast = 0.005
+	// minShare is the least change of a share that is told.
+	minShare = 0.005
 )
 
-func newPurse(cores int, queue, linesPerSec float64) *purse {
-	p := &purse{queue: max(1, queue), pace: linesPerSec / 1000, holders: make([]holder, cores)}
+func newChannelBudget(cores int, queue, linesPerSec float64) *channelBudget {
+	p := &channelBudget{queue: max(1, queue), pace: linesPerSec / 1000, holders: make([]holder, cores)}
 	for i := range p.holders {
 		p.holders[i] = holder{live: true, told: 1 / float64(cores), used: 1 / float64(cores)}
 	}
@@ -39,12 +39,12 @@
 }
 
 // reserved is what a holder may be using at its worst.
-func (p *purse) reserved(h holder) float64 {
+func (p *channelBudget) reserved(h holder) float64 {
 	return max(h.told, h.used, h.waiting/p.queue) + h.left/p.queue
 }
 
 // confirmed takes a core's word on the share that it works with and the lines that wait for its proxies.
-func (p *purse) confirmed(core int, deal uint64, waiting float64) {
+func (p *channelBudget) confirmed(core int, deal uint64, waiting float64) {
 	h := &p.holders[core]
 	if !h.live {
 		return
@@ -57,7 +57,7 @@
 
 // cut ends a core. What it may have put into the channel goes on counting until the channel must have sent all that can
 // have waited then: its lines may be the last of them.
-func (p *purse) cut(core int) {
+func (p *channelBudget) cut(core int) {
 	h := &p.holders[core]
 	if h.live {
 		*h = holder{left: p.reserved(*h) * p.queue, deal: h.deal + 1}
@@ -68,10 +68,10 @@
 }
 
 // begin takes a core in. It gets its share by the next deals.
-func (p *purse) begin(core int) { p.holders[core].live = true }
+func (p *channelBudget) begin(core int) { p.holders[core].live = true }
 
 // drain lets time pass: what a core that was cut off has left is sent.
-func (p *purse) drain(span float64) {
+func (p *channelBudget) drain(span float64) {
 	for i := range p.holders {
 		h := &p.holders[i]
 		if h.until -= span; h.until <= 0 {
@@ -82,11 +82,11 @@
 
 // deal sets the shares anew by what the cores need, of any unit. It returns the cores whose share is to be told. A target
 // is reached in two deals once the words between them have come: the first takes away, the second gives what is free then.
-func (p *purse) deal(needs []float64) (changed []int) {
+func (p *channelBudget) deal(needs []float64) (changed []int) {
 	targets := p.targets(needs)
 	free := 1.0
 	for i, h := range p.holders {
-		if h.live && targets[i] < h.told-shareLeast {
+		if h.live && targets[i] < h.told-minShare {
 			p.holders[i].told = targets[i] // used stays until it is confirmed
 			p.holders[i].deal++
 			changed = append(changed, i)
@@ -99,7 +99,7 @@
 			wanted += max(0, targets[i]-h.told)
 		}
 	}
-	if free <= shareLeast || wanted <= 0 {
+	if free <= minShare || wanted <= 0 {
 		return changed
 	}
 	for i := range p.holders {
@@ -108,7 +108,7 @@
 		if h.live {
 			more = max(0, targets[i]-h.told) * min(1, free/wanted)
 		}
-		if more > shareLeast || more > 0 && h.told == 0 {
+		if more > minShare || more > 0 && h.told == 0 {
 			h.told += more
 			h.deal++
 			h.used = max(h.used, h.told)
@@ -119,7 +119,7 @@
 }
 
 // targets is what each core should have: its floor, and of the rest its part of the need.
-func (p *purse) targets(needs []float64) []float64 {
+func (p *channelBudget) targets(needs []float64) []float64 {
 	live, sum := 0.0, 0.0
 	for i, h := range p.holders {
 		if h.live {
--- a/internal/planner/cores/purse_test.go
+++ b/internal/planner/cores/purse_test.go
@@ -31,7 +31,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "cores")
 		const queue, pace = 3600.0, 2400.0
-		p := newPurse(n, queue, pace)
+		p := newChannelBudget(n, queue, pace)
 		cores := make([]spender, n)
 		var gone []leftover
 		for i := range cores {
@@ -125,14 +125,14 @@
 		}
 		targets := p.targets(needs)
 		for i, h := range p.holders {
-			if math.Abs(h.told-targets[i]) > 3*shareLeast {
+			if math.Abs(h.told-targets[i]) > 3*minShare {
 				t.Fatalf("core %d has %v, should have %v: %+v", i, h.told, targets[i], p.holders)
 			}
 		}
 	})
 }
 
-func (p *purse) sum() (sum float64) {
+func (p *channelBudget) sum() (sum float64) {
 	for _, h := range p.holders {
 		sum += p.reserved(h)
 	}
@@ -225,11 +225,11 @@
 	if start, again := p.Ask(200000, "s-1", 3); !start || again {
 		t.Error("an answer of long ago is taken for news")
 	}
-	for i := range 3 * keptMost {
+	for i := range 3 * maxKept {
 		p.Ask(float64(200001+i), string(rune('a'+i)), 0)
 		p.Answered(string(rune('a' + i)))
 	}
-	if len(p.of) > keptMost {
+	if len(p.of) > maxKept {
 		t.Errorf("%d servers are remembered", len(p.of))
 	}
 }
--- a/internal/planner/dialect/dialect.go
+++ b/internal/planner/dialect/dialect.go
@@ -29,20 +29,20 @@
 	Nothing                // nothing came that tells: refused, reset, silent
 )
 
-// keptMost bounds the addresses that are remembered.
-const keptMost = 4096
+// maxKept bounds the addresses that are remembered.
+const maxKept = 4096
 
-// Book remembers by address what a server spoke last. An address that is new, or taken by another server, is asked by
+// ProtocolCache remembers by address what a server spoke last. An address that is new, or taken by another server, is asked by
 // HTTP first.
-type Book struct{ last map[string]Protocol }
+type ProtocolCache struct{ last map[string]Protocol }
 
 // Begin is the protocol of the first attempt.
-func (b *Book) Begin(address string) Protocol { return b.last[address] }
+func (b *ProtocolCache) Begin(address string) Protocol { return b.last[address] }
 
 // After says what to do after an attempt: try the other protocol, which happens once a question at most, or be content. A
 // server that nothing came from is not tried by the other: guards against twice the connections to one that is down, and
 // against a sick server that is asked until it has no time left to be found well.
-func (b *Book) After(address string, tried Protocol, attempt int, v Verdict) (other Protocol, again bool) {
+func (b *ProtocolCache) After(address string, tried Protocol, attempt int, v Verdict) (other Protocol, again bool) {
 	switch {
 	case v == Spoke:
 		b.learn(address, tried)
@@ -52,16 +52,16 @@
 	return tried, false
 }
 
-func (b *Book) learn(address string, p Protocol) {
+func (b *ProtocolCache) learn(address string, p Protocol) {
 	if p == HTTP {
 		delete(b.last, address) // as one not met
 		return
 	}
-	if b.last == nil || len(b.last) >= keptMost {
+	if b.last == nil || len(b.last) >= maxKept {
 		b.last = map[string]Protocol{}
 	}
 	b.last[address] = p
 }
 
 // Known is how many addresses are remembered to speak gRPC.
-func (b *Book) Known() int { return len(b.last) }
+func (b *ProtocolCache) Known() int { return len(b.last) }
--- a/internal/planner/dialect/dialect_test.go
+++ b/internal/planner/dialect/dialect_test.go
@@ -8,7 +8,7 @@
 // TestChangeOfProtocol goes through what a server may do between two questions. It guards against more than one change a
 // question, against a silent server that is asked twice, and against a protocol remembered for another address.
 func TestChangeOfProtocol(t *testing.T) {
-	var b Book
+	var b ProtocolCache
 	question := func(address string, server func(Protocol) Verdict) (asked []Protocol) {
 		by := b.Begin(address)
 		for attempt := 1; ; attempt++ {
@@ -50,10 +50,10 @@
 			t.Errorf("question %d to %s: asked by %s, want %s", i, step.address, got, step.want)
 		}
 	}
-	for i := range 3 * keptMost {
+	for i := range 3 * maxKept {
 		question(fmt.Sprint(i), speaks(GRPC))
 	}
-	if b.Known() > keptMost {
+	if b.Known() > maxKept {
 		t.Errorf("%d addresses are remembered", b.Known())
 	}
 }
--- a/internal/planner/options/decode.go
+++ b/internal/planner/options/decode.go
@@ -146,7 +146,8 @@
 		seen[key] = true
 		field, known := fieldOf(to.Type(), key)
 		if !known {
-			return r.fault(member.Name.StartOffset, fmt.Errorf("unknown key %q; known here: %s", inner, strings.Join(keys(to.Type()), ", ")))
+			return r.fault(member.Name.StartOffset, fmt.Errorf("unknown key %q; known here: %s", inner,
+				strings.Join(keys(to.Type()), ", ")))
 		}
 		value := to.FieldByIndex(field.Index)
 		if err := r.take(inner, member.Value, value); err != nil {
--- a/internal/planner/program/ask.go
+++ b/internal/planner/program/ask.go
@@ -30,7 +30,7 @@
 	both    bool // gRPC may be tried
 
 	mu   sync.Mutex
-	book dialect.Book
+	book dialect.ProtocolCache
 }
 
 // ask makes one question, of two attempts at most. It has failed if a connection doesn't come up in the time that the
@@ -66,7 +66,7 @@
 
 // peeked is the machine of an answer that keeps the first bytes.
 type peeked struct {
-	*protocol.Exchange
+	*protocol.HTTPExchange
 	head []byte
 }
 
@@ -78,7 +78,7 @@
 	if first, _ := in.Peek(); len(p.head) < headKept {
 		p.head = append(p.head, first[:min(len(first), headKept-len(p.head))]...)
 	}
-	return p.Exchange.Feed(in)
+	return p.HTTPExchange.Feed(in)
 }
 
 // settingsFrame says whether bytes begin a SETTINGS frame on stream 0, with which every HTTP/2 server opens.
@@ -87,11 +87,11 @@
 }
 
 func (a *asker) http(ctx context.Context, address string, load bool) (routing.Probed, dialect.Verdict) {
-	var answer protocol.ProbeAnswer
+	var answer protocol.ProbeResponse
 	request, machine := protocol.Probe(address, load, &answer)
-	p := &peeked{Exchange: machine}
+	p := &peeked{HTTPExchange: machine}
 	err := transport.Call{Address: address, Connect: a.connect, Silence: a.connect, Whole: 2 * a.connect,
-		Request: request, InMost: protocol.HeadMost}.Do(ctx, p)
+		Request: request, InMost: protocol.MaxHead}.Do(ctx, p)
 	verdict := dialect.Spoke
 	switch {
 	case settingsFrame(p.head):
@@ -127,16 +127,17 @@
 	return bytes.Clone(l.head)
 }
 
-// orcaMost bounds a load report.
-const orcaMost = 64 << 10
+// maxORCABytes bounds a load report.
+const maxORCABytes = 64 << 10
 
 func (a *asker) grpc(ctx context.Context, address string, load bool) (result routing.Probed, verdict dialect.Verdict) {
 	ctx, cancel := context.WithTimeout(ctx, 2*a.connect)
 	defer cancel()
 	var mu sync.Mutex
 	var heard *listening
-	client, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableRetry(),
-		grpc.WithDisableServiceConfig(), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(orcaMost)),
+	client, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithDisableRetry(),
+		grpc.WithDisableServiceConfig(), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxORCABytes)),
 		grpc.WithContextDialer(func(ctx context.Context, address string) (net.Conn, error) {
 			mu.Lock()
 			again := heard != nil
@@ -167,7 +168,8 @@
 		result.Refused = answer.GetStatus() == healthpb.HealthCheckResponse_NOT_SERVING
 	case spoken != nil && bytes.HasPrefix(spoken.first(), []byte("HTTP/1.")):
 		return result, dialect.Foreign
-	case status.Code(err) == codes.Unavailable || status.Code(err) == codes.DeadlineExceeded || status.Code(err) == codes.Canceled:
+	case status.Code(err) == codes.Unavailable || status.Code(err) == codes.DeadlineExceeded ||
+		status.Code(err) == codes.Canceled:
 		return result, dialect.Nothing
 	}
 	if load && err == nil {
@@ -179,7 +181,8 @@
 // firstReport is a server's load as its out-of-band stream tells it first. A stream that stalls, or brings nothing that can
 // be used, leaves the health as it is.
 func firstReport(ctx context.Context, client *grpc.ClientConn) map[string]float64 {
-	s, err := orca.NewOpenRcaServiceClient(client).StreamCoreMetrics(ctx, &orca.OrcaLoadReportRequest{ReportInterval: durationpb.New(time.Second)})
+	s, err := orca.NewOpenRcaServiceClient(client).StreamCoreMetrics(ctx,
+		&orca.OrcaLoadReportRequest{ReportInterval: durationpb.New(time.Second)})
 	if err != nil {
 		return nil
 	}
@@ -189,7 +192,7 @@
 	}
 	load := map[string]float64{}
 	take := func(name string, value float64) {
-		if value >= 0 && value <= protocol.FigureMost { // NaN is neither
+		if value >= 0 && value <= protocol.MaxFigure { // NaN is neither
 			load[name] = value
 		}
 	}
--- a/internal/planner/program/calls.go
+++ b/internal/planner/program/calls.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	// watchSilence is how long a watch may be silent. The protocol writes a line every 2 s while nothing changes;
+	// watchTimeout is how long a watch may be silent. The protocol writes a line every 2 s while nothing changes;
 	// a quarter more than that is a watch that is dead. A call to discovery that isn't answered is held to it too.
-	watchSilence = 2500 * time.Millisecond
+	watchTimeout = 2500 * time.Millisecond
 
-	probesMost = 16        // at once, over all servers
-	answerMost = 256 << 10 // most that may wait of an answer not yet understood
+	maxProbes   = 16        // at once, over all servers
+	maxResponse = 256 << 10 // most that may wait of an answer not yet understood
 )
 
 // errEnded is the end of a call that went well, and of a watch that its other side has ended.
@@ -41,12 +41,12 @@
 	ends map[uint64]context.CancelFunc // of the calls to discovery that are under way
 }
 
-func (c *calls) ask(call uint64, request []byte, answer *protocol.Exchange) {
+func (c *calls) ask(call uint64, request []byte, answer *protocol.HTTPExchange) {
 	ctx, end := context.WithCancel(c.ctx)
 	c.mu.Lock()
 	c.ends[call] = end
 	c.mu.Unlock()
-	task := transport.Call{Address: c.discovery, Connect: c.connect, Silence: watchSilence, Request: request, InMost: answerMost}
+	task := transport.Call{Address: c.discovery, Connect: c.connect, Silence: watchTimeout, Request: request, InMost: maxResponse}
 	c.group.Go(func() {
 		err := task.Do(ctx, answer)
 		c.Cancel(call)
@@ -87,7 +87,7 @@
 
 func (c *calls) Watch(call uint64, from int64) {
 	request, answer := protocol.Watch(c.discovery, from,
-		func() { c.post(routing.WatchBegun{Call: call}) }, c.take(call))
+		func() { c.post(routing.WatchStarted{Call: call}) }, c.take(call))
 	c.ask(call, request, answer)
 }
 
--- a/internal/planner/program/core.go
+++ b/internal/planner/program/core.go
@@ -27,7 +27,7 @@
 type coreRun struct {
 	index, life int
 	in          *inbox
-	word        atomic.Pointer[cores.Word] // after its last look, until the host has taken it
+	word        atomic.Pointer[cores.CoreReport] // after its last look, until the host has taken it
 	end         context.CancelFunc
 	over        chan struct{} // closed when the goroutine has ended
 }
@@ -47,7 +47,8 @@
 }
 
 // run takes turns until the context ends, or the module panics.
-func (c *coreRun) run(ctx context.Context, router *routing.Router, module sharer, now func() float64, granularity float64) (err error) {
+func (c *coreRun) run(ctx context.Context, router *routing.Router, module sharer, now func() float64,
+	granularity float64) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("panic: %v\n%s", p, debug.Stack())
@@ -78,8 +79,8 @@
 		if p := router.Progress(); p.Looks != looks {
 			looks = p.Looks
 			own, waiting := module.Mine()
-			c.word.Store(&cores.Word{Seen: p.Seen, Done: p.Done, Deal: p.Deal, Waiting: waiting,
-				Joined: own.Joined, Usual: own.Usual, Demands: own.Demands})
+			c.word.Store(&cores.CoreReport{Seen: p.Seen, Done: p.Done, Deal: p.Deal, Waiting: waiting,
+				Joined: own.Joined, Usual: own.TypicalRates, Demands: own.Demands})
 		}
 		if wants {
 			alarm.Reset(time.Duration((next - now()) * float64(time.Millisecond)))
--- a/internal/planner/program/front.go
+++ b/internal/planner/program/front.go
@@ -24,17 +24,17 @@
 
 // Bounds of the gRPC front. They bound memory and descriptors as those of lines do.
 const (
-	streamsMost  = 16       // of one connection
-	headersMost  = 16 << 10 // bytes of a stream's headers
+	maxStreams   = 16       // of one connection
+	maxHeaders   = 16 << 10 // bytes of a stream's headers
 	pingsApart   = 5 * time.Second
-	unreadMost   = 2 << 20 // bytes that may wait for a stream that doesn't read
+	maxUnread    = 2 << 20 // bytes that may wait for a stream that doesn't read
 	windowSize   = 64 << 10
 	readBuffer   = 4 << 10
 	foreverPings = time.Duration(math.MaxInt64) // a silent peer keeps its stream: it is not asked whether it lives
 )
 
-// front serves proxies and collectors by gRPC. It reads and writes messages; what they mean is xds's affair.
-type front struct {
+// frontend serves proxies and collectors by gRPC. It reads and writes messages; what they mean is xds's affair.
+type frontend struct {
 	discovery.UnimplementedAggregatedDiscoveryServiceServer
 	load.UnimplementedLoadReportingServiceServer
 	healthpb.UnimplementedHealthServer
@@ -52,12 +52,14 @@
 	holds map[held]int               // assignment streams under way
 }
 
-// newFront returns a front that serves once serve is called.
-func newFront(ctx context.Context, set settings.Settings, own options.GRPC, p *peers, addr net.Addr, keys *keys) *front {
-	f := &front{roles: own.TLS.Roles, peers: p, post: p.post, now: clock(), conns: map[string]*transport.Conn{}, holds: map[held]int{},
+// newFrontend returns a front that serves once serve is called.
+func newFrontend(ctx context.Context, set settings.Settings, own options.GRPC, p *peers, addr net.Addr, keys *keys) *frontend {
+	f := &frontend{roles: own.TLS.Roles, peers: p, post: p.post, now: clock(), conns: map[string]*transport.Conn{},
+		holds:  map[held]int{},
 		facts:  xdsFacts(set),
 		handed: handedConns{addr: addr, conns: make(chan net.Conn), ctx: ctx}}
-	opts := []grpc.ServerOption{grpc.MaxRecvMsgSize(protocol.LineMost), grpc.MaxConcurrentStreams(streamsMost), grpc.MaxHeaderListSize(headersMost),
+	opts := []grpc.ServerOption{grpc.MaxRecvMsgSize(protocol.MaxLine), grpc.MaxConcurrentStreams(maxStreams),
+		grpc.MaxHeaderListSize(maxHeaders),
 		grpc.ConnectionTimeout(joinWithin), grpc.StaticStreamWindowSize(windowSize), grpc.ReadBufferSize(readBuffer),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: pingsApart, PermitWithoutStream: true}),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: foreverPings})}
@@ -81,7 +83,7 @@
 }
 
 // serve runs until the context ends.
-func (f *front) serve(ctx context.Context) {
+func (f *frontend) serve(ctx context.Context) {
 	stop := context.AfterFunc(ctx, f.server.Stop)
 	defer stop()
 	f.server.Serve(f.handed) // its error says only that the listener is closed
--- a/internal/planner/program/front_access.go
+++ b/internal/planner/program/front_access.go
@@ -14,7 +14,7 @@
 )
 
 // may says whether a client's certificate lets it be what its node says.
-func (f *front) may(p *peer.Peer, who xds.Identity) error {
+func (f *frontend) may(p *peer.Peer, who xds.Identity) error {
 	if len(f.roles) == 0 {
 		return nil
 	}
--- a/internal/planner/program/front_conns.go
+++ b/internal/planner/program/front_conns.go
@@ -41,7 +41,7 @@
 func (h handedConns) Addr() net.Addr { return h.addr }
 
 // take is handed a connection by the listener.
-func (f *front) take(c *transport.Conn, nc net.Conn) {
+func (f *frontend) take(c *transport.Conn, nc net.Conn) {
 	f.mu.Lock()
 	f.conns[c.Remote()] = c
 	f.mu.Unlock()
@@ -53,7 +53,7 @@
 }
 
 // gone forgets a connection.
-func (f *front) gone(c *transport.Conn) {
+func (f *frontend) gone(c *transport.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.conns[c.Remote()] == c {
@@ -62,7 +62,7 @@
 }
 
 // caller finds the connection of a call.
-func (f *front) caller(ctx context.Context) (*transport.Conn, *peer.Peer, error) {
+func (f *frontend) caller(ctx context.Context) (*transport.Conn, *peer.Peer, error) {
 	p, _ := peer.FromContext(ctx)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -73,7 +73,7 @@
 }
 
 // hold counts a proxy's assignment streams on a connection: by 1 when one joins, by -1 when it ends.
-func (f *front) hold(conn *transport.Conn, proxy, by int) {
+func (f *frontend) hold(conn *transport.Conn, proxy, by int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	key := held{conn, proxy}
@@ -83,7 +83,7 @@
 }
 
 // holding says whether a proxy has an assignment stream on a connection.
-func (f *front) holding(conn *transport.Conn, proxy int) bool {
+func (f *frontend) holding(conn *transport.Conn, proxy int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.holds[held{conn, proxy}] > 0
--- a/internal/planner/program/front_health.go
+++ b/internal/planner/program/front_health.go
@@ -12,9 +12,9 @@
 )
 
 // Check implements the health service: the planner serves once it can make orders, as a heartbeat is answered then.
-func (f *front) Check(ctx context.Context, _ *healthpb.HealthCheckRequest) (*healthpb.HealthCheckResponse, error) {
-	p := &beatPeer{mutePeer: mutePeer{id: transport.NextID()}, said: make(chan bool, 1)}
-	f.post(routing.Said{Peer: p, Message: protocol.Heartbeat{}})
+func (f *frontend) Check(ctx context.Context, _ *healthpb.HealthCheckRequest) (*healthpb.HealthCheckResponse, error) {
+	p := &heartbeatPeer{mutePeer: mutePeer{id: transport.NextID()}, said: make(chan bool, 1)}
+	f.post(routing.Reported{Peer: p, Message: protocol.Heartbeat{}})
 	defer f.post(routing.Ended{Peer: p})
 	select {
 	case serving := <-p.said:
@@ -27,23 +27,23 @@
 	}
 }
 
-// beatPeer asks once whether orders can be made.
-type beatPeer struct {
+// heartbeatPeer asks once whether orders can be made.
+type heartbeatPeer struct {
 	mutePeer
 	said chan bool
 }
 
 // Beat implements routing.Peer.
-func (p *beatPeer) Beat() error {
+func (p *heartbeatPeer) Beat() error {
 	p.answer(true)
 	return nil
 }
 
 // Await implements routing.Peer.
-func (p *beatPeer) Await() { p.answer(false) }
+func (p *heartbeatPeer) Await() { p.answer(false) }
 
 // answer hands on the first answer; later ones are dropped.
-func (p *beatPeer) answer(serving bool) {
+func (p *heartbeatPeer) answer(serving bool) {
 	select {
 	case p.said <- serving:
 	default:
--- a/internal/planner/program/front_limits_test.go
+++ b/internal/planner/program/front_limits_test.go
@@ -123,14 +123,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := open(context.Background(), 2, strings.Repeat("x", protocol.LineMost)); status.Code(err) != codes.ResourceExhausted {
+	if _, err := open(context.Background(), 2, strings.Repeat("x", protocol.MaxLine)); status.Code(err) != codes.ResourceExhausted {
 		t.Errorf("a message over 1 MiB: %v", err)
 	}
-	if _, err := open(metadata.AppendToOutgoingContext(context.Background(), "a", strings.Repeat("x", 2*headersMost)), 2); err == nil {
+	if _, err := open(metadata.AppendToOutgoingContext(context.Background(), "a", strings.Repeat("x", 2*maxHeaders)), 2); err == nil {
 		t.Error("headers over their bound are taken")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	for n := 0; n < streamsMost-1; n++ { // one stays open already
+	for n := 0; n < maxStreams-1; n++ { // one stays open already
 		if _, err := api.StreamAggregatedResources(ctx); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/planner/program/front_loads.go
+++ b/internal/planner/program/front_loads.go
@@ -16,7 +16,7 @@
 )
 
 // StreamLoadStats implements the load reporting service.
-func (f *front) StreamLoadStats(s load.LoadReportingService_StreamLoadStatsServer) error {
+func (f *frontend) StreamLoadStats(s load.LoadReportingService_StreamLoadStatsServer) error {
 	conn, from, err := f.caller(s.Context())
 	if err != nil {
 		return err
@@ -60,11 +60,12 @@
 		}
 		if who.Role == xds.Proxy && len(said) > 0 && !f.holding(conn, who.Proxy) {
 			// Guards against the load of a stream that has been replaced, and of one proxy in another's name.
-			f.peers.count("line not used", conn.Remote(), fmt.Errorf("load of proxy %d, which has no assignments here: %w", who.Proxy, errRole))
+			f.peers.count("line not used", conn.Remote(),
+				fmt.Errorf("load of proxy %d, which has no assignments here: %w", who.Proxy, errRole))
 			continue
 		}
 		for _, m := range said {
-			f.post(routing.Said{Peer: p, Message: m})
+			f.post(routing.Reported{Peer: p, Message: m})
 		}
 	}
 }
--- a/internal/planner/program/front_streams.go
+++ b/internal/planner/program/front_streams.go
@@ -22,7 +22,7 @@
 type fed func() (said []protocol.Message, voids []xds.Void, err error)
 
 // StreamAggregatedResources implements the discovery service: state of the world.
-func (f *front) StreamAggregatedResources(s discovery.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
+func (f *frontend) StreamAggregatedResources(s discovery.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
 	machine := xds.NewAssignments(f.facts, false)
 	return f.assign(s, machine, func() (fed, error) {
 		r, err := s.Recv()
@@ -31,7 +31,7 @@
 }
 
 // DeltaAggregatedResources implements the discovery service: incremental.
-func (f *front) DeltaAggregatedResources(s discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesServer) error {
+func (f *frontend) DeltaAggregatedResources(s discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesServer) error {
 	machine := xds.NewAssignments(f.facts, true)
 	return f.assign(s, machine, func() (fed, error) {
 		r, err := s.Recv()
@@ -41,7 +41,7 @@
 
 // assign serves a stream of assignments. Beside it run one goroutine that receives and one that sends; both end with the
 // stream, which the handler's return closes.
-func (f *front) assign(s grpc.ServerStream, machine *xds.Assignments, receive func() (fed, error)) error {
+func (f *frontend) assign(s grpc.ServerStream, machine *xds.Assignments, receive func() (fed, error)) error {
 	conn, from, err := f.caller(s.Context())
 	if err != nil {
 		return err
@@ -83,9 +83,9 @@
 }
 
 // say tells routing what a peer says.
-func (f *front) say(p routing.Peer, said []protocol.Message) {
+func (f *frontend) say(p routing.Peer, said []protocol.Message) {
 	for _, m := range said {
-		f.post(routing.Said{Peer: p, Message: m})
+		f.post(routing.Reported{Peer: p, Message: m})
 	}
 }
 
@@ -93,7 +93,7 @@
 const wakeEvery = 250 * time.Millisecond
 
 // receive reads a stream of assignments until it ends.
-func (f *front) receive(conn *transport.Conn, from *peer.Peer, p *xdsPeer, receive func() (fed, error)) error {
+func (f *frontend) receive(conn *transport.Conn, from *peer.Peer, p *xdsPeer, receive func() (fed, error)) error {
 	for {
 		feed, err := receive()
 		if err != nil {
--- a/internal/planner/program/host.go
+++ b/internal/planner/program/host.go
@@ -21,16 +21,16 @@
 )
 
 const (
-	tickEvery    = 20 * time.Millisecond // how often the desk looks at its cores
-	confirmPart  = 0.25                  // of the drain grace: the time in which a core must confirm where none is set
-	confirmLeast = 250.0                 // but never less: a core looks each tenth of a second
+	tickEvery   = 20 * time.Millisecond // how often the desk looks at its cores
+	confirmPart = 0.25                  // of the drain grace: the time in which a core must confirm where none is set
+	minConfirm  = 250.0                 // but never less: a core looks each tenth of a second
 )
 
-// host runs a planner on several cores: it follows discovery for them, and carries out what the desk decides about who
+// supervisor runs a planner on several cores: it follows discovery for them, and carries out what the desk decides about who
 // has which proxy. One goroutine owns all of it but for what is said to be shared.
-type host struct {
+type supervisor struct {
 	set      settings.Settings
-	desk     *cores.Desk
+	desk     *cores.Assigner
 	follower *routing.Follower
 	log      zerolog.Logger
 	now      func() float64
@@ -41,7 +41,7 @@
 	in      chan routing.Event // for the host alone
 	runs    []*coreRun         // by core, the present life
 	all     []*coreRun         // every life begun whose goroutine may go on
-	streams map[uint64]routing.Said
+	streams map[uint64]routing.Reported
 	leases  map[int]*lease // by proxy: the present one, or the last
 	waiting []routing.Peer // heartbeats
 	members map[string]protocol.Member
@@ -59,46 +59,49 @@
 
 // joining is an Attach whose reader waits until the stream has its core.
 type joining struct {
-	routing.Said
+	routing.Reported
 	placed chan struct{}
 }
 
-// lifeOver says that a core's goroutine has ended.
-type lifeOver struct {
+// incarnationEnded says that a core's goroutine has ended.
+type incarnationEnded struct {
 	core, life int
 	err        error
 }
 
-// hostEvent carries what only the host knows of through the channel of events.
-type hostEvent struct {
+// supervisorEvent carries what only the host knows of through the channel of events.
+type supervisorEvent struct {
 	routing.Event
 	joining *joining
-	over    *lifeOver
+	over    *incarnationEnded
 }
 
-// newHost returns a host of so many cores that has not begun.
-func newHost(ctx context.Context, c Config, n int, asks *calls, module func(core, life int) sharer, log zerolog.Logger) *host {
+// newSupervisor returns a host of so many cores that has not begun.
+func newSupervisor(ctx context.Context, c Config, n int, asks *calls, module func(core, life int) sharer,
+	log zerolog.Logger) *supervisor {
 	r := c.Settings.Rules
 	confirm := c.Own.Cores.ConfirmMS
 	if confirm == 0 {
-		confirm = max(confirmLeast, confirmPart*r.DrainGrace)
+		confirm = max(minConfirm, confirmPart*r.DrainGrace)
 	}
-	h := &host{set: c.Settings, log: log, now: clock(), module: module, ctx: ctx, in: make(chan routing.Event, eventsMost),
-		runs: make([]*coreRun, n), streams: map[uint64]routing.Said{}, leases: map[int]*lease{}, members: map[string]protocol.Member{},
+	h := &supervisor{set: c.Settings, log: log, now: clock(), module: module, ctx: ctx, in: make(chan routing.Event, maxEvents),
+		runs: make([]*coreRun,
+			n), streams: map[uint64]routing.Reported{}, leases: map[int]*lease{}, members: map[string]protocol.Member{},
 		owners: make([]atomic.Pointer[lease], r.Proxies), follower: routing.NewFollower(asks, c.Known.Revision)}
 	h.probes = &sharedProbes{now: h.now, probe: asks.probe, asks: map[string]map[int]ask{}, last: map[string]routing.Probed{}}
 	h.live.Store(&[]*coreRun{})
 	h.merge(c.Known)
 	h.listed.Store(len(c.Known.Members) > 0)
-	h.desk = cores.NewDesk(cores.Settings{Cores: n, Zones: len(c.Settings.ZoneNames), QueueLines: r.QueueLines, LinesPerSec: r.LinesPerSec,
-		Confirm: confirm, MovesPerS: c.Own.Cores.MovesPerS, Rest: c.Own.Cores.RestMS}, h.now())
+	h.desk = cores.NewAssigner(cores.Settings{Cores: n, Zones: len(c.Settings.ZoneNames), QueueLines: r.QueueLines,
+		LinesPerSec: r.LinesPerSec,
+		Confirm:     confirm, MovesPerS: c.Own.Cores.MovesPerS, Rest: c.Own.Cores.RestMS}, h.now())
 	return h
 }
 
 // post takes an event from any goroutine. What a proxy or collector reports goes straight to the cores; the rest is the
 // host's.
-func (h *host) post(e routing.Event) {
-	said, ok := e.(routing.Said)
+func (h *supervisor) post(e routing.Event) {
+	said, ok := e.(routing.Reported)
 	if !ok {
 		h.send(e)
 		return
@@ -112,8 +115,8 @@
 		h.send(e)
 	case protocol.Collector:
 	case protocol.Attach:
-		j := &joining{Said: said, placed: make(chan struct{})}
-		h.send(hostEvent{Event: e, joining: j})
+		j := &joining{Reported: said, placed: make(chan struct{})}
+		h.send(supervisorEvent{Event: e, joining: j})
 		select { // what follows on the stream must find its core
 		case <-j.placed:
 		case <-h.ctx.Done():
@@ -125,15 +128,15 @@
 		}
 		if mark, own := l.own(m.Mark); own {
 			m.Mark = mark
-			l.core.in.report(routing.Said{Peer: l, Message: m})
+			l.core.in.report(routing.Reported{Peer: l, Message: m})
 		}
 	case protocol.UsageReport:
 		if l := h.owner(said.Peer, m.Proxy); l != nil {
-			l.core.in.report(routing.Said{Peer: l, Message: m})
+			l.core.in.report(routing.Reported{Peer: l, Message: m})
 		}
 	case protocol.Refused:
 		if l := h.owner(said.Peer, m.Proxy); l != nil && l.ID() == said.Peer.ID() {
-			l.core.in.report(routing.Said{Peer: l, Message: m})
+			l.core.in.report(routing.Reported{Peer: l, Message: m})
 		}
 	case protocol.ServerReport:
 		if _, former := h.former.Load(said.Peer.ID()); former {
@@ -146,7 +149,7 @@
 }
 
 // send posts for the host's own goroutine.
-func (h *host) send(e routing.Event) {
+func (h *supervisor) send(e routing.Event) {
 	select {
 	case h.in <- e:
 	case <-h.ctx.Done():
@@ -154,7 +157,7 @@
 }
 
 // owner is the lease of a proxy, unless who speaks of it is a stream that has been replaced.
-func (h *host) owner(from routing.Peer, proxy int) *lease {
+func (h *supervisor) owner(from routing.Peer, proxy int) *lease {
 	l := h.owners[proxy].Load()
 	if l != nil && l.ID() == from.ID() {
 		return l
@@ -170,7 +173,7 @@
 }
 
 // run serves until the context ends or no core is left.
-func (h *host) run() error {
+func (h *supervisor) run() error {
 	tick := time.NewTicker(tickEvery)
 	defer tick.Stop()
 	defer h.stop()
@@ -193,7 +196,7 @@
 	}
 }
 
-func (h *host) tick() {
+func (h *supervisor) tick() {
 	now := h.now()
 	for i, run := range h.runs {
 		if w := run.word.Swap(nil); w != nil {
@@ -207,15 +210,15 @@
 	}
 }
 
-func (h *host) handle(e routing.Event) {
+func (h *supervisor) handle(e routing.Event) {
 	switch e := e.(type) {
-	case hostEvent:
+	case supervisorEvent:
 		if e.joining != nil {
 			h.joined(e.joining)
 		} else {
 			h.died(*e.over)
 		}
-	case routing.Said: // a heartbeat that comes before any list
+	case routing.Reported: // a heartbeat that comes before any list
 		if h.listed.Load() {
 			e.Peer.Beat()
 			return
@@ -234,13 +237,13 @@
 		if h.follower.Listed(e) {
 			h.change(e.List)
 		}
-	case routing.WatchBegun:
+	case routing.WatchStarted:
 		h.follower.Begun(e)
 	case routing.CallFailed:
 		if counts, watched := h.follower.Failed(e); counts {
 			h.log.Warn().Err(e.Err).Int64("revision", h.follower.Revision()).Msg("discovery call ended")
 			if watched {
-				h.watchAt = h.now() + routing.WatchPause*(0.5+rand.Float64()) // spread by chance, as planners are many
+				h.watchAt = h.now() + routing.WatchBackoff*(0.5+rand.Float64()) // spread by chance, as planners are many
 			}
 		}
 	case routing.Moved:
@@ -250,21 +253,21 @@
 }
 
 // joined gives a proxy's stream to a core. Its reader goes on once that is done.
-func (h *host) joined(j *joining) {
+func (h *supervisor) joined(j *joining) {
 	defer close(j.placed)
 	m := j.Message.(protocol.Attach)
 	zone := slices.Index(h.set.ZoneNames, m.Zone)
 	if _, twice := h.streams[j.Peer.ID()]; twice || zone < 0 || m.Proxy >= len(h.owners) {
 		return // its role has been checked, so this can't be; a second joining is void
 	}
-	h.streams[j.Peer.ID()] = j.Said
+	h.streams[j.Peer.ID()] = j.Reported
 	h.desk.Joined(h.now(), j.Peer.ID(), m.Proxy, zone, m.Weight)
 	if err := h.carryOut(); err != nil {
 		h.failed = err
 	}
 }
 
-func (h *host) died(e lifeOver) {
+func (h *supervisor) died(e incarnationEnded) {
 	why := "ended"
 	if e.err != nil {
 		why = e.err.Error()
@@ -275,7 +278,7 @@
 }
 
 // merge takes a list into the whole one.
-func (h *host) merge(l protocol.List) {
+func (h *supervisor) merge(l protocol.List) {
 	if l.Complete {
 		clear(h.members)
 	}
@@ -289,7 +292,7 @@
 }
 
 // change tells every core of a change of the list.
-func (h *host) change(l protocol.List) {
+func (h *supervisor) change(l protocol.List) {
 	h.merge(l)
 	h.list = l
 	h.desk.Changed(h.now())
@@ -302,7 +305,7 @@
 }
 
 // whole is the list as it stands.
-func (h *host) whole() protocol.List {
+func (h *supervisor) whole() protocol.List {
 	l := protocol.List{Revision: h.follower.Revision(), Complete: true}
 	for _, m := range h.members {
 		l.Members = append(l.Members, m)
@@ -312,16 +315,17 @@
 }
 
 // carryOut does what the desk has decided.
-func (h *host) carryOut() error {
+func (h *supervisor) carryOut() error {
 	for _, c := range h.desk.Take() {
 		switch c := c.(type) {
 		case cores.Begin:
 			h.begin(c)
 		case cores.Tell:
-			h.runs[c.Core].in.order(routing.Told{List: h.list, Epoch: c.Epoch})
+			h.runs[c.Core].in.order(routing.Notified{List: h.list, Epoch: c.Epoch})
 		case cores.Share:
-			h.runs[c.Core].in.order(routing.Dealt{Number: c.Deal, Part: rules.Part{Channel: c.Channel, Joined: c.Joined, Usual: c.Usual, Demands: c.Demands}})
-		case cores.Place:
+			h.runs[c.Core].in.order(routing.Allocated{Number: c.Deal,
+				Part: rules.Part{Channel: c.Channel, Joined: c.Joined, TypicalRates: c.Usual, Demands: c.Demands}})
+		case cores.Assignment:
 			h.place(c)
 		case cores.Leave:
 			if l := h.owners[c.Proxy].Swap(nil); l != nil {
@@ -336,7 +340,7 @@
 			}
 		case cores.Cut:
 			h.cut(c)
-		case cores.Note:
+		case cores.LogNote:
 			h.log.Warn().Int("core", c.Core).Msg("core: " + c.Text)
 		case cores.End:
 			return errors.New("no core is left: " + c.Why)
@@ -345,14 +349,15 @@
 	return nil
 }
 
-func (h *host) begin(c cores.Begin) {
+func (h *supervisor) begin(c cores.Begin) {
 	log := h.log.With().Int("core", c.Core).Logger()
 	var run *coreRun
 	ready := make(chan struct{})
 	calls := coreCalls{probes: h.probes, core: func() *coreRun { <-ready; return run }}
-	run = beginCore(h.ctx, c.Core, c.Life, h.set, h.module(c.Core, c.Life), calls, h.whole(), c.Epoch, h.now, log, func(err error) {
-		h.send(hostEvent{over: &lifeOver{c.Core, c.Life, err}})
-	})
+	run = beginCore(h.ctx, c.Core, c.Life, h.set, h.module(c.Core, c.Life), calls, h.whole(), c.Epoch, h.now, log,
+		func(err error) {
+			h.send(supervisorEvent{over: &incarnationEnded{c.Core, c.Life, err}})
+		})
 	close(ready)
 	h.runs[c.Core] = run
 	h.all = append(h.all, run)
@@ -363,7 +368,7 @@
 }
 
 // publish lets the readers know which cores get server reports.
-func (h *host) publish() {
+func (h *supervisor) publish() {
 	var live []*coreRun
 	for i, run := range h.runs {
 		if run != nil && h.desk.Life(i) == run.life {
@@ -374,7 +379,7 @@
 }
 
 // cut takes every stream from a core, whatever it is doing, and lets it end by itself.
-func (h *host) cut(c cores.Cut) {
+func (h *supervisor) cut(c cores.Cut) {
 	run := h.runs[c.Core]
 	taken := 0
 	for i := range h.owners {
@@ -386,11 +391,12 @@
 	run.end()
 	run.in.close()
 	h.publish()
-	h.log.Error().Int("core", c.Core).Int("life", c.Life).Int("proxies", taken).Str("cause", firstLine(c.Why)).Msg("core cut off: others take its proxies")
+	h.log.Error().Int("core", c.Core).Int("life", c.Life).Int("proxies", taken).Str("cause",
+		firstLine(c.Why)).Msg("core cut off: others take its proxies")
 }
 
 // place gives a stream to a core. Who had the proxy before can't order on it any more.
-func (h *host) place(c cores.Place) {
+func (h *supervisor) place(c cores.Assignment) {
 	s := h.streams[c.Stream]
 	old := h.leases[c.Proxy]
 	if old != nil {
@@ -408,8 +414,8 @@
 }
 
 // stop lets every core end. One that is stuck is left behind: the program is about to end, and its streams are closed.
-func (h *host) stop() {
-	patience := time.After(time.Duration(max(confirmLeast, confirmPart*h.set.Rules.DrainGrace)) * time.Millisecond)
+func (h *supervisor) stop() {
+	patience := time.After(time.Duration(max(minConfirm, confirmPart*h.set.Rules.DrainGrace)) * time.Millisecond)
 	for _, run := range h.all {
 		run.end()
 		run.in.close()
@@ -429,7 +435,7 @@
 	if granted := int(math.Ceil(c.Limits.Cores)); granted > 0 && n > granted {
 		n, cut = granted, "limits.cores"
 	}
-	if most := max(1, c.Settings.Rules.Proxies/proxiesLeast); n > most {
+	if most := max(1, c.Settings.Rules.Proxies/minProxies); n > most {
 		n, cut = most, "proxies"
 	}
 	if c.Settings.Rules.Slices > 0 && n > 1 {
@@ -438,5 +444,5 @@
 	return n, cut
 }
 
-// proxiesLeast is how many proxies a core must be able to have: the tables of fewer spread traffic badly.
-const proxiesLeast = 8
+// minProxies is how many proxies a core must be able to have: the tables of fewer spread traffic badly.
+const minProxies = 8
--- a/internal/planner/program/inbox.go
+++ b/internal/planner/program/inbox.go
@@ -6,8 +6,8 @@
 	"mulleinwood/internal/planner/routing"
 )
 
-// reportsMost is how many reports may wait for a core. Who brings more waits, until the core has taken some or is cut off.
-const reportsMost = 4096
+// maxReports is how many reports may wait for a core. Who brings more waits, until the core has taken some or is cut off.
+const maxReports = 4096
 
 // inbox is what waits for one core. What the host says comes before the reports, so that a core far behind with these
 // learns of a change of the list with its next turn.
@@ -47,7 +47,7 @@
 func (in *inbox) report(e routing.Event) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	for len(in.reports) >= reportsMost && !in.closed {
+	for len(in.reports) >= maxReports && !in.closed {
 		in.room.Wait()
 	}
 	if in.closed {
--- a/internal/planner/program/keys.go
+++ b/internal/planner/program/keys.go
@@ -42,7 +42,8 @@
 		}
 	}
 	if now.After(pair.Leaf.NotAfter) || now.Before(pair.Leaf.NotBefore) {
-		return fmt.Errorf("grpc.tls: %s: valid from %s to %s only", k.files.Certificate, pair.Leaf.NotBefore.Format(time.DateOnly),
+		return fmt.Errorf("grpc.tls: %s: valid from %s to %s only", k.files.Certificate,
+			pair.Leaf.NotBefore.Format(time.DateOnly),
 			pair.Leaf.NotAfter.Format(time.DateOnly))
 	}
 	c := &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{pair}, NextProtos: []string{"h2"}}
--- a/internal/planner/program/loop_test.go
+++ b/internal/planner/program/loop_test.go
@@ -33,7 +33,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	m := &looker{done: cancel}
-	set := settings.Settings{Granularity: 4, Rules: rules.Settings{AskDiscovery: true}}
+	set := settings.Settings{Granularity: 4, Rules: rules.Settings{QueryDiscovery: true}}
 	router := routing.New(set, m, nil, protocol.List{}, zerolog.Nop())
 	begun := time.Now()
 	if err := loop(ctx, router, nil, set.Granularity); err != nil {
--- a/internal/planner/program/peers.go
+++ b/internal/planner/program/peers.go
@@ -30,7 +30,7 @@
 	mu         sync.Mutex
 	collectors map[string]*transport.Conn // the newest of each zone
 	counts     map[string]int             // lines and connections that are of no use, by what is wrong
-	front      *front                     // nil: no gRPC
+	front      *frontend                  // nil: no gRPC
 	versions   *versions                  // nil: none
 }
 
@@ -56,7 +56,7 @@
 // Beat implements routing.Peer.
 func (p linePeer) Beat() error {
 	defer p.Owe(false)
-	return p.Send(protocol.HeartbeatAnswer())
+	return p.Send(protocol.HeartbeatReply())
 }
 
 // Await implements routing.Peer.
@@ -104,7 +104,8 @@
 
 // bounds are what the figures of this deployment's messages keep within.
 func bounds(set settings.Settings) protocol.Bounds {
-	return protocol.Bounds{Proxies: set.Rules.Proxies, MeanMost: set.LongestDeadline(), SpanMost: spanPeriods * set.Rules.ReportPeriod}
+	return protocol.Bounds{Proxies: set.Rules.Proxies, MeanMost: set.LongestDeadline(),
+		SpanMost: spanPeriods * set.Rules.ReportPeriod}
 }
 
 // Accepted implements transport.Handler.
@@ -141,10 +142,10 @@
 				if self.versioned.again(c, m) {
 					return nil
 				}
-				p.post(routing.Said{Peer: self, Message: protocol.Refused{Proxy: m.Proxy}})
+				p.post(routing.Reported{Peer: self, Message: protocol.Refused{Proxy: m.Proxy}})
 				return nil
 			}
-			p.post(routing.Said{Peer: self, Message: m})
+			p.post(routing.Reported{Peer: self, Message: m})
 			return nil
 		},
 		Bad: bad,
@@ -160,7 +161,7 @@
 	case protocol.Attach: // its number has been checked with the line
 		s.role, s.proxy, zone = proxy, m.Proxy, m.Zone
 	default:
-		c.Rise(transport.Stranger)
+		c.Rise(transport.Unidentified)
 		return nil
 	}
 	if !slices.Contains(p.set.ZoneNames, zone) {
--- a/internal/planner/program/program.go
+++ b/internal/planner/program/program.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	eventsMost = 512 // that may wait for routing, and that go into one turn
+	maxEvents = 512 // that may wait for routing, and that go into one turn
 
 	// joinWithin is how long a connection may take to say who it is. The page lets it be closed after a second.
 	joinWithin = time.Second
@@ -57,7 +57,7 @@
 	if cut != "" {
 		log.Warn().Int("cores", n).Int("set", c.Own.Cores.Count).Str("by", cut).Msg("fewer cores than set")
 	}
-	events := make(chan routing.Event, eventsMost)
+	events := make(chan routing.Event, maxEvents)
 	post := func(e routing.Event) {
 		select {
 		case events <- e:
@@ -66,8 +66,8 @@
 	}
 	var group sync.WaitGroup
 	bounded := log.Sample(&zerolog.BurstSampler{Burst: logBurst, Period: logPeriod})
-	asks := &calls{ctx: ctx, discovery: c.Discovery, connect: c.Settings.ConnectMost, post: post, group: &group,
-		probes: make(chan struct{}, probesMost), asker: &asker{connect: c.Settings.ConnectMost, both: c.Own.GRPC.ProbeServers},
+	asks := &calls{ctx: ctx, discovery: c.Discovery, connect: c.Settings.MaxConnectTime, post: post, group: &group,
+		probes: make(chan struct{}, maxProbes), asker: &asker{connect: c.Settings.MaxConnectTime, both: c.Own.GRPC.ProbeServers},
 		log: bounded, ends: map[uint64]context.CancelFunc{}}
 	var decide func() error
 	if n == 1 {
@@ -75,7 +75,7 @@
 		decide = func() error { return loop(ctx, router, events, c.Settings.Granularity) }
 	} else {
 		collectLess()
-		h := newHost(ctx, c, n, asks, module, bounded)
+		h := newSupervisor(ctx, c, n, asks, module, bounded)
 		post, asks.post = h.post, h.post
 		decide = h.run
 	}
@@ -88,7 +88,8 @@
 	log.Info().Str("name", c.Name).Stringer("listen", listener.Addr()).Str("discovery", c.Discovery).
 		Int64("revision", c.Known.Revision).Int("known", len(c.Known.Members)).Int("cores", n).Msg("planner starts")
 	served := make(chan error, 1)
-	handler := &peers{set: c.Settings, post: post, log: bounded, collectors: map[string]*transport.Conn{}, counts: map[string]int{}}
+	handler := &peers{set: c.Settings, post: post, log: bounded, collectors: map[string]*transport.Conn{},
+		counts: map[string]int{}}
 	if handler.versions, err = newVersions(c.Name, c.Own.Versions, c.sent); err != nil {
 		return &StartError{err}
 	}
@@ -97,7 +98,7 @@
 		defer handler.versions.close()
 	}
 	if c.Own.GRPC.Enabled {
-		handler.front = newFront(ctx, c.Settings, c.Own.GRPC, handler, listener.Addr(), keys)
+		handler.front = newFrontend(ctx, c.Settings, c.Own.GRPC, handler, listener.Addr(), keys)
 		listener.Foreign = handler.front.take
 		group.Go(func() { handler.front.serve(ctx) })
 	}
--- a/internal/planner/program/versions.go
+++ b/internal/planner/program/versions.go
@@ -48,15 +48,16 @@
 		if err != nil {
 			return nil, fmt.Errorf("versions.key_file: %w", err)
 		}
-		if v.key = bytes.TrimSpace(text); len(v.key) < keyLeast {
-			return nil, fmt.Errorf("versions.key_file: %s: a key of %d bytes, at least %d are needed", own.KeyFile, len(v.key), keyLeast)
+		if v.key = bytes.TrimSpace(text); len(v.key) < minKeyBytes {
+			return nil, fmt.Errorf("versions.key_file: %s: a key of %d bytes, at least %d are needed", own.KeyFile,
+				len(v.key), minKeyBytes)
 		}
 	}
 	return v, nil
 }
 
-// keyLeast is the least length of a key.
-const keyLeast = 16
+// minKeyBytes is the least length of a key.
+const minKeyBytes = 16
 
 // of is what a proxy was sent. A new stream of it goes on with the numbers.
 func (v *versions) of(proxy int) *versioned {
@@ -78,8 +79,8 @@
 	since  time.Time
 }
 
-// resendsMost is how many questions of one proxy are answered in a second; what goes over it waits for the next one's.
-const resendsMost = 4
+// maxResends is how many questions of one proxy are answered in a second; what goes over it waits for the next one's.
+const maxResends = 4
 
 // updateLine is an update as a line carries it.
 type updateLine struct {
@@ -183,7 +184,7 @@
 	if err != nil {
 		return err
 	}
-	if len(text) >= protocol.LineMost {
+	if len(text) >= protocol.MaxLine {
 		return errLine
 	}
 	return to.Send(append(text, '\n'))
@@ -197,7 +198,7 @@
 	if now := time.Now(); now.Sub(v.since) >= time.Second {
 		v.since, v.resent = now, 0
 	}
-	if v.resent++; v.resent > resendsMost {
+	if v.resent++; v.resent > maxResends {
 		return true // it asks again, ever farther apart
 	}
 	_, at := v.sender.Table()
--- a/internal/planner/program/xdspeer.go
+++ b/internal/planner/program/xdspeer.go
@@ -48,7 +48,7 @@
 	if err != nil || m == nil {
 		return err
 	}
-	if p.unread += proto.Size(m); p.unread > unreadMost {
+	if p.unread += proto.Size(m); p.unread > maxUnread {
 		p.end(transport.ErrOverflow)
 		return transport.ErrOverflow
 	}
--- a/internal/planner/protocol/exchange.go
+++ b/internal/planner/protocol/exchange.go
@@ -14,7 +14,7 @@
 
 // Bounds of what another party may answer.
 const (
-	HeadMost  = 16 << 10 // of a head
+	MaxHead   = 16 << 10 // of a head
 	chunkLine = 256      // of the line before a chunk, and of a trailer
 )
 
@@ -39,8 +39,8 @@
 	complete
 )
 
-// Exchange is the machine of one answer over HTTP/1.1.
-type Exchange struct {
+// HTTPExchange is the machine of one answer over HTTP/1.1.
+type HTTPExchange struct {
 	Method string // of the request; GET if empty
 	// Head is given the head of the answer, without a body. An error ends the exchange.
 	Head func(*http.Response) error
@@ -57,10 +57,10 @@
 }
 
 // Done says whether the answer is complete.
-func (x *Exchange) Done() bool { return x.stage == complete }
+func (x *HTTPExchange) Done() bool { return x.stage == complete }
 
 // Close says whether the answer is complete now that the peer has closed the connection.
-func (x *Exchange) Close() error {
+func (x *HTTPExchange) Close() error {
 	if x.stage == inRest {
 		return x.finish()
 	}
@@ -70,7 +70,7 @@
 	return nil
 }
 
-func (x *Exchange) finish() error {
+func (x *HTTPExchange) finish() error {
 	if x.stage = complete; x.whole != nil {
 		return x.whole()
 	}
@@ -78,7 +78,7 @@
 }
 
 // Feed takes from the buffer what can be understood.
-func (x *Exchange) Feed(in *ring.Buffer) error {
+func (x *HTTPExchange) Feed(in *ring.Buffer) error {
 	for x.stage != complete {
 		var moved bool
 		var err error
@@ -98,11 +98,11 @@
 }
 
 // head waits for the whole head, then reads it.
-func (x *Exchange) head(in *ring.Buffer) (bool, error) {
+func (x *HTTPExchange) head(in *ring.Buffer) (bool, error) {
 	for {
 		end := in.Index('\n', x.searched)
-		if end < 0 || end >= HeadMost {
-			if in.Len() >= HeadMost {
+		if end < 0 || end >= MaxHead {
+			if in.Len() >= MaxHead {
 				return false, errHeadLong
 			}
 			x.searched = in.Len()
@@ -148,7 +148,7 @@
 }
 
 // body hands on what is there of the body, or of one chunk.
-func (x *Exchange) body(in *ring.Buffer) (bool, error) {
+func (x *HTTPExchange) body(in *ring.Buffer) (bool, error) {
 	piece, _ := in.Peek()
 	if x.stage != inRest && int64(len(piece)) > x.left {
 		piece = piece[:x.left]
@@ -176,7 +176,7 @@
 }
 
 // chunkLine reads the lines that stand round chunks.
-func (x *Exchange) chunkLine(in *ring.Buffer) (bool, error) {
+func (x *HTTPExchange) chunkLine(in *ring.Buffer) (bool, error) {
 	end := in.Index('\n', 0)
 	if end > chunkLine || end < 0 && in.Len() > chunkLine {
 		return false, errChunk
--- a/internal/planner/protocol/exchange_test.go
+++ b/internal/planner/protocol/exchange_test.go
@@ -20,7 +20,7 @@
 }
 
 // converse feeds pieces to a machine until it fails or is done, then closes the connection.
-func converse(x *Exchange, pieces ...string) heard {
+func converse(x *HTTPExchange, pieces ...string) heard {
 	var h heard
 	head, body := x.Head, x.Body
 	x.Head = func(r *http.Response) error {
@@ -80,7 +80,7 @@
 			heard{status: 200, body: "x", err: errChunk}},
 		"endless chunk size": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("0", 400),
 			heard{status: 200, err: errChunk}},
-		"endless head": {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", HeadMost), heard{err: errHeadLong}},
+		"endless head": {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", MaxHead), heard{err: errHeadLong}},
 		"long body":    {"HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n", heard{status: 0, err: errBodyLong}},
 		"long chunks": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n7d0\r\n" + strings.Repeat("x", 2000),
 			heard{status: 200, err: errBodyLong}},
@@ -92,14 +92,14 @@
 				t.Errorf("%s, %s: %+v, want %+v", name, how, got, tc.want)
 			}
 		}
-		check("whole", converse(&Exchange{BodyMost: 1000}, tc.text))
-		check("byte by byte", converse(&Exchange{BodyMost: 1000}, strings.Split(tc.text, "")...))
+		check("whole", converse(&HTTPExchange{BodyMost: 1000}, tc.text))
+		check("byte by byte", converse(&HTTPExchange{BodyMost: 1000}, strings.Split(tc.text, "")...))
 		for at := 0; at < len(tc.text) && at < 500; at++ {
-			check("split", converse(&Exchange{BodyMost: 1000}, tc.text[:at], tc.text[at:]))
+			check("split", converse(&HTTPExchange{BodyMost: 1000}, tc.text[:at], tc.text[at:]))
 		}
 	}
 	for _, garbage := range []string{"\r\n\r\n", "SSH-2.0-x\r\n\r\n", "HTTP/1.1 abc\r\n\r\n", "HTTP/1.1 200 OK\r\nno colon\r\n\r\n"} {
-		if got := converse(&Exchange{}, garbage); got.err == nil {
+		if got := converse(&HTTPExchange{}, garbage); got.err == nil {
 			t.Errorf("%q was taken: %+v", garbage, got)
 		}
 	}
@@ -176,15 +176,15 @@
 		load   bool
 		text   string
 		path   string
-		answer ProbeAnswer
+		answer ProbeResponse
 	}{
-		{false, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "/health", ProbeAnswer{Status: 200}},
+		{false, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "/health", ProbeResponse{Status: 200}},
 		{true, "HTTP/1.1 200 OK\r\nContent-Length: 29\r\n\r\ninflight=7,queue=x, util=0.61", "/status/load",
-			ProbeAnswer{Status: 200, Load: map[string]float64{"inflight": 7, "util": 0.61}}},
-		{true, "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", "/status/load", ProbeAnswer{Status: 503}},
-		{true, "HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\na=NaN,b=Inf,=,,", "/status/load", ProbeAnswer{Status: 200}},
+			ProbeResponse{Status: 200, Load: map[string]float64{"inflight": 7, "util": 0.61}}},
+		{true, "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", "/status/load", ProbeResponse{Status: 503}},
+		{true, "HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\na=NaN,b=Inf,=,,", "/status/load", ProbeResponse{Status: 200}},
 	} {
-		var answer ProbeAnswer
+		var answer ProbeResponse
 		request, x := Probe("h:1", tc.load, &answer)
 		if h := converse(x, tc.text); h.err != nil || !h.done || !reflect.DeepEqual(answer, tc.answer) {
 			t.Errorf("%q: %+v, %+v", tc.text, answer, h)
@@ -201,8 +201,8 @@
 	f.Add([]byte("HTTP/1.0 200 OK\r\n\r\nrest"), 2)
 	f.Fuzz(func(t *testing.T, text []byte, at int) {
 		at = max(0, min(at, len(text)))
-		whole := converse(&Exchange{BodyMost: 1000}, string(text))
-		split := converse(&Exchange{BodyMost: 1000}, string(text[:at]), string(text[at:]))
+		whole := converse(&HTTPExchange{BodyMost: 1000}, string(text))
+		split := converse(&HTTPExchange{BodyMost: 1000}, string(text[:at]), string(text[at:]))
 		if whole.status != split.status || whole.done != split.done || (whole.err == nil) != (split.err == nil) ||
 			whole.err == nil && whole.body != split.body {
 			t.Fatalf("whole %+v, split at %d %+v", whole, at, split)
--- a/internal/planner/protocol/lines.go
+++ b/internal/planner/protocol/lines.go
@@ -9,8 +9,8 @@
 	"mulleinwood/internal/planner/transport/ring"
 )
 
-// LineMost is the most that one line may hold, its LF included.
-const LineMost = 1 << 20
+// MaxLine is the most that one line may hold, its LF included.
+const MaxLine = 1 << 20
 
 // Lines is the machine of a connection at the planner's address: one JSON object a line.
 //
@@ -35,7 +35,7 @@
 			l.searched = in.Len()
 			return err
 		}
-		if end >= LineMost {
+		if end >= MaxLine {
 			return &LineError{Fault: Unreadable, Err: errTooLong}
 		}
 		if err := l.line(in.Front(end)); err != nil {
@@ -49,7 +49,7 @@
 // hopeless says whether the beginning of a line can become no JSON object however it goes on. It guards against
 // a peer that sends without an end what holds no line: bytes up to from have been looked at before.
 func hopeless(in *ring.Buffer, from int) error {
-	if in.Len() > LineMost {
+	if in.Len() > MaxLine {
 		return &LineError{Fault: Unreadable, Err: errTooLong}
 	}
 	first, second := in.Peek()
--- a/internal/planner/protocol/lines_test.go
+++ b/internal/planner/protocol/lines_test.go
@@ -33,7 +33,7 @@
 // read feeds pieces to a new machine and returns its messages, the lines it could not use and why it ended, if so.
 func read(t testing.TB, pieces ...string) (got []Message, bad []error, end error) {
 	t.Helper()
-	in := ring.New(16, 2*LineMost, nil)
+	in := ring.New(16, 2*MaxLine, nil)
 	m := &Lines{Within: within, Take: func(m Message) error { got = append(got, m); return nil },
 		Bad: func(err error) error { bad = append(bad, err); return nil }}
 	for _, piece := range pieces {
@@ -132,7 +132,7 @@
 // that is certain, whether or not a line end comes, and what was good before it counts.
 func TestUnreadable(t *testing.T) {
 	for _, text := range []string{"not JSON\n", "\n", "{\"t\":\n", "GET / HTTP/1.1\r\n", "GET /", "\x00\x01\x02", "{\"t\":\"hb\x00",
-		"  x", strings.Repeat(" ", LineMost+1), `{"t":"` + strings.Repeat("x", LineMost), "\xff\xfe"} {
+		"  x", strings.Repeat(" ", MaxLine+1), `{"t":"` + strings.Repeat("x", MaxLine), "\xff\xfe"} {
 		for _, pieces := range [][]string{{stream + text}, {stream, text}, append([]string{stream}, strings.SplitAfter(text[:min(9, len(text))], "")...)} {
 			if len(text) > 9 && len(pieces) > 2 {
 				continue
@@ -147,8 +147,8 @@
 			}
 		}
 	}
-	whole := `{"t":"hb","pad":"` + strings.Repeat("z", LineMost-20) + `"}` + "\n"
-	if got, _, end := read(t, whole); len(whole) != LineMost || len(got) != 1 || end != nil {
+	whole := `{"t":"hb","pad":"` + strings.Repeat("z", MaxLine-20) + `"}` + "\n"
+	if got, _, end := read(t, whole); len(whole) != MaxLine || len(got) != 1 || end != nil {
 		t.Errorf("a line of %d bytes: %+v, %v", len(whole), got, end)
 	}
 }
@@ -172,7 +172,7 @@
 	f.Add([]byte(`{"t":"attach","proxy":65536,"zone":null,"weight":1e308}`+"\n"), 7)
 	f.Add([]byte(`{"t":"upstream_stats","zone":"a","server":"s","tries":3,"failed":4,"span_ms":0,"load":{"x":null}}`+"\n"), 30)
 	f.Fuzz(func(t *testing.T, text []byte, at int) {
-		if len(text) > LineMost {
+		if len(text) > MaxLine {
 			return
 		}
 		whole, badWhole, endWhole := read(t, string(text))
--- a/internal/planner/protocol/list.go
+++ b/internal/planner/protocol/list.go
@@ -9,8 +9,8 @@
 	"strconv"
 )
 
-// ListMost bounds one list, and one line of a watch.
-const ListMost = 8 << 20
+// MaxList bounds one list, and one line of a watch.
+const MaxList = 8 << 20
 
 // Member is an entry of discovery's list.
 type Member struct {
@@ -82,7 +82,7 @@
 // mend replaces what can't be and says whether there was any of it.
 func (m *Member) mend() bool {
 	before := *m
-	if m.Size < 0 || m.Size > FigureMost {
+	if m.Size < 0 || m.Size > MaxFigure {
 		m.Size = 1
 	}
 	if m.UpSince < 0 {
@@ -103,9 +103,9 @@
 }
 
 // Fetch returns the request for the whole list and the machine of its answer, whose text goes to take.
-func Fetch(host string, take func(text []byte) error) ([]byte, *Exchange) {
+func Fetch(host string, take func(text []byte) error) ([]byte, *HTTPExchange) {
 	var text []byte
-	x := &Exchange{Head: onlyOK, BodyMost: ListMost}
+	x := &HTTPExchange{Head: onlyOK, BodyMost: MaxList}
 	x.Body = func(p []byte) error {
 		text = append(text, p...)
 		return nil
@@ -116,9 +116,9 @@
 
 // Watch returns the request for the changes after a revision and the machine of its answer, which goes on as
 // long as the connection. Begun is called once the call is answered, take is given each object's text.
-func Watch(host string, from int64, begun func(), take func(text []byte) error) ([]byte, *Exchange) {
+func Watch(host string, from int64, begun func(), take func(text []byte) error) ([]byte, *HTTPExchange) {
 	var text []byte // of a line whose end has not come
-	x := &Exchange{}
+	x := &HTTPExchange{}
 	x.Head = func(r *http.Response) error {
 		if err := onlyOK(r); err != nil {
 			return err
@@ -130,7 +130,7 @@
 		for {
 			end := bytes.IndexByte(p, '\n')
 			if end < 0 {
-				if text = append(text, p...); len(text) > ListMost {
+				if text = append(text, p...); len(text) > MaxList {
 					return errListLong
 				}
 				return nil
--- a/internal/planner/protocol/messages.go
+++ b/internal/planner/protocol/messages.go
@@ -62,8 +62,8 @@
 func (ServerReport) message() {}
 func (UsageReport) message()  {}
 
-// FigureMost bounds every figure that is taken, so that sums of them stay finite.
-const FigureMost = 1e12
+// MaxFigure bounds every figure that is taken, so that sums of them stay finite.
+const MaxFigure = 1e12
 
 // Bounds are what the figures of one deployment's messages keep within. 0 stands for not known.
 type Bounds struct {
@@ -72,9 +72,9 @@
 	SpanMost float64 // milliseconds; a report that covers more tells nothing of now
 }
 
-// RateMost is the most requests a second that a report or a joining may tell of: far more than a proxy forwards, or a
+// MaxRate is the most requests a second that a report or a joining may tell of: far more than a proxy forwards, or a
 // server does.
-const RateMost = 100e3
+const MaxRate = 100e3
 
 var (
 	errTooLong    = errors.New("over 1 MiB")
@@ -92,11 +92,11 @@
 	errLoad       = errors.New("a load report outside its units")
 )
 
-// heartbeatAnswer is the answer to a Heartbeat.
-const heartbeatAnswer = `{"t":"hb_ok"}` + "\n"
+// heartbeatReply is the answer to a Heartbeat.
+const heartbeatReply = `{"t":"hb_ok"}` + "\n"
 
-// HeartbeatAnswer returns the line that answers a Heartbeat.
-func HeartbeatAnswer() []byte { return []byte(heartbeatAnswer) }
+// HeartbeatReply returns the line that answers a Heartbeat.
+func HeartbeatReply() []byte { return []byte(heartbeatReply) }
 
 // line has the fields of all messages. Pointers tell what was left out: a figure that is absent is no 0.
 type line struct {
@@ -187,7 +187,7 @@
 		case figure == nil: // JSON has no way to write one that is not finite
 		case *figure < 0:
 			return nil, errNegative
-		case *figure > FigureMost:
+		case *figure > MaxFigure:
 			return nil, errHuge
 		}
 	}
@@ -206,7 +206,7 @@
 		if l.Proxy == nil || l.Zone == nil || l.Weight == nil {
 			return nil, errMissing
 		}
-		if *l.Weight > RateMost {
+		if *l.Weight > MaxRate {
 			return nil, errRate
 		}
 		return Attach{Proxy: *l.Proxy, Zone: *l.Zone, Weight: *l.Weight, Fresh: l.Fresh, Versions: l.Versions}, nil
@@ -243,11 +243,11 @@
 	switch {
 	case !(tries >= 0 && failed >= 0 && span >= 0):
 		return errNegative
-	case max(tries, failed, span) > FigureMost:
+	case max(tries, failed, span) > MaxFigure:
 		return errHuge
 	case span == 0 || within.SpanMost > 0 && span > within.SpanMost:
 		return errSpan
-	case max(tries, failed) > RateMost*max(1, span/1000):
+	case max(tries, failed) > MaxRate*max(1, span/1000):
 		return errRate
 	}
 	return nil
@@ -266,11 +266,11 @@
 	if m.Failed > m.Tries {
 		return errMoreFailed
 	}
-	if m.Tries > m.Failed && (!(m.Mean > 0) || m.Mean > FigureMost || within.MeanMost > 0 && m.Mean > within.MeanMost) {
+	if m.Tries > m.Failed && (!(m.Mean > 0) || m.Mean > MaxFigure || within.MeanMost > 0 && m.Mean > within.MeanMost) {
 		return errMean
 	}
 	for _, value := range m.Load {
-		if !(value >= 0 && value <= FigureMost) {
+		if !(value >= 0 && value <= MaxFigure) {
 			return errLoad
 		}
 	}
--- a/internal/planner/protocol/orders.go
+++ b/internal/planner/protocol/orders.go
@@ -75,8 +75,8 @@
 }
 
 const (
-	partsMost = 64       // of one message
-	partSize  = 64 << 10 // from this size on a part is closed; a part stays far under 1 MiB
+	maxParts = 64       // of one message
+	partSize = 64 << 10 // from this size on a part is closed; a part stays far under 1 MiB
 )
 
 // ErrTooLarge says that a message doesn't fit into the parts that a proxy takes.
@@ -125,7 +125,7 @@
 	}
 	e.endList()
 	e.out = append(e.out, "}\n"...)
-	if e.parts > partsMost {
+	if e.parts > maxParts {
 		return out, ErrTooLarge
 	}
 	return e.out, nil
--- a/internal/planner/protocol/orders_test.go
+++ b/internal/planner/protocol/orders_test.go
@@ -38,7 +38,7 @@
 		if err := json.Unmarshal([]byte(line), &p); err != nil {
 			t.Fatalf("part %d: %v in %.80q", i, err, line)
 		}
-		if p.Kind != "assign" || p.Part != (i < len(lines)-1) || len(line) > LineMost || (p.Gate == nil) != (p.Again == nil) {
+		if p.Kind != "assign" || p.Part != (i < len(lines)-1) || len(line) > MaxLine || (p.Gate == nil) != (p.Again == nil) {
 			t.Fatalf("part %d of %d: %.120q", i, len(lines), line)
 		}
 		list = append(list, p)
--- a/internal/planner/protocol/probe.go
+++ b/internal/planner/protocol/probe.go
@@ -7,20 +7,20 @@
 	"strings"
 )
 
-// ProbeAnswer is what a server said to a probe.
-type ProbeAnswer struct {
+// ProbeResponse is what a server said to a probe.
+type ProbeResponse struct {
 	Status int
 	Load   map[string]float64 // its load report, if it sent one
 }
 
 // Probe returns the request of a probe and the machine of its answer, which goes to answer.
-func Probe(host string, load bool, answer *ProbeAnswer) ([]byte, *Exchange) {
+func Probe(host string, load bool, answer *ProbeResponse) ([]byte, *HTTPExchange) {
 	path := "/health"
 	if load {
 		path = "/status/load"
 	}
 	var text []byte
-	x := &Exchange{BodyMost: HeadMost}
+	x := &HTTPExchange{BodyMost: MaxHead}
 	x.Head = func(r *http.Response) error {
 		answer.Status = r.StatusCode
 		return nil
--- a/internal/planner/record/record.go
+++ b/internal/planner/record/record.go
@@ -173,7 +173,8 @@
 	switch {
 	case errors.Is(err, bolterrors.ErrTimeout):
 		return nil, ErrLocked
-	case errors.Is(err, bolterrors.ErrInvalid), errors.Is(err, bolterrors.ErrVersionMismatch), errors.Is(err, bolterrors.ErrChecksum):
+	case errors.Is(err, bolterrors.ErrInvalid), errors.Is(err, bolterrors.ErrVersionMismatch), errors.Is(err,
+		bolterrors.ErrChecksum):
 		return nil, fmt.Errorf("%w: %w", ErrForeign, err)
 	case err != nil:
 		return nil, err
--- a/internal/planner/record/record_test.go
+++ b/internal/planner/record/record_test.go
@@ -240,7 +240,7 @@
 		got = append(got, list...)
 		return nil
 	}, func(error) { told++ })
-	for n := range uint64(queueMost + 100) { // 100 don't even fit the queue
+	for n := range uint64(maxQueue + 100) { // 100 don't even fit the queue
 		w.Add(entry(n + 1))
 	}
 	for range 3 {
--- a/internal/planner/record/writer.go
+++ b/internal/planner/record/writer.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	queueMost = 4096 // entries that may wait for the disk
-	batchMost = 512  // entries of one transaction
+	maxQueue = 4096 // entries that may wait for the disk
+	maxBatch = 512  // entries of one transaction
 )
 
 // Writer writes entries in a goroutine of its own. It never holds its user up: what the disk doesn't take in time, or not at
@@ -37,7 +37,7 @@
 }
 
 func newWriter(append func(time.Time, ...Entry) error, failed func(error)) *Writer {
-	return &Writer{append: append, now: time.Now, failed: failed, queue: make(chan Entry, queueMost), done: make(chan struct{})}
+	return &Writer{append: append, now: time.Now, failed: failed, queue: make(chan Entry, maxQueue), done: make(chan struct{})}
 }
 
 // Add takes an entry, or counts it as lost.
@@ -70,7 +70,7 @@
 	for e := range w.queue {
 		list := []Entry{e}
 	more:
-		for len(list) < batchMost {
+		for len(list) < maxBatch {
 			select {
 			case e, open := <-w.queue:
 				if !open {
--- a/internal/planner/routing/bench_test.go
+++ b/internal/planner/routing/bench_test.go
@@ -31,7 +31,7 @@
 	r := New(set, module, calls, known, zerolog.Nop())
 	var orders []rules.Action
 	for p := range proxies {
-		r.Handle(Said{Peer: sink{uint64(p + 1)}, Message: attach(p)})
+		r.Handle(Reported{Peer: sink{uint64(p + 1)}, Message: attach(p)})
 		for i := range lines {
 			orders = append(orders, rules.SetWeight{Table: rules.TableID(p), Server: rules.ServerID((p + i) % servers), Weight: 1})
 		}
--- a/internal/planner/routing/events.go
+++ b/internal/planner/routing/events.go
@@ -36,15 +36,15 @@
 
 // The events.
 type (
-	// Said is a message of a peer.
-	Said struct {
+	// Reported is a message of a peer.
+	Reported struct {
 		Peer    Peer
 		Message protocol.Message
 	}
 	// Ended says that a peer's connection has ended.
 	Ended struct{ Peer Peer }
-	// WatchBegun says that discovery has taken a watch on.
-	WatchBegun struct{ Call uint64 }
+	// WatchStarted says that discovery has taken a watch on.
+	WatchStarted struct{ Call uint64 }
 	// Listed is a list, or changes of it.
 	Listed struct {
 		Call uint64
@@ -57,8 +57,8 @@
 	}
 	// Moved says that discovery has another address.
 	Moved struct{ Discovery string }
-	// Told is a list, or changes of it, from the host that follows discovery for several routers. Epochs count them.
-	Told struct {
+	// Notified is a list, or changes of it, from the host that follows discovery for several routers. Epochs count them.
+	Notified struct {
 		List  protocol.List
 		Epoch uint64
 	}
@@ -68,8 +68,8 @@
 		Attach protocol.Attach
 		Shut   []string
 	}
-	// Dealt says what of the planner is this router's, where several share one.
-	Dealt struct {
+	// Allocated says what of the planner is this router's, where several share one.
+	Allocated struct {
 		Part   rules.Part
 		Number uint64 // of its share of the channel
 	}
@@ -83,13 +83,13 @@
 	}
 )
 
-func (Said) event()       {}
-func (Ended) event()      {}
-func (WatchBegun) event() {}
-func (Listed) event()     {}
-func (CallFailed) event() {}
-func (Moved) event()      {}
-func (Probed) event()     {}
-func (Told) event()       {}
-func (Handed) event()     {}
-func (Dealt) event()      {}
+func (Reported) event()     {}
+func (Ended) event()        {}
+func (WatchStarted) event() {}
+func (Listed) event()       {}
+func (CallFailed) event()   {}
+func (Moved) event()        {}
+func (Probed) event()       {}
+func (Notified) event()     {}
+func (Handed) event()       {}
+func (Allocated) event()    {}
--- a/internal/planner/routing/fed.go
+++ b/internal/planner/routing/fed.go
@@ -30,7 +30,7 @@
 // NewFed returns a router that asks discovery nothing: the host tells it the list, of which known is the whole as of the
 // epoch, and which proxies it has.
 func NewFed(set settings.Settings, module Stepper, calls Calls, known protocol.List, epoch uint64, log zerolog.Logger) *Router {
-	set.Rules.AskDiscovery = false // the module need not ask
+	set.Rules.QueryDiscovery = false // the module need not ask
 	r := New(set, module, calls, known, log)
 	r.timers = nil // nor the router
 	r.fed = fed{on: true, told: epoch, leaving: map[rules.ServerID]bool{}}
@@ -42,7 +42,7 @@
 	return Progress{Looks: r.fed.looks, Seen: r.fed.seen, Done: r.fed.done, Deal: r.fed.deal}
 }
 
-func (r *Router) told(e Told) {
+func (r *Router) told(e Notified) {
 	r.take(e.List)
 	r.fed.told = e.Epoch
 	for _, m := range e.List.Members {
--- a/internal/planner/routing/follower.go
+++ b/internal/planner/routing/follower.go
@@ -57,7 +57,7 @@
 
 // Begun notes that discovery has taken a watch on. What is still open at discovery's former address ends only now, so
 // that no change is missed. It says whether the watch counts.
-func (f *Follower) Begun(e WatchBegun) bool {
+func (f *Follower) Begun(e WatchStarted) bool {
 	if e.Call != f.watch {
 		return false
 	}
--- a/internal/planner/routing/lists.go
+++ b/internal/planner/routing/lists.go
@@ -8,10 +8,10 @@
 	"mulleinwood/rules"
 )
 
-// WatchPause is how long after a watch has ended the next is asked for where the settings say that changes come
+// WatchBackoff is how long after a watch has ended the next is asked for where the settings say that changes come
 // unsolicited. The module doesn't ask there, and a watch is how they come on sockets. It is half the time after
 // which the protocol gives a sign of life.
-const WatchPause = 1000.0
+const WatchBackoff = 1000.0
 
 // listed takes an answer of discovery, unless its call no longer counts.
 func (r *Router) listed(e Listed) {
@@ -71,7 +71,7 @@
 	if !counts {
 		return
 	}
-	asked := !watched || r.set.Rules.AskDiscovery // by the module, which is told of a failure only then
+	asked := !watched || r.set.Rules.QueryDiscovery // by the module, which is told of a failure only then
 	r.rewatch = r.rewatch || !asked
 	r.log.Warn().Err(e.Err).Int64("revision", r.follower.revision).Msg("discovery call ended")
 	if asked {
@@ -79,8 +79,8 @@
 	}
 }
 
-// watchBegun tells the module that its call was answered, even if nothing has changed.
-func (r *Router) watchBegun(e WatchBegun) {
+// watchStarted tells the module that its call was answered, even if nothing has changed.
+func (r *Router) watchStarted(e WatchStarted) {
 	if r.follower.Begun(e) {
 		r.pending = append(r.pending, rules.List{Kind: rules.ListChanges})
 	}
--- a/internal/planner/routing/moved_test.go
+++ b/internal/planner/routing/moved_test.go
@@ -17,7 +17,7 @@
 func TestMoved(t *testing.T) {
 	g := newRig(t, member("s-1", "up"))
 	g.turn(rules.Watch{})
-	g.r.Handle(WatchBegun{Call: 1})
+	g.r.Handle(WatchStarted{Call: 1})
 	g.r.Handle(Moved{Discovery: "b"})
 	g.expect("the new watch from the revision held, the old one kept", *g.calls,
 		book{"watch 1 from 41", "move to b", "watch 2 from 41"})
@@ -32,7 +32,7 @@
 	g.r.Handle(Listed{Call: 2, List: changes(50, member("s-2", "up"))})
 	g.turn()
 	g.expect("what the second says", g.told(), []rules.Event(nil))
-	g.r.Handle(WatchBegun{Call: 3})
+	g.r.Handle(WatchStarted{Call: 3})
 	g.expect("the old one ends", (*g.calls)[6:], book{"cancel 1"})
 	g.r.Handle(Listed{Call: 1, List: changes(43, member("s-1", "up"))})
 	g.r.Handle(CallFailed{Call: 1, Err: errors.New("cancelled")})
@@ -64,9 +64,9 @@
 func TestRenumbered(t *testing.T) {
 	g := newRig(t, member("s-1", "up"), member("s-2", "up"))
 	g.turn(rules.Watch{})
-	g.r.Handle(WatchBegun{Call: 1})
+	g.r.Handle(WatchStarted{Call: 1})
 	g.r.Handle(Moved{Discovery: "b"})
-	g.r.Handle(WatchBegun{Call: 2})
+	g.r.Handle(WatchStarted{Call: 2})
 	g.r.Handle(Listed{Call: 2, List: changes(7, member("s-2", "draining"))})
 	g.expect("the whole list is asked for", (*g.calls)[4:], book{"fetch 3"})
 	g.turn()
@@ -79,7 +79,7 @@
 	}
 	g.turn()
 	g.r.Handle(Moved{Discovery: "c"})
-	g.r.Handle(WatchBegun{Call: 4})
+	g.r.Handle(WatchStarted{Call: 4})
 	g.r.Handle(Listed{Call: 4, List: protocol.List{Revision: 3, Complete: true, Members: []protocol.Member{member("s-1", "up")}}})
 	g.turn()
 	told = g.told()
--- a/internal/planner/routing/names.go
+++ b/internal/planner/routing/names.go
@@ -101,7 +101,7 @@
 		}
 	}
 	for _, s := range list.Servers {
-		if delete(n.gone, s.ID); s.State == rules.Gone {
+		if delete(n.gone, s.ID); s.State == rules.Removed {
 			n.gone[s.ID] = true
 		}
 	}
@@ -129,7 +129,7 @@
 	case protocol.PhaseDraining:
 		s.State = rules.Draining
 	default:
-		s.State = rules.Gone
+		s.State = rules.Removed
 	}
 	return s
 }
--- a/internal/planner/routing/recorded_test.go
+++ b/internal/planner/routing/recorded_test.go
@@ -43,12 +43,12 @@
 	}
 	const proxies, servers, looks = 24, 40, 600
 	rng := rand.New(rand.NewPCG(16, 7))
-	classes := []rules.Class{{Name: "view", Aim: 1000, Deadline: 4000, Worth: 1},
-		{Name: "post", Aim: 500, Deadline: 2000, Worth: 5, Effect: rules.Keyed}, {Name: "pay", Aim: 500, Deadline: 1500, Worth: 2, Effect: rules.Unsafe}}
+	classes := []rules.Class{{Name: "view", LatencyTarget: 1000, Deadline: 4000, Value: 1},
+		{Name: "post", LatencyTarget: 500, Deadline: 2000, Value: 5, Effect: rules.Keyed}, {Name: "pay", LatencyTarget: 500, Deadline: 1500, Value: 2, Effect: rules.Unsafe}}
 	set := settings.Settings{ZoneNames: []string{"n", "s", "w"}, KindNames: []string{"m"}, Rules: rules.Settings{Instances: 1,
 		Zones: 3, Proxies: proxies, Classes: classes, Probes: true, ReportPeriod: 1000, QueueLines: 3600, LinesPerSec: 2400, HeadLines: 3,
-		MessagesMost: 20, MessagesOver: 10000, DrainGrace: 2000, Bare: 2500, ColdFor: 10000, StartCapacity: 0.2, FallMultiple: 2.5,
-		FallAfter: 3000, ConnsLeast: 200, LocalFirst: true, RetryDefault: rules.RetryProof}}
+		MaxMessages: 20, MessagesOver: 10000, DrainGrace: 2000, Bare: 2500, WarmupTime: 10000, StartCapacity: 0.2, FallMultiple: 2.5,
+		FallAfter: 3000, MinConns: 200, LocalFirst: true, RetryDefault: rules.RetryProof}}
 	entry := func(i int, phase string, since float64) protocol.Member {
 		return protocol.Member{ID: fmt.Sprint("s-", i), Address: "h", Zone: set.ZoneNames[i%3], Kind: "m", Phase: phase, Size: 1, UpSince: since}
 	}
@@ -70,14 +70,14 @@
 			if peers[p] == nil && look >= p || peers[p] != nil && rng.IntN(900) == 0 { // joins, or comes back by a newer stream
 				id++
 				peers[p] = &digester{peer: peer{id: id}, into: sum}
-				r.Handle(Said{peers[p], protocol.Attach{Proxy: p, Zone: set.ZoneNames[p%3], Weight: 1 + float64(p*p%17)}})
+				r.Handle(Reported{peers[p], protocol.Attach{Proxy: p, Zone: set.ZoneNames[p%3], Weight: 1 + float64(p*p%17)}})
 			}
 			for d := peers[p]; d != nil && len(d.marks) > 0 && rng.IntN(3) > 0; d.marks = d.marks[1:] {
-				r.Handle(Said{d, protocol.Done{Proxy: p, Mark: d.marks[0], Took: 50}})
+				r.Handle(Reported{d, protocol.Done{Proxy: p, Mark: d.marks[0], Took: 50}})
 			}
 			if peers[p] != nil && (look+p)%10 == 0 {
 				for _, c := range classes {
-					r.Handle(Said{peers[p], protocol.UsageReport{Proxy: p, Class: c.Name, Tries: float64(rng.IntN(30)), Span: 1000}})
+					r.Handle(Reported{peers[p], protocol.UsageReport{Proxy: p, Class: c.Name, Tries: float64(rng.IntN(30)), Span: 1000}})
 				}
 			}
 		}
@@ -91,7 +91,7 @@
 				if look > 400 && look < 460 { // all slow
 					mean *= 12
 				}
-				r.Handle(Said{&peer{}, protocol.ServerReport{Zone: set.ZoneNames[rng.IntN(3)], Server: fmt.Sprint("s-", i), Tries: tries,
+				r.Handle(Reported{&peer{}, protocol.ServerReport{Zone: set.ZoneNames[rng.IntN(3)], Server: fmt.Sprint("s-", i), Tries: tries,
 					Failed: failed, Mean: mean, Span: 1000}})
 			}
 		}
--- a/internal/planner/routing/router.go
+++ b/internal/planner/routing/router.go
@@ -17,8 +17,8 @@
 	"mulleinwood/rules"
 )
 
-// shownMost is how much of a name that came from outside goes into the log.
-const shownMost = 80
+// maxShown is how much of a name that came from outside goes into the log.
+const maxShown = 80
 
 // ErrSuperseded ends a stream whose proxy has a newer one.
 var ErrSuperseded = errors.New("the proxy has a newer stream")
@@ -49,7 +49,7 @@
 	r := &Router{follower: NewFollower(calls, 0), set: set, names: n, tables: newTables(n), module: module, log: log,
 		streams: map[uint64]*stream{}, former: map[uint64]bool{}, dropped: map[string]int{}, waiting: map[uint64]Peer{}}
 	r.list(known, rules.ListCached)
-	if !set.Rules.AskDiscovery {
+	if !set.Rules.QueryDiscovery {
 		r.timers = timers{{watch: true}}
 	}
 	return r
@@ -62,29 +62,29 @@
 		if p := recover(); p != nil {
 			r.log.Error().Str("event", fmt.Sprintf("%T", e)).Str("panic", fmt.Sprint(p)).Bytes("stack", debug.Stack()).
 				Msg("event not handled")
-			if said, ok := e.(Said); ok {
+			if said, ok := e.(Reported); ok {
 				said.Peer.Close(fmt.Errorf("panic: %v", p))
 			}
 		}
 	}()
 	switch e := e.(type) {
-	case Said:
+	case Reported:
 		r.said(e.Peer, e.Message)
 	case Ended:
 		r.ended(e.Peer)
-	case WatchBegun:
-		r.watchBegun(e)
+	case WatchStarted:
+		r.watchStarted(e)
 	case Listed:
 		r.listed(e)
 	case CallFailed:
 		r.callFailed(e)
 	case Moved:
 		r.moved(e)
-	case Told:
+	case Notified:
 		r.told(e)
 	case Handed:
 		r.handed(e)
-	case Dealt:
+	case Allocated:
 		r.fed.dealt = e.Number
 		r.pending = append(r.pending, e.Part)
 	case Probed:
@@ -211,7 +211,8 @@
 // drop counts a message that can't be used, and tells of the first, the tenth, the hundredth and so on.
 func (r *Router) drop(reason, what string) {
 	if r.dropped[reason]++; Telling(r.dropped[reason]) {
-		r.log.Warn().Str("reason", reason).Str("last", what[:min(len(what), shownMost)]).Int("count", r.dropped[reason]).Msg("message not used")
+		r.log.Warn().Str("reason", reason).Str("last", what[:min(len(what), maxShown)]).Int("count",
+			r.dropped[reason]).Msg("message not used")
 	}
 }
 
@@ -235,7 +236,7 @@
 	}
 	if r.rewatch { // an event has no clock, a turn has
 		r.rewatch = false
-		heap.Push(&r.timers, timer{due: now + WatchPause, watch: true})
+		heap.Push(&r.timers, timer{due: now + WatchBackoff, watch: true})
 	}
 	if len(r.pending) > 0 {
 		events := r.pending
--- a/internal/planner/routing/router_test.go
+++ b/internal/planner/routing/router_test.go
@@ -19,8 +19,8 @@
 
 func facts() settings.Settings {
 	return settings.Settings{
-		Rules: rules.Settings{Instances: 1, Zones: 2, Proxies: 4, Probes: true, AskDiscovery: true, QueueLines: 1000, LinesPerSec: 1000,
-			Classes: []rules.Class{{Name: "view", Aim: 1, Deadline: 1}, {Name: "post", Aim: 1, Deadline: 1}}},
+		Rules: rules.Settings{Instances: 1, Zones: 2, Proxies: 4, Probes: true, QueryDiscovery: true, QueueLines: 1000, LinesPerSec: 1000,
+			Classes: []rules.Class{{Name: "view", LatencyTarget: 1, Deadline: 1}, {Name: "post", LatencyTarget: 1, Deadline: 1}}},
 		ZoneNames: []string{"north", "south"}, KindNames: []string{"m1", "m2"},
 		LoadFields: []string{"util", "inflight"}, LoadReports: true,
 	}
@@ -56,7 +56,7 @@
 func (p *peer) ID() uint64         { return p.id }
 func (p *peer) Close(reason error) { p.closed = reason }
 func (p *peer) Await()             { p.awaits = true }
-func (p *peer) Beat() error        { return p.send(protocol.HeartbeatAnswer(), nil) }
+func (p *peer) Beat() error        { return p.send(protocol.HeartbeatReply(), nil) }
 func (p *peer) Order(o protocol.Orders) error {
 	return p.send(o.Append(nil))
 }
@@ -117,7 +117,7 @@
 
 func (g *rig) says(p *peer, m ...protocol.Message) {
 	for _, m := range m {
-		g.r.Handle(Said{Peer: p, Message: m})
+		g.r.Handle(Reported{Peer: p, Message: m})
 	}
 }
 
@@ -326,7 +326,7 @@
 	g.turn(rules.Watch{}, rules.Watch{})
 	g.expect("one watch, from the revision known at the start", *g.calls, book{"watch 1 from 41"})
 	g.told()
-	g.r.Handle(WatchBegun{Call: 1})
+	g.r.Handle(WatchStarted{Call: 1})
 	g.turn()
 	g.expect("a watch without changes", g.told(), []rules.Event{rules.List{Kind: rules.ListChanges}})
 	changed := member("s-1", "draining")
@@ -335,7 +335,7 @@
 	g.r.Handle(CallFailed{Call: 1, Err: errors.New("reset")})
 	g.r.Handle(CallFailed{Call: 1, Err: errors.New("again")})
 	g.r.Handle(Listed{Call: 1, List: protocol.List{Revision: 50}})
-	g.r.Handle(WatchBegun{Call: 1})
+	g.r.Handle(WatchStarted{Call: 1})
 	g.turn(rules.Watch{})
 	drains := rules.Server{Weight: 1, Kind: 1, Zone: 1, Cell: 3, State: rules.Draining}
 	g.expect("a change and a failure", g.told(), []rules.Event{
@@ -363,7 +363,7 @@
 // Guards against a list that is never heard of again after the start, or after a watch has ended.
 func TestPushedDiscovery(t *testing.T) {
 	set, module, calls := facts(), &script{}, &book{}
-	set.Rules.AskDiscovery = false
+	set.Rules.QueryDiscovery = false
 	r := New(set, module, calls, protocol.List{Revision: 41, Members: []protocol.Member{member("s-1", "up")}}, zerolog.Nop())
 	turn := func(now, want float64) {
 		t.Helper()
@@ -372,12 +372,12 @@
 		}
 	}
 	turn(5000, 0)
-	r.Handle(WatchBegun{Call: 1})
+	r.Handle(WatchStarted{Call: 1})
 	r.Handle(Listed{Call: 1, List: protocol.List{Revision: 43}})
 	r.Handle(CallFailed{Call: 1, Err: errors.New("reset")})
-	turn(6000, 6000+WatchPause)
-	turn(6000+WatchPause/2, 6000+WatchPause)
-	turn(6000+WatchPause, 0)
+	turn(6000, 6000+WatchBackoff)
+	turn(6000+WatchBackoff/2, 6000+WatchBackoff)
+	turn(6000+WatchBackoff, 0)
 	if want := (book{"watch 1 from 41", "watch 2 from 43"}); !reflect.DeepEqual(*calls, want) {
 		t.Errorf("calls %v, want %v", *calls, want)
 	}
--- a/internal/planner/settings/settings.go
+++ b/internal/planner/settings/settings.go
@@ -13,13 +13,13 @@
 
 // Settings are the module's settings and what only a host on sockets needs.
 type Settings struct {
-	Rules       rules.Settings
-	ZoneNames   []string
-	KindNames   []string
-	LoadFields  []string      // names of a load report's values, in the order the module gets them
-	LoadReports bool          // servers attach a load report to the answer of a probe
-	ConnectMost time.Duration // a connection that takes longer has failed
-	Granularity float64       // of the clock that the module sees, in milliseconds; 0: as fine as it gets
+	Rules          rules.Settings
+	ZoneNames      []string
+	KindNames      []string
+	LoadFields     []string      // names of a load report's values, in the order the module gets them
+	LoadReports    bool          // servers attach a load report to the answer of a probe
+	MaxConnectTime time.Duration // a connection that takes longer has failed
+	Granularity    float64       // of the clock that the module sees, in milliseconds; 0: as fine as it gets
 }
 
 // Rates says whether levels are requests a second rather than shares.
@@ -34,8 +34,8 @@
 	return longest
 }
 
-// connectMost is taken where the settings don't say how long a connection may take to come up.
-const connectMost = time.Second
+// defaultMaxConnectTime is taken where the settings don't say how long a connection may take to come up.
+const defaultMaxConnectTime = time.Second
 
 type document struct {
 	Classes []struct {
@@ -111,11 +111,11 @@
 	x, r := j.Extra, j.Rules
 	s := rules.Settings{
 		Instances: j.Instances, Zone: j.MyZone, Zones: len(j.Localities), Proxies: x.ProxyCount,
-		AskDiscovery: j.Discovery == "on_request", Probes: j.Permissions.Probes, Slices: x.Ranges,
+		QueryDiscovery: j.Discovery == "on_request", Probes: j.Permissions.Probes, Slices: x.Ranges,
 		TryAims: x.TryAims, ReportPeriod: x.Interval, QueueLines: x.PendingMax, LinesPerSec: x.EgressPerS,
-		HeadLines: x.PerMessage, MessagesMost: x.ReloadsMax, MessagesOver: x.CountedOver,
-		DrainGrace: r.Grace, Bare: x.Bare, ColdFor: r.Cold, StartCapacity: r.StartCap, FallMultiple: r.FallMultiple,
-		FallAfter: r.TipAfter, ConnsLeast: x.ConnsLeast, LocalFirst: x.LocalFirst, DrainOnly: r.DrainOnly,
+		HeadLines: x.PerMessage, MaxMessages: x.ReloadsMax, MessagesOver: x.CountedOver,
+		DrainGrace: r.Grace, Bare: x.Bare, WarmupTime: r.Cold, StartCapacity: r.StartCap, FallMultiple: r.FallMultiple,
+		FallAfter: r.TipAfter, MinConns: x.ConnsLeast, LocalFirst: x.LocalFirst, DrainOnly: r.DrainOnly,
 	}
 	if x.RetryDefault < 0 || x.RetryDefault > int(rules.RetryTwice) {
 		return Settings{}, fmt.Errorf("settings: extra.retry-default %d is not a retry method", x.RetryDefault)
@@ -132,8 +132,8 @@
 		return Settings{}, fmt.Errorf("settings: extra.level-kind %q is unknown", x.LevelKind)
 	}
 	for i, c := range j.Classes {
-		class := rules.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth,
-			LateWorth: c.LateWorth, Window: c.Window, OwnZone: i < len(x.StaysLocal) && x.StaysLocal[i]}
+		class := rules.Class{Name: c.Name, LatencyTarget: c.Aim, Deadline: c.Deadline, Value: c.Worth,
+			LateValue: c.LateWorth, Window: c.Window, OwnZone: i < len(x.StaysLocal) && x.StaysLocal[i]}
 		if !(c.Aim > 0) || !(c.Deadline > 0) {
 			return Settings{}, fmt.Errorf("settings: class %q lacks its aim or its deadline", c.Name)
 		}
@@ -161,9 +161,9 @@
 	}
 	connect := time.Duration(j.Permissions.DialTimeout * float64(time.Millisecond))
 	if connect <= 0 {
-		connect = connectMost
+		connect = defaultMaxConnectTime
 	}
 	return Settings{Rules: s, ZoneNames: j.Localities, KindNames: j.Kinds, LoadFields: j.Report.Fields,
-		LoadReports: j.Report.Via == "pull" || j.Report.Via == "piggyback",
-		ConnectMost: connect, Granularity: max(0, j.Granularity)}, nil
+		LoadReports:    j.Report.Via == "pull" || j.Report.Via == "piggyback",
+		MaxConnectTime: connect, Granularity: max(0, j.Granularity)}, nil
 }
--- a/internal/planner/settings/settings_test.go
+++ b/internal/planner/settings/settings_test.go
@@ -19,15 +19,15 @@
 		t.Fatal(err)
 	}
 	want := rules.Settings{
-		Instances: 2, Zone: 1, Zones: 2, Proxies: 6, AskDiscovery: true, Probes: true, Admission: rules.AdmitShare,
+		Instances: 2, Zone: 1, Zones: 2, Proxies: 6, QueryDiscovery: true, Probes: true, Admission: rules.AdmitShare,
 		RetryDefault: rules.RetryProof, TryAims: 0.8, ReportPeriod: 2000, QueueLines: 3600, LinesPerSec: 2400,
-		HeadLines: 3, MessagesMost: 20, MessagesOver: 10000, DrainGrace: 2600, Bare: 2700, ColdFor: 18000, StartCapacity: 0.17,
-		FallMultiple: 2.5, FallAfter: 3000, ConnsLeast: 252, LocalFirst: true, DrainOnly: true,
+		HeadLines: 3, MaxMessages: 20, MessagesOver: 10000, DrainGrace: 2600, Bare: 2700, WarmupTime: 18000, StartCapacity: 0.17,
+		FallMultiple: 2.5, FallAfter: 3000, MinConns: 252, LocalFirst: true, DrainOnly: true,
 		Classes: []rules.Class{
-			{Name: "a", Aim: 1500, Deadline: 4000, Worth: 1, LateWorth: 0.2, Effect: rules.Safe, Window: 5000},
-			{Name: "b", Aim: 600, Deadline: 2000, Worth: 5, LateWorth: 0.1, Effect: rules.Keyed, Scope: rules.ScopeCell,
+			{Name: "a", LatencyTarget: 1500, Deadline: 4000, Value: 1, LateValue: 0.2, Effect: rules.Safe, Window: 5000},
+			{Name: "b", LatencyTarget: 600, Deadline: 2000, Value: 5, LateValue: 0.1, Effect: rules.Keyed, Scope: rules.ScopeCell,
 				Window: 1200, OwnZone: true},
-			{Name: "c", Aim: 500, Deadline: 1500, Worth: 2, Effect: rules.Unsafe, Scope: rules.ScopeZone},
+			{Name: "c", LatencyTarget: 500, Deadline: 1500, Value: 2, Effect: rules.Unsafe, Scope: rules.ScopeZone},
 		},
 	}
 	if !reflect.DeepEqual(got.Rules, want) {
@@ -35,7 +35,7 @@
 	}
 	got.Rules = rules.Settings{}
 	host := Settings{ZoneNames: []string{"n", "s"}, KindNames: []string{"big", "small"},
-		LoadFields: []string{"load_share", "concurrent"}, LoadReports: true, ConnectMost: 250 * time.Millisecond, Granularity: 4}
+		LoadFields: []string{"load_share", "concurrent"}, LoadReports: true, MaxConnectTime: 250 * time.Millisecond, Granularity: 4}
 	if !reflect.DeepEqual(got, host) {
 		t.Fatalf("the host's part %+v, want %+v", got, host)
 	}
--- a/internal/planner/simhost/simhost.go
+++ b/internal/planner/simhost/simhost.go
@@ -42,7 +42,7 @@
 		if err != nil {
 			return fmt.Errorf("decode: %w", err)
 		}
-		frame, err := h.Answer(batch)
+		frame, err := h.Respond(batch)
 		if err != nil {
 			return fmt.Errorf("answer: %w", err)
 		}
@@ -55,8 +55,8 @@
 	}
 }
 
-// Answer steps every instance that the batch names, in the order in which they first appear.
-func (h *Host) Answer(b wire.Batch) ([]byte, error) {
+// Respond steps every instance that the batch names, in the order in which they first appear.
+func (h *Host) Respond(b wire.Batch) ([]byte, error) {
 	var reply wire.Reply
 	var order []uint16
 	events := map[uint16][]rules.Event{}
--- a/internal/planner/simhost/simhost_test.go
+++ b/internal/planner/simhost/simhost_test.go
@@ -43,7 +43,7 @@
 
 func answer(t *testing.T, h *Host, records ...wire.Record) []byte {
 	t.Helper()
-	frame, err := h.Answer(wire.Batch{Records: records})
+	frame, err := h.Respond(wire.Batch{Records: records})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/planner/standin/grpc.go
+++ b/internal/planner/standin/grpc.go
@@ -68,7 +68,8 @@
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &GRPCProxy{Number: number, board: newBoard(), client: client, ctx: ctx, cancel: cancel, node: ProxyNode(number, zone, rate), classes: classes,
+	p := &GRPCProxy{Number: number, board: newBoard(), client: client, ctx: ctx, cancel: cancel,
+		node: ProxyNode(number, zone, rate), classes: classes,
 		heed: heed, done: make(chan struct{})}
 	if p.stream, err = discovery.NewAggregatedDiscoveryServiceClient(client).StreamAggregatedResources(ctx); err == nil {
 		err = p.stream.Send(&discovery.DiscoveryRequest{Node: p.node, TypeUrl: xds.TypeEndpoints, ResourceNames: classes})
@@ -124,7 +125,8 @@
 		p.mu.Lock()
 		refuse := p.refuse
 		p.mu.Unlock()
-		answer := &discovery.DiscoveryRequest{TypeUrl: r.GetTypeUrl(), ResourceNames: p.classes, VersionInfo: r.GetVersionInfo(), ResponseNonce: r.GetNonce()}
+		answer := &discovery.DiscoveryRequest{TypeUrl: r.GetTypeUrl(), ResourceNames: p.classes,
+			VersionInfo: r.GetVersionInfo(), ResponseNonce: r.GetNonce()}
 		if refuse == "" {
 			p.alter(func(s *State) { err = Apply(s, r) })
 		}
@@ -255,8 +257,9 @@
 	answered := uint64(max(0, tries-failed))
 	return &endpoint.UpstreamEndpointStats{Metadata: &structpb.Struct{Fields: map[string]*structpb.Value{"id": structpb.NewStringValue(server)}},
 		TotalIssuedRequests: uint64(tries), TotalErrorRequests: uint64(failed), TotalSuccessfulRequests: answered,
-		LoadMetricStats: []*endpoint.EndpointLoadMetricStats{{MetricName: xds.LatencyMetric, NumRequestsFinishedWithMetric: answered,
-			TotalMetricValue: mean * float64(answered)}}}
+		LoadMetricStats: []*endpoint.EndpointLoadMetricStats{{MetricName: xds.LatencyMetric,
+			NumRequestsFinishedWithMetric: answered,
+			TotalMetricValue:              mean * float64(answered)}}}
 }
 
 // Close ends the connection.
--- a/internal/planner/standin/peers.go
+++ b/internal/planner/standin/peers.go
@@ -19,9 +19,9 @@
 	done  chan struct{}
 }
 
-// marksMost may wait to be answered while the planner doesn't read. Answering them apart from reading keeps a proxy whose
+// maxMarks may wait to be answered while the planner doesn't read. Answering them apart from reading keeps a proxy whose
 // own reports stand still from reading its orders late.
-const marksMost = 1024
+const maxMarks = 1024
 
 // writeBuffer bounds what the system keeps for a planner that doesn't read: thousands of proxies that flood one would
 // bring the machine's memory for sockets to its limit, where it drops what others are sent.
@@ -89,8 +89,10 @@
 	if tcp, ok := nc.(*net.TCPConn); ok {
 		tcp.SetWriteBuffer(writeBuffer)
 	}
-	p := &Proxy{Number: number, nc: nc, board: newBoard(), heed: take, done: make(chan struct{}), marks: make(chan uint32, marksMost)}
-	if err := p.Say(fmt.Sprintf(`{"t":"attach","proxy":%d,"zone":%q,"weight":%g,"fresh":true}`, number, zone, weight)); err != nil {
+	p := &Proxy{Number: number, nc: nc, board: newBoard(), heed: take, done: make(chan struct{}),
+		marks: make(chan uint32, maxMarks)}
+	if err := p.Say(fmt.Sprintf(`{"t":"attach","proxy":%d,"zone":%q,"weight":%g,"fresh":true}`, number, zone,
+		weight)); err != nil {
 		nc.Close()
 		return nil, err
 	}
--- a/internal/planner/standin/versioned.go
+++ b/internal/planner/standin/versioned.go
@@ -35,9 +35,11 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Versioned{Number: number, nc: nc, board: newBoard(), receiver: tables.NewReceiver(uint32(number), key), spoil: spoil, begun: time.Now(),
+	p := &Versioned{Number: number, nc: nc, board: newBoard(), receiver: tables.NewReceiver(uint32(number), key),
+		spoil: spoil, begun: time.Now(),
 		done: make(chan struct{}), end: make(chan struct{}), Held: held}
-	if err := p.say(fmt.Sprintf(`{"t":"attach","proxy":%d,"zone":%q,"weight":%g,"fresh":true,"versions":true}`, number, zone, weight)); err != nil {
+	if err := p.say(fmt.Sprintf(`{"t":"attach","proxy":%d,"zone":%q,"weight":%g,"fresh":true,"versions":true}`, number, zone,
+		weight)); err != nil {
 		nc.Close()
 		return nil, err
 	}
@@ -105,7 +107,8 @@
 		}
 		if l.Update == nil {
 			p.mu.Lock()
-			p.receiver.Told(p.now(), tables.Version{Origin: p.origin, Proxy: uint32(p.Number), Number: l.At}, tables.Digest(l.Digest))
+			p.receiver.Told(p.now(), tables.Version{Origin: p.origin, Proxy: uint32(p.Number), Number: l.At},
+				tables.Digest(l.Digest))
 			p.mu.Unlock()
 			continue
 		}
--- a/internal/planner/transport/conn.go
+++ b/internal/planner/transport/conn.go
@@ -16,10 +16,10 @@
 
 // Sizes of the buffers of a connection.
 const (
-	startSize    = 1 << 10 // of either buffer
-	strangerSize = 4 << 10 // most that a connection may hold before it has said who it is
-	inSize       = 2 << 20 // most that a known connection may hold: a line of 1 MiB and what follows it
-	outSize      = 2 << 20 // most that may wait for a peer that doesn't read
+	startSize        = 1 << 10 // of either buffer
+	unidentifiedSize = 4 << 10 // most that a connection may hold before it has said who it is
+	inSize           = 2 << 20 // most that a known connection may hold: a line of 1 MiB and what follows it
+	outSize          = 2 << 20 // most that may wait for a peer that doesn't read
 )
 
 var (
@@ -34,15 +34,15 @@
 	Feed(in *ring.Buffer) error
 }
 
-// Standing says how much a connection has shown of itself. It decides who goes first when descriptors run out.
-type Standing int32
+// ConnState says how much a connection has shown of itself. It decides who goes first when descriptors run out.
+type ConnState int32
 
 // The standings, those that go first first.
 const (
-	Silent   Standing = iota // has sent no whole message
-	Stranger                 // has sent some, and has not said who it is
-	Stale                    // was known, and another has come in its place; it may be gone without a sign
-	Known                    // a stream or a collector, which are never shed
+	TimedOut     ConnState = iota // has sent no whole message
+	Unidentified                  // has sent some, and has not said who it is
+	Stale                         // was known, and another has come in its place; it may be gone without a sign
+	Known                         // a stream or a collector, which are never shed
 )
 
 var lastID atomic.Uint64
@@ -71,7 +71,7 @@
 }
 
 func newConn(nc net.Conn, memory *ring.Budget) *Conn {
-	return &Conn{id: NextID(), nc: nc, in: ring.New(startSize, strangerSize, memory),
+	return &Conn{id: NextID(), nc: nc, in: ring.New(startSize, unidentifiedSize, memory),
 		out: ring.New(startSize, outSize, memory), wake: make(chan struct{}, 1)}
 }
 
@@ -89,8 +89,8 @@
 func (c *Conn) Fall() { c.standing.Store(int32(Stale)) }
 
 // Rise notes what the peer has shown of itself. Called by the connection's machine.
-func (c *Conn) Rise(s Standing) {
-	if Standing(c.standing.Load()) < s {
+func (c *Conn) Rise(s ConnState) {
+	if ConnState(c.standing.Load()) < s {
 		c.standing.Store(int32(s))
 	}
 	if s == Known {
@@ -99,7 +99,7 @@
 }
 
 // Joined says whether the peer has shown who it is, now or before another came in its place.
-func (c *Conn) Joined() bool { return Standing(c.standing.Load()) >= Stale }
+func (c *Conn) Joined() bool { return ConnState(c.standing.Load()) >= Stale }
 
 // Send queues bytes for the peer. It never waits: a peer that leaves too much unread loses this connection.
 func (c *Conn) Send(p []byte) error {
--- a/internal/planner/transport/conn_test.go
+++ b/internal/planner/transport/conn_test.go
@@ -30,7 +30,7 @@
 		case "stale":
 			e.c.Fall()
 		case "word":
-			e.c.Rise(Stranger)
+			e.c.Rise(Unidentified)
 		case "owe":
 			e.c.Owe(true)
 		case "paid":
@@ -145,7 +145,7 @@
 	witness := dial(t, address)
 	witness.says("hello")
 	for line, want := range map[string]string{"panic": "told to", "end": "told to end",
-		strings.Repeat("x", strangerSize+1): "too long"} {
+		strings.Repeat("x", unidentifiedSize+1): "too long"} {
 		g := dial(t, address)
 		io.WriteString(g.nc, line+"\n")
 		if !g.closed() {
@@ -156,7 +156,7 @@
 		}
 	}
 	witness.says("still here")
-	witness.says(strings.Repeat("y", 10*strangerSize)) // one that is known may say more
+	witness.says(strings.Repeat("y", 10*unidentifiedSize)) // one that is known may say more
 }
 
 // drained is a listener to which the system refuses descriptors now and then.
@@ -236,7 +236,7 @@
 		if !silent[i].closed() {
 			t.Fatalf("stranger %d stays", i)
 		}
-		if err := h.end(); !errors.Is(err, ErrShed) {
+		if err := h.end(); !errors.Is(err, ErrLoadShed) {
 			t.Fatalf("stranger %d ended by %v", i, err)
 		}
 	}
--- a/internal/planner/transport/dial.go
+++ b/internal/planner/transport/dial.go
@@ -40,8 +40,8 @@
 // Unwrap returns the cause, for errors.Is and errors.As.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// Answer is a machine that reads one answer.
-type Answer interface {
+// Response is a machine that reads one answer.
+type Response interface {
 	Machine
 	Done() bool   // the answer is complete
 	Close() error // the peer has ended the connection: was the answer complete?
@@ -58,7 +58,7 @@
 }
 
 // Do makes the call and feeds the answer to m until it is complete. A panic of the machine ends this call alone.
-func (call Call) Do(ctx context.Context, m Answer) (err error) {
+func (call Call) Do(ctx context.Context, m Response) (err error) {
 	failed := &CallError{Address: call.Address, Stage: Connecting}
 	defer func() {
 		if p := recover(); p != nil {
@@ -122,11 +122,11 @@
 	nc.SetReadDeadline(end)
 	n, err := nc.Read(p)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-		nc.SetReadDeadline(time.Now().Add(lastLook))
+		nc.SetReadDeadline(time.Now().Add(lastPoll))
 		n, err = nc.Read(p)
 	}
 	return n, err
 }
 
-// lastLook is how long bytes that have already come may take to be read.
-const lastLook = 5 * time.Millisecond
+// lastPoll is how long bytes that have already come may take to be read.
+const lastPoll = 5 * time.Millisecond
--- a/internal/planner/transport/listener.go
+++ b/internal/planner/transport/listener.go
@@ -11,11 +11,11 @@
 	"mulleinwood/internal/planner/transport/ring"
 )
 
-// pause is how long accepting rests after the system refused a descriptor and nothing could be shed.
-const pause = 10 * time.Millisecond
+// acceptBackoff is how long accepting rests after the system refused a descriptor and nothing could be shed.
+const acceptBackoff = 10 * time.Millisecond
 
-// ErrShed ends a connection that had to make room for another.
-var ErrShed = errors.New("shed to make room")
+// ErrLoadShed ends a connection that had to make room for another.
+var ErrLoadShed = errors.New("shed to make room")
 
 // Handler makes the machine of an accepted connection, and hears of its end. It hears too of connections that were
 // refused since all others are known.
@@ -26,7 +26,7 @@
 }
 
 // Buffers returns a budget for what connections hold beyond the little that each may hold in any case.
-func Buffers(most int64) *ring.Budget { return ring.NewBudget(most, strangerSize) }
+func Buffers(most int64) *ring.Budget { return ring.NewBudget(most, unidentifiedSize) }
 
 // Listener accepts connections, no more than Most at a time. All their buffers together stay within Memory. A
 // connection that is not known within Join of its accepting is closed; 0: it may stay.
@@ -86,7 +86,7 @@
 		}
 		if err != nil { // mostly: out of descriptors
 			if !l.shed() {
-				time.Sleep(pause)
+				time.Sleep(acceptBackoff)
 			}
 			continue
 		}
@@ -119,7 +119,7 @@
 	defer l.mu.Unlock()
 	var first *Conn
 	for _, c := range l.conns {
-		if Standing(c.standing.Load()) == Known {
+		if ConnState(c.standing.Load()) == Known {
 			continue
 		}
 		if first == nil || c.standing.Load() < first.standing.Load() ||
@@ -131,7 +131,7 @@
 		return false
 	}
 	delete(l.conns, first.id)
-	first.Close(ErrShed)
+	first.Close(ErrLoadShed)
 	return true
 }
 
--- a/internal/planner/wire/wire.go
+++ b/internal/planner/wire/wire.go
@@ -17,7 +17,7 @@
 	actionSize  = 16
 	rowSize     = 22
 	batchHeader = 16 // length, clock, count
-	frameMost   = 1 << 30
+	maxFrame    = 1 << 30
 	statusOK    = 100
 	statusFull  = 302
 )
@@ -89,8 +89,8 @@
 		return nil, fmt.Errorf("frame header: %d of %d bytes: %w", n, batchHeader, err)
 	}
 	after := binary.LittleEndian.Uint32(head)
-	if after > frameMost {
-		return nil, fmt.Errorf("frame length %d is over the limit of %d", after, frameMost)
+	if after > maxFrame {
+		return nil, fmt.Errorf("frame length %d is over the limit of %d", after, maxFrame)
 	}
 	size := int(after) + batchHeader
 	// The buffer grows with what really arrives; the stated length alone allocates nothing.
@@ -244,7 +244,7 @@
 			StartedAt: row.f64(8), Cell: row.u16(16)}
 		switch state := row.u8(7); state {
 		case 0:
-			s.State = rules.Gone
+			s.State = rules.Removed
 		case 1:
 			s.State = rules.Ready
 		case 2:
--- a/internal/planner/wire/wire_test.go
+++ b/internal/planner/wire/wire_test.go
@@ -207,7 +207,7 @@
 	list := rules.List{Kind: rules.ListChanges, Servers: []rules.Server{
 		{ID: 0x03124a07, Weight: 1, State: rules.Ready},
 		{ID: 0x2c9011f2, Weight: 1.5, Kind: 2, Zone: 1, State: rules.Draining, StartedAt: 5332, Cell: 9},
-		{ID: 7, State: rules.Gone}}}
+		{ID: 7, State: rules.Removed}}}
 	want := []Record{
 		{Instance: 3, Born: &Born{Seed: 99, Settings: set.Rules}},
 		{Instance: 3, Event: list},
--- a/internal/planner/xds/ads.go
+++ b/internal/planner/xds/ads.go
@@ -18,10 +18,10 @@
 const TypeEndpoints = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 
 const (
-	marksKept = 64 // messages sent and not answered that are remembered; older answers are void
+	maxPendingMarks = 64 // messages sent and not answered that are remembered; older answers are void
 
 	refusedFirst = 1000.0 // milliseconds from a refusal to the whole table that answers it; doubled with each
-	refusedMost  = 60000.0
+	maxRefused   = 60000.0
 )
 
 // Assignments is the machine of one stream that takes assignments, of either form.
@@ -72,7 +72,8 @@
 }
 
 // DeltaRequest takes an incremental message.
-func (a *Assignments) DeltaRequest(now float64, r *discovery.DeltaDiscoveryRequest) (said []protocol.Message, voids []Void, err error) {
+func (a *Assignments) DeltaRequest(now float64, r *discovery.DeltaDiscoveryRequest) (said []protocol.Message, voids []Void,
+	err error) {
 	if err := a.begin(r.GetNode(), r.GetTypeUrl()); err != nil {
 		return nil, nil, err
 	}
@@ -131,7 +132,7 @@
 	if detail != nil {
 		wait := refusedFirst
 		for range a.refusals {
-			wait = min(refusedMost, 2*wait)
+			wait = min(maxRefused, 2*wait)
 		}
 		a.refusals++
 		a.due = max(a.due, now+wait)
@@ -203,7 +204,7 @@
 		a.unmarked++
 		m.nonce = "u" + strconv.Itoa(a.unmarked)
 	}
-	if a.sent = append(a.sent, m); len(a.sent) > marksKept {
+	if a.sent = append(a.sent, m); len(a.sent) > maxPendingMarks {
 		a.sent = a.sent[1:]
 	}
 	if a.incremental {
--- a/internal/planner/xds/load.go
+++ b/internal/planner/xds/load.go
@@ -33,7 +33,8 @@
 
 // Request takes a message. The first is answered by how often to report. A proxy reports by class what came to it, a
 // collector by endpoint what its zone's proxies met there.
-func (l *Loads) Request(r *load.LoadStatsRequest) (said []protocol.Message, voids []Void, answer *load.LoadStatsResponse, err error) {
+func (l *Loads) Request(r *load.LoadStatsRequest) (said []protocol.Message, voids []Void, answer *load.LoadStatsResponse,
+	err error) {
 	if !l.known {
 		if l.who, err = Identify(r.GetNode(), l.facts); err != nil {
 			return nil, nil, nil, err
@@ -92,8 +93,9 @@
 
 // met is what a zone's proxies met at a server.
 func (l *Loads) met(e *endpoint.UpstreamEndpointStats, span float64) (protocol.ServerReport, error) {
-	m := protocol.ServerReport{Zone: l.who.Zone, Server: e.GetMetadata().GetFields()[idKey].GetStringValue(), Address: hostPort(e.GetAddress()),
-		Tries: float64(e.GetTotalIssuedRequests()), Failed: float64(e.GetTotalErrorRequests()), Span: span}
+	m := protocol.ServerReport{Zone: l.who.Zone, Server: e.GetMetadata().GetFields()[idKey].GetStringValue(),
+		Address: hostPort(e.GetAddress()),
+		Tries:   float64(e.GetTotalIssuedRequests()), Failed: float64(e.GetTotalErrorRequests()), Span: span}
 	if m.Server == "" && m.Address == "" {
 		return m, errNoEndpoint
 	}
--- a/internal/planner/xds/mixed_test.go
+++ b/internal/planner/xds/mixed_test.go
@@ -154,9 +154,9 @@
 func (noCalls) Probe(rules.ServerID, string, bool) {}
 
 var mixedSettings = settings.Settings{ZoneNames: []string{"n", "s"}, KindNames: []string{"m"}, Rules: rules.Settings{Instances: 1, Zones: 2, Proxies: 10,
-	ReportPeriod: 1000, QueueLines: 3600, LinesPerSec: 2400, HeadLines: 3, DrainGrace: 2000, Bare: 2500, ColdFor: 10000, StartCapacity: 0.2,
-	FallMultiple: 2.5, FallAfter: 3000, Classes: []rules.Class{{Name: "view", Aim: 1000, Deadline: 4000, Worth: 1},
-		{Name: "pay", Aim: 500, Deadline: 1500, Worth: 2, Effect: rules.Unsafe}}}}
+	ReportPeriod: 1000, QueueLines: 3600, LinesPerSec: 2400, HeadLines: 3, DrainGrace: 2000, Bare: 2500, WarmupTime: 10000, StartCapacity: 0.2,
+	FallMultiple: 2.5, FallAfter: 3000, Classes: []rules.Class{{Name: "view", LatencyTarget: 1000, Deadline: 4000, Value: 1},
+		{Name: "pay", LatencyTarget: 500, Deadline: 1500, Value: 2, Effect: rules.Unsafe}}}}
 
 // play plays one scripted day. Choose says what a stream speaks that begins; nothing else differs between two plays.
 func play(t *testing.T, seed uint64, choose func(stream int) speech) (log []string, proxies []*party) {
@@ -177,7 +177,7 @@
 	streams, id := 0, uint64(0)
 	say := func(p *party, said []protocol.Message) {
 		for _, m := range said {
-			router.Handle(routing.Said{Peer: p, Message: m})
+			router.Handle(routing.Reported{Peer: p, Message: m})
 		}
 	}
 	line := func(p *party, text string) {
@@ -300,9 +300,9 @@
 		}
 		switch i := look / 40 % servers; look % 40 {
 		case 10:
-			router.Handle(routing.Told{List: protocol.List{Revision: int64(look), Members: []protocol.Member{entry(i, protocol.PhaseDraining, 0)}}})
+			router.Handle(routing.Notified{List: protocol.List{Revision: int64(look), Members: []protocol.Member{entry(i, protocol.PhaseDraining, 0)}}})
 		case 30:
-			router.Handle(routing.Told{List: protocol.List{Revision: int64(look), Members: []protocol.Member{entry(i, protocol.PhaseUp, now)}}})
+			router.Handle(routing.Notified{List: protocol.List{Revision: int64(look), Members: []protocol.Member{entry(i, protocol.PhaseUp, now)}}})
 		}
 		if _, _, err := router.Turn(now); err != nil {
 			t.Fatal(err)
--- a/internal/planner/xds/node.go
+++ b/internal/planner/xds/node.go
@@ -94,7 +94,7 @@
 		who = Identity{Proxy: proxy, Zone: n.GetLocality().GetZone(), Fresh: true}
 		fields := n.GetMetadata().GetFields()
 		if rate, stated := fields[rateKey]; stated {
-			if who.Weight = rate.GetNumberValue(); !(who.Weight >= 0 && who.Weight <= protocol.RateMost) {
+			if who.Weight = rate.GetNumberValue(); !(who.Weight >= 0 && who.Weight <= protocol.MaxRate) {
 				return Identity{}, fmt.Errorf("%w: %s is %v", ErrNode, rateKey, who.Weight)
 			}
 		}
--- a/internal/planner/xds/table.go
+++ b/internal/planner/xds/table.go
@@ -24,7 +24,7 @@
 	// MetadataName is the namespace of what the published messages have no field for.
 	MetadataName = "mulleinwood"
 	idKey        = "id"
-	againKey     = "again"
+	resendKey    = "again"
 	levelKey     = "requests_per_second"
 	dropCategory = "mulleinwood"
 	perMillion   = 1_000_000
@@ -94,7 +94,8 @@
 		r := t.rows[name]
 		group := groups[r.Zone]
 		if group == nil {
-			group = &endpoint.LocalityLbEndpoints{Locality: &core.Locality{Zone: r.Zone}, LoadBalancingWeight: &wrapperspb.UInt32Value{}}
+			group = &endpoint.LocalityLbEndpoints{Locality: &core.Locality{Zone: r.Zone},
+				LoadBalancingWeight: &wrapperspb.UInt32Value{}}
 			if gated {
 				group.Metadata = gateMetadata(gate, rates)
 			}
@@ -107,7 +108,8 @@
 			health = core.HealthStatus_DRAINING
 		}
 		group.LbEndpoints = append(group.LbEndpoints, &endpoint.LbEndpoint{
-			HostIdentifier:      &endpoint.LbEndpoint_Endpoint{Endpoint: &endpoint.Endpoint{Address: address(r.Address), Hostname: name}},
+			HostIdentifier: &endpoint.LbEndpoint_Endpoint{Endpoint: &endpoint.Endpoint{Address: address(r.Address),
+				Hostname: name}},
 			HealthStatus:        health,
 			LoadBalancingWeight: wrapperspb.UInt32(weight),
 			Metadata:            metadata(map[string]*structpb.Value{idKey: structpb.NewStringValue(name)}),
@@ -131,7 +133,7 @@
 
 // gateMetadata carries the manner of trying again, and a level that is a rate: the published message has no field for them.
 func gateMetadata(g protocol.Gate, rates bool) *core.Metadata {
-	fields := map[string]*structpb.Value{againKey: structpb.NewNumberValue(float64(g.Again))}
+	fields := map[string]*structpb.Value{resendKey: structpb.NewNumberValue(float64(g.Again))}
 	if rates {
 		fields[levelKey] = structpb.NewNumberValue(g.Level)
 	}
@@ -158,7 +160,8 @@
 	for _, group := range a.GetEndpoints() {
 		for _, e := range group.GetLbEndpoints() {
 			socket := e.GetEndpoint().GetAddress().GetSocketAddress()
-			row := protocol.Row{Server: e.GetEndpoint().GetHostname(), Weight: float64(e.GetLoadBalancingWeight().GetValue()), Zone: group.GetLocality().GetZone()}
+			row := protocol.Row{Server: e.GetEndpoint().GetHostname(), Weight: float64(e.GetLoadBalancingWeight().GetValue()),
+				Zone: group.GetLocality().GetZone()}
 			if socket != nil {
 				row.Address = net.JoinHostPort(socket.GetAddress(), strconv.Itoa(int(socket.GetPortValue())))
 			}
@@ -166,8 +169,8 @@
 				shut = append(shut, row.Server)
 			}
 		}
-		if fields := group.GetMetadata().GetFilterMetadata()[MetadataName].GetFields(); fields[againKey] != nil {
-			gate = &protocol.Gate{Classes: []string{a.GetClusterName()}, Level: 1, Again: int(fields[againKey].GetNumberValue())}
+		if fields := group.GetMetadata().GetFilterMetadata()[MetadataName].GetFields(); fields[resendKey] != nil {
+			gate = &protocol.Gate{Classes: []string{a.GetClusterName()}, Level: 1, Again: int(fields[resendKey].GetNumberValue())}
 			if rates {
 				gate.Level = fields[levelKey].GetNumberValue()
 			}
--- a/rules/admission.go
+++ b/rules/admission.go
@@ -9,7 +9,7 @@
 )
 
 // poorer orders classes by their worth for their work. The aim is all that is known of a class's work.
-func poorer(a, b Class) int { return cmp.Compare(a.Worth/a.Aim, b.Worth/b.Aim) }
+func poorer(a, b Class) int { return cmp.Compare(a.Value/a.LatencyTarget, b.Value/b.LatencyTarget) }
 
 // admission sheds work when answers come too late for their aims. What may come in is held against what the
 // fleet lately answered, not against the last level: reports are seconds old, and a level that builds on its
@@ -19,10 +19,10 @@
 	levels := c.wantedLevels()
 	for k, class := range c.set.Classes {
 		d := c.demands[k]
-		aims += class.Worth * (d + 1e-3) / class.Aim
-		worth += class.Worth * (d + 1e-3)
-		offered += d * class.Aim
-		admitted += d * class.Aim * levels[k]
+		aims += class.Value * (d + 1e-3) / class.LatencyTarget
+		worth += class.Value * (d + 1e-3)
+		offered += d * class.LatencyTarget
+		admitted += d * class.LatencyTarget * levels[k]
 		requests += d * levels[k]
 	}
 	if c.fleet.tries < 1 || requests < 1e-9 {
@@ -34,7 +34,7 @@
 		c.idle = append(c.idle, latency/work)[max(0, len(c.idle)+1-idleLooks):]
 		c.base = min(c.base, slices.Max(c.idle))
 	}
-	idle := min(c.base*work, aimShare*aim)
+	idle := min(c.base*work, latencyTargetShare*aim)
 	c.pressure = c.fleet.failed/c.fleet.tries + latency/(baseShare*idle+waitShare*aim)
 	// Work answered a second, in units of the aims, which are all that is known of a class's work.
 	decay := math.Exp(-span / fleetTime)
@@ -42,12 +42,12 @@
 	answered := c.fleet.answered * (1 - decay) / c.filled * 1000 / span * work
 	c.able = max(answered/max(1e-9, c.listed), c.able*math.Pow(ableDecay, span/1000))
 	able := c.able * c.listed
-	c.limit = max(c.limit*math.Pow(limitGrow, span/1000), able*roomLeast)
-	if c.pressure > shedFrom && c.filled > filledEnough { // a first report may tell of a part of the proxies
-		c.limit = min(c.limit, able*max(roomLeast, 1+roomSlope*(1-c.pressure)))
+	c.limit = max(c.limit*math.Pow(limitGrow, span/1000), able*minCapacity)
+	if c.pressure > sheddingFrom && c.filled > filledEnough { // a first report may be of a part
+		c.limit = min(c.limit, able*max(minCapacity, 1+capacitySlope*(1-c.pressure)))
 	}
 	before := c.shed
-	c.shed = max(0, min(shedMost, 1-c.limit/offered))
+	c.shed = max(0, min(maxShedding, 1-c.limit/offered))
 	if (before == 0) != (c.shed == 0) {
 		c.log("shedding now %.2f of the work, pressure %.2f", c.shed, c.pressure)
 	}
@@ -61,11 +61,11 @@
 func (c *Controller) wantedLevels() []float64 {
 	total := 0.0
 	for k, d := range c.demands {
-		total += d * c.set.Classes[k].Aim
+		total += d * c.set.Classes[k].LatencyTarget
 	}
 	levels, cut := slices.Repeat([]float64{1}, len(c.demands)), max(c.shed, 1-c.fit)*total
 	for _, k := range c.order {
-		if work := c.demands[k] * c.set.Classes[k].Aim; work > 0 && cut > 0 {
+		if work := c.demands[k] * c.set.Classes[k].LatencyTarget; work > 0 && cut > 0 {
 			levels[k] = 1 - min(cut, work)/work
 			cut -= min(cut, work)
 		}
@@ -83,5 +83,5 @@
 		return unlimited
 	}
 	rate := level * c.demands[k] * p.usual / c.usual
-	return rate + rateRoom*math.Sqrt(rate)
+	return rate + rateHeadroom*math.Sqrt(rate)
 }
--- a/rules/api.go
+++ b/rules/api.go
@@ -36,15 +36,15 @@
 
 // Class is one kind of request.
 type Class struct {
-	Name      string
-	Aim       float64 // full worth when answered within this time
-	Deadline  float64 // the client waits this long over all tries
-	Worth     float64
-	LateWorth float64 // share of the worth earned between aim and deadline
-	Effect    Effect
-	Scope     Scope
-	Window    float64
-	OwnZone   bool // may go only to servers of the proxy's zone
+	Name          string
+	LatencyTarget float64 // full worth when answered within this time
+	Deadline      float64 // the client waits this long over all tries
+	Value         float64
+	LateValue     float64 // share of the worth earned between aim and deadline
+	Effect        Effect
+	Scope         Scope
+	Window        float64
+	OwnZone       bool // may go only to servers of the proxy's zone
 }
 
 // AdmitKind says how a proxy reads an admission level.
@@ -70,32 +70,32 @@
 
 // Settings are the facts a controller is given when it starts.
 type Settings struct {
-	Instances     int // controllers, this one included
-	Zone          int // this controller's zone
-	Zones         int
-	Proxies       int // over all instances
-	Classes       []Class
-	AskDiscovery  bool // the server list comes only when asked for
-	Probes        bool
-	Slices        int // above 0: tables are slices of a key space, given into charge
-	Admission     AdmitKind
-	RetryDefault  Retry
-	TryAims       float64 // a try that may be followed waits this many aims
-	ReportPeriod  float64
-	QueueLines    float64 // most lines that may wait in the channel
-	LinesPerSec   float64 // usual pace of the channel
-	HeadLines     float64 // lines that each message costs beyond its own
-	MessagesMost  int     // most messages to one proxy within MessagesOver; 0: no limit
-	MessagesOver  float64
-	DrainGrace    float64
-	ConnsLeast    float64 // connections that the smallest servers accept; 0: not known
-	LocalFirst    bool    // a proxy joins a controller of its own zone if there is one
-	DrainOnly     bool    // a server that the list drops may stay in use; only draining binds
-	Bare          float64 // a joined proxy may be without a line for this long
-	ColdFor       float64 // a started server is warm after this time at the latest
-	StartCapacity float64 // share of its capacity that a server starts with at least
-	FallMultiple  float64 // a cold server sent more than this multiple of its capacity
-	FallAfter     float64 // for this long falls over
+	Instances      int // controllers, this one included
+	Zone           int // this controller's zone
+	Zones          int
+	Proxies        int // over all instances
+	Classes        []Class
+	QueryDiscovery bool // the server list comes only when asked for
+	Probes         bool
+	Slices         int // above 0: tables are slices of a key space, given into charge
+	Admission      AdmitKind
+	RetryDefault   Retry
+	TryAims        float64 // a try that may be followed waits this many aims
+	ReportPeriod   float64
+	QueueLines     float64 // most lines that may wait in the channel
+	LinesPerSec    float64 // usual pace of the channel
+	HeadLines      float64 // lines that each message costs beyond its own
+	MaxMessages    int     // most messages to one proxy within MessagesOver; 0: no limit
+	MessagesOver   float64
+	DrainGrace     float64
+	MinConns       float64 // connections that the smallest servers accept; 0: not known
+	LocalFirst     bool    // a proxy joins a controller of its own zone if there is one
+	DrainOnly      bool    // a server that the list drops may stay in use; only draining binds
+	Bare           float64 // a joined proxy may be without a line for this long
+	WarmupTime     float64 // a started server is warm after this time at the latest
+	StartCapacity  float64 // share of its capacity that a server starts with at least
+	FallMultiple   float64 // a cold server sent more than this multiple of its capacity
+	FallAfter      float64 // for this long falls over
 }
 
 // State of a server in the list.
@@ -103,7 +103,7 @@
 
 // The states of a server.
 const (
-	Gone State = iota
+	Removed State = iota
 	Ready
 	Draining
 )
@@ -170,10 +170,10 @@
 	// Part tells a controller that shares a planner with others what of the channel is its own, and what the proxies
 	// joined to the others bring. Without one it has the whole planner.
 	Part struct {
-		Channel float64   // share of the channel's queue and pace
-		Joined  float64   // proxies
-		Usual   []float64 // their requests a second, by zone
-		Demands []float64 // the same lately, by class
+		Channel      float64   // share of the channel's queue and pace
+		Joined       float64   // proxies
+		TypicalRates []float64 // their requests a second, by zone
+		Demands      []float64 // the same lately, by class
 	}
 	// Heard sums up what the joined proxies of one zone met at one server.
 	Heard struct {
--- a/rules/dealing.go
+++ b/rules/dealing.go
@@ -16,11 +16,11 @@
 	}
 	clear(c.demands)
 	c.joined, c.usual = 0, 1e-3
-	c.mine = Part{Usual: make([]float64, len(c.zones))}
+	c.mine = Part{TypicalRates: make([]float64, len(c.zones))}
 	for _, p := range c.proxies {
 		if p.joined {
 			for k, d := range p.demand { // what is not asked for is not reported
-				silent := max(0, c.now-p.told[k]-silentFor*c.set.ReportPeriod)
+				silent := max(0, c.now-p.told[k]-silenceTimeout*c.set.ReportPeriod)
 				c.demands[k] += d * math.Exp(-silent/demandTime)
 			}
 			c.joined++
@@ -35,8 +35,8 @@
 	}
 	for i := range c.zones {
 		z := &c.zones[i]
-		if z.all, c.mine.Usual[i] = z.own, z.own; i < len(c.part.Usual) {
-			z.all, c.usual = z.own+c.part.Usual[i], c.usual+c.part.Usual[i]
+		if z.all, c.mine.TypicalRates[i] = z.own, z.own; i < len(c.part.TypicalRates) {
+			z.all, c.usual = z.own+c.part.TypicalRates[i], c.usual+c.part.TypicalRates[i]
 		}
 	}
 	unseen, hidden, spare := 0.0, 0.0, 1e-9 // traffic of proxies not seen, room of zones without ours
@@ -75,10 +75,10 @@
 func (c *Controller) size(p *proxy) float64 {
 	n := max(1, c.joined, float64(c.set.Proxies))
 	mean := min(tableShare*c.set.QueueLines/n-c.set.HeadLines, max(linesMany, linesUseful*c.usable/n))
-	if c.set.ConnsLeast > 0 {
-		mean = min(mean, connShare*c.set.ConnsLeast*c.usable/n)
+	if c.set.MinConns > 0 {
+		mean = min(mean, connShare*c.set.MinConns*c.usable/n)
 	}
-	return max(linesLeast, mean*(1+3*p.usual*c.joined/c.usual)/4)
+	return max(minLines, mean*(1+3*p.usual*c.joined/c.usual)/4)
 }
 
 // deal gives each proxy its part of the fleet: its own zone first, others only for what spills. It starts
@@ -206,7 +206,7 @@
 }
 
 // moved says whether a line differs from what the proxy was sent by enough to be worth an order.
-func (l line) moved() bool { return math.Abs(l.want-l.sent) > moveLeast*l.sent }
+func (l line) moved() bool { return math.Abs(l.want-l.sent) > minMove*l.sent }
 
 // weigh sets the weights of all lines: a server's share, corrected for how it is held, so that the traffic it
 // gets from all our tables follows its share although each table holds only a part of the fleet.
@@ -225,7 +225,7 @@
 		}
 		for _, s := range c.servers {
 			if s.held > 0 {
-				s.fitted = max(1/fitMost, min(fitMost, s.fitted*math.Sqrt(s.target/s.held)))
+				s.fitted = max(1/maxFit, min(maxFit, s.fitted*math.Sqrt(s.target/s.held)))
 			}
 		}
 	}
--- a/rules/dealing_test.go
+++ b/rules/dealing_test.go
@@ -9,8 +9,8 @@
 // largeSettings are those of a site with many servers and proxies and connections that are scarce.
 func largeSettings(proxies int) Settings {
 	set := settings()
-	set.Zones, set.Proxies, set.ConnsLeast = 3, proxies, 60
-	set.QueueLines, set.LinesPerSec, set.MessagesMost = 20000, 10000, 0
+	set.Zones, set.Proxies, set.MinConns = 3, proxies, 60
+	set.QueueLines, set.LinesPerSec, set.MaxMessages = 20000, 10000, 0
 	return set
 }
 
@@ -83,7 +83,7 @@
 	held := map[ServerID]int{}
 	for p := range f.bound {
 		lines := f.linesOf(p)
-		if float64(len(lines)) > f.c.size(f.c.proxy[p])+3 || len(lines) < linesLeast {
+		if float64(len(lines)) > f.c.size(f.c.proxy[p])+3 || len(lines) < minLines {
 			t.Errorf("proxy %d has %d lines, its size is %v", p, len(lines), f.c.size(f.c.proxy[p]))
 		}
 		for id := range lines {
@@ -94,7 +94,7 @@
 		}
 	}
 	for _, s := range f.c.servers {
-		if n := held[s.ID]; n < 3 || float64(n) > 0.5*f.c.set.ConnsLeast {
+		if n := held[s.ID]; n < 3 || float64(n) > 0.5*f.c.set.MinConns {
 			t.Errorf("server %d is held by %d proxies", s.ID, n)
 		}
 	}
@@ -109,7 +109,7 @@
 // Where servers squeezed their connections, tables of many lines for little traffic found most of them full.
 func TestTablesAreNoLargerThanUseful(t *testing.T) {
 	set := largeSettings(45)
-	set.ConnsLeast = 0 // the connections would not be the limit
+	set.MinConns = 0 // the connections would not be the limit
 	f := newFleet(t, set, manyServers(111, 3)...)
 	f.after(100, manyProxies(45, 3)...)
 	for range 20 {
@@ -142,7 +142,7 @@
 
 func TestSmallFleetIsHeldWhole(t *testing.T) {
 	set := settings()
-	set.ConnsLeast = 60
+	set.MinConns = 60
 	f := newFleet(t, set, fourServers()...)
 	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true}, Joined{Proxy: 2, Zone: 0, Rate: 10, Fresh: true})
 	if n := len(f.linesOf(1)); n != 4 {
@@ -157,7 +157,7 @@
 		before[p] = f.linesOf(p)
 	}
 	gone := f.c.servers[30].Server
-	gone.State = Gone
+	gone.State = Removed
 	f.after(1000, append(f.acks(), List{Kind: ListChanges, Servers: []Server{gone}})...)
 	for range 10 {
 		f.after(1000, f.acks()...)
@@ -227,7 +227,7 @@
 // The fleet doubles at once while the channel, not the connections, limits the tables.
 func TestNewcomersAreSpreadOverTheProxies(t *testing.T) {
 	set := largeSettings(90)
-	set.ConnsLeast, set.QueueLines = 0, 4000
+	set.MinConns, set.QueueLines = 0, 4000
 	all := manyServers(240, 3)
 	f := newFleet(t, set, all[:120]...)
 	f.after(100, manyProxies(90, 3)...)
@@ -238,7 +238,7 @@
 	for range 30 {
 		f.after(1000, f.acks()...)
 	}
-	for _, state := range []State{Gone, Ready, Gone, Ready} { // half of them leave and come back to full tables
+	for _, state := range []State{Removed, Ready, Removed, Ready} { // half of them leave and come back to full tables
 		some := append([]Server{}, all[120:]...)
 		for i := range some {
 			some[i].State = state
@@ -272,9 +272,9 @@
 			drained = append(drained, gone)
 		}
 	}
-	f.after(lookTime, List{Kind: ListChanges, Servers: drained})
+	f.after(decideTime, List{Kind: ListChanges, Servers: drained})
 	for range 5 {
-		f.after(lookTime)
+		f.after(decideTime)
 	}
 	for _, s := range drained {
 		if !f.out(s.ID) {
@@ -305,7 +305,7 @@
 	if !f.out(1) {
 		t.Fatal("a draining server keeps its line")
 	}
-	drains.State = Gone
+	drains.State = Removed
 	f.after(1000, List{Kind: ListChanges, Servers: []Server{drains}})
 	if !f.out(1) {
 		t.Fatal("a drained server came back when the list dropped it")
@@ -391,7 +391,7 @@
 	for i := range 1000 {
 		looks += count[Timer](c.Step(1000+float64(i), []Event{heard(3, 0, 1, 0, 100)}))
 	}
-	if most := int(1000 / lookTime); looks > most || looks < most-1 {
+	if most := int(1000 / decideTime); looks > most || looks < most-1 {
 		t.Fatalf("%d looks in a second of events each millisecond, want about %d", looks, most)
 	}
 }
@@ -435,7 +435,7 @@
 				f := newFleet(t, set, manyServers(60, 3)...)
 				f.after(100, manyProxies(90, 3)...)
 				for _, e := range tc.events {
-					f.after(lookTime, e)
+					f.after(decideTime, e)
 				}
 				for range 10 {
 					f.after(1000, f.acks()...)
@@ -469,7 +469,7 @@
 		f := largeFleet(t, 60*scale, 80*scale)
 		orders := 0
 		allocs[i] = testing.AllocsPerRun(20, func() {
-			f.now += lookTime
+			f.now += decideTime
 			actions := f.c.Step(f.now, nil)
 			orders += count[SetWeight](actions) + count[Admit](actions) + count[Bind](actions) + count[Mark](actions)
 		})
@@ -488,12 +488,12 @@
 	c := New(set, 1)
 	servers, now := manyServers(500, 3), 1000.0
 	c.Step(now, []Event{List{Kind: ListCached, Servers: servers}})
-	c.Step(now+lookTime, manyProxies(600, 3))
+	c.Step(now+decideTime, manyProxies(600, 3))
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		now += lookTime
+		now += decideTime
 		servers[i%500].State = State(i % 2)
-		c.Step(now+lookTime, []Event{List{Kind: ListChanges, Servers: servers[i%500 : i%500+1]}})
+		c.Step(now+decideTime, []Event{List{Kind: ListChanges, Servers: servers[i%500 : i%500+1]}})
 	}
 }
 
@@ -510,7 +510,7 @@
 	for i := range draining {
 		draining[i].State = Draining
 	}
-	for tick := range int(set.Bare / lookTime) {
+	for tick := range int(set.Bare / decideTime) {
 		var events []Event
 		switch tick {
 		case 0:
@@ -518,9 +518,9 @@
 		case 5:
 			events = []Event{List{Kind: ListChanges, Servers: draining}}
 		}
-		queue = max(0, queue-set.LinesPerSec*lookTime/1000)
+		queue = max(0, queue-set.LinesPerSec*decideTime/1000)
 		lines := map[TableID]float64{}
-		for _, a := range f.after(lookTime, events...) {
+		for _, a := range f.after(decideTime, events...) {
 			switch a := a.(type) {
 			case SetWeight:
 				lines[a.Table]++
--- a/rules/estimates.go
+++ b/rules/estimates.go
@@ -41,7 +41,7 @@
 	}
 	p.told[e.Class] = c.now
 	p.demand[e.Class] += (1 - math.Exp(-e.Period/demandTime)) * (e.Requests/e.Period*1000 - p.demand[e.Class])
-	step := (1 - math.Exp(-e.Period/usualTime)) / float64(len(p.demand))
+	step := (1 - math.Exp(-e.Period/typicalTime)) / float64(len(p.demand))
 	p.usual *= 1 - step
 	for _, d := range p.demand {
 		p.usual += step * d
--- a/rules/mass_test.go
+++ b/rules/mass_test.go
@@ -55,7 +55,7 @@
 		}
 		if f.c.present(s) < 1 {
 			cold += s.share
-			if most := coldSafety * f.c.set.FallMultiple * f.c.present(s) / 60; s.share > most+1e-9 {
+			if most := warmupSafety * f.c.set.FallMultiple * f.c.present(s) / 60; s.share > most+1e-9 {
 				t.Errorf("cold server %d gets a share of %.4f, over its budget of %.4f", s.ID, s.share, most)
 			}
 		}
@@ -87,7 +87,7 @@
 // look has the planner look once, passes what the channel can, and answers. It returns how many lines wait.
 func (ch *channel) look(events ...Event) (waiting float64) {
 	f := ch.f
-	ch.room = min(ch.room+ch.pace*lookTime/1000, ch.pace)
+	ch.room = min(ch.room+ch.pace*decideTime/1000, ch.pace)
 	for i := range ch.lines {
 		if m := &ch.lines[i]; m.left == 0 && ch.room >= m.n {
 			m.left, ch.room = f.now, ch.room-m.n
@@ -99,7 +99,7 @@
 		events, ch.lines = append(events, ch.lines[0].ack), ch.lines[1:]
 	}
 	messages, order := map[TableID]int{}, []TableID(nil)
-	for _, a := range f.after(lookTime, events...) {
+	for _, a := range f.after(decideTime, events...) {
 		var id TableID
 		switch a := a.(type) {
 		case SetWeight:
--- a/rules/part_test.go
+++ b/rules/part_test.go
@@ -37,7 +37,7 @@
 
 func (p Part) with(o Part) Part {
 	p.Joined += o.Joined
-	p.Usual = add(p.Usual, o.Usual)
+	p.TypicalRates = add(p.TypicalRates, o.TypicalRates)
 	p.Demands = add(p.Demands, o.Demands)
 	return p
 }
--- a/rules/publish.go
+++ b/rules/publish.go
@@ -27,7 +27,7 @@
 	for _, p := range due {
 		if c.update(p, levels) {
 			p.writes = append(p.writes, c.now)
-			p.owed = append(p.owed[max(0, len(p.owed)+1-owedMost):], order{next, c.wrote, c.now})
+			p.owed = append(p.owed[max(0, len(p.owed)+1-maxOwed):], order{next, c.wrote, c.now})
 			p.bound, p.lastSent, c.token = true, c.now, next
 		}
 	}
@@ -57,7 +57,7 @@
 	if len(c.sent) > 0 && c.now-max(c.answeredAt, c.sent[0].at) > orderLag {
 		c.passed = min(c.wrote, c.passed+paced*paceSure)
 	}
-	c.pace = min(max(c.pace, -debtMost/1000*ours)+paced*ordinaryPace, ours*ordinaryPace)
+	c.pace = min(max(c.pace, -maxDebt/1000*ours)+paced*ordinaryPace, ours*ordinaryPace)
 	for len(c.sent) > 0 && c.sent[0].end <= c.passed {
 		c.sent = c.sent[1:]
 	}
@@ -82,7 +82,7 @@
 	}
 	before := len(c.out)
 	for k := range levels {
-		if level := c.level(p, k, levels[k]); math.Abs(level-p.levels[k]) > levelLeast*p.levels[k] {
+		if level := c.level(p, k, levels[k]); math.Abs(level-p.levels[k]) > minLevel*p.levels[k] {
 			p.levels[k] = level
 			c.out = append(c.out, Admit{Table: TableID(p.id), Mask: 1 << k, Level: level, Retry: retry})
 		}
@@ -111,7 +111,7 @@
 	for len(p.writes) > 0 && c.now-p.writes[0] > c.set.MessagesOver {
 		p.writes = p.writes[1:]
 	}
-	if c.set.MessagesMost > 0 && float64(len(p.writes)+1) > share*float64(c.set.MessagesMost) {
+	if c.set.MaxMessages > 0 && float64(len(p.writes)+1) > share*float64(c.set.MaxMessages) {
 		return false
 	}
 	ours := c.set.LinesPerSec * c.part.Channel
--- a/rules/ranked_test.go
+++ b/rules/ranked_test.go
@@ -67,11 +67,11 @@
 					c, now := New(set, 1), 1000.0
 					c.Step(now, []Event{List{Kind: ListCached, Servers: servers}})
 					if joined {
-						c.Step(now+lookTime, manyProxies(set.Proxies, 3))
+						c.Step(now+decideTime, manyProxies(set.Proxies, 3))
 					}
-					c.Step(now+2*lookTime, prepare)
+					c.Step(now+2*decideTime, prepare)
 					b.StartTimer()
-					c.Step(now+3*lookTime, measured)
+					c.Step(now+3*decideTime, measured)
 				}
 			})
 		}
--- a/rules/round.go
+++ b/rules/round.go
@@ -78,10 +78,10 @@
 
 // present is the share of its capacity that a server has at least, by its last start.
 func (c *Controller) present(s *server) float64 {
-	if s.StartedAt == 0 || c.now-s.StartedAt >= c.set.ColdFor {
+	if s.StartedAt == 0 || c.now-s.StartedAt >= c.set.WarmupTime {
 		return 1
 	}
-	return c.set.StartCapacity + (1-c.set.StartCapacity)*max(0, c.now-s.StartedAt)/c.set.ColdFor
+	return c.set.StartCapacity + (1-c.set.StartCapacity)*max(0, c.now-s.StartedAt)/c.set.WarmupTime
 }
 
 // weight is a server's listed weight times its factor; a started or returned server begins at a share.
@@ -124,12 +124,12 @@
 	}
 	for _, s := range c.servers {
 		if now := c.present(s); s.inTables && now < 1 {
-			s.share = min(s.share/max(1e-9, total), coldSafety*c.set.FallMultiple*now/ready)
+			s.share = min(s.share/max(1e-9, total), warmupSafety*c.set.FallMultiple*now/ready)
 			cold += s.share
 		}
 	}
 	if warm == 0 && total > 0 {
-		c.fit = max(fitLeast, cold)
+		c.fit = max(minFit, cold)
 	}
 	for _, s := range c.servers {
 		if c.present(s) == 1 && warm > 0 {
