--- a/rules/rules.go
+++ b/rules/rules.go
@@ -27,66 +27,66 @@
 	coverage   = 0.6     // share of the usable servers that must have been heard
 	heardFor   = 60000.0 // how long a report of a server counts for that
 
-	fitLeast   = 0.05   // of the demand is let in even if all servers are cold
-	startShare = 0.25   // of its weight that a started server gets at once
-	coldSafety = 0.6    // of the cold budget that we plan to use
-	zoneSlack  = 0.15   // a zone may take this much over its even share before it spills to others
-	demandTime = 1500.0 // time over which the demand of a class at a proxy is averaged
-	silentFor  = 2.0    // report periods without a report of a class, from which on its demand fades
-	usualTime  = 4000.0 // and the usual rate of a proxy
+	minFit         = 0.05   // of the demand is let in even if all servers are cold
+	startShare     = 0.25   // of its weight that a started server gets at once
+	warmupSafety   = 0.6    // of the cold budget that we plan to use
+	zoneSlack      = 0.15   // a zone may take this much over its even share before it spills to others
+	demandTime     = 1500.0 // time over which the demand of a class at a proxy is averaged
+	silenceTimeout = 2.0    // report periods without a report of a class, from which on its demand fades
+	typicalTime    = 4000.0 // and the usual rate of a proxy
 
-	lookTime    = 100.0   // between two looks at everything
-	dryTries    = 6.0     // tries in a row without one answer that cast doubt on a server
-	dryLatency  = 3.0     // and for at least this many mean answer times
-	doubtMost   = 0.4     // share of the ready servers that doubt may keep out
-	holdFirst   = 3000.0  // a doubted server stays out at least this long; doubled each time it relapses
-	holdMost    = 24000.0 // at most
-	returnTime  = 10000   // from its end until a doubted server has its whole weight again
-	probePause  = 1000.0  // between two probes of a doubted server
-	probesAlive = 2       // answers in a row that end a doubt
+	decideTime   = 100.0   // between two looks at everything
+	dryTries     = 6.0     // tries in a row without one answer that cast doubt on a server
+	dryLatency   = 3.0     // and for at least this many mean answer times
+	maxDoubt     = 0.4     // share of the ready servers that doubt may keep out
+	minHold      = 3000.0  // a doubted server stays out at least this long; doubled each time it relapses
+	maxHold      = 24000.0 // at most
+	returnTime   = 10000   // from its end until a doubted server has its whole weight again
+	probeBackoff = 1000.0  // between two probes of a doubted server
+	probesAlive  = 2       // answers in a row that end a doubt
 
-	collapse     = 1.6    // pressure over which cold servers are kept out
-	avoidTries   = 3.0    // at one server, that fail in a row: from then on a proxy may avoid it
-	aimShare     = 0.5    // of the aim: the idle answer time is taken to be no longer
-	baseShare    = 1.1    // of the idle answer time that is wanted at most, plus
-	waitShare    = 0.08   // of the aim, for waiting
-	idleLooks    = 3      // looks in a row that tell the idle answer time: answers and their work come apart
-	filledEnough = 0.9    // of that average before it tells the idle answer time
-	fleetTime    = 1000   // time over which the fleet's answers are averaged
-	ableDecay    = 0.98   // what is left after a step of the most that the fleet answered
-	shedFrom     = 0.8    // pressure from which work is held against what the fleet can do
-	roomSlope    = 0.5    // of what the fleet can do that is refused for each point of pressure over 1
-	roomLeast    = 0.5    // of it that is let in at any pressure
-	limitGrow    = 1.06   // of the limit at each step without pressure
-	shedMost     = 0.9    // of the work may be refused
-	shedStep     = 1000.0 // between two looks at the pressure
-	unlimited    = 1e6    // a rate that never binds
-	rateRoom     = 0.5    // square roots of a proxy's rate that are let in over it
+	collapse           = 1.6    // pressure over which cold servers are kept out
+	avoidTries         = 3.0    // at one server, that fail in a row: from then on a proxy may avoid it
+	latencyTargetShare = 0.5    // of the aim: the idle answer time is taken to be no longer
+	baseShare          = 1.1    // of the idle answer time that is wanted at most, plus
+	waitShare          = 0.08   // of the aim, for waiting
+	idleLooks          = 3      // decisions in a row that tell the idle response time: responses and work come apart
+	filledEnough       = 0.9    // of that average before it tells the idle answer time
+	fleetTime          = 1000   // time over which the fleet's answers are averaged
+	ableDecay          = 0.98   // what is left after a step of the most that the fleet answered
+	sheddingFrom       = 0.8    // pressure from which work is held against what the fleet can do
+	capacitySlope      = 0.5    // of what the fleet can do that is refused for each point of pressure over 1
+	minCapacity        = 0.5    // of it that is let in at any pressure
+	limitGrow          = 1.06   // of the limit at each step without pressure
+	maxShedding        = 0.9    // of the work may be refused
+	sheddingStep       = 1000.0 // between two looks at the pressure
+	unlimited          = 1e6    // a rate that never binds
+	rateHeadroom       = 0.5    // square roots of a proxy's rate that are let in over it
 
 	connShare   = 0.25 // of the connections that a small server takes: what all tables together may open
 	tableShare  = 0.5  // of the channel's queue: what one table for every proxy may take
-	linesLeast  = 4    // of any table
+	minLines    = 4    // of any table
 	linesMany   = 8    // of a mean one, at most, or
 	linesUseful = 4    // for each server that its traffic fills
 	starved     = 0.4  // of its part of the traffic: a server held for less than that is dealt once more
 	fitSteps    = 3    // of fitting the weights to the tables, each look
-	fitMost     = 5.0  // largest correction of a weight for how the server is held, up or down
+	maxFit      = 5.0  // largest correction of a weight for how the server is held, up or down
 
 	ackWait       = 2000.0 // a message's answers are waited for this long
 	messageGap    = 500.0  // between two ordinary messages to one proxy
 	urgentGap     = 250.0  // between two urgent ones
-	moveLeast     = 0.1    // relative change of a line that is worth an order
-	levelLeast    = 0.05   // relative change of a level that is worth an order
+	minMove       = 0.1    // relative change of a line that is worth an order
+	minLevel      = 0.05   // relative change of a level that is worth an order
 	paceSure      = 0.5    // of its usual pace that the channel is trusted to keep while nobody answers
 	orderLag      = 1000.0 // that ordinary orders may be on their way: what waits here can still change
-	owedMost      = 16     // messages of a proxy whose answers are looked for
+	maxOwed       = 16     // messages of a proxy whose answers are looked for
 	ordinaryPace  = 0.1    // of that pace that ordinary orders may use in the long run
-	debtMost      = 500.0  // of its time that they owe at most: newcomers would wait for all that was urgent
+	maxDebt       = 500.0  // of its time that they owe at most: newcomers would wait for all that was urgent
 	ordinaryShare = 0.4    // of the channel's limits that ordinary orders may fill
 	urgentShare   = 0.8    // and urgent ones
-	askAgain      = 8000.0 // when discovery does not answer at all
-	askPause      = 800.0  // before discovery is asked again, plus as much by chance
-	logMost       = 150    // lines of log from one controller within
+	resendAfter   = 8000.0 // when discovery does not answer at all
+	resendPause   = 800.0  // before discovery is asked again, plus as much by chance
+	maxLogLines   = 150    // lines of log from one controller within
 	logSpan       = 60000.0
 )
 
@@ -98,7 +98,7 @@
 func (c *Controller) Step(now float64, events []Event) []Action {
 	c.now, c.out = now, nil
 	if c.nextRound == 0 { // the first turn
-		c.drained, c.lastShed, c.nextRound = now, now, now+roundTime
+		c.drained, c.lastShedding, c.nextRound = now, now, now+roundTime
 	}
 	for _, e := range events {
 		switch e := e.(type) {
@@ -128,22 +128,22 @@
 			c.demand(e)
 		}
 	}
-	if now < c.nextLook {
+	if now < c.nextDecision {
 		return nil
 	}
-	c.nextLook = now + lookTime
-	c.out = append(c.out, Timer{Delay: lookTime})
-	if c.set.AskDiscovery && !c.watching && now >= c.askAt { // discovery that speaks only when asked
-		c.askAt = now + askAgain
+	c.nextDecision = now + decideTime
+	c.out = append(c.out, Timer{Delay: decideTime})
+	if c.set.QueryDiscovery && !c.watching && now >= c.askAt { // discovery that speaks only when asked
+		c.askAt = now + resendAfter
 		c.out = append(c.out, Watch{})
 	}
 	c.health()
 	if now >= c.nextRound {
 		c.runRound()
 	}
-	if now-c.lastShed >= max(shedStep, c.set.ReportPeriod) { // so that each look has a whole report
-		c.admission(now - c.lastShed)
-		c.lastShed = now
+	if now-c.lastShedding >= max(sheddingStep, c.set.ReportPeriod) { // so that each look has a whole report
+		c.admission(now - c.lastShedding)
+		c.lastShedding = now
 	}
 	c.publish()
 	return c.out
@@ -152,7 +152,7 @@
 // list follows discovery. A server missing from a whole list is gone.
 func (c *Controller) list(e List) {
 	if e.Kind == ListFailed {
-		c.watching, c.askAt = false, c.now+askPause*(1+c.rng.Float64())
+		c.watching, c.askAt = false, c.now+resendPause*(1+c.rng.Float64())
 		return
 	}
 	if e.Kind != ListCached {
@@ -164,7 +164,7 @@
 		entry.Zone = min(entry.Zone, len(c.zones)-1)
 		s := c.server[entry.ID]
 		if s == nil {
-			s = &server{Server: entry, factor: 1, fitted: 1, hold: holdFirst}
+			s = &server{Server: entry, factor: 1, fitted: 1, hold: minHold}
 			s.zones = make([]tally, len(c.zones))
 			c.server[entry.ID], c.servers = s, append(c.servers, s)
 		}
@@ -173,7 +173,7 @@
 	slices.SortFunc(c.servers, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
 	for _, s := range c.servers {
 		if gone := s.Server; !listed[s.ID] && (e.Kind == ListFull || e.Kind == ListCached) {
-			gone.State = Gone
+			gone.State = Removed
 			s.follow(gone, c.set.DrainOnly)
 		}
 	}
@@ -186,7 +186,7 @@
 		// A new process: what was held against the old one, and its stale sum, no longer counts.
 		s.errors, s.sum, s.factor, s.dry, s.doubted = nil, 0, 1, 0, false
 	}
-	if s.unlisted = drainOnly && e.State == Gone && s.State == Ready; s.unlisted {
+	if s.unlisted = drainOnly && e.State == Removed && s.State == Ready; s.unlisted {
 		e.State = Ready
 	}
 	s.Server = e
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -10,12 +10,12 @@
 func settings() Settings {
 	return Settings{
 		Instances: 1, Zones: 2, Proxies: 2, Probes: true, Admission: AdmitShare, ReportPeriod: 1000,
-		QueueLines: 1000, LinesPerSec: 1000, HeadLines: 3, MessagesMost: 20, MessagesOver: 10000,
-		DrainGrace: 1500, Bare: 2500, ColdFor: 18000, StartCapacity: 0.2, FallMultiple: 2.5, FallAfter: 3000,
+		QueueLines: 1000, LinesPerSec: 1000, HeadLines: 3, MaxMessages: 20, MessagesOver: 10000,
+		DrainGrace: 1500, Bare: 2500, WarmupTime: 18000, StartCapacity: 0.2, FallMultiple: 2.5, FallAfter: 3000,
 		Classes: []Class{
-			{Name: "view", Aim: 1000, Deadline: 4000, Worth: 1, Effect: Safe},
-			{Name: "post", Aim: 500, Deadline: 2000, Worth: 5, Effect: Keyed, Scope: ScopeAll, Window: 1200},
-			{Name: "pay", Aim: 500, Deadline: 1500, Worth: 2, Effect: Unsafe},
+			{Name: "view", LatencyTarget: 1000, Deadline: 4000, Value: 1, Effect: Safe},
+			{Name: "post", LatencyTarget: 500, Deadline: 2000, Value: 5, Effect: Keyed, Scope: ScopeAll, Window: 1200},
+			{Name: "pay", LatencyTarget: 500, Deadline: 1500, Value: 2, Effect: Unsafe},
 		},
 	}
 }
@@ -44,7 +44,7 @@
 
 // step gives a controller events and has it look at once; the pace of its looks has a test of its own.
 func (f *fleet) step(events ...Event) []Action {
-	f.c.nextLook = 0
+	f.c.nextDecision = 0
 	f.last = f.c.Step(f.now, events)
 	for _, a := range f.last {
 		switch a := a.(type) {
@@ -300,7 +300,7 @@
 	if got := f.c.weight(f.c.server[1]); got != 1 {
 		t.Fatalf("weight %v of a warm server, want the listed 1", got)
 	}
-	f.after(300, List{Kind: ListChanges, Servers: []Server{{ID: 1, Weight: 1, State: Gone}}})
+	f.after(300, List{Kind: ListChanges, Servers: []Server{{ID: 1, Weight: 1, State: Removed}}})
 	if !f.out(1) {
 		t.Fatal("a server that is gone keeps its line")
 	}
@@ -350,7 +350,7 @@
 	f.c.pressure = 0.5
 	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true}, Demand{Proxy: 1, Class: 0, Requests: 100, Period: 1000})
 	f.after(10, Demand{Proxy: 1, Class: 0, Requests: 100, Period: 1000})
-	if f.c.fit > 0.5 || f.c.fit < fitLeast {
+	if f.c.fit > 0.5 || f.c.fit < minFit {
 		t.Fatalf("demand let in %v with every server at %v of its capacity", f.c.fit, f.c.present(f.c.server[1]))
 	}
 	if level := f.c.wantedLevels()[0]; level > 0.5 {
@@ -431,7 +431,7 @@
 			out++
 		}
 	}
-	if float64(out) > doubtMost*4 {
+	if float64(out) > maxDoubt*4 {
 		t.Fatalf("%d of 4 servers withdrawn on doubt", out)
 	}
 }
@@ -447,7 +447,7 @@
 	if !f.out(1) || probes == 0 {
 		t.Fatalf("withdrawn %v, %d probes; want the silent server out and probed", f.out(1), probes)
 	}
-	f.after(holdFirst, Probed{Server: 1}, Probed{Server: 1, OK: true})
+	f.after(minHold, Probed{Server: 1}, Probed{Server: 1, OK: true})
 	if !f.out(1) {
 		t.Fatal("one answered probe was enough")
 	}
@@ -461,7 +461,7 @@
 	if late := f.c.weight(f.c.server[1]); early > 0.5*late {
 		t.Fatalf("weight %v at its return, %v later: not eased", early, late)
 	}
-	if f.c.server[1].hold <= holdFirst {
+	if f.c.server[1].hold <= minHold {
 		t.Fatal("a relapse would not keep the server out for longer")
 	}
 }
@@ -598,7 +598,7 @@
 	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
 	f.after(500, Demand{Proxy: 1, Class: 0, Requests: 30, Period: 1000})
 	f.after(500, heard(1, 0, 5, 2, 900))
-	if f.c.pressure < shedFrom || !math.IsInf(f.c.limit, 1) {
+	if f.c.pressure < sheddingFrom || !math.IsInf(f.c.limit, 1) {
 		t.Fatalf("limit %v at pressure %v from the first report", f.c.limit, f.c.pressure)
 	}
 	for range 3 {
@@ -606,7 +606,7 @@
 	}
 	f.c.limit = 1 // however it came to be that low
 	f.overload(900, 200)
-	if least := roomLeast * f.c.able * f.c.listed; f.c.limit < least {
+	if least := minCapacity * f.c.able * f.c.listed; f.c.limit < least {
 		t.Fatalf("limit %v, half of what the fleet answers is %v", f.c.limit, least)
 	}
 }
@@ -640,7 +640,7 @@
 		answers(50, 0.1)
 	}
 	for i := range 20 { // the first reports still tell of both
-		if answers(100, 200); i > 8 && f.c.pressure > shedFrom || f.c.shed > 0 {
+		if answers(100, 200); i > 8 && f.c.pressure > sheddingFrom || f.c.shed > 0 {
 			t.Fatalf("idle as at first, but pressure %v and %v refused", f.c.pressure, f.c.shed)
 		}
 	}
@@ -702,7 +702,7 @@
 
 func TestDiscoveryIsAskedAgainAfterFailure(t *testing.T) {
 	set := settings()
-	set.AskDiscovery = true
+	set.QueryDiscovery = true
 	f := newFleet(t, set, fourServers()...)
 	if count[Watch](f.last) != 1 {
 		t.Fatal("discovery on request was not asked at the start")
@@ -710,18 +710,18 @@
 	if count[Watch](f.after(100, List{Kind: ListFailed})) != 0 {
 		t.Fatal("asked again at once after a failure")
 	}
-	if count[Watch](f.after(2*askPause)) != 1 {
+	if count[Watch](f.after(2*resendPause)) != 1 {
 		t.Fatal("not asked again after a failure")
 	}
 	f.after(100, List{Kind: ListChanges})
-	if count[Watch](f.after(10*askAgain)) != 0 {
+	if count[Watch](f.after(10*resendAfter)) != 0 {
 		t.Fatal("asked again while subscribed")
 	}
 	f.after(100, List{Kind: ListFailed})
-	if count[Watch](f.after(2*askPause)) != 1 {
+	if count[Watch](f.after(2*resendPause)) != 1 {
 		t.Fatal("not asked again after the subscription broke")
 	}
-	set.AskDiscovery = false
+	set.QueryDiscovery = false
 	if f := newFleet(t, set, fourServers()...); count[Watch](f.last) != 0 {
 		t.Fatal("asked though changes are pushed")
 	}
@@ -803,9 +803,9 @@
 func TestRulesHoldInStorms(t *testing.T) {
 	for seed := range uint64(40) {
 		set := settings()
-		set.QueueLines, set.LinesPerSec, set.MessagesMost = 200, 130, 8
+		set.QueueLines, set.LinesPerSec, set.MaxMessages = 200, 130, 8
 		if seed%2 == 1 {
-			set.Admission, set.QueueLines, set.LinesPerSec, set.MessagesMost = AdmitRate, 100, 20, 0
+			set.Admission, set.QueueLines, set.LinesPerSec, set.MaxMessages = AdmitRate, 100, 20, 0
 		}
 		c := New(set, seed)
 		times, batches := storm(seed, 800)
@@ -860,7 +860,7 @@
 						within++
 					}
 				}
-				if set.MessagesMost > 0 && within > set.MessagesMost {
+				if set.MaxMessages > 0 && within > set.MaxMessages {
 					t.Fatalf("seed %d: %d messages to proxy %d within %v ms", seed, within, p, set.MessagesOver)
 				}
 			}
@@ -876,10 +876,10 @@
 	f := newFleet(t, settings(), fourServers()...)
 	for range 2 {
 		f.c.out = nil
-		for range 2 * logMost {
+		for range 2 * maxLogLines {
 			f.c.log("line")
 		}
-		if n := count[Log](f.c.out); n != logMost {
+		if n := count[Log](f.c.out); n != maxLogLines {
 			t.Errorf("%d lines in a minute", n)
 		}
 		f.c.now += 2 * logSpan
--- a/rules/state.go
+++ b/rules/state.go
@@ -87,42 +87,42 @@
 
 // Controller decides for the proxies joined to it.
 type Controller struct {
-	set                           Settings
-	rng                           *rand.Rand
-	now                           float64
-	out                           []Action
-	servers                       []*server // sorted by id, as are the proxies
-	proxies                       []*proxy
-	server                        map[ServerID]*server
-	proxy                         map[ProxyID]*proxy
-	zones                         []zone
-	joined, usual                 float64   // proxies of the planner, and their requests a second
-	demands                       []float64 // the same by class, lately
-	mine, part                    Part      // what our own proxies bring, and what we were told of the others
-	order                         []int     // classes, least worth for their work first
-	usable                        float64   // servers in tables
-	lines                         float64   // of all their tables together
-	watching                      bool
-	askAt                         float64
-	nextLook, nextRound, lastShed float64
-	fleet                         tally     // recent answers of all servers, decayed
-	filled                        float64   // how far that has filled since the start
-	pressure                      float64   // how late answers come; 1 is the most that is wanted
-	idle                          []float64 // lately, answer times for the work of a request
-	base                          float64   // least answer time met so far, for the work of a request
-	listed                        float64   // weight that the list shows ready, less for cold servers
-	able                          float64   // most work a second lately answered, for each weight listed
-	limit                         float64   // work a second that may come in
-	shed                          float64   // share of the offered work that is refused
-	fit                           float64   // share of the demand that cold servers leave room for
-	queue, pace                   float64   // lines thought to wait, and that ordinary orders may use
-	wrote, passed                 float64   // lines written since the start, and those of them known to have left
-	sent                          []order   // of each look, while they have not
-	lag                           float64   // how long the oldest of them has been on its way
-	answeredAt, drained           float64   // when a message was last answered, and all of this brought up to date
-	token                         uint32
-	logged                        int
-	logFrom                       float64 // since when they are counted
+	set                                   Settings
+	rng                                   *rand.Rand
+	now                                   float64
+	out                                   []Action
+	servers                               []*server // sorted by id, as are the proxies
+	proxies                               []*proxy
+	server                                map[ServerID]*server
+	proxy                                 map[ProxyID]*proxy
+	zones                                 []zone
+	joined, usual                         float64   // proxies of the planner, and their requests a second
+	demands                               []float64 // the same by class, lately
+	mine, part                            Part      // what our own proxies bring, and what we were told of the others
+	order                                 []int     // classes, least worth for their work first
+	usable                                float64   // servers in tables
+	lines                                 float64   // of all their tables together
+	watching                              bool
+	askAt                                 float64
+	nextDecision, nextRound, lastShedding float64
+	fleet                                 tally     // recent answers of all servers, decayed
+	filled                                float64   // how far that has filled since the start
+	pressure                              float64   // how late answers come; 1 is the most that is wanted
+	idle                                  []float64 // lately, answer times for the work of a request
+	base                                  float64   // least answer time met so far, for the work of a request
+	listed                                float64   // weight that the list shows ready, less for cold servers
+	able                                  float64   // most work a second lately answered, for each weight listed
+	limit                                 float64   // work a second that may come in
+	shed                                  float64   // share of the offered work that is refused
+	fit                                   float64   // share of the demand that cold servers leave room for
+	queue, pace                           float64   // lines thought to wait, and that ordinary orders may use
+	wrote, passed                         float64   // lines written since the start, and those of them known to have left
+	sent                                  []order   // of each look, while they have not
+	lag                                   float64   // how long the oldest of them has been on its way
+	answeredAt, drained                   float64   // when a message was last answered, and all of this brought up to date
+	token                                 uint32
+	logged                                int
+	logFrom                               float64 // since when they are counted
 }
 
 // New returns a controller that knows only its settings.
@@ -166,7 +166,7 @@
 	if c.now-c.logFrom > logSpan {
 		c.logFrom, c.logged = c.now, 0
 	}
-	if c.logged++; c.logged <= logMost {
+	if c.logged++; c.logged <= maxLogLines {
 		c.out = append(c.out, Log{Text: fmt.Sprintf(format, args...)})
 	}
 }
--- a/tables/delta.go
+++ b/tables/delta.go
@@ -43,7 +43,8 @@
 func Between(from, to Table, v Version, key Key) Update {
 	base := v
 	base.Number--
-	u := Update{Version: v, Base: base.Number, From: from.Digest(base, key), To: to.Digest(v, key), Weights: map[string]float32{}, Gates: map[string]Gate{}}
+	u := Update{Version: v, Base: base.Number, From: from.Digest(base, key), To: to.Digest(v, key),
+		Weights: map[string]float32{}, Gates: map[string]Gate{}}
 	for name, weight := range to.Weights {
 		if was, held := from.Weights[name]; !held || was != weight {
 			u.Weights[name] = weight
--- a/tables/receiver.go
+++ b/tables/receiver.go
@@ -13,10 +13,10 @@
 // Waits of a receiver between two asks for the same, in milliseconds. They grow, since a planner that can't answer now won't
 // be helped by more questions; and the questions never end, since a proxy without its table has nothing better to do.
 const (
-	askFirst = 250.0
-	askMost  = 30000.0
-	// deltasTried is how often missing updates are asked for until the whole table is.
-	deltasTried = 2
+	firstResend = 250.0
+	maxResend   = 30000.0
+	// maxDeltaAttempts is how often missing updates are asked for until the whole table is.
+	maxDeltaAttempts = 2
 )
 
 // Receiver is a proxy's end: it holds a table that a planner has sent, and knows when another should have come.
@@ -50,7 +50,8 @@
 		r.origin, r.digest = o, Digest{}
 		r.at = Version{Origin: o, Proxy: r.proxy}
 	}
-	r.behind, r.whole, r.asked, r.next = true, r.at.Number == 0, 0, now+askFirst // a stream that begins brings an update by itself
+	// a stream that begins brings an update by itself
+	r.behind, r.whole, r.asked, r.next = true, r.at.Number == 0, 0, now+firstResend
 }
 
 // Table is what is held, and the version that it is of; number 0: of no version of the present origin.
@@ -136,13 +137,13 @@
 	if !r.behind || now < r.next || r.origin == (Origin{}) {
 		return Ask{}, false
 	}
-	wait := askFirst
+	wait := firstResend
 	for range r.asked {
-		wait = min(askMost, 2*wait)
+		wait = min(maxResend, 2*wait)
 	}
 	r.asked++
 	r.next = now + wait
-	return Ask{Origin: r.origin, Proxy: r.proxy, Whole: r.whole || r.asked > deltasTried, After: r.at.Number}, true
+	return Ask{Origin: r.origin, Proxy: r.proxy, Whole: r.whole || r.asked > maxDeltaAttempts, After: r.at.Number}, true
 }
 
 // Due is when Ask is worth a call next; 0: not before something comes.
--- a/tables/sender.go
+++ b/tables/sender.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// historyMost bounds the updates that a sender keeps for those who miss some.
-const historyMost = 32
+// maxHistory bounds the updates that a sender keeps for those who miss some.
+const maxHistory = 32
 
 // ErrExhausted says that an origin has no numbers left for a proxy. The planner must go on as another life.
 var ErrExhausted = errors.New("no version numbers left")
@@ -44,7 +44,7 @@
 		return Whole(s.table, s.at, s.key), nil
 	}
 	u := Between(before, s.table, s.at, s.key)
-	if s.history = append(s.history, u); len(s.history) > historyMost {
+	if s.history = append(s.history, u); len(s.history) > maxHistory {
 		s.history = s.history[1:]
 	}
 	return u, nil
--- a/tables/wire.go
+++ b/tables/wire.go
@@ -15,10 +15,10 @@
 // form says that this one doesn't know would make another table.
 const (
 	fieldInstance protowire.Number = iota + 1
-	fieldLife
+	fieldIncarnation
 	fieldProxy
 	fieldNumber
-	fieldWhole
+	fieldSnapshot
 	fieldBase
 	fieldFrom
 	fieldTo
@@ -30,8 +30,8 @@
 	fieldSeal // of all bytes before it; always last
 )
 
-// UpdateMost is the most bytes that an update may have.
-const UpdateMost = 1 << 20
+// MaxUpdate is the most bytes that an update may have.
+const MaxUpdate = 1 << 20
 
 // The errors of an update that can't be read.
 var (
@@ -51,10 +51,10 @@
 		out = protowire.AppendVarint(protowire.AppendTag(out, n, protowire.VarintType), x)
 	}
 	bytes(fieldInstance, []byte(u.Instance))
-	number(fieldLife, u.Life)
+	number(fieldIncarnation, u.Life)
 	number(fieldProxy, uint64(u.Proxy))
 	number(fieldNumber, u.Number)
-	number(fieldWhole, protowire.EncodeBool(u.Whole))
+	number(fieldSnapshot, protowire.EncodeBool(u.Whole))
 	number(fieldBase, u.Base)
 	bytes(fieldFrom, u.From[:])
 	bytes(fieldTo, u.To[:])
@@ -71,7 +71,8 @@
 	}
 	for _, class := range slices.Sorted(maps.Keys(u.Gates)) {
 		g := u.Gates[class]
-		bytes(fieldGate, append(protowire.AppendFixed32(protowire.AppendBytes(nil, []byte(class)), math.Float32bits(g.Level)), g.Again))
+		bytes(fieldGate, append(protowire.AppendFixed32(protowire.AppendBytes(nil, []byte(class)), math.Float32bits(g.Level)),
+			g.Again))
 	}
 	seal := sum(out[begin:], key)
 	bytes(fieldSeal, seal[:])
@@ -80,7 +81,7 @@
 
 // Decode reads an update. Nothing of it is believed unless its seal holds.
 func Decode(text []byte, key Key) (u Update, err error) {
-	if len(text) > UpdateMost {
+	if len(text) > MaxUpdate {
 		return Update{}, ErrLong
 	}
 	const sealSize = 2 + len(Digest{}) // tag and length take a byte each
@@ -130,7 +131,7 @@
 
 func (u *Update) number(n protowire.Number, x uint64) error {
 	switch n {
-	case fieldLife:
+	case fieldIncarnation:
 		u.Life = x
 	case fieldProxy:
 		if u.Proxy = uint32(x); uint64(u.Proxy) != x {
@@ -138,7 +139,7 @@
 		}
 	case fieldNumber:
 		u.Number = x
-	case fieldWhole:
+	case fieldSnapshot:
 		u.Whole = protowire.DecodeBool(x)
 	case fieldBase:
 		u.Base = x
--- a/tables/wire_test.go
+++ b/tables/wire_test.go
@@ -142,10 +142,10 @@
 			}
 		}
 	}
-	if len(at) < 15 || len(at) > 40 || wholes != len(at)-deltasTried {
+	if len(at) < 15 || len(at) > 40 || wholes != len(at)-maxDeltaAttempts {
 		t.Errorf("%d questions in ten minutes, %d for the whole table", len(at), wholes)
 	}
-	if gap := at[len(at)-1] - at[len(at)-2]; gap < askMost || gap > 2*askMost {
+	if gap := at[len(at)-1] - at[len(at)-2]; gap < maxResend || gap > 2*maxResend {
 		t.Errorf("the last two are %v ms apart", gap)
 	}
 }
