--- a/internal/control/controller/api_config.go
+++ b/internal/control/controller/api_config.go
@@ -118,7 +118,8 @@
 	replica, state := a.consensus.replica, a.consensus.state
 	s := operator.Status{Node: a.Settings.Node, IP: a.Settings.IP, Zone: a.Settings.Zone, InContact: a.consensus.inContact(),
 		Version: config.Version(state.Version()).String(), Leader: a.consensus.leaderIP(), Members: a.members.current.Voters,
-		Keys: a.claims.store.Len(), Recovering: a.claims.store.Recovering(), DiskFailing: a.writer.failing, DiskMs: a.writer.meanMillis,
+		Keys: a.claims.store.Len(), Recovering: a.claims.store.Recovering(),
+		DiskFailing: a.writer.failing, DiskMs: a.writer.meanMillis,
 		Term: replica.Term(), Commit: replica.Commit(), LastIndex: replica.Last(),
 		BookingShortfalls: a.reservations.shortfalls(), Membership: a.members.operatorView()}
 	for _, e := range a.links.edges {
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -170,9 +170,16 @@
 	c.claims.onSynced = func() { c.shutdown.handOverSynced = true }
 	c.members.claims = c.claims
 	c.weights.tables.UpdateServers(c.servers.load(state.Servers), c.Now())
-	c.consensus.replica = consensus.New(consensus.Config{ID: c.members.identity,
-		Timing: consensus.Timing{Heartbeat: heartbeatInterval, ElectionTimeout: electionTimeout}, Seed: c.Incarnation,
-		Membership: bootstrapMembership(state.BootstrapVoters), Hard: state.Hard, Snapshot: state.Snapshot, Log: state.Entries, Now: c.Now()})
+	c.consensus.replica = consensus.New(consensus.Config{
+		ID:         c.members.identity,
+		Timing:     consensus.Timing{Heartbeat: heartbeatInterval, ElectionTimeout: electionTimeout},
+		Seed:       c.Incarnation,
+		Membership: bootstrapMembership(state.BootstrapVoters),
+		Hard:       state.Hard,
+		Snapshot:   state.Snapshot,
+		Log:        state.Entries,
+		Now:        c.Now(),
+	})
 	c.claims.setStores()
 	c.learnAddresses()
 	return nil
--- a/internal/control/controller/membership.go
+++ b/internal/control/controller/membership.go
@@ -209,8 +209,8 @@
 	return batch.Identity
 }
 
-// finishRecoveryOfBootstrapVoter lets the store of a voter of the first start grant: under that identity it never granted anything
-// before.
+// finishRecoveryOfBootstrapVoter lets the store of a voter of the first start grant: under that identity it never granted
+// anything before.
 func (s *memberService) finishRecoveryOfBootstrapVoter() {
 	if s.identity != membership.Identity(s.Settings.IP, 0) || !slices.Contains(s.current.Voters, s.identity) {
 		return
--- a/internal/days/catalogue.go
+++ b/internal/days/catalogue.go
@@ -38,7 +38,7 @@
 // Counts holds the lowest and the highest number of things struck; Tolerated stands for what the site bears the loss of.
 type Counts [2]int
 
-// Tolerated, as a bound of Counts, is the number of machines that a site bears the loss of.
+// Tolerated is, as a bound of Counts, the number of machines that a site bears the loss of.
 const Tolerated = -1
 
 func (c Counts) valid() bool {
--- a/internal/edge/proxy/reservations.go
+++ b/internal/edge/proxy/reservations.go
@@ -46,8 +46,16 @@
 
 func newReservationGates(env *node.Env, queue *requestQueue, fleetEdges *atomic.Int32,
 	send func(peer.Message) bool) *reservationGates {
-	return &reservationGates{Env: env, queue: queue, fleetEdges: fleetEdges, send: send, wake: make(chan struct{}, 1),
-		lease: reservation.LeaseHolder{Incarnation: env.Incarnation}, gates: map[string]*reservation.AdmissionGate{}, wanted: map[string]int{}}
+	return &reservationGates{
+		Env:        env,
+		queue:      queue,
+		fleetEdges: fleetEdges,
+		send:       send,
+		wake:       make(chan struct{}, 1),
+		lease:      reservation.LeaseHolder{Incarnation: env.Incarnation},
+		gates:      map[string]*reservation.AdmissionGate{},
+		wanted:     map[string]int{},
+	}
 }
 
 // handleReservations takes over what the controller says is in force.
--- a/internal/edge/proxy/shutdown_test.go
+++ b/internal/edge/proxy/shutdown_test.go
@@ -59,3 +59,35 @@
 		}
 	}
 }
+
+// A request that is forwarded late in the grace is answered before the edge ends: whoever reads its response last cuts it off
+// otherwise, although the server was sound and the deadline not reached.
+func TestForwardedRequestsAreAnsweredBeforeTheEnd(t *testing.T) {
+	in(t, func(h *hall) {
+		h.serve("i-1", works(h, 1300*time.Millisecond))
+		startedAt := time.Now()
+		near, far := net.Pipe()
+		defer far.Close()
+		var ended time.Duration
+		done := make(chan struct{})
+		go func() {
+			h.shutDown(&oneConn{near})
+			ended = time.Since(startedAt)
+			close(done)
+		}()
+		h.shutdown.inFlight.Add(1) // a client of a kept connection goes on sending
+		defer h.shutdown.inFlight.Add(-1)
+		time.Sleep(4700 * time.Millisecond) // of a grace of 6 s
+		w := httptest.NewRecorder()
+		r := httptest.NewRequest(http.MethodGet, "http://a.example/s/x", nil)
+		r.RequestURI = "/s/x"
+		r.Header.Set("X-Attempt-Id", "9c41d07be2a35f68")
+		r.Header.Set("X-Deadline-Ms", "2000")
+		h.ServeHTTP(w, r)
+		answered := time.Since(startedAt)
+		<-done
+		if answered > ended {
+			t.Errorf("answered %d after %s, the edge ended after %s", w.Code, answered, ended)
+		}
+	})
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -62,8 +62,12 @@
 	lifecycle.Main(&cli.Command{
 		Name:  name,
 		Usage: usage,
-		Flags: []cli.Flag{&cli.StringFlag{Name: "inner-tls", Sources: cli.EnvVars("MULLEINWOOD_INNER_TLS"),
-			Usage: "folder with certificate.pem, key.pem and authorities.pem for links between the gateway's processes; none: links are plain"}},
+		Flags: []cli.Flag{&cli.StringFlag{
+			Name:    "inner-tls",
+			Sources: cli.EnvVars("MULLEINWOOD_INNER_TLS"),
+			Usage: "folder with certificate.pem, key.pem and authorities.pem for links between the gateway's processes; " +
+				"none: links are plain",
+		}},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			settings, err := nodesettings.Load()
 			if err != nil {
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -50,7 +50,7 @@
 	latencyTargetShare = 0.5    // of the aim: the idle answer time is taken to be no longer
 	baseShare          = 1.1    // of the idle answer time that is wanted at most, plus
 	waitShare          = 0.08   // of the aim, for waiting
-	idleLooks          = 3      // decisions in a row that tell the idle response time: responses and work come apart
+	idleLooks          = 3      // decisions in a row that tell the idle response time
 	filledEnough       = 0.9    // of that average before it tells the idle answer time
 	fleetTime          = 1000   // time over which the fleet's answers are averaged
 	ableDecay          = 0.98   // what is left after a step of the most that the fleet answered
