--- a/internal/control/consensus/world_test.go
+++ b/internal/control/consensus/cluster_test.go
@@ -9,10 +9,10 @@
 	"mulleinwood/internal/control/consensus"
 )
 
-// world plays a whole cluster in simulated time from one seed: messages that are late, lost or cut off (both ways or one
+// cluster plays a whole cluster in simulated time from one seed: messages that are late, lost or cut off (both ways or one
 // way), disks that store late or lose everything, replicas that lose power or stand still, voters that are replaced while
 // all that happens. What replicas apply is held against one record by an auditor that knows nothing of their state.
-type world struct {
+type cluster struct {
 	rng      *rand.Rand
 	now      time.Duration
 	machines []*machine
@@ -71,8 +71,8 @@
 
 var timing = consensus.Timing{Heartbeat: 50 * time.Millisecond, ElectionTimeout: 150 * time.Millisecond}
 
-func newWorld(seed uint64, voters, standbys, lost int, fault string) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 3)), lost: lost, cutIn: map[*machine]bool{}, cutOut: map[*machine]bool{},
+func newCluster(seed uint64, voters, standbys, lost int, fault string) *cluster {
+	w := &cluster{rng: rand.New(rand.NewPCG(seed, 3)), lost: lost, cutIn: map[*machine]bool{}, cutOut: map[*machine]bool{},
 		acked: map[uint64]string{}, fault: fault}
 	names := []string{"a", "b", "c", "d", "e", "f", "g"}
 	w.voters = consensus.Membership{Epoch: 1, Voters: names[:voters]}
@@ -87,7 +87,7 @@
 	return w
 }
 
-func (w *world) start(m *machine) {
+func (w *cluster) start(m *machine) {
 	m.replica = consensus.New(consensus.Config{ID: m.id, Timing: timing, Seed: w.rng.Uint64(), Membership: m.disk.membership, Hard: m.disk.hard,
 		Snapshot: m.disk.snap, Log: slices.Clone(m.disk.log), Now: w.now})
 	m.queue, m.waiting, m.reading, m.applied, m.frozen = nil, map[uint64]uint64{}, map[uint64]uint64{}, m.disk.snap.Index, 0
@@ -107,7 +107,7 @@
 	d.log = append(d.log, out.Entries...)
 }
 
-func (w *world) machine(id string) *machine {
+func (w *cluster) machine(id string) *machine {
 	for _, m := range w.machines {
 		if m.id == id {
 			return m
@@ -116,7 +116,7 @@
 	return nil
 }
 
-func (w *world) post(from *machine, ms []consensus.Message) {
+func (w *cluster) post(from *machine, ms []consensus.Message) {
 	for _, m := range ms {
 		if to := w.machine(m.To); to != nil && w.rng.IntN(15) > 0 {
 			w.mail = append(w.mail, letter{w.now + time.Duration(1+w.rng.IntN(20))*time.Millisecond, from, to, m})
@@ -124,7 +124,7 @@
 	}
 }
 
-func (w *world) settle(m *machine) {
+func (w *cluster) settle(m *machine) {
 	out := m.replica.DrainOutput()
 	w.post(m, out.Immediate)
 	if w.fault == "acknowledges before storing" {
@@ -152,7 +152,7 @@
 }
 
 // apply holds an entry that a replica takes for committed against the record.
-func (w *world) apply(m *machine, e consensus.Entry) {
+func (w *cluster) apply(m *machine, e consensus.Entry) {
 	m.applied = e.Index
 	switch {
 	case int(e.Index) <= len(w.history):
@@ -176,7 +176,7 @@
 	}
 }
 
-func (w *world) entered(next consensus.Membership) {
+func (w *cluster) entered(next consensus.Membership) {
 	if next.Epoch != w.voters.Epoch+1 {
 		w.wrong = fmt.Sprintf("membership %d follows %d", next.Epoch, w.voters.Epoch)
 	}
@@ -186,7 +186,7 @@
 }
 
 // heed notes that a replica was voted out: it comes back under another identity, as a controller does.
-func (w *world) heed(m *machine, now consensus.Membership) {
+func (w *cluster) heed(m *machine, now consensus.Membership) {
 	if now.Epoch <= m.epoch {
 		return // it starts again, and applies what it had applied before
 	}
@@ -195,7 +195,7 @@
 	m.member, m.epoch = contained, now.Epoch
 }
 
-func (w *world) answerReads(m *machine) {
+func (w *cluster) answerReads(m *machine) {
 	for round, newest := range m.reading {
 		if w.fault == "reads without a round" && m.replica.Role() == consensus.Leader || m.replica.ReadConfirmed(round) {
 			delete(m.reading, round)
@@ -208,7 +208,7 @@
 }
 
 // calm tells that all voters are sound and level: as many as are tolerated may be lost now.
-func (w *world) calm() bool {
+func (w *cluster) calm() bool {
 	for _, id := range w.voters.All() {
 		m := w.machine(id)
 		if m == nil || m.down > w.now || m.frozen > w.now || m.replica.Commit() < uint64(len(w.history)) {
@@ -219,7 +219,7 @@
 }
 
 // fail ends a replica's process, for a while, perhaps with its disk.
-func (w *world) fail(m *machine, wipe bool) {
+func (w *cluster) fail(m *machine, wipe bool) {
 	m.down = w.now + time.Duration(w.rng.IntN(400))*time.Millisecond
 	m.queue = nil
 	if wipe {
@@ -235,7 +235,7 @@
 	w.start(m)
 }
 
-func (w *world) trouble() {
+func (w *cluster) trouble() {
 	some := func() *machine { return w.machines[w.rng.IntN(len(w.machines))] }
 	switch w.rng.IntN(330) {
 	case 0:
@@ -270,7 +270,7 @@
 }
 
 // change begins and ends changes of the membership at random, in ways that a majority may survive.
-func (w *world) change(m *machine) {
+func (w *cluster) change(m *machine) {
 	current := m.replica.Membership()
 	next := w.otherVoters(m, current)
 	switch w.fault {
@@ -295,7 +295,7 @@
 }
 
 // otherVoters replaces voters that are gone for good, or else one at random, by machines that have no vote.
-func (w *world) otherVoters(leader *machine, current consensus.Membership) []string {
+func (w *cluster) otherVoters(leader *machine, current consensus.Membership) []string {
 	next := slices.Clone(current.Voters)
 	gone := slices.ContainsFunc(next, func(id string) bool { return w.machine(id) == nil })
 	for i, id := range next {
@@ -313,7 +313,7 @@
 	return next
 }
 
-func (w *world) run(m *machine) {
+func (w *cluster) run(m *machine) {
 	for len(m.queue) > 0 && m.queue[0].at <= w.now {
 		out := m.queue[0].out
 		m.queue = m.queue[1:]
@@ -341,7 +341,7 @@
 	w.settle(m)
 }
 
-func (w *world) lead(m *machine) {
+func (w *cluster) lead(m *machine) {
 	if w.rng.IntN(15) == 0 {
 		w.next++
 		if index, term, ok := m.replica.Propose(fmt.Appendf(nil, "change %d", w.next), w.now); ok {
@@ -359,7 +359,7 @@
 	}
 }
 
-func (w *world) deliver() {
+func (w *cluster) deliver() {
 	mail := w.mail
 	w.mail = nil
 	for _, l := range mail {
@@ -374,7 +374,7 @@
 	}
 }
 
-func (w *world) play(length time.Duration) string {
+func (w *cluster) play(length time.Duration) string {
 	for ; w.now < length && w.wrong == ""; w.now += step {
 		w.trouble()
 		for _, m := range w.machines {
@@ -393,7 +393,7 @@
 }
 
 // heal ends all troubles and tells whether the cluster takes a change again.
-func (w *world) heal(within time.Duration) bool {
+func (w *cluster) heal(within time.Duration) bool {
 	clear(w.cutIn)
 	clear(w.cutOut)
 	for _, m := range w.machines {
--- a/internal/control/consensus/consensus_test.go
+++ b/internal/control/consensus/consensus_test.go
@@ -17,7 +17,7 @@
 	It("lose nothing that was acknowledged, never differ, and take changes again after all", func() {
 		acknowledged, changes, reads := 0, 0, 0
 		for seed := range uint64(120) {
-			for _, w := range []*world{newWorld(seed, 3, 0, 1, ""), newWorld(seed, 3, 2, 1, ""), newWorld(seed, 5, 1, 2, "")} {
+			for _, w := range []*cluster{newCluster(seed, 3, 0, 1, ""), newCluster(seed, 3, 2, 1, ""), newCluster(seed, 5, 1, 2, "")} {
 				Expect(w.play(12*time.Second)).To(BeEmpty(), "seed %d, %d machines", seed, len(w.machines))
 				Expect(w.heal(10*time.Second)).To(BeTrue(), "seed %d, %d machines: no change is taken after all troubles %s", seed, len(w.machines), w.wrong)
 				acknowledged, changes, reads = acknowledged+len(w.acked), changes+w.changes, reads+w.reads
@@ -31,7 +31,7 @@
 		"changes the membership before the last change is committed", "keeps a snapshot without its membership", "reads without a round"} {
 		It("are seen to go wrong when a replica "+fault, func() {
 			for seed := range uint64(600) {
-				w := newWorld(seed, 3, 2, 1, fault)
+				w := newCluster(seed, 3, 2, 1, fault)
 				if w.play(12*time.Second) != "" || !w.heal(10*time.Second) {
 					return
 				}
--- a/internal/control/controller/answers_test.go
+++ b/internal/control/controller/answers_test.go
@@ -112,18 +112,18 @@
 	for _, role := range []string{"leader", "follower", "no_leader"} {
 		t.Run(role, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				h, b := voterAt(t)
+				h, b := startVoter(t)
 				switch role {
 				case "leader":
-					h.lead(b)
+					h.becomeLeader(b)
 				case "follower":
-					h.follow(b, 5, consensus.Message{Index: 1, LogTerm: 4})
+					h.followLeader(b, 5, consensus.Message{Index: 1, LogTerm: 4})
 				}
 				var got strings.Builder
 				for _, one := range calls {
-					c := h.begins(one.method, one.path, one.match, one.body)
+					c := h.startCall(one.method, one.path, one.match, one.body)
 					if role == "leader" {
-						h.confirms(b)
+						h.confirmReads(b)
 					}
 					got.WriteString(c.text(one.method + " " + one.path))
 				}
@@ -148,16 +148,16 @@
 		dir := t.TempDir()
 		g.Expect(os.WriteFile(filepath.Join(dir, "exchange.db"), text, 0o600)).To(Succeed())
 		h := start(t, ipA, dir, false)
-		b := h.linked(ipB)
-		h.lead(b)
+		b := h.linkReplica(ipB)
+		h.becomeLeader(b)
 		g.Expect(config.Version(h.consensus.state.Version()).String()).To(Equal("r2"))
 		g.Expect(h.consensus.replica.Term()).To(BeNumerically(">", 5))
 		g.Expect(h.claims.store.Recovering()).To(BeFalse())
 		a := h.claims.store.Response(idempotency.Key{1}, idempotency.Token{Incarnation: 5, Sequence: 1})
 		g.Expect(a).NotTo(BeNil())
 		g.Expect(string(a.Body)).To(Equal("paid"))
-		read := h.begins(http.MethodGet, "/bookings", "", "")
-		h.confirms(b)
+		read := h.startCall(http.MethodGet, "/bookings", "", "")
+		h.confirmReads(b)
 		g.Expect(read.status()).To(Equal(http.StatusOK))
 		g.Expect(read.w.Body.String()).To(ContainSubstring(`"id":"fair"`))
 		var ids []string
--- a/internal/control/controller/authority_test.go
+++ b/internal/control/controller/authority_test.go
@@ -25,13 +25,13 @@
 
 // call is one that a controller has not answered yet, or has.
 type call struct {
-	h        *host
+	h        *testController
 	w        *httptest.ResponseRecorder
 	answered chan struct{}
 }
 
-// begins starts a call and lets it come as far as it comes without time passing.
-func (h *host) begins(method, path, match, body string) *call {
+// startCall starts a call and lets it come as far as it comes without time passing.
+func (h *testController) startCall(method, path, match, body string) *call {
 	one := &call{h: h, w: httptest.NewRecorder(), answered: make(chan struct{})}
 	ctx, gone := context.WithCancel(context.Background())
 	h.t.Cleanup(gone)
@@ -43,13 +43,13 @@
 		defer close(one.answered)
 		newControlAPI(h.Controller).handler().ServeHTTP(one.w, r)
 	}()
-	h.turn()
+	h.settle()
 	return one
 }
 
 // status is the answer's, or 0 as long as there is none.
 func (c *call) status() int {
-	c.h.turn()
+	c.h.settle()
 	select {
 	case <-c.answered:
 		return c.w.Code
@@ -58,16 +58,16 @@
 	}
 }
 
-// voterAt is a voter of three with a link to another one.
-func voterAt(t *testing.T) (*host, *script) {
+// startVoter is a voter of three with a link to another one.
+func startVoter(t *testing.T) (*testController, *scriptedPeer) {
 	dir := t.TempDir()
-	prepared(t, dir, voter(ipA))
+	writeDisk(t, dir, voterDisk(ipA))
 	h := start(t, ipA, dir, false)
-	return h, h.linked(ipB)
+	return h, h.linkReplica(ipB)
 }
 
-// everyOrder is each call that needs a leader, with what it needs to be proper.
-var everyOrder = map[string]struct{ method, path, match, body string }{
+// leaderCalls is each call that needs a leader, with what it needs to be proper.
+var leaderCalls = map[string]struct{ method, path, match, body string }{
 	"GET /config":           {http.MethodGet, "/config", "", ""},
 	"PUT /config":           {http.MethodPut, "/config", "r0", firstConfig},
 	"PATCH /config":         {http.MethodPatch, "/config", "r0", `{"version":"r1"}`},
@@ -79,17 +79,17 @@
 
 // One that follows sends callers on to the leader; one that knows of none asks them to come back. Neither looks at what
 // it holds.
-func TestOrdersWithoutLeadership(t *testing.T) {
-	for name, order := range everyOrder {
+func TestCallsWithoutLeadership(t *testing.T) {
+	for name, order := range leaderCalls {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				h, b := voterAt(t)
-				one := h.begins(order.method, order.path, order.match, order.body)
+				h, b := startVoter(t)
+				one := h.startCall(order.method, order.path, order.match, order.body)
 				g.Expect(one.status()).To(Equal(http.StatusServiceUnavailable))
 				g.Expect(one.w.Header().Get("Retry-After")).NotTo(BeEmpty())
-				h.follow(b, 5, consensus.Message{Index: 1, LogTerm: 4})
-				one = h.begins(order.method, order.path, order.match, order.body)
+				h.followLeader(b, 5, consensus.Message{Index: 1, LogTerm: 4})
+				one = h.startCall(order.method, order.path, order.match, order.body)
 				g.Expect(one.status()).To(Equal(http.StatusTemporaryRedirect))
 				g.Expect(one.w.Header().Get("Location")).To(Equal("http://" + ipB + ":8649" + order.path))
 				h.stop()
@@ -103,13 +103,13 @@
 func TestLeaderThatHearsNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		h, b := voterAt(t)
-		h.lead(b)
-		read, order := h.begins(http.MethodGet, "/config", "", ""), h.begins(http.MethodPut, "/config", "r0", firstConfig)
+		h, b := startVoter(t)
+		h.becomeLeader(b)
+		read, order := h.startCall(http.MethodGet, "/config", "", ""), h.startCall(http.MethodPut, "/config", "r0", firstConfig)
 		g.Expect([]int{read.status(), order.status()}).To(HaveEach(0), "nobody has answered this round")
-		h.pass(500 * time.Millisecond)
+		h.advance(500 * time.Millisecond)
 		g.Expect([]int{read.status(), order.status()}).To(HaveEach(0))
-		h.pass(2 * callTimeout)
+		h.advance(2 * callTimeout)
 		g.Expect(read.status()).To(Equal(http.StatusServiceUnavailable))
 		g.Expect(order.status()).To(Equal(http.StatusBadGateway), "it may still be taken")
 		g.Expect(h.consensus.leads()).To(BeFalse())
@@ -119,16 +119,16 @@
 }
 
 // A read is answered by a round that began after it came, not by an answer that was on its way.
-func TestReadNeedsARoundOfItsOwn(t *testing.T) {
+func TestReadNeedsItsOwnReadIndex(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		h, b := voterAt(t)
-		h.lead(b)
+		h, b := startVoter(t)
+		h.becomeLeader(b)
 		before := consensus.Message{Kind: consensus.AppendReply, Term: h.consensus.replica.Term(), OK: true, Index: h.consensus.replica.Last()}
-		read := h.begins(http.MethodGet, "/config", "", "")
-		b.agrees(before)
+		read := h.startCall(http.MethodGet, "/config", "", "")
+		b.sendConsensus(before)
 		g.Expect(read.status()).To(BeZero())
-		h.confirms(b)
+		h.confirmReads(b)
 		g.Expect(read.status()).To(Equal(http.StatusOK))
 		h.stop()
 	})
@@ -136,22 +136,22 @@
 
 // A leader that stood still while another was elected answers from nothing that it held when it wakes: neither what was
 // asked before nor what is asked now.
-func TestFrozenLeaderThatWakes(t *testing.T) {
+func TestFrozenLeaderThatResumes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		h, b := voterAt(t)
-		h.lead(b)
-		read := h.begins(http.MethodGet, "/config", "", "")
+		h, b := startVoter(t)
+		h.becomeLeader(b)
+		read := h.startCall(http.MethodGet, "/config", "", "")
 		time.Sleep(20 * time.Second) // b leads by now, and has agreed on other things
 		g.Expect(h.consensus.inContact()).To(BeFalse())
-		late := h.begins(http.MethodGet, "/config", "", "")
-		order := h.begins(http.MethodPut, "/config", "r0", firstConfig)
-		drain := h.begins(http.MethodDelete, "/instances/i-1", "", "")
+		late := h.startCall(http.MethodGet, "/config", "", "")
+		order := h.startCall(http.MethodPut, "/config", "r0", firstConfig)
+		drain := h.startCall(http.MethodDelete, "/instances/i-1", "", "")
 		g.Expect(drain.status()).To(Equal(http.StatusServiceUnavailable))
-		b.agrees(consensus.Message{Kind: consensus.AppendReply, Term: h.consensus.replica.Term(), OK: true, Index: 2}) // was on its way all the time
+		b.sendConsensus(consensus.Message{Kind: consensus.AppendReply, Term: h.consensus.replica.Term(), OK: true, Index: 2}) // was on its way all the time
 		g.Expect([]int{late.status(), order.status()}).To(HaveEach(0))
-		h.follow(b, h.consensus.replica.Term()+3, consensus.Message{Index: 1, LogTerm: 4})
-		h.pass(tickInterval)
+		h.followLeader(b, h.consensus.replica.Term()+3, consensus.Message{Index: 1, LogTerm: 4})
+		h.advance(tickInterval)
 		g.Expect([]int{read.status(), late.status()}).To(HaveEach(http.StatusServiceUnavailable))
 		g.Expect(order.status()).To(Equal(http.StatusBadGateway))
 		h.stop()
@@ -159,22 +159,22 @@
 }
 
 // A call whose entry is cut off the log, or whose place another entry takes, gets an unclear answer, and gets one.
-func TestCallWhoseEntryIsCutOff(t *testing.T) {
+func TestCallWhoseEntryIsTruncated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		h, b := voterAt(t)
-		h.lead(b)
+		h, b := startVoter(t)
+		h.becomeLeader(b)
 		term, at := h.consensus.replica.Term(), h.consensus.replica.Last()+1
-		one := h.begins(http.MethodPut, "/config", "r0", firstConfig)
+		one := h.startCall(http.MethodPut, "/config", "r0", firstConfig)
 		g.Expect(one.status()).To(BeZero())
 		// Another leader's entry takes its place, and is committed, in the same turn.
-		h.follow(b, term+1, consensus.Message{Index: at - 1, LogTerm: term, Commit: at, Entries: []consensus.Entry{{Term: term + 1, Index: at}}})
+		h.followLeader(b, term+1, consensus.Message{Index: at - 1, LogTerm: term, Commit: at, Entries: []consensus.Entry{{Term: term + 1, Index: at}}})
 		g.Expect(one.status()).To(Equal(http.StatusBadGateway))
 		g.Expect(h.consensus.state.Version()).To(BeZero())
 		g.Expect(h.consensus.proposals).To(BeEmpty())
 
-		h.lead(b)
-		one = h.begins(http.MethodPut, "/config", "r0", firstConfig)
+		h.becomeLeader(b)
+		one = h.startCall(http.MethodPut, "/config", "r0", firstConfig)
 		index := h.consensus.replica.Last()
 		h.consensus.awaitEntry(index, 0, func(uint64, error) {}) // it leads again and proposes at the same index
 		g.Expect(one.status()).To(Equal(http.StatusBadGateway))
@@ -184,20 +184,20 @@
 
 // The same order sent again after its acknowledgement was lost is acknowledged, and one that lost the race is refused: both
 // only once their entries are committed.
-func TestOrdersAreDecidedByTheLog(t *testing.T) {
+func TestChangesAreDecidedByTheLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		h, b := voterAt(t)
-		h.lead(b)
-		first := h.begins(http.MethodPut, "/config", "r0", firstConfig)
-		again := h.begins(http.MethodPut, "/config", "r0", firstConfig)
-		other := h.begins(http.MethodPut, "/config", "r0", secondConfig)
+		h, b := startVoter(t)
+		h.becomeLeader(b)
+		first := h.startCall(http.MethodPut, "/config", "r0", firstConfig)
+		again := h.startCall(http.MethodPut, "/config", "r0", firstConfig)
+		other := h.startCall(http.MethodPut, "/config", "r0", secondConfig)
 		g.Expect([]int{first.status(), again.status(), other.status()}).To(HaveEach(0))
-		h.confirms(b)
+		h.confirmReads(b)
 		g.Expect([]int{first.status(), again.status(), other.status()}).To(Equal([]int{200, 200, http.StatusPreconditionFailed}))
-		later := h.begins(http.MethodPut, "/config", "r0", firstConfig)
+		later := h.startCall(http.MethodPut, "/config", "r0", firstConfig)
 		g.Expect(later.status()).To(BeZero(), "even what is known here is told only once a majority follows")
-		h.confirms(b)
+		h.confirmReads(b)
 		g.Expect(later.status()).To(Equal(http.StatusOK))
 		h.stop()
 	})
@@ -205,39 +205,39 @@
 
 // An order that was taken is known again after a hundred others, in a snapshot, by a leader that started from it; so is one
 // of eight that were under way at once.
-func TestOrderIsKnownAgainAfterASnapshotAndAStart(t *testing.T) {
+func TestChangeIsKnownAfterASnapshotAndARestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		h, b := voterAt(t)
-		h.lead(b)
+		h, b := startVoter(t)
+		h.becomeLeader(b)
 		put := func(base int) *call {
-			return h.begins(http.MethodPut, "/config", fmt.Sprint("r", base), strings.Replace(firstConfig, "r1", fmt.Sprint("r", base+1), 1))
+			return h.startCall(http.MethodPut, "/config", fmt.Sprint("r", base), strings.Replace(firstConfig, "r1", fmt.Sprint("r", base+1), 1))
 		}
 		patch := func(base int) *call {
-			return h.begins(http.MethodPatch, "/config", fmt.Sprint("r", base), fmt.Sprintf(`{"version":"r%d","upsert":{},"remove":{}}`, base+1))
+			return h.startCall(http.MethodPatch, "/config", fmt.Sprint("r", base), fmt.Sprintf(`{"version":"r%d","upsert":{},"remove":{}}`, base+1))
 		}
 		first := put(0)
-		h.confirms(b)
+		h.confirmReads(b)
 		g.Expect(first.status()).To(Equal(http.StatusOK))
 		for base := 1; base < 101; base += 10 {
 			var all []*call
 			for n := range 10 { // each on top of one that is not committed yet
 				all = append(all, patch(base+n))
 			}
-			h.confirms(b)
+			h.confirmReads(b)
 			for _, one := range all {
 				g.Expect(one.status()).To(Equal(http.StatusOK))
 			}
 		}
 		h.stop()
-		s := held(t, h.dir)
+		s := readDisk(t, h.dir)
 		g.Expect(s.Snapshot.Index).NotTo(BeZero())
 		g.Expect(s.Snapshot.Membership).To(Equal(three))
 		h = start(t, ipA, h.dir, false)
-		b = h.linked(ipB)
-		h.lead(b)
+		b = h.linkReplica(ipB)
+		h.becomeLeader(b)
 		again := []*call{put(0), patch(50), patch(100), put(40)}
-		h.confirms(b)
+		h.confirmReads(b)
 		for i, status := range []int{200, 200, 200, http.StatusPreconditionFailed} {
 			g.Expect(again[i].status()).To(Equal(status))
 		}
@@ -250,23 +250,23 @@
 func TestServersAtAControllerThatIsCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		h, b := voterAt(t)
+		h, b := startVoter(t)
 		beat := func(state string) *call {
-			return h.begins(http.MethodPut, "/instances/i-1", "", `{"service":"s","address":"x:1","capacity":2,"state":"`+state+`","call_seq":1}`)
+			return h.startCall(http.MethodPut, "/instances/i-1", "", `{"service":"s","address":"x:1","capacity":2,"state":"`+state+`","call_seq":1}`)
 		}
 		g.Expect(beat("ready").status()).To(Equal(http.StatusOK))
 		g.Expect(beat("draining").status()).To(Equal(http.StatusServiceUnavailable))
-		g.Expect(h.begins(http.MethodDelete, "/instances/i-1", "", "").status()).To(Equal(http.StatusServiceUnavailable))
+		g.Expect(h.startCall(http.MethodDelete, "/instances/i-1", "", "").status()).To(Equal(http.StatusServiceUnavailable))
 		e, _ := h.servers.registry.Get("i-1")
 		g.Expect(e.State).To(BeZero())
 		// In contact: the leader is heard, and says that it hears this controller.
-		h.follow(b, 5, consensus.Message{Index: 1, LogTerm: 4})
-		b.hears()
+		h.followLeader(b, 5, consensus.Message{Index: 1, LogTerm: 4})
+		b.received()
 		one := beat("draining")
 		g.Expect(one.status()).To(BeZero(), "the other controller has not said that it knows")
-		for _, f := range b.hears() {
+		for _, f := range b.received() {
 			if f.AckID != 0 {
-				b.says(&peer.Frame{Acked: f.AckID})
+				b.send(&peer.Frame{Acked: f.AckID})
 			}
 		}
 		g.Expect(one.status()).To(Equal(http.StatusOK))
@@ -278,10 +278,10 @@
 func TestFollowerWhoseLeaderDoesNotHearIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		h, b := voterAt(t)
-		h.follow(b, 5, consensus.Message{Index: 1, LogTerm: 4})
+		h, b := startVoter(t)
+		h.followLeader(b, 5, consensus.Message{Index: 1, LogTerm: 4})
 		g.Expect(h.shortSummary().InContact).To(BeTrue())
-		b.agrees(consensus.Message{Kind: consensus.Append, Term: 5, Index: 1, LogTerm: 4})
+		b.sendConsensus(consensus.Message{Kind: consensus.Append, Term: 5, Index: 1, LogTerm: 4})
 		g.Expect(h.shortSummary().InContact).To(BeFalse(), "its edges look for another controller")
 		h.stop()
 	})
@@ -291,11 +291,11 @@
 func TestStatusNeedsNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		h, _ := voterAt(t)
+		h, _ := startVoter(t)
 		for _, path := range []string{"/status", "/config/history", "/metrics"} {
-			g.Expect(h.begins(http.MethodGet, path, "", "").status()).To(Equal(http.StatusOK), path)
+			g.Expect(h.startCall(http.MethodGet, path, "", "").status()).To(Equal(http.StatusOK), path)
 		}
-		one := h.begins(http.MethodGet, "/status", "", "")
+		one := h.startCall(http.MethodGet, "/status", "", "")
 		g.Expect(one.status()).To(Equal(http.StatusOK))
 		var v operator.Status
 		g.Expect(json.Unmarshal(one.w.Body.Bytes(), &v)).To(Succeed())
--- a/internal/control/controller/claims_test.go
+++ b/internal/control/controller/claims_test.go
@@ -13,23 +13,23 @@
 	"mulleinwood/internal/peer"
 )
 
-// refuse has the disk take no write until mend.
-func (h *host) refuse() { h.g.Expect(h.storage.Close()).To(Succeed()) }
+// failDisk has the disk take no write until mend.
+func (h *testController) failDisk() { h.g.Expect(h.storage.Close()).To(Succeed()) }
 
-func (h *host) mend() {
+func (h *testController) repairDisk() {
 	st, _, err := storage.Open(h.dir, time.Minute, 1<<20)
 	h.g.Expect(err).NotTo(HaveOccurred())
 	h.storage = st
 }
 
-// enters brings a controller to the joint membership under which it gets a vote.
-func enters(t *testing.T, dir string) (h *host, a, b *script) {
+// startNewVoter brings a controller to the joint membership under which it gets a vote.
+func startNewVoter(t *testing.T, dir string) (h *testController, a, b *scriptedPeer) {
 	yes, m := true, three
-	prepared(t, dir, &storage.Batch{Identity: "10.0.0.4#d", Hard: &consensus.HardState{Term: 4, Commit: 1}, Recovering: &yes, Membership: &m,
+	writeDisk(t, dir, &storage.Batch{Identity: "10.0.0.4#d", Hard: &consensus.HardState{Term: 4, Commit: 1}, Recovering: &yes, Membership: &m,
 		Entries: []consensus.Entry{{Term: 4, Index: 1, Membership: &m}}})
 	h = start(t, ipD, dir, false)
-	a, b = h.linked(ipA), h.linked(ipB)
-	h.follow(a, 5, consensus.Message{Index: 1, LogTerm: 4, Commit: 2, Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &joint}}})
+	a, b = h.linkReplica(ipA), h.linkReplica(ipB)
+	h.followLeader(a, 5, consensus.Message{Index: 1, LogTerm: 4, Commit: 2, Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &joint}}})
 	h.g.Expect(h.members.current).To(Equal(joint))
 	return h, a, b
 }
@@ -39,22 +39,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		dir := t.TempDir()
-		prepared(t, dir, voter(ipB))
+		writeDisk(t, dir, voterDisk(ipB))
 		h := start(t, ipB, dir, false)
-		a := h.linked(ipA)
+		a := h.linkReplica(ipA)
 		ask := func(n, epoch uint64) []idempotency.GrantReply {
-			a.hears()
-			a.says(&peer.Frame{GrantRequests: []idempotency.Record{record(n)}, Epoch: epoch})
-			return verdicts(a.hears())
+			a.received()
+			a.send(&peer.Frame{GrantRequests: []idempotency.Record{claimRecord(n)}, Epoch: epoch})
+			return grantReplies(a.received())
 		}
 		g.Expect(ask(1, 2)).To(Equal([]idempotency.GrantReply{idempotency.ReplyGranted}))
-		h.follow(a, 5, consensus.Message{Index: 1, LogTerm: 4, Commit: 2, Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &joint}}})
+		h.followLeader(a, 5, consensus.Message{Index: 1, LogTerm: 4, Commit: 2, Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &joint}}})
 		g.Expect(ask(2, 2)).To(Equal([]idempotency.GrantReply{idempotency.ReplyStaleEpoch}))
 		g.Expect(h.claims.store.Len()).To(Equal(1), "and holds nothing of it")
 		g.Expect(ask(2, 3)).To(Equal([]idempotency.GrantReply{idempotency.ReplyGranted}))
 		h.stop()
 		h = start(t, ipB, dir, false)
-		a = h.linked(ipA)
+		a = h.linkReplica(ipA)
 		g.Expect(ask(3, 2)).To(Equal([]idempotency.GrantReply{idempotency.ReplyStaleEpoch}), "a start forgets no epoch")
 		h.stop()
 	})
@@ -67,33 +67,33 @@
 		two := joint // of which only one voter stays
 		two.Next = []string{ipA, "10.0.0.4#d", "10.0.0.5#e"}
 		dir := t.TempDir()
-		prepared(t, dir, voter(ipA))
+		writeDisk(t, dir, voterDisk(ipA))
 		h := start(t, ipA, dir, false)
-		b, d := h.linked(ipB), h.linked("10.0.0.4#d")
-		edge := h.meets("10.0.0.9", &peer.Handshake{Node: "e", IP: "10.0.0.9", Zone: "x", Edge: true})
-		asked := func(s *script) (epochs []uint64) {
-			for _, f := range s.hears() {
+		b, d := h.linkReplica(ipB), h.linkReplica("10.0.0.4#d")
+		edge := h.link("10.0.0.9", &peer.Handshake{Node: "e", IP: "10.0.0.9", Zone: "x", Edge: true})
+		asked := func(s *scriptedPeer) (epochs []uint64) {
+			for _, f := range s.received() {
 				if len(f.GrantRequests) > 0 {
 					epochs = append(epochs, f.Epoch)
 				}
 			}
 			return epochs
 		}
-		r := record(1)
-		edge.says(&peer.Frame{Claims: []idempotency.Record{r}})
+		r := claimRecord(1)
+		edge.send(&peer.Frame{Claims: []idempotency.Record{r}})
 		g.Expect(asked(b)).To(Equal([]uint64{2}))
-		b.says(&peer.Frame{GrantReplies: []peer.GrantReply{{Token: r.Token, Reply: idempotency.ReplyStaleEpoch}}})
+		b.send(&peer.Frame{GrantReplies: []peer.GrantReply{{Token: r.Token, Reply: idempotency.ReplyStaleEpoch}}})
 		asked(b)
-		h.follow(b, 5, consensus.Message{Index: 1, LogTerm: 4, Commit: 2, Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &two}}})
+		h.followLeader(b, 5, consensus.Message{Index: 1, LogTerm: 4, Commit: 2, Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &two}}})
 		g.Expect(asked(b)).To(Equal([]uint64{3}))
-		for _, s := range []*script{b, d} {
-			for _, f := range edge.hears() {
+		for _, s := range []*scriptedPeer{b, d} {
+			for _, f := range edge.received() {
 				g.Expect(f.Outcomes).To(BeEmpty(), "it stands with both sets only")
 			}
-			s.says(&peer.Frame{GrantReplies: []peer.GrantReply{{Token: r.Token, Reply: idempotency.ReplyGranted}}})
+			s.send(&peer.Frame{GrantReplies: []peer.GrantReply{{Token: r.Token, Reply: idempotency.ReplyGranted}}})
 		}
 		var rulings []peer.ClaimOutcome
-		for _, f := range edge.hears() {
+		for _, f := range edge.received() {
 			rulings = append(rulings, f.Outcomes...)
 		}
 		g.Expect(rulings).To(Equal([]peer.ClaimOutcome{{Token: r.Token, Outcome: idempotency.OutcomeGranted}}))
@@ -107,13 +107,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		dir := t.TempDir()
-		prepared(t, dir, voter(ipB))
+		writeDisk(t, dir, voterDisk(ipB))
 		h := start(t, ipB, dir, false)
-		a, d := h.linked(ipA), h.linked("10.0.0.4#d")
+		a, d := h.linkReplica(ipA), h.linkReplica("10.0.0.4#d")
 		copied := func(epoch uint64) (records int, whole bool) {
-			d.hears()
-			d.says(&peer.Frame{CopyRequest: true, Epoch: epoch})
-			for _, f := range d.hears() {
+			d.received()
+			d.send(&peer.Frame{CopyRequest: true, Epoch: epoch})
+			for _, f := range d.received() {
 				if f.ClaimsChunk != nil {
 					g.Expect(f.Epoch).To(Equal(epoch))
 					records, whole = records+len(f.ClaimsChunk.Records), whole || f.ClaimsChunk.Last
@@ -123,14 +123,14 @@
 		}
 		_, whole := copied(3)
 		g.Expect(whole).To(BeFalse(), "it knows nothing of that epoch")
-		h.refuse()
-		h.follow(a, 5, consensus.Message{Index: 1, LogTerm: 4, Commit: 2, Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &joint}}})
+		h.failDisk()
+		h.followLeader(a, 5, consensus.Message{Index: 1, LogTerm: 4, Commit: 2, Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &joint}}})
 		g.Expect(h.members.current).To(Equal(joint))
 		_, whole = copied(3)
 		g.Expect(whole).To(BeFalse(), "it is applied and not durable")
-		h.mend()
-		h.pass(2 * writeRetry)
-		a.says(&peer.Frame{GrantRequests: []idempotency.Record{record(1)}, Epoch: 3})
+		h.repairDisk()
+		h.advance(2 * writeRetry)
+		a.send(&peer.Frame{GrantRequests: []idempotency.Record{claimRecord(1)}, Epoch: 3})
 		records, whole := copied(3)
 		g.Expect(whole).To(BeTrue())
 		g.Expect(records).To(Equal(1))
@@ -145,34 +145,34 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		dir := t.TempDir()
-		h, a, b := enters(t, dir)
+		h, a, b := startNewVoter(t, dir)
 		part := func(from, to uint64) (all []idempotency.Record) {
 			for n := from; n < to; n++ {
-				all = append(all, record(n))
+				all = append(all, claimRecord(n))
 			}
 			return all
 		}
 		ready := func() (said bool) {
-			for _, f := range a.hears() {
+			for _, f := range a.received() {
 				said = said || f.ReplicaStatus != nil && f.ReplicaStatus.Ready
 			}
 			return said
 		}
-		a.says(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Records: part(1, 11)}, Epoch: 3})
-		h.refuse()
-		a.says(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Records: part(11, 21)}, Epoch: 3})
-		h.pass(3 * writeRetry)
-		a.says(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Records: part(21, 31), Last: true}, Epoch: 3})
-		b.says(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Records: part(5, 41), Last: true}, Epoch: 3})
-		h.pass(3 * writeRetry)
+		a.send(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Records: part(1, 11)}, Epoch: 3})
+		h.failDisk()
+		a.send(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Records: part(11, 21)}, Epoch: 3})
+		h.advance(3 * writeRetry)
+		a.send(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Records: part(21, 31), Last: true}, Epoch: 3})
+		b.send(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Records: part(5, 41), Last: true}, Epoch: 3})
+		h.advance(3 * writeRetry)
 		g.Expect(ready()).To(BeFalse())
 		g.Expect(h.claims.store.Recovering()).To(BeTrue(), "it grants nothing before its word is durable")
 		g.Expect(h.log.with("disk write failed")).To(HaveLen(1))
-		h.mend()
-		h.pass(3 * writeRetry)
+		h.repairDisk()
+		h.advance(3 * writeRetry)
 		g.Expect(ready()).To(BeTrue())
 		h.stop()
-		s := held(t, dir)
+		s := readDisk(t, dir)
 		g.Expect(s.Recovering).To(BeFalse())
 		keys := map[idempotency.Key]bool{}
 		for _, r := range s.Claims {
@@ -181,25 +181,25 @@
 		}
 		g.Expect(keys).To(HaveLen(40))
 		h = start(t, ipD, dir, false)
-		v, _, _ := h.claims.store.Grant(record(15), h.Now())
+		v, _, _ := h.claims.store.Grant(claimRecord(15), h.Now())
 		g.Expect(v).To(Equal(idempotency.ReplyConflict), "a key that was copied is granted to nobody, after a start, too")
 		h.stop()
 	})
 }
 
 // One store, one that copies itself, and one that was asked under another epoch are no majority of the former voters.
-func TestEntrantNeedsAMajorityOfCopies(t *testing.T) {
+func TestNewVoterNeedsAMajorityOfCopies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		h, a, b := enters(t, t.TempDir())
-		e := h.linked("10.0.0.5#e")
-		a.says(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Last: true}, Epoch: 3})
-		a.says(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Last: true}, Epoch: 3})
-		e.says(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Last: true}, Epoch: 3})
-		b.says(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Last: true}, Epoch: 2})
-		b.says(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Last: true, Recovering: true}, Epoch: 3})
+		h, a, b := startNewVoter(t, t.TempDir())
+		e := h.linkReplica("10.0.0.5#e")
+		a.send(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Last: true}, Epoch: 3})
+		a.send(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Last: true}, Epoch: 3})
+		e.send(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Last: true}, Epoch: 3})
+		b.send(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Last: true}, Epoch: 2})
+		b.send(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Last: true, Recovering: true}, Epoch: 3})
 		g.Expect(h.claims.store.Recovering()).To(BeTrue())
-		b.says(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Last: true}, Epoch: 3})
+		b.send(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Last: true}, Epoch: 3})
 		g.Expect(h.claims.store.Recovering()).To(BeFalse())
 		h.stop()
 	})
@@ -210,21 +210,21 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		dir := t.TempDir()
-		prepared(t, dir, voter(ipA))
+		writeDisk(t, dir, voterDisk(ipA))
 		h := start(t, ipA, dir, false)
-		b, c := h.linked(ipB), h.linked(ipC)
-		edge := h.meets("10.0.0.9", &peer.Handshake{Node: "e", IP: "10.0.0.9", Zone: "x", Edge: true})
-		h.refuse() // the own store grants nothing
-		r := record(1)
-		edge.says(&peer.Frame{Claims: []idempotency.Record{r}})
-		h.pass(2 * claimHedgeDelay)
-		b.says(&peer.Frame{GrantReplies: []peer.GrantReply{{Token: r.Token, Reply: idempotency.ReplyGranted}}})
-		b.says(&peer.Frame{ReplicaStatus: &peer.ReplicaStatus{Identity: ipB + "#7", Cluster: cluster, Epoch: 2}})
-		h.mend()
-		c.says(&peer.Frame{GrantReplies: []peer.GrantReply{{Token: r.Token, Reply: idempotency.ReplyGranted}}})
-		h.pass(claimTimeout + time.Second)
+		b, c := h.linkReplica(ipB), h.linkReplica(ipC)
+		edge := h.link("10.0.0.9", &peer.Handshake{Node: "e", IP: "10.0.0.9", Zone: "x", Edge: true})
+		h.failDisk() // the own store grants nothing
+		r := claimRecord(1)
+		edge.send(&peer.Frame{Claims: []idempotency.Record{r}})
+		h.advance(2 * claimHedgeDelay)
+		b.send(&peer.Frame{GrantReplies: []peer.GrantReply{{Token: r.Token, Reply: idempotency.ReplyGranted}}})
+		b.send(&peer.Frame{ReplicaStatus: &peer.ReplicaStatus{Identity: ipB + "#7", Cluster: cluster, Epoch: 2}})
+		h.repairDisk()
+		c.send(&peer.Frame{GrantReplies: []peer.GrantReply{{Token: r.Token, Reply: idempotency.ReplyGranted}}})
+		h.advance(claimTimeout + time.Second)
 		var rulings []peer.ClaimOutcome
-		for _, f := range edge.hears() {
+		for _, f := range edge.received() {
 			rulings = append(rulings, f.Outcomes...)
 		}
 		g.Expect(rulings).To(Equal([]peer.ClaimOutcome{{Token: r.Token, Outcome: idempotency.OutcomeUndecided}}))
@@ -237,10 +237,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		h := start(t, ipD, t.TempDir(), false)
-		edge := h.meets("10.0.0.9", &peer.Handshake{Node: "e", IP: "10.0.0.9", Zone: "x", Edge: true})
-		edge.hears()
-		edge.says(&peer.Frame{Claims: []idempotency.Record{record(1)}})
-		g.Expect(edge.hears()[0].Outcomes).To(Equal([]peer.ClaimOutcome{{Token: record(1).Token, Outcome: idempotency.OutcomeUndecided}}))
+		edge := h.link("10.0.0.9", &peer.Handshake{Node: "e", IP: "10.0.0.9", Zone: "x", Edge: true})
+		edge.received()
+		edge.send(&peer.Frame{Claims: []idempotency.Record{claimRecord(1)}})
+		g.Expect(edge.received()[0].Outcomes).To(Equal([]peer.ClaimOutcome{{Token: claimRecord(1).Token, Outcome: idempotency.OutcomeUndecided}}))
 		h.stop()
 	})
 }
--- a/internal/control/controller/earlier_files_test.go
+++ b/internal/control/controller/earlier_files_test.go
@@ -13,35 +13,35 @@
 	"mulleinwood/internal/peer"
 )
 
-func TestFileOfTheEarlierVersionWithASnapshot(t *testing.T) {
+func TestEarlierFileWithASnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		dir := t.TempDir()
 		no := false
 		data, err := statemachine.New().Save()
 		g.Expect(err).NotTo(HaveOccurred())
-		prepared(t, dir, &storage.Batch{BootstrapVoters: three.Voters, Hard: &consensus.HardState{Term: 5, Commit: 64}, Recovering: &no,
+		writeDisk(t, dir, &storage.Batch{BootstrapVoters: three.Voters, Hard: &consensus.HardState{Term: 5, Commit: 64}, Recovering: &no,
 			Snapshot: &consensus.Snapshot{Term: 5, Index: 64, Data: data}})
 		h := start(t, ipA, dir, false)
 		g.Expect(h.consensus.replica.Votes()).To(BeTrue())
-		h.lead(h.linked(ipB))
+		h.becomeLeader(h.linkReplica(ipB))
 		h.stop()
 	})
 }
 
 // A store that the earlier version had not restored yet doesn't grant before it has copied what the others hold.
-func TestStoreOfTheEarlierVersionThatWasNotRestored(t *testing.T) {
+func TestEarlierStoreThatIsRecovering(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		dir := t.TempDir()
 		yes := true
-		prepared(t, dir, &storage.Batch{BootstrapVoters: three.Voters, Hard: &consensus.HardState{Term: 5, Commit: 1}, Recovering: &yes, Entries: []consensus.Entry{{Term: 4, Index: 1}}})
+		writeDisk(t, dir, &storage.Batch{BootstrapVoters: three.Voters, Hard: &consensus.HardState{Term: 5, Commit: 1}, Recovering: &yes, Entries: []consensus.Entry{{Term: 4, Index: 1}}})
 		h := start(t, ipA, dir, false)
-		b := h.linked(ipB)
-		h.follow(b, 6, consensus.Message{Index: 1, LogTerm: 4, Commit: 2, Entries: []consensus.Entry{{Term: 6, Index: 2, Membership: &three}}}) // the first leader names the cluster
-		b.hears()
-		b.says(&peer.Frame{GrantRequests: []idempotency.Record{record(1)}, Epoch: 2})
-		g.Expect(verdicts(b.hears())).NotTo(ContainElement(idempotency.ReplyGranted))
+		b := h.linkReplica(ipB)
+		h.followLeader(b, 6, consensus.Message{Index: 1, LogTerm: 4, Commit: 2, Entries: []consensus.Entry{{Term: 6, Index: 2, Membership: &three}}}) // the first leader names the cluster
+		b.received()
+		b.send(&peer.Frame{GrantRequests: []idempotency.Record{claimRecord(1)}, Epoch: 2})
+		g.Expect(grantReplies(b.received())).NotTo(ContainElement(idempotency.ReplyGranted))
 		h.stop()
 	})
 }
--- a/internal/control/controller/harness_test.go
+++ b/internal/control/controller/harness_test.go
@@ -36,9 +36,9 @@
 	joint = consensus.Membership{Epoch: 3, Cluster: cluster, Voters: []string{ipA, ipB, ipC}, Next: []string{ipA, ipB, "10.0.0.4#d"}}
 )
 
-// host is a controller with a disk of its own, whose turns the test runs one by one, in fake time: it belongs in a bubble
+// testController is a controller with a disk of its own, whose turns the test runs one by one, in fake time: it belongs in a bubble
 // of synctest. Its peers are scripted.
-type host struct {
+type testController struct {
 	*Controller
 	t   *testing.T
 	g   *WithT
@@ -85,8 +85,8 @@
 }
 
 // start begins a controller's life on a disk. It dials nobody.
-func start(t *testing.T, ip, dir string, first bool) *host {
-	h := &host{t: t, g: NewWithT(t), dir: dir, log: &lines{}}
+func start(t *testing.T, ip, dir string, first bool) *testController {
+	h := &testController{t: t, g: NewWithT(t), dir: dir, log: &lines{}}
 	c := newController(node.Config{Settings: settings(t, ip, dir, first), Logger: log.NewLogfmtLogger(h.log)}, 99)
 	c.summaries.next = time.Nanosecond // the first summary has all that are known dialled
 	h.Controller = c
@@ -99,13 +99,13 @@
 }
 
 // stop ends the life; all that is durable stays.
-func (h *host) stop() {
+func (h *testController) stop() {
 	h.end()
 	synctest.Wait()
 }
 
 // end closes what is open, also after a test that failed.
-func (h *host) end() {
+func (h *testController) end() {
 	synctest.Wait()
 	for _, p := range h.remotes {
 		p.link.Close()
@@ -113,8 +113,8 @@
 	_ = h.storage.Close() // it may be closed
 }
 
-// turn lets everything that waits happen, the disk included, without any time passing.
-func (h *host) turn() {
+// settle lets everything that waits happen, the disk included, without any time passing.
+func (h *testController) settle() {
 	for range 50 {
 		h.endTurn()
 		synctest.Wait()
@@ -135,17 +135,17 @@
 	h.t.Fatal("it never comes to rest")
 }
 
-// pass lets time pass, tick by tick.
-func (h *host) pass(d time.Duration) {
+// advance lets time pass, tick by tick.
+func (h *testController) advance(d time.Duration) {
 	for end := h.Now() + d; h.Now() < end; {
 		time.Sleep(tickInterval)
 		h.tick()
-		h.turn()
+		h.settle()
 	}
 }
 
-// prepared writes a disk before a controller's life on it.
-func prepared(t *testing.T, dir string, b *storage.Batch) {
+// writeDisk writes a disk before a controller's life on it.
+func writeDisk(t *testing.T, dir string, b *storage.Batch) {
 	st, _, err := storage.Open(dir, time.Minute, 1<<20)
 	if err == nil {
 		err = st.Commit([]*storage.Batch{b})
@@ -158,8 +158,8 @@
 	}
 }
 
-// held reads a disk after a life.
-func held(t *testing.T, dir string) *storage.State {
+// readDisk reads a disk after a life.
+func readDisk(t *testing.T, dir string) *storage.State {
 	st, s, err := storage.Open(dir, time.Minute, 1<<20)
 	if err == nil {
 		err = st.Close()
@@ -170,40 +170,40 @@
 	return s
 }
 
-// voter is the disk of a voter of three that granted before.
-func voter(ip string) *storage.Batch {
+// voterDisk is the disk of a voter of three that granted before.
+func voterDisk(ip string) *storage.Batch {
 	no, m := false, three
 	return &storage.Batch{Identity: ip, BootstrapVoters: three.Voters, Hard: &consensus.HardState{Term: 4, Commit: 1}, Recovering: &no, Membership: &m,
 		Entries: []consensus.Entry{{Term: 4, Index: 1, Membership: &m}}}
 }
 
-// script is a peer that says what the test has it say, and notes what it hears.
-type script struct {
-	h  *host
+// scriptedPeer is a peer that says what the test has it say, and notes what it hears.
+type scriptedPeer struct {
+	h  *testController
 	p  *remote
 	mu sync.Mutex
 	in []*peer.Frame
 }
 
-// linked links a controller that calls itself by an identity.
-func (h *host) linked(identity string) *script {
-	s := h.meets(membership.Address(identity), &peer.Handshake{Node: "n-" + identity, IP: membership.Address(identity), Zone: "x", Incarnation: 5, Counted: true, Cluster: cluster})
-	s.says(&peer.Frame{ReplicaStatus: &peer.ReplicaStatus{Identity: identity, Cluster: cluster, Epoch: h.members.durable, Ready: true}})
+// linkReplica links a controller that calls itself by an identity.
+func (h *testController) linkReplica(identity string) *scriptedPeer {
+	s := h.link(membership.Address(identity), &peer.Handshake{Node: "n-" + identity, IP: membership.Address(identity), Zone: "x", Incarnation: 5, Counted: true, Cluster: cluster})
+	s.send(&peer.Frame{ReplicaStatus: &peer.ReplicaStatus{Identity: identity, Cluster: cluster, Epoch: h.members.durable, Ready: true}})
 	return s
 }
 
-// meets links whoever says this hello.
-func (h *host) meets(ip string, hello *peer.Handshake) *script {
+// link links whoever says this hello.
+func (h *testController) link(ip string, hello *peer.Handshake) *scriptedPeer {
 	mine, theirs := net.Pipe()
-	s := &script{h: h, p: &remote{link: peer.NewLink(mine), node: hello.Node, ip: ip, zone: hello.Zone, edge: hello.Edge}}
+	s := &scriptedPeer{h: h, p: &remote{link: peer.NewLink(mine), node: hello.Node, ip: ip, zone: hello.Zone, edge: hello.Edge}}
 	h.remotes = append(h.remotes, s.p)
 	go s.listen(theirs)
 	h.handleJoin(s.p, hello)
-	h.turn()
+	h.settle()
 	return s
 }
 
-func (s *script) listen(conn net.Conn) {
+func (s *scriptedPeer) listen(conn net.Conn) {
 	defer conn.Close()
 	var head [4]byte
 	for {
@@ -224,14 +224,14 @@
 	}
 }
 
-// says hands the controller a frame.
-func (s *script) says(f *peer.Frame) {
+// send hands the controller a frame.
+func (s *scriptedPeer) send(f *peer.Frame) {
 	s.h.handleMessages(s.p, f.Messages())
-	s.h.turn()
+	s.h.settle()
 }
 
-// hears gives what came since it was asked last.
-func (s *script) hears() []*peer.Frame {
+// received gives what came since it was asked last.
+func (s *scriptedPeer) received() []*peer.Frame {
 	synctest.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -240,40 +240,40 @@
 	return in
 }
 
-func (s *script) agrees(m consensus.Message) {
+func (s *scriptedPeer) sendConsensus(m consensus.Message) {
 	m.From, m.To = s.p.status.Identity, s.h.consensus.replica.ID()
-	s.says(&peer.Frame{Consensus: []consensus.Message{m}})
+	s.send(&peer.Frame{Consensus: []consensus.Message{m}})
 }
 
-// lead has the controller elected by a peer, which holds its whole log.
-func (h *host) lead(by *script) {
-	h.pass(2 * electionTimeout)
+// becomeLeader has the controller elected by a peer, which holds its whole log.
+func (h *testController) becomeLeader(by *scriptedPeer) {
+	h.advance(2 * electionTimeout)
 	term := h.consensus.replica.Term() + 1
-	by.agrees(consensus.Message{Kind: consensus.PreVoteReply, Term: term, OK: true})
-	by.agrees(consensus.Message{Kind: consensus.VoteReply, Term: term, OK: true})
+	by.sendConsensus(consensus.Message{Kind: consensus.PreVoteReply, Term: term, OK: true})
+	by.sendConsensus(consensus.Message{Kind: consensus.VoteReply, Term: term, OK: true})
 	h.g.Expect(h.consensus.leads()).To(BeTrue())
-	h.confirms(by)
+	h.confirmReads(by)
 }
 
-// confirms has a peer answer that it holds the whole log, and the newest round of the leader.
-func (h *host) confirms(by *script) {
+// confirmReads has a peer answer that it holds the whole log, and the newest round of the leader.
+func (h *testController) confirmReads(by *scriptedPeer) {
 	round := uint64(0)
-	for _, f := range by.hears() {
+	for _, f := range by.received() {
 		for _, m := range f.Consensus {
 			round = max(round, m.ReadRound)
 		}
 	}
-	by.agrees(consensus.Message{Kind: consensus.AppendReply, Term: h.consensus.replica.Term(), OK: true, Index: h.consensus.replica.Last(), ReadRound: round})
+	by.sendConsensus(consensus.Message{Kind: consensus.AppendReply, Term: h.consensus.replica.Term(), OK: true, Index: h.consensus.replica.Last(), ReadRound: round})
 }
 
-// follow has a peer lead, in contact with a majority.
-func (h *host) follow(leader *script, term uint64, m consensus.Message) {
+// followLeader has a peer lead, in contact with a majority.
+func (h *testController) followLeader(leader *scriptedPeer, term uint64, m consensus.Message) {
 	m.Kind, m.Term, m.LeaderInContact = consensus.Append, term, true
-	leader.agrees(m)
+	leader.sendConsensus(m)
 }
 
-// verdicts of all claims that frames tell of.
-func verdicts(in []*peer.Frame) (all []idempotency.GrantReply) {
+// grantReplies of all claims that frames tell of.
+func grantReplies(in []*peer.Frame) (all []idempotency.GrantReply) {
 	for _, f := range in {
 		for _, v := range f.GrantReplies {
 			all = append(all, v.Reply)
@@ -283,7 +283,7 @@
 }
 
 // identities of the replicas that the leader sends its log to.
-func (h *host) learners() (all []string) {
+func (h *testController) learners() (all []string) {
 	for _, r := range h.members.view().Controllers {
 		all = append(all, r.ID)
 	}
--- a/internal/control/controller/identity_test.go
+++ b/internal/control/controller/identity_test.go
@@ -15,7 +15,7 @@
 	"mulleinwood/internal/peer"
 )
 
-func record(n uint64) idempotency.Record {
+func claimRecord(n uint64) idempotency.Record {
 	return idempotency.Record{Key: idempotency.Key{byte(n)}, Token: idempotency.Token{Incarnation: 1, Sequence: n}}
 }
 
@@ -29,7 +29,7 @@
 		g.Expect(drawn).To(HavePrefix(ipD + "#"))
 		g.Expect(h.writer.batches).To(BeEmpty(), "nothing else waits for the disk yet")
 		h.stop() // power is lost at once
-		s := held(t, dir)
+		s := readDisk(t, dir)
 		g.Expect(s.Identity).To(Equal(drawn))
 		g.Expect(s.Recovering).To(BeTrue())
 		g.Expect([]any{s.Hard, s.Entries, s.Claims, s.Servers}).To(HaveEach(BeZero()))
@@ -41,7 +41,7 @@
 }
 
 // The founders of a first start are named by their address, vote at once, and grant at once.
-func TestFoundersVoteAndGrantAtOnce(t *testing.T) {
+func TestBootstrapVotersVoteAndGrantAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		dir := t.TempDir()
@@ -59,7 +59,7 @@
 
 // A disk that was lost draws an identity that no disk had before: it neither votes nor grants, also when the settings still
 // say that the system starts for the first time and a spoilt file was put aside.
-func TestLostDiskDrawsAnotherIdentity(t *testing.T) {
+func TestLostDiskGetsAnotherIdentity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		seen := map[string]bool{ipA: true}
@@ -97,8 +97,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				dir := t.TempDir()
-				prepared(t, dir, &storage.Batch{BootstrapVoters: three.Voters, Hard: &one.hard, Recovering: one.ledgerBlank,
-					Entries: []consensus.Entry{{Term: 4, Index: 1}}, Claims: []idempotency.Record{record(1)}})
+				writeDisk(t, dir, &storage.Batch{BootstrapVoters: three.Voters, Hard: &one.hard, Recovering: one.ledgerBlank,
+					Entries: []consensus.Entry{{Term: 4, Index: 1}}, Claims: []idempotency.Record{claimRecord(1)}})
 				for range 2 { // and the same at the next start
 					h := start(t, ipA, dir, false)
 					g.Expect(h.members.identity == ipA).To(Equal(one.keeps), h.members.identity)
@@ -121,7 +121,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		dir, yes := t.TempDir(), true
-		prepared(t, dir, &storage.Batch{BootstrapVoters: three.Voters, Hard: &consensus.HardState{Term: 5}, Recovering: &yes})
+		writeDisk(t, dir, &storage.Batch{BootstrapVoters: three.Voters, Hard: &consensus.HardState{Term: 5}, Recovering: &yes})
 		for range 2 {
 			h := start(t, ipA, dir, false)
 			g.Expect(h.claims.store.Recovering()).To(BeTrue())
@@ -142,9 +142,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				dir := t.TempDir()
-				b := voter(ipA)
+				b := voterDisk(ipA)
 				b.Membership, b.Entries = &m, nil
-				prepared(t, dir, b)
+				writeDisk(t, dir, b)
 				h := start(t, ipA, dir, false)
 				g.Expect(h.members.identity).To(HavePrefix(ipA + "#"))
 				g.Expect(h.consensus.replica.Votes()).To(BeFalse())
@@ -162,9 +162,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		dir := t.TempDir()
-		prepared(t, dir, voter(ipC))
+		writeDisk(t, dir, voterDisk(ipC))
 		h := start(t, ipC, dir, false)
-		b := h.linked(ipB)
+		b := h.linkReplica(ipB)
 		final := consensus.Membership{Epoch: 4, Cluster: cluster, Voters: []string{ipA, ipB, "10.0.0.4#d"}}
 		path := filepath.Join(dir, "exchange.db")
 		check := func(when string) (retired bool) {
@@ -172,7 +172,7 @@
 			g.Expect(err).NotTo(HaveOccurred())
 			copied := t.TempDir()
 			g.Expect(os.WriteFile(filepath.Join(copied, "exchange.db"), text, 0o600)).To(Succeed())
-			s := held(t, copied)
+			s := readDisk(t, copied)
 			g.Expect(s.Corrupt).NotTo(HaveOccurred())
 			retired = strings.HasPrefix(s.Identity, ipC+"#")
 			g.Expect(s.Recovering).To(Equal(retired), when)
@@ -193,7 +193,7 @@
 			}
 			h.endTurn()
 		}
-		h.turn()
+		h.settle()
 		g.Expect(check("after all")).To(BeTrue())
 		g.Expect(h.members.identity).To(HavePrefix(ipC + "#"))
 		g.Expect(h.consensus.replica.ID()).To(Equal(h.members.identity))
--- a/internal/control/controller/lagging_booking_test.go
+++ b/internal/control/controller/lagging_booking_test.go
@@ -18,20 +18,20 @@
 func TestBookingAtALeaderThatLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		h, b := voterAt(t)
-		c := h.linked(ipC)
+		h, b := startVoter(t)
+		c := h.linkReplica(ipC)
 		op := reservation.Op{Call: "x", Puts: []reservation.Booking{{ID: "x", Tenant: "t.example", Service: "s", Start: 3e9, End: 4e9, Slots: 1, Owner: "o"}}}
 		data, err := cbor.Marshal(statemachine.Change{Bookings: &op})
 		g.Expect(err).NotTo(HaveOccurred())
-		h.follow(b, 5, consensus.Message{Index: 1, LogTerm: 4, Entries: []consensus.Entry{{Term: 5, Index: 2, Data: data}}}) // b acknowledges it, and is lost
-		h.pass(2 * electionTimeout)
+		h.followLeader(b, 5, consensus.Message{Index: 1, LogTerm: 4, Entries: []consensus.Entry{{Term: 5, Index: 2, Data: data}}}) // b acknowledges it, and is lost
+		h.advance(2 * electionTimeout)
 		term := h.consensus.replica.Term() + 1
-		c.agrees(consensus.Message{Kind: consensus.PreVoteReply, Term: term, OK: true})
-		c.agrees(consensus.Message{Kind: consensus.VoteReply, Term: term, OK: true})
+		c.sendConsensus(consensus.Message{Kind: consensus.PreVoteReply, Term: term, OK: true})
+		c.sendConsensus(consensus.Message{Kind: consensus.VoteReply, Term: term, OK: true})
 		g.Expect(h.consensus.leads()).To(BeTrue())
-		next := h.begins(http.MethodDelete, "/bookings/x", "b1", "")
+		next := h.startCall(http.MethodDelete, "/bookings/x", "b1", "")
 		g.Expect(next.status()).NotTo(Equal(http.StatusPreconditionFailed))
-		h.confirms(c)
+		h.confirmReads(c)
 		g.Expect(next.status()).To(BeElementOf(http.StatusOK, http.StatusServiceUnavailable))
 		h.stop()
 	})
--- a/internal/control/controller/links_test.go
+++ b/internal/control/controller/links_test.go
@@ -9,7 +9,7 @@
 )
 
 // The addresses of controllers that were replaced are not dialled for ever; those of voters and seeds are.
-func TestLostControllersAreForgotten(t *testing.T) {
+func TestReplacedControllersAreForgotten(t *testing.T) {
 	links := newLinkTable(&node.Env{Settings: &nodesettings.Settings{Seeds: []string{"10.0.0.1:8649"}}})
 	links.controllers["10.0.0.4"] = &remote{}
 	links.known = map[string]bool{"10.0.0.1": true, "10.0.0.2": true, "10.0.0.3": true, "10.0.0.4": true}
--- a/internal/control/controller/members_test.go
+++ b/internal/control/controller/members_test.go
@@ -18,15 +18,15 @@
 func TestControllerOfAnotherClusterIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		h, b := voterAt(t)
-		h.lead(b)
+		h, b := startVoter(t)
+		h.becomeLeader(b)
 		before := h.learners()
-		s := h.meets("10.0.0.8", &peer.Handshake{Node: "other", IP: "10.0.0.8", Zone: "x", Incarnation: 6, Counted: true, Cluster: cluster + 1})
+		s := h.link("10.0.0.8", &peer.Handshake{Node: "other", IP: "10.0.0.8", Zone: "x", Incarnation: 6, Counted: true, Cluster: cluster + 1})
 		g.Expect(h.log.with("peer rejected")).To(ConsistOf(And(ContainSubstring("10.0.0.8"), ContainSubstring("another cluster"))))
 		<-s.p.link.Closed()
 		term := h.consensus.replica.Term()
-		s.says(&peer.Frame{ReplicaStatus: &peer.ReplicaStatus{Identity: "10.0.0.8", Cluster: cluster + 1, Ready: true}})
-		s.says(&peer.Frame{Consensus: []consensus.Message{{Kind: consensus.Append, From: "10.0.0.8", To: ipA, Term: term + 50}}})
+		s.send(&peer.Frame{ReplicaStatus: &peer.ReplicaStatus{Identity: "10.0.0.8", Cluster: cluster + 1, Ready: true}})
+		s.send(&peer.Frame{Consensus: []consensus.Message{{Kind: consensus.Append, From: "10.0.0.8", To: ipA, Term: term + 50}}})
 		g.Expect(h.consensus.replica.Term()).To(Equal(term))
 		g.Expect(h.consensus.leads()).To(BeTrue())
 		g.Expect(h.learners()).To(Equal(before))
@@ -39,17 +39,17 @@
 func TestMessageForAFormerIdentity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		h, b := voterAt(t)
-		b.says(&peer.Frame{Consensus: []consensus.Message{{Kind: consensus.VoteRequest, From: ipB, To: ipA + "#5", Term: 90, Index: 9, LogTerm: 9}}})
+		h, b := startVoter(t)
+		b.send(&peer.Frame{Consensus: []consensus.Message{{Kind: consensus.VoteRequest, From: ipB, To: ipA + "#5", Term: 90, Index: 9, LogTerm: 9}}})
 		g.Expect(h.consensus.replica.Term()).To(BeEquivalentTo(4))
 		h.stop()
 	})
 }
 
-// replaces asks a leader to replace a voter.
-func (h *host) replaces(voter, by string, dry bool) *call {
+// startReplacement asks a leader to replace a voter.
+func (h *testController) startReplacement(voter, by string, dry bool) *call {
 	body, _ := json.Marshal(operator.Replacement{Voter: voter, By: by, DryRun: dry}) // strings and a flag
-	return h.begins(http.MethodPost, "/members", "", string(body))
+	return h.startCall(http.MethodPost, "/members", "", string(body))
 }
 
 func (c *call) replaced(g *WithT) (made operator.ReplacementResult) {
@@ -58,21 +58,21 @@
 	return made
 }
 
-// standsBy links a controller without a vote that is level with the log.
-func (h *host) standsBy(identity string) *script {
-	s := h.linked(identity)
-	h.pass(tickInterval) // the leader takes it for a learner
-	h.confirms(s)
+// linkStandby links a controller without a vote that is level with the log.
+func (h *testController) linkStandby(identity string) *scriptedPeer {
+	s := h.linkReplica(identity)
+	h.advance(tickInterval) // the leader takes it for a learner
+	h.confirmReads(s)
 	return s
 }
 
-func TestReplacementByHand(t *testing.T) {
+func TestReplacementByAnOperator(t *testing.T) {
 	const standby = "10.0.0.4#d"
-	leading := func(t *testing.T) (h *host, b *script) {
-		h, b = voterAt(t)
-		h.linked(ipC) // all voters are in reach: the leader replaces none by itself
-		h.lead(b)
-		h.standsBy(standby)
+	leading := func(t *testing.T) (h *testController, b *scriptedPeer) {
+		h, b = startVoter(t)
+		h.linkReplica(ipC) // all voters are in reach: the leader replaces none by itself
+		h.becomeLeader(b)
+		h.linkStandby(standby)
 		return h, b
 	}
 	for name, one := range map[string]struct {
@@ -92,13 +92,13 @@
 				synctest.Test(t, func(t *testing.T) {
 					g := NewWithT(t)
 					h, b := leading(t)
-					b.hears()
-					out := h.replaces(one.voter, one.by, dry)
+					b.received()
+					out := h.startReplacement(one.voter, one.by, dry)
 					g.Expect(out.status()).To(Equal(one.status))
 					g.Expect(out.w.Body.String()).To(ContainSubstring(one.says))
 					g.Expect(h.consensus.replica.Membership()).To(Equal(three))
 					asked := false
-					for _, f := range b.hears() {
+					for _, f := range b.received() {
 						for _, m := range f.Consensus {
 							asked = asked || m.Kind == consensus.TimeoutNow
 						}
@@ -114,7 +114,7 @@
 			g := NewWithT(t)
 			h, _ := leading(t)
 			last := h.consensus.replica.Last()
-			made := h.replaces(ipC, "", true).replaced(g)
+			made := h.startReplacement(ipC, "", true).replaced(g)
 			g.Expect(made).To(Equal(operator.ReplacementResult{Epoch: 2, Voters: three.Voters, Next: []string{ipA, ipB, standby}}))
 			g.Expect(h.consensus.replica.Last()).To(Equal(last))
 			h.stop()
@@ -124,12 +124,12 @@
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
 			h, b := leading(t)
-			out := h.replaces(ipC, standby, false)
+			out := h.startReplacement(ipC, standby, false)
 			g.Expect(out.status()).To(BeZero())
-			during := h.replaces(ipB, "", false)
+			during := h.startReplacement(ipB, "", false)
 			g.Expect(during.status()).To(Equal(http.StatusServiceUnavailable))
 			g.Expect(during.w.Body.String()).To(ContainSubstring("under way"))
-			h.confirms(b)
+			h.confirmReads(b)
 			g.Expect(out.replaced(g)).To(Equal(operator.ReplacementResult{Epoch: 3, Voters: three.Voters, Next: []string{ipA, ipB, standby}}))
 			g.Expect(h.members.current).To(Equal(joint))
 			h.stop()
@@ -140,7 +140,7 @@
 			g := NewWithT(t)
 			h, _ := leading(t)
 			last := h.consensus.replica.Last()
-			made := h.replaces(ipC+"#2", ipC, false).replaced(g)
+			made := h.startReplacement(ipC+"#2", ipC, false).replaced(g)
 			g.Expect(made.Next).To(Equal(three.Voters))
 			g.Expect(h.consensus.replica.Last()).To(Equal(last))
 			h.stop()
@@ -150,8 +150,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
 			h, _ := leading(t)
-			out := h.replaces(ipC, standby, false)
-			h.pass(2 * callTimeout)
+			out := h.startReplacement(ipC, standby, false)
+			h.advance(2 * callTimeout)
 			g.Expect(out.status()).To(Equal(http.StatusBadGateway))
 			h.stop()
 		})
@@ -161,7 +161,7 @@
 			g := NewWithT(t)
 			h, _ := leading(t)
 			for _, body := range []string{"", "[", `{"voter":7}`, string(make([]byte, maxReplacementBody+1))} {
-				g.Expect(h.begins(http.MethodPost, "/members", "", body).status()).To(Equal(http.StatusBadRequest))
+				g.Expect(h.startCall(http.MethodPost, "/members", "", body).status()).To(Equal(http.StatusBadRequest))
 			}
 			h.stop()
 		})
--- a/internal/control/controller/membership_test.go
+++ b/internal/control/controller/membership_test.go
@@ -13,7 +13,7 @@
 
 // A replica that was away learns of its removal and of later changes at once, before any of that is durable. It keeps the
 // identity that it draws at its removal.
-func TestReplicaThatIsVotedOutKeepsItsNextIdentity(t *testing.T) {
+func TestRemovedReplicaKeepsItsNextIdentity(t *testing.T) {
 	c := newController(node.Config{Settings: &nodesettings.Settings{IP: "10.0.0.3"}, Logger: log.NewNopLogger()}, 1)
 	c.members.identity, c.members.current = "10.0.0.3", consensus.Membership{Epoch: 4, Voters: []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}}
 	c.consensus.replica = consensus.New(consensus.Config{ID: "10.0.0.3", Timing: consensus.Timing{Heartbeat: heartbeatInterval, ElectionTimeout: electionTimeout}})
--- a/internal/control/controller/shutdown_test.go
+++ b/internal/control/controller/shutdown_test.go
@@ -17,32 +17,32 @@
 
 // One that is voted out while it leaves hands its answers on, and ends once they are durable elsewhere; if nobody says so,
 // it ends all the same, within its grace.
-func TestAnswersAreHandedOnBeforeTheEnd(t *testing.T) {
+func TestResponsesAreHandedOverBeforeTheEnd(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
 			dir := t.TempDir()
-			prepared(t, dir, voter(ipC))
+			writeDisk(t, dir, voterDisk(ipC))
 			h := start(t, ipC, dir, false)
-			b, d := h.linked(ipB), h.linked("10.0.0.4#d")
-			r := record(1)
+			b, d := h.linkReplica(ipB), h.linkReplica("10.0.0.4#d")
+			r := claimRecord(1)
 			r.Response = &idempotency.Response{Status: 200, Body: []byte("done")}
-			b.says(&peer.Frame{Responses: []idempotency.Record{r}})
-			h.follow(b, 5, consensus.Message{Index: 1, LogTerm: 4})
-			h.pass(tickInterval)
+			b.send(&peer.Frame{Responses: []idempotency.Record{r}})
+			h.followLeader(b, 5, consensus.Message{Index: 1, LogTerm: 4})
+			h.advance(tickInterval)
 			h.beginShutdown()
-			h.pass(2 * minShutdown)
+			h.advance(2 * minShutdown)
 			g.Expect(h.shutdown.done).To(BeFalse(), "somebody stands by: it waits for its vote to go there")
 			final := consensus.Membership{Epoch: 4, Cluster: cluster, Voters: []string{ipA, ipB, "10.0.0.4#d"}}
-			b.hears()
-			d.hears()
-			h.follow(b, 5, consensus.Message{Index: 1, LogTerm: 4, Commit: 3, Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &joint}, {Term: 5, Index: 3, Membership: &final}}})
-			h.pass(tickInterval)
+			b.received()
+			d.received()
+			h.followLeader(b, 5, consensus.Message{Index: 1, LogTerm: 4, Commit: 3, Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &joint}, {Term: 5, Index: 3, Membership: &final}}})
+			h.advance(tickInterval)
 			g.Expect(h.shutdown.done).To(BeFalse())
 			got, sync := 0, uint64(0)
-			var heir *script
-			for _, s := range []*script{b, d} {
-				for _, f := range s.hears() {
+			var heir *scriptedPeer
+			for _, s := range []*scriptedPeer{b, d} {
+				for _, f := range s.received() {
 					if got += len(f.Responses); f.SyncRequest != 0 {
 						sync, heir = f.SyncRequest, s
 					}
@@ -51,13 +51,13 @@
 			g.Expect(got).To(Equal(1))
 			g.Expect(heir).NotTo(BeNil())
 			if answered {
-				heir.says(&peer.Frame{SyncReply: sync})
-				h.pass(tickInterval)
+				heir.send(&peer.Frame{SyncReply: sync})
+				h.advance(tickInterval)
 				g.Expect(h.shutdown.done).To(BeTrue())
 			} else {
-				h.pass(handOverTimeout / 2)
+				h.advance(handOverTimeout / 2)
 				g.Expect(h.shutdown.done).To(BeFalse())
-				h.pass(handOverTimeout)
+				h.advance(handOverTimeout)
 				g.Expect(h.shutdown.done).To(BeTrue())
 			}
 			h.stop()
@@ -66,17 +66,17 @@
 }
 
 // A leader that is told to end passes leadership to a voter that holds its log, and takes part until that one leads.
-func TestLeaderThatLeavesPassesLeadershipOn(t *testing.T) {
+func TestLeaderThatShutsDownTransfersLeadership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		h, b := voterAt(t)
-		h.lead(b)
-		h.pass(tickInterval)
-		b.hears()
+		h, b := startVoter(t)
+		h.becomeLeader(b)
+		h.advance(tickInterval)
+		b.received()
 		h.beginShutdown()
-		h.pass(2 * tickInterval)
+		h.advance(2 * tickInterval)
 		asked := false
-		for _, f := range b.hears() {
+		for _, f := range b.received() {
 			for _, m := range f.Consensus {
 				asked = asked || m.Kind == consensus.TimeoutNow
 			}
@@ -84,24 +84,24 @@
 		}
 		g.Expect(asked).To(BeTrue())
 		g.Expect(h.shutdown.done).To(BeFalse())
-		h.follow(b, h.consensus.replica.Term()+1, consensus.Message{Index: h.consensus.replica.Last(), LogTerm: h.consensus.replica.Term()})
-		h.pass(tickInterval)
+		h.followLeader(b, h.consensus.replica.Term()+1, consensus.Message{Index: h.consensus.replica.Last(), LogTerm: h.consensus.replica.Term()})
+		h.advance(tickInterval)
 		g.Expect(h.shutdown.done).To(BeTrue(), "nobody stands by: it keeps its vote, and ends as for a restart")
 		h.stop()
 	})
 }
 
 // One that can hand on neither leadership nor vote ends in order all the same, before its grace is over.
-func TestEndWithoutAnybody(t *testing.T) {
+func TestShutdownWithoutAnybody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		h, _ := voterAt(t)
-		h.linked("10.0.0.4#d") // stands by, but nobody leads who could vote it in
-		h.pass(tickInterval)
+		h, _ := startVoter(t)
+		h.linkReplica("10.0.0.4#d") // stands by, but nobody leads who could vote it in
+		h.advance(tickInterval)
 		h.beginShutdown()
-		h.pass(4 * time.Second)
+		h.advance(4 * time.Second)
 		g.Expect(h.shutdown.done).To(BeFalse())
-		h.pass(2 * time.Second)
+		h.advance(2 * time.Second)
 		g.Expect(h.shutdown.done).To(BeTrue())
 		g.Expect(h.log.with("shutdown deadline exceeded")).NotTo(BeEmpty())
 		h.stop()
@@ -109,21 +109,21 @@
 }
 
 // Reservations are told and dealt only by a leader that a majority confirmed at most half a second ago.
-func TestReservationsNeedARound(t *testing.T) {
+func TestReservationsNeedALeaderProof(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		h, b := voterAt(t)
-		h.lead(b)
+		h, b := startVoter(t)
+		h.becomeLeader(b)
 		now := wallClock()
 		op := reservation.Op{Call: "x", Now: now, Puts: []reservation.Booking{{ID: "x", Tenant: "t.example", Service: "s", Start: now, End: now + 3600, Slots: 1, Owner: "o"}}}
 		data, err := cbor.Marshal(statemachine.Change{Bookings: &op})
 		g.Expect(err).NotTo(HaveOccurred())
 		h.consensus.replica.Propose(data, h.Now())
-		h.turn()
-		h.confirms(b)
+		h.settle()
+		h.confirmReads(b)
 		g.Expect(h.consensus.state.Bookings.Active).To(HaveLen(1))
 		told := func() (times int) {
-			for _, f := range b.hears() {
+			for _, f := range b.received() {
 				if f.Reservations != nil {
 					times++
 				}
@@ -131,15 +131,15 @@
 			return times
 		}
 		told()
-		h.pass(reservation.LeaderProofTTL)
+		h.advance(reservation.LeaderProofTTL)
 		g.Expect(told()).To(BeZero(), "nobody has answered a round")
-		h.pass(allocateInterval)
-		h.confirms(b)
-		h.pass(allocateInterval + tickInterval)
+		h.advance(allocateInterval)
+		h.confirmReads(b)
+		h.advance(allocateInterval + tickInterval)
 		g.Expect(told()).To(BeNumerically(">", 0))
-		h.pass(reservation.LeaderProofTTL + allocateInterval)
+		h.advance(reservation.LeaderProofTTL + allocateInterval)
 		told()
-		h.pass(announceInterval)
+		h.advance(announceInterval)
 		g.Expect(told()).To(BeZero(), "the last proof is too old")
 		h.stop()
 	})
--- a/internal/control/controller/voted_out_test.go
+++ b/internal/control/controller/voted_out_test.go
@@ -9,47 +9,47 @@
 	"mulleinwood/internal/control/consensus"
 )
 
-func TestLeaderThatIsVotedOutComesBack(t *testing.T) {
+func TestRemovedLeaderComesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		dir := t.TempDir()
-		b := voter(ipC)
+		b := voterDisk(ipC)
 		m := joint
 		b.Membership = &m
 		b.Entries = append(b.Entries, consensus.Entry{Term: 4, Index: 2, Membership: &m})
 		b.Hard.Commit = 2
-		prepared(t, dir, b)
+		writeDisk(t, dir, b)
 		h := start(t, ipC, dir, false)
-		sb, sd := h.linked(ipB), h.linked("10.0.0.4#d")
-		h.pass(2 * electionTimeout)
+		sb, sd := h.linkReplica(ipB), h.linkReplica("10.0.0.4#d")
+		h.advance(2 * electionTimeout)
 		term := h.consensus.replica.Term() + 1
-		for _, s := range []*script{sb, sd} {
-			s.agrees(consensus.Message{Kind: consensus.PreVoteReply, Term: term, OK: true})
+		for _, s := range []*scriptedPeer{sb, sd} {
+			s.sendConsensus(consensus.Message{Kind: consensus.PreVoteReply, Term: term, OK: true})
 		}
-		for _, s := range []*script{sb, sd} {
-			s.agrees(consensus.Message{Kind: consensus.VoteReply, Term: term, OK: true})
+		for _, s := range []*scriptedPeer{sb, sd} {
+			s.sendConsensus(consensus.Message{Kind: consensus.VoteReply, Term: term, OK: true})
 		}
 		g.Expect(h.consensus.leads()).To(BeTrue())
 		asked := 0
 		for range 30 { // it doesn't finish the change itself: one that votes afterwards is asked to lead
-			h.pass(tickInterval)
-			for _, s := range []*script{sb, sd} {
-				for _, f := range s.hears() {
+			h.advance(tickInterval)
+			for _, s := range []*scriptedPeer{sb, sd} {
+				for _, f := range s.received() {
 					for _, m := range f.Consensus {
 						if m.Kind == consensus.TimeoutNow {
 							asked++
 						}
 					}
 				}
-				s.agrees(consensus.Message{Kind: consensus.AppendReply, Term: h.consensus.replica.Term(), OK: true, Index: h.consensus.replica.Last()})
+				s.sendConsensus(consensus.Message{Kind: consensus.AppendReply, Term: h.consensus.replica.Term(), OK: true, Index: h.consensus.replica.Last()})
 			}
 		}
 		g.Expect(h.consensus.leads()).To(BeTrue())
 		g.Expect(h.members.current.Joint()).To(BeTrue())
 		g.Expect(asked).To(BeNumerically(">", 0))
 		last, final := h.consensus.replica.Last(), consensus.Membership{Epoch: joint.Epoch + 1, Cluster: joint.Cluster, Voters: joint.Next}
-		h.follow(sb, term+1, consensus.Message{Index: last, LogTerm: term, Entries: []consensus.Entry{{Term: term + 1, Index: last + 1, Membership: &final}}, Commit: last + 1})
-		h.pass(4 * electionTimeout)
+		h.followLeader(sb, term+1, consensus.Message{Index: last, LogTerm: term, Entries: []consensus.Entry{{Term: term + 1, Index: last + 1, Membership: &final}}, Commit: last + 1})
+		h.advance(4 * electionTimeout)
 		g.Expect(h.members.current.Joint()).To(BeFalse())
 		g.Expect(h.members.identity).To(HavePrefix(ipC + "#"))
 		g.Expect(h.consensus.replica.ID()).To(Equal(h.members.identity))
--- a/internal/control/idempotency/world_test.go
+++ b/internal/control/idempotency/cluster_test.go
@@ -20,7 +20,7 @@
 	It("never let two claims of a key stand", func() {
 		stood, changes := 0, 0
 		for seed := range uint64(4000) {
-			for _, w := range []*world{newWorld(seed, 3, 0, 1, ""), newWorld(seed, 3, 2, 1, ""), newWorld(seed, 5, 1, 2, "")} {
+			for _, w := range []*cluster{newCluster(seed, 3, 0, 1, ""), newCluster(seed, 3, 2, 1, ""), newCluster(seed, 5, 1, 2, "")} {
 				if !w.play() {
 					Fail(fmt.Sprintf("seed %d, %d stores: two claims stand", seed, len(w.hosts)))
 				}
@@ -33,7 +33,7 @@
 	for _, fault := range []string{"an identity is used again after its disk was lost", "an entrant counts before it copied", "an entrant copies from one store only"} {
 		It("are seen to go wrong: "+fault, func() {
 			for seed := range uint64(20000) {
-				if !newWorld(seed, 3, 1, 1, fault).play() {
+				if !newCluster(seed, 3, 1, 1, fault).play() {
 					AddReportEntry(fmt.Sprintf("%s: seed %d", fault, seed))
 					return
 				}
@@ -65,7 +65,7 @@
 	copied      map[string]bool
 }
 
-type world struct {
+type cluster struct {
 	rng     *rand.Rand
 	hosts   []*host
 	log     []consensus.Membership // committed
@@ -79,8 +79,8 @@
 	fault   string // planted
 }
 
-func newWorld(seed uint64, voters, standbys, lost int, fault string) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 7)), stands: map[idempotency.Token]bool{}, alive: map[idempotency.Token]bool{},
+func newCluster(seed uint64, voters, standbys, lost int, fault string) *cluster {
+	w := &cluster{rng: rand.New(rand.NewPCG(seed, 7)), stands: map[idempotency.Token]bool{}, alive: map[idempotency.Token]bool{},
 		key: idempotency.KeyOf("t", "k"), lost: lost, fault: fault}
 	names := []string{"a", "b", "c", "d", "e", "f"}[:voters+standbys]
 	w.log = []consensus.Membership{{Epoch: 1, Voters: names[:voters]}}
@@ -91,18 +91,18 @@
 	return w
 }
 
-func (w *world) start(h *host) {
+func (w *cluster) start(h *host) {
 	h.coordinator = idempotency.NewCoordinator(nil, 5, 60)
 	h.copied = map[string]bool{}
 	h.applied = h.durable
 	h.coordinator.SetStores(h.identity, w.membership(h).Voters, w.membership(h).Next)
 }
 
-func (w *world) membership(h *host) consensus.Membership { return w.log[h.applied] }
+func (w *cluster) membership(h *host) consensus.Membership { return w.log[h.applied] }
 
-func (w *world) newest() consensus.Membership { return w.log[len(w.log)-1] }
+func (w *cluster) newest() consensus.Membership { return w.log[len(w.log)-1] }
 
-func (w *world) host(identity string) *host {
+func (w *cluster) host(identity string) *host {
 	for _, h := range w.hosts {
 		if h.identity == identity {
 			return h
@@ -111,17 +111,17 @@
 	return nil
 }
 
-func (w *world) now() time.Duration { return time.Duration(w.step) }
+func (w *cluster) now() time.Duration { return time.Duration(w.step) }
 
 // send delivers later, or never.
-func (w *world) send(from, to *host, do func()) {
+func (w *cluster) send(from, to *host, do func()) {
 	if w.rng.IntN(12) == 0 {
 		return
 	}
 	w.mail = append(w.mail, letter{at: w.step + 1 + w.rng.IntN(8), do: do, ends: [2]*host{from, to}, lives: [2]int{from.life, to.life}})
 }
 
-func (w *world) asks(h *host, asks []idempotency.GrantRequest) {
+func (w *cluster) asks(h *host, asks []idempotency.GrantRequest) {
 	for _, a := range asks {
 		to, epoch := w.host(a.To), w.membership(h).Epoch
 		if to == nil {
@@ -137,7 +137,7 @@
 }
 
 // judge has a store judge a claim that is asked under an epoch.
-func (w *world) judge(h *host, r idempotency.Record, epoch uint64) (idempotency.GrantReply, idempotency.Record) {
+func (w *cluster) judge(h *host, r idempotency.Record, epoch uint64) (idempotency.GrantReply, idempotency.Record) {
 	if epoch < w.log[h.durable].Epoch && w.fault != "a store without the epoch fence" {
 		return idempotency.ReplyStaleEpoch, idempotency.Record{}
 	}
@@ -148,7 +148,7 @@
 	return v, holder
 }
 
-func (w *world) verdict(h *host, from string, t idempotency.Token, v idempotency.GrantReply, holder idempotency.Record) {
+func (w *cluster) verdict(h *host, from string, t idempotency.Token, v idempotency.GrantReply, holder idempotency.Record) {
 	more, done := h.coordinator.HandleReply(from, t, v, holder)
 	w.asks(h, more)
 	if done != nil {
@@ -156,7 +156,7 @@
 	}
 }
 
-func (w *world) ruled(o idempotency.Result) {
+func (w *cluster) ruled(o idempotency.Result) {
 	if o.Outcome == idempotency.OutcomeGranted && w.alive[o.Token] {
 		w.stands[o.Token] = true
 		return
@@ -164,7 +164,7 @@
 	w.withdraw(o.Token)
 }
 
-func (w *world) withdraw(t idempotency.Token) {
+func (w *cluster) withdraw(t idempotency.Token) {
 	if w.stands[t] || !w.alive[t] {
 		return
 	}
@@ -175,7 +175,7 @@
 }
 
 // wipe ends a store's life and its disk; its coordinator ends with it. What comes back is another replica.
-func (w *world) wipe(h *host) {
+func (w *cluster) wipe(h *host) {
 	h.life++
 	h.disks++
 	former := h.identity
@@ -190,7 +190,7 @@
 	w.forget(former)
 }
 
-func (w *world) forget(identity string) {
+func (w *cluster) forget(identity string) {
 	for _, o := range w.hosts {
 		for _, done := range o.coordinator.ForgetGrants(identity) {
 			w.ruled(done)
@@ -199,7 +199,7 @@
 }
 
 // follow lets a host apply the next committed membership, and make it durable some steps later.
-func (w *world) follow(h *host) {
+func (w *cluster) follow(h *host) {
 	if h.applied > h.durable {
 		if w.step >= h.durableAt {
 			w.settled(h)
@@ -219,7 +219,7 @@
 }
 
 // settled makes what was applied durable. One that was voted out draws a new identity.
-func (w *world) settled(h *host) {
+func (w *cluster) settled(h *host) {
 	h.durable = h.applied
 	if m, former := w.membership(h), w.log[h.applied-1]; former.Contains(h.identity) && !m.Contains(h.identity) {
 		old := h.identity
@@ -230,7 +230,7 @@
 	}
 }
 
-func (w *world) setStores(h *host) {
+func (w *cluster) setStores(h *host) {
 	m := w.membership(h)
 	asks, done := h.coordinator.SetStores(h.identity, m.Voters, m.Next)
 	w.asks(h, asks)
@@ -240,7 +240,7 @@
 }
 
 // copy has an entrant ask the former voters for what they hold.
-func (w *world) copy(h *host) {
+func (w *cluster) copy(h *host) {
 	m := w.membership(h)
 	if !h.store.Recovering() || !slices.Contains(m.Next, h.identity) || slices.Contains(m.Voters, h.identity) || w.rng.IntN(4) > 0 {
 		return
@@ -256,7 +256,7 @@
 	}
 }
 
-func (w *world) sendCopy(from, to *host, epoch uint64) {
+func (w *cluster) sendCopy(from, to *host, epoch uint64) {
 	early := w.log[from.durable].Epoch < epoch || w.membership(from).Epoch != epoch
 	if early && w.fault != "a copy is taken before the source applied the joint membership" {
 		return
@@ -284,7 +284,7 @@
 }
 
 // change commits memberships as the manager would: a voter whose disk was lost is replaced, any other now and then.
-func (w *world) change() {
+func (w *cluster) change() {
 	newest := w.newest()
 	next := consensus.Membership{Epoch: newest.Epoch + 1, Voters: newest.Voters}
 	if newest.Joint() {
@@ -310,7 +310,7 @@
 }
 
 // replaced are the voters after those that are gone have been replaced by hosts that stand by; nil: nobody does.
-func (w *world) replaced(newest consensus.Membership) []string {
+func (w *cluster) replaced(newest consensus.Membership) []string {
 	next, any := slices.Clone(newest.Voters), w.rng.IntN(40) == 0
 	for i, id := range next {
 		if w.host(id) != nil && !any {
@@ -331,7 +331,7 @@
 }
 
 // whole tells that as many disks as are tolerated may be lost now.
-func (w *world) whole() bool {
+func (w *cluster) whole() bool {
 	for _, id := range w.newest().Voters {
 		if h := w.host(id); h == nil || h.store.Recovering() {
 			return false
@@ -340,7 +340,7 @@
 	return !w.newest().Joint()
 }
 
-func (w *world) play() bool {
+func (w *cluster) play() bool {
 	next := uint64(0)
 	for w.step = 1; w.step < 220; w.step++ {
 		if w.rng.IntN(10) == 0 {
@@ -378,7 +378,7 @@
 	return true
 }
 
-func (w *world) deliver() {
+func (w *cluster) deliver() {
 	mail := w.mail
 	w.mail = nil
 	for _, m := range mail {
--- a/internal/control/reservation/reservation_test.go
+++ b/internal/control/reservation/reservation_test.go
@@ -21,7 +21,7 @@
 	return reservation.Op{Call: fmt.Sprint(b.ID, base), Base: base, Puts: []reservation.Booking{b}, Now: now}
 }
 
-func TestBook(t *testing.T) {
+func TestLedger(t *testing.T) {
 	g := NewWithT(t)
 	k := reservation.NewLedger()
 	first := put(room("a", 100, 200, 10), 0, 0)
@@ -101,7 +101,7 @@
 
 // Parts sum to no more than the whole at every moment, whatever is lost, late, cut, frozen or started anew, whatever the
 // edges' clocks say, and while one dealer follows another; and once all is quiet they are where the traffic is.
-func TestPartsNeverExceedTheWhole(t *testing.T) {
+func TestSharesNeverExceedTheTotal(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(120) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -213,7 +213,7 @@
 
 // All clients of the booked tenant come to one edge: its part is there within half a second, and until then it sends
 // none of them away.
-func TestPartsFollowTheTraffic(t *testing.T) {
+func TestSharesFollowTheTraffic(t *testing.T) {
 	g := NewWithT(t)
 	d := reservation.NewAllocator(1, -time.Minute)
 	d.Plan([]reservation.Reservation{{ID: "b", Service: "s", Slots: 20}}, 0)
@@ -253,7 +253,7 @@
 
 // A new leader knows nothing of what the former dealt: edges bring it along, keep it, and it moves among them at once; what
 // an edge holds that was not heard yet isn't dealt again.
-func TestANewDealerTakesNothingAway(t *testing.T) {
+func TestNewAllocatorTakesNothingAway(t *testing.T) {
 	g := NewWithT(t)
 	reservations := []reservation.Reservation{{ID: "b", Service: "s", Slots: 20}}
 	edges := make([]reservation.LeaseHolder, 4)
--- a/internal/edge/attempt/attempt_test.go
+++ b/internal/edge/attempt/attempt_test.go
@@ -29,7 +29,7 @@
 }
 
 // Each line of the table agrees with what its ending means.
-func TestTableOfEndings(t *testing.T) {
+func TestTableOfConsequences(t *testing.T) {
 	g := NewWithT(t)
 	for _, c := range attempt.Causes() {
 		row := c.Consequence()
@@ -45,7 +45,7 @@
 
 // All sequences of events: nothing is promised once a byte was written but on the server's word, a connection is kept only
 // after a whole answer, and a try that is over stays so.
-func TestEveryLifeOfATry(t *testing.T) {
+func TestEveryAttempt(t *testing.T) {
 	g := NewWithT(t)
 	whole := attempt.Response{Received: true, OwnID: true, Delimited: true, Complete: true, Success: true, Sealed: true, Status: 200}
 	away := attempt.Response{Received: true, OwnID: true, Delimited: true, Complete: true, NotRun: true, Status: 503}
@@ -133,7 +133,7 @@
 }
 
 // After a try that may have run, no later one makes the promise true again.
-func TestNoPromiseAfterATryThatMayHaveRun(t *testing.T) {
+func TestNoSafeRefusalAfterAnAttemptThatMayHaveRun(t *testing.T) {
 	g := NewWithT(t)
 	for _, first := range attempt.Causes() {
 		for _, second := range attempt.Causes() {
--- a/internal/edge/proxy/answers_test.go
+++ b/internal/edge/proxy/answers_test.go
@@ -61,10 +61,10 @@
 		{"bad deadline", "GET", "/s/x", "", []string{"X-Deadline-Ms", "soon"}},
 		{"too large", "POST", "/u/x", strings.Repeat("x", 101), nil},
 	}
-	in(t, func(h *hall) {
+	runEdge(t, func(h *testEdge) {
 		var got strings.Builder
 		refused, repeated := idempotency.KeyOf("a.example", "key-3"), idempotency.KeyOf("a.example", "key-2")
-		h.rule = func(r idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
+		h.decide = func(r idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
 			switch r.Key {
 			case refused:
 				return idempotency.OutcomeUndecided, nil
@@ -75,7 +75,7 @@
 		}
 		for _, server := range servers {
 			if server.answer != nil {
-				h.serve("i-1", server.answer)
+				h.addServer("i-1", server.answer)
 			} else {
 				h.upstreams.mu.Lock()
 				u := h.upstreams.picker.Remove("i-1")
@@ -83,7 +83,7 @@
 				u.Attachment.(*upstream).close()
 			}
 			for _, r := range requests {
-				w := h.ask(r.method, r.path, r.body, r.headers...)
+				w := h.request(r.method, r.path, r.body, r.headers...)
 				got.WriteString(text(server.name+": "+r.name, w))
 			}
 		}
--- a/internal/edge/proxy/bodies_test.go
+++ b/internal/edge/proxy/bodies_test.go
@@ -18,8 +18,8 @@
 	"mulleinwood/internal/peer"
 )
 
-// allow puts a configuration with these limits in force.
-func (h *hall) allow(version int, limits string) {
+// setLimits puts a configuration with these limits in force.
+func (h *testEdge) setLimits(version int, limits string) {
 	next := strings.Replace(strings.Replace(plan, `"r1"`, fmt.Sprintf(`"r%d"`, version), 1), `{"max_body_bytes":100}`, limits, 1)
 	h.g.Expect(h.applyConfig(&peer.Config{Version: uint64(version), Snapshot: []byte(next)})).To(BeTrue())
 }
@@ -38,14 +38,14 @@
 func (s street) Addr() net.Addr { return &net.TCPAddr{} }
 
 // walkIn connects a client to the edge's door.
-func (h *hall) walkIn(s street) net.Conn {
+func (h *testEdge) walkIn(s street) net.Conn {
 	near, far := net.Pipe()
 	s.in <- far
 	synctest.Wait()
 	return near
 }
 
-func (h *hall) opened(play func(street)) {
+func (h *testEdge) opened(play func(street)) {
 	s := street{in: make(chan net.Conn)}
 	ended := make(chan struct{})
 	go func() { _ = h.clients.serve(s); close(ended) }()
@@ -58,31 +58,31 @@
 }
 
 func TestLongBodiesAreSentOnceAndWhole(t *testing.T) {
-	in(t, func(h *hall) {
-		h.allow(2, `{"max_body_bytes":1000000}`)
-		h.serve("i-1", cut)
-		h.serve("i-2", cut)
+	runEdge(t, func(h *testEdge) {
+		h.setLimits(2, `{"max_body_bytes":1000000}`)
+		h.addServer("i-1", cut)
+		h.addServer("i-2", cut)
 		for range 4 { // fills the budget
 			h.traffic.countRequest("tags")
 		}
 		long := strings.Repeat("0123456789", 50_000)
-		h.g.Expect(h.ask("POST", "/s/x", long).Code).To(Equal(502))
+		h.g.Expect(h.request("POST", "/s/x", long).Code).To(Equal(502))
 		h.g.Expect(len(h.bodies)).To(Equal(1), "what was read of a long body can't be sent again, though the route is safe")
 		h.g.Expect(h.bodies[0] == long).To(BeTrue())
-		h.g.Expect(h.ask("POST", "/s/x", "short").Code).To(Equal(502))
+		h.g.Expect(h.request("POST", "/s/x", "short").Code).To(Equal(502))
 		h.g.Expect(len(h.bodies)).To(Equal(3), "a short one can")
-		h.g.Expect(h.ask("POST", "/s/x", strings.Repeat("x", 1_000_001)).Code).To(Equal(413))
+		h.g.Expect(h.request("POST", "/s/x", strings.Repeat("x", 1_000_001)).Code).To(Equal(413))
 	})
 }
 
-func TestBodiesTogetherStayWithinTheAccount(t *testing.T) {
-	in(t, func(h *hall) {
-		h.allow(2, `{"max_body_bytes":1000000}`)
-		h.serve("i-1", good)
+func TestBodiesTogetherStayWithinTheBudget(t *testing.T) {
+	runEdge(t, func(h *testEdge) {
+		h.setLimits(2, `{"max_body_bytes":1000000}`)
+		h.addServer("i-1", good)
 		whole := h.bodyMemory.available.Load()
 		h.bodyMemory.available.Store(10_000)
 		long := strings.Repeat("x", 100_000)
-		h.g.Expect(h.ask("POST", "/u/x", long).Code).To(Equal(200))
+		h.g.Expect(h.request("POST", "/u/x", long).Code).To(Equal(200))
 		h.g.Expect(h.bodies).To(Equal([]string{long}), "what isn't held is passed on")
 		h.g.Expect(h.bodyMemory.available.Load()).To(BeEquivalentTo(10_000), "all is given back")
 		h.bodyMemory.available.Store(whole)
@@ -126,9 +126,9 @@
 		"chunks, without the last": {func(r *http.Request) string { return chunked(r, "") + "<close>" }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			in(t, func(h *hall) {
-				h.allow(2, `{}`)
-				h.serve("i-1", c.answer)
+			runEdge(t, func(h *testEdge) {
+				h.setLimits(2, `{}`)
+				h.addServer("i-1", c.answer)
 				h.opened(func(s street) {
 					conn := h.walkIn(s)
 					defer conn.Close()
@@ -151,11 +151,11 @@
 }
 
 func TestAnswerWithoutBody(t *testing.T) {
-	in(t, func(h *hall) {
-		h.serve("i-1", func(r *http.Request) string {
+	runEdge(t, func(h *testEdge) {
+		h.addServer("i-1", func(r *http.Request) string {
 			return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Server-Seal: s\r\nContent-Length: 77\r\n\r\n", r.Header.Get("X-Attempt-Id"))
 		})
-		w := h.ask("HEAD", "/s/x", "")
+		w := h.request("HEAD", "/s/x", "")
 		h.g.Expect(w.Code).To(Equal(200))
 		h.g.Expect(w.Header().Get("Content-Length")).To(Equal("77"), "a HEAD tells the length that a GET would have")
 	})
@@ -164,24 +164,24 @@
 // What a client asks of the next hop is answered by the next hop: a server that was sent Expect and doesn't answer it
 // would wait for a body that never comes.
 func TestExpectStaysHere(t *testing.T) {
-	in(t, func(h *hall) {
-		h.serve("i-1", good)
-		h.g.Expect(h.ask("POST", "/s/x", "body", "Expect", "100-continue").Code).To(Equal(200))
-		h.g.Expect(h.got[0].Header).NotTo(HaveKey("Expect"))
+	runEdge(t, func(h *testEdge) {
+		h.addServer("i-1", good)
+		h.g.Expect(h.request("POST", "/s/x", "body", "Expect", "100-continue").Code).To(Equal(200))
+		h.g.Expect(h.received[0].Header).NotTo(HaveKey("Expect"))
 		h.g.Expect(h.bodies[0]).To(Equal("body"))
 	})
 }
 
-func TestWholeURIsFindTheirRoute(t *testing.T) {
-	in(t, func(h *hall) {
-		h.serve("i-1", good)
+func TestAbsoluteURIsFindTheirRoute(t *testing.T) {
+	runEdge(t, func(h *testEdge) {
+		h.addServer("i-1", good)
 		r := httptest.NewRequest("GET", "http://a.example/s/x?y=1", nil)
 		r.RequestURI = "http://a.example/s/x?y=1"
 		r.Header.Set("X-Attempt-Id", "t")
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, r)
 		h.g.Expect(w.Code).To(Equal(200))
-		h.g.Expect(h.got[0].RequestURI).To(Equal("/s/x?y=1"))
+		h.g.Expect(h.received[0].RequestURI).To(Equal("/s/x?y=1"))
 	})
 }
 
@@ -189,16 +189,16 @@
 func TestLimitsOfTheConfiguration(t *testing.T) {
 	const limits = `{"max_header_bytes":8000,"max_body_bytes":1000,"header_wait_s":3,"idle_s":15}`
 	const head = "GET /s/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: t\r\n"
-	gone := func(h *hall, conn net.Conn) time.Duration {
+	gone := func(h *testEdge, conn net.Conn) time.Duration {
 		began := time.Now()
 		_, _ = io.Copy(io.Discard, conn)
 		return time.Since(began).Round(100 * time.Millisecond)
 	}
-	in(t, func(h *hall) {
-		h.serve("i-1", good)
+	runEdge(t, func(h *testEdge) {
+		h.addServer("i-1", good)
 		h.opened(func(s street) {
 			before := h.walkIn(s)
-			h.allow(2, limits)
+			h.setLimits(2, limits)
 			synctest.Wait()
 			go func() { _, _ = io.WriteString(before, head+"X-Pad: "+strings.Repeat("x", 20_000)+"\r\n\r\n") }()
 			resp, err := http.ReadResponse(bufio.NewReader(before), nil)
@@ -233,9 +233,9 @@
 	})
 }
 
-func TestLimitsThatComeBeforeTheDoorOpensCount(t *testing.T) {
-	in(t, func(h *hall) {
-		h.allow(2, `{"header_wait_s":2}`)
+func TestLimitsThatComeBeforeTheListenerCount(t *testing.T) {
+	runEdge(t, func(h *testEdge) {
+		h.setLimits(2, `{"header_wait_s":2}`)
 		h.opened(func(s street) {
 			late := h.walkIn(s)
 			_, _ = io.WriteString(late, "GET")
@@ -246,10 +246,10 @@
 	})
 }
 
-func TestTheLongestIdleMakesRoom(t *testing.T) {
-	in(t, func(h *hall) {
+func TestLongestIdleConnectionIsEvicted(t *testing.T) {
+	runEdge(t, func(h *testEdge) {
 		h.clients.conns.limit = 2
-		h.serve("i-1", hang)
+		h.addServer("i-1", hang)
 		h.opened(func(s street) {
 			first := h.walkIn(s)
 			time.Sleep(time.Second)
--- a/internal/edge/proxy/faults_test.go
+++ b/internal/edge/proxy/faults_test.go
@@ -18,10 +18,10 @@
 )
 
 // once plays a script for the first request that any server gets, and answers the others well.
-func (h *hall) once(first func(*http.Request) string, servers ...string) {
+func (h *testEdge) once(first func(*http.Request) string, servers ...string) {
 	played := false
 	for _, id := range servers {
-		h.serve(id, func(r *http.Request) string {
+		h.addServer(id, func(r *http.Request) string {
 			h.mu.Lock()
 			mine := !played
 			played = true
@@ -38,7 +38,7 @@
 }
 
 // Answers that prove nothing: what must not run twice is sent to no other server, and nothing is promised.
-func TestAnswersThatAreNotBelieved(t *testing.T) {
+func TestResponsesThatAreNotTrusted(t *testing.T) {
 	for name, answer := range map[string]func(*http.Request) string{
 		"a 503 without the word that nothing ran": func(r *http.Request) string { return reply(r, "503 Busy", "", "") },
 		"a 429 without the word that nothing ran": func(r *http.Request) string { return reply(r, "429 Busy", "", "") },
@@ -57,10 +57,10 @@
 	} {
 		for path, want := range map[string]int{"/u/x": 502, "/s/x": 200} {
 			t.Run(name+path, func(t *testing.T) {
-				in(t, func(h *hall) {
+				runEdge(t, func(h *testEdge) {
 					h.once(answer, "i-1", "i-2")
-					h.g.Expect(h.ask("POST", path, "x").Code).To(Equal(want))
-					h.g.Expect(h.got).To(HaveLen(1 + want%2 + (502-want)/302))
+					h.g.Expect(h.request("POST", path, "x").Code).To(Equal(want))
+					h.g.Expect(h.received).To(HaveLen(1 + want%2 + (502-want)/302))
 				})
 			})
 		}
@@ -68,11 +68,11 @@
 }
 
 func TestCodingThatWasAskedForIsPassedOn(t *testing.T) {
-	in(t, func(h *hall) {
-		h.serve("i-1", func(r *http.Request) string {
+	runEdge(t, func(h *testEdge) {
+		h.addServer("i-1", func(r *http.Request) string {
 			return reply(r, "200 OK", "X-Server-Seal: s\r\nContent-Encoding: gzip\r\n", "x")
 		})
-		w := h.ask("GET", "/s/x", "", "Accept-Encoding", "gzip")
+		w := h.request("GET", "/s/x", "", "Accept-Encoding", "gzip")
 		h.g.Expect(w.Code).To(Equal(200))
 		h.g.Expect(w.Header().Get("Content-Encoding")).To(Equal("gzip"))
 	})
@@ -88,18 +88,18 @@
 		"its own 500": {func(r *http.Request) string { return reply(r, "500 Oops", "", "why") }, 500},
 	} {
 		t.Run(name, func(t *testing.T) {
-			in(t, func(h *hall) {
+			runEdge(t, func(h *testEdge) {
 				h.once(c.first, "i-1", "i-2")
 				for address, script := range h.servers {
 					h.servers[address] = func(r *http.Request) string {
-						if len(h.got) > 1 {
+						if len(h.received) > 1 {
 							return full(r)
 						}
 						return script(r)
 					}
 				}
-				w := h.ask("GET", "/s/x", "")
-				h.g.Expect(h.got).To(HaveLen(2))
+				w := h.request("GET", "/s/x", "")
+				h.g.Expect(h.received).To(HaveLen(2))
 				h.g.Expect(w.Code).To(Equal(c.status))
 				h.g.Expect(w.Header()).NotTo(HaveKey("Retry-After"))
 			})
@@ -109,17 +109,17 @@
 
 // A connection that leads to another server than it should is of no use to the next request either.
 func TestConnectionToAnotherServerIsClosed(t *testing.T) {
-	in(t, func(h *hall) {
+	runEdge(t, func(h *testEdge) {
 		h.once(func(r *http.Request) string { return reply(r, "421 Other", "", "") }, "i-1")
-		h.g.Expect(h.ask("POST", "/u/x", "x").Code).To(Equal(503))
-		h.g.Expect(h.ask("POST", "/u/x", "x").Code).To(Equal(200))
+		h.g.Expect(h.request("POST", "/u/x", "x").Code).To(Equal(503))
+		h.g.Expect(h.request("POST", "/u/x", "x").Code).To(Equal(200))
 		h.g.Expect(h.dials).To(Equal(2))
 	})
 }
 
 // A connection that ends before it takes a byte proves that nothing was sent: another may be used, whatever the kind.
 func TestNothingWrittenMayBeSentAgain(t *testing.T) {
-	in(t, func(h *hall) {
+	runEdge(t, func(h *testEdge) {
 		h.once(good, "i-1", "i-2")
 		dial, ended := h.upstreams.dial, 0
 		h.upstreams.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -131,17 +131,17 @@
 			}
 			return dial(ctx, network, address)
 		}
-		h.g.Expect(h.ask("POST", "/u/x", "x").Code).To(Equal(200))
-		h.g.Expect(h.got).To(HaveLen(1))
+		h.g.Expect(h.request("POST", "/u/x", "x").Code).To(Equal(200))
+		h.g.Expect(h.received).To(HaveLen(1))
 	})
-	in(t, func(h *hall) {
-		h.serve("i-1", good)
-		h.ask("GET", "/s/x", "")
+	runEdge(t, func(h *testEdge) {
+		h.addServer("i-1", good)
+		h.request("GET", "/s/x", "")
 		u := h.upstreams.picker.Get("i-1").Attachment.(*upstream)
 		idle := u.idle[0].tracked
 		idle.Conn = refusing{idle.Conn} // it fails at the next write
-		h.g.Expect(h.ask("POST", "/u/x", "x").Code).To(Equal(200))
-		h.g.Expect(h.got).To(HaveLen(2))
+		h.g.Expect(h.request("POST", "/u/x", "x").Code).To(Equal(200))
+		h.g.Expect(h.received).To(HaveLen(2))
 		h.g.Expect(h.dials).To(Equal(2), "the same server on a new connection")
 	})
 }
@@ -153,7 +153,7 @@
 // Bytes behind an answer, in the same segment: the next request, right behind it, never meets them.
 func TestSurplusBytesMeetNoRequest(t *testing.T) {
 	for i := range 200 {
-		in(t, func(h *hall) {
+		runEdge(t, func(h *testEdge) {
 			h.once(func(r *http.Request) string { return good(r) + other(r) }, "i-1")
 			h.g.Expect(h.send("GET", "/s/x", "").Code).To(Equal(200))
 			h.g.Expect(h.send("POST", "/u/x", "x").Code).To(Equal(200), "round %d", i)
@@ -164,42 +164,42 @@
 
 // What identifies a try or an operation doesn't concern one connection only, whatever a client says.
 func TestConnectionHeaderDropsNoIdentity(t *testing.T) {
-	in(t, func(h *hall) {
-		h.rule = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
+	runEdge(t, func(h *testEdge) {
+		h.decide = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
 			return idempotency.OutcomeGranted, nil
 		}
-		h.serve("i-1", good)
-		w := h.ask("POST", "/k/x", "x", "X-Operation-Key", "k", "Connection", "X-Attempt-Id, X-Operation-Key")
+		h.addServer("i-1", good)
+		w := h.request("POST", "/k/x", "x", "X-Operation-Key", "k", "Connection", "X-Attempt-Id, X-Operation-Key")
 		h.g.Expect(w.Code).To(Equal(200))
-		h.g.Expect(h.got[0].Header.Get("X-Operation-Key")).To(Equal("k"))
+		h.g.Expect(h.received[0].Header.Get("X-Operation-Key")).To(Equal("k"))
 	})
 }
 
 // A deadline that is longer than any duration is the route's; one that is no number is refused for good.
 func TestDeadlinesOutOfRange(t *testing.T) {
-	in(t, func(h *hall) {
-		h.serve("i-1", good)
+	runEdge(t, func(h *testEdge) {
+		h.addServer("i-1", good)
 		for text, status := range map[string]int{"1e14": 200, "+Inf": 200, "NaN": 400, "-1": 400} {
-			h.g.Expect(h.ask("GET", "/s/x", "", "X-Deadline-Ms", text).Code).To(Equal(status), text)
+			h.g.Expect(h.request("GET", "/s/x", "", "X-Deadline-Ms", text).Code).To(Equal(status), text)
 		}
 	})
 }
 
 // Of an answer without a body the length is the server's word, not ours.
 func TestLengthOfAnAnswerWithoutBodyStands(t *testing.T) {
-	in(t, func(h *hall) {
-		h.serve("i-1", func(r *http.Request) string {
+	runEdge(t, func(h *testEdge) {
+		h.addServer("i-1", func(r *http.Request) string {
 			return fmt.Sprintf("HTTP/1.1 304 Same\r\nX-Attempt-Id: %s\r\nContent-Length: 77\r\n\r\n", r.Header.Get("X-Attempt-Id"))
 		})
-		h.g.Expect(h.ask("GET", "/s/x", "").Header().Get("Content-Length")).To(Equal("77"))
+		h.g.Expect(h.request("GET", "/s/x", "").Header().Get("Content-Length")).To(Equal("77"))
 	})
 }
 
 // A server may answer at length before it has the whole of a long body: both go on, and no byte of either is lost.
 func TestLongAnswerToABodyThatStillComes(t *testing.T) {
 	long := strings.Repeat("0123456789", 60_000)
-	in(t, func(h *hall) {
-		h.allow(2, `{}`)
+	runEdge(t, func(h *testEdge) {
+		h.setLimits(2, `{}`)
 		got := make(chan string, 1)
 		h.upstreams.dial = func(context.Context, string, string) (net.Conn, error) {
 			near, far := net.Pipe()
@@ -215,7 +215,7 @@
 			}()
 			return near, nil
 		}
-		h.serve("i-1", good)
+		h.addServer("i-1", good)
 		h.opened(func(s street) {
 			conn := h.walkIn(s)
 			defer conn.Close()
@@ -240,11 +240,11 @@
 
 // A client of HTTP/1.0 takes a close for the end of an answer without a length: one that is cut short ends in a reset.
 func TestCutAnswerDoesNotLookWholeToOldClients(t *testing.T) {
-	setup(t, func(h *hall) {
+	setup(t, func(h *testEdge) {
 		defer h.close()
-		h.allow(2, `{}`)
+		h.setLimits(2, `{}`)
 		long := strings.Repeat("0123456789", 60_000)
-		h.serve("i-1", func(r *http.Request) string {
+		h.addServer("i-1", func(r *http.Request) string {
 			return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: t\r\nX-Server-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n<close>", len(long), long)
 		})
 		front, err := net.Listen("tcp", "127.0.0.1:0")
@@ -261,31 +261,31 @@
 }
 
 func TestServerThatLeavesWhileItIsDialled(t *testing.T) {
-	in(t, func(h *hall) {
-		h.serve("i-1", good)
+	runEdge(t, func(h *testEdge) {
+		h.addServer("i-1", good)
 		dial := h.upstreams.dial
 		h.upstreams.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			h.upstreams.update([]registry.Entry{{ID: "i-1", Service: "tags", Address: "i-1:80", Seq: 2, State: registry.Draining}})
 			return dial(ctx, network, address)
 		}
-		h.g.Expect(h.ask("POST", "/u/x", "x").Code).To(Equal(503))
-		h.g.Expect(h.got).To(BeEmpty())
+		h.g.Expect(h.request("POST", "/u/x", "x").Code).To(Equal(503))
+		h.g.Expect(h.received).To(BeEmpty())
 	})
 }
 
 func TestTooNearADeadlineSendsNothing(t *testing.T) {
-	in(t, func(h *hall) {
-		h.serve("i-1", good)
-		h.g.Expect(h.ask("POST", "/u/x", "x", "X-Deadline-Ms", "14").Code).To(Equal(503))
-		h.g.Expect(h.got).To(BeEmpty())
+	runEdge(t, func(h *testEdge) {
+		h.addServer("i-1", good)
+		h.g.Expect(h.request("POST", "/u/x", "x", "X-Deadline-Ms", "14").Code).To(Equal(503))
+		h.g.Expect(h.received).To(BeEmpty())
 	})
 }
 
 // A client that goes in the middle of a long answer costs its connection and the server's, and no place.
 func TestClientThatTakesNoMore(t *testing.T) {
-	in(t, func(h *hall) {
-		h.allow(2, `{}`)
-		h.serve("i-1", func(r *http.Request) string {
+	runEdge(t, func(h *testEdge) {
+		h.setLimits(2, `{}`)
+		h.addServer("i-1", func(r *http.Request) string {
 			return reply(r, "200 OK", "X-Server-Seal: s\r\n", strings.Repeat("0123456789", 60_000))
 		})
 		h.opened(func(s street) {
--- a/internal/edge/proxy/log_test.go
+++ b/internal/edge/proxy/log_test.go
@@ -15,8 +15,8 @@
 
 // After a bad day an operator asks which requests were given up, why, and at which server. A line each tells it, until
 // there are too many of a kind; the counters go on.
-func TestLogTellsWhatWasGivenUpAndWhy(t *testing.T) {
-	in(t, func(h *hall) {
+func TestLogTellsWhatFailedAndWhy(t *testing.T) {
+	runEdge(t, func(h *testEdge) {
 		var text bytes.Buffer
 		h.Logger = log.NewLogfmtLogger(&text)
 		lines := func() []string {
@@ -24,15 +24,15 @@
 			text.Reset()
 			return all
 		}
-		h.serve("i-1", cut)
-		h.ask("GET", "/u/x", "")
+		h.addServer("i-1", cut)
+		h.request("GET", "/u/x", "")
 		h.g.Expect(lines()).To(ConsistOf(And(ContainSubstring(`event="request failed"`), ContainSubstring("kind=mulleinwood.perhaps_run"),
 			ContainSubstring("attempt=try-1"), ContainSubstring("host=a.example"), ContainSubstring("i-1 breaks off"))))
-		h.ask("GET", "/none/x", "")
+		h.request("GET", "/none/x", "")
 		h.g.Expect(lines()).To(ConsistOf(And(ContainSubstring("no_route"), ContainSubstring("/none/x"))))
 		time.Sleep(time.Second)
 		for range 40 {
-			h.ask("GET", "/none/x", "")
+			h.request("GET", "/none/x", "")
 		}
 		h.g.Expect(lines()).To(HaveLen(maxLogLinesPerSecond), "a flood of refusals costs no more than that")
 		w := httptest.NewRecorder()
--- a/internal/edge/proxy/matrix_test.go
+++ b/internal/edge/proxy/matrix_test.go
@@ -266,17 +266,17 @@
 
 // run plays the case: a probe and, in the same segment behind it, another request of the same client. It gives the probe's
 // status; 0: the connection was broken off.
-func (p *peers) run(h *hall, through func(http.Handler) http.Handler) int {
-	h.rule = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
+func (p *peers) run(h *testEdge, through func(http.Handler) http.Handler) int {
+	h.decide = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
 		return idempotency.OutcomeGranted, nil
 	}
 	if through != nil {
 		h.clients.handler = through(h.Proxy)
 	}
 	h.upstreams.dial = p.dial
-	h.serve("i-1", good)
+	h.addServer("i-1", good)
 	if !p.alone {
-		h.serve("i-2", good)
+		h.addServer("i-2", good)
 	}
 	if p.real { // no time is measured
 		patient := strings.ReplaceAll(strings.Replace(plan, `"r1"`, `"r2"`, 1), `"deadline_s":2`, `"deadline_s":60`)
@@ -334,7 +334,7 @@
 }
 
 // client connects a client to the edge's door, by a pipe or a socket.
-func (p *peers) client(h *hall) (conn net.Conn, shut func()) {
+func (p *peers) client(h *testEdge) (conn net.Conn, shut func()) {
 	if p.real {
 		front, err := net.Listen("tcp", "127.0.0.1:0")
 		h.g.Expect(err).NotTo(HaveOccurred())
@@ -438,16 +438,16 @@
 func TestEveryBoundary(t *testing.T) {
 	cases := append(matrix(false), matrix(true)...)
 	for _, c := range cases {
-		try := func(h *hall) {
+		try := func(h *testEdge) {
 			p := &peers{play: c, auditor: newAuditor()}
 			status := p.run(h, nil)
 			h.g.Expect(p.findings).To(BeEmpty(), "%s", c)
 			h.g.Expect(c.statuses()).To(ContainElement(status), "%s", c)
 		}
 		if c.real {
-			setup(t, func(h *hall) { defer h.close(); try(h) })
+			setup(t, func(h *testEdge) { defer h.close(); try(h) })
 		} else {
-			in(t, try)
+			runEdge(t, try)
 		}
 	}
 	t.Logf("%d cases", len(cases))
--- a/internal/edge/proxy/proxy_test.go
+++ b/internal/edge/proxy/proxy_test.go
@@ -40,24 +40,24 @@
 	`{"name":"u","path_prefix":"/u/","kind":"unsafe","deadline_s":2,"setpoint_s":0.4,"service":"tags","tries":2},` +
 	`{"name":"k","path_prefix":"/k/","kind":"keyed","deadline_s":2,"setpoint_s":0.4,"service":"tags","tries":2}]}]}`
 
-// hall is an edge among scripted peers, on a fake clock.
-type hall struct {
+// testEdge is an edge among scripted peers, on a fake clock.
+type testEdge struct {
 	*Proxy
 	g             *WithT
 	mu            sync.Mutex
 	servers       map[string]func(*http.Request) string // by address: the bytes of an answer; none hangs
-	got           []*http.Request                       // what servers were sent
+	received      []*http.Request                       // what servers were sent
 	bodies        []string
 	dials         int
-	rule          func(idempotency.Record) (idempotency.Outcome, *idempotency.Response)
-	voids         []idempotency.Record
+	decide        func(idempotency.Record) (idempotency.Outcome, *idempotency.Response)
+	revoked       []idempotency.Record
 	kept          []idempotency.Record
 	controllerEnd *peer.Link
 }
 
-func in(t *testing.T, play func(*hall)) {
+func runEdge(t *testing.T, play func(*testEdge)) {
 	synctest.Test(t, func(t *testing.T) {
-		setup(t, func(h *hall) {
+		setup(t, func(h *testEdge) {
 			defer synctest.Wait()
 			defer h.close()
 			play(h)
@@ -66,11 +66,11 @@
 }
 
 // setup makes a hall without a clock of its own.
-func setup(t *testing.T, play func(*hall)) {
+func setup(t *testing.T, play func(*testEdge)) {
 	g := NewWithT(t)
 	set, err := nodesettings.Parse("test", []byte(settings))
 	g.Expect(err).NotTo(HaveOccurred())
-	h := &hall{Proxy: New(node.Config{Settings: set, Logger: log.NewNopLogger()}), g: g, servers: map[string]func(*http.Request) string{}}
+	h := &testEdge{Proxy: New(node.Config{Settings: set, Logger: log.NewNopLogger()}), g: g, servers: map[string]func(*http.Request) string{}}
 	h.upstreams.dial = h.dial
 	g.Expect(h.applyConfig(&peer.Config{Version: 1, Snapshot: []byte(plan)})).To(BeTrue())
 	near, far := net.Pipe()
@@ -89,7 +89,7 @@
 }
 
 // close ends what runs beside the edge.
-func (h *hall) close() {
+func (h *testEdge) close() {
 	h.session.link.Close()
 	h.controllerEnd.Close()
 	for _, u := range h.upstreams.picker.All() {
@@ -97,22 +97,22 @@
 	}
 }
 
-func (h *hall) handleAtController(messages []peer.Message) {
+func (h *testEdge) handleAtController(messages []peer.Message) {
 	f := peer.FrameOf(messages...)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, r := range f.Claims {
-		if h.rule != nil {
-			ruling, answer := h.rule(r)
+		if h.decide != nil {
+			ruling, answer := h.decide(r)
 			h.controllerEnd.Send(peer.ClaimOutcomes{{Token: r.Token, Outcome: ruling, Response: answer}})
 		}
 	}
-	h.voids = append(h.voids, f.Revocations...)
+	h.revoked = append(h.revoked, f.Revocations...)
 	h.kept = append(h.kept, f.Responses...)
 }
 
 // dial connects to a scripted server.
-func (h *hall) dial(_ context.Context, _, address string) (net.Conn, error) {
+func (h *testEdge) dial(_ context.Context, _, address string) (net.Conn, error) {
 	h.mu.Lock()
 	answer := h.servers[address]
 	h.dials++
@@ -131,7 +131,7 @@
 			}
 			body, _ := io.ReadAll(r.Body)
 			h.mu.Lock()
-			h.got, h.bodies = append(h.got, r), append(h.bodies, string(body))
+			h.received, h.bodies = append(h.received, r), append(h.bodies, string(body))
 			h.mu.Unlock()
 			text := answer(r)
 			text, closes := strings.CutSuffix(text, "<close>")
@@ -147,21 +147,21 @@
 	return near, nil
 }
 
-// serve adds a server with a script.
-func (h *hall) serve(id string, answer func(*http.Request) string) {
+// addServer adds a server with a script.
+func (h *testEdge) addServer(id string, answer func(*http.Request) string) {
 	h.mu.Lock()
 	h.servers[id+":80"] = answer
 	h.mu.Unlock()
 	h.upstreams.update([]registry.Entry{{ID: id, Service: "tags", Address: id + ":80", Zone: "hall", Capacity: 2, Seq: 1}})
 }
 
-func (h *hall) ask(method, path, body string, headers ...string) *httptest.ResponseRecorder {
+func (h *testEdge) request(method, path, body string, headers ...string) *httptest.ResponseRecorder {
 	w := h.send(method, path, body, headers...)
 	synctest.Wait()
 	return w
 }
 
-func (h *hall) send(method, path, body string, headers ...string) *httptest.ResponseRecorder {
+func (h *testEdge) send(method, path, body string, headers ...string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, "http://a.example"+path, strings.NewReader(body))
 	r.RequestURI = path
 	r.Header.Set("X-Attempt-Id", "try-1")
@@ -189,13 +189,13 @@
 }
 
 func TestRequestGoesUnchangedAndAnswerComesBack(t *testing.T) {
-	in(t, func(h *hall) {
-		h.serve("i-1", good)
-		w := h.ask("POST", "/u/x?q=%2f", "hello", "X-Own", "kept", "Connection", "X-Hop", "X-Hop", "gone", "X-Expected-Instance", "i-9")
+	runEdge(t, func(h *testEdge) {
+		h.addServer("i-1", good)
+		w := h.request("POST", "/u/x?q=%2f", "hello", "X-Own", "kept", "Connection", "X-Hop", "X-Hop", "gone", "X-Expected-Instance", "i-9")
 		h.g.Expect(w.Code).To(Equal(200))
 		h.g.Expect(w.Body.String()).To(Equal("bytes"))
 		h.g.Expect(w.Header().Get("X-Server-Seal")).To(Equal("seal"))
-		got := h.got[0]
+		got := h.received[0]
 		h.g.Expect(got.RequestURI).To(Equal("/u/x?q=%2f"))
 		h.g.Expect(got.Host).To(Equal("a.example"))
 		h.g.Expect(h.bodies[0]).To(Equal("hello"))
@@ -208,7 +208,7 @@
 }
 
 // What a server did is told from what came: only proof that it never ran allows another server for what is unsafe.
-func TestEndings(t *testing.T) {
+func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		first        func(*http.Request) string
@@ -230,7 +230,7 @@
 		{"silence, unsafe", hang, "/u/x", 504, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			in(t, func(h *hall) {
+			runEdge(t, func(h *testEdge) {
 				first := true
 				script := func(r *http.Request) string {
 					h.mu.Lock()
@@ -242,33 +242,33 @@
 					}
 					return good(r)
 				}
-				h.serve("i-1", script)
-				h.serve("i-2", script)
+				h.addServer("i-1", script)
+				h.addServer("i-2", script)
 				for range 4 { // fills the budget
 					h.traffic.countRequest("tags")
 				}
-				w := h.ask("POST", c.path, "x")
+				w := h.request("POST", c.path, "x")
 				h.g.Expect(w.Code).To(Equal(c.status))
-				h.g.Expect(h.got).To(HaveLen(c.sent))
+				h.g.Expect(h.received).To(HaveLen(c.sent))
 			})
 		})
 	}
 }
 
-func TestNoFurtherTryWithoutBudget(t *testing.T) {
-	in(t, func(h *hall) {
-		h.serve("i-1", full)
-		h.serve("i-2", full)
-		w := h.ask("GET", "/s/x", "")
+func TestNoRetryWithoutBudget(t *testing.T) {
+	runEdge(t, func(h *testEdge) {
+		h.addServer("i-1", full)
+		h.addServer("i-2", full)
+		w := h.request("GET", "/s/x", "")
 		h.g.Expect(w.Code).To(Equal(503))
 		h.g.Expect(w.Header().Get("Retry-After")).NotTo(BeEmpty())
-		h.g.Expect(h.got).To(HaveLen(1))
+		h.g.Expect(h.received).To(HaveLen(1))
 	})
 }
 
 func TestRefusalWithoutAnyServerComesAtOnce(t *testing.T) {
-	in(t, func(h *hall) {
-		w := h.ask("GET", "/s/x", "")
+	runEdge(t, func(h *testEdge) {
+		w := h.request("GET", "/s/x", "")
 		h.g.Expect(w.Code).To(Equal(503))
 		h.g.Expect(w.Header().Get("Retry-After")).NotTo(BeEmpty())
 		h.g.Expect(h.Now()).To(BeNumerically("<=", 100*time.Millisecond))
@@ -276,26 +276,26 @@
 }
 
 func TestServerThatLeavesGetsNothing(t *testing.T) {
-	in(t, func(h *hall) {
-		h.serve("i-1", good)
-		h.g.Expect(h.ask("GET", "/s/x", "").Code).To(Equal(200))
+	runEdge(t, func(h *testEdge) {
+		h.addServer("i-1", good)
+		h.g.Expect(h.request("GET", "/s/x", "").Code).To(Equal(200))
 		h.upstreams.update([]registry.Entry{{ID: "i-1", Service: "tags", Address: "i-1:80", Seq: 2, State: registry.Draining}})
 		h.upstreams.update([]registry.Entry{{ID: "i-1", Service: "tags", Address: "i-1:80", Seq: 1}}) // late
-		h.g.Expect(h.ask("GET", "/s/x", "").Code).To(Equal(503))
-		h.g.Expect(h.got).To(HaveLen(1))
+		h.g.Expect(h.request("GET", "/s/x", "").Code).To(Equal(503))
+		h.g.Expect(h.received).To(HaveLen(1))
 	})
 }
 
-func TestConnectionsEndWithALifeNotWithAnAddress(t *testing.T) {
-	in(t, func(h *hall) {
-		h.serve("i-1", good)
-		h.ask("GET", "/s/x", "")
-		h.ask("GET", "/s/x", "")
+func TestConnectionsEndWithAnIncarnationNotWithAnAddress(t *testing.T) {
+	runEdge(t, func(h *testEdge) {
+		h.addServer("i-1", good)
+		h.request("GET", "/s/x", "")
+		h.request("GET", "/s/x", "")
 		h.g.Expect(h.dials).To(Equal(1))
 		h.upstreams.update([]registry.Entry{{ID: "i-1", Seq: 2, State: registry.Removed}, {ID: "i-2", Service: "tags", Address: "i-1:80", Zone: "hall", Capacity: 2, Seq: 1}})
-		h.ask("GET", "/s/x", "")
+		h.request("GET", "/s/x", "")
 		h.g.Expect(h.dials).To(Equal(2))
-		h.g.Expect(h.got[2].Header.Get("X-Expected-Instance")).To(Equal("i-2"))
+		h.g.Expect(h.received[2].Header.Get("X-Expected-Instance")).To(Equal("i-2"))
 	})
 }
 
@@ -304,31 +304,31 @@
 		return idempotency.OutcomeGranted, nil
 	}
 	t.Run("run once claimed, and their answer is kept", func(t *testing.T) {
-		in(t, func(h *hall) {
-			h.rule = stands
-			h.serve("i-1", good)
-			h.g.Expect(h.ask("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(200))
+		runEdge(t, func(h *testEdge) {
+			h.decide = stands
+			h.addServer("i-1", good)
+			h.g.Expect(h.request("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(200))
 			h.g.Expect(h.kept).To(HaveLen(1))
 			h.g.Expect(string(h.kept[0].Response.Body)).To(Equal("bytes"))
 			h.g.Expect(h.kept[0].Response.Headers).To(HaveKeyWithValue("X-Server-Seal", "seal"))
 		})
 	})
 	t.Run("are 409 while another runs them", func(t *testing.T) {
-		in(t, func(h *hall) {
-			h.rule = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
+		runEdge(t, func(h *testEdge) {
+			h.decide = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
 				return idempotency.OutcomeConflict, nil
 			}
-			h.serve("i-1", good)
-			h.g.Expect(h.ask("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(409))
-			h.g.Expect(h.got).To(BeEmpty())
+			h.addServer("i-1", good)
+			h.g.Expect(h.request("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(409))
+			h.g.Expect(h.received).To(BeEmpty())
 		})
 	})
 	t.Run("repeat the first answer, for this try", func(t *testing.T) {
-		in(t, func(h *hall) {
-			h.rule = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
+		runEdge(t, func(h *testEdge) {
+			h.decide = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
 				return idempotency.OutcomeConflict, &idempotency.Response{Status: 201, Headers: map[string]string{"X-Server-Seal": "first"}, Body: []byte("one")}
 			}
-			w := h.ask("POST", "/k/x", "x", "X-Operation-Key", "k")
+			w := h.request("POST", "/k/x", "x", "X-Operation-Key", "k")
 			h.g.Expect(w.Code).To(Equal(201))
 			h.g.Expect(w.Body.String()).To(Equal("one"))
 			h.g.Expect(w.Header().Get("X-Server-Seal")).To(Equal("first"))
@@ -336,48 +336,48 @@
 		})
 	})
 	t.Run("send nothing without a clear claim, and withdraw it", func(t *testing.T) {
-		in(t, func(h *hall) {
-			h.serve("i-1", good)
-			w := h.ask("POST", "/k/x", "x", "X-Operation-Key", "k") // the controller says nothing
+		runEdge(t, func(h *testEdge) {
+			h.addServer("i-1", good)
+			w := h.request("POST", "/k/x", "x", "X-Operation-Key", "k") // the controller says nothing
 			h.g.Expect(w.Code).To(Equal(503))
-			h.g.Expect(h.got).To(BeEmpty())
-			h.g.Expect(h.voids).To(HaveLen(1))
+			h.g.Expect(h.received).To(BeEmpty())
+			h.g.Expect(h.revoked).To(HaveLen(1))
 		})
 	})
 	t.Run("are withdrawn on proof that they never ran, and only then", func(t *testing.T) {
-		in(t, func(h *hall) {
-			h.rule = stands
-			h.serve("i-1", full)
-			h.g.Expect(h.ask("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(503))
-			h.g.Expect(h.voids).To(HaveLen(1))
+		runEdge(t, func(h *testEdge) {
+			h.decide = stands
+			h.addServer("i-1", full)
+			h.g.Expect(h.request("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(503))
+			h.g.Expect(h.revoked).To(HaveLen(1))
 		})
-		in(t, func(h *hall) {
-			h.rule = stands
-			h.serve("i-1", cut)
-			h.g.Expect(h.ask("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(502))
-			h.g.Expect(h.voids).To(BeEmpty())
+		runEdge(t, func(h *testEdge) {
+			h.decide = stands
+			h.addServer("i-1", cut)
+			h.g.Expect(h.request("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(502))
+			h.g.Expect(h.revoked).To(BeEmpty())
 			h.g.Expect(h.kept).To(BeEmpty())
 		})
 	})
 	t.Run("are refused early while no controller can be reached, and withdrawn once one can", func(t *testing.T) {
-		in(t, func(h *hall) {
-			h.serve("i-1", good)
+		runEdge(t, func(h *testEdge) {
+			h.addServer("i-1", good)
 			link := h.session.link
 			h.session.link, h.session.known = nil, map[string]bool{}
-			w := h.ask("POST", "/k/x", "x", "X-Operation-Key", "k")
+			w := h.request("POST", "/k/x", "x", "X-Operation-Key", "k")
 			h.g.Expect(w.Code).To(Equal(503))
 			h.g.Expect(w.Header().Get("Retry-After")).NotTo(BeEmpty())
 			h.g.Expect(h.Now()).To(BeNumerically("<=", 100*time.Millisecond), "a fifth of the aim and a little")
 			h.session.link = link
 			h.claims.resendPending()
 			synctest.Wait()
-			h.g.Expect(h.voids).To(HaveLen(1))
-			h.g.Expect(h.got).To(BeEmpty())
+			h.g.Expect(h.revoked).To(HaveLen(1))
+			h.g.Expect(h.received).To(BeEmpty())
 		})
 	})
 	t.Run("are withdrawn at the other controller, too, that they were put to: home may have died", func(t *testing.T) {
-		in(t, func(h *hall) {
-			h.serve("i-1", good)
+		runEdge(t, func(h *testEdge) {
+			h.addServer("i-1", good)
 			near, far := net.Pipe()
 			guest, other := peer.NewLink(near), peer.NewLink(far)
 			defer guest.Close()
@@ -389,19 +389,19 @@
 				})
 			}()
 			h.session.secondary = guest
-			h.g.Expect(h.ask("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(503))
+			h.g.Expect(h.request("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(503))
 			h.g.Expect(claims).To(Equal(1))
 			h.g.Expect(voids).To(Equal(1))
 		})
 	})
 	t.Run("need a key", func(t *testing.T) {
-		in(t, func(h *hall) { h.g.Expect(h.ask("POST", "/k/x", "x").Code).To(Equal(400)) })
+		runEdge(t, func(h *testEdge) { h.g.Expect(h.request("POST", "/k/x", "x").Code).To(Equal(400)) })
 	})
 	t.Run("that wait for a claim are put to a new home, unless they were decided", func(t *testing.T) {
-		in(t, func(h *hall) {
-			h.rule = stands
-			h.serve("i-1", good)
-			h.ask("POST", "/k/x", "x", "X-Operation-Key", "k")
+		runEdge(t, func(h *testEdge) {
+			h.decide = stands
+			h.addServer("i-1", good)
+			h.request("POST", "/k/x", "x", "X-Operation-Key", "k")
 			h.g.Expect(h.claims.pending).To(BeEmpty())
 		})
 	})
@@ -409,32 +409,32 @@
 
 // A surplus answer may come in the place of the next: once a service was seen to spoil connections, what must not run
 // twice goes on a new one, while lookups go on as before.
-func TestUnsafeRequestsAvoidSpoiltConnections(t *testing.T) {
-	in(t, func(h *hall) {
+func TestUnsafeRequestsAvoidDistrustedConnections(t *testing.T) {
+	runEdge(t, func(h *testEdge) {
 		spoil := true
-		h.serve("i-1", func(r *http.Request) string {
+		h.addServer("i-1", func(r *http.Request) string {
 			if r.URL.Path == "/s/spoilt" && spoil {
 				spoil = false
 				return other(r)
 			}
 			return good(r)
 		})
-		h.ask("GET", "/s/x", "")
-		h.ask("GET", "/s/spoilt", "")
-		h.ask("GET", "/s/x", "")
+		h.request("GET", "/s/x", "")
+		h.request("GET", "/s/spoilt", "")
+		h.request("GET", "/s/x", "")
 		before := h.dials
-		h.ask("GET", "/s/x", "")
+		h.request("GET", "/s/x", "")
 		h.g.Expect(h.dials).To(Equal(before))
-		h.g.Expect(h.ask("POST", "/u/x", "x").Code).To(Equal(200))
+		h.g.Expect(h.request("POST", "/u/x", "x").Code).To(Equal(200))
 		h.g.Expect(h.dials).To(Equal(before + 1))
 	})
 }
 
 // While all servers are full, those who can still be in time go before those who can't, whoever came first.
 func TestFreshRequestsGoFirst(t *testing.T) {
-	in(t, func(h *hall) {
+	runEdge(t, func(h *testEdge) {
 		open := make(chan struct{})
-		h.serve("i-1", func(r *http.Request) string { <-open; return good(r) })
+		h.addServer("i-1", func(r *http.Request) string { <-open; return good(r) })
 		var order []string
 		var mu sync.Mutex
 		var all sync.WaitGroup
@@ -459,13 +459,13 @@
 		mu.Unlock()
 		close(open)
 		all.Wait()
-		h.g.Expect(h.got[4].URL.Path).To(Equal("/s/fresh"))
+		h.g.Expect(h.received[4].URL.Path).To(Equal("/s/fresh"))
 	})
 }
 
 func TestBadRequestsHarmNobody(t *testing.T) {
-	in(t, func(h *hall) {
-		h.serve("i-1", good)
+	runEdge(t, func(h *testEdge) {
+		h.addServer("i-1", good)
 		for _, c := range []struct {
 			path, body, header, value string
 			status                    int
@@ -476,14 +476,14 @@
 			{"/s/x", strings.Repeat("x", 101), "", "", 413},
 			{"/s/x", "", "", "", 200},
 		} {
-			w := h.ask("GET", c.path, c.body, c.header, c.value)
+			w := h.request("GET", c.path, c.body, c.header, c.value)
 			h.g.Expect(w.Code).To(Equal(c.status), "%+v", c)
 		}
 	})
 }
 
 func TestConfigurationNeverGoesBack(t *testing.T) {
-	in(t, func(h *hall) {
+	runEdge(t, func(h *testEdge) {
 		newer := strings.Replace(plan, `"r1"`, `"r5"`, 1)
 		h.g.Expect(h.applyConfig(&peer.Config{Version: 5, Snapshot: []byte(newer)})).To(BeTrue())
 		h.g.Expect(h.applyConfig(&peer.Config{Version: 1, Snapshot: []byte(plan)})).To(BeTrue())
@@ -521,10 +521,10 @@
 
 // SIGTERM in the middle of an answer: the answer is finished, new requests are served with the word that the connection
 // closes, readiness is gone at once, and the end comes when nothing comes any more.
-func TestLeavingBreaksNothingOff(t *testing.T) {
-	in(t, func(h *hall) {
+func TestShutdownCutsNothingOff(t *testing.T) {
+	runEdge(t, func(h *testEdge) {
 		running := make(chan struct{})
-		h.serve("i-1", func(r *http.Request) string {
+		h.addServer("i-1", func(r *http.Request) string {
 			if r.URL.Path == "/s/slow" {
 				<-running
 			}
@@ -543,7 +543,7 @@
 		ready := httptest.NewRecorder()
 		h.serveReadiness(ready, httptest.NewRequest("GET", "/readiness", nil))
 		h.g.Expect(ready.Code).To(Equal(503))
-		w := h.ask("GET", "/s/new", "")
+		w := h.request("GET", "/s/new", "")
 		h.g.Expect(w.Code).To(Equal(200))
 		h.g.Expect(w.Header().Get("Connection")).To(Equal("close"))
 		h.g.Expect(left).To(BeFalse())
@@ -557,16 +557,16 @@
 
 // The same key at three edges at once, and a claimer that dies: whoever is told Taken runs nothing.
 func TestOneOfManyEdgesRunsAKey(t *testing.T) {
-	in(t, func(h *hall) {
+	runEdge(t, func(h *testEdge) {
 		taken := map[idempotency.Key]idempotency.Token{}
-		h.rule = func(r idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
+		h.decide = func(r idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
 			if first, ok := taken[r.Key]; ok && first != r.Token {
 				return idempotency.OutcomeConflict, nil
 			}
 			taken[r.Key] = r.Token
 			return idempotency.OutcomeGranted, nil
 		}
-		h.serve("i-1", good)
+		h.addServer("i-1", good)
 		var all sync.WaitGroup
 		codes := make([]int, 3)
 		for i := range codes {
@@ -575,6 +575,6 @@
 		all.Wait()
 		slices.Sort(codes)
 		h.g.Expect(codes).To(Equal([]int{200, 409, 409}))
-		h.g.Expect(h.got).To(HaveLen(1))
+		h.g.Expect(h.received).To(HaveLen(1))
 	})
 }
--- a/internal/edge/proxy/shutdown_test.go
+++ b/internal/edge/proxy/shutdown_test.go
@@ -13,7 +13,7 @@
 // lateRequest plays a keyed request that comes some time after an edge was told to end, while no controller rules on claims.
 // It tells after how long it is answered, and when the edge ends.
 func lateRequest(t *testing.T, after time.Duration) (answered, ended time.Duration, w *httptest.ResponseRecorder) {
-	in(t, func(h *hall) {
+	runEdge(t, func(h *testEdge) {
 		began := time.Now()
 		near, far := net.Pipe()
 		defer far.Close()
@@ -63,8 +63,8 @@
 // A request that is forwarded late in the grace is answered before the edge ends: whoever reads its response last cuts it off
 // otherwise, although the server was sound and the deadline not reached.
 func TestForwardedRequestsAreAnsweredBeforeTheEnd(t *testing.T) {
-	in(t, func(h *hall) {
-		h.serve("i-1", works(h, 1300*time.Millisecond))
+	runEdge(t, func(h *testEdge) {
+		h.addServer("i-1", works(h, 1300*time.Millisecond))
 		startedAt := time.Now()
 		near, far := net.Pipe()
 		defer far.Close()
--- a/internal/edge/proxy/variants_test.go
+++ b/internal/edge/proxy/variants_test.go
@@ -57,7 +57,7 @@
 	} {
 		for _, kind := range []string{"s", "u", "k"} {
 			for _, reused := range []bool{false, true} {
-				in(t, func(h *hall) {
+				runEdge(t, func(h *testEdge) {
 					p := &peers{play: play{at: atWhole, act: garbage, kind: kind, reused: reused}, auditor: newAuditor(), answer: c.answer, sound: c.sound}
 					want := c.other
 					if kind == "s" {
@@ -82,11 +82,11 @@
 	for name, text := range map[string]string{"short": short, "chunks": chunked, "length": lengthy} {
 		for _, sent := range []int{0, 10, end, end + 2, len(text) - 3, len(text) - 1, len(text)} {
 			for _, real := range []bool{false, true} {
-				try := func(h *hall) {
-					h.allow(3, `{}`)
+				try := func(h *testEdge) {
+					h.setLimits(3, `{}`)
 					p := &peers{play: play{at: boundaries, kind: "u", real: real}, auditor: newAuditor()}
 					h.upstreams.dial = p.dial
-					h.serve("i-1", good)
+					h.addServer("i-1", good)
 					client, shut := p.client(h)
 					_, err := io.WriteString(client, text[:sent])
 					h.g.Expect(err).NotTo(HaveOccurred())
@@ -111,9 +111,9 @@
 					h.g.Expect(p.whole["probe"]).To(BeNumerically("<=", 1))
 				}
 				if real {
-					setup(t, func(h *hall) { defer h.close(); try(h) })
+					setup(t, func(h *testEdge) { defer h.close(); try(h) })
 				} else {
-					in(t, try)
+					runEdge(t, try)
 				}
 			}
 		}
@@ -122,10 +122,10 @@
 
 // A client that sends many requests at once gets each answer in its place.
 func TestPipelinedAnswersComeInOrder(t *testing.T) {
-	in(t, func(h *hall) {
+	runEdge(t, func(h *testEdge) {
 		p := &peers{play: play{at: boundaries}, auditor: newAuditor()}
 		h.upstreams.dial = p.dial
-		h.serve("i-1", good)
+		h.addServer("i-1", good)
 		client, shut := p.client(h)
 		defer p.served.Wait()
 		defer func() { h.upstreams.picker.Get("i-1").Attachment.(*upstream).close() }()
@@ -208,7 +208,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, planted := range []bool{true, false} {
-				in(t, func(h *hall) {
+				runEdge(t, func(h *testEdge) {
 					p := &peers{play: c.play, auditor: newAuditor(), alone: c.spoil != nil}
 					var through func(http.Handler) http.Handler
 					if planted {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -40,7 +40,7 @@
 }
 
 // A cut is silent: a peer that says nothing is taken to be gone.
-func TestSilenceEndsALink(t *testing.T) {
+func TestTimeoutEndsALink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		a, b := net.Pipe()
@@ -54,7 +54,7 @@
 	})
 }
 
-func TestSpoiltFramesEndALink(t *testing.T) {
+func TestCorruptFramesEndALink(t *testing.T) {
 	for name, bytes := range map[string][]byte{
 		"no CBOR":         {0, 0, 0, 2, 0xff, 0xff},
 		"longer than any": binary.BigEndian.AppendUint32(nil, 1<<31),
--- a/internal/peer/security_test.go
+++ b/internal/peer/security_test.go
@@ -156,7 +156,7 @@
 	g.Expect(err).To(MatchError(ContainSubstring("certificate.pem")))
 }
 
-func TestAddressIsProvedNotSaid(t *testing.T) {
+func TestAddressIsVerified(t *testing.T) {
 	g := NewWithT(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
