--- a/cmd/operator/bookings.go
+++ b/cmd/operator/bookings.go
@@ -20,9 +20,9 @@
 	"mulleinwood/internal/platform/apierror"
 )
 
-// bookings are the commands on booked slots.
-func bookings() *cli.Command {
-	what := []cli.Flag{
+// bookingsCommand are the commands on booked slots.
+func bookingsCommand() *cli.Command {
+	bookingFlags := []cli.Flag{
 		&cli.StringFlag{Name: "tenant", Usage: "host whose requests have the room"},
 		&cli.StringFlag{Name: "service", Usage: "service at whose servers it is"},
 		&cli.StringFlag{Name: "route", Usage: "name of the only route that has it (default: all of the tenant's to the service)"},
@@ -38,93 +38,96 @@
 		&cli.StringFlag{Name: "owner", Usage: "who asked for it"},
 		&cli.StringFlag{Name: "reason"},
 	}
-	dry := &cli.BoolFlag{Name: "dry-run", Usage: "only say whether it could be kept"}
+	dryRun := &cli.BoolFlag{Name: "dry-run", Usage: "only say whether it could be kept"}
 	return &cli.Command{Name: "bookings", Usage: "room that is booked ahead", Commands: []*cli.Command{
-		{Name: "list", Usage: "what is booked, and what of it can't be kept now", Action: bookingsList},
-		{Name: "show", Usage: "one booking, or how it went out of the book", ArgsUsage: "ID", Action: bookingsShow},
-		{Name: "check", Usage: "say what could be kept of a booking; code 1 if it could not", ArgsUsage: "ID", Flags: what,
-			Action: bookingsAdd},
-		{Name: "add", Usage: "book room", ArgsUsage: "ID", Flags: append([]cli.Flag{dry}, what...), Action: bookingsAdd},
+		{Name: "list", Usage: "what is booked, and what of it can't be kept now", Action: listBookings},
+		{Name: "show", Usage: "one booking, or how it went out of the book", ArgsUsage: "ID", Action: showBooking},
+		{Name: "check", Usage: "say what could be kept of a booking; code 1 if it could not", ArgsUsage: "ID",
+			Flags:  bookingFlags,
+			Action: addBooking},
+		{Name: "add", Usage: "book room", ArgsUsage: "ID", Flags: append([]cli.Flag{dryRun}, bookingFlags...),
+			Action: addBooking},
 		{Name: "change", Usage: "change what the flags name of a booking, also while its time runs", ArgsUsage: "ID",
-			Flags: append([]cli.Flag{dry}, what...), Action: bookingsAdd},
-		{Name: "cancel", Usage: "take a booking out", ArgsUsage: "ID", Action: bookingsCancel},
+			Flags: append([]cli.Flag{dryRun}, bookingFlags...), Action: addBooking},
+		{Name: "cancel", Usage: "take a booking out", ArgsUsage: "ID", Action: cancelBooking},
 		{Name: "plan", Usage: "book all that a file of days names; nothing if one of them can't be kept", ArgsUsage: "FILE",
-			Flags: []cli.Flag{dry}, Action: bookingsPlan},
-		{Name: "watch", Usage: "note every second how much of the rooms is wanted", Action: bookingsWatch, Flags: []cli.Flag{
+			Flags: []cli.Flag{dryRun}, Action: bookPlan},
+		{Name: "watch", Usage: "note every second how much of the rooms is wanted", Action: watchReservations, Flags: []cli.Flag{
 			&cli.DurationFlag{Name: "for", Value: time.Minute},
 			&cli.StringFlag{Name: "plot", Usage: "PNG file for the page of room against use"},
 		}},
 	}}
 }
 
-func book(ctx context.Context, cmd *cli.Command) (*operator.Client, *operator.Bookings, error) {
-	c, err := client(cmd)
+func fetchBookings(ctx context.Context, cmd *cli.Command) (*operator.Client, *operator.Bookings, error) {
+	client, err := newClient(cmd)
 	if err != nil {
 		return nil, nil, err
 	}
-	text, err := c.Call(ctx, http.MethodGet, "/bookings", nil, nil)
+	text, err := client.Call(ctx, http.MethodGet, "/bookings", nil, nil)
 	if err != nil {
 		return nil, nil, err
 	}
-	b := &operator.Bookings{}
-	if err := json.Unmarshal(text, b); err != nil {
+	bookings := &operator.Bookings{}
+	if err := json.Unmarshal(text, bookings); err != nil {
 		return nil, nil, fmt.Errorf("the answer can't be read: %w", err)
 	}
-	return c, b, nil
+	return client, bookings, nil
 }
 
-func bookingsList(ctx context.Context, cmd *cli.Command) error {
-	_, b, err := book(ctx, cmd)
+func listBookings(ctx context.Context, cmd *cli.Command) error {
+	_, bookings, err := fetchBookings(ctx, cmd)
 	if err != nil {
 		return err
 	}
 	if cmd.Bool("json") {
-		return printJSON(b)
-	}
-	fmt.Printf("book %s, core's time %s\n", b.Version, operator.At(b.Now))
-	return table("BOOKING\tTENANT\tSERVICE\tFROM\tTO\tSLOTS\tRANK\tOWNER\tNOW", func(w *tabwriter.Writer) {
-		for _, one := range b.Bookings {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%.1f\t%d\t%s\t%s\n", one.ID, one.Tenant, one.Service, operator.At(one.Start),
-				operator.At(one.End),
-				one.Slots, one.Rank, one.Owner, stateOf(b, one))
+		return printJSON(bookings)
+	}
+	fmt.Printf("book %s, core's time %s\n", bookings.Version, operator.At(bookings.Now))
+	return printTable("BOOKING\tTENANT\tSERVICE\tFROM\tTO\tSLOTS\tRANK\tOWNER\tNOW", func(w *tabwriter.Writer) {
+		for _, booking := range bookings.Bookings {
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%.1f\t%d\t%s\t%s\n", booking.ID, booking.Tenant, booking.Service,
+				operator.At(booking.Start),
+				operator.At(booking.End),
+				booking.Slots, booking.Rank, booking.Owner, bookingState(bookings, booking))
 		}
 	})
 }
 
-func stateOf(b *operator.Bookings, one reservation.Booking) string {
-	switch wants := one.SlotsAt(b.Now); {
-	case b.Shortfalls[one.ID] > 0:
-		return fmt.Sprintf("in danger: lacks %.1f", b.Shortfalls[one.ID])
-	case wants > 0:
-		return fmt.Sprintf("holds %.1f", wants)
-	case b.Now < one.Start:
+func bookingState(bookings *operator.Bookings, booking reservation.Booking) string {
+	switch slots := booking.SlotsAt(bookings.Now); {
+	case bookings.Shortfalls[booking.ID] > 0:
+		return fmt.Sprintf("in danger: lacks %.1f", bookings.Shortfalls[booking.ID])
+	case slots > 0:
+		return fmt.Sprintf("holds %.1f", slots)
+	case bookings.Now < booking.Start:
 		return "ahead"
 	}
 	return "over"
 }
 
-func oneID(cmd *cli.Command) (string, error) {
+func idArgument(cmd *cli.Command) (string, error) {
 	if cmd.NArg() != 1 || cmd.Args().First() == "" {
 		return "", apierror.Settings.New("%s takes one id", cmd.FullName())
 	}
 	return cmd.Args().First(), nil
 }
 
-func bookingsShow(ctx context.Context, cmd *cli.Command) error {
-	id, err := oneID(cmd)
+func showBooking(ctx context.Context, cmd *cli.Command) error {
+	id, err := idArgument(cmd)
 	if err != nil {
 		return err
 	}
-	_, b, err := book(ctx, cmd)
+	_, bookings, err := fetchBookings(ctx, cmd)
 	if err != nil {
 		return err
 	}
-	for _, one := range b.Bookings {
-		if one.ID == id {
-			return printJSON(one)
+	for _, booking := range bookings.Bookings {
+		if booking.ID == id {
+			return printJSON(booking)
 		}
 	}
-	for _, past := range slices.Backward(b.Past) {
+	for _, past := range slices.Backward(bookings.Past) {
 		if past.ID == id {
 			return printJSON(past)
 		}
@@ -132,98 +135,118 @@
 	return fmt.Errorf("there is no booking %s", id)
 }
 
-// bookingsAdd books, changes or checks, as its name says.
-func bookingsAdd(ctx context.Context, cmd *cli.Command) error {
-	id, err := oneID(cmd)
+// addBooking books, changes or checks, as its name says.
+func addBooking(ctx context.Context, cmd *cli.Command) error {
+	id, err := idArgument(cmd)
 	if err != nil {
 		return err
 	}
-	c, b, err := book(ctx, cmd)
+	client, bookings, err := fetchBookings(ctx, cmd)
 	if err != nil {
 		return err
 	}
-	e := operator.Entry{ID: id}
-	at := slices.IndexFunc(b.Bookings, func(o reservation.Booking) bool { return o.ID == id })
+	entry := operator.Entry{ID: id}
+	index := slices.IndexFunc(bookings.Bookings, func(other reservation.Booking) bool { return other.ID == id })
 	switch {
-	case cmd.Name == "change" && at < 0:
+	case cmd.Name == "change" && index < 0:
 		return fmt.Errorf("there is no booking %s to change", id)
-	case cmd.Name == "add" && at >= 0:
+	case cmd.Name == "add" && index >= 0:
 		return fmt.Errorf("booking %s is there already: change or cancel it", id)
-	case at >= 0:
-		e = operator.EntryOf(b.Bookings[at])
+	case index >= 0:
+		entry = operator.EntryOf(bookings.Bookings[index])
 	}
-	for name, into := range map[string]*string{"tenant": &e.Tenant, "service": &e.Service, "route": &e.Route, "zone": &e.Zone,
-		"start": &e.Start,
-		"end":   &e.End, "ramp": &e.Ramp, "work": &e.Work, "owner": &e.Owner, "reason": &e.Reason} {
+	applyBookingFlags(cmd, &entry)
+	booking, err := entry.Booking()
+	if err != nil {
+		return err
+	}
+	change := bookingChange{path: "/bookings/" + url.PathEscape(id), version: bookings.Version, body: booking,
+		dryRun: cmd.Name == "check" || cmd.Bool("dry-run")}
+	result, err := change.put(ctx, client)
+	if err != nil {
+		return err
+	}
+	return change.printResult(cmd, fmt.Sprintf("%s, %.1f slots", id, booking.Slots), result)
+}
+
+// applyBookingFlags puts what the flags name into an entry. Slots and a rate exclude each other: what is named wins.
+func applyBookingFlags(cmd *cli.Command, entry *operator.Entry) {
+	for name, target := range map[string]*string{
+		"tenant": &entry.Tenant, "service": &entry.Service, "route": &entry.Route, "zone": &entry.Zone,
+		"start": &entry.Start, "end": &entry.End, "ramp": &entry.Ramp, "work": &entry.Work,
+		"owner": &entry.Owner, "reason": &entry.Reason,
+	} {
 		if cmd.IsSet(name) {
-			*into = cmd.String(name)
+			*target = cmd.String(name)
 		}
 	}
 	if cmd.IsSet("rate") || cmd.IsSet("work") {
-		e.Slots = 0
+		entry.Slots = 0
 	}
 	if cmd.IsSet("slots") {
-		e.Slots, e.Rate, e.Work = cmd.Float64("slots"), 0, ""
+		entry.Slots, entry.Rate, entry.Work = cmd.Float64("slots"), 0, ""
 	}
-	e.Rate = cmp.Or(cmd.Float64("rate"), e.Rate)
+	entry.Rate = cmp.Or(cmd.Float64("rate"), entry.Rate)
 	if cmd.IsSet("rank") {
-		e.Rank = cmd.Int("rank")
-	}
-	one, err := e.Booking()
-	if err != nil {
-		return err
-	}
-	dry := cmd.Name == "check" || cmd.Bool("dry-run")
-	said, err := putBooking(ctx, c, b.Version, dry, "/bookings/"+url.PathEscape(id), one)
-	if err != nil {
-		return err
+		entry.Rank = cmd.Int("rank")
 	}
-	return tellBooked(cmd, fmt.Sprintf("%s, %.1f slots", id, one.Slots), dry, said)
 }
 
-func putBooking(ctx context.Context, c *operator.Client, version string, dry bool, path string,
-	what any) (*operator.BookingResult, error) {
-	body, err := json.Marshal(what)
+// bookingChange is a change of one booking, or of several together.
+type bookingChange struct {
+	path    string
+	version string // of the bookings that the change is made on top of
+	body    any    // a booking, or an operator.BookingList
+	dryRun  bool   // only ask whether it would be accepted
+}
+
+func (c bookingChange) put(ctx context.Context, client *operator.Client) (*operator.BookingResult, error) {
+	body, err := json.Marshal(c.body)
 	if err != nil {
 		return nil, err
 	}
-	if dry {
+	path := c.path
+	if c.dryRun {
 		path += "?dry_run=true"
 	}
-	text, err := c.Call(ctx, http.MethodPut, path, http.Header{"If-Match": {version}, "Content-Type": {"application/json"}}, body)
+	header := http.Header{"If-Match": {c.version}, "Content-Type": {"application/json"}}
+	text, err := client.Call(ctx, http.MethodPut, path, header, body)
 	if err != nil {
 		return nil, err
 	}
-	said := &operator.BookingResult{}
-	return said, json.Unmarshal(text, said)
+	result := &operator.BookingResult{}
+	return result, json.Unmarshal(text, result)
 }
 
-func tellBooked(cmd *cli.Command, what string, dry bool, said *operator.BookingResult) error {
-	if cmd.Bool("json") {
-		if err := printJSON(said); err != nil {
+// printResult tells what came of the change; one that was not accepted is an error.
+func (c bookingChange) printResult(cmd *cli.Command, description string, result *operator.BookingResult) error {
+	switch {
+	case cmd.Bool("json"):
+		if err := printJSON(result); err != nil {
 			return err
 		}
-	} else if said.Accepted && dry {
-		fmt.Printf("%s could be kept\n", what)
-	} else if said.Accepted {
-		fmt.Printf("%s: booked, %s\n", what, said.Version)
+	case result.Accepted && c.dryRun:
+		fmt.Printf("%s could be kept\n", description)
+	case result.Accepted:
+		fmt.Printf("%s: booked, %s\n", description, result.Version)
 	}
-	if !said.Accepted {
-		return fmt.Errorf("booking %s can't be kept, %.1f slots could", said.ID, said.Available)
+	if !result.Accepted {
+		return fmt.Errorf("booking %s can't be kept, %.1f slots could", result.ID, result.Available)
 	}
 	return nil
 }
 
-func bookingsCancel(ctx context.Context, cmd *cli.Command) error {
-	id, err := oneID(cmd)
+func cancelBooking(ctx context.Context, cmd *cli.Command) error {
+	id, err := idArgument(cmd)
 	if err != nil {
 		return err
 	}
-	c, b, err := book(ctx, cmd)
+	client, bookings, err := fetchBookings(ctx, cmd)
 	if err != nil {
 		return err
 	}
-	text, err := c.Call(ctx, http.MethodDelete, "/bookings/"+url.PathEscape(id), http.Header{"If-Match": {b.Version}}, nil)
+	text, err := client.Call(ctx, http.MethodDelete, "/bookings/"+url.PathEscape(id),
+		http.Header{"If-Match": {bookings.Version}}, nil)
 	if err != nil {
 		return err
 	}
@@ -235,40 +258,41 @@
 	return nil
 }
 
-// bookingsPlan books all of a file, or nothing.
-func bookingsPlan(ctx context.Context, cmd *cli.Command) error {
-	text, err := file(cmd)
+// bookPlan books all of a file, or nothing.
+func bookPlan(ctx context.Context, cmd *cli.Command) error {
+	text, err := readFileArgument(cmd)
 	if err != nil {
 		return err
 	}
-	all, err := operator.Plan(cmd.Args().First(), text)
+	plan, err := operator.Plan(cmd.Args().First(), text)
 	if err != nil {
 		return err
 	}
-	c, b, err := book(ctx, cmd)
+	client, bookings, err := fetchBookings(ctx, cmd)
 	if err != nil {
 		return err
 	}
-	dry := cmd.Bool("dry-run")
-	said, err := putBooking(ctx, c, b.Version, dry, "/bookings", operator.BookingList{Bookings: all})
+	change := bookingChange{path: "/bookings", version: bookings.Version, body: operator.BookingList{Bookings: plan},
+		dryRun: cmd.Bool("dry-run")}
+	result, err := change.put(ctx, client)
 	if err != nil {
 		return err
 	}
-	return tellBooked(cmd, fmt.Sprintf("%d bookings", len(all)), dry, said)
+	return change.printResult(cmd, fmt.Sprintf("%d bookings", len(plan)), result)
 }
 
-// bookingsWatch notes how much of the reservations is wanted, as lines of CSV, and draws it.
-func bookingsWatch(ctx context.Context, cmd *cli.Command) error {
+// watchReservations notes how much of the reservations is wanted, as lines of CSV, and draws it.
+func watchReservations(ctx context.Context, cmd *cli.Command) error {
 	var uses []operator.Noted
 	fmt.Println("time,room,slots,wanted")
 	for end := time.Now().Add(cmd.Duration("for")); time.Now().Before(end) && ctx.Err() == nil; {
-		_, b, err := book(ctx, cmd)
+		_, bookings, err := fetchBookings(ctx, cmd)
 		if err != nil {
 			return err
 		}
-		for _, u := range b.Usage {
-			uses = append(uses, operator.Noted{At: b.Now, ReservationUse: u})
-			fmt.Println(operator.At(b.Now) + "," + u.ID + "," + strconv.Itoa(u.Slots) + "," + strconv.Itoa(u.Wanted))
+		for _, use := range bookings.Usage {
+			uses = append(uses, operator.Noted{At: bookings.Now, ReservationUse: use})
+			fmt.Println(operator.At(bookings.Now) + "," + use.ID + "," + strconv.Itoa(use.Slots) + "," + strconv.Itoa(use.Wanted))
 		}
 		select {
 		case <-ctx.Done():
--- a/cmd/simulate/busy.go
+++ b/cmd/simulate/busy.go
@@ -3,16 +3,14 @@
 import (
 	"context"
 	"fmt"
-	"runtime"
-	"sync"
 
 	"github.com/urfave/cli/v3"
 
 	"mulleinwood/internal/simulation"
 )
 
-// busy plays busy days that were known beforehand: a quiet morning, a crowd without a booking, and one with it.
-func busy() *cli.Command {
+// busyCommand plays busy days that were known beforehand: a quiet morning, a crowd without a booking, and one with it.
+func busyCommand() *cli.Command {
 	return &cli.Command{Name: "busy",
 		Usage: "one tenant among a crowd of others, on a quiet morning, without and with booked room; code 1 if a rule is broken",
 		Flags: []cli.Flag{
@@ -27,43 +25,50 @@
 			&cli.BoolFlag{Name: "one-edge", Usage: "all of the tenant's clients come in at one edge"},
 			&cli.BoolFlag{Name: "calm", Usage: "nothing else goes wrong"},
 			&cli.StringFlag{Name: "fault", Usage: "a planted fault, to see that it is seen"},
-		}, Action: busyDays}
+		}, Action: runBusy}
 }
 
-func busyDays(_ context.Context, cmd *cli.Command) error {
-	rate, crowd, booked := cmd.Float("rate"), cmd.Float("crowd"), cmd.Float("booked")
-	var bad error
-	for _, one := range []struct {
-		name          string
-		crowd, booked float64
-	}{{"quiet morning", 1, 0}, {"crowd, nothing booked", crowd, 0}, {"crowd, room booked", crowd,
-		booked}, {"quiet, room booked", 1, booked}} {
-		results := make([]simulation.Result, cmd.Int("days"))
-		var all sync.WaitGroup
-		free := make(chan struct{}, runtime.NumCPU())
-		for i := range results {
-			all.Go(func() {
-				free <- struct{}{}
-				defer func() { <-free }()
-				d := simulation.NewBookingScenario(cmd.Uint64("seed")+uint64(i), cmd.Int("members"), cmd.Int("lost"),
-					simulation.Busy{Rate: rate, Crowd: one.crowd, Booked: one.booked, OneIn: cmd.Bool("one-edge")})
-				d.PlantedFault = cmd.String("fault")
-				if cmd.Bool("calm") {
-					d.Faults = nil
-				}
-				results[i] = simulation.Run(d)
-			})
-		}
-		all.Wait()
-		var sum simulation.Result
-		for i, r := range results {
-			sum.Add(r)
-			if r.Violation != "" && bad == nil {
-				bad = fmt.Errorf("%s, seed %d: %s", one.name, cmd.Uint64("seed")+uint64(i), r.Violation)
+// busyCase is one kind of busy day.
+type busyCase struct {
+	name string
+	busy simulation.Busy
+}
+
+func busyCases(cmd *cli.Command) []busyCase {
+	crowd, booked := cmd.Float("crowd"), cmd.Float("booked")
+	busy := func(crowd, booked float64) simulation.Busy {
+		return simulation.Busy{Rate: cmd.Float("rate"), Crowd: crowd, Booked: booked, OneIn: cmd.Bool("one-edge")}
+	}
+	return []busyCase{
+		{"quiet morning", busy(1, 0)},
+		{"crowd, nothing booked", busy(crowd, 0)},
+		{"crowd, room booked", busy(crowd, booked)},
+		{"quiet, room booked", busy(1, booked)},
+	}
+}
+
+// runBusy plays all cases, and fails with the first rule that was broken.
+func runBusy(_ context.Context, cmd *cli.Command) error {
+	var violation error
+	firstSeed := cmd.Uint64("seed")
+	for _, busyCase := range busyCases(cmd) {
+		results := simulateAll(cmd.Int("days"), func(i int) simulation.Scenario {
+			scenario := simulation.NewBookingScenario(firstSeed+uint64(i), cmd.Int("members"), cmd.Int("lost"), busyCase.busy)
+			scenario.PlantedFault = cmd.String("fault")
+			if cmd.Bool("calm") {
+				scenario.Faults = nil
+			}
+			return scenario
+		})
+		var total simulation.Result
+		for i, result := range results {
+			total.Add(result)
+			if result.Violation != "" && violation == nil {
+				violation = fmt.Errorf("%s, seed %d: %s", busyCase.name, firstSeed+uint64(i), result.Violation)
 			}
 		}
-		fmt.Printf("%s, %d days, %d keyed operations run\n  tenant %s\n  others %s\n", one.name, len(results), sum.Runs,
-			sum.Tenant, sum.Others)
+		fmt.Printf("%s, %d days, %d keyed operations run\n  tenant %s\n  others %s\n", busyCase.name, len(results), total.Runs,
+			total.Tenant, total.Others)
 	}
-	return bad
+	return violation
 }
--- a/cmd/simulate/days.go
+++ b/cmd/simulate/days.go
@@ -30,12 +30,12 @@
 }
 
 func drawDays(_ context.Context, cmd *cli.Command) error {
-	catalogue, err := read(cmd.String("kinds"), days.ParseCatalogue)
+	catalogue, err := parseFile(cmd.String("kinds"), days.ParseCatalogue)
 	if err != nil {
 		return err
 	}
 	catalogue = catalogue.Without(cmd.StringSlice("without")...)
-	site, err := read(cmd.String("site"), days.ParseSite)
+	site, err := parseFile(cmd.String("site"), days.ParseSite)
 	if err != nil {
 		return err
 	}
@@ -62,8 +62,8 @@
 	return os.WriteFile(filepath.Join(folder, day.Name+".toml"), text, 0o644)
 }
 
-// read reads a file with a parser, and names the file in the error.
-func read[T any](path string, parse func([]byte) (T, error)) (T, error) {
+// parseFile reads a file with a parser, and names the file in the error.
+func parseFile[T any](path string, parse func([]byte) (T, error)) (T, error) {
 	var none T
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/simulate/main.go
+++ b/cmd/simulate/main.go
@@ -35,7 +35,7 @@
 		Commands: []*cli.Command{
 			{Name: "run", Usage: "play one day and tell what happened", Flags: sizes, Action: run},
 			{Name: "hunt", Usage: "play many days, and shrink the first that breaks a rule; code 1 if any does",
-				Flags: append([]cli.Flag{&cli.IntFlag{Name: "days", Value: 1000}}, sizes...), Action: hunt},
+				Flags: append([]cli.Flag{&cli.IntFlag{Name: "days", Value: 1000}}, sizes...), Action: runHunt},
 			{Name: "explore", Usage: "go through every order of events of three ledgers, two edges and one key",
 				Flags: []cli.Flag{
 					&cli.IntFlag{Name: "states", Value: 100000, Usage: "that are gone through at most"},
@@ -46,33 +46,33 @@
 					&cli.IntFlag{Name: "withdrawals", Usage: "claims that an edge gives up early"},
 					&cli.StringFlag{Name: "fault", Usage: "a planted fault, to see that it is seen"},
 				}, Action: explore},
-			sweep(),
-			busy(), daysCommand(), playCommand(),
+			sweepCommand(),
+			busyCommand(), daysCommand(), playCommand(),
 		},
 	})
 }
 
-func day(cmd *cli.Command, seed uint64) (simulation.Scenario, error) {
+func newScenario(cmd *cli.Command, seed uint64) (simulation.Scenario, error) {
 	members, lost := cmd.Int("members"), cmd.Int("lost")
 	if lost < 1 || members < 2*lost+1 {
 		return simulation.Scenario{}, apierror.Settings.New("to bear %d lost disks takes %d members at least", lost, 2*lost+1)
 	}
-	draw := simulation.NewScenario
+	generate := simulation.NewScenario
 	if cmd.Bool("services") {
-		draw = simulation.NewServiceScenario
+		generate = simulation.NewServiceScenario
 	}
 	if cmd.Bool("replaced") {
-		draw = simulation.NewMembershipScenario
+		generate = simulation.NewMembershipScenario
 	}
 	if cmd.Bool("chains") {
-		draw = simulation.NewReplacementChainScenario
+		generate = simulation.NewReplacementChainScenario
 	}
-	d := draw(seed, members, lost)
-	d.PlantedFault = cmd.String("fault")
-	return d, nil
+	scenario := generate(seed, members, lost)
+	scenario.PlantedFault = cmd.String("fault")
+	return scenario, nil
 }
 
-func tell(r simulation.Result) {
+func printResult(r simulation.Result) {
 	fmt.Printf("%d changes acknowledged, %d operations run, %d repeats\n", r.Changes, r.Runs, r.Repeats)
 	if r.Requests > 0 {
 		fmt.Printf("%d requests: %d served (%d late), %d refused, %d broken off; %d further arrivals; %d servers left in order\n",
@@ -83,88 +83,117 @@
 			r.Memberships, r.Reads, r.Retries, r.HandedOver)
 	}
 	if n := len(r.Restored); n > 0 {
-		whole := slices.Sorted(slices.Values(r.Restored))
-		fmt.Printf("full tolerance again after %s in the median, %s in 99 of 100, %s at most (%d times)\n", whole[n/2],
-			whole[n*99/100], whole[n-1], n)
+		recoveries := slices.Sorted(slices.Values(r.Restored))
+		fmt.Printf("full tolerance again after %s in the median, %s in 99 of 100, %s at most (%d times)\n", recoveries[n/2],
+			recoveries[n*99/100], recoveries[n-1], n)
 	}
 	fmt.Printf("%d events\n", r.Steps)
 }
 
 func run(_ context.Context, cmd *cli.Command) error {
-	d, err := day(cmd, cmd.Uint64("seed"))
+	scenario, err := newScenario(cmd, cmd.Uint64("seed"))
 	if err != nil {
 		return err
 	}
-	for _, t := range d.Faults {
-		fmt.Println(t)
+	for _, fault := range scenario.Faults {
+		fmt.Println(fault)
 	}
-	r := simulation.Run(d)
-	tell(r)
-	if r.Violation != "" {
-		return fmt.Errorf("%s", r.Violation)
+	result := simulation.Run(scenario)
+	printResult(result)
+	if result.Violation != "" {
+		return fmt.Errorf("%s", result.Violation)
 	}
 	return nil
 }
 
-func hunt(ctx context.Context, cmd *cli.Command) error {
-	if _, err := day(cmd, 0); err != nil {
+// simulateAll runs as many scenarios, as many at once as there are processors. The results are in the scenarios' order.
+func simulateAll(count int, scenario func(i int) simulation.Scenario) []simulation.Result {
+	results := make([]simulation.Result, count)
+	slots := make(chan struct{}, runtime.NumCPU())
+	var workers sync.WaitGroup
+	for i := range results {
+		workers.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			results[i] = simulation.Run(scenario(i))
+		})
+	}
+	workers.Wait()
+	return results
+}
+
+// hunter collects what many scenarios showed.
+type hunter struct {
+	mu        sync.Mutex
+	total     simulation.Result
+	violating *simulation.Scenario // the one of the lowest seed
+}
+
+func (h *hunter) add(scenario simulation.Scenario, result simulation.Result) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.total.Add(result)
+	if result.Violation != "" && (h.violating == nil || scenario.Seed < h.violating.Seed) {
+		h.violating = &scenario
+	}
+}
+
+// maxShrinkRuns bounds the search for a shorter list of faults that breaks the same rule.
+const maxShrinkRuns = 500
+
+// runHunt plays scenarios on all processors, and shrinks the first that breaks a rule.
+func runHunt(ctx context.Context, cmd *cli.Command) error {
+	if _, err := newScenario(cmd, 0); err != nil {
 		return err
 	}
+	days, firstSeed := int64(cmd.Int("days")), cmd.Uint64("seed")
 	var next atomic.Int64
-	var mu sync.Mutex
-	var bad *simulation.Scenario
-	var sum simulation.Result
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
+	hunter := &hunter{}
 	began := time.Now()
 	for range runtime.NumCPU() {
-		all.Go(func() {
-			for ctx.Err() == nil {
-				n := next.Add(1) - 1
-				if n >= int64(cmd.Int("days")) {
-					return
-				}
-				d, err := day(cmd, cmd.Uint64("seed")+uint64(n))
+		workers.Go(func() {
+			for number := next.Add(1) - 1; number < days && ctx.Err() == nil; number = next.Add(1) - 1 {
+				scenario, err := newScenario(cmd, firstSeed+uint64(number))
 				if err != nil {
 					return // checked above
 				}
-				r := simulation.Run(d)
-				mu.Lock()
-				sum.Add(r)
-				if r.Violation != "" && (bad == nil || d.Seed < bad.Seed) {
-					bad = &d
-				}
-				mu.Unlock()
+				hunter.add(scenario, simulation.Run(scenario))
 			}
 		})
 	}
-	all.Wait()
-	fmt.Printf("%d days in %s\n", min(next.Load(), int64(cmd.Int("days"))), time.Since(began).Round(time.Millisecond))
-	tell(sum)
-	if bad == nil {
+	workers.Wait()
+	fmt.Printf("%d days in %s\n", min(next.Load(), days), time.Since(began).Round(time.Millisecond))
+	printResult(hunter.total)
+	if hunter.violating == nil {
 		return nil
 	}
-	short := simulation.Shrink(*bad, 500)
-	for _, t := range short.Faults {
-		fmt.Println(t)
+	return reportViolation(*hunter.violating)
+}
+
+func reportViolation(scenario simulation.Scenario) error {
+	shrunk := simulation.Shrink(scenario, maxShrinkRuns)
+	for _, fault := range shrunk.Faults {
+		fmt.Println(fault)
 	}
-	return fmt.Errorf("seed %d: %s (%d of its %d troubles are needed)", bad.Seed, simulation.Run(short).Violation,
-		len(short.Faults), len(bad.Faults))
+	return fmt.Errorf("seed %d: %s (%d of its %d troubles are needed)", scenario.Seed, simulation.Run(shrunk).Violation,
+		len(shrunk.Faults), len(scenario.Faults))
 }
 
 func explore(_ context.Context, cmd *cli.Command) error {
 	began := time.Now()
-	r := simulation.Explore(simulation.Bounds{States: cmd.Int("states"), Wipes: cmd.Int("wipes"), Powers: cmd.Int("powers"),
+	result := simulation.Explore(simulation.Bounds{States: cmd.Int("states"), Wipes: cmd.Int("wipes"), Powers: cmd.Int("powers"),
 		Withdrawals: cmd.Int("withdrawals"), Changes: cmd.Int("changes"), Losses: cmd.Int("losses"), Fault: cmd.String("fault")})
-	which := "all there are"
-	if r.Deeper {
-		which = "there are more"
+	coverage := "all there are"
+	if result.Deeper {
+		coverage = "there are more"
 	}
-	fmt.Printf("%d states in %s, %s\n", r.States, time.Since(began).Round(time.Millisecond), which)
-	if r.Broken == "" {
+	fmt.Printf("%d states in %s, %s\n", result.States, time.Since(began).Round(time.Millisecond), coverage)
+	if result.Broken == "" {
 		return nil
 	}
-	for _, c := range r.Way {
+	for _, c := range result.Way {
 		fmt.Println(c)
 	}
-	return fmt.Errorf("%s after %d events", r.Broken, len(r.Way))
+	return fmt.Errorf("%s after %d events", result.Broken, len(result.Way))
 }
--- a/cmd/simulate/play.go
+++ b/cmd/simulate/play.go
@@ -49,24 +49,24 @@
 	}
 }
 
-// play is one play of one day.
-type play struct {
+// scheduledPlay is one play of one day.
+type scheduledPlay struct {
 	path    string
 	verdict days.Verdict
 }
 
 // player plays days of one site and keeps their verdicts.
 type player struct {
-	bench, site, why, out string
-	small                 bool
+	bench, site, why, outDir string
+	small                    bool
 
-	mu      sync.Mutex
-	results io.Writer
-	fault   error // the first one met in writing results
+	mu       sync.Mutex
+	results  io.Writer
+	writeErr error // the first one met in writing results
 }
 
 func playDays(ctx context.Context, cmd *cli.Command) error {
-	site, err := read(cmd.String("site"), days.ParseSite)
+	site, err := parseFile(cmd.String("site"), days.ParseSite)
 	if err != nil {
 		return err
 	}
@@ -78,11 +78,17 @@
 	if out == "" {
 		out = filepath.Join("found", site.Name)
 	}
-	resultsFile, err := prepare(out, cmd.Bool("resume"))
+	resultsFile, err := prepareResults(out)
 	if err != nil {
 		return err
 	}
-	p := &player{bench: cmd.String("bench"), site: cmd.String("site"), why: cmd.String("why"), out: out, small: cmd.Bool("small")}
+	if !cmd.Bool("resume") {
+		if err := removeIfPresent(resultsFile); err != nil {
+			return err
+		}
+	}
+	p := &player{bench: cmd.String("bench"), site: cmd.String("site"), why: cmd.String("why"), outDir: out,
+		small: cmd.Bool("small")}
 	if err := p.playMissing(ctx, plays, resultsFile, cmd.Int("jobs")); err != nil {
 		return err
 	}
@@ -90,26 +96,24 @@
 	if err != nil {
 		return err
 	}
-	return summarize(wanted(plays, known), len(plays), cmd.Float("low"))
+	return summarize(verdictsOf(plays, known), len(plays), cmd.Float("low"))
 }
 
-// prepare makes the folder for results and names the result file in it, which it removes unless the play is resumed.
-func prepare(out string, resume bool) (resultsFile string, err error) {
-	if err := os.MkdirAll(out, 0o755); err != nil {
-		return "", err
-	}
-	resultsFile = filepath.Join(out, "results.jsonl")
-	if resume {
-		return resultsFile, nil
-	}
-	if err := os.Remove(resultsFile); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return "", err
+// prepareResults makes the folder for results and names the result file in it.
+func prepareResults(out string) (resultsFile string, err error) {
+	return filepath.Join(out, "results.jsonl"), os.MkdirAll(out, 0o755)
+}
+
+// removeIfPresent removes a file; that there is none is fine.
+func removeIfPresent(path string) error {
+	if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return err
 	}
-	return resultsFile, nil
+	return nil
 }
 
 // playMissing plays what the result file holds no verdict of, and adds the verdicts to it.
-func (p *player) playMissing(ctx context.Context, plays []play, resultsFile string, jobs int) error {
+func (p *player) playMissing(ctx context.Context, plays []scheduledPlay, resultsFile string, jobs int) error {
 	known, err := loadResults(resultsFile)
 	if err != nil {
 		return err
@@ -118,18 +122,17 @@
 	if err != nil {
 		return err
 	}
-	defer results.Close()
 	if _, err := results.WriteString("\n"); err != nil { // ends a line that was cut short
-		return err
+		return errors.Join(err, results.Close())
 	}
 	p.results = results
 	p.playAll(ctx, missing(plays, known), jobs)
-	return p.fault
+	return errors.Join(p.writeErr, results.Close())
 }
 
 // listPlays lists the plays of all days that were asked for, in the order of their names.
-func listPlays(cmd *cli.Command, site days.Site) ([]play, error) {
-	catalogue, err := read(cmd.String("kinds"), days.ParseCatalogue)
+func listPlays(cmd *cli.Command, site days.Site) ([]scheduledPlay, error) {
+	catalogue, err := parseFile(cmd.String("kinds"), days.ParseCatalogue)
 	if err != nil {
 		return nil, err
 	}
@@ -137,7 +140,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var plays []play
+	var plays []scheduledPlay
 	for _, path := range files {
 		if !strings.Contains(filepath.Base(path), cmd.String("match")) {
 			continue
@@ -156,21 +159,21 @@
 }
 
 // firstPlay is the play of a day with its own seed, or the note that the site cannot take it.
-func firstPlay(path string, catalogue days.Catalogue, site days.Site) (play, error) {
+func firstPlay(path string, catalogue days.Catalogue, site days.Site) (scheduledPlay, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return play{}, err
+		return scheduledPlay{}, err
 	}
 	day, err := days.ParseDay(text)
 	if err != nil {
-		return play{}, fmt.Errorf("%s: %w", path, err)
+		return scheduledPlay{}, fmt.Errorf("%s: %w", path, err)
 	}
 	name := strings.TrimSuffix(filepath.Base(path), ".toml")
-	v := days.Verdict{Day: name, Seed: day.Seed, Digest: fmt.Sprintf("%.8x", sha256.Sum256(text))}
+	verdict := days.Verdict{Day: name, Seed: day.Seed, Digest: fmt.Sprintf("%.8x", sha256.Sum256(text))}
 	if closed := catalogue.Closed(day, site); len(closed) > 0 {
-		v.Outcome, v.Notes = days.NotForSite, []string{"not open here: " + strings.Join(closed, ", ")}
+		verdict.Outcome, verdict.Notes = days.NotForSite, []string{"not open here: " + strings.Join(closed, ", ")}
 	}
-	return play{path, v}, nil
+	return scheduledPlay{path, verdict}, nil
 }
 
 // dayFiles lists the days of a folder, or the one file.
@@ -184,8 +187,8 @@
 	return slices.DeleteFunc(files, isKinds), err
 }
 
-// key tells plays apart.
-func key(v days.Verdict) string { return fmt.Sprint(v.Day, " ", v.Seed, " ", v.Digest) }
+// playKey tells plays apart.
+func playKey(v days.Verdict) string { return fmt.Sprint(v.Day, " ", v.Seed, " ", v.Digest) }
 
 func loadResults(path string) (map[string]days.Verdict, error) {
 	known := map[string]days.Verdict{}
@@ -196,36 +199,36 @@
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	lines.Buffer(nil, 1<<24)
 	for lines.Scan() {
-		var v days.Verdict
-		if json.Unmarshal(lines.Bytes(), &v) == nil { // a line that was cut short is played again
-			known[key(v)] = v
+		var verdict days.Verdict
+		if json.Unmarshal(lines.Bytes(), &verdict) == nil { // a line that was cut short is played again
+			known[playKey(verdict)] = verdict
 		}
 	}
 	return known, errors.Join(err, lines.Err())
 }
 
 // missing returns the plays without a verdict. A day that could not be played is tried again.
-func missing(plays []play, known map[string]days.Verdict) []play {
-	return slices.DeleteFunc(slices.Clone(plays), func(p play) bool {
-		v, found := known[key(p.verdict)]
-		return found && v.Outcome != days.NotPlayed
+func missing(plays []scheduledPlay, known map[string]days.Verdict) []scheduledPlay {
+	return slices.DeleteFunc(slices.Clone(plays), func(p scheduledPlay) bool {
+		verdict, found := known[playKey(p.verdict)]
+		return found && verdict.Outcome != days.NotPlayed
 	})
 }
 
-func wanted(plays []play, known map[string]days.Verdict) []days.Verdict {
+func verdictsOf(plays []scheduledPlay, known map[string]days.Verdict) []days.Verdict {
 	var verdicts []days.Verdict
 	for _, p := range plays {
-		if v, found := known[key(p.verdict)]; found {
-			verdicts = append(verdicts, v)
+		if verdict, found := known[playKey(p.verdict)]; found {
+			verdicts = append(verdicts, verdict)
 		}
 	}
 	return verdicts
 }
 
-func (p *player) playAll(ctx context.Context, plays []play, jobs int) {
-	var all sync.WaitGroup
+func (p *player) playAll(ctx context.Context, plays []scheduledPlay, jobs int) {
+	var workers sync.WaitGroup
 	free := make(chan struct{}, max(1, jobs))
-	for _, one := range plays {
+	for _, next := range plays {
 		select {
 		case free <- struct{}{}:
 		case <-ctx.Done():
@@ -233,39 +236,39 @@
 		if ctx.Err() != nil {
 			break
 		}
-		all.Go(func() {
+		workers.Go(func() {
 			defer func() { <-free }()
-			p.one(ctx, one)
+			p.playDay(ctx, next)
 		})
 	}
-	all.Wait()
+	workers.Wait()
 }
 
-// one plays a day and keeps its verdict. A play that was stopped leaves none.
-func (p *player) one(ctx context.Context, one play) {
-	v := one.verdict
-	if v.Outcome != days.NotForSite {
-		if err := p.run(ctx, one.path, &v); err != nil {
+// playDay plays a day and keeps its verdict. A play that was stopped leaves none.
+func (p *player) playDay(ctx context.Context, scheduled scheduledPlay) {
+	verdict := scheduled.verdict
+	if verdict.Outcome != days.NotForSite {
+		if err := p.runBench(ctx, scheduled.path, &verdict); err != nil {
 			if ctx.Err() != nil {
 				return
 			}
-			v.Outcome, v.Notes = days.NotPlayed, append(v.Notes, err.Error())
+			verdict.Outcome, verdict.Notes = days.NotPlayed, append(verdict.Notes, err.Error())
 		}
 	}
-	p.keep(v)
+	p.record(verdict)
 }
 
 var entryLine = regexp.MustCompile(`(?m)^snapshot ([0-9a-f]+)$`)
 
-// run has the bench play the day and fills the verdict from its report and its journal.
-func (p *player) run(ctx context.Context, path string, v *days.Verdict) error {
-	base := filepath.Join(p.out, fmt.Sprintf("%s.%d", v.Day, v.Seed))
+// runBench has the bench play the day and fills the verdict from its report and its journal.
+func (p *player) runBench(ctx context.Context, path string, verdict *days.Verdict) error {
+	base := filepath.Join(p.outDir, fmt.Sprintf("%s.%d", verdict.Day, verdict.Seed))
 	reportFile := base + ".json"
-	args := []string{"run", p.site, path, "--seed", fmt.Sprint(v.Seed), "--report", reportFile, "--why", p.why}
+	args := []string{"run", p.site, path, "--seed", fmt.Sprint(verdict.Seed), "--report", reportFile, "--why", p.why}
 	if p.small {
 		args = append(args, "--small")
 	}
-	if err := os.Remove(reportFile); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if err := removeIfPresent(reportFile); err != nil {
 		return err
 	}
 	bench := exec.CommandContext(ctx, p.bench, args...)
@@ -279,23 +282,23 @@
 	if err != nil {
 		return errors.Join(benchErr, fmt.Errorf("no report; the last line printed: %s", lastLine(printed)))
 	}
-	if err := v.Fill(report); err != nil {
+	if err := verdict.Fill(report); err != nil {
 		return err
 	}
 	if found := entryLine.FindSubmatch(printed); found != nil {
-		v.Entry = string(found[1])
-		return gate(v)
+		verdict.Entry = string(found[1])
+		return readGate(verdict)
 	}
 	return nil
 }
 
-// gate takes the verdict on the gate from the bench's journal.
-func gate(v *days.Verdict) error {
-	entries, err := filepath.Glob(filepath.Join("journal", "*-"+v.Entry+".json"))
+// readGate takes the verdict on the gate from the bench's journal.
+func readGate(verdict *days.Verdict) error {
+	entries, err := filepath.Glob(filepath.Join("journal", "*-"+verdict.Entry+".json"))
 	if err != nil || len(entries) == 0 {
 		return err
 	}
-	v.Gate, err = read(entries[0], days.ParseGate)
+	verdict.Gate, err = parseFile(entries[0], days.ParseGate)
 	return err
 }
 
@@ -309,55 +312,56 @@
 	return ""
 }
 
-func (p *player) keep(v days.Verdict) {
-	line, err := json.Marshal(v)
+func (p *player) record(verdict days.Verdict) {
+	line, err := json.Marshal(verdict)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err == nil {
 		_, err = p.results.Write(append(line, '\n'))
 	}
-	if p.fault == nil {
-		p.fault = err
+	if p.writeErr == nil {
+		p.writeErr = err
 	}
-	if v.Outcome != days.NotForSite {
-		tellVerdict(v)
+	if verdict.Outcome != days.NotForSite {
+		printVerdict(verdict)
 	}
 }
 
-func tellVerdict(v days.Verdict) {
-	if v.Outcome != days.Played {
-		fmt.Printf("%-44s %s: %s\n", v.Day, v.Outcome, strings.Join(v.Notes, "; "))
+func printVerdict(verdict days.Verdict) {
+	if verdict.Outcome != days.Played {
+		fmt.Printf("%-44s %s: %s\n", verdict.Day, verdict.Outcome, strings.Join(verdict.Notes, "; "))
 		return
 	}
 	gate := "passed"
-	if !v.Gate {
+	if !verdict.Gate {
 		gate = "failed"
 	}
 	fmt.Printf("%-44s seed %-8d gate %s score %.3f served %.3f refused %.3f failed %.3f broken: %s\n",
-		v.Day, v.Seed, gate, v.Score, v.Served, v.Refused, v.Failed, v.Rules())
+		verdict.Day, verdict.Seed, gate, verdict.Score, verdict.Served, verdict.Refused, verdict.Failed, verdict.Rules())
 }
 
 // summarize prints the days that did not pass, worst first, and the sums.
 func summarize(verdicts []days.Verdict, asked int, low float64) error {
 	days.WorstFirst(verdicts)
-	s := days.Summarize(verdicts, low)
+	summary := days.Summarize(verdicts, low)
 	fmt.Printf("\n%d plays asked for, %d played, %d passed, %d not for this site, %d could not be played, %d not reached\n",
-		asked, s.Played, s.Passed, s.NotForSite, s.NotPlayed, asked-len(verdicts))
-	if s.Played > 0 {
-		fmt.Printf("score %.3f in the mean, %.3f at worst, %d under %.2f; %.3f refused at most\n", s.Mean, s.Lowest, s.Low,
-			low, s.MostRefused)
-	}
-	for _, v := range verdicts {
-		if v.Outcome == days.NotForSite || v.Sound() && v.Score >= low {
+		asked, summary.Played, summary.Passed, summary.NotForSite, summary.NotPlayed, asked-len(verdicts))
+	if summary.Played > 0 {
+		fmt.Printf("score %.3f in the mean, %.3f at worst, %d under %.2f; %.3f refused at most\n", summary.Mean,
+			summary.Lowest, summary.Low,
+			low, summary.MostRefused)
+	}
+	for _, verdict := range verdicts {
+		if verdict.Outcome == days.NotForSite || verdict.Sound() && verdict.Score >= low {
 			continue
 		}
-		tellVerdict(v)
-		for _, note := range v.Notes {
+		printVerdict(verdict)
+		for _, note := range verdict.Notes {
 			fmt.Println("   ", note)
 		}
 	}
-	if bad := asked - s.Passed - s.NotForSite; bad > 0 {
-		return fmt.Errorf("%d of %d plays did not pass", bad, asked)
+	if failed := asked - summary.Passed - summary.NotForSite; failed > 0 {
+		return fmt.Errorf("%d of %d plays did not pass", failed, asked)
 	}
 	return nil
 }
--- a/internal/days/draw.go
+++ b/internal/days/draw.go
@@ -26,31 +26,31 @@
 
 // Draw draws a day for a site: three to seven troubles, at least two of them of the control side, often overlapping, and
 // in most days a closing fault. Equal arguments give equal days.
-func Draw(c Catalogue, s Site, seed uint64) (Day, error) {
-	p := sketch{rand: rand.New(rand.NewPCG(seed, streamOfDays)), site: s}
-	control, other := c.split(s)
+func Draw(catalogue Catalogue, site Site, seed uint64) (Day, error) {
+	g := generator{rand: rand.New(rand.NewPCG(seed, streamOfDays)), site: site}
+	control, other := catalogue.split(site)
 	if len(control) == 0 || len(other) == 0 {
-		return Day{}, fmt.Errorf("site %s: the catalogue holds no kinds of one side", s.Name)
+		return Day{}, fmt.Errorf("site %s: the catalogue holds no kinds of one side", site.Name)
 	}
-	d := Day{Name: fmt.Sprintf("drawn-%d", seed), Slot: "trouble", Seed: seed}
-	n := minTroubles + p.rand.IntN(maxTroubles-minTroubles+1)
-	least := 2 + p.rand.IntN(n-1)
+	day := Day{Name: fmt.Sprintf("drawn-%d", seed), Slot: "trouble", Seed: seed}
+	count := minTroubles + g.rand.IntN(maxTroubles-minTroubles+1)
+	controlCount := 2 + g.rand.IntN(count-1)
 	var drawn []Kind
-	for i := range n {
-		k := p.pick(other)
-		if i < least {
-			k = p.pickControl(control, drawn)
-			drawn = append(drawn, k)
+	for i := range count {
+		kind := g.weighted(other)
+		if i < controlCount {
+			kind = g.controlKind(control, drawn)
+			drawn = append(drawn, kind)
 		}
-		p.add(&d, k)
+		g.add(&day, kind)
 	}
 	byTime := func(a, b Trouble) int { return cmp.Compare(a.At, b.At) }
-	slices.SortStableFunc(d.Plan, byTime)
-	slices.SortStableFunc(d.Faults, byTime)
-	if len(c.Closings) > 0 && p.chance(closes) {
-		d.Closing = p.closing(c.Closings[p.rand.IntN(len(c.Closings))])
+	slices.SortStableFunc(day.Plan, byTime)
+	slices.SortStableFunc(day.Faults, byTime)
+	if len(catalogue.Closings) > 0 && g.chance(closes) {
+		day.Closing = g.closing(catalogue.Closings[g.rand.IntN(len(catalogue.Closings))])
 	}
-	return d, nil
+	return day, nil
 }
 
 // split returns the kinds that the site can take: those of the control side, and the others.
@@ -67,87 +67,88 @@
 	return control, other
 }
 
-// sketch draws the parts of one day.
-type sketch struct {
-	rand *rand.Rand
-	site Site
-	last Trouble // the one drawn before
+// generator draws the parts of one day.
+type generator struct {
+	rand     *rand.Rand
+	site     Site
+	previous Trouble // the one drawn before
 }
 
-func (p *sketch) chance(share float64) bool { return p.rand.Float64() < share }
+func (g *generator) chance(share float64) bool { return g.rand.Float64() < share }
 
-func (p *sketch) pickControl(control, drawn []Kind) Kind {
-	if len(drawn) > 0 && p.chance(repeats) {
-		return drawn[p.rand.IntN(len(drawn))]
+func (g *generator) controlKind(control, drawn []Kind) Kind {
+	if len(drawn) > 0 && g.chance(repeats) {
+		return drawn[g.rand.IntN(len(drawn))]
 	}
-	return p.pick(control)
+	return g.weighted(control)
 }
 
-// pick draws a kind by weight.
-func (p *sketch) pick(kinds []Kind) Kind {
+// weighted draws a kind by weight.
+func (g *generator) weighted(kinds []Kind) Kind {
 	sum := 0
-	for _, k := range kinds {
-		sum += k.Weight
+	for _, kind := range kinds {
+		sum += kind.Weight
 	}
-	at := p.rand.IntN(sum)
-	for _, k := range kinds {
-		if at -= k.Weight; at < 0 {
-			return k
+	remaining := g.rand.IntN(sum)
+	for _, kind := range kinds {
+		if remaining -= kind.Weight; remaining < 0 {
+			return kind
 		}
 	}
 	return kinds[len(kinds)-1]
 }
 
-func (p *sketch) add(d *Day, k Kind) {
-	t := Trouble{Kind: k.Name, At: p.moment(), On: k.On, How: p.how(k.How, k.Follow), Count: p.count(k.Count),
-		Share: p.within(k.Share), X: p.within(k.X), ForS: p.within(k.ForS), GapS: p.within(k.GapS)}
-	p.last = t
-	if k.Planned {
-		d.Plan = append(d.Plan, t)
+func (g *generator) add(day *Day, kind Kind) {
+	trouble := Trouble{Kind: kind.Name, At: g.startTime(), On: kind.On, How: g.variant(kind.How, kind.Follow),
+		Count: g.count(kind.Count),
+		Share: g.uniform(kind.Share), X: g.uniform(kind.X), ForS: g.uniform(kind.ForS), GapS: g.uniform(kind.GapS)}
+	g.previous = trouble
+	if kind.Planned {
+		day.Plan = append(day.Plan, trouble)
 	} else {
-		d.Faults = append(d.Faults, t)
+		day.Faults = append(day.Faults, trouble)
 	}
 }
 
-// moment draws when a trouble begins: often while the one before it goes on.
-func (p *sketch) moment() float64 {
-	last := max(firstAt, p.site.LengthS-lastGap)
-	if p.last.Kind != "" && p.chance(overlaps) {
-		return rounded(min(last, p.last.At+p.rand.Float64()*max(1, p.last.ForS)))
+// startTime draws when a trouble begins: often while the one before it goes on.
+func (g *generator) startTime() float64 {
+	last := max(firstAt, g.site.LengthS-lastGap)
+	if g.previous.Kind != "" && g.chance(overlaps) {
+		return roundToMillis(min(last, g.previous.At+g.rand.Float64()*max(1, g.previous.ForS)))
 	}
-	return p.within(Range{firstAt, last})
+	return g.uniform(Range{firstAt, last})
 }
 
-func (p *sketch) how(variants, follow []string) string {
+func (g *generator) variant(variants, follow []string) string {
 	if len(variants) == 0 {
 		return ""
 	}
-	how := variants[p.rand.IntN(len(variants))]
-	if len(follow) > 0 && p.chance(follows) {
-		how += " " + follow[p.rand.IntN(len(follow))]
+	how := variants[g.rand.IntN(len(variants))]
+	if len(follow) > 0 && g.chance(follows) {
+		how += " " + follow[g.rand.IntN(len(follow))]
 	}
 	return strings.TrimSpace(how)
 }
 
-func (p *sketch) count(c Counts) int {
-	low, high := p.resolve(c[0]), p.resolve(c[1])
-	return low + p.rand.IntN(max(1, high-low+1))
+func (g *generator) count(c Counts) int {
+	low, high := g.resolve(c[0]), g.resolve(c[1])
+	return low + g.rand.IntN(max(1, high-low+1))
 }
 
-func (p *sketch) resolve(bound int) int {
+func (g *generator) resolve(bound int) int {
 	if bound == Tolerated {
-		return max(1, p.site.Tolerate.Machines)
+		return max(1, g.site.Tolerate.Machines)
 	}
 	return bound
 }
 
-func (p *sketch) within(r Range) float64 {
-	return rounded(r[0] + p.rand.Float64()*(r[1]-r[0]))
+func (g *generator) uniform(r Range) float64 {
+	return roundToMillis(r[0] + g.rand.Float64()*(r[1]-r[0]))
 }
 
-func (p *sketch) closing(k ClosingKind) *Closing {
-	return &Closing{Kind: k.Kind, How: p.how(k.How, nil), DownS: p.within(k.DownS)}
+func (g *generator) closing(k ClosingKind) *Closing {
+	return &Closing{Kind: k.Kind, How: g.variant(k.How, nil), DownS: g.uniform(k.DownS)}
 }
 
-// rounded keeps three decimals, so that days are easy to read.
-func rounded(x float64) float64 { return math.Round(x*1000) / 1000 }
+// roundToMillis keeps three decimals, so that days are easy to read.
+func roundToMillis(x float64) float64 { return math.Round(x*1000) / 1000 }
--- a/internal/demo/server.go
+++ b/internal/demo/server.go
@@ -1,5 +1,3 @@
-// Package demo is a gateway on one machine for trying it out and for CI: stand-in servers that beat and answer by
-// the published protocol, the programs as processes on loopback addresses, and requests of each kind.
 package demo
 
 import (
@@ -7,8 +5,10 @@
 	"context"
 	"crypto/sha256"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
+	"maps"
 	"net"
 	"net/http"
 	"sync"
@@ -19,90 +19,89 @@
 // Server is a stand-in server of one service. It speaks what servers speak, and counts what it ran.
 type Server struct {
 	ID, Service, Zone string
-	Work              time.Duration
-	Beat              time.Duration
+	WorkTime          time.Duration // that a request takes
+	HeartbeatInterval time.Duration
 	Controllers       []string // control addresses
 
 	listener net.Listener
 	http     *http.Server
-	seq      atomic.Uint64
-	running  atomic.Int64
+	sequence atomic.Uint64 // of heartbeats
+	running  atomic.Int64  // requests
 	draining atomic.Bool
-	target   atomic.Pointer[string]
+	target   atomic.Pointer[string] // the controller that the server was told to call
 	stop     context.CancelFunc
-	done     chan struct{}
+	done     chan struct{} // closed once no more heartbeats are sent
 
-	mu  sync.Mutex
-	ran map[string]int // by operation key, or by the id of the try
+	mu   sync.Mutex
+	runs map[string]int // by operation key, or by the attempt's id
 }
 
-// Start listens on an address and begins to beat.
+const (
+	slots        = 2
+	heartbeatIn  = time.Second // time-out of one heartbeat at one controller
+	sealLength   = 16
+	headerReadIn = 5 * time.Second
+)
+
+// serverHeartbeat is the body of a heartbeat, as the published protocol has it.
+type serverHeartbeat struct {
+	Service       string  `json:"service"`
+	Address       string  `json:"address"`
+	Zone          string  `json:"zone"`
+	Version       string  `json:"version"`
+	Capacity      int     `json:"capacity"`
+	State         string  `json:"state"`
+	WarmupSeconds float64 `json:"warmup_left_s"`
+	Sequence      uint64  `json:"call_seq"`
+}
+
+// Start listens on an address and begins to send heartbeats.
 func (s *Server) Start(address string) error {
-	l, err := net.Listen("tcp", address)
+	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return err
 	}
-	s.listener, s.ran, s.done = l, map[string]int{}, make(chan struct{})
-	s.http = &http.Server{Handler: s, ReadHeaderTimeout: 5 * time.Second}
-	go func() { _ = s.http.Serve(l) }() // ends with Stop
+	s.listener, s.runs, s.done = listener, map[string]int{}, make(chan struct{})
+	s.http = &http.Server{Handler: s, ReadHeaderTimeout: headerReadIn}
+	go func() { _ = s.http.Serve(listener) }() // ends with Stop
 	ctx, cancel := context.WithCancel(context.Background())
 	s.stop = cancel
-	go s.beats(ctx)
+	go s.runHeartbeats(ctx)
 	return nil
 }
 
-func (s *Server) beats(ctx context.Context) {
+func (s *Server) runHeartbeats(ctx context.Context) {
 	defer close(s.done)
-	tick := time.NewTicker(s.Beat)
-	defer tick.Stop()
+	ticker := time.NewTicker(s.HeartbeatInterval)
+	defer ticker.Stop()
 	for {
-		s.call(ctx, http.MethodPut)
+		s.sendHeartbeat(ctx, http.MethodPut)
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// call tells a controller, the one it was pointed to first.
-func (s *Server) call(ctx context.Context, method string) bool {
+// sendHeartbeat tells a controller how the server is, and reports whether one acknowledged it. The controller that the
+// server was pointed to comes first.
+func (s *Server) sendHeartbeat(ctx context.Context, method string) bool {
 	state := "ready"
 	if s.draining.Load() {
 		state = "draining"
 	}
-	body, err := json.Marshal(map[string]any{"service": s.Service, "address": s.listener.Addr().String(), "zone": s.Zone,
-		"version":  "v1",
-		"capacity": 2, "state": state, "warmup_left_s": 0, "call_seq": s.seq.Add(1)})
+	body, err := json.Marshal(serverHeartbeat{Service: s.Service, Address: s.listener.Addr().String(), Zone: s.Zone,
+		Version: "v1", Capacity: slots, State: state, Sequence: s.sequence.Add(1)})
 	if err != nil {
 		return false
 	}
-	targets := s.Controllers
-	if t := s.target.Load(); t != nil {
-		targets = append([]string{*t}, targets...)
+	controllers := s.Controllers
+	if target := s.target.Load(); target != nil {
+		controllers = append([]string{*target}, controllers...)
 	}
-	for _, t := range targets {
-		ctx, cancel := context.WithTimeout(ctx, time.Second)
-		req, err := http.NewRequestWithContext(ctx, method, "http://"+t+"/instances/"+s.ID, bytes.NewReader(body))
-		if err != nil {
-			cancel()
-			return false
-		}
-		resp, err := http.DefaultClient.Do(req)
-		if err != nil {
-			cancel()
-			continue
-		}
-		var answer struct {
-			Target string `json:"beat_target"`
-		}
-		err = json.NewDecoder(resp.Body).Decode(&answer)
-		resp.Body.Close()
-		cancel()
-		if resp.StatusCode/100 == 2 && err == nil {
-			if answer.Target != "" {
-				s.target.Store(&answer.Target)
-			}
+	for _, controller := range controllers {
+		if s.sendHeartbeatTo(ctx, controller, method, body) == nil {
 			return true
 		}
 	}
@@ -110,18 +109,45 @@
 	return false
 }
 
+func (s *Server) sendHeartbeatTo(ctx context.Context, controller, method string, body []byte) error {
+	ctx, cancel := context.WithTimeout(ctx, heartbeatIn)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+controller+"/instances/"+s.ID, bytes.NewReader(body))
+	if err != nil {
+		return err
+	}
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		return err
+	}
+	var reply struct {
+		Target string `json:"beat_target"`
+	}
+	err = json.NewDecoder(resp.Body).Decode(&reply)
+	if err = errors.Join(err, resp.Body.Close()); err != nil {
+		return err
+	}
+	if resp.StatusCode/100 != 2 {
+		return fmt.Errorf("heartbeat: %s", resp.Status)
+	}
+	if reply.Target != "" {
+		s.target.Store(&reply.Target)
+	}
+	return nil
+}
+
 // ServeHTTP runs a request as a server does.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	h := w.Header()
-	h.Set("X-Instance", s.ID)
+	header := w.Header()
+	header.Set("X-Instance", s.ID)
 	if r.URL.Path == "/health" {
 		if s.draining.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 		return
 	}
-	h.Set("X-Attempt-Id", r.Header.Get("X-Attempt-Id"))
-	if want := r.Header.Get("X-Expected-Instance"); want != "" && want != s.ID {
+	header.Set("X-Attempt-Id", r.Header.Get("X-Attempt-Id"))
+	if expected := r.Header.Get("X-Expected-Instance"); expected != "" && expected != s.ID {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -129,43 +155,44 @@
 	if err != nil {
 		return
 	}
-	n := s.running.Add(1)
+	running := s.running.Add(1)
 	defer s.running.Add(-1)
+	s.countRun(r)
+	time.Sleep(s.WorkTime)
+	response := fmt.Sprintf("%s of %s did %s %s\n", s.ID, s.Service, r.Method, r.URL.Path)
+	seal := fmt.Sprintf("%x", sha256.Sum256(append([]byte(response), body...)))
+	header.Set("X-Server-Seal", seal[:sealLength])
+	header.Set("X-Server-Load", fmt.Sprintf("%d,0,%d", running, slots))
+	_, _ = io.WriteString(w, response) // a caller that is gone doesn't want it
+}
+
+func (s *Server) countRun(r *http.Request) {
 	name := r.Header.Get("X-Operation-Key")
 	if name == "" {
 		name = r.Header.Get("X-Attempt-Id")
 	}
 	s.mu.Lock()
-	s.ran[name]++
-	s.mu.Unlock()
-	time.Sleep(s.Work)
-	answer := fmt.Sprintf("%s of %s did %s %s\n", s.ID, s.Service, r.Method, r.URL.Path)
-	h.Set("X-Server-Seal", fmt.Sprintf("%x", sha256.Sum256(append([]byte(answer), body...)))[:16])
-	h.Set("X-Server-Load", fmt.Sprintf("%d,0,2", n))
-	_, _ = io.WriteString(w, answer) // a caller that is gone doesn't want it
+	defer s.mu.Unlock()
+	s.runs[name]++
 }
 
-// Ran is how often each operation ran here.
-func (s *Server) Ran() map[string]int {
+// Runs returns how often each operation ran here, by its key, or by the attempt's id where it has none.
+func (s *Server) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all := map[string]int{}
-	for k, n := range s.ran {
-		all[k] = n
-	}
-	return all
+	return maps.Clone(s.runs)
 }
 
-// Drain says that the server is leaving, and whether a controller acknowledged it.
-func (s *Server) Drain() bool {
+// Drain says that the server is leaving, and reports whether a controller acknowledged it.
+func (s *Server) Drain(ctx context.Context) bool {
 	s.draining.Store(true)
-	return s.call(context.Background(), http.MethodPut)
+	return s.sendHeartbeat(ctx, http.MethodPut)
 }
 
-// Stop leaves in order.
+// Stop leaves in order: no more heartbeats, a last one that says so, and the listener's end.
 func (s *Server) Stop() {
 	s.stop()
 	<-s.done
-	s.call(context.Background(), http.MethodDelete)
-	s.http.Close()
+	s.sendHeartbeat(context.Background(), http.MethodDelete)
+	_ = s.http.Close() // nothing is waited for any more
 }
