--- a/internal/planner/audit/audit.go
+++ b/internal/planner/audit/audit.go
@@ -111,7 +111,7 @@
 		e.toldAt = now
 	}
 	e.Server, e.hotSince, e.told = s, 0, false
-	a.bareness(now)
+	a.updateBarenessOfAll(now)
 }
 
 // Joined is a proxy whose stream the planner has taken. What it holds of an earlier stream it keeps.
@@ -177,7 +177,7 @@
 			a.broken(now, Repeat, "class %s may be tried again by method %d", class.Name, retry)
 		}
 	}
-	a.bareOf(now, number, p)
+	a.updateBareness(now, p)
 }
 
 // pass lets the channel send.
@@ -205,7 +205,7 @@
 	return false
 }
 
-func (a *Auditor) bareOf(now float64, number int, p *proxy) {
+func (a *Auditor) updateBareness(now float64, p *proxy) {
 	switch {
 	case a.pickable(p):
 		p.bare = 0
@@ -214,62 +214,91 @@
 	}
 }
 
-func (a *Auditor) bareness(now float64) {
-	for number, p := range a.proxies {
-		a.bareOf(now, number, p)
+func (a *Auditor) updateBarenessOfAll(now float64) {
+	for _, p := range a.proxies {
+		a.updateBareness(now, p)
 	}
 }
 
 // Tick looks at everything that time alone can break. Call it every tenth of a second or so.
 func (a *Auditor) Tick(now float64) {
-	warm := false
-	ready, total := 0.0, 0.0
+	readySize, warm := a.readyServers(now)
+	totalRate := 0.0
+	load := map[string]float64{} // requests a second that a server is sent
+	for _, number := range slices.Sorted(maps.Keys(a.proxies)) {
+		p := a.proxies[number]
+		totalRate += p.rate
+		a.auditTable(now, number, p, load)
+		a.auditBareness(now, number, p, warm)
+	}
+	a.auditColdServers(now, load, readySize, totalRate)
+}
+
+// readyServers is the size of all ready servers together, and whether one of them is warm.
+func (a *Auditor) readyServers(now float64) (size float64, warm bool) {
 	for _, e := range a.servers {
 		if e.State == rules.Ready {
 			_, cold := a.capacity(now, e.Server)
 			warm = warm || !cold
-			ready += e.Size
+			size += e.Size
 		}
 	}
-	load := map[string]float64{}
-	for _, number := range slices.Sorted(maps.Keys(a.proxies)) {
-		p := a.proxies[number]
-		total += p.rate
-		sum := 0.0
-		for name, weight := range p.table {
-			if !p.shut[name] {
-				sum += weight
-			}
+	return size, warm
+}
+
+// auditTable adds what a proxy sends to each server by its table, and looks for servers that it should have let go.
+func (a *Auditor) auditTable(now float64, number int, p *proxy, load map[string]float64) {
+	sum := 0.0
+	for name, weight := range p.table {
+		if !p.shut[name] {
+			sum += weight
 		}
-		for name, weight := range p.table {
-			if p.shut[name] {
-				continue
-			}
-			load[name] += p.rate * weight / sum
-			e := a.servers[name]
-			if e == nil || p.joinedAt == 0 || e.State == rules.Ready || e.State == rules.Removed && a.set.DrainOnly {
-				continue
-			}
-			since := now - max(e.toldAt, a.begun+Start, p.joinedAt)
-			if a.Most.Drain = max(a.Most.Drain, since); since > a.set.DrainGrace+Slack && !e.told {
-				e.told = true
-				a.broken(now, Drain, "proxy %d holds %s, told %.0f ms ago", number, name, since)
-			}
+	}
+	for name, weight := range p.table {
+		if p.shut[name] {
+			continue
 		}
-		if p.joinedAt > 0 && p.bare > 0 && warm {
-			since := now - max(p.bare, a.begun+Start)
-			if a.Most.Bare = max(a.Most.Bare, since); since > a.set.Bare+Slack && !p.told {
-				p.told = true
-				a.broken(now, Bare, "proxy %d for %.0f ms", number, since)
-			}
+		load[name] += p.rate * weight / sum
+		e := a.servers[name]
+		if e == nil || p.joinedAt == 0 || e.State == rules.Ready || e.State == rules.Removed && a.set.DrainOnly {
+			continue
 		}
-		if !warm && p.bare > 0 {
-			p.bare = now // time counts while a warm server is there to be listed
+		since := now - max(e.toldAt, a.begun+Start, p.joinedAt)
+		a.Most.Drain = max(a.Most.Drain, since)
+		if since > a.set.DrainGrace+Slack && !e.told {
+			e.told = true
+			a.broken(now, Drain, "proxy %d holds %s, told %.0f ms ago", number, name, since)
 		}
 	}
+}
+
+// auditBareness looks whether a proxy has had nothing to pick for too long. Time counts while there is a warm server that
+// could be listed.
+func (a *Auditor) auditBareness(now float64, number int, p *proxy, warm bool) {
+	if p.bare <= 0 {
+		return
+	}
+	if !warm {
+		p.bare = now
+		return
+	}
+	if p.joinedAt <= 0 {
+		return
+	}
+	since := now - max(p.bare, a.begun+Start)
+	a.Most.Bare = max(a.Most.Bare, since)
+	if since > a.set.Bare+Slack && !p.told {
+		p.told = true
+		a.broken(now, Bare, "proxy %d for %.0f ms", number, since)
+	}
+}
+
+// auditColdServers looks for cold servers that have been sent too much for too long.
+func (a *Auditor) auditColdServers(now float64, load map[string]float64, readySize, totalRate float64) {
 	for name, e := range a.servers {
 		share, cold := a.capacity(now, e.Server)
-		if !cold || e.State != rules.Ready || ready == 0 || load[name] <= a.set.FallMultiple*share*e.Size/ready*total {
+		canDo := share * e.Size / readySize * totalRate
+		if !cold || e.State != rules.Ready || readySize == 0 || load[name] <= a.set.FallMultiple*canDo {
 			e.hotSince = 0
 			continue
 		}
@@ -278,7 +307,7 @@
 		}
 		if now-e.hotSince > a.set.FallAfter && !e.told {
 			e.told = true
-			a.broken(now, Cold, "%s is sent %.1f requests a second, it can do %.1f", name, load[name], share*e.Size/ready*total)
+			a.broken(now, Cold, "%s is sent %.1f requests a second, it can do %.1f", name, load[name], canDo)
 		}
 	}
 }
--- a/internal/planner/cores/balance.go
+++ b/internal/planner/cores/balance.go
@@ -71,30 +71,13 @@
 	})
 	bound := unevenFrom
 	for len(out) < most {
-		from, to := -1, -1
-		for i := range open {
-			if open[i] && (from < 0 || loads[i] > loads[from]) {
-				from = i
-			}
-			if open[i] && (to < 0 || loads[i] < loads[to]) {
-				to = i
-			}
-		}
+		from, to := fullestAndEmptiest(loads, open)
 		gap := loads[from] - loads[to]
 		if gap <= bound*mean {
 			return out
 		}
 		bound = evenTo
-		best := -1
-		for i, s := range sorted { // the largest that at most halves the gap, else the smallest that narrows it
-			if s.core != from || !s.rested || s.cost >= gap*(1-1e-9) { // the rest is for rounding
-				continue
-			}
-			best = i
-			if s.cost <= gap/2 {
-				break
-			}
-		}
+		best := movable(sorted, from, gap)
 		if best < 0 {
 			return out
 		}
@@ -105,3 +88,36 @@
 	}
 	return out
 }
+
+// fullestAndEmptiest are the open cores with the largest and the smallest load, the first of equal ones.
+func fullestAndEmptiest(loads []float64, open []bool) (fullest, emptiest int) {
+	fullest, emptiest = -1, -1
+	for i := range open {
+		if open[i] && (fullest < 0 || loads[i] > loads[fullest]) {
+			fullest = i
+		}
+		if open[i] && (emptiest < 0 || loads[i] < loads[emptiest]) {
+			emptiest = i
+		}
+	}
+	return fullest, emptiest
+}
+
+// roundingMargin keeps a move that would only swap two loads, but for rounding, from being made.
+const roundingMargin = 1e-9
+
+// movable finds the proxy to take from a core, in a list by falling cost: the largest that at most halves the gap, else the
+// smallest that narrows it; -1 if there is none.
+func movable(sorted []settler, from int, gap float64) int {
+	best := -1
+	for i, s := range sorted {
+		if s.core != from || !s.rested || s.cost >= gap*(1-roundingMargin) {
+			continue
+		}
+		best = i
+		if s.cost <= gap/2 {
+			break
+		}
+	}
+	return best
+}
--- a/internal/planner/options/decode.go
+++ b/internal/planner/options/decode.go
@@ -57,65 +57,106 @@
 
 // fault is an error at a place of the text.
 func (r reader) fault(offset int, err error) error {
+	line, column := r.position(offset)
+	return &Error{r.file, line, column, err}
+}
+
+// position is the line and the column of an offset, from 1.
+func (r reader) position(offset int) (line, column int) {
 	before := r.text[:min(max(0, offset), len(r.text))]
-	line := bytes.Count(before, []byte("\n")) + 1
-	return &Error{r.file, line, len(before) - bytes.LastIndexByte(before, '\n'), err}
+	return bytes.Count(before, []byte("\n")) + 1, len(before) - bytes.LastIndexByte(before, '\n')
 }
 
 // at is where a value stands, for people.
 func (r reader) at(offset int) string {
-	e, _ := r.fault(offset, nil).(*Error)
-	return fmt.Sprintf("%s:%d:%d", e.File, e.Line, e.Column)
+	line, column := r.position(offset)
+	return fmt.Sprintf("%s:%d:%d", r.file, line, column)
 }
 
-// take reads one value.
+// take reads one value, and notes where it came from.
 func (r reader) take(path string, v hujson.Value, to reflect.Value) error {
+	var err error
 	switch to.Kind() {
 	case reflect.Struct:
 		return r.object(path, v, to)
 	case reflect.Bool:
-		literal, ok := v.Value.(hujson.Literal)
-		if !ok || literal.Kind() != 't' && literal.Kind() != 'f' {
-			return r.wrong(path, v, "true or false")
-		}
-		to.SetBool(literal.Bool())
+		err = r.boolean(path, v, to)
 	case reflect.String:
-		literal, ok := v.Value.(hujson.Literal)
-		if !ok || literal.Kind() != '"' {
-			return r.wrong(path, v, "a string")
-		}
-		to.SetString(literal.String())
-	case reflect.Int, reflect.Float64:
-		literal, ok := v.Value.(hujson.Literal)
-		if !ok || literal.Kind() != '0' {
-			return r.wrong(path, v, "a number")
-		}
-		if to.Kind() == reflect.Float64 {
-			to.SetFloat(literal.Float())
-			break
-		}
-		var n int64
-		if json.Unmarshal(literal, &n) != nil {
-			return r.wrong(path, v, "a whole number")
-		}
-		to.SetInt(n)
+		err = r.str(path, v, to)
+	case reflect.Int:
+		err = r.integer(path, v, to)
+	case reflect.Float64:
+		err = r.float(path, v, to)
 	case reflect.Slice:
-		array, ok := v.Value.(*hujson.Array)
-		if !ok {
-			return r.wrong(path, v, "a list")
-		}
-		to.Set(reflect.MakeSlice(to.Type(), len(array.Elements), len(array.Elements)))
-		for i, element := range array.Elements {
-			if err := r.take(fmt.Sprintf("%s[%d]", path, i), element, to.Index(i)); err != nil {
-				return err
-			}
-		}
+		err = r.list(path, v, to)
 	default:
-		return r.fault(v.StartOffset, fmt.Errorf("%s: no way to read a %s", path, to.Kind()))
+		err = r.fault(v.StartOffset, fmt.Errorf("%s: no way to read a %s", path, to.Kind()))
 	}
-	if to.Kind() != reflect.Struct {
+	if err == nil {
 		r.origin[path] = r.at(v.StartOffset)
 	}
+	return err
+}
+
+// The first bytes that the parser's literals are told apart by.
+const (
+	trueLiteral   = 't'
+	falseLiteral  = 'f'
+	stringLiteral = '"'
+	numberLiteral = '0'
+)
+
+func (r reader) boolean(path string, v hujson.Value, to reflect.Value) error {
+	literal, ok := v.Value.(hujson.Literal)
+	if !ok || literal.Kind() != trueLiteral && literal.Kind() != falseLiteral {
+		return r.wrong(path, v, "true or false")
+	}
+	to.SetBool(literal.Bool())
+	return nil
+}
+
+func (r reader) str(path string, v hujson.Value, to reflect.Value) error {
+	literal, ok := v.Value.(hujson.Literal)
+	if !ok || literal.Kind() != stringLiteral {
+		return r.wrong(path, v, "a string")
+	}
+	to.SetString(literal.String())
+	return nil
+}
+
+func (r reader) integer(path string, v hujson.Value, to reflect.Value) error {
+	literal, ok := v.Value.(hujson.Literal)
+	if !ok || literal.Kind() != numberLiteral {
+		return r.wrong(path, v, "a number")
+	}
+	var n int64
+	if json.Unmarshal(literal, &n) != nil {
+		return r.wrong(path, v, "a whole number")
+	}
+	to.SetInt(n)
+	return nil
+}
+
+func (r reader) float(path string, v hujson.Value, to reflect.Value) error {
+	literal, ok := v.Value.(hujson.Literal)
+	if !ok || literal.Kind() != numberLiteral {
+		return r.wrong(path, v, "a number")
+	}
+	to.SetFloat(literal.Float())
+	return nil
+}
+
+func (r reader) list(path string, v hujson.Value, to reflect.Value) error {
+	array, ok := v.Value.(*hujson.Array)
+	if !ok {
+		return r.wrong(path, v, "a list")
+	}
+	to.Set(reflect.MakeSlice(to.Type(), len(array.Elements), len(array.Elements)))
+	for i, element := range array.Elements {
+		if err := r.take(fmt.Sprintf("%s[%d]", path, i), element, to.Index(i)); err != nil {
+			return err
+		}
+	}
 	return nil
 }
 
--- a/internal/planner/program/front_loads.go
+++ b/internal/planner/program/front_loads.go
@@ -7,6 +7,7 @@
 
 	load "github.com/envoyproxy/go-control-plane/envoy/service/load_stats/v3"
 	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/peer"
 	"google.golang.org/grpc/status"
 
 	"mulleinwood/internal/planner/protocol"
@@ -21,52 +22,82 @@
 	if err != nil {
 		return err
 	}
-	machine, p := xds.NewLoads(f.facts), &mutePeer{id: transport.NextID()}
-	known := false
-	defer func() {
-		if known {
-			f.post(routing.Ended{Peer: p})
-		}
-	}()
+	stream := &loadStream{frontend: f, conn: conn, from: from, machine: xds.NewLoads(f.facts),
+		peer: &mutePeer{id: transport.NextID()}}
+	defer stream.end()
 	for {
-		r, err := s.Recv()
+		request, err := s.Recv()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		said, voids, answer, bad := machine.Request(r)
-		if bad != nil {
-			f.peers.count("gRPC stream ended", conn.Remote(), bad)
-			return status.Error(codes.InvalidArgument, bad.Error())
+		update, err := stream.machine.Request(request)
+		if err != nil {
+			f.peers.count("gRPC stream ended", conn.Remote(), err)
+			return status.Error(codes.InvalidArgument, err.Error())
 		}
-		who, _ := machine.Who()
-		if !known {
-			if err := f.may(from, who); err != nil {
-				return err
-			}
-			if known = true; who.Role == xds.Collector {
-				conn.Rise(transport.Known)
-			}
+		if err := stream.admit(); err != nil {
+			return err
 		}
-		if answer != nil {
-			if err := s.Send(answer); err != nil {
+		if update.Response != nil {
+			if err := s.Send(update.Response); err != nil {
 				return err
 			}
 		}
-		for _, v := range voids {
-			f.peers.count("line not used", conn.Remote(), v)
-		}
-		if who.Role == xds.Proxy && len(said) > 0 && !f.holding(conn, who.Proxy) {
-			// Guards against the load of a stream that has been replaced, and of one proxy in another's name.
-			f.peers.count("line not used", conn.Remote(),
-				fmt.Errorf("load of proxy %d, which has no assignments here: %w", who.Proxy, errRole))
-			continue
-		}
-		for _, m := range said {
-			f.post(routing.Reported{Peer: p, Message: m})
-		}
+		stream.post(update)
+	}
+}
+
+// loadStream is a stream of load reports.
+type loadStream struct {
+	frontend *frontend
+	conn     *transport.Conn
+	from     *peer.Peer
+	machine  *xds.Loads
+	peer     *mutePeer
+	known    bool // the peer has named itself and is admitted
+}
+
+// end tells the router that the peer is gone.
+func (s *loadStream) end() {
+	if s.known {
+		s.frontend.post(routing.Ended{Peer: s.peer})
+	}
+}
+
+// admit looks at the peer's name once, and keeps a collector's connection.
+func (s *loadStream) admit() error {
+	if s.known {
+		return nil
+	}
+	who, _ := s.machine.Who()
+	if err := s.frontend.may(s.from, who); err != nil {
+		return err
+	}
+	s.known = true
+	if who.Role == xds.Collector {
+		s.conn.Rise(transport.Known)
+	}
+	return nil
+}
+
+// post hands what a message said to the router.
+func (s *loadStream) post(update xds.LoadUpdate) {
+	f := s.frontend
+	for _, invalid := range update.Invalid {
+		f.peers.count("line not used", s.conn.Remote(), invalid)
+	}
+	who, _ := s.machine.Who()
+	if who.Role == xds.Proxy && len(update.Messages) > 0 && !f.holding(s.conn, who.Proxy) {
+		// Guards against the load of a stream that has been replaced, and of one proxy in another's name.
+		f.peers.count("line not used", s.conn.Remote(),
+			fmt.Errorf("load of proxy %d, which has no assignments here: %w", who.Proxy, errRole))
+		return
+	}
+	for _, message := range update.Messages {
+		f.post(routing.Reported{Peer: s.peer, Message: message})
 	}
 }
 
--- a/internal/planner/program/front_streams.go
+++ b/internal/planner/program/front_streams.go
@@ -19,14 +19,14 @@
 )
 
 // fed is a message that was received, to be fed to the stream's machine.
-type fed func() (said []protocol.Message, voids []xds.Void, err error)
+type fed func() (said []protocol.Message, voids []xds.InvalidPartError, err error)
 
 // StreamAggregatedResources implements the discovery service: state of the world.
 func (f *frontend) StreamAggregatedResources(s discovery.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
 	machine := xds.NewAssignments(f.facts, false)
 	return f.assign(s, machine, func() (fed, error) {
 		r, err := s.Recv()
-		return func() ([]protocol.Message, []xds.Void, error) { return machine.Request(f.now(), r) }, err
+		return func() ([]protocol.Message, []xds.InvalidPartError, error) { return machine.Request(f.now(), r) }, err
 	})
 }
 
@@ -35,7 +35,7 @@
 	machine := xds.NewAssignments(f.facts, true)
 	return f.assign(s, machine, func() (fed, error) {
 		r, err := s.Recv()
-		return func() ([]protocol.Message, []xds.Void, error) { return machine.DeltaRequest(f.now(), r) }, err
+		return func() ([]protocol.Message, []xds.InvalidPartError, error) { return machine.DeltaRequest(f.now(), r) }, err
 	})
 }
 
--- a/internal/planner/program/xdspeer.go
+++ b/internal/planner/program/xdspeer.go
@@ -76,7 +76,7 @@
 }
 
 // feed feeds the machine.
-func (p *xdsPeer) feed(feed fed) ([]protocol.Message, []xds.Void, error) {
+func (p *xdsPeer) feed(feed fed) ([]protocol.Message, []xds.InvalidPartError, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return feed()
--- a/internal/planner/protocol/exchange.go
+++ b/internal/planner/protocol/exchange.go
@@ -125,26 +125,31 @@
 			x.searched = 0
 			continue
 		}
-		switch {
-		case len(answer.TransferEncoding) > 0:
-			x.stage = inChunkSize
-		case answer.ContentLength >= 0:
-			x.stage, x.left = inLength, answer.ContentLength
-			if x.BodyMost > 0 && x.left > x.BodyMost {
-				return false, errBodyLong
-			}
-		default:
-			x.stage = inRest
-		}
-		answer.Body = http.NoBody
-		if err := x.Head(answer); err != nil {
-			return false, err
-		}
-		if x.stage == inLength && x.left == 0 {
-			return true, x.finish()
+		return x.beginBody(answer)
+	}
+}
+
+// beginBody hands on the head, and notes how the body's end is told.
+func (x *HTTPExchange) beginBody(answer *http.Response) (bool, error) {
+	switch {
+	case len(answer.TransferEncoding) > 0:
+		x.stage = inChunkSize
+	case answer.ContentLength >= 0:
+		x.stage, x.left = inLength, answer.ContentLength
+		if x.BodyMost > 0 && x.left > x.BodyMost {
+			return false, errBodyLong
 		}
-		return true, nil
+	default:
+		x.stage = inRest
 	}
+	answer.Body = http.NoBody
+	if err := x.Head(answer); err != nil {
+		return false, err
+	}
+	if x.stage == inLength && x.left == 0 {
+		return true, x.finish()
+	}
+	return true, nil
 }
 
 // body hands on what is there of the body, or of one chunk.
--- a/internal/planner/protocol/messages.go
+++ b/internal/planner/protocol/messages.go
@@ -182,17 +182,8 @@
 
 // message checks the fields that the line's kind has.
 func (l *line) message(within Bounds) (Message, error) {
-	for _, figure := range []*float64{l.Weight, l.Took, l.Tries, l.Failed, l.Mean, l.Span} {
-		switch {
-		case figure == nil: // JSON has no way to write one that is not finite
-		case *figure < 0:
-			return nil, errNegative
-		case *figure > MaxFigure:
-			return nil, errHuge
-		}
-	}
-	if l.Proxy != nil && (*l.Proxy < 0 || within.Proxies > 0 && *l.Proxy >= within.Proxies) {
-		return nil, errProxy
+	if err := l.checkNumbers(within); err != nil {
+		return nil, err
 	}
 	switch l.Kind {
 	case "hb":
@@ -203,41 +194,70 @@
 		}
 		return Collector{Zone: *l.Zone}, nil
 	case "attach":
-		if l.Proxy == nil || l.Zone == nil || l.Weight == nil {
-			return nil, errMissing
-		}
-		if *l.Weight > MaxRate {
-			return nil, errRate
-		}
-		return Attach{Proxy: *l.Proxy, Zone: *l.Zone, Weight: *l.Weight, Fresh: l.Fresh, Versions: l.Versions}, nil
+		return l.attach()
 	case "again":
 		if l.Proxy == nil {
 			return nil, errMissing
 		}
 		return Again{Proxy: *l.Proxy, Whole: l.Whole, After: l.After}, nil
 	case "done":
-		if l.Proxy == nil || l.Mark == nil || l.Took == nil {
-			return nil, errMissing
-		}
-		if *l.Mark < 0 || *l.Mark > math.MaxUint32 {
-			return nil, errMark
-		}
-		return Done{Proxy: *l.Proxy, Mark: uint32(*l.Mark), Took: *l.Took}, nil
+		return l.done()
 	case "upstream_stats":
 		return l.serverReport(within)
 	case "client_stats":
-		if l.Proxy == nil || l.Class == nil {
-			return nil, errMissing
-		}
-		if l.Tries == nil || l.Failed == nil || l.Span == nil {
-			return nil, errMissing
-		}
-		m := UsageReport{Proxy: *l.Proxy, Class: *l.Class, Tries: *l.Tries, Failed: *l.Failed, Span: *l.Span}
-		return m, m.Check(within)
+		return l.usageReport(within)
 	}
 	return nil, fmt.Errorf("%w %.40q", errKind, l.Kind)
 }
 
+// checkNumbers checks the numbers that any kind of line may have. JSON has no way to write one that is not finite.
+func (l *line) checkNumbers(within Bounds) error {
+	for _, figure := range []*float64{l.Weight, l.Took, l.Tries, l.Failed, l.Mean, l.Span} {
+		switch {
+		case figure == nil:
+		case *figure < 0:
+			return errNegative
+		case *figure > MaxFigure:
+			return errHuge
+		}
+	}
+	if l.Proxy != nil && (*l.Proxy < 0 || within.Proxies > 0 && *l.Proxy >= within.Proxies) {
+		return errProxy
+	}
+	return nil
+}
+
+// attach reads a proxy's joining.
+func (l *line) attach() (Message, error) {
+	if l.Proxy == nil || l.Zone == nil || l.Weight == nil {
+		return nil, errMissing
+	}
+	if *l.Weight > MaxRate {
+		return nil, errRate
+	}
+	return Attach{Proxy: *l.Proxy, Zone: *l.Zone, Weight: *l.Weight, Fresh: l.Fresh, Versions: l.Versions}, nil
+}
+
+// done reads the answer to a mark.
+func (l *line) done() (Message, error) {
+	if l.Proxy == nil || l.Mark == nil || l.Took == nil {
+		return nil, errMissing
+	}
+	if *l.Mark < 0 || *l.Mark > math.MaxUint32 {
+		return nil, errMark
+	}
+	return Done{Proxy: *l.Proxy, Mark: uint32(*l.Mark), Took: *l.Took}, nil
+}
+
+// usageReport reads what came to a proxy of a class.
+func (l *line) usageReport(within Bounds) (Message, error) {
+	if l.Proxy == nil || l.Class == nil || l.Tries == nil || l.Failed == nil || l.Span == nil {
+		return nil, errMissing
+	}
+	m := UsageReport{Proxy: *l.Proxy, Class: *l.Class, Tries: *l.Tries, Failed: *l.Failed, Span: *l.Span}
+	return m, m.Check(within)
+}
+
 // counts checks what both kinds of report have.
 func counts(tries, failed, span float64, within Bounds) error {
 	switch {
--- a/internal/planner/record/record.go
+++ b/internal/planner/record/record.go
@@ -72,14 +72,14 @@
 		blake3.DeriveKey(derived, "mulleinwood record chain v1", key)
 		h := blake3.New(len(c), derived)
 		for _, p := range parts {
-			h.Write(p)
+			_, _ = h.Write(p) // a hash takes all bytes
 		}
 		copy(c[:], h.Sum(nil))
 		return c
 	}
 	h := xxh3.New()
 	for _, p := range parts {
-		h.Write(p)
+		_, _ = h.Write(p)
 	}
 	return h.Sum128().Bytes()
 }
@@ -166,7 +166,7 @@
 			r, err = nil, fmt.Errorf("%w: %v", ErrChanged, p)
 		}
 		if err != nil && db != nil {
-			closeQuietly(db)
+			closeDamaged(db)
 		}
 	}()
 	db, err = bolt.Open(file, 0o600, &bolt.Options{Timeout: lockWait, ReadOnly: readOnly, FreelistType: bolt.FreelistMapType})
@@ -191,9 +191,9 @@
 	return r, nil
 }
 
-func closeQuietly(db *bolt.DB) {
-	defer func() { recover() }() // of a file whose pages can't be trusted
-	db.Close()
+func closeDamaged(db *bolt.DB) {
+	defer func() { _ = recover() }() // of a file whose pages can't be trusted
+	_ = db.Close()                   // the damage is what is reported
 }
 
 // begin makes the buckets of a new record.
--- a/internal/planner/record/writer.go
+++ b/internal/planner/record/writer.go
@@ -30,7 +30,7 @@
 	w := newWriter(func(now time.Time, list ...Entry) error { return r.Append(now, within, list...) }, failed)
 	go func() {
 		w.run()
-		r.Close()
+		_ = r.Close() // each batch was a transaction: nothing is lost with a close that fails
 		close(w.done)
 	}()
 	return w
--- a/internal/planner/settings/settings.go
+++ b/internal/planner/settings/settings.go
@@ -90,80 +90,95 @@
 	} `json:"rules"`
 }
 
+// maxClasses is how many classes fit the mask that requests carry.
+const maxClasses = 16
+
 // Parse reads the JSON text. Unknown keys are skipped.
 func Parse(text []byte) (Settings, error) {
-	var j document
-	if err := json.Unmarshal(text, &j); err != nil {
+	var parsed document
+	if err := json.Unmarshal(text, &parsed); err != nil {
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
+	if err := parsed.checkParts(); err != nil {
+		return Settings{}, err
+	}
+	ruleSettings, err := parsed.ruleSettings()
+	if err != nil {
+		return Settings{}, err
+	}
+	connect := time.Duration(parsed.Permissions.DialTimeout * float64(time.Millisecond))
+	if connect <= 0 {
+		connect = defaultMaxConnectTime
+	}
+	return Settings{Rules: ruleSettings, ZoneNames: parsed.Localities, KindNames: parsed.Kinds, LoadFields: parsed.Report.Fields,
+		LoadReports:    parsed.Report.Via == "pull" || parsed.Report.Via == "piggyback",
+		MaxConnectTime: connect, Granularity: max(0, parsed.Granularity)}, nil
+}
+
+// checkParts says which part of the settings is missing or too large.
+func (d document) checkParts() error {
 	switch {
-	case len(j.Classes) == 0:
-		return Settings{}, errors.New("settings: no classes")
-	case len(j.Classes) > 16:
-		return Settings{}, fmt.Errorf("settings: %d classes, at most 16 fit a mask", len(j.Classes))
-	case len(j.Localities) == 0:
-		return Settings{}, errors.New("settings: no localities")
-	case j.Extra == nil:
-		return Settings{}, errors.New("settings: extra is missing")
-	case j.Rules == nil:
-		return Settings{}, errors.New("settings: rules is missing")
+	case len(d.Classes) == 0:
+		return errors.New("settings: no classes")
+	case len(d.Classes) > maxClasses:
+		return fmt.Errorf("settings: %d classes, at most %d fit a mask", len(d.Classes), maxClasses)
+	case len(d.Localities) == 0:
+		return errors.New("settings: no localities")
+	case d.Extra == nil:
+		return errors.New("settings: extra is missing")
+	case d.Rules == nil:
+		return errors.New("settings: rules is missing")
 	}
-	x, r := j.Extra, j.Rules
-	s := rules.Settings{
-		Instances: j.Instances, Zone: j.MyZone, Zones: len(j.Localities), Proxies: x.ProxyCount,
-		QueryDiscovery: j.Discovery == "on_request", Probes: j.Permissions.Probes, Slices: x.Ranges,
-		TryAims: x.TryAims, ReportPeriod: x.Interval, QueueLines: x.PendingMax, LinesPerSec: x.EgressPerS,
-		HeadLines: x.PerMessage, MaxMessages: x.ReloadsMax, MessagesOver: x.CountedOver,
-		DrainGrace: r.Grace, Bare: x.Bare, WarmupTime: r.Cold, StartCapacity: r.StartCap, FallMultiple: r.FallMultiple,
-		FallAfter: r.TipAfter, MinConns: x.ConnsLeast, LocalFirst: x.LocalFirst, DrainOnly: r.DrainOnly,
+	return nil
+}
+
+// ruleSettings are the settings of the decision module.
+func (d document) ruleSettings() (rules.Settings, error) {
+	extra, limits := d.Extra, d.Rules
+	settings := rules.Settings{
+		Instances: d.Instances, Zone: d.MyZone, Zones: len(d.Localities), Proxies: extra.ProxyCount,
+		QueryDiscovery: d.Discovery == "on_request", Probes: d.Permissions.Probes, Slices: extra.Ranges,
+		TryAims: extra.TryAims, ReportPeriod: extra.Interval, QueueLines: extra.PendingMax, LinesPerSec: extra.EgressPerS,
+		HeadLines: extra.PerMessage, MaxMessages: extra.ReloadsMax, MessagesOver: extra.CountedOver,
+		DrainGrace: limits.Grace, Bare: extra.Bare, WarmupTime: limits.Cold, StartCapacity: limits.StartCap,
+		FallMultiple: limits.FallMultiple, FallAfter: limits.TipAfter, MinConns: extra.ConnsLeast, LocalFirst: extra.LocalFirst,
+		DrainOnly: limits.DrainOnly,
 	}
-	if x.RetryDefault < 0 || x.RetryDefault > int(rules.RetryTwice) {
-		return Settings{}, fmt.Errorf("settings: extra.retry-default %d is not a retry method", x.RetryDefault)
+	if extra.RetryDefault < 0 || extra.RetryDefault > int(rules.RetryTwice) {
+		return settings, fmt.Errorf("settings: extra.retry-default %d is not a retry method", extra.RetryDefault)
 	}
-	s.RetryDefault = rules.Retry(x.RetryDefault)
-	switch x.LevelKind {
-	case "ratio":
-		s.Admission = rules.AdmitShare
-	case "rps":
-		s.Admission = rules.AdmitRate
-	case "silent":
-		s.Admission = rules.AdmitNone
-	default:
-		return Settings{}, fmt.Errorf("settings: extra.level-kind %q is unknown", x.LevelKind)
+	settings.RetryDefault = rules.Retry(extra.RetryDefault)
+	admission, known := admissionKinds[extra.LevelKind]
+	if !known {
+		return settings, fmt.Errorf("settings: extra.level-kind %q is unknown", extra.LevelKind)
 	}
-	for i, c := range j.Classes {
+	settings.Admission = admission
+	for i, c := range d.Classes {
 		class := rules.Class{Name: c.Name, LatencyTarget: c.Aim, Deadline: c.Deadline, Value: c.Worth,
-			LateValue: c.LateWorth, Window: c.Window, OwnZone: i < len(x.StaysLocal) && x.StaysLocal[i]}
+			LateValue: c.LateWorth, Window: c.Window, OwnZone: i < len(extra.StaysLocal) && extra.StaysLocal[i]}
 		if !(c.Aim > 0) || !(c.Deadline > 0) {
-			return Settings{}, fmt.Errorf("settings: class %q lacks its aim or its deadline", c.Name)
+			return settings, fmt.Errorf("settings: class %q lacks its aim or its deadline", c.Name)
 		}
-		switch c.Idempotency {
-		case "read_like":
-			class.Effect = rules.Safe
-		case "idempotency_key":
-			class.Effect = rules.Keyed
-		case "non_idempotent":
-			class.Effect = rules.Unsafe
-		default:
-			return Settings{}, fmt.Errorf("settings: class %q has unknown idempotency %q", c.Name, c.Idempotency)
+		if class.Effect, known = effects[c.Idempotency]; !known {
+			return settings, fmt.Errorf("settings: class %q has unknown idempotency %q", c.Name, c.Idempotency)
 		}
-		switch c.Group {
-		case "all", "":
-			class.Scope = rules.ScopeAll
-		case "zone":
-			class.Scope = rules.ScopeZone
-		case "cell":
-			class.Scope = rules.ScopeCell
-		default:
-			return Settings{}, fmt.Errorf("settings: class %q has unknown group %q", c.Name, c.Group)
+		if class.Scope, known = scopes[c.Group]; !known {
+			return settings, fmt.Errorf("settings: class %q has unknown group %q", c.Name, c.Group)
 		}
-		s.Classes = append(s.Classes, class)
+		settings.Classes = append(settings.Classes, class)
 	}
-	connect := time.Duration(j.Permissions.DialTimeout * float64(time.Millisecond))
-	if connect <= 0 {
-		connect = defaultMaxConnectTime
-	}
-	return Settings{Rules: s, ZoneNames: j.Localities, KindNames: j.Kinds, LoadFields: j.Report.Fields,
-		LoadReports:    j.Report.Via == "pull" || j.Report.Via == "piggyback",
-		MaxConnectTime: connect, Granularity: max(0, j.Granularity)}, nil
+	return settings, nil
 }
+
+// The settings' words for values of the decision module.
+var (
+	admissionKinds = map[string]rules.AdmitKind{
+		"ratio": rules.AdmitShare, "rps": rules.AdmitRate, "silent": rules.AdmitNone,
+	}
+	effects = map[string]rules.Effect{
+		"read_like": rules.Safe, "idempotency_key": rules.Keyed, "non_idempotent": rules.Unsafe,
+	}
+	scopes = map[string]rules.Scope{
+		"all": rules.ScopeAll, "": rules.ScopeAll, "zone": rules.ScopeZone, "cell": rules.ScopeCell,
+	}
+)
--- a/internal/planner/simhost/simhost.go
+++ b/internal/planner/simhost/simhost.go
@@ -3,6 +3,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 
@@ -32,7 +33,7 @@
 	in, out := bufio.NewReaderSize(r, 1<<16), bufio.NewWriterSize(w, 1<<16)
 	for {
 		body, err := wire.ReadFrame(in)
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
--- a/internal/planner/transport/conn.go
+++ b/internal/planner/transport/conn.go
@@ -129,7 +129,7 @@
 func (c *Conn) end(reason error) {
 	if c.closed == nil {
 		c.closed = reason
-		c.nc.Close()
+		closeConn(c.nc)
 		close(c.wake)
 	}
 }
@@ -148,7 +148,7 @@
 	if c.Joined() || within <= 0 {
 		if within > 0 && !c.free {
 			c.free = true
-			c.nc.SetReadDeadline(time.Time{})
+			_ = c.nc.SetReadDeadline(time.Time{}) // it fails on a closed connection only, which Read tells
 		}
 		return c.nc.Read(space)
 	}
--- a/internal/planner/transport/dial.go
+++ b/internal/planner/transport/dial.go
@@ -57,76 +57,107 @@
 	InMost  int // most bytes that may wait to be understood
 }
 
-// Do makes the call and feeds the answer to m until it is complete. A panic of the machine ends this call alone.
-func (call Call) Do(ctx context.Context, m Response) (err error) {
-	failed := &CallError{Address: call.Address, Stage: Connecting}
+// Do makes the call and feeds the response to machine until it is complete. A panic of the machine ends this call alone.
+func (call Call) Do(ctx context.Context, machine Response) (err error) {
+	run := &callRun{call: call, machine: machine, began: time.Now(), failure: CallError{Address: call.Address, Stage: Connecting}}
 	defer func() {
 		if p := recover(); p != nil {
-			failed.Err = fmt.Errorf("panic: %v\n%s", p, debug.Stack())
-			err = failed
+			err = run.fail(fmt.Errorf("panic: %v\n%s", p, debug.Stack()))
 		}
 	}()
-	begun := time.Now()
 	dialer := net.Dialer{Timeout: call.Connect}
 	nc, err := dialer.DialContext(ctx, "tcp", call.Address)
 	if err != nil {
-		failed.Err = err
-		return failed
+		return run.fail(err)
+	}
+	defer closeConn(nc)
+	defer context.AfterFunc(ctx, func() { closeConn(nc) })()
+	run.failure.Stage = Sending
+	if err := nc.SetWriteDeadline(time.Now().Add(call.Silence)); err != nil {
+		return run.fail(err)
 	}
-	defer nc.Close()
-	defer context.AfterFunc(ctx, func() { nc.Close() })()
-	failed.Stage = Sending
-	nc.SetWriteDeadline(time.Now().Add(call.Silence))
 	if _, err := nc.Write(call.Request); err != nil {
-		failed.Err = err
-		return failed
+		return run.fail(err)
 	}
-	failed.Stage = Receiving
+	run.failure.Stage = Receiving
 	in := ring.New(startSize, call.InMost, nil)
-	for !m.Done() {
-		space, err := in.Space()
-		if err != nil {
-			failed.Err = err
-			return failed
-		}
-		end := time.Now().Add(call.Silence)
-		if last := begun.Add(call.Whole); call.Whole > 0 && last.Before(end) {
-			end = last
-		}
-		n, err := read(nc, space, end)
-		in.Commit(n)
-		failed.Received += n
-		if n > 0 {
-			if err := m.Feed(in); err != nil {
-				failed.Stage, failed.Err = Reading, err
-				return failed
-			}
-		}
-		if err != nil && !m.Done() {
-			if closed := m.Close(); closed != nil || !errors.Is(err, io.EOF) {
-				failed.Err = err
-				if closed != nil {
-					failed.Err = fmt.Errorf("%w (%w)", err, closed)
-				}
-				return failed
-			}
-			return nil
+	for !machine.Done() {
+		if over, err := run.receive(nc, in); over || err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-// read reads until end. A deadline that passed may be the fault of this process, which stood still while the
-// bytes came; so what is already there is still read.
-func read(nc net.Conn, p []byte, end time.Time) (int, error) {
-	nc.SetReadDeadline(end)
-	n, err := nc.Read(p)
-	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-		nc.SetReadDeadline(time.Now().Add(lastPoll))
-		n, err = nc.Read(p)
+// callRun is a call under way.
+type callRun struct {
+	call    Call
+	machine Response
+	began   time.Time
+	failure CallError
+}
+
+// fail returns the failure with its cause.
+func (r *callRun) fail(cause error) error {
+	r.failure.Err = cause
+	return &r.failure
+}
+
+// deadline is the time by which the next bytes have to come.
+func (r *callRun) deadline() time.Time {
+	silence := time.Now().Add(r.call.Silence)
+	if last := r.began.Add(r.call.Whole); r.call.Whole > 0 && last.Before(silence) {
+		return last
+	}
+	return silence
+}
+
+// receive reads once and feeds the machine. Over means that the peer ended the connection after a complete response.
+func (r *callRun) receive(nc net.Conn, in *ring.Buffer) (over bool, err error) {
+	space, err := in.Space()
+	if err != nil {
+		return false, r.fail(err)
+	}
+	n, readErr := read(nc, space, r.deadline())
+	in.Commit(n)
+	r.failure.Received += n
+	if n > 0 {
+		if err := r.machine.Feed(in); err != nil {
+			r.failure.Stage = Reading
+			return false, r.fail(err)
+		}
 	}
-	return n, err
+	if readErr == nil || r.machine.Done() {
+		return false, nil
+	}
+	closeErr := r.machine.Close()
+	switch {
+	case closeErr != nil:
+		return false, r.fail(fmt.Errorf("%w (%w)", readErr, closeErr))
+	case !errors.Is(readErr, io.EOF):
+		return false, r.fail(readErr)
+	}
+	return true, nil
 }
 
+// closeConn closes a connection that nothing is expected from any more.
+func closeConn(nc net.Conn) { _ = nc.Close() }
+
 // lastPoll is how long bytes that have already come may take to be read.
 const lastPoll = 5 * time.Millisecond
+
+// read reads until deadline. One that passed may be the fault of this process, which stood still while the bytes came; so
+// what is already there is still read.
+func read(nc net.Conn, space []byte, deadline time.Time) (int, error) {
+	if err := nc.SetReadDeadline(deadline); err != nil {
+		return 0, err
+	}
+	n, err := nc.Read(space)
+	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
+		return n, err
+	}
+	if err := nc.SetReadDeadline(time.Now().Add(lastPoll)); err != nil {
+		return 0, err
+	}
+	return nc.Read(space)
+}
--- a/internal/planner/transport/handover.go
+++ b/internal/planner/transport/handover.go
@@ -51,7 +51,7 @@
 func (c *Conn) handOver() {
 	first, second := c.in.Peek()
 	h := &handed{Conn: c.nc, head: append(append([]byte{}, first...), second...), closed: make(chan struct{})}
-	c.nc.SetReadDeadline(time.Time{})
+	_ = c.nc.SetReadDeadline(time.Time{}) // it fails on a closed connection only, which the other driver notices
 	if !c.joinBy.IsZero() {
 		late := time.AfterFunc(time.Until(c.joinBy), func() {
 			if !c.Joined() {
--- a/internal/planner/transport/listener.go
+++ b/internal/planner/transport/listener.go
@@ -46,7 +46,7 @@
 
 // Listen opens the address.
 func Listen(address string, most int, memory *ring.Budget) (*Listener, error) {
-	ln, err := net.Listen("tcp", address)
+	ln, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
 	}
@@ -70,14 +70,14 @@
 
 // Serve accepts until ctx ends, then closes every connection and waits for them.
 func (l *Listener) Serve(ctx context.Context, h Handler) error {
-	stop := context.AfterFunc(ctx, func() { l.ln.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = l.ln.Close() }) // its end is what Accept tells
 	defer stop()
 	defer l.closeAll(net.ErrClosed)
 	for {
 		nc, err := l.ln.Accept()
 		if ctx.Err() != nil {
 			if nc != nil {
-				nc.Close()
+				closeConn(nc)
 			}
 			return nil
 		}
@@ -96,7 +96,7 @@
 		}
 		if l.full() {
 			h.Refused(nc.RemoteAddr().String())
-			nc.Close()
+			closeConn(nc)
 			continue
 		}
 		l.mu.Lock()
--- a/internal/planner/xds/ads.go
+++ b/internal/planner/xds/ads.go
@@ -58,7 +58,7 @@
 
 // Request takes a message of the state of the world. Its messages go to routing; what is of no use comes back as Voids; an
 // error ends the stream.
-func (a *Assignments) Request(now float64, r *discovery.DiscoveryRequest) (said []protocol.Message, voids []Void, err error) {
+func (a *Assignments) Request(now float64, r *discovery.DiscoveryRequest) (said []protocol.Message, voids []InvalidPartError, err error) {
 	if err := a.begin(r.GetNode(), r.GetTypeUrl()); err != nil {
 		return nil, nil, err
 	}
@@ -72,7 +72,7 @@
 }
 
 // DeltaRequest takes an incremental message.
-func (a *Assignments) DeltaRequest(now float64, r *discovery.DeltaDiscoveryRequest) (said []protocol.Message, voids []Void,
+func (a *Assignments) DeltaRequest(now float64, r *discovery.DeltaDiscoveryRequest) (said []protocol.Message, voids []InvalidPartError,
 	err error) {
 	if err := a.begin(r.GetNode(), r.GetTypeUrl()); err != nil {
 		return nil, nil, err
@@ -119,13 +119,13 @@
 
 // answered takes the answer to a message. An acceptance is the line protocol's done; a refusal asks for a whole table
 // later, each time after twice the wait.
-func (a *Assignments) answered(now float64, nonce string, detail *statuspb.Status) (said []protocol.Message, voids []Void) {
+func (a *Assignments) answered(now float64, nonce string, detail *statuspb.Status) (said []protocol.Message, voids []InvalidPartError) {
 	if nonce == "" {
 		return nil, nil
 	}
 	at := slices.IndexFunc(a.sent, func(m mark) bool { return m.nonce == nonce })
 	if at < 0 {
-		return nil, []Void{{"nonce", fmt.Errorf("%.40q answers nothing that waits", nonce)}}
+		return nil, []InvalidPartError{{"nonce", fmt.Errorf("%.40q answers nothing that waits", nonce)}}
 	}
 	m := a.sent[at]
 	a.sent = a.sent[at+1:]
@@ -136,7 +136,7 @@
 		}
 		a.refusals++
 		a.due = max(a.due, now+wait)
-		return nil, []Void{{"refused by the proxy", fmt.Errorf("%.200s", detail.GetMessage())}}
+		return nil, []InvalidPartError{{"refused by the proxy", fmt.Errorf("%.200s", detail.GetMessage())}}
 	}
 	if a.due == 0 {
 		a.refusals = 0
@@ -149,7 +149,7 @@
 
 // subscribe takes the names of a stream's resources. The first make it join; others get it a whole table, since what it
 // holds of a class that it newly names isn't known.
-func (a *Assignments) subscribe(names []string) (said []protocol.Message, voids []Void, err error) {
+func (a *Assignments) subscribe(names []string) (said []protocol.Message, voids []InvalidPartError, err error) {
 	if len(names) > 2*len(a.facts.Classes)+1 { // room for some that are no class, each told of once
 		return nil, nil, ErrManyNames
 	}
@@ -162,7 +162,7 @@
 	}
 	for _, name := range names {
 		if name != "*" && !slices.Contains(a.facts.Classes, name) {
-			voids = append(voids, Void{"resource", fmt.Errorf("%.40q is no class", name)})
+			voids = append(voids, InvalidPartError{"resource", fmt.Errorf("%.40q is no class", name)})
 		}
 	}
 	more := slices.ContainsFunc(wanted, func(class string) bool { return !slices.Contains(a.names, class) })
--- a/internal/planner/xds/load.go
+++ b/internal/planner/xds/load.go
@@ -31,53 +31,73 @@
 // Who is the peer, once it has named itself.
 func (l *Loads) Who() (Identity, bool) { return l.who, l.known }
 
+// LoadUpdate is what a message of a stream said.
+type LoadUpdate struct {
+	Messages []protocol.Message
+	Invalid  []InvalidPartError      // parts that are of no use
+	Response *load.LoadStatsResponse // to be sent back; nil: nothing
+}
+
 // Request takes a message. The first is answered by how often to report. A proxy reports by class what came to it, a
 // collector by endpoint what its zone's proxies met there.
-func (l *Loads) Request(r *load.LoadStatsRequest) (said []protocol.Message, voids []Void, answer *load.LoadStatsResponse,
-	err error) {
+func (l *Loads) Request(r *load.LoadStatsRequest) (update LoadUpdate, err error) {
 	if !l.known {
 		if l.who, err = Identify(r.GetNode(), l.facts); err != nil {
-			return nil, nil, nil, err
+			return LoadUpdate{}, err
 		}
 		l.known = true
-		answer = &load.LoadStatsResponse{SendAllClusters: true, ReportEndpointGranularity: l.who.Role == Collector,
-			LoadReportingInterval: durationpb.New(time.Duration(l.facts.Period * float64(time.Millisecond)))}
-		if l.who.Role == Collector {
-			said = append(said, protocol.Collector{Zone: l.who.Zone})
-		}
+		l.greet(&update)
 	} else if !same(r.GetNode(), l.who, l.facts) {
-		return nil, nil, nil, ErrOtherNode
+		return LoadUpdate{}, ErrOtherNode
+	}
+	for _, cluster := range r.GetClusterStats() {
+		l.takeCluster(cluster, &update)
+	}
+	return update, nil
+}
+
+// greet answers the first message.
+func (l *Loads) greet(update *LoadUpdate) {
+	update.Response = &load.LoadStatsResponse{SendAllClusters: true, ReportEndpointGranularity: l.who.Role == Collector,
+		LoadReportingInterval: durationpb.New(time.Duration(l.facts.Period * float64(time.Millisecond)))}
+	if l.who.Role == Collector {
+		update.Messages = append(update.Messages, protocol.Collector{Zone: l.who.Zone})
+	}
+}
+
+func (u *LoadUpdate) invalid(part string, err error) {
+	u.Invalid = append(u.Invalid, InvalidPartError{"report of " + clip(part), err})
+}
+
+// takeCluster takes the report of a class.
+func (l *Loads) takeCluster(cluster *endpoint.ClusterStats, update *LoadUpdate) {
+	span := float64(cluster.GetLoadReportInterval().AsDuration()) / float64(time.Millisecond)
+	if cluster.GetLoadReportInterval() == nil || !(span > 0) {
+		update.invalid(cluster.GetClusterName(), errBadInterval)
+		return
 	}
-	for _, c := range r.GetClusterStats() {
-		span := float64(c.GetLoadReportInterval().AsDuration()) / float64(time.Millisecond)
-		if c.GetLoadReportInterval() == nil || !(span > 0) {
-			voids = append(voids, Void{"report of " + clip(c.GetClusterName()), errBadInterval})
-			continue
+	if l.who.Role == Proxy {
+		report := usage(l.who.Proxy, cluster, span)
+		if err := report.Check(l.facts.Within); err != nil {
+			update.invalid(cluster.GetClusterName(), err)
+			return
 		}
-		if l.who.Role == Proxy {
-			m := usage(l.who.Proxy, c, span)
-			if err := m.Check(l.facts.Within); err != nil {
-				voids = append(voids, Void{"report of " + clip(c.GetClusterName()), err})
-				continue
+		update.Messages = append(update.Messages, report)
+		return
+	}
+	for _, locality := range cluster.GetUpstreamLocalityStats() {
+		for _, stats := range locality.GetUpstreamEndpointStats() {
+			report, err := l.met(stats, span)
+			if err == nil {
+				err = report.Check(l.facts.Within)
 			}
-			said = append(said, m)
-			continue
-		}
-		for _, locality := range c.GetUpstreamLocalityStats() {
-			for _, e := range locality.GetUpstreamEndpointStats() {
-				m, err := l.met(e, span)
-				if err == nil {
-					err = m.Check(l.facts.Within)
-				}
-				if err != nil {
-					voids = append(voids, Void{"report of " + clip(m.Server+m.Address), err})
-					continue
-				}
-				said = append(said, m)
+			if err != nil {
+				update.invalid(report.Server+report.Address, err)
+				continue
 			}
+			update.Messages = append(update.Messages, report)
 		}
 	}
-	return said, voids, answer, nil
 }
 
 // usage is what came to a proxy of a class: what it issued and what it refused. What it let in and could not serve is
--- a/internal/planner/xds/mixed_test.go
+++ b/internal/planner/xds/mixed_test.go
@@ -224,11 +224,11 @@
 			return p
 		}
 		p.loads = xds.NewLoads(facts)
-		said, _, _, err := p.loads.Request(&load.LoadStatsRequest{Node: standin.CollectorNode(zone)})
+		update, err := p.loads.Request(&load.LoadStatsRequest{Node: standin.CollectorNode(zone)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		say(p, said)
+		say(p, update.Messages)
 		return p
 	}
 	proxies = make([]*party, set.Rules.Proxies)
@@ -265,12 +265,12 @@
 					line(p, fmt.Sprintf(`{"t":"client_stats","proxy":%d,"class":%q,"tries":%d,"failed":0,"span_ms":1000}`, i, class, tries))
 					continue
 				}
-				said, voids, _, err := p.loads.Request(&load.LoadStatsRequest{ClusterStats: []*endpoint.ClusterStats{{ClusterName: class,
+				update, err := p.loads.Request(&load.LoadStatsRequest{ClusterStats: []*endpoint.ClusterStats{{ClusterName: class,
 					LoadReportInterval: durationpb.New(time.Second), UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{{TotalIssuedRequests: uint64(tries)}}}}})
-				if err != nil || len(voids) > 0 {
-					t.Fatal(err, voids)
+				if err != nil || len(update.Invalid) > 0 {
+					t.Fatal(err, update.Invalid)
 				}
-				say(p, said)
+				say(p, update.Messages)
 			}
 		}
 		if look%70 == 0 {
@@ -289,13 +289,13 @@
 					line(c, fmt.Sprintf(`{"t":"upstream_stats","zone":%q,"server":"s-%d","tries":%d,"failed":%d,"mean_ms":%d,"span_ms":1000}`, c.zone, i, tries, failed, mean))
 					continue
 				}
-				said, voids, _, err := c.loads.Request(&load.LoadStatsRequest{ClusterStats: []*endpoint.ClusterStats{{LoadReportInterval: durationpb.New(time.Second),
+				update, err := c.loads.Request(&load.LoadStatsRequest{ClusterStats: []*endpoint.ClusterStats{{LoadReportInterval: durationpb.New(time.Second),
 					UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{{UpstreamEndpointStats: []*endpoint.UpstreamEndpointStats{
 						standin.Met(fmt.Sprint("s-", i), tries, failed, float64(mean))}}}}}})
-				if err != nil || len(voids) > 0 {
-					t.Fatal(err, voids)
+				if err != nil || len(update.Invalid) > 0 {
+					t.Fatal(err, update.Invalid)
 				}
-				say(c, said)
+				say(c, update.Messages)
 			}
 		}
 		switch i := look / 40 % servers; look % 40 {
@@ -311,7 +311,7 @@
 	return record.log, proxies
 }
 
-func answer(p *party, now float64) ([]protocol.Message, []xds.Void, error) {
+func answer(p *party, now float64) ([]protocol.Message, []xds.InvalidPartError, error) {
 	if p.speaks == delta {
 		return p.machine.DeltaRequest(now, &discovery.DeltaDiscoveryRequest{TypeUrl: xds.TypeEndpoints, ResponseNonce: p.nonces[0]})
 	}
--- a/internal/planner/xds/node.go
+++ b/internal/planner/xds/node.go
@@ -64,17 +64,17 @@
 	errLatency     = errors.New("a latency that can't be")
 )
 
-// Void says that part of a message is of no use. The stream goes on.
-type Void struct {
-	What string
+// InvalidPartError says that part of a message is of no use. The stream goes on.
+type InvalidPartError struct {
+	Part string
 	Err  error
 }
 
 // Error implements error.
-func (v Void) Error() string { return fmt.Sprintf("%s: %v", v.What, v.Err) }
+func (v InvalidPartError) Error() string { return fmt.Sprintf("%s: %v", v.Part, v.Err) }
 
 // Unwrap returns the cause, for errors.Is and errors.As.
-func (v Void) Unwrap() error { return v.Err }
+func (v InvalidPartError) Unwrap() error { return v.Err }
 
 // Identify reads a node: its id is "proxy/" and the proxy's number, or "collector/" and its zone; locality.zone is the
 // proxy's zone; metadata may tell its usual rate and whether it holds no table that was ordered.
@@ -86,20 +86,9 @@
 	if zone, is := strings.CutPrefix(n.GetId(), collectorPrefix); is {
 		who = Identity{Role: Collector, Zone: zone}
 	} else {
-		number, is := strings.CutPrefix(n.GetId(), proxyPrefix)
-		proxy, err := strconv.Atoi(number)
-		if !is || err != nil || proxy < 0 || proxy >= f.Within.Proxies || strconv.Itoa(proxy) != number {
-			return Identity{}, fmt.Errorf("%w: id %.40q", ErrNode, n.GetId())
-		}
-		who = Identity{Proxy: proxy, Zone: n.GetLocality().GetZone(), Fresh: true}
-		fields := n.GetMetadata().GetFields()
-		if rate, stated := fields[rateKey]; stated {
-			if who.Weight = rate.GetNumberValue(); !(who.Weight >= 0 && who.Weight <= protocol.MaxRate) {
-				return Identity{}, fmt.Errorf("%w: %s is %v", ErrNode, rateKey, who.Weight)
-			}
-		}
-		if fresh, stated := fields[freshKey]; stated {
-			who.Fresh = fresh.GetBoolValue()
+		var err error
+		if who, err = identifyProxy(n, f); err != nil {
+			return Identity{}, err
 		}
 	}
 	if !slices.Contains(f.Zones, who.Zone) {
@@ -108,6 +97,26 @@
 	return who, nil
 }
 
+// identifyProxy reads a node whose id names a proxy.
+func identifyProxy(n *core.Node, f Facts) (Identity, error) {
+	number, found := strings.CutPrefix(n.GetId(), proxyPrefix)
+	proxy, err := strconv.Atoi(number)
+	if !found || err != nil || proxy < 0 || proxy >= f.Within.Proxies || strconv.Itoa(proxy) != number {
+		return Identity{}, fmt.Errorf("%w: id %.40q", ErrNode, n.GetId())
+	}
+	who := Identity{Proxy: proxy, Zone: n.GetLocality().GetZone(), Fresh: true}
+	fields := n.GetMetadata().GetFields()
+	if rate, stated := fields[rateKey]; stated {
+		if who.Weight = rate.GetNumberValue(); !(who.Weight >= 0 && who.Weight <= protocol.MaxRate) {
+			return Identity{}, fmt.Errorf("%w: %s is %v", ErrNode, rateKey, who.Weight)
+		}
+	}
+	if fresh, stated := fields[freshKey]; stated {
+		who.Fresh = fresh.GetBoolValue()
+	}
+	return who, nil
+}
+
 // same says whether a later message of a stream names the node that the first did, or none.
 func same(n *core.Node, who Identity, f Facts) bool {
 	if n == nil || n.GetId() == "" {
--- a/internal/planner/xds/table.go
+++ b/internal/planner/xds/table.go
@@ -121,7 +121,8 @@
 	}
 	if gated && !rates && gate.Level < 1 {
 		a.Policy = &endpoint.ClusterLoadAssignment_Policy{DropOverloads: []*endpoint.ClusterLoadAssignment_Policy_DropOverload{{
-			Category: dropCategory, DropPercentage: &typev3.FractionalPercent{Numerator: uint32(math.Round((1 - gate.Level) * perMillion)),
+			Category: dropCategory,
+			DropPercentage: &typev3.FractionalPercent{Numerator: uint32(math.Round((1 - gate.Level) * perMillion)),
 				Denominator: typev3.FractionalPercent_MILLION}}}}
 	}
 	return a
--- a/internal/planner/xds/xds_test.go
+++ b/internal/planner/xds/xds_test.go
@@ -302,28 +302,31 @@
 		"no endpoint":              stats(time.Second, met("", 10, 0, 40, 10)),
 	} {
 		l := NewLoads(facts)
-		said, voids, answer, err := l.Request(r)
-		if err != nil || answer == nil || len(voids) != 1 || len(said) != 1 || said[0] != (protocol.Collector{Zone: "n"}) {
-			t.Errorf("%s: said %v, void %v, %v", name, said, voids, err)
+		first, err := l.Request(r)
+		if err != nil || first.Response == nil || len(first.Invalid) != 1 || len(first.Messages) != 1 ||
+			first.Messages[0] != (protocol.Collector{Zone: "n"}) {
+			t.Errorf("%s: %+v, %v", name, first, err)
 		}
-		if said, voids, _, err := l.Request(stats(time.Second, met("s-2", 4, 4, 0, 0), good)); err != nil || len(said) != 2 || len(voids) > 0 {
-			t.Errorf("%s: what follows: %v %v %v", name, said, voids, err)
+		next, err := l.Request(stats(time.Second, met("s-2", 4, 4, 0, 0), good))
+		if err != nil || len(next.Messages) != 2 || len(next.Invalid) > 0 {
+			t.Errorf("%s: what follows: %+v %v", name, next, err)
 		}
 	}
 	l := NewLoads(facts)
-	if _, _, _, err := l.Request(&load.LoadStatsRequest{}); !errors.Is(err, ErrNoNode) {
+	if _, err := l.Request(&load.LoadStatsRequest{}); !errors.Is(err, ErrNoNode) {
 		t.Errorf("no node: %v", err)
 	}
 	l.Request(stats(time.Second))
 	r := stats(time.Second, good)
 	if r.Node = node("collector/s", ""); true {
-		if _, _, _, err := l.Request(r); !errors.Is(err, ErrOtherNode) {
+		if _, err := l.Request(r); !errors.Is(err, ErrOtherNode) {
 			t.Errorf("another node: %v", err)
 		}
 	}
 	address := met("", 10, 1, 40, 9)
 	address.Address = &core.Address{Address: &core.Address_SocketAddress{SocketAddress: &core.SocketAddress{Address: "::1", PortSpecifier: &core.SocketAddress_PortValue{PortValue: 80}}}}
-	said, _, _, _ := NewLoads(facts).Request(stats(time.Second, address))
+	update, _ := NewLoads(facts).Request(stats(time.Second, address))
+	said := update.Messages
 	if len(said) != 2 || said[1].(protocol.ServerReport).Address != "[::1]:80" || said[1].(protocol.ServerReport).Mean != 40 {
 		t.Errorf("known by its address: %v", said)
 	}
--- a/rules/api.go
+++ b/rules/api.go
@@ -1,14 +1,18 @@
 // Package rules holds the decisions of a control plane that assigns servers to proxies.
 //
-// This file is its whole interface: settings, events in, actions out. The decisions are in rules.go and the files beside it that the deploy file lists.
+// This file is its whole interface: settings, events in, actions out. The decisions are in rules.go and the files beside it
+// that the deploy file lists.
 // Times are milliseconds on the caller's clock. Nothing here knows a wire format.
 package rules
 
-// ServerID, ProxyID and TableID name things; the numbers carry no meaning.
+// Names of servers, proxies and tables. The numbers carry no meaning.
 type (
+	// ServerID names a server.
 	ServerID uint32
-	ProxyID  uint16
-	TableID  uint16
+	// ProxyID names a proxy.
+	ProxyID uint16
+	// TableID names a table of weights.
+	TableID uint16
 )
 
 // AllTables stands for every table of every joined proxy in Admit.
--- a/tables/table.go
+++ b/tables/table.go
@@ -90,7 +90,7 @@
 func sum(text []byte, key Key) (d Digest) {
 	if len(key) > 0 {
 		h := blake3.New(len(d), deriveKey(key))
-		h.Write(text)
+		_, _ = h.Write(text) // a hash takes all bytes
 		copy(d[:], h.Sum(nil))
 		return d
 	}
