--- a/rules/dealing.go
+++ b/rules/dealing.go
@@ -7,129 +7,188 @@
 	"slices"
 )
 
-// targets splits the shares by proxy zone. Crossing zones has a price, so a zone's proxies use its own
+const (
+	// tinyRate keeps divisions by rates away from zero, in requests a second.
+	tinyRate = 1e-3
+	// tinyShare does the same for shares and weights.
+	tinyShare = 1e-9
+)
+
+// computeTargets splits the shares by proxy zone. Crossing zones has a price, so a zone's proxies use its own
 // servers as far as these have room and spill only the rest. Where proxies join controllers of their own
 // zone, those that we don't see are taken to be in the zones where we see none.
-func (c *Controller) targets() {
+func (c *Controller) computeTargets() {
 	for i := range c.zones {
 		c.zones[i] = zone{servers: c.zones[i].servers}
 	}
+	c.sumDemand()
+	c.addOtherParts()
+	c.fillZones(c.computeZoneShares())
+	for _, s := range c.servers {
+		z := &c.zones[s.Zone]
+		s.targetRate = s.share / max(tinyShare, z.capacityShare) * z.inboundRate
+	}
+}
+
+// sumDemand sums up what our own proxies bring. What is not asked for is not reported, so silence counts as
+// less.
+func (c *Controller) sumDemand() {
 	clear(c.demands)
-	c.joined, c.usual = 0, 1e-3
-	c.mine = Part{TypicalRates: make([]float64, len(c.zones))}
+	c.joinedProxies, c.typicalRate = 0, tinyRate
 	for _, p := range c.proxies {
-		if p.joined {
-			for k, d := range p.demand { // what is not asked for is not reported
-				silent := max(0, c.now-p.told[k]-silenceTimeout*c.set.ReportPeriod)
-				c.demands[k] += d * math.Exp(-silent/demandTime)
-			}
-			c.joined++
-			c.usual += p.usual + 1e-3
-			c.zones[p.zone].own += p.usual + 1e-3
+		if !p.joined {
+			continue
 		}
+		for k, d := range p.demand {
+			silent := max(0, c.now-p.reportedAt[k]-silenceTimeout*c.settings.ReportPeriod)
+			c.demands[k] += d * math.Exp(-silent/demandTime)
+		}
+		c.joinedProxies++
+		c.typicalRate += p.typicalRate + tinyRate
+		c.zones[p.zone].ownRate += p.typicalRate + tinyRate
+	}
+	c.ownPart = Part{TypicalRates: make([]float64, len(c.zones)), Joined: c.joinedProxies,
+		Demands: slices.Clone(c.demands)}
+	for i, z := range c.zones {
+		c.ownPart.TypicalRates[i] = z.ownRate
 	}
-	c.mine.Joined, c.mine.Demands = c.joined, slices.Clone(c.demands)
-	c.joined += c.part.Joined
-	for k, d := range c.part.Demands {
+}
+
+// addOtherParts adds what the planner's other cores bring.
+func (c *Controller) addOtherParts() {
+	c.joinedProxies += c.otherParts.Joined
+	for k, d := range c.otherParts.Demands {
 		c.demands[k] += d
 	}
 	for i := range c.zones {
 		z := &c.zones[i]
-		if z.all, c.mine.TypicalRates[i] = z.own, z.own; i < len(c.part.TypicalRates) {
-			z.all, c.usual = z.own+c.part.TypicalRates[i], c.usual+c.part.TypicalRates[i]
+		z.totalRate = z.ownRate
+		if i < len(c.otherParts.TypicalRates) {
+			z.totalRate += c.otherParts.TypicalRates[i]
+			c.typicalRate += c.otherParts.TypicalRates[i]
 		}
 	}
-	unseen, hidden, spare := 0.0, 0.0, 1e-9 // traffic of proxies not seen, room of zones without ours
-	if c.set.LocalFirst && c.joined > 0 {
-		unseen = max(0, float64(c.set.Proxies)-c.joined) * c.usual / c.joined
+}
+
+// computeZoneShares compares each zone's traffic with the capacity of its servers, and sums up what is to
+// spare.
+func (c *Controller) computeZoneShares() (spare float64) {
+	unseen, hidden := 0.0, 0.0 // traffic of proxies not seen, capacity of zones without ours
+	if c.settings.LocalFirst && c.joinedProxies > 0 {
+		unseen = max(0, float64(c.settings.Proxies)-c.joinedProxies) * c.typicalRate / c.joinedProxies
 	}
 	for _, s := range c.servers {
-		c.zones[s.Zone].room += s.share
-		if c.zones[s.Zone].all == 0 {
+		c.zones[s.Zone].capacityShare += s.share
+		if c.zones[s.Zone].totalRate == 0 {
 			hidden += s.share
 		}
 	}
+	spare = tinyShare
 	for i := range c.zones {
 		z := &c.zones[i]
-		if z.part = z.all / (c.usual + unseen); z.all == 0 && hidden > 0 {
-			z.part = unseen / (c.usual + unseen) * z.room / hidden
+		z.trafficShare = z.totalRate / (c.typicalRate + unseen)
+		if z.totalRate == 0 && hidden > 0 {
+			z.trafficShare = unseen / (c.typicalRate + unseen) * z.capacityShare / hidden
 		}
-		z.over = max(0, 1-z.room*(1+zoneSlack)/max(1e-9, z.part))
-		z.spare = max(0, z.room-z.part) + 1e-9*z.room
-		spare += z.spare
+		z.spillShare = max(0, 1-z.capacityShare*(1+zoneSlack)/max(tinyShare, z.trafficShare))
+		z.spareShare = max(0, z.capacityShare-z.trafficShare) + tinyShare*z.capacityShare
+		spare += z.spareShare
 	}
+	return spare
+}
+
+// fillZones sends what does not spill to the zone's own servers, and the rest to all zones by what they have
+// to spare.
+func (c *Controller) fillZones(spare float64) {
 	for i := range c.zones {
-		c.zones[i].flow += c.zones[i].own * (1 - c.zones[i].over)
+		from := &c.zones[i]
+		from.inboundRate += from.ownRate * (1 - from.spillShare)
 		for j := range c.zones {
-			c.zones[j].flow += c.zones[i].own * c.zones[i].over * c.zones[j].spare / spare
+			c.zones[j].inboundRate += from.ownRate * from.spillShare * c.zones[j].spareShare / spare
 		}
 	}
-	for _, s := range c.servers {
-		s.target = s.share / max(1e-9, c.zones[s.Zone].room) * c.zones[s.Zone].flow
-	}
 }
 
-// size is the number of lines of a proxy's table, mostly by its traffic: no more than servers' connection
-// limits and the channel allow with every proxy at that, nor many more servers than its traffic fills. Guards
-// against full connections; a table of fewer lines could be without a server for longer when many die.
-func (c *Controller) size(p *proxy) float64 {
-	n := max(1, c.joined, float64(c.set.Proxies))
-	mean := min(tableShare*c.set.QueueLines/n-c.set.HeadLines, max(linesMany, linesUseful*c.usable/n))
-	if c.set.MinConns > 0 {
-		mean = min(mean, connShare*c.set.MinConns*c.usable/n)
-	}
-	return max(minLines, mean*(1+3*p.usual*c.joined/c.usual)/4)
+// tableSize is the number of lines of a proxy's table, mostly by its traffic: no more than servers'
+// connection limits and the channel allow with every proxy at that, nor many more servers than its traffic
+// fills. Guards against full connections; a table of fewer lines could be without a server for longer when
+// many die.
+func (c *Controller) tableSize(p *proxy) float64 {
+	n := max(1, c.joinedProxies, float64(c.settings.Proxies))
+	mean := min(tableShare*c.settings.QueueLines/n-c.settings.HeadLines,
+		max(maxMeanLines, linesPerFilledServer*c.usableServers/n))
+	if c.settings.MinConns > 0 {
+		mean = min(mean, connShare*c.settings.MinConns*c.usableServers/n)
+	}
+	return max(minLines, mean*(1+3*p.typicalRate*c.joinedProxies/c.typicalRate)/4)
 }
 
-// deal gives each proxy its part of the fleet: its own zone first, others only for what spills. It starts
-// from the tables as they are, so that few lines change when servers come and go; each new line is for the
-// server held least for its target. Few servers in a zone are all held, but by proxies with little traffic.
-func (c *Controller) deal() {
+// dealTables gives each proxy its part of the fleet: its own zone first, others only for what spills. It
+// starts from the tables as they are, so that few lines change when servers come and go; each new line is for
+// the server held least for its target. Few servers in a zone are all held, but by proxies with little
+// traffic.
+func (c *Controller) dealTables() {
 	for _, s := range c.servers {
-		s.held, s.seen = 0, nil
+		s.assignedRate, s.dealtTo = 0, nil
 	}
-	c.lines = 0
 	for _, p := range c.proxies {
-		p.have = 0
-		for i := range p.lines {
-			if l := &p.lines[i]; !l.s.inTables || l.s.Zone != p.zone && c.zones[p.zone].over == 0 {
-				l.want = 0
-			} else if l.want > 0 {
-				p.have++
-			}
+		c.dropUnwantedLines(p)
+	}
+	c.rankServers()
+	c.totalLines = 0
+	for _, p := range c.proxies {
+		if !p.joined {
+			continue
 		}
-		p.lines = slices.DeleteFunc(p.lines, func(l line) bool { return l.want == 0 && l.sent == 0 })
-		for _, l := range p.lines {
-			if l.want > 0 && p.joined {
-				l.s.held += p.usual / p.have
-			}
+		size, far := c.tableSize(p), 0.0
+		if spill := c.zones[p.zone].spillShare; spill > 0 {
+			far = max(1, math.Round(size*spill))
+		}
+		c.fill(p, p.isHome, size-far)
+		c.fill(p, p.isAway, far)
+		c.totalLines += p.wantedLines
+	}
+	c.dealToStarved()
+}
+
+// dropUnwantedLines takes lines out of a proxy's table whose servers may hold none, or that lie in other
+// zones while nothing spills, and counts what the others bring their servers.
+func (c *Controller) dropUnwantedLines(p *proxy) {
+	p.wantedLines = 0
+	for i := range p.lines {
+		l := &p.lines[i]
+		if !l.server.inTables || l.server.Zone != p.zone && c.zones[p.zone].spillShare == 0 {
+			l.wanted = 0
+		} else if l.wanted > 0 {
+			p.wantedLines++
 		}
 	}
+	p.lines = slices.DeleteFunc(p.lines, func(l line) bool { return l.wanted == 0 && l.sent == 0 })
+	if !p.joined {
+		return
+	}
+	for _, l := range p.lines {
+		if l.wanted > 0 {
+			l.server.assignedRate += p.typicalRate / p.wantedLines
+		}
+	}
+}
+
+// rankServers orders the servers of each zone by how little they are held for their target.
+func (c *Controller) rankServers() {
 	for z := range c.zones {
-		c.zones[z].servers.begin(heldLess)
+		c.zones[z].servers.begin(lessAssigned)
 	}
 	for _, s := range c.servers {
-		if s.target > 0 {
+		if s.targetRate > 0 {
 			c.zones[s.Zone].servers.add(s)
 		}
 	}
-	for _, p := range c.proxies {
-		if p.joined {
-			size, far := c.size(p), 0.0
-			if over := c.zones[p.zone].over; over > 0 {
-				far = max(1, math.Round(size*over))
-			}
-			c.fill(p, true, size-far)
-			c.fill(p, false, far)
-			c.lines += p.have
-		}
-	}
-	c.spread()
 }
 
-// heldLess orders servers by how little they are held for their target.
-func heldLess(a, b *server) bool {
-	if x, y := a.held*b.target, b.held*a.target; x != y {
+// lessAssigned orders servers by how little they are held for their target.
+func lessAssigned(a, b *server) bool {
+	if x, y := a.assignedRate*b.targetRate, b.assignedRate*a.targetRate; x != y {
 		return x < y
 	}
 	return a.ID < b.ID
@@ -137,18 +196,18 @@
 
 // busier orders proxies by the traffic of a line.
 func busier(a, b *proxy) bool {
-	if x, y := a.usual*b.have, b.usual*a.have; x != y {
+	if x, y := a.typicalRate*b.wantedLines, b.typicalRate*a.wantedLines; x != y {
 		return x > y
 	}
 	return a.id < b.id
 }
 
-// spread deals servers that are held for too little once more, each to the busiest proxy of its zone:
+// dealToStarved deals servers that are held for too little once more, each to the busiest proxy of its zone:
 // newcomers, and those whose proxies left.
-func (c *Controller) spread() {
+func (c *Controller) dealToStarved() {
 	byZone := map[int]*ranked[*proxy]{} // few looks need any
 	for _, s := range c.servers {
-		if s.held >= starved*s.target {
+		if s.assignedRate >= starvedShare*s.targetRate {
 			continue
 		}
 		r := byZone[s.Zone]
@@ -162,35 +221,31 @@
 			byZone[s.Zone] = r
 		}
 		if best, found := r.first(func(p *proxy) bool { return p.knows(s) }); found {
-			best.take(s)
+			best.addLine(s)
 			r.moved()
 		}
 		r.restore()
 	}
 }
 
-// fill deals a proxy servers of its own zone, or of others, until its table holds enough of them.
-func (c *Controller) fill(p *proxy, home bool, lines float64) {
+// isHome and isAway tell the proxy's own zone from others.
+func (p *proxy) isHome(zone int) bool { return zone == p.zone }
+func (p *proxy) isAway(zone int) bool { return zone != p.zone }
+
+// fill deals a proxy servers of eligible zones until its table holds enough of them.
+func (c *Controller) fill(p *proxy, eligible func(zone int) bool, lines float64) {
 	for _, l := range p.lines {
-		if l.s.seen = p; l.want > 0 && (l.s.Zone == p.zone) == home {
+		l.server.dealtTo = p
+		if l.wanted > 0 && eligible(l.server.Zone) {
 			lines--
 		}
 	}
 	for ; lines > 0; lines-- {
-		var best *server
-		for z := range c.zones {
-			if (z != p.zone) == home {
-				continue
-			}
-			s, found := c.zones[z].servers.first(func(s *server) bool { return s.seen == p })
-			if found && (best == nil || heldLess(s, best)) {
-				best = s
-			}
-		}
+		best := c.leastAssigned(p, eligible)
 		if best == nil {
 			break
 		}
-		p.take(best)
+		p.addLine(best)
 		c.zones[best.Zone].servers.moved()
 	}
 	for z := range c.zones {
@@ -198,60 +253,89 @@
 	}
 }
 
-// take gives a proxy a line for a server; its weight comes with weigh.
-func (p *proxy) take(s *server) {
-	p.have++
-	s.seen, s.held = p, s.held+p.usual/p.have
-	p.lines = append(p.lines, line{s: s, want: 1})
+// leastAssigned is the server of the eligible zones that is held least for its target and that the proxy's table
+// lacks; nil: there is none.
+func (c *Controller) leastAssigned(p *proxy, eligible func(zone int) bool) (best *server) {
+	for z := range c.zones {
+		if !eligible(z) {
+			continue
+		}
+		s, found := c.zones[z].servers.first(func(s *server) bool { return s.dealtTo == p })
+		if found && (best == nil || lessAssigned(s, best)) {
+			best = s
+		}
+	}
+	return best
+}
+
+// addLine gives a proxy a line for a server; its weight comes with computeWeights.
+func (p *proxy) addLine(s *server) {
+	p.wantedLines++
+	s.dealtTo, s.assignedRate = p, s.assignedRate+p.typicalRate/p.wantedLines
+	p.lines = append(p.lines, line{server: s, wanted: 1})
 }
 
 // moved says whether a line differs from what the proxy was sent by enough to be worth an order.
-func (l line) moved() bool { return math.Abs(l.want-l.sent) > minMove*l.sent }
+func (l line) moved() bool { return math.Abs(l.wanted-l.sent) > minMove*l.sent }
 
-// weigh sets the weights of all lines: a server's share, corrected for how it is held, so that the traffic it
-// gets from all our tables follows its share although each table holds only a part of the fleet.
-func (c *Controller) weigh() {
+// computeWeights sets the weights of all lines: a server's share, corrected for how it is held, so that the
+// traffic it gets from all our tables follows its share although each table holds only a part of the fleet.
+func (c *Controller) computeWeights() {
 	for range fitSteps {
-		for _, s := range c.servers {
-			s.held = 0
-		}
-		for _, p := range c.proxies {
-			sum := p.weigh(1)
-			for _, l := range p.lines {
-				if p.joined {
-					l.s.held += (p.usual + 1e-3) * l.want / sum
-				}
-			}
-		}
-		for _, s := range c.servers {
-			if s.held > 0 {
-				s.fitted = max(1/maxFit, min(maxFit, s.fitted*math.Sqrt(s.target/s.held)))
-			}
-		}
+		c.fitCorrections()
 	}
 	for _, p := range c.proxies {
-		sum, works := p.weigh(c.usable), false
-		p.urgent, p.need = !p.bound, 0
+		c.computeUrgency(p, p.setWeights(c.usableServers))
+	}
+}
+
+// fitCorrections is one step of fitting the weights to the tables.
+func (c *Controller) fitCorrections() {
+	for _, s := range c.servers {
+		s.assignedRate = 0
+	}
+	for _, p := range c.proxies {
+		sum := p.setWeights(1)
+		if !p.joined {
+			continue
+		}
 		for _, l := range p.lines {
-			works = works || l.want > 0 && l.sent > 0
-			p.urgent = p.urgent || l.sent > 0 && !l.s.inTables
-			if l.moved() {
-				p.need += math.Abs(l.want-l.sent) / sum * p.usual
-			}
+			l.server.assignedRate += (p.typicalRate + tinyRate) * l.wanted / sum
 		}
-		if p.urgent = p.urgent || !works && p.have > 0; p.urgent {
-			p.need += c.usual // first
+	}
+	for _, s := range c.servers {
+		if s.assignedRate > 0 {
+			fitted := s.correction * math.Sqrt(s.targetRate/s.assignedRate)
+			s.correction = max(1/maxCorrection, min(maxCorrection, fitted))
 		}
 	}
 }
 
-// weigh sets the weights of a proxy's lines, in which a mean server has the given weight, and sums them up.
-func (p *proxy) weigh(mean float64) (sum float64) {
+// computeUrgency says whether a proxy's table can wait, and how much of its traffic goes elsewhere than
+// wanted. A table is urgent if it is not the proxy's yet, has a line that must go, or none that works.
+func (c *Controller) computeUrgency(p *proxy, sum float64) {
+	works := false
+	p.urgent, p.misroutedRate = !p.bound, 0
+	for _, l := range p.lines {
+		works = works || l.wanted > 0 && l.sent > 0
+		p.urgent = p.urgent || l.sent > 0 && !l.server.inTables
+		if l.moved() {
+			p.misroutedRate += math.Abs(l.wanted-l.sent) / sum * p.typicalRate
+		}
+	}
+	if p.urgent = p.urgent || !works && p.wantedLines > 0; p.urgent {
+		p.misroutedRate += c.typicalRate // first
+	}
+}
+
+// setWeights sets the weights of a proxy's lines, in which a mean server has the given weight, and sums them
+// up.
+func (p *proxy) setWeights(mean float64) (sum float64) {
 	for i := range p.lines {
-		if l := &p.lines[i]; l.want > 0 {
-			l.want = max(1e-9, l.s.share*l.s.fitted*mean)
-			sum += l.want
+		if l := &p.lines[i]; l.wanted > 0 {
+			l.wanted = max(tinyShare, l.server.share*l.server.correction*mean)
+			sum += l.wanted
 		}
 	}
-	return max(1e-9, sum)
+	return max(tinyShare, sum)
 }
--- a/rules/estimates.go
+++ b/rules/estimates.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-func (c *Controller) heard(e Heard) {
-	s := c.server[e.Server]
+func (c *Controller) handleReport(e Heard) {
+	s := c.serverByID[e.Server]
 	if s == nil || e.Zone >= len(s.zones) || e.Tries <= 0 {
 		return
 	}
@@ -24,27 +24,27 @@
 	}
 	s.lastHeard = c.now
 	if answered > 0 {
-		s.dry = 0
+		s.unanswered = 0
 		return
 	}
-	if s.dry == 0 {
-		s.drySince = c.now - e.Period
+	if s.unanswered == 0 {
+		s.unansweredSince = c.now - e.Period
 	}
-	s.dry += e.Tries
+	s.unanswered += e.Tries
 }
 
-// demand counts a report for as much as the time it covers: late ones cover many periods.
-func (c *Controller) demand(e Demand) {
-	p := c.proxy[e.Proxy]
+// handleDemand counts a report for as much as the time it covers: late ones cover many periods.
+func (c *Controller) handleDemand(e Demand) {
+	p := c.proxyByID[e.Proxy]
 	if p == nil || e.Class >= len(p.demand) || e.Period <= 0 {
 		return
 	}
-	p.told[e.Class] = c.now
+	p.reportedAt[e.Class] = c.now
 	p.demand[e.Class] += (1 - math.Exp(-e.Period/demandTime)) * (e.Requests/e.Period*1000 - p.demand[e.Class])
 	step := (1 - math.Exp(-e.Period/typicalTime)) / float64(len(p.demand))
-	p.usual *= 1 - step
+	p.typicalRate *= 1 - step
 	for _, d := range p.demand {
-		p.usual += step * d
+		p.typicalRate += step * d
 	}
 }
 
--- a/rules/round.go
+++ b/rules/round.go
@@ -5,60 +5,82 @@
 import "math"
 
 // usable says whether a server may hold a line.
-func (s *server) usable() bool { return s.State == Ready && !s.doubted && !s.kept }
+func (s *server) usable() bool { return s.State == Ready && !s.suspected && !s.heldBack }
+
+// fleetMeans are what a round compares a server with: sums over the servers that hold lines, and their
+// numbers.
+type fleetMeans struct {
+	inTables, heard    float64 // servers in our tables, and those of them that were heard lately
+	speeds, withSpeed  float64
+	rates, withReports float64 // success rates
+}
 
 // runRound is one step of the feedback loop, when enough of the fleet was heard.
 func (c *Controller) runRound() {
 	c.nextRound = c.now + roundTime
-	var ready, fresh, speeds, rates, n, m float64
+	fleet := c.fleetMeans()
+	if fleet.heard == 0 || fleet.heard < coverage*fleet.inTables {
+		c.log("round waits: %v of %v servers heard", fleet.heard, fleet.inTables)
+		return
+	}
+	for _, s := range c.servers {
+		if s.usable() {
+			s.updateFactor(fleet.errorOf(s))
+		}
+		s.round = tally{}
+		clear(s.zones)
+	}
+}
+
+// fleetMeans sums up the round. Only servers in our tables can be heard: were all of them to be, a round
+// would never begin where a planner serves one zone.
+func (c *Controller) fleetMeans() (fleet fleetMeans) {
 	for _, s := range c.servers {
 		if !s.usable() {
 			continue
 		}
-		if s.held > 0 { // only those in our tables can be heard: a gate over all would never open in one zone
-			ready++
+		if s.assignedRate > 0 {
+			fleet.inTables++
 			if s.lastHeard > 0 && c.now-s.lastHeard <= heardFor {
-				fresh++
+				fleet.heard++
 			}
 		}
 		if s.round.tries > 0 {
-			rates, m = rates+s.round.rate(), m+1
+			fleet.rates += s.round.rate()
+			fleet.withReports++
 		}
-		if s.speed() > 0 {
-			speeds, n = speeds+s.speed(), n+1
+		if speed := s.speed(); speed > 0 {
+			fleet.speeds += speed
+			fleet.withSpeed++
 		}
 	}
-	if fresh == 0 || fresh < coverage*ready {
-		c.log("round waits: %v of %v servers heard", fresh, ready)
-		return
+	return fleet
+}
+
+// errorOf is how much faster than the mean a server is, as a share; unheard servers count as average. The
+// failure clamp: no server's error is over that of its success rate, where it is below the mean.
+func (f fleetMeans) errorOf(s *server) float64 {
+	e := 0.0
+	if speed := s.speed(); speed > 0 {
+		e = speed*f.withSpeed/f.speeds - 1
 	}
-	for _, s := range c.servers {
-		if s.usable() {
-			e := 0.0 // unheard servers count as average
-			if s.speed() > 0 {
-				e = s.speed()*n/speeds - 1
-			}
-			if s.round.tries > 0 && rates > 0 && s.round.rate()*m < rates { // the failure clamp
-				e = min(e, s.round.rate()*m/rates-1)
-			}
-			s.learn(e)
-		}
-		s.round = tally{}
-		clear(s.zones)
+	if s.round.tries > 0 && f.rates > 0 && s.round.rate()*f.withReports < f.rates {
+		e = min(e, s.round.rate()*f.withReports/f.rates-1)
 	}
+	return e
 }
 
-// learn takes the error of one round into the factor.
-func (s *server) learn(e float64) {
-	s.errors = append(s.errors, e)
-	s.errors = s.errors[max(0, len(s.errors)-errorsKept):]
+// updateFactor takes the error of one round into the factor.
+func (s *server) updateFactor(e float64) {
+	s.recentErrors = append(s.recentErrors, e)
+	s.recentErrors = s.recentErrors[max(0, len(s.recentErrors)-errorsKept):]
 	mean := 0.0
-	for _, x := range s.errors {
-		mean += x / float64(len(s.errors))
+	for _, x := range s.recentErrors {
+		mean += x / float64(len(s.recentErrors))
 	}
 	if math.Abs(mean) > deadBand {
-		s.sum = max(-sumCap, min(sumCap, s.sum*(1-tDecay/tI)+mean))
-		s.factor += approach * (max(factorLow, min(factorHigh, 1+kP*mean+kP/tI*s.sum)) - s.factor)
+		s.errorSum = max(-sumCap, min(sumCap, s.errorSum*(1-tDecay/tI)+mean))
+		s.factor += approach * (max(factorLow, min(factorHigh, 1+kP*mean+kP/tI*s.errorSum)) - s.factor)
 	}
 }
 
@@ -76,18 +98,20 @@
 	return mean
 }
 
-// present is the share of its capacity that a server has at least, by its last start.
-func (c *Controller) present(s *server) float64 {
-	if s.StartedAt == 0 || c.now-s.StartedAt >= c.set.WarmupTime {
+// warmCapacity is the share of its capacity that a server has at least, by its last start.
+func (c *Controller) warmCapacity(s *server) float64 {
+	if s.StartedAt == 0 || c.now-s.StartedAt >= c.settings.WarmupTime {
 		return 1
 	}
-	return c.set.StartCapacity + (1-c.set.StartCapacity)*max(0, c.now-s.StartedAt)/c.set.WarmupTime
+	return c.settings.StartCapacity + (1-c.settings.StartCapacity)*max(0,
+		c.now-s.StartedAt)/c.settings.WarmupTime
 }
 
-// weight is a server's listed weight times its factor; a started or returned server begins at a share.
-func (c *Controller) weight(s *server) float64 {
+// factoredWeight is a server's listed weight times its factor; a started or returned server begins at a
+// share.
+func (c *Controller) factoredWeight(s *server) float64 {
 	factor := s.factor
-	if now := c.present(s); now < 1 {
+	if now := c.warmCapacity(s); now < 1 {
 		factor = min(factor, max(startShare, now))
 	}
 	if back := c.now - s.returnedAt; s.returnedAt > 0 && back < returnTime {
@@ -96,46 +120,69 @@
 	return s.Weight * factor
 }
 
-// shares fixes each server's part of all traffic. Cold budget: guards the rule that a started server is never
-// pushed over. Its share stays under what it can do if the whole fleet ran full, so planners need not agree.
-// Last line: no proxy is left without a server; if none is usable, all ready ones count, doubted or not.
-func (c *Controller) shares() {
-	var ready, usable, total, warm, cold float64 // servers; weight of all and the warm, share of the cold
-	c.listed, c.usable, c.fit = 0, 0, 1
+// computeShares fixes each server's part of all traffic. Cold budget: guards the rule that a started server
+// is never pushed over. Its share stays under what it can do if the whole fleet ran full, so planners need
+// not agree. Last line: no proxy is left without a server; if none is usable, all ready ones count, suspected
+// or not.
+func (c *Controller) computeShares() {
+	ready, usable := c.countReady()
+	total, warm := c.shareByWeight(usable == 0)
+	cold := c.limitColdShares(total, ready)
+	c.coldCapacity = 1
+	if warm == 0 && total > 0 {
+		c.coldCapacity = max(minColdCapacity, cold)
+	}
+	for _, s := range c.servers {
+		if c.warmCapacity(s) == 1 && warm > 0 {
+			s.share *= (1 - cold) / warm
+		} else {
+			s.share /= c.coldCapacity
+		}
+	}
+}
+
+// countReady counts the ready and the usable servers, and sums up the weight that is listed ready.
+func (c *Controller) countReady() (ready, usable float64) {
+	c.listedWeight = 0
 	for _, s := range c.servers {
 		if s.State == Ready {
 			ready++
-			c.listed += s.Weight * max(startShare, c.present(s))
+			c.listedWeight += s.Weight * max(startShare, c.warmCapacity(s))
 		}
 		if s.usable() {
 			usable++
 		}
 	}
+	return ready, usable
+}
+
+// shareByWeight gives the servers that may hold lines their weight as a share for now, and sums them up: all
+// of them, and the warm ones. All ready servers may hold lines if none is usable.
+func (c *Controller) shareByWeight(noneUsable bool) (total, warm float64) {
+	c.usableServers = 0
 	for _, s := range c.servers {
 		s.share = 0
-		if s.inTables = s.usable() || usable == 0 && s.State == Ready; s.inTables {
-			s.share = c.weight(s)
-			total += s.share
-			c.usable++
-			if c.present(s) == 1 {
-				warm += s.share
-			}
+		s.inTables = s.usable() || noneUsable && s.State == Ready
+		if !s.inTables {
+			continue
 		}
-	}
-	for _, s := range c.servers {
-		if now := c.present(s); s.inTables && now < 1 {
-			s.share = min(s.share/max(1e-9, total), warmupSafety*c.set.FallMultiple*now/ready)
-			cold += s.share
+		s.share = c.factoredWeight(s)
+		total += s.share
+		c.usableServers++
+		if c.warmCapacity(s) == 1 {
+			warm += s.share
 		}
 	}
-	if warm == 0 && total > 0 {
-		c.fit = max(minFit, cold)
-	}
+	return total, warm
+}
+
+// limitColdShares holds the shares of cold servers to their budget, and sums them up.
+func (c *Controller) limitColdShares(total, ready float64) (cold float64) {
 	for _, s := range c.servers {
-		if c.present(s) == 1 && warm > 0 {
-			s.share *= (1 - cold) / warm
-		} else {
-			s.share /= c.fit
+		if now := c.warmCapacity(s); s.inTables && now < 1 {
+			s.share = min(s.share/max(1e-9, total), warmupSafety*c.settings.FallMultiple*now/ready)
+			cold += s.share
 		}
 	}
+	return cold
 }
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -27,23 +27,23 @@
 	coverage   = 0.6     // share of the usable servers that must have been heard
 	heardFor   = 60000.0 // how long a report of a server counts for that
 
-	minFit         = 0.05   // of the demand is let in even if all servers are cold
-	startShare     = 0.25   // of its weight that a started server gets at once
-	warmupSafety   = 0.6    // of the cold budget that we plan to use
-	zoneSlack      = 0.15   // a zone may take this much over its even share before it spills to others
-	demandTime     = 1500.0 // time over which the demand of a class at a proxy is averaged
-	silenceTimeout = 2.0    // report periods without a report of a class, from which on its demand fades
-	typicalTime    = 4000.0 // and the usual rate of a proxy
+	minColdCapacity = 0.05   // of the demand is let in even if all servers are cold
+	startShare      = 0.25   // of its weight that a started server gets at once
+	warmupSafety    = 0.6    // of the cold budget that we plan to use
+	zoneSlack       = 0.15   // a zone may take this much over its even share before it spills to others
+	demandTime      = 1500.0 // time over which the demand of a class at a proxy is averaged
+	silenceTimeout  = 2.0    // report periods without a report of a class, from which on its demand fades
+	typicalTime     = 4000.0 // and the usual rate of a proxy
 
-	decideTime   = 100.0   // between two looks at everything
-	dryTries     = 6.0     // tries in a row without one answer that cast doubt on a server
-	dryLatency   = 3.0     // and for at least this many mean answer times
-	maxDoubt     = 0.4     // share of the ready servers that doubt may keep out
-	minHold      = 3000.0  // a doubted server stays out at least this long; doubled each time it relapses
-	maxHold      = 24000.0 // at most
-	returnTime   = 10000   // from its end until a doubted server has its whole weight again
-	probeBackoff = 1000.0  // between two probes of a doubted server
-	probesAlive  = 2       // answers in a row that end a doubt
+	decideTime       = 100.0   // between two looks at everything
+	suspectTries     = 6.0     // tries in a row without one answer that cast doubt on a server
+	suspectLatencies = 3.0     // and for at least this many mean answer times
+	maxSuspected     = 0.4     // share of the ready servers that doubt may keep out
+	minSuspicion     = 3000.0  // a doubted server stays out at least this long; doubled each time it relapses
+	maxSuspicion     = 24000.0 // at most
+	returnTime       = 10000   // from its end until a doubted server has its whole weight again
+	probeBackoff     = 1000.0  // between two probes of a doubted server
+	probesToReturn   = 2       // answers in a row that end a doubt
 
 	collapse           = 1.6    // pressure over which cold servers are kept out
 	avoidTries         = 3.0    // at one server, that fail in a row: from then on a proxy may avoid it
@@ -53,35 +53,38 @@
 	idleLooks          = 3      // decisions in a row that tell the idle response time
 	filledEnough       = 0.9    // of that average before it tells the idle answer time
 	fleetTime          = 1000   // time over which the fleet's answers are averaged
-	ableDecay          = 0.98   // what is left after a step of the most that the fleet answered
+	throughputDecay    = 0.98   // what is left after a step of the most that the fleet answered
 	sheddingFrom       = 0.8    // pressure from which work is held against what the fleet can do
 	capacitySlope      = 0.5    // of what the fleet can do that is refused for each point of pressure over 1
 	minCapacity        = 0.5    // of it that is let in at any pressure
-	limitGrow          = 1.06   // of the limit at each step without pressure
+	limitGrowth        = 1.06   // of the limit at each step without pressure
 	maxShedding        = 0.9    // of the work may be refused
 	sheddingStep       = 1000.0 // between two looks at the pressure
 	unlimited          = 1e6    // a rate that never binds
 	rateHeadroom       = 0.5    // square roots of a proxy's rate that are let in over it
 
-	connShare   = 0.25 // of the connections that a small server takes: what all tables together may open
-	tableShare  = 0.5  // of the channel's queue: what one table for every proxy may take
-	minLines    = 4    // of any table
-	linesMany   = 8    // of a mean one, at most, or
-	linesUseful = 4    // for each server that its traffic fills
-	starved     = 0.4  // of its part of the traffic: a server held for less than that is dealt once more
-	fitSteps    = 3    // of fitting the weights to the tables, each look
-	maxFit      = 5.0  // largest correction of a weight for how the server is held, up or down
+	// of the connections that a small server takes: what all tables together may open
+	connShare            = 0.25
+	tableShare           = 0.5 // of the channel's queue: what one table for every proxy may take
+	minLines             = 4   // of any table
+	maxMeanLines         = 8   // of a mean one, at most, or
+	linesPerFilledServer = 4   // for each server that its traffic fills
+	// of its part of the traffic: a server held for less than that is dealt once more
+	starvedShare  = 0.4
+	fitSteps      = 3   // of fitting the weights to the tables, each look
+	maxCorrection = 5.0 // largest correction of a weight for how the server is held, up or down
 
-	ackWait       = 2000.0 // a message's answers are waited for this long
-	messageGap    = 500.0  // between two ordinary messages to one proxy
-	urgentGap     = 250.0  // between two urgent ones
-	minMove       = 0.1    // relative change of a line that is worth an order
-	minLevel      = 0.05   // relative change of a level that is worth an order
-	paceSure      = 0.5    // of its usual pace that the channel is trusted to keep while nobody answers
-	orderLag      = 1000.0 // that ordinary orders may be on their way: what waits here can still change
-	maxOwed       = 16     // messages of a proxy whose answers are looked for
-	ordinaryPace  = 0.1    // of that pace that ordinary orders may use in the long run
-	maxDebt       = 500.0  // of its time that they owe at most: newcomers would wait for all that was urgent
+	ackTimeout        = 2000.0 // a message's answers are waited for this long
+	messageGap        = 500.0  // between two ordinary messages to one proxy
+	urgentGap         = 250.0  // between two urgent ones
+	minMove           = 0.1    // relative change of a line that is worth an order
+	minLevel          = 0.05   // relative change of a level that is worth an order
+	unackedPace       = 0.5    // of its usual pace that the channel is trusted to keep while nobody answers
+	orderLag          = 1000.0 // that ordinary orders may be on their way: what waits here can still change
+	maxUnacknowledged = 16     // messages of a proxy whose answers are looked for
+	ordinaryPace      = 0.1    // of that pace that ordinary orders may use in the long run
+	// of its time that they owe at most: newcomers would wait for all that was urgent
+	maxDebt       = 500.0
 	ordinaryShare = 0.4    // of the channel's limits that ordinary orders may fill
 	urgentShare   = 0.8    // and urgent ones
 	resendAfter   = 8000.0 // when discovery does not answer at all
@@ -96,63 +99,77 @@
 
 // Step takes what happened at now and returns what to do. Events only add up between two looks.
 func (c *Controller) Step(now float64, events []Event) []Action {
-	c.now, c.out = now, nil
+	c.now, c.actions = now, nil
 	if c.nextRound == 0 { // the first turn
-		c.drained, c.lastShedding, c.nextRound = now, now, now+roundTime
+		c.queueUpdatedAt, c.lastShedding, c.nextRound = now, now, now+roundTime
 	}
-	for _, e := range events {
-		switch e := e.(type) {
-		case List:
-			c.list(e)
-		case Probed:
-			if s := c.server[e.Server]; s != nil && (e.OK || e.Refused) {
-				s.alive++
-			} else if s != nil {
-				s.alive = 0
-			}
-		case Joined:
-			c.join(e)
-		case Left:
-			if p := c.proxy[e.Proxy]; p != nil {
-				p.joined = false
-			}
-		case Ack:
-			c.answered(e)
-		case Heard:
-			c.heard(e)
-		case Part:
-			c.part = e
-		case Forgotten:
-			c.forget(e.Server)
-		case Demand:
-			c.demand(e)
-		}
+	for _, event := range events {
+		c.handle(event)
 	}
 	if now < c.nextDecision {
 		return nil
 	}
 	c.nextDecision = now + decideTime
-	c.out = append(c.out, Timer{Delay: decideTime})
-	if c.set.QueryDiscovery && !c.watching && now >= c.askAt { // discovery that speaks only when asked
-		c.askAt = now + resendAfter
-		c.out = append(c.out, Watch{})
+	c.actions = append(c.actions, Timer{Delay: decideTime})
+	if c.settings.QueryDiscovery && !c.watching && now >= c.queryAt { // discovery that speaks only when asked
+		c.queryAt = now + resendAfter
+		c.actions = append(c.actions, Watch{})
 	}
-	c.health()
+	c.checkHealth()
 	if now >= c.nextRound {
 		c.runRound()
 	}
-	if now-c.lastShedding >= max(sheddingStep, c.set.ReportPeriod) { // so that each look has a whole report
-		c.admission(now - c.lastShedding)
+	// so that each look has a whole report
+	if now-c.lastShedding >= max(sheddingStep, c.settings.ReportPeriod) {
+		c.updateAdmission(now - c.lastShedding)
 		c.lastShedding = now
 	}
 	c.publish()
-	return c.out
+	return c.actions
+}
+
+// handle takes one event. It decides nothing.
+func (c *Controller) handle(event Event) {
+	switch e := event.(type) {
+	case List:
+		c.handleList(e)
+	case Probed:
+		c.handleProbed(e)
+	case Joined:
+		c.handleJoined(e)
+	case Left:
+		if p := c.proxyByID[e.Proxy]; p != nil {
+			p.joined = false
+		}
+	case Ack:
+		c.handleAck(e)
+	case Heard:
+		c.handleReport(e)
+	case Part:
+		c.otherParts = e
+	case Forgotten:
+		c.handleForgotten(e.Server)
+	case Demand:
+		c.handleDemand(e)
+	}
+}
+
+// handleProbed counts the probes that a server answered in a row. One that refuses a connection is alive too.
+func (c *Controller) handleProbed(e Probed) {
+	s := c.serverByID[e.Server]
+	switch {
+	case s == nil:
+	case e.OK || e.Refused:
+		s.probesAnswered++
+	default:
+		s.probesAnswered = 0
+	}
 }
 
-// list follows discovery. A server missing from a whole list is gone.
-func (c *Controller) list(e List) {
+// handleList follows discovery. A server missing from a whole list is gone.
+func (c *Controller) handleList(e List) {
 	if e.Kind == ListFailed {
-		c.watching, c.askAt = false, c.now+resendPause*(1+c.rng.Float64())
+		c.watching, c.queryAt = false, c.now+resendPause*(1+c.rng.Float64())
 		return
 	}
 	if e.Kind != ListCached {
@@ -162,29 +179,30 @@
 	for _, entry := range e.Servers {
 		listed[entry.ID] = true
 		entry.Zone = min(entry.Zone, len(c.zones)-1)
-		s := c.server[entry.ID]
+		s := c.serverByID[entry.ID]
 		if s == nil {
-			s = &server{Server: entry, factor: 1, fitted: 1, hold: minHold}
+			s = &server{Server: entry, factor: 1, correction: 1, nextSuspicion: minSuspicion}
 			s.zones = make([]tally, len(c.zones))
-			c.server[entry.ID], c.servers = s, append(c.servers, s)
+			c.serverByID[entry.ID], c.servers = s, append(c.servers, s)
 		}
-		s.follow(entry, c.set.DrainOnly)
+		s.applyListing(entry, c.settings.DrainOnly)
 	}
 	slices.SortFunc(c.servers, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
 	for _, s := range c.servers {
 		if gone := s.Server; !listed[s.ID] && (e.Kind == ListFull || e.Kind == ListCached) {
 			gone.State = Removed
-			s.follow(gone, c.set.DrainOnly)
+			s.applyListing(gone, c.settings.DrainOnly)
 		}
 	}
 }
 
-// follow takes what the list says of a server. Where only draining binds, a ready server that the list drops
-// stays in use while it answers: guards against a list that is wrong or behind. A dead one falls into doubt.
-func (s *server) follow(e Server, drainOnly bool) {
+// applyListing takes what the list says of a server. Where only draining binds, a ready server that the list
+// drops stays in use while it answers: guards against a list that is wrong or behind. A dead one falls into
+// doubt.
+func (s *server) applyListing(e Server, drainOnly bool) {
 	if e.StartedAt > s.StartedAt {
 		// A new process: what was held against the old one, and its stale sum, no longer counts.
-		s.errors, s.sum, s.factor, s.dry, s.doubted = nil, 0, 1, 0, false
+		s.recentErrors, s.errorSum, s.factor, s.unanswered, s.suspected = nil, 0, 1, 0, false
 	}
 	if s.unlisted = drainOnly && e.State == Removed && s.State == Ready; s.unlisted {
 		e.State = Ready
