--- a/rules/dealing.go
+++ b/rules/dealing.go
@@ -253,8 +253,8 @@
 	}
 }
 
-// leastAssigned is the server of the eligible zones that is held least for its target and that the proxy's table
-// lacks; nil: there is none.
+// leastAssigned is the server of the eligible zones that is held least for its target and that is not in the
+// proxy's table; nil: there is none.
 func (c *Controller) leastAssigned(p *proxy, eligible func(zone int) bool) (best *server) {
 	for z := range c.zones {
 		if !eligible(z) {
