--- a/internal/edge/attempt/page_test.go
+++ b/internal/edge/attempt/page_test.go
@@ -19,11 +19,11 @@
 	var table strings.Builder
 	for _, c := range attempt.Causes() {
 		row := c.Consequence()
-		tell := [...]string{"503, a promise", "the answer", "502", "504", "a break"}[row.Disposition]
-		again := [...]string{"never", "if safe", "always"}[row.Retry]
-		kept := map[bool]string{true: "kept", false: "closed"}[row.ReuseConn]
-		claim := [...]string{"left", "withdrawn", "finished"}[row.Claim]
-		fmt.Fprintf(&table, "| `%s` | %s | %s | %s | %s | %s |\n", c, row.Outcome, tell, again, kept, claim)
+		tell := [...]string{"503, safe refusal", "the response", "502", "504", "connection aborted"}[row.Disposition]
+		retry := [...]string{"never", "if safe", "always"}[row.Retry]
+		connection := map[bool]string{true: "reused", false: "closed"}[row.ReuseConn]
+		claim := [...]string{"kept", "revoked", "completed"}[row.Claim]
+		fmt.Fprintf(&table, "| `%s` | %s | %s | %s | %s | %s |\n", c, row.Outcome, tell, retry, connection, claim)
 	}
 	if !strings.Contains(string(page), table.String()) {
 		t.Errorf("docs/attempts.md should show:\n%s", table.String())
