--- a/internal/simulation/bookings.go
+++ b/internal/simulation/bookings.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -36,7 +37,7 @@
 	bookedFrom       = 10 * time.Second // its room opens five seconds before
 	herdFrom         = 8 * time.Second
 	herdTo           = 20 * time.Second
-	measured         = 9 * time.Second // from a second after the crowd came
+	measuredFrom     = 9 * time.Second // from a second after the crowd came
 	maxRetries       = 3               // times that others repeat
 	allocateInterval = 250 * time.Millisecond
 	aheadBy          = 2 * time.Hour // of the first controller's clock
@@ -55,38 +56,38 @@
 	return d
 }
 
-// nodeReservations is a controller's part of booked slots.
-type nodeReservations struct {
-	clock  *reservation.Clock
-	dealer *reservation.Allocator
-	round  uint64
-	asked  time.Duration
-	proven time.Duration
-	next   time.Duration
-	told   []reservation.Reservation
-	term   uint64
-	from   int
+// controllerReservations is a controller's part of booked slots.
+type controllerReservations struct {
+	clock          *reservation.Clock
+	allocator      *reservation.Allocator
+	readIndex      uint64
+	readStarted    time.Duration
+	leaderProvenAt time.Duration
+	nextAllocation time.Duration
+	announced      []reservation.Reservation
+	term           uint64
+	announcedBy    int
 }
 
 // edgeReservations is an edge's.
 type edgeReservations struct {
-	held  reservation.LeaseHolder
-	told  []reservation.Reservation
-	gate  *reservation.AdmissionGate
-	wants map[string]int
-	next  time.Duration
+	leases     reservation.LeaseHolder
+	announced  []reservation.Reservation
+	gate       *reservation.AdmissionGate
+	wanted     map[string]int
+	nextDemand time.Duration
 }
 
-// pass is what a request holds of a gate.
-type pass struct {
-	gate               *reservation.AdmissionGate
-	reservation, under string
-	at                 time.Duration
-	in                 bool
+// admission is what a request holds of a gate.
+type admission struct {
+	gate                    *reservation.AdmissionGate
+	reservation, admittedAs string
+	at                      time.Duration
+	admitted                bool
 }
 
 func (w *cluster) newReservations(n *controller) {
-	n.reservations = nodeReservations{clock: reservation.NewClock(), from: n.n}
+	n.reservations = controllerReservations{clock: reservation.NewClock(), announcedBy: n.n}
 }
 
 // wallOf is a controller's time of day: the first's is hours off.
@@ -108,14 +109,14 @@
 	if !w.running(n.n) || n.replica.Role() != consensus.Leader {
 		return
 	}
-	whole := 0.0
+	capacity := 0.0
 	for _, s := range w.servers {
 		if s.service == w.services[0] && !s.ended {
-			whole += float64(s.capacity)
+			capacity += float64(s.capacity)
 		}
 	}
 	b := reservation.Booking{ID: "busy", Tenant: "tenant", Service: w.services[0], Start: 1e6 + bookedFrom.Seconds(),
-		End: 2e6, Slots: float64(int(whole * busy.Booked)), Owner: "hall"}
+		End: 2e6, Slots: float64(int(capacity * busy.Booked)), Owner: "hall"}
 	data, err := cbor.Marshal(statemachine.Change{Bookings: &reservation.Op{Call: "busy", Base: n.state.Bookings.Version,
 		Puts: []reservation.Booking{b}, Now: n.reservations.clock.Now(w.now)}})
 	if err != nil {
@@ -132,62 +133,81 @@
 	w.processOutput(n)
 }
 
-// allocateReservations is what a controller does for booked slots: as the program does.
+// allocateReservations is what a leader does for booked slots, as the program does: it proves that it leads, says which
+// reservations are held, and gives the edges their leases.
 func (w *cluster) allocateReservations(n *controller) {
 	r := &n.reservations
-	if w.now < r.next || n.replica.Role() != consensus.Leader || n.state.Bookings.Version == 0 {
+	if w.now < r.nextAllocation || n.replica.Role() != consensus.Leader || n.state.Bookings.Version == 0 {
 		return
 	}
-	r.next = w.now + allocateInterval
-	if r.dealer == nil || r.dealer.Term() != n.replica.Term() {
-		r.dealer, r.round, r.proven = reservation.NewAllocator(n.replica.Term(), w.now), 0, 0
-		if w.scenario.PlantedFault == "a new dealer deals at once" {
-			r.dealer = reservation.NewAllocator(n.replica.Term(), -time.Hour)
-		}
+	r.nextAllocation = w.now + allocateInterval
+	if r.allocator == nil || r.allocator.Term() != n.replica.Term() {
+		w.newAllocator(n)
 	}
-	if r.round > 0 && n.replica.ReadConfirmed(r.round) {
-		r.proven = r.asked
+	if r.readIndex > 0 && n.replica.ReadConfirmed(r.readIndex) {
+		r.leaderProvenAt = r.readStarted
 	}
-	r.round, r.asked = n.replica.ReadIndex(w.now), w.now
+	r.readIndex, r.readStarted = n.replica.ReadIndex(w.now), w.now
 	w.processOutput(n)
-	if r.proven == 0 || w.now-r.proven > reservation.LeaderProofTTL {
+	if r.leaderProvenAt == 0 || w.now-r.leaderProvenAt > reservation.LeaderProofTTL {
 		return
 	}
-	carry := map[string]reservation.Capacity{}
-	for _, e := range n.registry.All(w.now) {
-		if e.State == registry.Ready && !e.TimedOut {
-			if carry[e.Service] == nil {
-				carry[e.Service] = reservation.Capacity{}
-			}
-			carry[e.Service][e.Zone] += float64(e.Capacity)
+	w.announceReservations(n)
+	if len(r.announced) == 0 {
+		return
+	}
+	r.allocator.Plan(r.announced, w.now)
+	leases := r.allocator.Allocate(w.now)
+	for i := range w.edges {
+		if lease, ok := leases[linkName(-1-i)]; ok {
+			w.relay(n.n, w.edges[i].controller, i, func(e *edge) { e.reservations.leases.Accept(lease) })
 		}
 	}
-	r.told, r.term, r.from = n.state.Bookings.ReservationsAt(carry, r.clock.Now(w.now)), n.replica.Term(), n.n
-	told, term := r.told, r.term
+}
+
+// newAllocator begins a term. A former leader's leases have to run out before their slots are allocated anew.
+func (w *cluster) newAllocator(n *controller) {
+	began := w.now
+	if w.scenario.PlantedFault == "a new dealer deals at once" {
+		began = -time.Hour
+	}
+	r := &n.reservations
+	r.allocator, r.readIndex, r.leaderProvenAt = reservation.NewAllocator(n.replica.Term(), began), 0, 0
+}
+
+// announceReservations tells all controllers which reservations are held now.
+func (w *cluster) announceReservations(n *controller) {
+	r := &n.reservations
+	r.announced = n.state.Bookings.ReservationsAt(w.readyCapacity(n), r.clock.Now(w.now))
+	r.term, r.announcedBy = n.replica.Term(), n.n
+	announced, term := r.announced, r.term
 	for _, o := range w.controllers {
 		if k := w.linkBetween(n.n, o.n); o != n && k != nil {
 			w.sendOnLink(k, n.n, func() {
 				if term >= o.reservations.term {
-					o.reservations.told, o.reservations.term, o.reservations.from = told, term, n.n
+					o.reservations.announced, o.reservations.term, o.reservations.announcedBy = announced, term, n.n
 				}
 			})
 		}
 	}
-	if len(told) == 0 {
-		return
-	}
-	r.dealer.Plan(told, w.now)
-	leases := r.dealer.Allocate(w.now)
-	for i := range w.edges {
-		lease, ok := leases[linkName(-1-i)]
-		if !ok {
+}
+
+// readyCapacity is the slots of the ready servers that a controller knows, by service and zone.
+func (w *cluster) readyCapacity(n *controller) map[string]reservation.Capacity {
+	capacity := map[string]reservation.Capacity{}
+	for _, e := range n.registry.All(w.now) {
+		if e.State != registry.Ready || e.TimedOut {
 			continue
 		}
-		w.relay(n.n, w.edges[i].controller, i, func(e *edge) { e.reservations.held.Accept(lease) })
+		if capacity[e.Service] == nil {
+			capacity[e.Service] = reservation.Capacity{}
+		}
+		capacity[e.Service][e.Zone] += float64(e.Capacity)
 	}
+	return capacity
 }
 
-// relay brings something from a controller to an edge, by the edge's home.
+// relay brings something from a controller to an edge, by the edge's controller.
 func (w *cluster) relay(from, controller, edge int, do func(*edge)) {
 	last := func() {
 		if k := w.linkBetween(controller, -1-edge); k != nil {
@@ -201,83 +221,86 @@
 	}
 }
 
-// sendDemand has an edge take its controller's word on reservations, and say what it wants.
-func (w *cluster) sendDemand(e *edge) {
+// updateGate has an edge follow its controller on reservations, say what it wants, and let in what its leases allow.
+func (w *cluster) updateGate(e *edge) {
 	r := &e.reservations
-	if w.scenario.Busy.Booked == 0 || w.now < r.next || e.frozenUntil > w.now {
+	if w.scenario.Busy.Booked == 0 || w.now < r.nextDemand || e.frozenUntil > w.now {
 		return
 	}
-	r.next = w.now + allocateInterval
+	r.nextDemand = w.now + allocateInterval
 	if k := w.linkBetween(e.controller, -1-e.n); e.controller != nowhere && k != nil {
 		controller := w.controllers[e.controller]
 		if controller.reservations.term > 0 {
-			r.told = controller.reservations.told
-			r.held.FollowTerm(controller.reservations.term)
+			r.announced = controller.reservations.announced
+			r.leases.FollowTerm(controller.reservations.term)
 		}
-		if len(r.told) > 0 {
-			wants := map[string]int{}
-			for room, n := range r.wants {
-				wants[room] = n
-			}
-			demand := r.held.Demand(wants, w.now)
-			w.sendOnLink(k, -1-e.n, func() {
-				hand := func() {
-					if d := w.controllers[controller.reservations.from].reservations.dealer; d != nil {
-						d.HandleDemand(linkName(-1-e.n), demand, w.now)
-					}
-				}
-				if controller.reservations.from == controller.n {
-					hand()
-				} else if k := w.linkBetween(controller.n, controller.reservations.from); k != nil {
-					w.sendOnLink(k, controller.n, hand)
-				}
-			})
+		if len(r.announced) > 0 {
+			w.sendDemand(e, controller, k)
 		}
 	}
 	r.gate.Retain(func(id string) bool {
-		return slices.ContainsFunc(r.told, func(o reservation.Reservation) bool { return o.ID == id })
+		return slices.ContainsFunc(r.announced, func(o reservation.Reservation) bool { return o.ID == id })
 	})
-	if len(r.told) == 0 {
+	if len(r.announced) == 0 {
 		r.gate.UnlimitOthers()
 	}
-	for _, one := range r.told {
-		part, full, known := r.held.Share(one.ID, w.now)
+	for _, held := range r.announced {
+		share, full, known := r.leases.Share(held.ID, w.now)
 		switch {
-		case one.ID != reservation.OthersID(one.Service):
-			r.gate.SetShare(one.ID, part, one.Slots, full)
+		case held.ID != reservation.OthersID(held.Service):
+			r.gate.SetShare(held.ID, share, held.Slots, full)
 		case known:
-			r.gate.LimitOthers(part, one.Slots, full)
-		default:
-			r.gate.LimitOthers((one.Slots+len(w.edges)-1)/len(w.edges), one.Slots, true)
+			r.gate.LimitOthers(share, held.Slots, full)
+		default: // without a lease: an even share
+			r.gate.LimitOthers((held.Slots+len(w.edges)-1)/len(w.edges), held.Slots, true)
 		}
 	}
 }
 
-// auditReservations holds the parts of a reservation at all edges against the most that was dealt while their leases may last.
+// sendDemand brings what an edge wants to the leader, by the edge's controller.
+func (w *cluster) sendDemand(e *edge, controller *controller, k *link) {
+	demand := e.reservations.leases.Demand(maps.Clone(e.reservations.wanted), w.now)
+	w.sendOnLink(k, -1-e.n, func() {
+		leader := controller.reservations.announcedBy
+		deliver := func() {
+			if a := w.controllers[controller.reservations.announcedBy].reservations.allocator; a != nil {
+				a.HandleDemand(linkName(-1-e.n), demand, w.now)
+			}
+		}
+		if leader == controller.n {
+			deliver()
+		} else if k := w.linkBetween(controller.n, leader); k != nil {
+			w.sendOnLink(k, controller.n, deliver)
+		}
+	})
+}
+
+// auditReservations holds the parts of a reservation at all edges against the most that was allocated while their leases may
+// last.
 func (w *cluster) auditReservations() {
 	if w.scenario.Busy.Booked == 0 || w.now%allocateInterval != 0 {
 		return
 	}
-	whole, sum := 0, 0
+	capacity, total := 0, 0
 	for _, n := range w.controllers {
-		if n.replica.Role() == consensus.Leader && n.reservations.proven > 0 &&
-			w.now-n.reservations.proven <= reservation.LeaderProofTTL {
-			for _, one := range n.reservations.told {
+		if n.replica.Role() == consensus.Leader && n.reservations.leaderProvenAt > 0 &&
+			w.now-n.reservations.leaderProvenAt <= reservation.LeaderProofTTL {
+			for _, one := range n.reservations.announced {
 				if one.ID == "busy" {
-					whole = one.Slots
+					capacity = one.Slots
 				}
 			}
 		}
 	}
-	w.admittedShares = append(w.admittedShares, whole)
+	w.admittedShares = append(w.admittedShares, capacity)
 	const lasts = 44 // of these looks: a lease and the time that a proof is good for
-	most := slices.Max(w.admittedShares[max(0, len(w.admittedShares)-lasts):])
+	limit := slices.Max(w.admittedShares[max(0, len(w.admittedShares)-lasts):])
 	for _, e := range w.edges {
-		part, _, _ := e.reservations.held.Share("busy", w.now)
-		sum += part
+		part, _, _ := e.reservations.leases.Share("busy", w.now)
+		total += part
 	}
-	if sum > most {
-		w.fail("ROOM: edges hold %d slots of a booking of %d", sum, most)
+	if total > limit {
+		w.fail("ROOM: edges hold %d slots of a booking of %d", total, limit)
 	}
 }
 
@@ -307,77 +330,77 @@
 }
 
 // startBookedRequest is one request of a busy day's clients.
-func (w *cluster) startBookedRequest(e *edge, tenant bool, again int) {
+func (w *cluster) startBookedRequest(e *edge, tenant bool, resends int) {
 	w.nextKey++
-	q := &request{id: w.nextKey, safe: true, service: w.services[0], edge: e, life: e.incarnation, began: w.now,
-		calm: w.isCalm() && e.calmSince <= w.now, side: &w.result.Others, again: again}
+	q := &request{id: w.nextKey, safe: true, service: w.services[0], edge: e, incarnation: e.incarnation, startedAt: w.now,
+		calm: w.isCalm() && e.calmSince <= w.now, tenant: &w.result.Others, resends: resends}
 	if tenant {
-		q.side = &w.result.Tenant
+		q.tenant = &w.result.Tenant
 	}
-	q.counts = w.now >= measured && w.now < herdTo
-	if q.counts {
-		q.side.Asked++
+	q.measured = w.now >= measuredFrom && w.now < herdTo
+	if q.measured {
+		q.tenant.Asked++
 	}
-	q.way = attempt.Retries{Safe: true, MaxSent: maxAttempts}
+	q.retries = attempt.Retries{Safe: true, MaxSent: maxAttempts}
 	w.result.Requests++
 	w.requestTimes[q.service] = append(w.requestTimes[q.service], w.now)
 	e.serviceRequests[q.service]++
 	e.budget(q.service, len(w.edges)).Earn()
-	if len(e.reservations.told) > 0 {
-		q.pass = &pass{gate: e.reservations.gate, reservation: reservation.OthersID(q.service)}
+	if len(e.reservations.announced) > 0 {
+		q.admission = &admission{gate: e.reservations.gate, reservation: reservation.OthersID(q.service)}
 		if tenant {
-			q.pass.reservation = "busy"
+			q.admission.reservation = "busy"
 		}
-		e.reservations.wants[q.pass.reservation]++
+		e.reservations.wanted[q.admission.reservation]++
 	}
 	w.startAttempt(q)
 }
 
 // pickForBooking picks a server, if the request may have room.
 func (w *cluster) pickForBooking(e *edge, q *request) (u *picker.Upstream) {
-	if p := q.pass; p != nil && !p.in {
-		if p.under, p.in = p.gate.Admit(p.reservation); !p.in {
+	if p := q.admission; p != nil && !p.admitted {
+		if p.admittedAs, p.admitted = p.gate.Admit(p.reservation); !p.admitted {
 			return nil
 		}
 		p.at = w.now
 	}
-	if u = w.pick(e, q); u == nil && q.pass != nil && q.way.Sent == 0 {
-		q.pass.gate.Release(q.pass.under, 0)
-		q.pass.in = false
+	if u = w.pick(e, q); u == nil && q.admission != nil && q.retries.Sent == 0 {
+		q.admission.gate.Release(q.admission.admittedAs, 0)
+		q.admission.admitted = false
 	}
 	return u
 }
 
 // finishBookedRequest ends a busy day's request.
 func (w *cluster) finishBookedRequest(q *request, served, refused bool) {
-	if p := q.pass; p != nil {
-		if q.edge.reservations.wants[p.reservation]--; p.in {
-			p.gate.Release(p.under, max(1, w.now-p.at))
+	if p := q.admission; p != nil {
+		if q.edge.reservations.wanted[p.reservation]--; p.admitted {
+			p.gate.Release(p.admittedAs, max(1, w.now-p.at))
 		}
 	}
-	if q.side == nil {
+	if q.tenant == nil {
 		return
 	}
-	if refused && q.side == &w.result.Others && q.again < maxRetries {
+	if refused && q.tenant == &w.result.Others && q.resends < maxRetries {
 		e := w.edges[w.rng.IntN(len(w.edges))]
 		w.scheduleMillis(1+w.rng.IntN(20), func() {
 			if e.frozenUntil <= w.now {
-				w.startBookedRequest(e, false, q.again+1)
+				w.startBookedRequest(e, false, q.resends+1)
 			}
 		})
 	}
-	if !q.counts {
+	if !q.measured {
 		return
 	}
-	switch took := w.now - q.began; {
+	switch took := w.now - q.startedAt; {
 	case served:
-		q.side.Served++
-		q.side.Took = append(q.side.Took, took)
+		q.tenant.Served++
+		q.tenant.Took = append(q.tenant.Took, took)
 		if took > latencyTarget {
-			q.side.Late++
+			q.tenant.Late++
 		}
 	case refused:
-		q.side.Refused++
+		q.tenant.Refused++
 	}
 }
 
--- a/internal/simulation/bootstrap.go
+++ b/internal/simulation/bootstrap.go
@@ -16,8 +16,8 @@
 	n.disk.identity, n.disk.blank = membership.Identity(n.name, 0), true
 }
 
-// chooseBootstrapVoters names the voters of a system that starts for the first time, where the seeds are too few to be all of them.
-// One alone decides, the first of the seeds; the others learn it from each other.
+// chooseBootstrapVoters names the voters of a system that starts for the first time, where the seeds are too few to be all
+// of them. One alone decides, the first of the seeds; the others learn it from each other.
 func (w *cluster) chooseBootstrapVoters(n *controller) {
 	if w.scenario.Seeds == 0 || n.n != 0 || n.identity != n.name || len(n.bootstrapVoters) > 0 ||
 		1+len(n.replicaStatuses) < w.scenario.Members {
@@ -54,7 +54,8 @@
 	}
 }
 
-// finishRecoveryOfBootstrapVoter lets the store of a founder grant: under the identity of a first start it never granted anything before.
+// finishRecoveryOfBootstrapVoter lets the store of a bootstrap voter grant: under the identity of a first start it never granted
+// anything before.
 func (w *cluster) finishRecoveryOfBootstrapVoter(n *controller) {
 	if n.identity == n.name && slices.Contains(n.membership.Voters, n.identity) {
 		n.claimStore.FinishRecovery()
--- a/internal/simulation/bounded_model.go
+++ b/internal/simulation/bounded_model.go
@@ -162,26 +162,38 @@
 	}
 	for c, m := range s.Messages {
 		if len(m) > 0 {
-			all = append(all, fmt.Sprint("deliver ", c/places, " ", c%places))
-			if s.Spent.Losses < s.bounds.Losses && c/places < len(s.Nodes) && c%places < len(s.Nodes) {
-				all = append(all, fmt.Sprint("lose ", c/places, " ", c%places))
-			}
+			all = append(all, s.deliveries(c/places, c%places)...)
 		}
 	}
 	for i := range s.Nodes {
 		all = append(all, s.choicesOf(i)...)
 	}
 	all = append(all, s.changes()...)
-	if s.Edges[0].Began || s.Edges[1].Began {
+	return append(all, s.losses()...)
+}
+
+// deliveries are what may become of the next message from one place to another.
+func (s *boundedModel) deliveries(from, to int) []string {
+	all := []string{fmt.Sprint("deliver ", from, " ", to)}
+	if s.Spent.Losses < s.bounds.Losses && from < len(s.Nodes) && to < len(s.Nodes) {
+		all = append(all, fmt.Sprint("lose ", from, " ", to))
+	}
+	return all
+}
+
+// losses are the disks and the power that may be lost, once a claim was made.
+func (s *boundedModel) losses() (all []string) {
+	if !s.Edges[0].Began && !s.Edges[1].Began {
+		return nil
+	}
+	if s.Spent.Wipes < s.bounds.Wipes && s.complete() {
 		for i := range s.Nodes {
-			if s.Spent.Wipes < s.bounds.Wipes && s.complete() {
-				all = append(all, fmt.Sprint("wipe ", i))
-			}
-		}
-		if s.Spent.Powers < s.bounds.Powers {
-			all = append(all, "power")
+			all = append(all, fmt.Sprint("wipe ", i))
 		}
 	}
+	if s.Spent.Powers < s.bounds.Powers {
+		all = append(all, "power")
+	}
 	return all
 }
 
@@ -206,24 +218,7 @@
 func (s *boundedModel) changes() (all []string) {
 	newest := s.Log[len(s.Log)-1]
 	if newest.Joint() {
-		ready, lost := true, false
-		for _, id := range newest.Next {
-			if slices.Contains(newest.Voters, id) {
-				continue
-			}
-			i := s.nodeOf(id)
-			if lost = i < 0; lost {
-				break
-			}
-			ready = ready && !s.Nodes[i].Store.Recovering() && s.Nodes[i].Epoch >= newest.Epoch
-		}
-		switch {
-		case lost:
-			return []string{"abandon"}
-		case ready:
-			return []string{"adopt"}
-		}
-		return nil
+		return s.jointChoices(newest)
 	}
 	for v, id := range newest.Voters {
 		lost := s.nodeOf(id) < 0
@@ -239,6 +234,25 @@
 	return all
 }
 
+// jointChoices are the steps out of a joint membership: back if an entrant is lost, on once all of them are ready.
+func (s *boundedModel) jointChoices(joint consensus.Membership) []string {
+	ready := true
+	for _, id := range joint.Next {
+		if slices.Contains(joint.Voters, id) {
+			continue
+		}
+		i := s.nodeOf(id)
+		if i < 0 {
+			return []string{"abandon"}
+		}
+		ready = ready && !s.Nodes[i].Store.Recovering() && s.Nodes[i].Epoch >= joint.Epoch
+	}
+	if ready {
+		return []string{"adopt"}
+	}
+	return nil
+}
+
 // nodeOf finds the node that a replica runs on; -1: none.
 func (s *boundedModel) nodeOf(identity string) int {
 	return slices.IndexFunc(s.Nodes, func(n smallNode) bool { return n.Identity == identity })
--- a/internal/simulation/capacity_test.go
+++ b/internal/simulation/capacity_test.go
@@ -45,8 +45,10 @@
 func (s scale) home() int { return s.edges / controllers }
 
 func (s scale) server(n int, seq uint64) registry.Entry {
-	return registry.Entry{ID: fmt.Sprintf("i-%08d", n), Service: fmt.Sprint("service-", n%s.services), Zone: fmt.Sprint("z", n/s.services%zones),
-		Address: fmt.Sprintf("10.%d.%d.%d:8080", n/40000, n/200%200, n%200), Version: "v1", Capacity: 2, Seq: seq, Owner: "10.0.0.1"}
+	return registry.Entry{ID: fmt.Sprintf("i-%08d", n), Service: fmt.Sprint("service-", n%s.services),
+		Zone: fmt.Sprint("z", n/s.services%zones),
+		Address: fmt.Sprintf("10.%d.%d.%d:8080", n/40000, n/200%200,
+			n%200), Version: "v1", Capacity: 2, Seq: seq, Owner: "10.0.0.1"}
 }
 
 func (s scale) directory() *registry.Registry {
@@ -90,7 +92,8 @@
 }
 
 func (s scale) route(n int, deadline float64) map[string]any {
-	return map[string]any{"name": fmt.Sprint("route-", n), "path_prefix": fmt.Sprintf("/api/%d/", n), "kind": "safe", "deadline_s": deadline,
+	return map[string]any{"name": fmt.Sprint("route-", n), "path_prefix": fmt.Sprintf("/api/%d/", n), "kind": "safe",
+		"deadline_s": deadline,
 		"setpoint_s": 0.4, "priority": 1, "service": fmt.Sprint("service-", n%s.services), "tries": 2}
 }
 
@@ -99,7 +102,8 @@
 	type m = map[string]any
 	var hosts []m
 	for n := range routes {
-		hosts = append(hosts, m{"plant": fmt.Sprintf("tenant-%05d.example", n), "channels": []m{s.route(n, 1+float64(version%7))}})
+		hosts = append(hosts, m{"plant": fmt.Sprintf("tenant-%05d.example", n),
+			"channels": []m{s.route(n, 1+float64(version%7))}})
 	}
 	text, err := json.Marshal(m{"version": fmt.Sprint("r", version), "upsert": m{"plants": hosts}})
 	if err != nil {
@@ -245,7 +249,8 @@
 		for n := range controllers - 1 {
 			o := weights.PeerTraffic{Edges: s.home()}
 			for service := range s.services {
-				o.TrafficByZone = append(o.TrafficByZone, peer.ZoneTraffic{Service: fmt.Sprint("service-", service), Zone: names[n%zones], Rate: 17})
+				o.TrafficByZone = append(o.TrafficByZone,
+					peer.ZoneTraffic{Service: fmt.Sprint("service-", service), Zone: names[n%zones], Rate: 17})
 			}
 			others = append(others, o)
 		}
@@ -255,7 +260,8 @@
 				r := &peer.Report{Period: 1}
 				for range metEach {
 					e := s.server(rng.IntN(s.servers), 1)
-					r.Servers = append(r.Servers, peer.ServerStats{Server: e.ID, Attempts: 1, TotalTime: 0.1 + 0.05*rng.Float64()})
+					r.Servers = append(r.Servers, peer.ServerStats{Server: e.ID, Attempts: 1, TotalTime: 0.1 +
+						0.05*rng.Float64()})
 					r.Services = append(r.Services, peer.ServiceStats{Service: e.Service, Requests: 1})
 				}
 				g.HandleReport(fmt.Sprint("e", n), r, func(id string) (string, bool) { e, ok := d.Get(id); return e.Service, ok })
@@ -293,12 +299,14 @@
 
 func BenchmarkCapacityPulse(b *testing.B) { // a full pulse from a controller to another, one a second
 	parts(b, func(b *testing.B, s scale) {
-		p := &peer.Summary{InContact: true, Full: true, Version: 1, Edges: s.home(), Fleet: s.edges, RegistryDigest: rand.Uint64(), Clock: 1e9, EdgesByZone: map[string][]uint32{}}
+		p := &peer.Summary{InContact: true, Full: true, Version: 1, Edges: s.home(), Fleet: s.edges,
+			RegistryDigest: rand.Uint64(), Clock: 1e9, EdgesByZone: map[string][]uint32{}}
 		for n := range controllers - 1 {
 			p.Controllers = append(p.Controllers, fmt.Sprint("10.0.0.", n))
 		}
 		for n := range s.services {
-			p.TrafficByZone = append(p.TrafficByZone, peer.ZoneTraffic{Service: fmt.Sprint("service-", n), Zone: "z0", Rate: 17.3})
+			p.TrafficByZone = append(p.TrafficByZone, peer.ZoneTraffic{Service: fmt.Sprint("service-", n), Zone: "z0",
+				Rate: 17.3})
 		}
 		for range s.home() {
 			p.EdgesByZone["z0"] = append(p.EdgesByZone["z0"], rand.Uint32())
@@ -405,10 +413,12 @@
 		for _, held := range []int{125000, 250000, 500000, 1000000} {
 			b.Run(fmt.Sprint(members, " stores ", held, " keys held"), func(b *testing.B) {
 				names := []string{"a", "b", "c", "d", "e"}[:members]
-				coordinator, stores, n := idempotency.NewCoordinator(names, time.Second, time.Second), map[string]*idempotency.Store{}, uint64(0)
+				coordinator, stores, n := idempotency.NewCoordinator(names, time.Second,
+					time.Second), map[string]*idempotency.Store{}, uint64(0)
 				claim := func() {
 					n++
-					r := idempotency.Record{Key: idempotency.KeyOf("t", fmt.Sprint(n)), Token: idempotency.Token{Incarnation: 1, Sequence: n}, ResponseHolder: "10.0.0.1"}
+					r := idempotency.Record{Key: idempotency.KeyOf("t", fmt.Sprint(n)),
+						Token: idempotency.Token{Incarnation: 1, Sequence: n}, ResponseHolder: "10.0.0.1"}
 					for asks := coordinator.Start(r, 0); len(asks) > 0; {
 						a := asks[0]
 						asks = asks[1:]
@@ -431,7 +441,8 @@
 					claim()
 				}
 				b.ReportMetric(bytes/float64(held*(members/2+1)), "heap/key")
-				b.ReportMetric(size(b, &peer.Frame{GrantRequests: []idempotency.Record{{Key: idempotency.KeyOf("t", "1"), Token: idempotency.Token{Incarnation: 1 << 60, Sequence: n}, ResponseHolder: "10.0.0.1"}}}), "ask-bytes")
+				b.ReportMetric(size(b, &peer.Frame{GrantRequests: []idempotency.Record{{Key: idempotency.KeyOf("t", "1"),
+					Token: idempotency.Token{Incarnation: 1 << 60, Sequence: n}, ResponseHolder: "10.0.0.1"}}}), "ask-bytes")
 			})
 		}
 	}
@@ -482,7 +493,8 @@
 				one := &storage.Batch{}
 				for range batch {
 					n++
-					one.Claims = append(one.Claims, idempotency.Record{Key: idempotency.KeyOf("t", fmt.Sprint(n)), Token: idempotency.Token{Incarnation: 1 << 60, Sequence: n}, ResponseHolder: "10.0.0.1"})
+					one.Claims = append(one.Claims, idempotency.Record{Key: idempotency.KeyOf("t", fmt.Sprint(n)),
+						Token: idempotency.Token{Incarnation: 1 << 60, Sequence: n}, ResponseHolder: "10.0.0.1"})
 				}
 				if err := a.Commit([]*storage.Batch{one}); err != nil {
 					b.Fatal(err)
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -196,7 +196,7 @@
 		if len(w.services) > 0 {
 			w.arrivals(e)
 			w.report(e)
-			w.sendDemand(e)
+			w.updateGate(e)
 			w.sendHerd(e)
 		}
 	}
--- a/internal/simulation/controllers.go
+++ b/internal/simulation/controllers.go
@@ -28,7 +28,7 @@
 	consensusPart
 	claimPart
 	serverPart
-	reservations nodeReservations
+	reservations controllerReservations
 	shuttingDown bool
 	shutdown     shutdown
 	nextSummary  time.Duration
@@ -133,7 +133,8 @@
 	n.shuttingDown, n.retired, n.reads, n.delayedReads, n.leaseUntil = false, false, nil, nil, 0
 	w.setStores(n)
 	n.registry = registry.New(90 * time.Second)
-	n.broadcaster, n.calls, n.unreachableSince, n.frozenUntil = broadcast.New(n.registry), map[uint64]func(){}, map[int]time.Duration{}, 0
+	n.broadcaster, n.calls = broadcast.New(n.registry), map[uint64]func(){}
+	n.unreachableSince, n.frozenUntil = map[int]time.Duration{}, 0
 	for _, id := range slices.Sorted(maps.Keys(n.disk.servers)) {
 		e := n.disk.servers[id]
 		e.Owner = n.name
--- a/internal/simulation/edges.go
+++ b/internal/simulation/edges.go
@@ -53,8 +53,8 @@
 	e.incarnation++
 	e.pendingClaims, e.revocations = map[idempotency.Token]*claim{}, nil
 	e.registry, e.serviceRequests, e.withoutTable = registry.New(90*time.Second), map[string]int{}, map[string]time.Duration{}
-	e.reservations = edgeReservations{held: reservation.LeaseHolder{Incarnation: uint64(e.incarnation)},
-		gate: reservation.NewAdmissionGate(), wants: map[string]int{}}
+	e.reservations = edgeReservations{leases: reservation.LeaseHolder{Incarnation: uint64(e.incarnation)},
+		gate: reservation.NewAdmissionGate(), wanted: map[string]int{}}
 	e.attachedAt = w.now // as a new life, which holds nothing
 	e.picker = picker.New(zoneName(e.zone()), w.rng.Float64)
 	e.budgets, e.stats, e.version = map[string]*retrybudget.Budget{}, map[string]bool{}, 0
--- a/internal/simulation/growth_test.go
+++ b/internal/simulation/growth_test.go
@@ -38,7 +38,8 @@
 }
 
 func entry(n int, seq uint64) registry.Entry {
-	return registry.Entry{ID: fmt.Sprint("i-", n), Service: fmt.Sprint("service-", n%services), Zone: fmt.Sprint("z", n/services%halls),
+	return registry.Entry{ID: fmt.Sprint("i-", n), Service: fmt.Sprint("service-", n%services),
+		Zone:    fmt.Sprint("z", n/services%halls),
 		Address: fmt.Sprintf("10.0.%d.%d:80", n/200, n%200), Version: "v1", Capacity: 2, Seq: seq, Owner: "a"}
 }
 
@@ -104,7 +105,8 @@
 		whole := configuration(f)
 		var frame *peer.Frame
 		for b.Loop() {
-			frame = &peer.Frame{Handshake: &peer.Handshake{Node: "x"}, Entries: d.All(0), Config: &peer.Config{Version: 1, Snapshot: whole}}
+			frame = &peer.Frame{Handshake: &peer.Handshake{Node: "x"}, Entries: d.All(0),
+				Config: &peer.Config{Version: 1, Snapshot: whole}}
 			if _, err := cbor.Marshal(frame); err != nil {
 				b.Fatal(err)
 			}
@@ -127,7 +129,8 @@
 			for n := range f.edges / halls {
 				r := &peer.Report{Period: 1}
 				for s := range f.servers {
-					r.Servers = append(r.Servers, peer.ServerStats{Server: fmt.Sprint("i-", s), Attempts: 4, TotalTime: 0.4 + 0.2*rng.Float64()})
+					r.Servers = append(r.Servers, peer.ServerStats{Server: fmt.Sprint("i-", s), Attempts: 4, TotalTime: 0.4 +
+						0.2*rng.Float64()})
 				}
 				g.HandleReport(fmt.Sprint("e", n), r, func(id string) (string, bool) { e, ok := d.Get(id); return e.Service, ok })
 			}
@@ -148,9 +151,11 @@
 		list = append(list, m{"name": fmt.Sprint("service-", n), "health_path": "/health", "conn_limit": 110})
 	}
 	for n := range f.routes {
-		channels = append(channels, m{"name": fmt.Sprint("r-", n), "path_prefix": fmt.Sprintf("/p%d/", n), "kind": "safe", "deadline_s": 1, "setpoint_s": 0.4, "priority": 1, "service": fmt.Sprint("service-", n%services), "tries": 2})
+		channels = append(channels, m{"name": fmt.Sprint("r-", n), "path_prefix": fmt.Sprintf("/p%d/", n), "kind": "safe",
+			"deadline_s": 1, "setpoint_s": 0.4, "priority": 1, "service": fmt.Sprint("service-", n%services), "tries": 2})
 	}
-	text, err := json.Marshal(m{"version": "r1", "services": list, "limits": m{}, "plants": []m{{"plant": "a.example", "channels": channels}}})
+	text, err := json.Marshal(m{"version": "r1", "services": list, "limits": m{},
+		"plants": []m{{"plant": "a.example", "channels": channels}}})
 	if err != nil {
 		panic(err) // plain values
 	}
@@ -173,7 +178,9 @@
 		at := uint64(1)
 		for b.Loop() { // one route changes: the state machine at a planner, and the tree at an edge
 			at++
-			put(at, statemachine.Change{Base: at - 1, Patch: true, Body: fmt.Appendf(nil, `{"version":"r%d","upsert":{"plants":[{"plant":"a.example","channels":[{"name":"r-1","path_prefix":"/p1/","kind":"safe","deadline_s":1,"service":"service-1","tries":2}]}]}}`, at)})
+			put(at, statemachine.Change{Base: at - 1, Patch: true,
+				Body: fmt.Appendf(nil,
+					`{"version":"r%d","upsert":{"plants":[{"plant":"a.example","channels":[{"name":"r-1","path_prefix":"/p1/","kind":"safe","deadline_s":1,"service":"service-1","tries":2}]}]}}`, at)})
 			config.NewTree(book.Config)
 		}
 	})
@@ -205,11 +212,13 @@
 	for _, held := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprint(held, " keys held"), func(b *testing.B) {
 			coordinator := idempotency.NewCoordinator([]string{"a", "b", "c"}, time.Second, time.Second)
-			stores := map[string]*idempotency.Store{"a": idempotency.NewStore(time.Minute, false), "b": idempotency.NewStore(time.Minute, false), "c": idempotency.NewStore(time.Minute, false)}
+			stores := map[string]*idempotency.Store{"a": idempotency.NewStore(time.Minute, false),
+				"b": idempotency.NewStore(time.Minute, false), "c": idempotency.NewStore(time.Minute, false)}
 			n := uint64(0)
 			claim := func() {
 				n++
-				r := idempotency.Record{Key: idempotency.KeyOf("t", fmt.Sprint(n)), Token: idempotency.Token{Incarnation: 1, Sequence: n}}
+				r := idempotency.Record{Key: idempotency.KeyOf("t", fmt.Sprint(n)),
+					Token: idempotency.Token{Incarnation: 1, Sequence: n}}
 				for asks := coordinator.Start(r, 0); len(asks) > 0; {
 					a := asks[0]
 					asks = asks[1:]
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"mulleinwood/internal/control/broadcast"
 	"mulleinwood/internal/control/registry"
 	"mulleinwood/internal/control/weights"
 	"mulleinwood/internal/peer"
@@ -174,7 +175,8 @@
 	w.publishUpdates(n)
 }
 
-// publishUpdates sends what a controller's broadcaster wants told.
+// publishUpdates sends what a controller's broadcaster wants told, and answers the servers' calls that everybody in reach
+// has acknowledged.
 func (w *cluster) publishUpdates(n *controller) {
 	out := n.broadcaster.DrainOutput()
 	if len(out.Updates) > 0 {
@@ -186,38 +188,24 @@
 			}
 		}, func(bool) {})
 	}
-	for _, s := range out.Messages {
-		var kind string
-		var num int
-		if _, err := fmt.Sscan(s.To, &kind, &num); err != nil {
-			panic(err) // names are made by linkName
-		}
-		if kind == "edge" {
-			num = -1 - num
-		}
-		k := w.linkBetween(n.n, num)
-		if k == nil {
-			continue
-		}
-		if num >= 0 {
+	for _, message := range out.Messages {
+		to := parseLinkName(message.To)
+		k := w.linkBetween(n.n, to)
+		switch {
+		case k == nil:
+		case to >= 0:
+			w.sendOnLink(k, n.n, func() { w.receiveUpdate(w.controllers[to], n, message) })
+		default:
 			w.sendOnLink(k, n.n, func() {
-				o := w.controllers[num]
-				if s.Acked != 0 {
-					o.broadcaster.HandleAck(linkName(n.n), s.Acked)
+				w.updateEdgeServers(w.edges[-1-to], message.Entries)
+				if message.AckID != 0 {
+					w.sendOnLink(k, to, func() {
+						n.broadcaster.HandleAck(linkName(to), message.AckID)
+						w.publishUpdates(n)
+					})
 				}
-				w.applyUpdate(o, n.n, s.Entries, s.AckID)
 			})
-			continue
 		}
-		w.sendOnLink(k, n.n, func() {
-			w.updateEdgeServers(w.edges[-1-num], s.Entries)
-			if s.AckID != 0 {
-				w.sendOnLink(k, num, func() {
-					n.broadcaster.HandleAck(linkName(num), s.AckID)
-					w.publishUpdates(n)
-				})
-			}
-		})
 	}
 	for _, call := range out.AckedCalls {
 		if done := n.calls[call]; done != nil {
@@ -227,22 +215,51 @@
 	}
 }
 
-// summarize lets a controller's links know how it is.
+// receiveUpdate takes another controller's message on servers.
+func (w *cluster) receiveUpdate(n, from *controller, message broadcast.Message) {
+	if message.Acked != 0 {
+		n.broadcaster.HandleAck(linkName(from.n), message.Acked)
+	}
+	w.applyUpdate(n, from.n, message.Entries, message.AckID)
+}
+
+// parseLinkName is the reverse of linkName.
+func parseLinkName(name string) int {
+	var kind string
+	var number int
+	if _, err := fmt.Sscan(name, &kind, &number); err != nil {
+		panic(err) // names are made by linkName
+	}
+	if kind == "edge" {
+		return -1 - number
+	}
+	return number
+}
+
+// summary is what a controller tells its peers of itself.
+type summary struct {
+	full      bool // with what changes slowly
+	inContact bool
+	digest    uint64 // of the registry
+	links     []string
+	wall      float64
+	traffic   weights.PeerTraffic
+}
+
+// summarize sends a controller's summary on all its links.
 func (w *cluster) summarize(n *controller) {
 	n.summaries++
-	full := n.summaries%fullOf == 0
-	attached, sum := n.replica.HasQuorumContact(w.now) && !n.shuttingDown, n.registry.Digest()
-	var hears []string
+	sent := summary{full: n.summaries%fullOf == 0, inContact: n.replica.HasQuorumContact(w.now) && !n.shuttingDown,
+		digest: n.registry.Digest(), wall: w.wallOf(n)}
 	for _, k := range w.links {
 		if k.up && k.a >= 0 && (k.a == n.n || k.b == n.n) {
-			hears = append(hears, linkName(k.a+k.b-n.n))
+			sent.links = append(sent.links, linkName(k.a+k.b-n.n))
 		}
 	}
-	wall := w.wallOf(n)
-	n.reservations.clock.Observe(n.name, wall, w.now)
-	mine := weights.PeerTraffic{TrafficByZone: n.tables.OwnTraffic()}
+	n.reservations.clock.Observe(n.name, sent.wall, w.now)
+	sent.traffic = weights.PeerTraffic{TrafficByZone: n.tables.OwnTraffic()}
 	for _, k := range w.links {
-		mine.Edges += btoi(k.up && k.a < 0 && k.b == n.n)
+		sent.traffic.Edges += btoi(k.up && k.a < 0 && k.b == n.n)
 	}
 	for _, k := range w.links {
 		if !k.up || k.a != n.n && k.b != n.n {
@@ -251,34 +268,45 @@
 		other := k.a + k.b - n.n
 		w.sendOnLink(k, n.n, func() {
 			if other >= 0 {
-				if o := w.controllers[other]; full {
-					o.peerTraffic[n.n] = mine
-					o.reservations.clock.Observe(n.name, wall, w.now)
-					o.broadcaster.SetPeerLinks(linkName(n.n), hears)
-					if k.digests[btoi(other == k.b)].Due(sum, o.registry.Digest(), w.now) {
-						w.compare(k, other, n.n, &peer.Digests{ByZone: o.registry.ZoneDigests()})
-					}
-				}
-				return
-			}
-			e := w.edges[-1-other]
-			if w.scenario.Policy == "" {
-				e.picker.AssignSlots(w.zoneEdges(e.zone()), uint32(e.n))
-			}
-			if e.inContact = attached; !attached && w.now > e.nextSearch {
-				e.nextSearch = w.now + 2*searchInterval
-				if to := w.bestController(e); to != nowhere && to != e.controller &&
-					w.controllers[to].replica.HasQuorumContact(w.now) && !w.controllers[to].shuttingDown {
-					e.controller = to
-				}
-			}
-			if full && k.digests[0].Due(sum, e.registry.Digest(), w.now) {
-				w.compare(k, other, n.n, &peer.Digests{ByZone: e.registry.ZoneDigests()})
+				w.receiveSummary(w.controllers[other], n, k, sent)
+			} else {
+				w.receiveSummaryAtEdge(w.edges[-1-other], n, k, sent)
 			}
 		})
 	}
 }
 
+// receiveSummary is a summary that comes to another controller.
+func (w *cluster) receiveSummary(to, from *controller, k *link, sent summary) {
+	if !sent.full {
+		return
+	}
+	to.peerTraffic[from.n] = sent.traffic
+	to.reservations.clock.Observe(from.name, sent.wall, w.now)
+	to.broadcaster.SetPeerLinks(linkName(from.n), sent.links)
+	if k.digests[btoi(to.n == k.b)].Due(sent.digest, to.registry.Digest(), w.now) {
+		w.compare(k, to.n, from.n, &peer.Digests{ByZone: to.registry.ZoneDigests()})
+	}
+}
+
+// receiveSummaryAtEdge is a summary that comes to an edge. One whose controller is not in contact looks for another.
+func (w *cluster) receiveSummaryAtEdge(e *edge, from *controller, k *link, sent summary) {
+	if w.scenario.Policy == "" {
+		e.picker.AssignSlots(w.zoneEdges(e.zone()), uint32(e.n))
+	}
+	e.inContact = sent.inContact
+	if !sent.inContact && w.now > e.nextSearch {
+		e.nextSearch = w.now + 2*searchInterval
+		if to := w.bestController(e); to != nowhere && to != e.controller &&
+			w.controllers[to].replica.HasQuorumContact(w.now) && !w.controllers[to].shuttingDown {
+			e.controller = to
+		}
+	}
+	if sent.full && k.digests[0].Due(sent.digest, e.registry.Digest(), w.now) {
+		w.compare(k, -1-e.n, from.n, &peer.Digests{ByZone: e.registry.ZoneDigests()})
+	}
+}
+
 // zone is where an edge stands.
 func (e *edge) zone() int { return e.n % e.zones }
 
@@ -329,7 +357,7 @@
 
 const nowhere = -1000
 
-// bestHome is where an edge would belong: a controller that it reaches and that hears more than half of the core.
+// bestController is where an edge would belong: a controller that it reaches and that hears more than half of the core.
 func (w *cluster) bestController(e *edge) int {
 	best, score := nowhere, -1
 	for i := range w.controllers {
--- a/internal/simulation/membership_scenarios.go
+++ b/internal/simulation/membership_scenarios.go
@@ -14,9 +14,9 @@
 var ofMembers = []string{Replace, Replace, ReplaceBack, StandbyFirst, StandbyFirst, StandbyAfter, Restart, Wipe, Wipe,
 	Kill, Partition, OutboundPartition, InboundPartition, SlowDisk, FullDisk, Freeze}
 
-// NewMembershipScenario draws a day on which machines are replaced, end in order, lose their disks, are cut off, killed and stand
-// still, never more at once than are borne: a lost machine counts as lost until the core has had its time to settle after
-// the machine's, or its successor's, start.
+// NewMembershipScenario draws a day on which machines are replaced, end in order, lose their disks, are cut off, killed and
+// stand still, never more at once than are borne: a lost machine counts as lost until the core has had its time to settle
+// after the machine's, or its successor's, start.
 func NewMembershipScenario(seed uint64, members, lost int) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 15))
 	d := membershipScenario(seed, members, lost)
@@ -38,8 +38,8 @@
 	return d
 }
 
-// NewReplacementChainScenario draws a day on which every machine in turn is replaced, twice over, with lost disks, cuts, kills and losses
-// of power between, and a loss of as many as are borne at the end.
+// NewReplacementChainScenario draws a day on which every machine in turn is replaced, twice over, with lost disks, cuts,
+// kills and losses of power between, and a loss of as many as are borne at the end.
 func NewReplacementChainScenario(seed uint64, members, lost int) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 16))
 	d := membershipScenario(seed, members, lost)
--- a/internal/simulation/membership_test.go
+++ b/internal/simulation/membership_test.go
@@ -51,7 +51,8 @@
 		Entry("an identity that is used again after its disk was lost", "an identity is used again", "TWICE"),
 		Entry("a removed member that grants", "a removed member grants", "MEMBERS|REMOVED"),
 		Entry("a retired identity that is voted in again", "a retired identity is kept", "MEMBERS|REMOVED"),
-		Entry("a leaving controller that ends without handing its answers over", "a leaving controller keeps its answers", "KEPT"),
+		Entry("a leaving controller that ends without handing its answers over", "a leaving controller keeps its answers",
+			"KEPT"),
 	)
 	It("let a key run once in every order of a change's events, as far as is gone", func() {
 		states := 2000
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -35,7 +35,7 @@
 	change   statemachine.Change
 	version  uint64
 	at       int
-	again    time.Duration // when it is made once more
+	resendAt time.Duration // when it is made once more
 	over     bool
 	repeated bool // although it was acknowledged
 }
@@ -53,8 +53,8 @@
 // tickOperator lets an operator act.
 func (w *cluster) tickOperator(o *operatorState) {
 	if c := o.call; c != nil {
-		if w.now >= c.again {
-			c.again = w.now + resendAfter
+		if w.now >= c.resendAt {
+			c.resendAt = w.now + resendAfter
 			c.at = w.following(c.at)
 			w.sendChange(o, c, c.at, maxRedirects)
 		}
@@ -86,44 +86,49 @@
 	if err != nil {
 		panic(err) // plain numbers and bytes
 	}
-	c.data, c.again, o.call = data, w.now+resendAfter, c
+	c.data, c.resendAt, o.call = data, w.now+resendAfter, c
 	w.sendChange(o, c, c.at, maxRedirects)
 }
 
-// sendChange brings a call to a controller.
-func (w *cluster) sendChange(o *operatorState, c *call, at, follow int) {
+// sendChange brings a call to a controller, which sends it on to the leader that it knows.
+func (w *cluster) sendChange(o *operatorState, c *call, address, redirects int) {
 	w.scheduleMillis(1+w.rng.IntN(5), func() {
-		n := w.controllers[at]
-		if !w.running(at) || c.over {
+		n := w.controllers[address]
+		if !w.running(address) || c.over {
 			return
 		}
-		if n.replica.Role() != consensus.Leader {
-			if leader := slices.Index(w.names, membership.Address(n.replica.Leader())); leader >= 0 && leader != at &&
-				follow > 0 {
-				w.sendChange(o, c, leader, follow-1)
-			} else {
-				c.again = min(c.again, w.now+retryPause)
-			}
+		if n.replica.Role() == consensus.Leader {
+			w.proposeChange(o, c, n)
 			return
 		}
-		life := n.incarnation
-		answer := func(err error) {
-			w.scheduleMillis(1+w.rng.IntN(5), func() {
-				if n.incarnation == life && w.rng.IntN(w.scenario.replyLoss()) > 0 {
-					w.handleChangeReply(o, c, err)
-				}
-			})
+		leader := slices.Index(w.names, membership.Address(n.replica.Leader()))
+		if leader >= 0 && leader != address && redirects > 0 {
+			w.sendChange(o, c, leader, redirects-1)
+		} else {
+			c.resendAt = min(c.resendAt, w.now+retryPause)
 		}
-		if !n.state.Knows(c.change) && len(n.proposals) == 0 && c.change.Base == n.state.Version() {
-			if _, err := n.state.Check(c.change); err != nil {
-				answer(err)
-				return
+	})
+}
+
+// proposeChange is a call that has come to a leader. Its reply may be lost.
+func (w *cluster) proposeChange(o *operatorState, c *call, n *controller) {
+	incarnation := n.incarnation
+	respond := func(err error) {
+		w.scheduleMillis(1+w.rng.IntN(5), func() {
+			if n.incarnation == incarnation && w.rng.IntN(w.scenario.replyLoss()) > 0 {
+				w.handleChangeReply(o, c, err)
 			}
+		})
+	}
+	if !n.state.Knows(c.change) && len(n.proposals) == 0 && c.change.Base == n.state.Version() {
+		if _, err := n.state.Check(c.change); err != nil {
+			respond(err)
+			return
 		}
-		index, term, _ := n.replica.Propose(c.data, w.now)
-		n.proposals[index] = waiter{term, w.now + callOver, answer}
-		w.processOutput(n)
-	})
+	}
+	index, term, _ := n.replica.Propose(c.data, w.now)
+	n.proposals[index] = waiter{term, w.now + callOver, respond}
+	w.processOutput(n)
 }
 
 // handleChangeReply is what an operator hears; only a clear answer ends a call.
@@ -136,7 +141,7 @@
 		status = apierror.For(err).Status
 	}
 	if status >= 500 {
-		c.again = min(c.again, w.now+retryPause)
+		c.resendAt = min(c.resendAt, w.now+retryPause)
 		return
 	}
 	if c.repeated {
@@ -149,22 +154,22 @@
 	c.over, o.call = true, nil
 	if status != 200 {
 		w.rejectedChanges[string(c.data)] = true
-		if at, taken := w.committedChanges[string(c.data)]; taken {
-			w.fail("CONFIG: a change to r%d is refused with %d and in force, on r%d", at.version, status, at.base)
+		if position, committed := w.committedChanges[string(c.data)]; committed {
+			w.fail("CONFIG: a change to r%d is refused with %d and in force, on r%d", position.version, status, position.base)
 		}
 		return
 	}
 	w.result.Changes++
-	at, taken := w.committedChanges[string(c.data)]
+	position, committed := w.committedChanges[string(c.data)]
 	switch {
-	case !taken:
+	case !committed:
 		w.fail("CONFIG: a change on r%d is acknowledged and never came into force", c.change.Base)
-	case w.acknowledgedBase[at.base] != "" && w.acknowledgedBase[at.base] != string(c.data):
-		w.fail("CONFIG: two changes on r%d are both acknowledged", at.base)
+	case w.acknowledgedBase[position.base] != "" && w.acknowledgedBase[position.base] != string(c.data):
+		w.fail("CONFIG: two changes on r%d are both acknowledged", position.base)
 	}
-	w.acknowledgedBase[at.base] = string(c.data)
-	w.ackTimes = append(w.ackTimes, ackedAt{at.version, w.now})
-	w.membershipAudit.newest, w.membershipAudit.lastOrder = max(w.membershipAudit.newest, at.version), w.now
+	w.acknowledgedBase[position.base] = string(c.data)
+	w.ackTimes = append(w.ackTimes, ackedAt{position.version, w.now})
+	w.membershipAudit.newest, w.membershipAudit.lastOrder = max(w.membershipAudit.newest, position.version), w.now
 	w.resendChange(o, c)
 }
 
@@ -175,8 +180,8 @@
 		return
 	}
 	w.scheduleAfter(time.Duration(w.rng.IntN(8000))*time.Millisecond, func() {
-		again := &call{data: c.data, change: c.change, version: c.version, again: forGood, repeated: true}
-		w.sendChange(o, again, w.anyController(), maxRedirects)
+		repeated := &call{data: c.data, change: c.change, version: c.version, resendAt: forGood, repeated: true}
+		w.sendChange(o, repeated, w.anyController(), maxRedirects)
 	})
 }
 
@@ -200,26 +205,32 @@
 	}
 }
 
-// recordCommitted takes a new entry of the history into the auditor's books. It judges by the numbers alone: a change counts if it
-// is built on the version in force, is above it and wasn't taken before.
+// recordCommitted notes a new entry of the history. It judges by the numbers alone: a change counts if it is built on the
+// version in force, is above it and wasn't taken before.
 func (w *cluster) recordCommitted(e consensus.Entry) {
 	var c statemachine.Change
 	if len(e.Data) > 0 && cbor.Unmarshal(e.Data, &c) == nil {
-		var version uint64
-		if _, err := fmt.Sscanf(string(c.Body), `{"version":"r%d"`, &version); err == nil && c.Base == w.currentVersion &&
-			version > w.currentVersion {
-			if _, again := w.committedChanges[string(e.Data)]; !again {
-				w.committedChanges[string(e.Data)] = force{c.Base, version}
-				w.currentVersion = version
-				if w.rejectedChanges[string(e.Data)] {
-					w.fail("CONFIG: a change to r%d was refused and comes into force", version)
-				}
-			}
-		}
+		w.recordChange(string(e.Data), c)
 	}
 	w.versionAt = append(w.versionAt, w.currentVersion)
 }
 
+// recordChange notes a committed change, by its bytes.
+func (w *cluster) recordChange(data string, c statemachine.Change) {
+	var version uint64
+	if _, err := fmt.Sscanf(string(c.Body), `{"version":"r%d"`, &version); err != nil {
+		return
+	}
+	if _, known := w.committedChanges[data]; known || c.Base != w.currentVersion || version <= w.currentVersion {
+		return
+	}
+	w.committedChanges[data] = force{c.Base, version}
+	w.currentVersion = version
+	if w.rejectedChanges[data] {
+		w.fail("CONFIG: a change to r%d was refused and comes into force", version)
+	}
+}
+
 // auditApplied feeds a node's state machine with an entry, and answers who waits for it.
 func (w *cluster) auditApplied(n *controller, e consensus.Entry) {
 	if w.scenario.PlantedFault == "a base isn't looked at" && len(e.Data) > 0 {
--- a/internal/simulation/replacement.go
+++ b/internal/simulation/replacement.go
@@ -30,7 +30,7 @@
 }
 
 // replaceController has an empty machine with another address start in an old one's place.
-func (w *cluster) replaceController(old *controller) *controller {
+func (w *cluster) replaceController(old *controller) {
 	n := w.newController(old.zone)
 	w.connectController(n)
 	w.startController(n)
@@ -39,7 +39,6 @@
 			w.machines[i] = n
 		}
 	}
-	return n
 }
 
 // returnController starts a machine again that was replaced, with its disk. Nobody's place is its own any more.
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	latencyTarget = 250 * time.Millisecond
-	patient       = 800 * time.Millisecond // a client's deadline
-	waitFor       = latencyTarget / 5      // for room
-	dialFor       = 400 * time.Millisecond
-	earnRatio     = 0.2
-	slack         = 20.0
-	maxAttempts   = 2
-	pooled        = 7 // of ten requests to a server that is known go on a connection that is there
+	latencyTarget  = 250 * time.Millisecond
+	clientDeadline = 800 * time.Millisecond // a client's deadline
+	queueTimeout   = latencyTarget / 5      // for room
+	dialTimeout    = 400 * time.Millisecond
+	retryRatio     = 0.2
+	retrySlack     = 20.0
+	maxAttempts    = 2
+	pooledOfTen    = 7 // of ten requests to a server that is known go on a connection that is there
 )
 
 // request is one try of a client at an edge.
 type request struct {
-	id      uint64
-	safe    bool
-	service string
-	edge    *edge
-	life    int
-	began   time.Duration
-	calm    bool // the edge was in touch when it came
-	way     attempt.Retries
-	tried   []*picker.Upstream
-	over    bool
+	id          uint64
+	safe        bool
+	service     string
+	edge        *edge
+	incarnation int
+	startedAt   time.Duration
+	calm        bool // the edge was in touch when it came
+	retries     attempt.Retries
+	tried       []*picker.Upstream
+	over        bool
 
-	pass   *pass // of busy days
-	side   *Tenant
-	counts bool
-	again  int
+	admission *admission // of busy days
+	tenant    *Tenant
+	measured  bool
+	resends   int
 }
 
 // updateEdgeServers takes news of servers.
@@ -72,9 +72,9 @@
 	}
 	w.nextKey++
 	q := &request{id: w.nextKey, safe: w.rng.IntN(2) == 0, service: w.services[w.rng.IntN(len(w.services))], edge: e,
-		life: e.incarnation, began: w.now,
+		incarnation: e.incarnation, startedAt: w.now,
 		calm: w.isCalm() && e.calmSince <= w.now}
-	q.way = attempt.Retries{Safe: q.safe, MaxSent: maxAttempts}
+	q.retries = attempt.Retries{Safe: q.safe, MaxSent: maxAttempts}
 	w.result.Requests++
 	w.requestTimes[q.service] = append(w.requestTimes[q.service], w.now)
 	e.serviceRequests[q.service]++
@@ -88,7 +88,7 @@
 func (e *edge) budget(service string, edges int) *retrybudget.Budget {
 	budget := e.budgets[service]
 	if budget == nil {
-		budget = retrybudget.New(earnRatio, slack, edges)
+		budget = retrybudget.New(retryRatio, retrySlack, edges)
 		e.budgets[service] = budget
 	}
 	return budget
@@ -97,78 +97,92 @@
 // startAttempt finds a server with room for a request, waiting a little for one.
 func (w *cluster) startAttempt(q *request) {
 	e := q.edge
-	if e.incarnation != q.life || q.over {
+	if e.incarnation != q.incarnation || q.over {
 		return
 	}
 	if e.frozenUntil > w.now {
-		w.scheduleMillis(int((e.frozenUntil-w.now)/time.Millisecond)+1, func() { w.startAttempt(q) })
+		w.whenResumed(e, func() { w.startAttempt(q) })
 		return
 	}
-	if w.now > q.began+patient-tickLength {
+	if w.now > q.startedAt+clientDeadline-tickLength {
 		w.finishRequest(q, attempt.NotSent, 0)
 		return
 	}
-	u := w.pickForBooking(e, q)
-	if u == nil {
-		if q.way.Sent > 0 || w.now-q.began >= waitFor || !e.picker.Serves(q.service) {
-			if q.way.Paid {
-				e.budget(q.service, len(w.edges)).Refund()
-			}
-			w.finishRequest(q, attempt.NotSent, 0)
-			return
+	if u := w.pickForBooking(e, q); u != nil {
+		w.sendAttempt(q, u)
+		return
+	}
+	if q.retries.Sent > 0 || w.now-q.startedAt >= queueTimeout || !e.picker.Serves(q.service) {
+		if q.retries.Paid {
+			e.budget(q.service, len(w.edges)).Refund()
 		}
-		w.scheduleMillis(10, func() { w.startAttempt(q) })
+		w.finishRequest(q, attempt.NotSent, 0)
 		return
 	}
+	w.scheduleMillis(10, func() { w.startAttempt(q) })
+}
+
+// whenResumed does something once a process that stands still goes on.
+func (w *cluster) whenResumed(e *edge, do func()) {
+	w.scheduleMillis(int((e.frozenUntil-w.now)/time.Millisecond)+1, do)
+}
+
+// sendAttempt sends a request to a server, on a connection that is there or on a new one.
+func (w *cluster) sendAttempt(q *request, u *picker.Upstream) {
+	e := q.edge
 	q.tried = append(q.tried, u)
 	t := &attemptState{request: q, upstream: u, expect: u.ID, sent: w.now}
 	if w.scenario.PlantedFault == "connections belong to an address" {
 		t.expect = ""
 	}
-	met := e.stats[u.ID]
+	connected := e.stats[u.ID]
 	e.stats[u.ID] = true
-	onPool := met && w.rng.IntN(10) < pooled
-	t.answer = func(a attempt.Response, status int, load [2]float64) {
-		if t.abandoned || e.incarnation != q.life {
+	t.pooled = connected && w.rng.IntN(10) < pooledOfTen
+	t.respond = func(response attempt.Response, status int, load [2]float64) {
+		if t.abandoned || e.incarnation != q.incarnation {
 			return
 		}
 		if e.frozenUntil > w.now {
-			w.scheduleMillis(int((e.frozenUntil-w.now)/time.Millisecond)+1, func() { t.answer(a, status, load) })
+			w.whenResumed(e, func() { t.respond(response, status, load) })
 			return
 		}
 		t.abandoned = true
-		w.handleAttemptEnd(q, t, a, status, load, onPool)
+		w.handleAttemptEnd(q, t, response, status, load)
 	}
-	w.scheduleMillis(1+w.rng.IntN(4), func() { w.arriveAtServer(t, u.Attachment.(string)) })
-	limit := q.began + patient - w.now
-	if !onPool { // nobody takes the connection at an address that is silent
-		if s := w.processAt[u.Attachment.(string)]; s != nil && s.ended && s.timedOut {
-			limit = min(limit, dialFor)
-		}
+	address, _ := u.Attachment.(string)
+	w.scheduleMillis(1+w.rng.IntN(4), func() { w.arriveAtServer(t, address) })
+	limit := q.startedAt + clientDeadline - w.now
+	// Nobody takes a new connection at an address that is silent.
+	unreachable := func() bool {
+		s := w.processAt[address]
+		return !t.pooled && s != nil && s.ended && s.timedOut
+	}
+	if unreachable() {
+		limit = min(limit, dialTimeout)
 	}
 	w.scheduleMillis(int(limit/time.Millisecond), func() {
-		if s := w.processAt[u.Attachment.(string)]; !onPool && s != nil && s.ended && s.timedOut {
-			t.answer(attempt.Response{}, 0, [2]float64{})
-			return
+		status := -1
+		if unreachable() {
+			status = 0
 		}
-		t.answer(attempt.Response{}, -1, [2]float64{})
+		t.respond(attempt.Response{}, status, [2]float64{})
 	})
 }
 
 // handleAttemptEnd takes how a try went, and goes on as the attempt's table says.
-func (w *cluster) handleAttemptEnd(q *request, t *attemptState, a attempt.Response, status int, load [2]float64, onPool bool) {
+func (w *cluster) handleAttemptEnd(q *request, t *attemptState, response attempt.Response, status int, load [2]float64) {
 	e := q.edge
-	ending := a.Outcome()
-	if !a.Received && status == 0 && !onPool && t.sent+dialFor >= w.now && !w.attemptsReached[t] {
-		ending = attempt.NotSent // the connection was refused
+	outcome := response.Outcome()
+	if !response.Received && status == 0 && !t.pooled && t.sent+dialTimeout >= w.now && !w.attemptsReached[t] {
+		outcome = attempt.NotSent // the connection was refused
 	}
-	if w.scenario.PlantedFault == "answers aren't told apart" && a.Received && !a.OwnID {
-		ending = attempt.Ran
+	if w.scenario.PlantedFault == "answers aren't told apart" && response.Received && !response.OwnID {
+		outcome = attempt.Ran
 	}
-	if w.scenario.PlantedFault == "what broke off is tried again" && ending == attempt.Unknown {
-		ending = attempt.NotRun
+	if w.scenario.PlantedFault == "what broke off is tried again" && outcome == attempt.Unknown {
+		outcome = attempt.NotRun
 	}
-	switch ending {
+	switch outcome {
 	case attempt.Ran:
 		e.picker.Succeeded(t.upstream, w.now-t.sent, w.now)
 	case attempt.NotSent:
@@ -176,21 +190,21 @@
 	default:
 		e.picker.Failed(t.upstream, w.now)
 	}
-	if a.Received && a.OwnID {
+	if response.Received && response.OwnID {
 		e.picker.ReportLoad(t.upstream, load[0], load[1], w.now)
 	}
-	switch q.way.AfterOutcome(ending, status, true) {
+	switch q.retries.AfterOutcome(outcome, status, true) {
 	case attempt.Stop:
-		if ending == attempt.Ran && t.brings != q.id {
-			w.fail("MIXED: request %d is answered with what belongs to %d", q.id, t.brings)
+		if outcome == attempt.Ran && t.responseTo != q.id {
+			w.fail("MIXED: request %d is answered with what belongs to %d", q.id, t.responseTo)
 		}
-		w.finishRequest(q, ending, status)
+		w.finishRequest(q, outcome, status)
 	case attempt.RetryPaid:
 		if w.scenario.PlantedFault != "tries cost nothing" && !e.budget(q.service, len(w.edges)).Spend() {
-			w.finishRequest(q, ending, status)
+			w.finishRequest(q, outcome, status)
 			return
 		}
-		q.way.Paid = true
+		q.retries.Paid = true
 		w.startAttempt(q)
 	default:
 		w.startAttempt(q)
@@ -198,18 +212,18 @@
 }
 
 // finishRequest is what a client hears.
-func (w *cluster) finishRequest(q *request, ending attempt.Outcome, status int) {
+func (w *cluster) finishRequest(q *request, outcome attempt.Outcome, status int) {
 	q.over = true
-	w.finishBookedRequest(q, ending == attempt.Ran && status < 500, ending == attempt.NotSent || ending == attempt.NotRun)
-	took := w.now - q.began
+	w.finishBookedRequest(q, outcome == attempt.Ran && status < 500, outcome == attempt.NotSent || outcome == attempt.NotRun)
+	took := w.now - q.startedAt
 	switch {
-	case ending == attempt.Ran && status < 500:
+	case outcome == attempt.Ran && status < 500:
 		w.result.Served++
 		if took > latencyTarget {
 			w.result.Late++
 		}
 		w.result.took(took)
-	case ending == attempt.NotSent || ending == attempt.NotRun:
+	case outcome == attempt.NotSent || outcome == attempt.NotRun:
 		w.result.Refused++
 		if !q.safe { // a promise
 			if w.runsByRequest[q.id] > 0 {
@@ -253,11 +267,11 @@
 // is in touch, against those that were acknowledged a while ago.
 func (w *cluster) auditVersion(e *edge, calm bool) {
 	const apply = 2 * time.Second
-	life := [2]int{e.n, e.incarnation}
-	if e.version < w.appliedVersions[life] {
-		w.fail("CONFIG: edge %d goes back from %d to %d", e.n, w.appliedVersions[life], e.version)
+	process := [2]int{e.n, e.incarnation}
+	if e.version < w.appliedVersions[process] {
+		w.fail("CONFIG: edge %d goes back from %d to %d", e.n, w.appliedVersions[process], e.version)
 	}
-	if w.appliedVersions[life] = e.version; !calm {
+	if w.appliedVersions[process] = e.version; !calm {
 		return
 	}
 	for i := len(w.ackTimes) - 1; i >= 0; i-- {
@@ -274,16 +288,16 @@
 func (w *cluster) auditBudget() {
 	const span = 10 * time.Second
 	for _, service := range w.services {
-		extra, asked := w.retryTimes[service], w.requestTimes[service]
-		for i, end := range extra {
+		retries, requests := w.retryTimes[service], w.requestTimes[service]
+		for i, end := range retries {
 			from := end - span
-			n := i + 1 - lowerBound(extra, from)
-			most := 0
+			n := i + 1 - lowerBound(retries, from)
+			limit := 0
 			for _, begin := range []time.Duration{from, from - span/2, from - span} {
-				most = max(most, lowerBound(asked, begin+span)-lowerBound(asked, begin))
+				limit = max(limit, lowerBound(requests, begin+span)-lowerBound(requests, begin))
 			}
-			if float64(n) > earnRatio*float64(most)+slack {
-				w.fail("BUDGET: %d further arrivals at %s in ten seconds for %d requests", n, service, most)
+			if float64(n) > retryRatio*float64(limit)+retrySlack {
+				w.fail("BUDGET: %d further arrivals at %s in ten seconds for %d requests", n, service, limit)
 				return
 			}
 		}
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -37,7 +37,10 @@
 	r.Requests, r.Served, r.Late = r.Requests+o.Requests, r.Served+o.Served, r.Late+o.Late
 	r.Refused, r.Unknown, r.Drains = r.Refused+o.Refused, r.Unknown+o.Unknown, r.Drains+o.Drains
 	r.RetriedRequests, r.Steps = r.RetriedRequests+o.RetriedRequests, r.Steps+o.Steps
-	r.Memberships, r.Reads, r.Retries, r.HandedOver = r.Memberships+o.Memberships, r.Reads+o.Reads, r.Retries+o.Retries, r.HandedOver+o.HandedOver
+	r.Memberships += o.Memberships
+	r.Reads += o.Reads
+	r.Retries += o.Retries
+	r.HandedOver += o.HandedOver
 	r.Restored = append(r.Restored, o.Restored...)
 	r.Tenant.add(o.Tenant)
 	r.Others.add(o.Others)
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 	"time"
 
 	"mulleinwood/internal/control/broadcast"
@@ -43,22 +44,22 @@
 
 // attemptState is a request at a server.
 type attemptState struct {
-	request   *request
-	upstream  *picker.Upstream
-	expect    string
-	sent      time.Duration
-	answer    func(attempt.Response, int, [2]float64)
-	brings    uint64 // the request that the answer belongs to
-	abandoned bool   // the edge has stopped listening
+	request    *request
+	upstream   *picker.Upstream
+	expect     string
+	sent       time.Duration
+	respond    func(attempt.Response, int, [2]float64)
+	responseTo uint64 // the request that the answer belongs to
+	abandoned  bool   // the edge has stopped listening
+	pooled     bool   // on a connection that was there
 }
 
-func (w *cluster) addServer(service, address string, zone int) *server {
+func (w *cluster) addServer(service, address string, zone int) {
 	w.serverCount++
 	s := &server{id: fmt.Sprint("i-", w.serverCount), service: service, address: address, zone: zone, capacity: 2 + w.rng.IntN(3),
 		speed: 0.6 + w.rng.Float64(), heartbeatTarget: w.anyController(), nextHeartbeat: w.now}
 	w.processAt[address] = s
 	w.servers = append(w.servers, s)
-	return s
 }
 
 // tickServer does what a server does by the clock.
@@ -86,55 +87,58 @@
 func (w *cluster) sendHeartbeat(s *server, state registry.State) {
 	s.seq++
 	s.calling = true
-	e := registry.Entry{ID: s.id, Service: s.service, Address: s.address, Zone: fmt.Sprint("z", s.zone), Capacity: s.capacity,
-		Seq: s.seq, State: state}
+	entry := registry.Entry{ID: s.id, Service: s.service, Address: s.address, Zone: fmt.Sprint("z", s.zone),
+		Capacity: s.capacity, Seq: s.seq, State: state}
 	if state == registry.Removed {
-		e = registry.Entry{ID: s.id, State: registry.Removed}
+		entry = registry.Entry{ID: s.id, State: registry.Removed}
 	}
 	n := w.controllers[s.heartbeatTarget]
-	answered := false
-	way := 1 + w.rng.IntN(5)
+	acked := false
+	delay := 1 + w.rng.IntN(5)
 	if state == registry.Ready && w.rng.IntN(8) == 0 {
-		way += w.rng.IntN(3000) // a late one: the connection was slow
+		delay += w.rng.IntN(3000) // a late one: the connection was slow
 	}
-	w.scheduleMillis(way, func() {
-		if w.scenario.PlantedFault == "a late beat undoes a drain" && state == registry.Ready {
-			w.undoDrain(n, e.ID)
-		}
-		if !w.running(n.n) || state > registry.Ready && !n.replica.HasQuorumContact(w.now) {
-			return
-		}
-		e.Owner = n.name
-		n.nextCall++
-		life := n.incarnation
-		n.calls[n.nextCall] = func() {
-			calm := w.isCalm()
-			w.scheduleMillis(1+w.rng.IntN(5), func() {
-				if n.incarnation != life || answered {
-					return
-				}
-				answered, s.calling = true, false
-				if state == registry.Draining && s.drainAckedAt == 0 {
-					s.drainAckedAt, s.ackedCalm = w.now, calm
-				}
-			})
-		}
-		if w.scenario.PlantedFault == "a drain is acknowledged before it is told" && state == registry.Draining {
-			n.calls[n.nextCall]()
-			delete(n.calls, n.nextCall)
-			return
-		}
-		n.broadcaster.HandleServerCall(e, n.nextCall, w.now)
-		w.publishUpdates(n)
-	})
+	w.scheduleMillis(delay, func() { w.receiveHeartbeat(n, s, entry, &acked) })
 	w.scheduleMillis(int(callWait/time.Millisecond), func() {
-		if !answered {
-			answered, s.calling = true, false
+		if !acked {
+			acked, s.calling = true, false
 			s.heartbeatTarget, s.nextHeartbeat = w.following(s.heartbeatTarget), w.now
 		}
 	})
 }
 
+// receiveHeartbeat is a heartbeat that comes to a controller. It sets acked once the server knows that it was heard.
+func (w *cluster) receiveHeartbeat(n *controller, s *server, entry registry.Entry, acked *bool) {
+	if w.scenario.PlantedFault == "a late beat undoes a drain" && entry.State == registry.Ready {
+		w.undoDrain(n, entry.ID)
+	}
+	if !w.running(n.n) || entry.State > registry.Ready && !n.replica.HasQuorumContact(w.now) {
+		return
+	}
+	entry.Owner = n.name
+	n.nextCall++
+	incarnation := n.incarnation
+	n.calls[n.nextCall] = func() {
+		calm := w.isCalm()
+		w.scheduleMillis(1+w.rng.IntN(5), func() {
+			if n.incarnation != incarnation || *acked {
+				return
+			}
+			*acked, s.calling = true, false
+			if entry.State == registry.Draining && s.drainAckedAt == 0 {
+				s.drainAckedAt, s.ackedCalm = w.now, calm
+			}
+		})
+	}
+	if w.scenario.PlantedFault == "a drain is acknowledged before it is told" && entry.State == registry.Draining {
+		n.calls[n.nextCall]()
+		delete(n.calls, n.nextCall)
+		return
+	}
+	n.broadcaster.HandleServerCall(entry, n.nextCall, w.now)
+	w.publishUpdates(n)
+}
+
 // undoDrain has a controller forget that a server leaves.
 func (w *cluster) undoDrain(n *controller, id string) {
 	if e, known := n.registry.Get(id); !known || e.State != registry.Draining {
@@ -167,7 +171,7 @@
 func (w *cluster) endServer(s *server, silent bool) {
 	s.ended, s.timedOut = true, silent
 	for _, t := range append(s.running, s.queue...) {
-		w.scheduleMillis(1, func() { t.answer(attempt.Response{}, 0, [2]float64{}) }) // the connection breaks
+		w.scheduleMillis(1, func() { t.respond(attempt.Response{}, 0, [2]float64{}) }) // the connection breaks
 	}
 	s.running, s.queue = nil, nil
 	service := w.services[w.rng.IntN(len(w.services))]
@@ -188,12 +192,12 @@
 	load := func() [2]float64 { return [2]float64{float64(len(s.running)), float64(len(s.queue))} }
 	if s == nil || s.ended {
 		if s == nil || !s.timedOut {
-			t.answer(attempt.Response{}, 0, [2]float64{})
+			t.respond(attempt.Response{}, 0, [2]float64{})
 		}
 		return
 	}
 	if s.id != t.expect && w.scenario.PlantedFault != "connections belong to an address" {
-		t.answer(attempt.Response{Received: true, OwnID: true, Delimited: true, Complete: true, NotRun: true}, 421, load())
+		t.respond(attempt.Response{Received: true, OwnID: true, Delimited: true, Complete: true, NotRun: true}, 421, load())
 		return
 	}
 	w.countArrival(t, s)
@@ -203,7 +207,7 @@
 	case len(s.queue) < queuePerSlot*s.capacity:
 		s.queue = append(s.queue, t)
 	default:
-		t.answer(attempt.Response{Received: true, OwnID: true, Delimited: true, Complete: true, NotRun: true}, 503, load())
+		t.respond(attempt.Response{Received: true, OwnID: true, Delimited: true, Complete: true, NotRun: true}, 503, load())
 	}
 }
 
@@ -212,41 +216,41 @@
 	s.running = append(s.running, t)
 	w.countRun(t, s)
 	work := 0.04 * math.Exp(0.5*w.rng.NormFloat64()) * s.speed * w.slowFactor(s)
-	w.scheduleMillis(int(work*1000), func() {
-		for i, r := range s.running {
-			if r == t {
-				s.running = append(s.running[:i], s.running[i+1:]...)
-				break
-			}
-		}
-		if s.ended {
-			return
-		}
-		for len(s.queue) > 0 && len(s.running) < s.capacity {
-			next := s.queue[0]
-			s.queue = s.queue[1:]
-			if !next.abandoned { // its connection was closed
-				w.beginWork(s, next)
-			}
-		}
-		load := [2]float64{float64(len(s.running)), float64(len(s.queue))}
-		a := attempt.Response{Received: true, OwnID: true, Delimited: true, Complete: true, Success: true, Sealed: true}
-		t.brings = t.request.id
-		switch {
-		case s.garbling > w.now && w.rng.IntN(8) == 0:
-			if a.OwnID = w.rng.IntN(2) == 0; a.OwnID {
-				a.Complete = false
-			} else {
-				t.brings-- // one that came late, in this one's place
-			}
-		case s.failing > w.now && w.rng.IntN(5) > 0:
-			a.Complete = false
+	w.scheduleMillis(int(work*1000), func() { w.endWork(s, t) })
+}
+
+// endWork responds, and begins what waits. What a server does wrong for a while is drawn for each response.
+func (w *cluster) endWork(s *server, t *attemptState) {
+	if i := slices.Index(s.running, t); i >= 0 {
+		s.running = slices.Delete(s.running, i, i+1)
+	}
+	if s.ended {
+		return
+	}
+	for len(s.queue) > 0 && len(s.running) < s.capacity {
+		next := s.queue[0]
+		s.queue = s.queue[1:]
+		if !next.abandoned { // its connection was closed
+			w.beginWork(s, next)
 		}
-		if s.losing > w.now && w.rng.IntN(8) == 0 {
-			return
+	}
+	load := [2]float64{float64(len(s.running)), float64(len(s.queue))}
+	response := attempt.Response{Received: true, OwnID: true, Delimited: true, Complete: true, Success: true, Sealed: true}
+	t.responseTo = t.request.id
+	switch {
+	case s.garbling > w.now && w.rng.IntN(8) == 0:
+		if response.OwnID = w.rng.IntN(2) == 0; response.OwnID {
+			response.Complete = false
+		} else {
+			t.responseTo-- // one that came late, in this one's place
 		}
-		w.scheduleMillis(1+w.rng.IntN(4), func() { t.answer(a, 200, load) })
-	})
+	case s.failing > w.now && w.rng.IntN(5) > 0:
+		response.Complete = false
+	}
+	if s.losing > w.now && w.rng.IntN(8) == 0 {
+		return
+	}
+	w.scheduleMillis(1+w.rng.IntN(4), func() { t.respond(response, 200, load) })
 }
 
 // slowFactor is how much slower than usual a server is now.
--- a/internal/simulation/tables.go
+++ b/internal/simulation/tables.go
@@ -90,8 +90,8 @@
 	})
 }
 
-// auditTables holds an edge that has been at its controller, and in touch, for a while against what its controller ordered for it: of
-// each service's lines it knows, a table has spoken.
+// auditTables holds an edge that has been at its controller, and in touch, for a while against what its controller ordered
+// for it: of each service's lines it knows, a table has spoken.
 func (w *cluster) auditTables(e *edge) {
 	if !w.isCalm() || e.calmSince > w.now || e.controller == nowhere || w.now < e.attachedAt+tableWait {
 		return
