--- a/internal/planner/bench/group.go
+++ b/internal/planner/bench/group.go
@@ -79,8 +79,8 @@
 // join takes a proxy in.
 func (g *group) join(ends map[int]*end, proxy int, rate float64) error {
 	ends[proxy] = &end{group: g, proxy: proxy}
-	g.desk.Joined(g.now, uint64(proxy)+1, proxy, proxy%len(zones), rate)
-	for _, c := range g.desk.Take() {
+	g.desk.HandleJoined(g.now, uint64(proxy)+1, proxy, proxy%len(zones), rate)
+	for _, c := range g.desk.DrainCommands() {
 		if c, ok := c.(cores.Assignment); ok {
 			g.each[c.Core].router.Handle(routing.Handed{Peer: ends[proxy],
 				Attach: protocol.Attach{Proxy: proxy, Zone: zoneOf(proxy), Weight: rate, Fresh: true}})
@@ -97,7 +97,7 @@
 		}
 		return
 	}
-	if at, joined := g.desk.Home(from.proxy); joined {
+	if at, joined := g.desk.CoreOf(from.proxy); joined {
 		g.each[at].router.Handle(routing.Reported{Peer: from, Message: m})
 	}
 }
@@ -108,9 +108,9 @@
 		if p := c.router.Progress(); p.Looks != c.looks {
 			c.looks = p.Looks
 			own, waiting := c.module.Mine()
-			g.desk.Said(g.now, i, 1, cores.CoreReport{Seen: p.Seen, Done: p.Done, Deal: p.Deal, Waiting: waiting,
-				Joined: own.Joined,
-				Usual:  own.TypicalRates, Demands: own.Demands})
+			g.desk.HandleReport(g.now, i, 1, cores.CoreReport{Seen: p.Seen, Done: p.Done, ShareNumber: p.Deal, Waiting: waiting,
+				Joined:       own.Joined,
+				TypicalRates: own.TypicalRates, Demands: own.Demands})
 		}
 	}
 	g.desk.Tick(g.now)
@@ -119,12 +119,12 @@
 
 // carryOut does what the desk has decided, as far as it decides it here: no core ends, and proxies stay.
 func (g *group) carryOut() error {
-	for _, c := range g.desk.Take() {
+	for _, c := range g.desk.DrainCommands() {
 		switch c := c.(type) {
 		case cores.Share:
-			g.each[c.Core].router.Handle(routing.Allocated{Number: c.Deal,
-				Part: rules.Part{Channel: c.Channel, Joined: c.Joined, TypicalRates: c.Usual, Demands: c.Demands}})
-		case cores.Cut, cores.End:
+			g.each[c.Core].router.Handle(routing.Allocated{Number: c.Number,
+				Part: rules.Part{Channel: c.Channel, Joined: c.Joined, TypicalRates: c.TypicalRates, Demands: c.Demands}})
+		case cores.Isolate, cores.Abort:
 			return errors.New("a core was cut off on a clock that nothing holds up")
 		}
 	}
@@ -133,8 +133,8 @@
 
 // change tells every core of a change of the list.
 func (g *group) change(m protocol.Member) {
-	epoch := g.desk.Changed(g.now)
-	g.desk.Take()
+	epoch := g.desk.ChangeList(g.now)
+	g.desk.DrainCommands()
 	for _, c := range g.each {
 		c.router.Handle(routing.Notified{List: protocol.List{Members: []protocol.Member{m}}, Epoch: epoch})
 	}
--- a/internal/planner/cores/desk_test.go
+++ b/internal/planner/cores/assigner_test.go
@@ -34,7 +34,8 @@
 
 func newWorld(n int) *world {
 	w := &world{desk: NewAssigner(deskSettings(n), 0), life: make([]int, n), owner: map[int]int{}, stream: map[int]uint64{},
-		told: make([]uint64, n), seen: make([]uint64, n), word: make([]float64, n), spoken: make([]bool, n), behind: make([]float64, n)}
+		told: make([]uint64, n), seen: make([]uint64, n), word: make([]float64, n), spoken: make([]bool,
+			n), behind: make([]float64, n)}
 	w.carryOut()
 	return w
 }
@@ -46,19 +47,20 @@
 }
 
 func (w *world) carryOut() {
-	for _, c := range w.desk.Take() {
+	for _, c := range w.desk.DrainCommands() {
 		switch c := c.(type) {
-		case Begin:
+		case StartCore:
 			if w.life[c.Core] != 0 {
-				w.fail("core %d begins life %d in its life %d", c.Core, c.Life, w.life[c.Core])
+				w.fail("core %d begins life %d in its life %d", c.Core, c.Incarnation, w.life[c.Core])
 			}
-			w.life[c.Core], w.told[c.Core], w.seen[c.Core] = c.Life, c.Epoch, c.Epoch
+			w.life[c.Core], w.told[c.Core], w.seen[c.Core] = c.Incarnation, c.Epoch, c.Epoch
 			w.word[c.Core], w.behind[c.Core], w.spoken[c.Core] = w.now, w.now, false
-		case Cut:
+		case Isolate:
 			w.life[c.Core] = 0
 		case Assignment:
-			if w.life[c.Core] != c.Life {
-				w.fail("proxy %d is given to core %d, which is in life %d and not %d", c.Proxy, c.Core, w.life[c.Core], c.Life)
+			if w.life[c.Core] != c.Incarnation {
+				w.fail("proxy %d is given to core %d, which is in life %d and not %d", c.Proxy, c.Core, w.life[c.Core],
+					c.Incarnation)
 			}
 			if at, owned := w.owner[c.Proxy]; owned && w.life[at] != 0 && w.stream[c.Proxy] == c.Stream {
 				w.fail("proxy %d is given to core %d while core %d has it", c.Proxy, c.Core, at)
@@ -69,15 +71,15 @@
 				w.fail("proxy %d is taken from core %d, which doesn't have it", c.Proxy, c.Core)
 			}
 			delete(w.owner, c.Proxy)
-		case Tell:
-			if w.life[c.Core] != c.Life {
-				w.fail("core %d is told in life %d, which is over", c.Core, c.Life)
+		case UpdateList:
+			if w.life[c.Core] != c.Incarnation {
+				w.fail("core %d is told in life %d, which is over", c.Core, c.Incarnation)
 			}
 			if w.told[c.Core] == w.seen[c.Core] {
 				w.behind[c.Core] = w.now
 			}
 			w.told[c.Core] = c.Epoch
-		case End:
+		case Abort:
 			w.ended = true
 		}
 	}
@@ -85,7 +87,7 @@
 	if w.ended == live {
 		w.fail("the end is told: %t, cores live: %v", w.ended, w.life)
 	}
-	for proxy := range w.desk.homes {
+	for proxy := range w.desk.placements {
 		if at, owned := w.owner[proxy]; !owned || w.life[at] == 0 {
 			w.fail("proxy %d is with no live core", proxy)
 		}
@@ -100,27 +102,29 @@
 	switch step {
 	case "join":
 		w.next++
-		w.desk.Joined(w.now, w.next, i, i%2, float64(1+i))
+		w.desk.HandleJoined(w.now, w.next, i, i%2, float64(1+i))
 	case "leave":
-		w.desk.Left(w.stream[i], i)
+		w.desk.HandleLeft(w.stream[i], i)
 	case "change":
-		w.desk.Changed(w.now)
+		w.desk.ChangeList(w.now)
 	case "word":
 		if w.life[i] > 0 {
 			w.seen[i], w.word[i], w.behind[i], w.spoken[i] = w.told[i], w.now, w.now, true
-			w.desk.Said(w.now, i, w.life[i], CoreReport{Seen: w.seen[i], Done: w.seen[i], Deal: w.desk.purse.holders[i].deal, Joined: 1})
+			w.desk.HandleReport(w.now, i, w.life[i], CoreReport{Seen: w.seen[i], Done: w.seen[i],
+				ShareNumber: w.desk.budget.holders[i].number, Joined: 1})
 		}
 	case "old word": // it looks, and doesn't see what it was told
 		if w.life[i] > 0 {
 			w.word[i], w.spoken[i] = w.now, true
-			w.desk.Said(w.now, i, w.life[i], CoreReport{Seen: w.seen[i], Done: w.seen[i], Deal: w.desk.purse.holders[i].deal})
+			w.desk.HandleReport(w.now, i, w.life[i], CoreReport{Seen: w.seen[i], Done: w.seen[i],
+				ShareNumber: w.desk.budget.holders[i].number})
 		}
 	case "late word": // of a life that is over
 		if w.life[i] == 0 {
-			w.desk.Said(w.now, i, w.desk.cores[i].life, CoreReport{Seen: 1 << 40, Deal: 1})
+			w.desk.HandleReport(w.now, i, w.desk.cores[i].incarnation, CoreReport{Seen: 1 << 40, ShareNumber: 1})
 		}
 	case "die":
-		w.desk.Died(w.now, i, w.desk.cores[i].life, "panic")
+		w.desk.HandleEnd(w.now, i, w.desk.cores[i].incarnation, "panic")
 	case "tick":
 		w.now += confirm / 2
 		w.desk.Tick(w.now)
@@ -151,18 +155,18 @@
 	c := *w
 	desk := *w.desk
 	c.desk = &desk
-	desk.cores, desk.last = slices.Clone(desk.cores), maps.Clone(desk.last)
-	desk.homes, desk.crowds = maps.Clone(desk.homes), slices.Clone(desk.crowds)
-	for proxy, h := range desk.homes {
+	desk.cores, desk.lastCores = slices.Clone(desk.cores), maps.Clone(desk.lastCores)
+	desk.placements, desk.groups = maps.Clone(desk.placements), slices.Clone(desk.groups)
+	for proxy, h := range desk.placements {
 		copied := *h
-		desk.homes[proxy] = &copied
+		desk.placements[proxy] = &copied
 	}
-	for i := range desk.crowds {
-		desk.crowds[i] = slices.Clone(desk.crowds[i])
+	for i := range desk.groups {
+		desk.groups[i] = slices.Clone(desk.groups[i])
 	}
-	purse := *desk.purse
+	purse := *desk.budget
 	purse.holders = slices.Clone(purse.holders)
-	desk.purse = &purse
+	desk.budget = &purse
 	c.life, c.told, c.seen, c.word = slices.Clone(w.life), slices.Clone(w.told), slices.Clone(w.seen), slices.Clone(w.word)
 	c.spoken = slices.Clone(w.spoken)
 	c.owner, c.stream, c.behind = maps.Clone(w.owner), maps.Clone(w.stream), slices.Clone(w.behind)
@@ -172,11 +176,12 @@
 // key tells worlds apart that go on differently.
 func (w *world) key() string {
 	homes := ""
-	for _, proxy := range slices.Sorted(maps.Keys(w.desk.homes)) {
-		h := w.desk.homes[proxy]
+	for _, proxy := range slices.Sorted(maps.Keys(w.desk.placements)) {
+		h := w.desk.placements[proxy]
 		homes += fmt.Sprint(proxy, *h)
 	}
-	return fmt.Sprint(w.now, w.life, w.owner, w.stream, w.told, w.seen, w.word, w.spoken, w.behind, w.ended, w.desk.cores, w.desk.last, homes, w.desk.purse.holders)
+	return fmt.Sprint(w.now, w.life, w.owner, w.stream, w.told, w.seen, w.word, w.spoken, w.behind, w.ended, w.desk.cores,
+		w.desk.lastCores, homes, w.desk.budget.holders)
 }
 
 // TestDrainAgreementExhaustively goes through every order of joins, leavings, changes of the list, words, deaths and ticks
@@ -190,7 +195,8 @@
 	steps := []struct {
 		name string
 		at   []int
-	}{{"join", []int{0, 1}}, {"leave", []int{0}}, {"change", []int{0}}, {"word", []int{0, 1}}, {"old word", []int{1}}, {"late word", []int{0}}, {"die", []int{0, 1}}, {"tick", []int{0}}}
+	}{{"join", []int{0, 1}}, {"leave", []int{0}}, {"change", []int{0}}, {"word", []int{0, 1}}, {"old word",
+		[]int{1}}, {"late word", []int{0}}, {"die", []int{0, 1}}, {"tick", []int{0}}}
 	seen, count := map[string]int{}, 0
 	var path []string
 	var visit func(w *world, left int)
@@ -226,7 +232,8 @@
 		stuck := make([]bool, n)
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			core, proxy := rapid.IntRange(0, n-1).Draw(t, "core"), rapid.IntRange(0, 12).Draw(t, "proxy")
-			switch step := rapid.SampledFrom([]string{"join", "join", "leave", "change", "words", "words", "words", "stick", "die", "old word", "late word", "tick", "tick", "tick"}).Draw(t, "what"); step {
+			switch step := rapid.SampledFrom([]string{"join", "join", "leave", "change", "words", "words", "words", "stick",
+				"die", "old word", "late word", "tick", "tick", "tick"}).Draw(t, "what"); step {
 			case "words":
 				for i := range n {
 					if !stuck[i] {
@@ -276,7 +283,7 @@
 	}
 	w.do("die", 1) // the old goroutine ends
 	at := func(core int) (n int) {
-		for _, home := range w.desk.homes {
+		for _, home := range w.desk.placements {
 			if home.core == core {
 				n++
 			}
@@ -288,8 +295,8 @@
 		words()
 		before := at(1)
 		w.do("tick", 0)
-		if moved := at(1) - before; moved > 4 || moved > 0 && w.desk.purse.holders[1].told == 0 {
-			t.Fatalf("%d proxies moved at once, share %v", moved, w.desk.purse.holders[1].told)
+		if moved := at(1) - before; moved > 4 || moved > 0 && w.desk.budget.holders[1].share == 0 {
+			t.Fatalf("%d proxies moved at once, share %v", moved, w.desk.budget.holders[1].share)
 		}
 		if tick > 100 {
 			least = min(least, at(1))
@@ -305,12 +312,12 @@
 func TestHeldUpProcessCutsNobody(t *testing.T) {
 	d := NewAssigner(deskSettings(4), 0)
 	d.Tick(100)
-	d.Changed(150)
+	d.ChangeList(150)
 	d.Tick(9000)
-	d.Said(9001, 0, 1, CoreReport{Seen: 1, Done: 1})
+	d.HandleReport(9001, 0, 1, CoreReport{Seen: 1, Done: 1})
 	d.Tick(9020)
-	for _, c := range d.Take() {
-		if cut, ok := c.(Cut); ok {
+	for _, c := range d.DrainCommands() {
+		if cut, ok := c.(Isolate); ok {
 			t.Errorf("core %d was cut off: %s", cut.Core, cut.Why)
 		}
 	}
@@ -324,7 +331,7 @@
 		if p%40 == 0 {
 			rate = 200
 		}
-		d.Joined(float64(p), uint64(p+1), p, p%2, rate)
+		d.HandleJoined(float64(p), uint64(p+1), p, p%2, rate)
 	}
 	for zone := range 2 {
 		loads, inZone, _ := d.loads(zone)
--- a/internal/planner/cores/balance.go
+++ b/internal/planner/cores/balance.go
@@ -23,8 +23,8 @@
 	return 0.5 + 0.5*rate/meanRate
 }
 
-// settler is a proxy that may be moved.
-type settler struct {
+// movableProxy is a proxy that may be moved.
+type movableProxy struct {
 	proxy, core, zone int
 	cost              float64
 	rested            bool // it may be moved again
@@ -47,10 +47,10 @@
 	return core, found
 }
 
-// moves evens out the cores by at most so many moves. Each goes from the fullest core to the emptiest and takes a proxy
+// planMoves evens out the cores by at most so many moves. Each goes from the fullest core to the emptiest and takes a proxy
 // whose cost is less than the difference of the two, so that the sum of the squares of all loads falls with every move:
 // no series of moves can lead back to where it began.
-func moves(list []settler, open []bool, most int) (out []move) {
+func planMoves(list []movableProxy, open []bool, limit int) (out []move) {
 	loads, live, total := make([]float64, len(open)), 0.0, 0.0
 	for i := range open {
 		if open[i] {
@@ -66,11 +66,11 @@
 	}
 	mean := total / live
 	sorted := slices.Clone(list)
-	slices.SortFunc(sorted, func(a, b settler) int {
+	slices.SortFunc(sorted, func(a, b movableProxy) int {
 		return cmp.Or(cmp.Compare(b.cost, a.cost), cmp.Compare(a.proxy, b.proxy))
 	})
 	bound := unevenFrom
-	for len(out) < most {
+	for len(out) < limit {
 		from, to := fullestAndEmptiest(loads, open)
 		gap := loads[from] - loads[to]
 		if gap <= bound*mean {
@@ -108,7 +108,7 @@
 
 // movable finds the proxy to take from a core, in a list by falling cost: the largest that at most halves the gap, else the
 // smallest that narrows it; -1 if there is none.
-func movable(sorted []settler, from int, gap float64) int {
+func movable(sorted []movableProxy, from int, gap float64) int {
 	best := -1
 	for i, s := range sorted {
 		if s.core != from || !s.rested || s.cost >= gap*(1-roundingMargin) {
--- a/internal/planner/cores/purse_test.go
+++ b/internal/planner/cores/channel_budget_test.go
@@ -61,12 +61,12 @@
 					c.dealt, c.coming = c.coming[0], c.coming[1:]
 				}
 				c.waiting = max(c.waiting, c.share*queue) // fills what it may
-				p.confirmed(i, c.deal, c.waiting)
+				p.confirm(i, c.deal, c.waiting)
 			}
 		}
 		deal := func() {
-			for _, i := range p.deal(needs) {
-				cores[i].coming = append(cores[i].coming, dealt{p.holders[i].told, p.holders[i].deal})
+			for _, i := range p.allocate(needs) {
+				cores[i].coming = append(cores[i].coming, dealt{p.holders[i].share, p.holders[i].number})
 			}
 		}
 		pass := func(span float64) {
@@ -97,11 +97,11 @@
 				if p.holders[i].live {
 					gone = append(gone, leftover{cores[i].waiting, total()})
 					cores[i] = spender{}
-					p.cut(i)
+					p.remove(i)
 				}
 			case "begin":
 				if !p.holders[i].live {
-					p.begin(i)
+					p.add(i)
 				}
 			}
 			check()
@@ -119,22 +119,22 @@
 				}
 				pass(750)
 				for i := range cores { // what has drained is told
-					p.confirmed(i, cores[i].deal, cores[i].waiting)
+					p.confirm(i, cores[i].deal, cores[i].waiting)
 				}
 			}
 		}
 		targets := p.targets(needs)
 		for i, h := range p.holders {
-			if math.Abs(h.told-targets[i]) > 3*minShare {
-				t.Fatalf("core %d has %v, should have %v: %+v", i, h.told, targets[i], p.holders)
+			if math.Abs(h.share-targets[i]) > 3*minShareChange {
+				t.Fatalf("core %d has %v, should have %v: %+v", i, h.share, targets[i], p.holders)
 			}
 		}
 	})
 }
 
-func (p *channelBudget) sum() (sum float64) {
-	for _, h := range p.holders {
-		sum += p.reserved(h)
+func (b *channelBudget) sum() (sum float64) {
+	for _, h := range b.holders {
+		sum += b.reserved(h)
 	}
 	return sum
 }
@@ -146,13 +146,13 @@
 		for i := range open {
 			open[i] = rapid.Bool().Draw(t, "open")
 		}
-		var list []settler
+		var list []movableProxy
 		for p := range rapid.IntRange(0, 60).Draw(t, "proxies") {
 			at := rapid.IntRange(0, n-1).Draw(t, "core")
 			if !open[at] {
 				continue // proxies are at live cores only
 			}
-			list = append(list, settler{proxy: p, core: at, cost: rapid.Float64Range(0.5, 20).Draw(t, "cost"), rested: true})
+			list = append(list, movableProxy{proxy: p, core: at, cost: rapid.Float64Range(0.5, 20).Draw(t, "cost"), rested: true})
 		}
 		most := rapid.IntRange(0, 20).Draw(t, "most")
 		squares := func() (sum float64) {
@@ -165,7 +165,7 @@
 			}
 			return sum
 		}
-		out := moves(list, open, most)
+		out := planMoves(list, open, most)
 		if len(out) > most {
 			t.Fatalf("%d moves, at most %d are allowed", len(out), most)
 		}
@@ -197,18 +197,18 @@
 			if ms%1000 != 200*core { // each in its own rhythm
 				continue
 			}
-			start, again := p.Ask(float64(ms), "s-1", core)
+			start, again := p.Request(float64(ms), "s-1", core)
 			if again {
 				told[core]++
 			}
 			if start {
 				started++
 				if core == 0 && ms%7000 == 0 { // one is slow: who asks meanwhile joins it
-					if start, again := p.Ask(float64(ms)+50, "s-1", 2); start || again {
+					if start, again := p.Request(float64(ms)+50, "s-1", 2); start || again {
 						t.Error("an ask while a probe is under way starts another or gets an old answer")
 					}
 				}
-				for _, waiting := range p.Answered("s-1") {
+				for _, waiting := range p.Complete("s-1") {
 					told[waiting]++
 				}
 			}
@@ -222,14 +222,14 @@
 			t.Errorf("core %d was told %d answers in a minute", core, told[core])
 		}
 	}
-	if start, again := p.Ask(200000, "s-1", 3); !start || again {
+	if start, again := p.Request(200000, "s-1", 3); !start || again {
 		t.Error("an answer of long ago is taken for news")
 	}
-	for i := range 3 * maxKept {
-		p.Ask(float64(200001+i), string(rune('a'+i)), 0)
-		p.Answered(string(rune('a' + i)))
+	for i := range 3 * maxProbed {
+		p.Request(float64(200001+i), string(rune('a'+i)), 0)
+		p.Complete(string(rune('a' + i)))
 	}
-	if len(p.of) > maxKept {
-		t.Errorf("%d servers are remembered", len(p.of))
+	if len(p.servers) > maxProbed {
+		t.Errorf("%d servers are remembered", len(p.servers))
 	}
 }
--- a/internal/planner/cores/probes.go
+++ b/internal/planner/cores/probes.go
@@ -4,73 +4,73 @@
 // should still meet one planner. An ask joins the probe under way; otherwise it gets the last answer, if it has not had it
 // and the answer is no older than the pace at which the server is being probed; otherwise it starts a probe.
 type Probes struct {
-	of map[string]*probed
+	servers map[string]*probed
 }
 
 // probed is a server that has been probed.
 type probed struct {
-	started  float64 // the latest probe
-	pace     float64 // between the latest two; 0: there was one
-	under    bool    // it is under way
-	waiting  []int   // cores that get its answer
-	had      map[int]bool
-	answered bool
+	started    float64 // the latest probe
+	pace       float64 // between the latest two; 0: there was one
+	inFlight   bool    // it is under way
+	waiting    []int   // cores that get its answer
+	answeredTo map[int]bool
+	answered   bool
 }
 
-// maxKept bounds the servers that are remembered; those of no probe under way go first.
-const maxKept = 1024
+// maxProbed bounds the servers that are remembered; those of no probe under way go first.
+const maxProbed = 1024
 
-// Ask is a core's wish to have a server probed. Start says that a probe is to be made now; otherwise, if again is true, the
+// Request is a core's wish to have a server probed. Start says that a probe is to be made now; otherwise, if again is true, the
 // core is to be told the latest answer at once, and if not, the one that is on its way.
-func (p *Probes) Ask(now float64, server string, core int) (start, again bool) {
-	if p.of == nil {
-		p.of = map[string]*probed{}
+func (p *Probes) Request(now float64, server string, core int) (start, repeat bool) {
+	if p.servers == nil {
+		p.servers = map[string]*probed{}
 	}
-	s := p.of[server]
+	s := p.servers[server]
 	if s == nil {
 		p.prune()
 		s = &probed{}
-		p.of[server] = s
+		p.servers[server] = s
 	}
 	switch {
-	case s.under:
+	case s.inFlight:
 		s.waiting = append(s.waiting, core)
 		return false, false
-	case s.answered && !s.had[core] && s.pace > 0 && now-s.started <= s.pace:
-		s.had[core] = true
+	case s.answered && !s.answeredTo[core] && s.pace > 0 && now-s.started <= s.pace:
+		s.answeredTo[core] = true
 		return false, true
 	}
 	if s.answered {
 		s.pace = now - s.started
 	}
-	s.started, s.under, s.answered, s.waiting, s.had = now, true, false, []int{core}, map[int]bool{}
+	s.started, s.inFlight, s.answered, s.waiting, s.answeredTo = now, true, false, []int{core}, map[int]bool{}
 	return true, false
 }
 
-// Answered ends the probe under way and returns the cores that are to be told.
-func (p *Probes) Answered(server string) []int {
-	s := p.of[server]
-	if s == nil || !s.under {
+// Complete ends the probe under way and returns the cores that are to be told.
+func (p *Probes) Complete(server string) []int {
+	s := p.servers[server]
+	if s == nil || !s.inFlight {
 		return nil
 	}
 	for _, core := range s.waiting {
-		s.had[core] = true
+		s.answeredTo[core] = true
 	}
 	waiting := s.waiting
-	s.under, s.answered, s.waiting = false, true, nil
+	s.inFlight, s.answered, s.waiting = false, true, nil
 	return waiting
 }
 
 func (p *Probes) prune() {
-	if len(p.of) < maxKept {
+	if len(p.servers) < maxProbed {
 		return
 	}
-	for name, s := range p.of {
-		if !s.under {
-			delete(p.of, name)
+	for name, s := range p.servers {
+		if !s.inFlight {
+			delete(p.servers, name)
 		}
 	}
 }
 
 // Known says whether a server's latest answer may still be asked for.
-func (p *Probes) Known(server string) bool { return p.of[server] != nil }
+func (p *Probes) Known(server string) bool { return p.servers[server] != nil }
--- a/internal/planner/program/config_test.go
+++ b/internal/planner/program/config_test.go
@@ -99,7 +99,8 @@
 	}
 	write(":8500", ":8501", `"sockets": 1024`, `"sockets": 256`, `"n0"`, `"n1"`, "8c1f", "8c2f", `"bare": 2500`, `"bare": 2600`)
 	next, fixed, err := c.Reload()
-	if err != nil || next.Discovery != "127.0.0.1:8501" || next.Limits.Sockets != 256 || fmt.Sprint(fixed) != "[name seed settings]" {
+	if err != nil || next.Discovery != "127.0.0.1:8501" || next.Limits.Sockets != 256 ||
+		fmt.Sprint(fixed) != "[name seed settings]" {
 		t.Errorf("another file: %q, %+v, %v, %v", next.Discovery, next.Limits, fixed, err)
 	}
 	for _, bad := range []string{`"members"`, `8500"`, `"settings"`, `: "127.0.0.1:8500"`} {
--- a/internal/planner/program/core.go
+++ b/internal/planner/program/core.go
@@ -23,23 +23,23 @@
 	Mine() (own rules.Part, waiting float64)
 }
 
-// coreRun is one life of a core: a goroutine that owns a router and its module.
+// coreRun is one incarnation of a core: a goroutine that owns a router and its module.
 type coreRun struct {
-	index, life int
-	in          *inbox
-	word        atomic.Pointer[cores.CoreReport] // after its last look, until the host has taken it
-	end         context.CancelFunc
-	over        chan struct{} // closed when the goroutine has ended
+	index, incarnation int
+	in                 *inbox
+	report             atomic.Pointer[cores.CoreReport] // after its last look, until the host has taken it
+	cancel             context.CancelFunc
+	ended              chan struct{} // closed when the goroutine has ended
 }
 
-// begin starts a life with the whole list as of the epoch. Died is told once it ends before its context does.
-func beginCore(ctx context.Context, index, life int, set settings.Settings, module sharer, calls routing.Calls,
+// startCore starts an incarnation with the whole list as of the epoch. Died is called once it ends before its context does.
+func startCore(ctx context.Context, index, incarnation int, set settings.Settings, module sharer, calls routing.Calls,
 	known protocol.List, epoch uint64, now func() float64, log zerolog.Logger, died func(error)) *coreRun {
 	ctx, end := context.WithCancel(ctx)
-	c := &coreRun{index: index, life: life, in: newInbox(), end: end, over: make(chan struct{})}
+	c := &coreRun{index: index, incarnation: incarnation, in: newInbox(), cancel: end, ended: make(chan struct{})}
 	router := routing.NewFed(set, module, calls, known, epoch, log)
 	go func() {
-		defer close(c.over)
+		defer close(c.ended)
 		defer end()
 		died(c.run(ctx, router, module, now, set.Granularity))
 	}()
@@ -79,8 +79,8 @@
 		if p := router.Progress(); p.Looks != looks {
 			looks = p.Looks
 			own, waiting := module.Mine()
-			c.word.Store(&cores.CoreReport{Seen: p.Seen, Done: p.Done, Deal: p.Deal, Waiting: waiting,
-				Joined: own.Joined, Usual: own.TypicalRates, Demands: own.Demands})
+			c.report.Store(&cores.CoreReport{Seen: p.Seen, Done: p.Done, ShareNumber: p.Deal, Waiting: waiting,
+				Joined: own.Joined, TypicalRates: own.TypicalRates, Demands: own.Demands})
 		}
 		if wants {
 			alarm.Reset(time.Duration((next - now()) * float64(time.Millisecond)))
@@ -103,7 +103,7 @@
 
 // Probe implements routing.Calls.
 func (c coreCalls) Probe(server rules.ServerID, address string, load bool) {
-	c.probes.ask(c.core(), server, address, load)
+	c.probes.request(c.core(), server, address, load)
 }
 
 // sharedProbes makes each probe once for all cores that want it.
@@ -111,26 +111,26 @@
 	now   func() float64
 	probe func(address string, load bool, then func(routing.Probed))
 
-	mu   sync.Mutex
-	desk cores.Probes
-	asks map[string]map[int]ask // by address, then core
-	last map[string]routing.Probed
+	mu       sync.Mutex
+	requests cores.Probes
+	waiting  map[string]map[int]probeRequest // by address, then core
+	last     map[string]routing.Probed
 }
 
-// ask is a core's wish for an answer.
-type ask struct {
+// probeRequest is a core's wish for an answer.
+type probeRequest struct {
 	core   *coreRun
 	server rules.ServerID
 }
 
-func (p *sharedProbes) ask(core *coreRun, server rules.ServerID, address string, load bool) {
+func (p *sharedProbes) request(core *coreRun, server rules.ServerID, address string, load bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.asks[address] == nil {
-		p.asks[address] = map[int]ask{}
+	if p.waiting[address] == nil {
+		p.waiting[address] = map[int]probeRequest{}
 	}
-	p.asks[address][core.index] = ask{core, server}
-	start, again := p.desk.Ask(p.now(), address, core.index)
+	p.waiting[address][core.index] = probeRequest{core, server}
+	start, again := p.requests.Request(p.now(), address, core.index)
 	if again {
 		p.tell(address, core.index, p.last[address])
 	}
@@ -143,20 +143,20 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.last[address] = result
-	for _, core := range p.desk.Answered(address) {
+	for _, core := range p.requests.Complete(address) {
 		p.tell(address, core, result)
 	}
 	for known := range p.last {
-		if !p.desk.Known(known) {
+		if !p.requests.Known(known) {
 			delete(p.last, known)
-			delete(p.asks, known)
+			delete(p.waiting, known)
 		}
 	}
 }
 
 // tell gives a core the answer under its own number for the server.
 func (p *sharedProbes) tell(address string, core int, result routing.Probed) {
-	a := p.asks[address][core]
+	a := p.waiting[address][core]
 	result.Server = a.server
 	a.core.in.order(result)
 }
--- a/internal/planner/program/day_test.go
+++ b/internal/planner/program/day_test.go
@@ -179,7 +179,8 @@
 		for _, p := range list {
 			if beat%10 == p.Number%10 && p.State().Closed == nil {
 				for _, class := range []string{"lookup", "order"} {
-					p.Say(fmt.Sprintf(`{"t":"client_stats","proxy":%d,"class":%q,"tries":%d,"failed":0,"span_ms":1000}`, p.Number, class, 5+rng.IntN(10)))
+					p.Say(fmt.Sprintf(`{"t":"client_stats","proxy":%d,"class":%q,"tries":%d,"failed":0,"span_ms":1000}`,
+						p.Number, class, 5+rng.IntN(10)))
 				}
 			}
 		}
@@ -192,7 +193,10 @@
 		}
 	}
 	for _, p := range list {
-		w.wait("a table of what is up", p, func(s standin.State) bool { return len(s.Table) > 0 && s.Table["s-1"] == 0 && s.Table["s-3"] == 0 })
+		w.wait("a table of what is up", p, func(s standin.State) bool {
+			return len(s.Table) > 0 && s.Table["s-1"] == 0 &&
+				s.Table["s-3"] == 0
+		})
 	}
 	w.verdict()
 	for _, p := range list {
@@ -207,29 +211,30 @@
 	w.mu.Lock()
 	w.books.Joined(w.now(), number, 20)
 	w.mu.Unlock()
-	p, err := standin.JoinGRPC(w.planner, number, []string{"north", "south"}[number%2], 20, classNames, nil, func(r *discovery.DiscoveryResponse) {
-		o := audit.Order{Replace: true, Rows: map[string]float64{}, Retries: map[int]rules.Retry{}}
-		for i, packed := range r.GetResources() {
-			var a endpoint.ClusterLoadAssignment
-			if packed.UnmarshalTo(&a) != nil {
-				return
-			}
-			rows, shut, gate := xds.Read(&a, false)
-			if gate != nil {
-				o.Retries[slices.Index(classNames, a.GetClusterName())] = rules.Retry(gate.Again)
-			}
-			if i == 0 {
-				for _, row := range rows {
-					o.Rows[row.Server] = row.Weight
+	p, err := standin.JoinGRPC(w.planner, number, []string{"north", "south"}[number%2], 20, classNames, nil,
+		func(r *discovery.DiscoveryResponse) {
+			o := audit.Order{Replace: true, Rows: map[string]float64{}, Retries: map[int]rules.Retry{}}
+			for i, packed := range r.GetResources() {
+				var a endpoint.ClusterLoadAssignment
+				if packed.UnmarshalTo(&a) != nil {
+					return
+				}
+				rows, shut, gate := xds.Read(&a, false)
+				if gate != nil {
+					o.Retries[slices.Index(classNames, a.GetClusterName())] = rules.Retry(gate.Again)
+				}
+				if i == 0 {
+					for _, row := range rows {
+						o.Rows[row.Server] = row.Weight
+					}
+					o.Drop = shut
 				}
-				o.Drop = shut
 			}
-		}
-		o.Lines = float64(len(o.Rows) + 4)
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.books.Sent(w.now(), number, o)
-	})
+			o.Lines = float64(len(o.Rows) + 4)
+			w.mu.Lock()
+			defer w.mu.Unlock()
+			w.books.Sent(w.now(), number, o)
+		})
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -323,7 +328,8 @@
 				tries := 5 + rng.IntN(10)
 				switch p := p.(type) {
 				case *standin.Proxy:
-					p.Say(fmt.Sprintf(`{"t":"client_stats","proxy":%d,"class":%q,"tries":%d,"failed":0,"span_ms":1000}`, i, class, tries))
+					p.Say(fmt.Sprintf(`{"t":"client_stats","proxy":%d,"class":%q,"tries":%d,"failed":0,"span_ms":1000}`, i,
+						class, tries))
 				case *standin.GRPCProxy:
 					p.Use(class, uint64(tries), 0, time.Second)
 				}
--- a/internal/planner/program/front_limits_test.go
+++ b/internal/planner/program/front_limits_test.go
@@ -35,7 +35,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := s.Send(&discovery.DiscoveryRequest{Node: standin.ProxyNode(number, "north", 20), TypeUrl: xds.TypeEndpoints}); err != nil {
+		if err := s.Send(&discovery.DiscoveryRequest{Node: standin.ProxyNode(number, "north", 20),
+			TypeUrl: xds.TypeEndpoints}); err != nil {
 			t.Fatal(err)
 		}
 		return s
@@ -46,7 +47,8 @@
 	}
 	peer := &xdsPeer{cancel: func() {}, wake: make(chan struct{}, 1), now: clock(), machine: newJoinedMachine(t)}
 	for i := 0; peer.reason() == nil; i++ {
-		peer.Order(protocol.Orders{Rows: []protocol.Row{{Server: strings.Repeat("s", 1000) + string(rune('a'+i%26)), Weight: 1, Zone: "north"}}})
+		peer.Order(protocol.Orders{Rows: []protocol.Row{{Server: strings.Repeat("s", 1000) + string(rune('a'+i%26)),
+			Weight: 1, Zone: "north"}}})
 		if i > 10000 {
 			t.Fatal("what is unread has no end")
 		}
@@ -73,7 +75,8 @@
 
 func newJoinedMachine(t *testing.T) *xds.Assignments {
 	m := xds.NewAssignments(xds.Facts{Classes: classNames, Zones: []string{"north"}, Within: protocol.Bounds{Proxies: 4}}, false)
-	if _, _, err := m.Request(0, &discovery.DiscoveryRequest{Node: standin.ProxyNode(0, "north", 1), TypeUrl: xds.TypeEndpoints}); err != nil {
+	if _, _, err := m.Request(0, &discovery.DiscoveryRequest{Node: standin.ProxyNode(0, "north", 1),
+		TypeUrl: xds.TypeEndpoints}); err != nil {
 		t.Fatal(err)
 	}
 	return m
@@ -93,7 +96,10 @@
 	f.phase("s-2", "draining")
 	f.await("the other is served", other, func(s standin.State) bool { return s.Table["s-1"] == 0 && s.Table["s-2"] == 0 })
 	still.Stall(false)
-	f.await("what it missed", still, func(s standin.State) bool { return s.Table["s-1"] == 0 && s.Table["s-2"] == 0 && len(s.Table) > 0 })
+	f.await("what it missed", still, func(s standin.State) bool {
+		return s.Table["s-1"] == 0 && s.Table["s-2"] == 0 &&
+			len(s.Table) > 0
+	})
 }
 
 // TestLimitsOfTheFront: what goes over a bound ends that stream, or that connection, and no other's.
@@ -108,12 +114,14 @@
 	}
 	defer client.Close()
 	api := discovery.NewAggregatedDiscoveryServiceClient(client)
-	open := func(ctx context.Context, number int, names ...string) (discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient, error) {
+	open := func(ctx context.Context, number int,
+		names ...string) (discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient, error) {
 		s, err := api.StreamAggregatedResources(ctx)
 		if err != nil {
 			return nil, err
 		}
-		err = s.Send(&discovery.DiscoveryRequest{Node: standin.ProxyNode(number, "north", 1), TypeUrl: xds.TypeEndpoints, ResourceNames: names})
+		err = s.Send(&discovery.DiscoveryRequest{Node: standin.ProxyNode(number, "north", 1), TypeUrl: xds.TypeEndpoints,
+			ResourceNames: names})
 		if err == nil {
 			_, err = s.Recv()
 		}
@@ -123,10 +131,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := open(context.Background(), 2, strings.Repeat("x", protocol.MaxLine)); status.Code(err) != codes.ResourceExhausted {
+	if _, err := open(context.Background(), 2, strings.Repeat("x",
+		protocol.MaxLine)); status.Code(err) != codes.ResourceExhausted {
 		t.Errorf("a message over 1 MiB: %v", err)
 	}
-	if _, err := open(metadata.AppendToOutgoingContext(context.Background(), "a", strings.Repeat("x", 2*maxHeaders)), 2); err == nil {
+	if _, err := open(metadata.AppendToOutgoingContext(context.Background(), "a", strings.Repeat("x", 2*maxHeaders)),
+		2); err == nil {
 		t.Error("headers over their bound are taken")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/planner/program/front_test.go
+++ b/internal/planner/program/front_test.go
@@ -79,7 +79,8 @@
 			t.Fatal(err)
 		}
 		f.close = append(f.close, south.Close)
-		if got := south.Answer.GetLoadReportingInterval().AsDuration(); got != time.Second || !south.Answer.GetReportEndpointGranularity() {
+		if got := south.Answer.GetLoadReportingInterval().AsDuration(); got != time.Second ||
+			!south.Answer.GetReportEndpointGranularity() {
 			t.Errorf("asked to report every %v: %v", got, south.Answer)
 		}
 		for _, id := range []string{"s-0", "s-1", "s-2", "s-3"} {
@@ -100,7 +101,8 @@
 		f.await("the end of the older one", all[0], func(s standin.State) bool { return s.Closed != nil })
 		back := f.proxy(5, "south")
 		f.await("a table by the newer stream", back, func(s standin.State) bool { return len(s.Table) > 0 })
-		if s := f.await("the end of the older one", all[3], func(s standin.State) bool { return s.Closed != nil }); status.Code(s.Closed) != codes.Aborted {
+		if s := f.await("the end of the older one", all[3],
+			func(s standin.State) bool { return s.Closed != nil }); status.Code(s.Closed) != codes.Aborted {
 			t.Errorf("the older stream ended with %v", s.Closed)
 		}
 		f.phase("s-3", "draining")
@@ -246,7 +248,8 @@
 	if load := ask("a stream of reports that stalls", true, false); load != nil {
 		t.Errorf("load %v", load)
 	}
-	byGRPC.Set(healthpb.HealthCheckResponse_SERVING, &xdsorca.OrcaLoadReport{NamedMetrics: map[string]float64{"bad": -1, "inflight": 3}})
+	byGRPC.Set(healthpb.HealthCheckResponse_SERVING, &xdsorca.OrcaLoadReport{NamedMetrics: map[string]float64{"bad": -1,
+		"inflight": 3}})
 	if load := ask("a figure that can't be", true, false); load["inflight"] != 3 || len(load) != 2 {
 		t.Errorf("load %v", load)
 	}
--- a/internal/planner/program/host.go
+++ b/internal/planner/program/host.go
@@ -21,16 +21,16 @@
 )
 
 const (
-	tickEvery   = 20 * time.Millisecond // how often the desk looks at its cores
+	tickEvery   = 20 * time.Millisecond // how often the assigner looks at its cores
 	confirmPart = 0.25                  // of the drain grace: the time in which a core must confirm where none is set
 	minConfirm  = 250.0                 // but never less: a core looks each tenth of a second
 )
 
-// supervisor runs a planner on several cores: it follows discovery for them, and carries out what the desk decides about who
+// supervisor runs a planner on several cores: it follows discovery for them, and carries out what the assigner decides about who
 // has which proxy. One goroutine owns all of it but for what is said to be shared.
 type supervisor struct {
-	set      settings.Settings
-	desk     *cores.Assigner
+	settings settings.Settings
+	assigner *cores.Assigner
 	follower *routing.Follower
 	log      zerolog.Logger
 	now      func() float64
@@ -39,8 +39,8 @@
 	ctx      context.Context
 
 	in      chan routing.Event // for the host alone
-	runs    []*coreRun         // by core, the present life
-	all     []*coreRun         // every life begun whose goroutine may go on
+	runs    []*coreRun         // by core, the present incarnation
+	all     []*coreRun         // every incarnation started whose goroutine may go on
 	streams map[uint64]routing.Reported
 	leases  map[int]*lease // by proxy: the present one, or the last
 	waiting []routing.Peer // heartbeats
@@ -50,11 +50,11 @@
 	failed  error         // no core is left
 
 	// Shared with the readers of all connections.
-	owners  []atomic.Pointer[lease] // by proxy
-	live    atomic.Pointer[[]*coreRun]
-	listed  atomic.Bool
-	former  sync.Map // connections whose proxy has a newer one
-	dropped atomic.Int64
+	owners     []atomic.Pointer[lease] // by proxy
+	live       atomic.Pointer[[]*coreRun]
+	listed     atomic.Bool
+	superseded sync.Map // connections whose proxy has a newer one
+	dropped    atomic.Int64
 }
 
 // joining is an Attach whose reader waits until the stream has its core.
@@ -65,8 +65,8 @@
 
 // incarnationEnded says that a core's goroutine has ended.
 type incarnationEnded struct {
-	core, life int
-	err        error
+	core, incarnation int
+	err               error
 }
 
 // supervisorEvent carries what only the host knows of through the channel of events.
@@ -77,22 +77,24 @@
 }
 
 // newSupervisor returns a host of so many cores that has not begun.
-func newSupervisor(ctx context.Context, c Config, n int, asks *calls, module func(core, life int) sharer,
+func newSupervisor(ctx context.Context, c Config, n int, asks *calls, module func(core, incarnation int) sharer,
 	log zerolog.Logger) *supervisor {
 	r := c.Settings.Rules
 	confirm := c.Own.Cores.ConfirmMS
 	if confirm == 0 {
 		confirm = max(minConfirm, confirmPart*r.DrainGrace)
 	}
-	h := &supervisor{set: c.Settings, log: log, now: clock(), module: module, ctx: ctx, in: make(chan routing.Event, maxEvents),
+	h := &supervisor{settings: c.Settings, log: log, now: clock(), module: module, ctx: ctx,
+		in: make(chan routing.Event, maxEvents),
 		runs: make([]*coreRun,
 			n), streams: map[uint64]routing.Reported{}, leases: map[int]*lease{}, members: map[string]protocol.Member{},
 		owners: make([]atomic.Pointer[lease], r.Proxies), follower: routing.NewFollower(asks, c.Known.Revision)}
-	h.probes = &sharedProbes{now: h.now, probe: asks.probe, asks: map[string]map[int]ask{}, last: map[string]routing.Probed{}}
+	h.probes = &sharedProbes{now: h.now, probe: asks.probe, waiting: map[string]map[int]probeRequest{},
+		last: map[string]routing.Probed{}}
 	h.live.Store(&[]*coreRun{})
 	h.merge(c.Known)
 	h.listed.Store(len(c.Known.Members) > 0)
-	h.desk = cores.NewAssigner(cores.Settings{Cores: n, Zones: len(c.Settings.ZoneNames), QueueLines: r.QueueLines,
+	h.assigner = cores.NewAssigner(cores.Settings{Cores: n, Zones: len(c.Settings.ZoneNames), QueueLines: r.QueueLines,
 		LinesPerSec: r.LinesPerSec,
 		Confirm:     confirm, MovesPerS: c.Own.Cores.MovesPerS, Rest: c.Own.Cores.RestMS}, h.now())
 	return h
@@ -139,7 +141,7 @@
 			l.core.in.report(routing.Reported{Peer: l, Message: m})
 		}
 	case protocol.ServerReport:
-		if _, former := h.former.Load(said.Peer.ID()); former {
+		if _, former := h.superseded.Load(said.Peer.ID()); former {
 			return
 		}
 		for _, c := range *h.live.Load() {
@@ -162,7 +164,7 @@
 	if l != nil && l.ID() == from.ID() {
 		return l
 	}
-	if _, former := h.former.Load(from.ID()); l == nil || former {
+	if _, former := h.superseded.Load(from.ID()); l == nil || former {
 		if n := int(h.dropped.Add(1)); routing.Telling(n) {
 			h.log.Warn().Str("reason", "about a proxy that is not here, or from a stream that was replaced").Int("proxy", proxy).
 				Int("count", n).Msg("message not used")
@@ -199,11 +201,11 @@
 func (h *supervisor) tick() {
 	now := h.now()
 	for i, run := range h.runs {
-		if w := run.word.Swap(nil); w != nil {
-			h.desk.Said(now, i, run.life, *w)
+		if w := run.report.Swap(nil); w != nil {
+			h.assigner.HandleReport(now, i, run.incarnation, *w)
 		}
 	}
-	h.desk.Tick(now)
+	h.assigner.Tick(now)
 	if h.watchAt > 0 && now >= h.watchAt {
 		h.watchAt = 0
 		h.follower.StartWatch()
@@ -227,11 +229,11 @@
 		h.waiting = append(h.waiting, e.Peer)
 	case routing.Ended:
 		id := e.Peer.ID()
-		h.former.Delete(id)
+		h.superseded.Delete(id)
 		h.waiting = slices.DeleteFunc(h.waiting, func(p routing.Peer) bool { return p.ID() == id })
 		if s, known := h.streams[id]; known {
 			delete(h.streams, id)
-			h.desk.Left(id, s.Message.(protocol.Attach).Proxy)
+			h.assigner.HandleLeft(id, s.Message.(protocol.Attach).Proxy)
 		}
 	case routing.Listed:
 		if h.follower.Listed(e) {
@@ -256,12 +258,12 @@
 func (h *supervisor) joined(j *joining) {
 	defer close(j.placed)
 	m := j.Message.(protocol.Attach)
-	zone := slices.Index(h.set.ZoneNames, m.Zone)
+	zone := slices.Index(h.settings.ZoneNames, m.Zone)
 	if _, twice := h.streams[j.Peer.ID()]; twice || zone < 0 || m.Proxy >= len(h.owners) {
 		return // its role has been checked, so this can't be; a second joining is void
 	}
 	h.streams[j.Peer.ID()] = j.Reported
-	h.desk.Joined(h.now(), j.Peer.ID(), m.Proxy, zone, m.Weight)
+	h.assigner.HandleJoined(h.now(), j.Peer.ID(), m.Proxy, zone, m.Weight)
 	if err := h.carryOut(); err != nil {
 		h.failed = err
 	}
@@ -271,10 +273,10 @@
 	why := "ended"
 	if e.err != nil {
 		why = e.err.Error()
-		h.log.Error().Int("core", e.core).Int("life", e.life).Str("error", why).Msg("core failed")
+		h.log.Error().Int("core", e.core).Int("life", e.incarnation).Str("error", why).Msg("core failed")
 	}
-	h.all = slices.DeleteFunc(h.all, func(c *coreRun) bool { return c.index == e.core && c.life == e.life })
-	h.desk.Died(h.now(), e.core, e.life, why)
+	h.all = slices.DeleteFunc(h.all, func(c *coreRun) bool { return c.index == e.core && c.incarnation == e.incarnation })
+	h.assigner.HandleEnd(h.now(), e.core, e.incarnation, why)
 }
 
 // merge takes a list into the whole one.
@@ -295,7 +297,7 @@
 func (h *supervisor) change(l protocol.List) {
 	h.merge(l)
 	h.list = l
-	h.desk.Changed(h.now())
+	h.assigner.ChangeList(h.now())
 	if h.listed.Store(true); len(h.waiting) > 0 {
 		for _, peer := range h.waiting {
 			peer.Beat()
@@ -314,17 +316,17 @@
 	return l
 }
 
-// carryOut does what the desk has decided.
+// carryOut does what the assigner has decided.
 func (h *supervisor) carryOut() error {
-	for _, c := range h.desk.Take() {
+	for _, c := range h.assigner.DrainCommands() {
 		switch c := c.(type) {
-		case cores.Begin:
+		case cores.StartCore:
 			h.begin(c)
-		case cores.Tell:
+		case cores.UpdateList:
 			h.runs[c.Core].in.order(routing.Notified{List: h.list, Epoch: c.Epoch})
 		case cores.Share:
-			h.runs[c.Core].in.order(routing.Allocated{Number: c.Deal,
-				Part: rules.Part{Channel: c.Channel, Joined: c.Joined, TypicalRates: c.Usual, Demands: c.Demands}})
+			h.runs[c.Core].in.order(routing.Allocated{Number: c.Number,
+				Part: rules.Part{Channel: c.Channel, Joined: c.Joined, TypicalRates: c.TypicalRates, Demands: c.Demands}})
 		case cores.Assignment:
 			h.place(c)
 		case cores.Leave:
@@ -334,36 +336,37 @@
 			}
 		case cores.Supersede:
 			if s, known := h.streams[c.Stream]; known {
-				h.former.Store(c.Stream, true)
+				h.superseded.Store(c.Stream, true)
 				delete(h.streams, c.Stream)
 				s.Peer.Close(routing.ErrSuperseded)
 			}
-		case cores.Cut:
+		case cores.Isolate:
 			h.cut(c)
-		case cores.LogNote:
+		case cores.LogLine:
 			h.log.Warn().Int("core", c.Core).Msg("core: " + c.Text)
-		case cores.End:
+		case cores.Abort:
 			return errors.New("no core is left: " + c.Why)
 		}
 	}
 	return nil
 }
 
-func (h *supervisor) begin(c cores.Begin) {
+func (h *supervisor) begin(c cores.StartCore) {
 	log := h.log.With().Int("core", c.Core).Logger()
 	var run *coreRun
 	ready := make(chan struct{})
 	calls := coreCalls{probes: h.probes, core: func() *coreRun { <-ready; return run }}
-	run = beginCore(h.ctx, c.Core, c.Life, h.set, h.module(c.Core, c.Life), calls, h.whole(), c.Epoch, h.now, log,
+	run = startCore(h.ctx, c.Core, c.Incarnation, h.settings, h.module(c.Core, c.Incarnation), calls, h.whole(), c.Epoch,
+		h.now, log,
 		func(err error) {
-			h.send(supervisorEvent{over: &incarnationEnded{c.Core, c.Life, err}})
+			h.send(supervisorEvent{over: &incarnationEnded{c.Core, c.Incarnation, err}})
 		})
 	close(ready)
 	h.runs[c.Core] = run
 	h.all = append(h.all, run)
 	h.publish()
-	if c.Life > 1 {
-		log.Info().Int("life", c.Life).Msg("core begins again")
+	if c.Incarnation > 1 {
+		log.Info().Int("life", c.Incarnation).Msg("core begins again")
 	}
 }
 
@@ -371,7 +374,7 @@
 func (h *supervisor) publish() {
 	var live []*coreRun
 	for i, run := range h.runs {
-		if run != nil && h.desk.Life(i) == run.life {
+		if run != nil && h.assigner.Incarnation(i) == run.incarnation {
 			live = append(live, run)
 		}
 	}
@@ -379,7 +382,7 @@
 }
 
 // cut takes every stream from a core, whatever it is doing, and lets it end by itself.
-func (h *supervisor) cut(c cores.Cut) {
+func (h *supervisor) cut(c cores.Isolate) {
 	run := h.runs[c.Core]
 	taken := 0
 	for i := range h.owners {
@@ -388,10 +391,10 @@
 			taken++
 		}
 	}
-	run.end()
+	run.cancel()
 	run.in.close()
 	h.publish()
-	h.log.Error().Int("core", c.Core).Int("life", c.Life).Int("proxies", taken).Str("cause",
+	h.log.Error().Int("core", c.Core).Int("life", c.Incarnation).Int("proxies", taken).Str("cause",
 		firstLine(c.Why)).Msg("core cut off: others take its proxies")
 }
 
@@ -415,14 +418,14 @@
 
 // stop lets every core end. One that is stuck is left behind: the program is about to end, and its streams are closed.
 func (h *supervisor) stop() {
-	patience := time.After(time.Duration(max(minConfirm, confirmPart*h.set.Rules.DrainGrace)) * time.Millisecond)
+	patience := time.After(time.Duration(max(minConfirm, confirmPart*h.settings.Rules.DrainGrace)) * time.Millisecond)
 	for _, run := range h.all {
-		run.end()
+		run.cancel()
 		run.in.close()
 	}
 	for _, run := range h.all {
 		select {
-		case <-run.over:
+		case <-run.ended:
 		case <-patience:
 			return
 		}
--- a/internal/planner/program/inbox.go
+++ b/internal/planner/program/inbox.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// order adds a word of the host. It never waits: there are few.
+// order adds an order of the host. It never waits: there are few.
 func (in *inbox) order(e routing.Event) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
--- a/internal/planner/program/keys_test.go
+++ b/internal/planner/program/keys_test.go
@@ -39,8 +39,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	template := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "test"}, NotBefore: time.Now().Add(-time.Hour),
-		NotAfter: time.Now().Add(time.Hour), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}
+	template := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "test"},
+		NotBefore: time.Now().Add(-time.Hour),
+		NotAfter:  time.Now().Add(time.Hour), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +58,8 @@
 	if err != nil {
 		a.t.Fatal(err)
 	}
-	der, err := x509.CreateCertificate(rand.Reader, &x509.Certificate{SerialNumber: big.NewInt(2 + a.next.Add(1)), DNSNames: []string{name},
+	der, err := x509.CreateCertificate(rand.Reader, &x509.Certificate{SerialNumber: big.NewInt(2 + a.next.Add(1)),
+		DNSNames:  []string{name},
 		NotBefore: time.Now().Add(-2 * time.Hour), NotAfter: until}, a.cert, &key.PublicKey, a.key)
 	if err != nil {
 		a.t.Fatal(err)
@@ -67,7 +69,8 @@
 		a.t.Fatal(err)
 	}
 	write := func(name, kind string, der []byte) {
-		if err := os.WriteFile(filepath.Join(folder, name), pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(folder, name), pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}),
+			0o600); err != nil {
 			a.t.Fatal(err)
 		}
 	}
@@ -91,7 +94,8 @@
 	ca.sign(folder, "server", "planner.test", hour)
 	lane, other := ca.sign(folder, "lane", "lane-7.lanes.test", hour), ca.sign(folder, "other", "lanes.test", hour)
 	f := withFront(t, 1, func(_ *fleet, c *Config) {
-		c.Own.GRPC.TLS = options.TLS{Certificate: filepath.Join(folder, "server.pem"), Key: filepath.Join(folder, "server.key"), ClientCA: filepath.Join(folder, "ca.pem"),
+		c.Own.GRPC.TLS = options.TLS{Certificate: filepath.Join(folder, "server.pem"),
+			Key: filepath.Join(folder, "server.key"), ClientCA: filepath.Join(folder, "ca.pem"),
 			Roles: []options.Role{{Name: "*.lanes.test", Role: "proxy"}, {Name: "collector.test", Role: "collector"}}}
 	})
 	defer f.stop()
@@ -100,13 +104,15 @@
 	byLines := f.proxy(1, "north") // lines stay as they are
 	f.wait("a table", byLines, holds("s-0"))
 	denied := f.grpcProxy(2, "north", ca.client(other))
-	if s := f.await("an end", denied, func(s standin.State) bool { return s.Closed != nil }); status.Code(s.Closed) != codes.PermissionDenied {
+	if s := f.await("an end", denied,
+		func(s standin.State) bool { return s.Closed != nil }); status.Code(s.Closed) != codes.PermissionDenied {
 		t.Errorf("a name without the role: %v", s.Closed)
 	}
 	if _, err := standin.NewGRPCCollector(f.planner, "north", ca.client(lane)); status.Code(err) != codes.PermissionDenied {
 		t.Errorf("a proxy's name as a collector: %v", err)
 	}
-	for name, creds := range map[string]credentials.TransportCredentials{"no certificate": ca.client(tls.Certificate{}), "no TLS": nil} {
+	for name, creds := range map[string]credentials.TransportCredentials{"no certificate": ca.client(tls.Certificate{}),
+		"no TLS": nil} {
 		if c, err := standin.NewGRPCCollector(f.planner, "north", creds); err == nil {
 			t.Errorf("%s: served", name)
 			c.Close()
@@ -133,8 +139,10 @@
 	f.reloads <- syscall.SIGHUP
 	f.phase("s-1", "draining")
 	f.await("the stream goes on", p, lacks("s-1"))
-	for _, bad := range []options.TLS{{Certificate: "none.pem", Key: "none.key"}, {ClientCA: "x"}, {Roles: []options.Role{{Name: "a", Role: "proxy"}}},
-		{Certificate: filepath.Join(folder, "server.pem"), Key: filepath.Join(folder, "server.key"), ClientCA: filepath.Join(folder, "server.key")}} {
+	for _, bad := range []options.TLS{{Certificate: "none.pem", Key: "none.key"}, {ClientCA: "x"},
+		{Roles: []options.Role{{Name: "a", Role: "proxy"}}},
+		{Certificate: filepath.Join(folder, "server.pem"), Key: filepath.Join(folder, "server.key"),
+			ClientCA: filepath.Join(folder, "server.key")}} {
 		if _, err := loadKeys(bad); err == nil {
 			t.Errorf("%+v: no error", bad)
 		}
--- a/internal/planner/program/program.go
+++ b/internal/planner/program/program.go
@@ -42,9 +42,9 @@
 	}, log, reloads, nil)
 }
 
-// run is Run with modules of the caller's, one for each life of each core, and, if ready is set, a word on the address
+// run is Run with modules of the caller's, one for each incarnation of each core, and, if ready is set, the address
 // once it is open.
-func run(ctx context.Context, c Config, module func(core, life int) sharer, log zerolog.Logger, reloads <-chan os.Signal,
+func run(ctx context.Context, c Config, module func(core, incarnation int) sharer, log zerolog.Logger, reloads <-chan os.Signal,
 	ready func(string)) error {
 	c.Limits.apply()
 	ctx, cancel := context.WithCancel(ctx)
--- a/internal/planner/program/versions_test.go
+++ b/internal/planner/program/versions_test.go
@@ -70,13 +70,14 @@
 	}
 	var proxies []*standin.Versioned
 	for i := range 12 {
-		p, err := standin.JoinVersioned(f.planner, i, []string{"north", "south"}[i%2], 20, secret, spoil(new([]byte)), func(table tables.Table, at tables.Version) {
-			mu.Lock()
-			defer mu.Unlock()
-			if d, known := sent[at]; !known || d != table.Digest(at, secret) {
-				t.Errorf("proxy %d holds %v as %v, which was not sent", i, table, at)
-			}
-		})
+		p, err := standin.JoinVersioned(f.planner, i, []string{"north", "south"}[i%2], 20, secret, spoil(new([]byte)),
+			func(table tables.Table, at tables.Version) {
+				mu.Lock()
+				defer mu.Unlock()
+				if d, known := sent[at]; !known || d != table.Digest(at, secret) {
+					t.Errorf("proxy %d holds %v as %v, which was not sent", i, table, at)
+				}
+			})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -95,7 +96,8 @@
 	mu.Unlock()
 	f.phase("s-2", "draining")
 	for _, p := range proxies {
-		f.await("a table without the draining server", p, func(s standin.State) bool { return len(s.Table) > 0 && s.Table["s-2"] == 0 })
+		f.await("a table without the draining server", p,
+			func(s standin.State) bool { return len(s.Table) > 0 && s.Table["s-2"] == 0 })
 		f.until("in step", func() bool {
 			in, at := p.InStep()
 			mu.Lock()
