--- a/cmd/operator/config.go
+++ b/cmd/operator/config.go
@@ -89,20 +89,31 @@
 	return nil
 }
 
-func diffConfig(ctx context.Context, cmd *cli.Command) error {
-	text, err := readFileArgument(cmd)
-	if err != nil {
-		return err
+// configUpdate is a file that the operator names, and what it is to be held against.
+type configUpdate struct {
+	client  *operator.Client
+	text    []byte         // of the file
+	inForce []byte         // the newest configuration
+	version config.Version // of what is in force
+}
+
+func readConfigUpdate(ctx context.Context, cmd *cli.Command) (update configUpdate, err error) {
+	if update.text, err = readFileArgument(cmd); err != nil {
+		return configUpdate{}, err
 	}
-	client, err := newClient(cmd)
-	if err != nil {
-		return err
+	if update.client, err = newClient(cmd); err != nil {
+		return configUpdate{}, err
 	}
-	inForce, _, err := fetchConfig(ctx, client)
+	update.inForce, update.version, err = fetchConfig(ctx, update.client)
+	return update, err
+}
+
+func diffConfig(ctx context.Context, cmd *cli.Command) error {
+	update, err := readConfigUpdate(ctx, cmd)
 	if err != nil {
 		return err
 	}
-	lines, err := operator.Diff(inForce, text)
+	lines, err := operator.Diff(update.inForce, update.text)
 	if err != nil {
 		return err
 	}
@@ -116,15 +127,7 @@
 }
 
 func putConfig(ctx context.Context, cmd *cli.Command) error {
-	text, err := readFileArgument(cmd)
-	if err != nil {
-		return err
-	}
-	client, err := newClient(cmd)
-	if err != nil {
-		return err
-	}
-	_, base, err := fetchConfig(ctx, client)
+	update, err := readConfigUpdate(ctx, cmd)
 	if err != nil {
 		return err
 	}
@@ -133,11 +136,11 @@
 		method = http.MethodPatch
 	}
 	baseVersion := "0"
-	if base > 0 {
-		baseVersion = base.String()
+	if update.version > 0 {
+		baseVersion = update.version.String()
 	}
-	reply, err := client.Call(ctx, method, "/config", http.Header{"If-Match": {baseVersion},
-		"Content-Type": {"application/json"}}, text)
+	header := http.Header{"If-Match": {baseVersion}, "Content-Type": {"application/json"}}
+	reply, err := update.client.Call(ctx, method, "/config", header, update.text)
 	if err != nil {
 		return err
 	}
