--- a/internal/control/broadcast/broadcast.go
+++ b/internal/control/broadcast/broadcast.go
@@ -184,7 +184,7 @@
 	return to
 }
 
-// receivers are the peers that have to hear what a peer told: all edges, and the controllers that it doesn't tell itself.
+// receivers are the peers that need what a peer sent: all edges, and the controllers that it doesn't notify itself.
 func (b *Broadcaster) receivers(from string) map[string]bool {
 	source := b.peers[from]
 	all := map[string]bool{}
--- a/internal/control/controller/claims.go
+++ b/internal/control/controller/claims.go
@@ -45,7 +45,7 @@
 	announceStatus()
 }
 
-// claimsService runs the claim store of this controller and the coordinator of its edges' claims. A grant is told once it
+// claimsService runs the claim store of this controller and the coordinator of its edges' claims. A grant is sent once it
 // is durable.
 type claimsService struct {
 	*node.Env
@@ -55,7 +55,7 @@
 	store       *idempotency.Store
 	coordinator *idempotency.Coordinator
 
-	claimants  map[idempotency.Token]*remote // who is told the outcome
+	claimants  map[idempotency.Token]*remote // who receives the outcome
 	queries    map[idempotency.Token]*responseQuery
 	copiedFrom map[string]bool // replicas whose claims were copied for the change under way
 	nextCopy   time.Duration
@@ -166,7 +166,7 @@
 	}
 }
 
-// requestGrant puts a claim to the store here; a grant is told once it is durable. A claim that is asked under a membership
+// requestGrant puts a claim to the store here; a grant is sent once it is durable. A claim that is asked under a membership
 // older than the newest that is durable here is granted nothing: the new voters have copied, or are copying, what this
 // store held before.
 func (s *claimsService) requestGrant(r idempotency.Record, epoch uint64, done func(idempotency.GrantReply, idempotency.Record)) {
--- a/internal/control/controller/registrar.go
+++ b/internal/control/controller/registrar.go
@@ -24,7 +24,7 @@
 	registry    *registry.Registry
 	broadcaster *broadcast.Broadcaster
 	inContact   func() bool            // with a majority of the voters
-	onUpdates   func([]registry.Entry) // is told what changed here
+	onUpdates   func([]registry.Entry) // is called with what changed here
 
 	calls    map[uint64]func() // heartbeats and last calls that are not acknowledged yet
 	lastCall uint64
--- a/internal/control/controller/writer.go
+++ b/internal/control/controller/writer.go
@@ -25,7 +25,7 @@
 	commit     func([]*storage.Batch) error // blocks until the batches are durable
 	runOnOwner func(func())
 
-	batches       []*storage.Batch // of the consensus and its kin, in order
+	batches       []*storage.Batch // of the consensus and what is stored with it, in order
 	afterBatches  []func()
 	claims        []idempotency.Record
 	afterClaims   []func(durable bool)
@@ -49,7 +49,7 @@
 	w.afterBatches = append(w.afterBatches, done)
 }
 
-// writeClaim makes a record of the claim store durable; done is told whether it is. One without done is written together
+// writeClaim makes a record of the claim store durable; done is called with whether it is. One without done is written together
 // with the next record that somebody waits for, or a little later: syncs are what the disk and the processor spend.
 func (w *writer) writeClaim(r idempotency.Record, done func(durable bool)) {
 	w.claims = append(w.claims, r)
--- a/internal/control/idempotency/store.go
+++ b/internal/control/idempotency/store.go
@@ -202,7 +202,7 @@
 // Len is how many claims are held.
 func (s *Store) Len() int { return len(s.claims) }
 
-// Grant asks the store for a claim. A ReplyGranted with mustStore may be told only once the claim is durable: MarkDurable or
+// Grant asks the store for a claim. A ReplyGranted with mustStore may be sent only once the claim is durable: MarkDurable or
 // MarkFailed says how that went. With ReplyConflict holder is the claim that holds the key.
 func (s *Store) Grant(r Record, now time.Duration) (reply GrantReply, holder Record, mustStore bool) {
 	if s.recovering {
--- a/internal/control/reservation/allocator.go
+++ b/internal/control/reservation/allocator.go
@@ -24,7 +24,7 @@
 	maxPastIncarnations = 16
 )
 
-// Reservation is what edges are told of a booking: the slots that it holds now. The capacity that is left for all who have
+// Reservation is what edges receive of a booking: the slots that it holds now. The capacity that is left for all who have
 // booked nothing at a service is a reservation, too.
 type Reservation struct {
 	ID      string `cbor:"1,keyasint" json:"id"`
@@ -306,7 +306,7 @@
 }
 
 // FollowTerm takes over the term that reservations are allocated under. Leases of earlier ones are refused from then on,
-// since the new allocator may count on what it is told here.
+// since the new allocator may count on what it receives here.
 func (h *LeaseHolder) FollowTerm(term uint64) { h.term = max(h.term, term) }
 
 // Accept takes over a lease, and reports whether it is newer than the one that is held.
--- a/internal/control/reservation/gate.go
+++ b/internal/control/reservation/gate.go
@@ -16,7 +16,7 @@
 
 // AdmissionGate admits the requests for one service at one edge. Booked requests have their shares; what is idle of them is
 // lent to the others, as much as becomes free in time by itself: nothing that runs is cut off. The others are limited to
-// their own share and what is lent to them; a gate that was told nothing of that doesn't limit them.
+// their own share and what is lent to them; a gate that received nothing of that doesn't limit them.
 type AdmissionGate struct {
 	booked       map[string]*usage // by booking
 	others       usage             // of all who booked nothing
--- a/internal/control/weights/weights.go
+++ b/internal/control/weights/weights.go
@@ -59,7 +59,7 @@
 	unlimitedChannel = 1e6     // lines a second: a controller's links to its edges limit nothing
 	maxWarmupMillis  = 30000.0 // in which the module takes a server for cold
 	decideInterval   = 250 * time.Millisecond
-	minTrafficRate   = 0.05 // requests a second, below which traffic isn't told
+	minTrafficRate   = 0.05 // requests a second, below which traffic isn't reported
 
 	// Values for services that the configuration doesn't name, in milliseconds.
 	defaultLatencyTarget = 1000.0
--- a/internal/edge/attempt/consequences.go
+++ b/internal/edge/attempt/consequences.go
@@ -142,7 +142,7 @@
 	Partial   bool // it is too long to be buffered
 	Switched  bool // it changes the protocol
 	Encoded   bool // its body has a content coding that was not asked for
-	Status    int  // 0: not told, of a server that is known to keep the protocol
+	Status    int  // 0: not stated, of a server that is known to keep the protocol
 }
 
 // PromisesNotRun reports whether a status promises that the request has not run and never will.
--- a/internal/edge/proxy/pipeline.go
+++ b/internal/edge/proxy/pipeline.go
@@ -190,7 +190,7 @@
 func (p *Proxy) attemptAt(req *clientRequest, u *upstream) attemptResult {
 	req.attempted = append(req.attempted, u)
 	result := p.attemptOnce(req, u)
-	p.Metrics.Tries.WithLabelValues(result.cause.Consequence().Outcome.String()).Inc()
+	p.Metrics.Attempts.WithLabelValues(result.cause.Consequence().Outcome.String()).Inc()
 	p.queue.wake(req.service)
 	return result
 }
--- a/internal/edge/proxy/proxy.go
+++ b/internal/edge/proxy/proxy.go
@@ -184,7 +184,7 @@
 // seconds turns a time of the configuration into a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// current is what a new controller is told of this edge: the version of its configuration, and the servers that it knows.
+// current is what a new controller receives of this edge: the version of its configuration, and the servers that it knows.
 func (p *Proxy) current() (version uint64, servers []registry.Entry) {
 	if tree := p.tree.Load(); tree != nil {
 		version = uint64(tree.Config.Version)
@@ -253,7 +253,7 @@
 	}
 }
 
-// applyConfig puts a configuration into force, unless it is older than the one that is: within a life of the process the
+// applyConfig puts a configuration into force, unless it is older than the one that is: within a run of the process the
 // version never goes back. It reports false if the complete configuration is needed.
 func (p *Proxy) applyConfig(m *peer.Config) (ok bool) {
 	tree := p.tree.Load()
--- a/internal/edge/proxy/queue.go
+++ b/internal/edge/proxy/queue.go
@@ -65,6 +65,6 @@
 func (w *waiter) notify() {
 	select {
 	case w.wake <- struct{}{}:
-	default: // it was told already
+	default: // it was notified already
 	}
 }
--- a/internal/edge/proxy/respond.go
+++ b/internal/edge/proxy/respond.go
@@ -47,7 +47,7 @@
 		h["Content-Type"] = nil // none is guessed
 	}
 	switch {
-	case bodiless(req.http.Method, result.status): // the length that the server told stands
+	case bodiless(req.http.Method, result.status): // the length that the server stated stands
 	case result.stream == nil:
 		h["Content-Length"] = []string{strconv.Itoa(len(result.body))}
 	case result.stream.length >= 0:
@@ -72,7 +72,7 @@
 		return
 	}
 	if fromServer != nil {
-		p.Metrics.GivenUp.WithLabelValues(apierror.Kind(apierror.PerhapsRun.New("broken off"))).Inc()
+		p.Metrics.Failures.WithLabelValues(apierror.Kind(apierror.PerhapsRun.New("broken off"))).Inc()
 		p.logRejection(apierror.PerhapsRun.Wrap(fromServer, "response breaks off"), req.http)
 	}
 	if stream.length < 0 && !req.http.ProtoAtLeast(1, 1) {
@@ -138,7 +138,7 @@
 	h["Content-Length"] = []string{strconv.Itoa(len(body))}
 	w.WriteHeader(response.Status)
 	_, _ = io.WriteString(w, body) // a client that has gone has given up
-	p.Metrics.GivenUp.WithLabelValues(apierror.Kind(err)).Inc()
+	p.Metrics.Failures.WithLabelValues(apierror.Kind(err)).Inc()
 	p.logRejection(err, r)
 }
 
--- a/internal/edge/proxy/session.go
+++ b/internal/edge/proxy/session.go
@@ -33,7 +33,7 @@
 
 // sessionHandler is what a session tells its edge. Its methods are called by the goroutines that read links.
 type sessionHandler interface {
-	// current is what a new controller is told: the version of the configuration and the known servers.
+	// current is what a new controller receives: the version of the configuration and the known servers.
 	current() (configVersion uint64, servers []registry.Entry)
 	handleControllerAttached()
 	handleSummary(s *peer.Summary)
--- a/internal/edge/proxy/upstreams.go
+++ b/internal/edge/proxy/upstreams.go
@@ -369,7 +369,7 @@
 }
 
 // addIdle gives the connection that has to be closed instead: the one itself if it can't be kept, or the longest idle one
-// where there are more than ever ran at once (new ones are made out of distrust). Timeout is the server's; 0: not told.
+// where there are more than ever ran at once (new ones are made out of distrust). Timeout is the server's; 0: not stated.
 func (u *upstream) addIdle(conn *serverConn, now, timeout time.Duration) (surplus *serverConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/operator/bookings.go
+++ b/internal/operator/bookings.go
@@ -2,7 +2,7 @@
 
 import "mulleinwood/internal/control/reservation"
 
-// Bookings is the book as a controller tells it. Times are seconds of the core's time of day.
+// Bookings is the ledger as a controller shows it. Times are seconds of the core's time of day.
 type Bookings struct {
 	Version    string                    `json:"version"`
 	Now        float64                   `json:"now"`
@@ -18,7 +18,7 @@
 	Wanted int `json:"wanted"`
 }
 
-// BookingResult answers a change: the book's new version, and the slots that could be kept.
+// BookingResult answers a change: the ledger's new version, and the slots that could be kept.
 type BookingResult struct {
 	Version   string  `json:"version"`
 	Available float64 `json:"could,omitempty"`
--- a/internal/platform/apierror/apierror.go
+++ b/internal/platform/apierror/apierror.go
@@ -19,21 +19,21 @@
 	AtWork      = space.NewType("at_work")      // the key's operation is being run
 	NotReady    = space.NewType("not_ready")    // no configuration held yet
 	NoServer    = space.NewType("no_server")    // no server to send to; nothing was sent
-	Busy        = space.NewType("busy")         // no room in time; nothing was sent
+	Busy        = space.NewType("busy")         // no free slot in time; nothing was sent
 	Unclaimed   = space.NewType("unclaimed")    // the key could not be claimed; nothing was sent
-	NotRun      = space.NewType("not_run")      // servers turned it away; it never ran
-	PerhapsRun  = space.NewType("perhaps_run")  // sent, and no whole answer came
+	NotRun      = space.NewType("not_run")      // servers rejected it; it never ran
+	PerhapsRun  = space.NewType("perhaps_run")  // sent, and no complete response came
 	TimedOut    = space.NewType("timed_out")    // sent, and the time ran out
 	Invalid     = space.NewType("invalid")      // a configuration that breaks a demand
 	Stale       = space.NewType("stale")        // built on a version that is not the current one
 	NoLeader    = space.NewType("no_leader")    // nobody can decide now
 	Unconfirmed = space.NewType("unconfirmed")  // a change whose outcome is not known
 	Conflict    = space.NewType("conflict")     // what is asked can't be done in the present state
-	Overbooked  = space.NewType("overbooked")   // more room than could be kept
+	Overbooked  = space.NewType("overbooked")   // more slots than could be kept
 	UnknownCall = space.NewType("unknown_call") // no such call
 )
 
-// Response is how a kind is told to a caller. Retry is the Retry-After in seconds, 0 for none: it stands only where the
+// Response is how a kind is answered. Retry is the Retry-After in seconds, 0 for none: it stands only where the
 // request has not run and never will.
 type Response struct {
 	Status     int
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics counts what a process did and gave up, and serves it in the Prometheus exposition format.
+// Package metrics counts what a process did and what failed, and serves it in the Prometheus exposition format.
 package metrics
 
 import (
@@ -14,13 +14,14 @@
 	Edge       = "edge"
 )
 
-// Metrics is one process's counters.
+// Metrics is one process's counters. The names and labels of the metrics are those of the first version, since dashboards
+// read them. It is safe for concurrent use.
 type Metrics struct {
 	registry *prometheus.Registry
 	Requests *prometheus.CounterVec // by route kind and status
-	GivenUp  *prometheus.CounterVec // by error kind
-	Tries    *prometheus.CounterVec // by ending
-	Claims   *prometheus.CounterVec // by ruling
+	Failures  *prometheus.CounterVec // by error kind
+	Attempts    *prometheus.CounterVec // by outcome
+	Claims   *prometheus.CounterVec // by outcome
 	Syncs    prometheus.Histogram   // seconds
 }
 
@@ -35,12 +36,12 @@
 		return c
 	}
 	m := &Metrics{registry: r,
-		Requests: vec("requests_total", "Requests answered.", "kind", "status"),
-		GivenUp:  vec("given_up_total", "Requests and calls given up, by kind of error.", "error"),
-		Tries:    vec("tries_total", "Tries at servers, by how they ended.", "ending"),
-		Claims:   vec("claims_total", "Claims of keyed operations, by ruling.", "ruling"),
+		Requests: vec("requests_total", "Requests that were answered, by kind of route and status.", "kind", "status"),
+		Failures:  vec("given_up_total", "Requests and calls that were refused or failed, by kind of error.", "error"),
+		Attempts:    vec("tries_total", "Attempts at servers, by outcome.", "ending"),
+		Claims:   vec("claims_total", "Claims of keyed operations, by outcome.", "ruling"),
 		Syncs: prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "mulleinwood", Name: "sync_seconds",
-			Help:        "Time that a write to disk took.",
+			Help:        "Duration of writes to disk, in seconds.",
 			ConstLabels: labels, Buckets: []float64{.001, .002, .005, .01, .02, .05, .1, .25, 1, 4}}),
 	}
 	if role == Controller {
@@ -49,7 +50,7 @@
 	return m
 }
 
-// Handler tells the counters.
+// Handler serves the counters.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
