--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -19,8 +19,8 @@
 type Metrics struct {
 	registry *prometheus.Registry
 	Requests *prometheus.CounterVec // by route kind and status
-	Failures  *prometheus.CounterVec // by error kind
-	Attempts    *prometheus.CounterVec // by outcome
+	Failures *prometheus.CounterVec // by error kind
+	Attempts *prometheus.CounterVec // by outcome
 	Claims   *prometheus.CounterVec // by outcome
 	Syncs    prometheus.Histogram   // seconds
 }
@@ -37,8 +37,8 @@
 	}
 	m := &Metrics{registry: r,
 		Requests: vec("requests_total", "Requests that were answered, by kind of route and status.", "kind", "status"),
-		Failures:  vec("given_up_total", "Requests and calls that were refused or failed, by kind of error.", "error"),
-		Attempts:    vec("tries_total", "Attempts at servers, by outcome.", "ending"),
+		Failures: vec("given_up_total", "Requests and calls that were refused or failed, by kind of error.", "error"),
+		Attempts: vec("tries_total", "Attempts at servers, by outcome.", "ending"),
 		Claims:   vec("claims_total", "Claims of keyed operations, by outcome.", "ruling"),
 		Syncs: prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "mulleinwood", Name: "sync_seconds",
 			Help:        "Duration of writes to disk, in seconds.",
