--- a/internal/control/weights/weights.go
+++ b/internal/control/weights/weights.go
@@ -108,8 +108,8 @@
 	return rules.Settings{Instances: max(1, t.instances()), Zone: t.zoneIndex(t.zone), Zones: len(t.zones), Proxies: 1,
 		Classes:   []rules.Class{{Name: service, LatencyTarget: latencyTarget, Deadline: deadline, Value: 1}},
 		Admission: rules.AdmitNone, RetryDefault: rules.RetryNever, ReportPeriod: reportPeriod,
-		QueueLines: unlimitedChannel, LinesPerSec: unlimitedChannel, HeadLines: 1,
-		WarmupTime: maxWarmupMillis, StartCapacity: 0.5, FallMultiple: 100}
+		QueueLines: unlimitedChannel, LinesPerSec: unlimitedChannel, MessageCost: 1,
+		WarmupTime: maxWarmupMillis, StartCapacity: 0.5, OverloadFactor: 100}
 }
 
 // targets are the latency target and the deadline of the last route to a service, in milliseconds.
@@ -259,8 +259,8 @@
 	if succeeded := stats.Attempts - min(stats.Attempts, stats.Failed); succeeded > 0 {
 		latency = stats.TotalTime / float64(succeeded) * 1000
 	}
-	s.events = append(s.events, rules.Heard{Zone: zone, Server: id, Tries: float64(stats.Attempts), Failed: float64(stats.Failed),
-		Latency: latency, Period: period})
+	s.events = append(s.events, rules.Heard{Zone: zone, Server: id, Attempts: float64(stats.Attempts),
+		Failed: float64(stats.Failed), Latency: latency, Period: period})
 }
 
 // handleApplied tells the table that a token belongs to that an edge has applied its orders.
@@ -284,7 +284,7 @@
 // OwnTraffic is what the edges of this controller bring, by service and zone, in tenths of a request a second.
 func (t *Tables) OwnTraffic() (all []peer.ZoneTraffic) {
 	for _, name := range t.serviceNames() {
-		own, _ := t.services[name].controller.Mine()
+		own, _ := t.services[name].controller.OwnLoad()
 		for zone, rate := range own.TypicalRates {
 			if rate > minTrafficRate {
 				all = append(all, peer.ZoneTraffic{Service: name, Zone: t.zones[zone], Rate: float64(int(rate*10)) / 10})
@@ -318,9 +318,9 @@
 
 // trafficElsewhere is what the edges of the other controllers bring to a service.
 func (t *Tables) trafficElsewhere(service string, peers []PeerTraffic) rules.Part {
-	part := rules.Part{Channel: 1, TypicalRates: make([]float64, len(t.zones)), Demands: []float64{0}}
+	part := rules.Part{ChannelShare: 1, TypicalRates: make([]float64, len(t.zones)), Demands: []float64{0}}
 	for _, p := range peers {
-		part.Joined += float64(p.Edges)
+		part.JoinedProxies += float64(p.Edges)
 		for _, traffic := range p.TrafficByZone {
 			if traffic.Service == service {
 				part.TypicalRates[t.zoneIndex(traffic.Zone)] += traffic.Rate
@@ -387,8 +387,8 @@
 	}
 }
 
-// OrderedWeights is the table of a service as it was ordered for an edge. It must not be changed.
-func (t *Tables) OrderedWeights(edge, service string) map[string]float64 {
+// WeightsFor is the table of a service as it was ordered for an edge. It must not be changed.
+func (t *Tables) WeightsFor(edge, service string) map[string]float64 {
 	if s := t.services[service]; s != nil {
 		return s.ordered[edge]
 	}
--- a/internal/planner/audit/audit.go
+++ b/internal/planner/audit/audit.go
@@ -148,10 +148,10 @@
 		a.broken(now, Channel, "%.0f lines wait, %.0f may", a.queue, a.set.QueueLines)
 	}
 	if a.set.MaxMessages > 0 {
-		p.writes = slices.DeleteFunc(append(p.writes, now), func(at float64) bool { return now-at > a.set.MessagesOver })
+		p.writes = slices.DeleteFunc(append(p.writes, now), func(at float64) bool { return now-at > a.set.MessageWindow })
 		if len(p.writes) > a.set.MaxMessages {
 			a.broken(now, Channel, "%d messages to proxy %d within %.0f ms, %d may be", len(p.writes), number,
-				a.set.MessagesOver, a.set.MaxMessages)
+				a.set.MessageWindow, a.set.MaxMessages)
 		}
 	}
 	if o.Replace {
@@ -173,7 +173,7 @@
 	for k, retry := range o.Retries {
 		// Proof that a try never ran makes any repeat safe. After any failure only a safe class may run again; a keyed one's
 		// repeat is dropped only by servers that share the key, which a proxy doesn't choose by.
-		if class := a.set.Classes[k]; class.Effect != rules.Safe && retry > rules.RetryProof {
+		if class := a.set.Classes[k]; class.Effect != rules.Safe && retry > rules.RetryIfNotRun {
 			a.broken(now, Repeat, "class %s may be tried again by method %d", class.Name, retry)
 		}
 	}
@@ -286,7 +286,7 @@
 	}
 	since := now - max(p.bare, a.begun+Start)
 	a.Most.Bare = max(a.Most.Bare, since)
-	if since > a.set.Bare+Slack && !p.told {
+	if since > a.set.MaxTimeWithoutServer+Slack && !p.told {
 		p.told = true
 		a.broken(now, Bare, "proxy %d for %.0f ms", number, since)
 	}
@@ -297,14 +297,14 @@
 	for name, e := range a.servers {
 		share, cold := a.capacity(now, e.Server)
 		canDo := share * e.Size / readySize * totalRate
-		if !cold || e.State != rules.Ready || readySize == 0 || load[name] <= a.set.FallMultiple*canDo {
+		if !cold || e.State != rules.Ready || readySize == 0 || load[name] <= a.set.OverloadFactor*canDo {
 			e.hotSince = 0
 			continue
 		}
 		if e.hotSince == 0 {
 			e.hotSince = now
 		}
-		if now-e.hotSince > a.set.FallAfter && !e.told {
+		if now-e.hotSince > a.set.OverloadTime && !e.told {
 			e.told = true
 			a.broken(now, Cold, "%s is sent %.1f requests a second, it can do %.1f", name, load[name], canDo)
 		}
--- a/internal/planner/audit/audit_test.go
+++ b/internal/planner/audit/audit_test.go
@@ -9,8 +9,8 @@
 // TestEachRuleIsFound guards against an auditor that finds nothing: each rule is broken once, by the smallest step over its
 // limit, and the step before it is fine.
 func TestEachRuleIsFound(t *testing.T) {
-	set := rules.Settings{DrainGrace: 2000, Bare: 2500, QueueLines: 100, LinesPerSec: 100, MaxMessages: 3, MessagesOver: 10000,
-		WarmupTime: 10000, StartCapacity: 0.2, FallMultiple: 2.5, FallAfter: 3000,
+	set := rules.Settings{DrainGrace: 2000, MaxTimeWithoutServer: 2500, QueueLines: 100, LinesPerSec: 100, MaxMessages: 3, MessageWindow: 10000,
+		WarmupTime: 10000, StartCapacity: 0.2, OverloadFactor: 2.5, OverloadTime: 3000,
 		Classes: []rules.Class{{Name: "view"}, {Name: "post", Effect: rules.Keyed}, {Name: "pay", Effect: rules.Unsafe}}}
 	setup := func() *Auditor {
 		a := New(set, 0)
@@ -38,7 +38,7 @@
 			a.Tick(7800)
 		}, func(a *Auditor) { a.Tick(7801) }},
 		{Repeat, func(a *Auditor) {
-			a.Sent(5000, 0, Order{Retries: map[int]rules.Retry{0: rules.RetryTwice, 1: rules.RetryProof, 2: rules.RetryProof}, Lines: 5})
+			a.Sent(5000, 0, Order{Retries: map[int]rules.Retry{0: rules.RetryTwice, 1: rules.RetryIfNotRun, 2: rules.RetryIfNotRun}, Lines: 5})
 		}, func(a *Auditor) { a.Sent(6000, 0, Order{Retries: map[int]rules.Retry{2: rules.RetryOnce}, Lines: 5}) }},
 		{Channel, func(a *Auditor) { a.Sent(9000, 0, Order{Lines: 100}) }, func(a *Auditor) { a.Sent(9001, 0, Order{Lines: 1}) }},
 		{Channel, func(a *Auditor) {
--- a/internal/planner/bench/group.go
+++ b/internal/planner/bench/group.go
@@ -107,9 +107,9 @@
 	for i, c := range g.each {
 		if p := c.router.Progress(); p.Looks != c.looks {
 			c.looks = p.Looks
-			own, waiting := c.module.Mine()
+			own, waiting := c.module.OwnLoad()
 			g.desk.HandleReport(g.now, i, 1, cores.CoreReport{Seen: p.Seen, Done: p.Done, ShareNumber: p.Deal, Waiting: waiting,
-				Joined:       own.Joined,
+				Joined:       own.JoinedProxies,
 				TypicalRates: own.TypicalRates, Demands: own.Demands})
 		}
 	}
@@ -123,7 +123,8 @@
 		switch c := c.(type) {
 		case cores.Share:
 			g.each[c.Core].router.Handle(routing.Allocated{Number: c.Number,
-				Part: rules.Part{Channel: c.Channel, Joined: c.Joined, TypicalRates: c.TypicalRates, Demands: c.Demands}})
+				Part: rules.Part{ChannelShare: c.Channel, JoinedProxies: c.Joined, TypicalRates: c.TypicalRates,
+					Demands: c.Demands}})
 		case cores.Isolate, cores.Abort:
 			return errors.New("a core was cut off on a clock that nothing holds up")
 		}
--- a/internal/planner/program/core.go
+++ b/internal/planner/program/core.go
@@ -20,7 +20,7 @@
 // sharer is a module that can share a planner with others.
 type sharer interface {
 	routing.Stepper
-	Mine() (own rules.Part, waiting float64)
+	OwnLoad() (own rules.Part, waiting float64)
 }
 
 // coreRun is one incarnation of a core: a goroutine that owns a router and its module.
@@ -78,9 +78,9 @@
 		}
 		if p := router.Progress(); p.Looks != looks {
 			looks = p.Looks
-			own, waiting := module.Mine()
+			own, waiting := module.OwnLoad()
 			c.report.Store(&cores.CoreReport{Seen: p.Seen, Done: p.Done, ShareNumber: p.Deal, Waiting: waiting,
-				Joined: own.Joined, TypicalRates: own.TypicalRates, Demands: own.Demands})
+				Joined: own.JoinedProxies, TypicalRates: own.TypicalRates, Demands: own.Demands})
 		}
 		if wants {
 			alarm.Reset(time.Duration((next - now()) * float64(time.Millisecond)))
--- a/internal/planner/program/fleet_test.go
+++ b/internal/planner/program/fleet_test.go
@@ -92,7 +92,7 @@
 // alone is a module that shares its planner with nobody.
 type alone struct{ stepper }
 
-func (alone) Mine() (rules.Part, float64) { return rules.Part{}, 0 }
+func (alone) OwnLoad() (rules.Part, float64) { return rules.Part{}, 0 }
 
 // stepper is a module.
 type stepper interface {
--- a/internal/planner/program/host.go
+++ b/internal/planner/program/host.go
@@ -326,7 +326,8 @@
 			h.runs[c.Core].in.order(routing.Notified{List: h.list, Epoch: c.Epoch})
 		case cores.Share:
 			h.runs[c.Core].in.order(routing.Allocated{Number: c.Number,
-				Part: rules.Part{Channel: c.Channel, Joined: c.Joined, TypicalRates: c.TypicalRates, Demands: c.Demands}})
+				Part: rules.Part{ChannelShare: c.Channel, JoinedProxies: c.Joined, TypicalRates: c.TypicalRates,
+					Demands: c.Demands}})
 		case cores.Assignment:
 			h.place(c)
 		case cores.Leave:
@@ -441,7 +442,7 @@
 	if most := max(1, c.Settings.Rules.Proxies/minProxies); n > most {
 		n, cut = most, "proxies"
 	}
-	if c.Settings.Rules.Slices > 0 && n > 1 {
+	if c.Settings.Rules.KeyRanges > 0 && n > 1 {
 		n, cut = 1, "slices"
 	}
 	return n, cut
--- a/internal/planner/routing/recorded_test.go
+++ b/internal/planner/routing/recorded_test.go
@@ -46,9 +46,9 @@
 	classes := []rules.Class{{Name: "view", LatencyTarget: 1000, Deadline: 4000, Value: 1},
 		{Name: "post", LatencyTarget: 500, Deadline: 2000, Value: 5, Effect: rules.Keyed}, {Name: "pay", LatencyTarget: 500, Deadline: 1500, Value: 2, Effect: rules.Unsafe}}
 	set := settings.Settings{ZoneNames: []string{"n", "s", "w"}, KindNames: []string{"m"}, Rules: rules.Settings{Instances: 1,
-		Zones: 3, Proxies: proxies, Classes: classes, Probes: true, ReportPeriod: 1000, QueueLines: 3600, LinesPerSec: 2400, HeadLines: 3,
-		MaxMessages: 20, MessagesOver: 10000, DrainGrace: 2000, Bare: 2500, WarmupTime: 10000, StartCapacity: 0.2, FallMultiple: 2.5,
-		FallAfter: 3000, MinConns: 200, LocalFirst: true, RetryDefault: rules.RetryProof}}
+		Zones: 3, Proxies: proxies, Classes: classes, Probes: true, ReportPeriod: 1000, QueueLines: 3600, LinesPerSec: 2400, MessageCost: 3,
+		MaxMessages: 20, MessageWindow: 10000, DrainGrace: 2000, MaxTimeWithoutServer: 2500, WarmupTime: 10000, StartCapacity: 0.2, OverloadFactor: 2.5,
+		OverloadTime: 3000, MinConnections: 200, LocalFirst: true, RetryDefault: rules.RetryIfNotRun}}
 	entry := func(i int, phase string, since float64) protocol.Member {
 		return protocol.Member{ID: fmt.Sprint("s-", i), Address: "h", Zone: set.ZoneNames[i%3], Kind: "m", Phase: phase, Size: 1, UpSince: since}
 	}
--- a/internal/planner/routing/retire_test.go
+++ b/internal/planner/routing/retire_test.go
@@ -23,7 +23,7 @@
 	g := newRig(t, member("s-0", "up"), member("s-1", "up"), member("s-2", "up"), member("s-3", "up"))
 	p := g.join(1, 3)
 	g.turn(rules.Watch{}, rules.SetWeight{Table: 3, Server: 0, Weight: 1}, rules.SetWeight{Table: 3, Server: 3, Weight: 1},
-		rules.SetWeight{Table: 2, Server: 3, Weight: 1}, rules.Bind{Proxy: 3, Table: 3}, rules.Withdraw{Server: 3, Out: true},
+		rules.SetWeight{Table: 2, Server: 3, Weight: 1}, rules.Bind{Proxy: 3, Table: 3}, rules.Withdraw{Server: 3, Excluded: true},
 		rules.Probe{Server: 1})
 	turns := func() []rules.ServerID {
 		g.turn(rules.Timer{Delay: 100}) // gives back
--- a/internal/planner/routing/router.go
+++ b/internal/planner/routing/router.go
@@ -139,7 +139,7 @@
 			r.drop("report of an unknown zone or server", m.Zone+" "+m.Server+m.Address)
 			return
 		}
-		r.pending = append(r.pending, rules.Heard{Zone: zone, Server: server, Tries: m.Tries,
+		r.pending = append(r.pending, rules.Heard{Zone: zone, Server: server, Attempts: m.Tries,
 			Failed: m.Failed, Latency: m.Mean, Period: m.Span, Load: r.names.load(m.Load)})
 	case protocol.UsageReport:
 		class, known := r.names.classes[m.Class]
--- a/internal/planner/routing/router_test.go
+++ b/internal/planner/routing/router_test.go
@@ -172,7 +172,7 @@
 	g.expect("reports", g.told(), []rules.Event{
 		rules.Joined{Proxy: 3, Zone: 1, Rate: 2.5, Fresh: true},
 		rules.Ack{Proxy: 3, Token: 9, Elapsed: 310},
-		rules.Heard{Zone: 0, Server: 1, Tries: 9, Failed: 1, Latency: 40, Period: 1000, Load: []float64{0.5, 7}},
+		rules.Heard{Zone: 0, Server: 1, Attempts: 9, Failed: 1, Latency: 40, Period: 1000, Load: []float64{0.5, 7}},
 		rules.Demand{Proxy: 3, Class: 1, Requests: 5, Unanswered: 1, Period: 2000}})
 	g.r.Handle(Ended{Peer: c})
 	g.r.Handle(Ended{Peer: p})
@@ -247,7 +247,7 @@
 func TestOrders(t *testing.T) {
 	g := newRig(t, member("s-1", "up"), member("s-2", "up"), member("s-3", "up"))
 	one, two := g.join(1, 0), g.join(2, 1)
-	g.turn(rules.Admit{Table: 0, Mask: 1, Level: 0.5, Retry: rules.RetryProof},
+	g.turn(rules.Admit{Table: 0, Mask: 1, Level: 0.5, Retry: rules.RetryIfNotRun},
 		rules.SetWeight{Table: 0, Server: 2, Weight: 1}, rules.SetWeight{Table: 0, Server: 0, Weight: 1.5},
 		rules.Bind{Proxy: 0, Table: 0}, rules.Mark{Token: 8})
 	g.expect("the whole table", one.received(),
@@ -285,7 +285,7 @@
 		rules.SetWeight{Table: 1, Server: 1, Weight: 1}, rules.Bind{Proxy: 1, Table: 1})
 	one.received()
 	two.received()
-	g.turn(rules.Withdraw{Server: 0, Out: true}, rules.Withdraw{Server: 0, Out: true})
+	g.turn(rules.Withdraw{Server: 0, Excluded: true}, rules.Withdraw{Server: 0, Excluded: true})
 	g.expect("shut out", one.received(), `{"t":"assign","drop":["s-1"]}`+"\n")
 	g.expect("a table without it", two.received(), "")
 
@@ -295,13 +295,13 @@
 	g.expect("shut out again after a rejoining", one.received(),
 		`{"t":"assign","replace":true,"rows":[["s-1",1]],"drop":["s-1"]}`+"\n")
 	g.r.Handle(Ended{Peer: one})
-	g.turn(rules.Withdraw{Server: 0, Out: false})
+	g.turn(rules.Withdraw{Server: 0, Excluded: false})
 	one = g.join(7, 0)
 	g.turn(rules.Bind{Proxy: 0, Table: 0})
 	g.expect("let in while the proxy was away", one.received(),
 		`{"t":"assign","replace":true,"rows":[["s-1",1]],"undrop":["s-1"]}`+"\n")
-	g.turn(rules.Withdraw{Server: 0, Out: true})
-	g.turn(rules.Withdraw{Server: 0, Out: false})
+	g.turn(rules.Withdraw{Server: 0, Excluded: true})
+	g.turn(rules.Withdraw{Server: 0, Excluded: false})
 	g.expect("out and in", one.received(), `{"t":"assign","drop":["s-1"]}`+"\n"+`{"t":"assign","undrop":["s-1"]}`+"\n")
 
 	g.turn(rules.Admit{Table: 1, Mask: 3, Level: 0.7, Retry: rules.RetryOnce})
--- a/internal/planner/routing/tables.go
+++ b/internal/planner/routing/tables.go
@@ -144,7 +144,7 @@
 
 // withdraw shuts a server out at each proxy whose table holds it, or lets it in where it was shut out.
 func (t *tables) withdraw(a rules.Withdraw) {
-	if a.Out {
+	if a.Excluded {
 		t.out[a.Server] = true
 	} else {
 		delete(t.out, a.Server)
@@ -154,10 +154,10 @@
 			return
 		}
 		shut := t.shut[s.proxy][a.Server]
-		if _, holds := t.table(s.table).weights[a.Server]; a.Out && holds && !shut {
+		if _, holds := t.table(s.table).weights[a.Server]; a.Excluded && holds && !shut {
 			t.reach(s)
 			t.drop(s, a.Server)
-		} else if !a.Out && shut {
+		} else if !a.Excluded && shut {
 			t.reach(s)
 			t.undrop(s, a.Server)
 		}
--- a/internal/planner/settings/settings.go
+++ b/internal/planner/settings/settings.go
@@ -137,12 +137,12 @@
 	extra, limits := d.Extra, d.Rules
 	settings := rules.Settings{
 		Instances: d.Instances, Zone: d.MyZone, Zones: len(d.Localities), Proxies: extra.ProxyCount,
-		QueryDiscovery: d.Discovery == "on_request", Probes: d.Permissions.Probes, Slices: extra.Ranges,
-		TryAims: extra.TryAims, ReportPeriod: extra.Interval, QueueLines: extra.PendingMax, LinesPerSec: extra.EgressPerS,
-		HeadLines: extra.PerMessage, MaxMessages: extra.ReloadsMax, MessagesOver: extra.CountedOver,
-		DrainGrace: limits.Grace, Bare: extra.Bare, WarmupTime: limits.Cold, StartCapacity: limits.StartCap,
-		FallMultiple: limits.FallMultiple, FallAfter: limits.TipAfter, MinConns: extra.ConnsLeast, LocalFirst: extra.LocalFirst,
-		DrainOnly: limits.DrainOnly,
+		QueryDiscovery: d.Discovery == "on_request", Probes: d.Permissions.Probes, KeyRanges: extra.Ranges,
+		AttemptTimeoutFactor: extra.TryAims, ReportPeriod: extra.Interval, QueueLines: extra.PendingMax,
+		LinesPerSec: extra.EgressPerS, MessageCost: extra.PerMessage, MaxMessages: extra.ReloadsMax,
+		MessageWindow: extra.CountedOver, DrainGrace: limits.Grace, MaxTimeWithoutServer: extra.Bare, WarmupTime: limits.Cold,
+		StartCapacity: limits.StartCap, OverloadFactor: limits.FallMultiple, OverloadTime: limits.TipAfter,
+		MinConnections: extra.ConnsLeast, LocalFirst: extra.LocalFirst, DrainOnly: limits.DrainOnly,
 	}
 	if extra.RetryDefault < 0 || extra.RetryDefault > int(rules.RetryTwice) {
 		return settings, fmt.Errorf("settings: extra.retry-default %d is not a retry method", extra.RetryDefault)
--- a/internal/planner/settings/settings_test.go
+++ b/internal/planner/settings/settings_test.go
@@ -20,9 +20,9 @@
 	}
 	want := rules.Settings{
 		Instances: 2, Zone: 1, Zones: 2, Proxies: 6, QueryDiscovery: true, Probes: true, Admission: rules.AdmitShare,
-		RetryDefault: rules.RetryProof, TryAims: 0.8, ReportPeriod: 2000, QueueLines: 3600, LinesPerSec: 2400,
-		HeadLines: 3, MaxMessages: 20, MessagesOver: 10000, DrainGrace: 2600, Bare: 2700, WarmupTime: 18000, StartCapacity: 0.17,
-		FallMultiple: 2.5, FallAfter: 3000, MinConns: 252, LocalFirst: true, DrainOnly: true,
+		RetryDefault: rules.RetryIfNotRun, AttemptTimeoutFactor: 0.8, ReportPeriod: 2000, QueueLines: 3600, LinesPerSec: 2400,
+		MessageCost: 3, MaxMessages: 20, MessageWindow: 10000, DrainGrace: 2600, MaxTimeWithoutServer: 2700, WarmupTime: 18000, StartCapacity: 0.17,
+		OverloadFactor: 2.5, OverloadTime: 3000, MinConnections: 252, LocalFirst: true, DrainOnly: true,
 		Classes: []rules.Class{
 			{Name: "a", LatencyTarget: 1500, Deadline: 4000, Value: 1, LateValue: 0.2, Effect: rules.Safe, Window: 5000},
 			{Name: "b", LatencyTarget: 600, Deadline: 2000, Value: 5, LateValue: 0.1, Effect: rules.Keyed, Scope: rules.ScopeCell,
--- a/internal/planner/wire/wire.go
+++ b/internal/planner/wire/wire.go
@@ -216,7 +216,7 @@
 			Elapsed: rec.f64(7)}}, nil
 	case evRoundup:
 		load, err := rec.load(30)
-		return Record{Event: rules.Heard{Zone: rec.u8(1), Tries: float64(rec.u32(2)), Latency: rec.f64(6),
+		return Record{Event: rules.Heard{Zone: rec.u8(1), Attempts: float64(rec.u32(2)), Latency: rec.f64(6),
 			Failed: float64(rec.u32(14)), Period: rec.f64(18), Server: rules.ServerID(rec.u32(26)), Load: load}}, err
 	case evIngress:
 		return Record{Event: rules.Demand{Proxy: rules.ProxyID(rec.u16(1)), Class: rec.u16(3),
@@ -322,7 +322,7 @@
 	case rules.Withdraw:
 		rec := r.record(acPull)
 		rec.putU32(1, uint32(a.Server))
-		rec.putBool(5, a.Out)
+		rec.putBool(5, a.Excluded)
 	case rules.Admit:
 		rec := r.record(acRation)
 		rec.putU16(1, uint16(a.Table))
--- a/internal/planner/wire/wire_test.go
+++ b/internal/planner/wire/wire_test.go
@@ -102,7 +102,7 @@
 		t.Fatal(err)
 	}
 	want := []Record{
-		{Instance: 3, Event: rules.Heard{Zone: 0, Tries: 14, Latency: 48.25, Failed: 1, Period: 1000, Server: 0x03124a07,
+		{Instance: 3, Event: rules.Heard{Zone: 0, Attempts: 14, Latency: 48.25, Failed: 1, Period: 1000, Server: 0x03124a07,
 			Load: []float64{float64(float32(0.62)), 7, 14.5}}},
 		{Instance: 3, Event: rules.Tick{Token: 77}},
 		{Instance: 5, Event: rules.Left{Proxy: 41}},
@@ -145,9 +145,9 @@
 		{rules.Watch{}, "06 01" + zeros(14)},
 		{rules.Fetch{}, "07" + zeros(15)},
 		{rules.Bind{Proxy: 41, Table: 117}, "0b 2900 7500 0000" + zeros(9)},
-		{rules.Withdraw{Server: 0x2c9011f2, Out: true}, "0a f211902c 01" + zeros(10)},
+		{rules.Withdraw{Server: 0x2c9011f2, Excluded: true}, "0a f211902c 01" + zeros(10)},
 		{rules.Withdraw{Server: 0x2c9011f2}, "0a f211902c 00" + zeros(10)},
-		{rules.Admit{Table: 117, Mask: 2, Level: 0.75, Retry: rules.RetryProof}, "0c 7500 0200 0000403f 01" + zeros(6)},
+		{rules.Admit{Table: 117, Mask: 2, Level: 0.75, Retry: rules.RetryIfNotRun}, "0c 7500 0200 0000403f 01" + zeros(6)},
 		{rules.Mark{Token: 12}, "0d 00 0c000000" + zeros(10)},
 		{rules.Timer{Delay: 500, Token: 77}, "01 0000000000407f40 4d000000" + zeros(3)},
 		{rules.SetWeight{Table: 117, Server: 0x2c9011f2, Weight: 0.5}, "08 7500 f211902c 0000003f" + zeros(5)},
@@ -221,7 +221,7 @@
 		{Instance: 3, Event: rules.Joined{Proxy: 41, Zone: 1, Rate: 6.5, Fresh: true}},
 		{Instance: 3, Event: rules.Left{Proxy: 41}},
 		{Instance: 3, Event: rules.Ack{Proxy: 12, Token: 41, Elapsed: 404.5}},
-		{Instance: 3, Event: rules.Heard{Zone: 1, Tries: 14, Latency: 48.25, Failed: 1, Period: 1000, Server: 8}},
+		{Instance: 3, Event: rules.Heard{Zone: 1, Attempts: 14, Latency: 48.25, Failed: 1, Period: 1000, Server: 8}},
 		{Instance: 3, Event: rules.Demand{Proxy: 41, Class: 2, Requests: 9, Unanswered: 1, Period: 1000}},
 		{Instance: 3}, {Instance: 3}, {Instance: 3},
 	}
--- a/internal/planner/xds/mixed_test.go
+++ b/internal/planner/xds/mixed_test.go
@@ -154,8 +154,8 @@
 func (noCalls) Probe(rules.ServerID, string, bool) {}
 
 var mixedSettings = settings.Settings{ZoneNames: []string{"n", "s"}, KindNames: []string{"m"}, Rules: rules.Settings{Instances: 1, Zones: 2, Proxies: 10,
-	ReportPeriod: 1000, QueueLines: 3600, LinesPerSec: 2400, HeadLines: 3, DrainGrace: 2000, Bare: 2500, WarmupTime: 10000, StartCapacity: 0.2,
-	FallMultiple: 2.5, FallAfter: 3000, Classes: []rules.Class{{Name: "view", LatencyTarget: 1000, Deadline: 4000, Value: 1},
+	ReportPeriod: 1000, QueueLines: 3600, LinesPerSec: 2400, MessageCost: 3, DrainGrace: 2000, MaxTimeWithoutServer: 2500, WarmupTime: 10000, StartCapacity: 0.2,
+	OverloadFactor: 2.5, OverloadTime: 3000, Classes: []rules.Class{{Name: "view", LatencyTarget: 1000, Deadline: 4000, Value: 1},
 		{Name: "pay", LatencyTarget: 500, Deadline: 1500, Value: 2, Effect: rules.Unsafe}}}}
 
 // play plays one scripted day. Choose says what a stream speaks that begins; nothing else differs between two plays.
--- a/internal/simulation/tables.go
+++ b/internal/simulation/tables.go
@@ -98,7 +98,7 @@
 	}
 	n := w.controllers[e.controller]
 	for _, service := range w.services {
-		ordered := n.tables.OrderedWeights(linkName(-1-e.n), service)
+		ordered := n.tables.WeightsFor(linkName(-1-e.n), service)
 		upstreams := e.picker.Upstreams(service)
 		meant := slices.ContainsFunc(upstreams, func(u *picker.Upstream) bool { return ordered[u.ID] > 0 })
 		if !meant || slices.ContainsFunc(upstreams, (*picker.Upstream).HasWeight) {
--- a/rules/api.go
+++ b/rules/api.go
@@ -66,40 +66,40 @@
 
 // The retry methods.
 const (
-	RetryNever Retry = iota
-	RetryProof       // once, after proof that the first try never ran
-	RetryOnce        // once, after any failure
-	RetryTwice       // twice, after any failure
+	RetryNever    Retry = iota
+	RetryIfNotRun       // once, after proof that the first try never ran
+	RetryOnce           // once, after any failure
+	RetryTwice          // twice, after any failure
 )
 
 // Settings are the facts a controller is given when it starts.
 type Settings struct {
-	Instances      int // controllers, this one included
-	Zone           int // this controller's zone
-	Zones          int
-	Proxies        int // over all instances
-	Classes        []Class
-	QueryDiscovery bool // the server list comes only when asked for
-	Probes         bool
-	Slices         int // above 0: tables are slices of a key space, given into charge
-	Admission      AdmitKind
-	RetryDefault   Retry
-	TryAims        float64 // a try that may be followed waits this many aims
-	ReportPeriod   float64
-	QueueLines     float64 // most lines that may wait in the channel
-	LinesPerSec    float64 // usual pace of the channel
-	HeadLines      float64 // lines that each message costs beyond its own
-	MaxMessages    int     // most messages to one proxy within MessagesOver; 0: no limit
-	MessagesOver   float64
-	DrainGrace     float64
-	MinConns       float64 // connections that the smallest servers accept; 0: not known
-	LocalFirst     bool    // a proxy joins a controller of its own zone if there is one
-	DrainOnly      bool    // a server that the list drops may stay in use; only draining binds
-	Bare           float64 // a joined proxy may be without a line for this long
-	WarmupTime     float64 // a started server is warm after this time at the latest
-	StartCapacity  float64 // share of its capacity that a server starts with at least
-	FallMultiple   float64 // a cold server sent more than this multiple of its capacity
-	FallAfter      float64 // for this long falls over
+	Instances            int // controllers, this one included
+	Zone                 int // this controller's zone
+	Zones                int
+	Proxies              int // over all instances
+	Classes              []Class
+	QueryDiscovery       bool // the server list comes only when asked for
+	Probes               bool
+	KeyRanges            int // above 0: tables are slices of a key space, given into charge
+	Admission            AdmitKind
+	RetryDefault         Retry
+	AttemptTimeoutFactor float64 // a try that may be followed waits this many aims
+	ReportPeriod         float64
+	QueueLines           float64 // most lines that may wait in the channel
+	LinesPerSec          float64 // usual pace of the channel
+	MessageCost          float64 // lines that each message costs beyond its own
+	MaxMessages          int     // most messages to one proxy within MessageWindow; 0: no limit
+	MessageWindow        float64
+	DrainGrace           float64
+	MinConnections       float64 // connections that the smallest servers accept; 0: not known
+	LocalFirst           bool    // a proxy joins a controller of its own zone if there is one
+	DrainOnly            bool    // a server that the list drops may stay in use; only draining binds
+	MaxTimeWithoutServer float64 // a joined proxy may be without a line for this long
+	WarmupTime           float64 // a started server is warm after this time at the latest
+	StartCapacity        float64 // share of its capacity that a server starts with at least
+	OverloadFactor       float64 // a cold server sent more than this multiple of its capacity
+	OverloadTime         float64 // for this long falls over
 }
 
 // State of a server in the list.
@@ -174,20 +174,20 @@
 	// Part tells a controller that shares a planner with others what of the channel is its own, and what the proxies
 	// joined to the others bring. Without one it has the whole planner.
 	Part struct {
-		Channel      float64   // share of the channel's queue and pace
-		Joined       float64   // proxies
-		TypicalRates []float64 // their requests a second, by zone
-		Demands      []float64 // the same lately, by class
+		ChannelShare  float64   // share of the channel's queue and pace
+		JoinedProxies float64   // proxies
+		TypicalRates  []float64 // their requests a second, by zone
+		Demands       []float64 // the same lately, by class
 	}
 	// Heard sums up what the joined proxies of one zone met at one server.
 	Heard struct {
-		Zone    int
-		Server  ServerID
-		Tries   float64
-		Failed  float64
-		Latency float64 // mean of the successful tries; 0: none
-		Period  float64
-		Load    []float64
+		Zone     int
+		Server   ServerID
+		Attempts float64
+		Failed   float64
+		Latency  float64 // mean of the successful tries; 0: none
+		Period   float64
+		Load     []float64
 	}
 	// Demand counts the requests of a class that came to a proxy, repeats and refused ones included.
 	Demand struct {
@@ -241,8 +241,8 @@
 	}
 	// Withdraw shuts a server out of every table of the joined proxies, or lets it in again.
 	Withdraw struct {
-		Server ServerID
-		Out    bool
+		Server   ServerID
+		Excluded bool
 	}
 	// Admit sets the level and the retry method of the classes in Mask (bit k is class k).
 	Admit struct {
--- a/rules/booking_test.go
+++ b/rules/booking_test.go
@@ -95,8 +95,8 @@
 		// A channel that never drains keeps the sum of all that was booked.
 		set := settings.Settings{ZoneNames: []string{"a", "b"},
 			Rules: rules.Settings{Instances: 1, Zones: 2, Proxies: 9,
-				QueryDiscovery: true, Admission: rules.AdmitShare, ReportPeriod: 1000, QueueLines: 1e9, LinesPerSec: 0, HeadLines: 3, DrainGrace: 1500,
-				Bare: 2500, WarmupTime: 18000, StartCapacity: 0.2, FallMultiple: 2.5, FallAfter: 3000, Classes: []rules.Class{
+				QueryDiscovery: true, Admission: rules.AdmitShare, ReportPeriod: 1000, QueueLines: 1e9, LinesPerSec: 0, MessageCost: 3, DrainGrace: 1500,
+				MaxTimeWithoutServer: 2500, WarmupTime: 18000, StartCapacity: 0.2, OverloadFactor: 2.5, OverloadTime: 3000, Classes: []rules.Class{
 					{Name: "view", LatencyTarget: 1000, Deadline: 4000, Value: 1}, {Name: "pay",
 						LatencyTarget: 500, Deadline: 1500, Value: 2}}}}
 		known := protocol.List{Revision: 1, Complete: true}
@@ -112,13 +112,13 @@
 		for range 600 {
 			now += 40
 			bound = false
-			linesBefore, bookedBefore := lines, module.Booked()
+			linesBefore, bookedBefore := lines, module.QueuedLines()
 			n := rng.IntN(len(joined))
 			switch p := joined[n]; rng.IntN(12) {
 			case 0:
 				if p == nil {
 					last++
-					joined[n] = &proxy{t: t, id: last, head: set.Rules.HeadLines, lines: &lines, fresh: true,
+					joined[n] = &proxy{t: t, id: last, head: set.Rules.MessageCost, lines: &lines, fresh: true,
 						again: before[n], bound: &bound}
 					before[n] = true
 					r.Handle(routing.Reported{Peer: joined[n],
@@ -145,7 +145,7 @@
 			if bound {
 				again++
 			}
-			sent, booked := lines-linesBefore, module.Booked()-bookedBefore
+			sent, booked := lines-linesBefore, module.QueuedLines()-bookedBefore
 			if sent > booked || sent < booked && !bound {
 				t.Fatalf("seed %d at %v: the messages count %v lines, %v were booked", seed, now, sent,
 					booked)
--- a/rules/churn_test.go
+++ b/rules/churn_test.go
@@ -36,8 +36,8 @@
 		const live, proxies = 12, 9
 		set := settings.Settings{ZoneNames: []string{"a", "b"},
 			Rules: rules.Settings{Instances: 1, Zones: 2, Proxies: proxies,
-				QueryDiscovery: true, Admission: rules.AdmitShare, ReportPeriod: 1000, QueueLines: 3600, LinesPerSec: 2400, HeadLines: 3,
-				DrainGrace: 1500, Bare: 2500, WarmupTime: 1000, StartCapacity: 0.2, FallMultiple: 2.5, FallAfter: 3000, DrainOnly: drainOnly,
+				QueryDiscovery: true, Admission: rules.AdmitShare, ReportPeriod: 1000, QueueLines: 3600, LinesPerSec: 2400, MessageCost: 3,
+				DrainGrace: 1500, MaxTimeWithoutServer: 2500, WarmupTime: 1000, StartCapacity: 0.2, OverloadFactor: 2.5, OverloadTime: 3000, DrainOnly: drainOnly,
 				Classes: []rules.Class{{Name: "view", LatencyTarget: 1000, Deadline: 4000, Value: 1}}}}
 		entry := func(n int, phase string) protocol.Member {
 			return protocol.Member{ID: fmt.Sprint("s", n), Zone: set.ZoneNames[n%2], Phase: phase, Size: 1}
@@ -83,7 +83,7 @@
 			r.Handle(routing.Listed{Call: watch,
 				List: protocol.List{Revision: int64(n), Members: []protocol.Member{gone}}})
 			turn(300)
-			servers, held := module.Remembered()
+			servers, held := module.TrackedCounts()
 			most, mostLines = max(most, servers), max(mostLines, held)
 		}
 		if most > 3*live || int(module.most) > 3*live {
--- a/rules/dealing.go
+++ b/rules/dealing.go
@@ -47,7 +47,7 @@
 		c.typicalRate += p.typicalRate + tinyRate
 		c.zones[p.zone].ownRate += p.typicalRate + tinyRate
 	}
-	c.ownPart = Part{TypicalRates: make([]float64, len(c.zones)), Joined: c.joinedProxies,
+	c.ownPart = Part{TypicalRates: make([]float64, len(c.zones)), JoinedProxies: c.joinedProxies,
 		Demands: slices.Clone(c.demands)}
 	for i, z := range c.zones {
 		c.ownPart.TypicalRates[i] = z.ownRate
@@ -56,7 +56,7 @@
 
 // addOtherParts adds what the planner's other cores bring.
 func (c *Controller) addOtherParts() {
-	c.joinedProxies += c.otherParts.Joined
+	c.joinedProxies += c.otherParts.JoinedProxies
 	for k, d := range c.otherParts.Demands {
 		c.demands[k] += d
 	}
@@ -115,10 +115,10 @@
 // many die.
 func (c *Controller) tableSize(p *proxy) float64 {
 	n := max(1, c.joinedProxies, float64(c.settings.Proxies))
-	mean := min(tableShare*c.settings.QueueLines/n-c.settings.HeadLines,
+	mean := min(tableShare*c.settings.QueueLines/n-c.settings.MessageCost,
 		max(maxMeanLines, linesPerFilledServer*c.usableServers/n))
-	if c.settings.MinConns > 0 {
-		mean = min(mean, connShare*c.settings.MinConns*c.usableServers/n)
+	if c.settings.MinConnections > 0 {
+		mean = min(mean, connShare*c.settings.MinConnections*c.usableServers/n)
 	}
 	return max(minLines, mean*(1+3*p.typicalRate*c.joinedProxies/c.typicalRate)/4)
 }
--- a/rules/dealing_test.go
+++ b/rules/dealing_test.go
@@ -9,7 +9,7 @@
 // largeSettings are those of a site with many servers and proxies and connections that are scarce.
 func largeSettings(proxies int) Settings {
 	set := settings()
-	set.Zones, set.Proxies, set.MinConns = 3, proxies, 60
+	set.Zones, set.Proxies, set.MinConnections = 3, proxies, 60
 	set.QueueLines, set.LinesPerSec, set.MaxMessages = 20000, 10000, 0
 	return set
 }
@@ -94,7 +94,7 @@
 		}
 	}
 	for _, s := range f.c.servers {
-		if n := held[s.ID]; n < 3 || float64(n) > 0.5*f.c.settings.MinConns {
+		if n := held[s.ID]; n < 3 || float64(n) > 0.5*f.c.settings.MinConnections {
 			t.Errorf("server %d is held by %d proxies", s.ID, n)
 		}
 	}
@@ -109,7 +109,7 @@
 // Where servers squeezed their connections, tables of many lines for little traffic found most of them full.
 func TestTablesAreNoLargerThanUseful(t *testing.T) {
 	set := largeSettings(45)
-	set.MinConns = 0 // the connections would not be the limit
+	set.MinConnections = 0 // the connections would not be the limit
 	f := newFleet(t, set, manyServers(111, 3)...)
 	f.after(100, manyProxies(45, 3)...)
 	for range 20 {
@@ -142,7 +142,7 @@
 
 func TestSmallFleetIsHeldWhole(t *testing.T) {
 	set := settings()
-	set.MinConns = 60
+	set.MinConnections = 60
 	f := newFleet(t, set, fourServers()...)
 	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true},
 		Joined{Proxy: 2, Zone: 0, Rate: 10, Fresh: true})
@@ -228,7 +228,7 @@
 // The fleet doubles at once while the channel, not the connections, limits the tables.
 func TestNewcomersAreSpreadOverTheProxies(t *testing.T) {
 	set := largeSettings(90)
-	set.MinConns, set.QueueLines = 0, 4000
+	set.MinConnections, set.QueueLines = 0, 4000
 	all := manyServers(240, 3)
 	f := newFleet(t, set, all[:120]...)
 	f.after(100, manyProxies(90, 3)...)
@@ -422,7 +422,7 @@
 			List{Kind: ListCached, Servers: manyServers(60, 3)}}},
 		{"sums about the unknown", []Event{heard(4, 0, 9, 9, 0),
 			Demand{Proxy: 5000, Requests: 3, Period: 1000}}},
-		{"sums long after their period", []Event{Heard{Server: 3, Tries: 5, Latency: 200, Period: 1e6},
+		{"sums long after their period", []Event{Heard{Server: 3, Attempts: 5, Latency: 200, Period: 1e6},
 			Demand{Proxy: 1, Requests: 5, Period: 1e6}}},
 		{"all proxies leave", func() (all []Event) {
 			for i := range 90 {
@@ -511,7 +511,7 @@
 // proxy has a table of ours within the longest time without a line, drains keep their grace, the queue its limit.
 func TestAllProxiesJoiningAtOnceFitTheChannel(t *testing.T) {
 	set := largeSettings(150)
-	set.QueueLines, set.LinesPerSec, set.Bare, set.DrainGrace = 3500, 2300, 3000, 2500
+	set.QueueLines, set.LinesPerSec, set.MaxTimeWithoutServer, set.DrainGrace = 3500, 2300, 3000, 2500
 	servers := manyServers(350, 3)
 	f := newFleet(t, set, servers...)
 	joins := manyProxies(150, 3)
@@ -520,7 +520,7 @@
 	for i := range draining {
 		draining[i].State = Draining
 	}
-	for tick := range int(set.Bare / decideTime) {
+	for tick := range int(set.MaxTimeWithoutServer / decideTime) {
 		var events []Event
 		switch tick {
 		case 0:
@@ -541,7 +541,7 @@
 			}
 		}
 		for _, n := range lines {
-			queue += n + set.HeadLines + 1
+			queue += n + set.MessageCost + 1
 		}
 		most = max(most, queue)
 	}
--- a/rules/estimates.go
+++ b/rules/estimates.go
@@ -9,15 +9,15 @@
 
 func (c *Controller) handleReport(e Heard) {
 	s := c.serverByID[e.Server]
-	if s == nil || e.Zone >= len(s.zones) || e.Tries <= 0 {
+	if s == nil || e.Zone >= len(s.zones) || e.Attempts <= 0 {
 		return
 	}
-	answered := max(0, e.Tries-e.Failed)
+	answered := max(0, e.Attempts-e.Failed)
 	if e.Latency <= 0 {
 		answered = 0
 	}
 	for _, sum := range []*tally{&s.round, &s.zones[e.Zone], &s.recent, &c.fleet} {
-		sum.tries += e.Tries
+		sum.tries += e.Attempts
 		sum.failed += e.Failed
 		sum.answered += answered
 		sum.time += answered * e.Latency
@@ -30,7 +30,7 @@
 	if s.unanswered == 0 {
 		s.unansweredSince = c.now - e.Period
 	}
-	s.unanswered += e.Tries
+	s.unanswered += e.Attempts
 }
 
 // handleDemand counts a report for as much as the time it covers: late ones cover many periods.
--- a/rules/mass_test.go
+++ b/rules/mass_test.go
@@ -55,7 +55,7 @@
 		}
 		if f.c.warmCapacity(s) < 1 {
 			cold += s.share
-			if most := warmupSafety * f.c.settings.FallMultiple * f.c.warmCapacity(s) / 60; s.share > most+1e-9 {
+			if most := warmupSafety * f.c.settings.OverloadFactor * f.c.warmCapacity(s) / 60; s.share > most+1e-9 {
 				t.Errorf("cold server %d gets a share of %.4f, over its budget of %.4f", s.ID, s.share, most)
 			}
 		}
@@ -116,7 +116,7 @@
 		}
 	}
 	for _, id := range order {
-		n := float64(messages[id]) + f.c.settings.HeadLines + 1
+		n := float64(messages[id]) + f.c.settings.MessageCost + 1
 		ch.lines = append(ch.lines, struct {
 			ack    Ack
 			n      float64
--- a/rules/part_test.go
+++ b/rules/part_test.go
@@ -25,9 +25,9 @@
 
 func (s *shared) share() {
 	for i, f := range s.each {
-		part := Part{Channel: 1 / float64(len(s.each))}
+		part := Part{ChannelShare: 1 / float64(len(s.each))}
 		for j, other := range s.each {
-			if own, _ := other.c.Mine(); i != j {
+			if own, _ := other.c.OwnLoad(); i != j {
 				part = part.with(own)
 			}
 		}
@@ -36,7 +36,7 @@
 }
 
 func (p Part) with(o Part) Part {
-	p.Joined += o.Joined
+	p.JoinedProxies += o.JoinedProxies
 	p.TypicalRates = add(p.TypicalRates, o.TypicalRates)
 	p.Demands = add(p.Demands, o.Demands)
 	return p
@@ -100,8 +100,8 @@
 func TestSharerKeepsToItsPartOfTheChannel(t *testing.T) {
 	set := largeSettings(600)
 	f := newFleet(t, set, manyServers(200, 3)...)
-	f.step(append([]Event{Part{Channel: 0.25}}, manyProxies(600, 3)...)...)
-	if _, waiting := f.c.Mine(); waiting == 0 || waiting > 0.25*set.QueueLines {
+	f.step(append([]Event{Part{ChannelShare: 0.25}}, manyProxies(600, 3)...)...)
+	if _, waiting := f.c.OwnLoad(); waiting == 0 || waiting > 0.25*set.QueueLines {
 		t.Errorf("%v lines wait, a fourth of %v may", waiting, set.QueueLines)
 	}
 }
--- a/rules/publish.go
+++ b/rules/publish.go
@@ -12,10 +12,10 @@
 // table. Urgent messages wait for no answer: for a line that must go (which guards the rule on drains), a
 // table that works no more, and a proxy without a table of ours.
 func (c *Controller) publish() {
-	if c.settings.Slices > 0 || len(c.servers) == 0 {
+	if c.settings.KeyRanges > 0 || len(c.servers) == 0 {
 		return // slices of a key space are not decided here; and without a list nothing is
 	}
-	c.updateQueue(c.settings.LinesPerSec * c.otherParts.Channel)
+	c.updateQueue(c.settings.LinesPerSec * c.otherParts.ChannelShare)
 	c.computeShares()
 	c.computeTargets()
 	c.dealTables()
@@ -77,7 +77,7 @@
 // publishTable writes the changed lines and levels of one proxy's table, once its last message was answered
 // or has been waited for; a new proxy gets the whole table at once. It says whether anything was written.
 func (c *Controller) publishTable(p *proxy, levels []float64) bool {
-	whole, gap, share := float64(len(p.lines)+len(levels))+c.settings.HeadLines+2, messageGap, ordinaryShare
+	whole, gap, share := float64(len(p.lines)+len(levels))+c.settings.MessageCost+2, messageGap, ordinaryShare
 	if len(p.unacknowledged) > 0 {
 		gap = ackTimeout
 	}
@@ -93,7 +93,7 @@
 	if p.urgent || len(c.actions) > before || c.ordinaryBudget > 0 {
 		c.writeWeights(p)
 	}
-	lines := float64(len(c.actions)-before) + c.settings.HeadLines + 1
+	lines := float64(len(c.actions)-before) + c.settings.MessageCost + 1
 	if !p.bound {
 		lines = whole
 		c.actions = append(c.actions, Bind{Proxy: p.id, Table: TableID(p.id)})
@@ -134,15 +134,15 @@
 // mayWrite guards the channel's limits, each only up to a share: lines that wait, for which the channel is
 // thought to run slower than stated, and messages to one proxy within the span.
 func (c *Controller) mayWrite(p *proxy, lines, share float64) bool {
-	for len(p.messageTimes) > 0 && c.now-p.messageTimes[0] > c.settings.MessagesOver {
+	for len(p.messageTimes) > 0 && c.now-p.messageTimes[0] > c.settings.MessageWindow {
 		p.messageTimes = p.messageTimes[1:]
 	}
 	if c.settings.MaxMessages > 0 && float64(len(p.messageTimes)+1) > share*float64(c.settings.MaxMessages) {
 		return false
 	}
-	ours := c.settings.LinesPerSec * c.otherParts.Channel
+	ours := c.settings.LinesPerSec * c.otherParts.ChannelShare
 	if share == ordinaryShare && (c.deliveryLag > orderLag || c.queuedLines+lines > orderLag/1000*ours) {
 		return false // what waits here can still change, and lets urgent orders pass
 	}
-	return c.queuedLines+lines <= share*c.settings.QueueLines*c.otherParts.Channel
+	return c.queuedLines+lines <= share*c.settings.QueueLines*c.otherParts.ChannelShare
 }
--- a/rules/round.go
+++ b/rules/round.go
@@ -180,7 +180,7 @@
 func (c *Controller) limitColdShares(total, ready float64) (cold float64) {
 	for _, s := range c.servers {
 		if now := c.warmCapacity(s); s.inTables && now < 1 {
-			s.share = min(s.share/max(1e-9, total), warmupSafety*c.settings.FallMultiple*now/ready)
+			s.share = min(s.share/max(1e-9, total), warmupSafety*c.settings.OverloadFactor*now/ready)
 			cold += s.share
 		}
 	}
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -95,7 +95,7 @@
 
 // Safe repeats: guards the rule that nothing takes effect twice. Proxies try again only after proof that the
 // first try never ran, whatever the class. (For safe classes more was measured: it doubles work under load.)
-const retry = RetryProof
+const retry = RetryIfNotRun
 
 // Step takes what happened at now and returns what to do. Events only add up between two looks.
 func (c *Controller) Step(now float64, events []Event) []Action {
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -10,8 +10,8 @@
 func settings() Settings {
 	return Settings{
 		Instances: 1, Zones: 2, Proxies: 2, Probes: true, Admission: AdmitShare, ReportPeriod: 1000,
-		QueueLines: 1000, LinesPerSec: 1000, HeadLines: 3, MaxMessages: 20, MessagesOver: 10000,
-		DrainGrace: 1500, Bare: 2500, WarmupTime: 18000, StartCapacity: 0.2, FallMultiple: 2.5, FallAfter: 3000,
+		QueueLines: 1000, LinesPerSec: 1000, MessageCost: 3, MaxMessages: 20, MessageWindow: 10000,
+		DrainGrace: 1500, MaxTimeWithoutServer: 2500, WarmupTime: 18000, StartCapacity: 0.2, OverloadFactor: 2.5, OverloadTime: 3000,
 		Classes: []Class{
 			{Name: "view", LatencyTarget: 1000, Deadline: 4000, Value: 1, Effect: Safe},
 			{Name: "post", LatencyTarget: 500, Deadline: 2000, Value: 5, Effect: Keyed, Scope: ScopeAll,
@@ -105,7 +105,7 @@
 }
 
 func heard(id ServerID, zone int, tries, failed, latency float64) Heard {
-	return Heard{Server: id, Zone: zone, Tries: tries, Failed: failed, Latency: latency, Period: 1000}
+	return Heard{Server: id, Zone: zone, Attempts: tries, Failed: failed, Latency: latency, Period: 1000}
 }
 
 func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
@@ -334,9 +334,9 @@
 		now := f.c.warmCapacity(f.c.serverByID[id])
 		share := 0.6*f.share(1, id) + 0.4*f.share(2, id)
 		// If the whole fleet ran full, this is the multiple of its present capacity that it would get.
-		if multiple := share * 4 / now; multiple > f.c.settings.FallMultiple {
+		if multiple := share * 4 / now; multiple > f.c.settings.OverloadFactor {
 			t.Errorf("server %d would get %.2f times what it can do, the limit is %.2f", id, multiple,
-				f.c.settings.FallMultiple)
+				f.c.settings.OverloadFactor)
 		}
 		if f.share(1, id)+f.share(2, id) == 0 {
 			t.Errorf("cold server %d gets nothing though the fleet is calm", id)
@@ -758,7 +758,7 @@
 
 func TestSlicesAreLeftAlone(t *testing.T) {
 	set := settings()
-	set.Slices = 64
+	set.KeyRanges = 64
 	f := newFleet(t, set, fourServers()...)
 	actions := f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
 	if count[Bind](actions)+count[SetWeight](actions) != 0 {
@@ -794,7 +794,7 @@
 					Requests: float64(r.IntN(200)), Period: 1000})
 			default:
 				n := float64(r.IntN(60))
-				events = append(events, Heard{Server: id, Zone: r.IntN(3), Tries: n, Failed: n * r.Float64(),
+				events = append(events, Heard{Server: id, Zone: r.IntN(3), Attempts: n, Failed: n * r.Float64(),
 					Latency: float64(r.IntN(3)) * 700 * r.Float64(), Period: 1000})
 			}
 		}
@@ -853,7 +853,7 @@
 						lines[ProxyID(a.Table)]++
 					}
 				case Admit:
-					if a.Retry > RetryProof {
+					if a.Retry > RetryIfNotRun {
 						t.Fatalf("seed %d: retry method %d may take effect twice", seed, a.Retry)
 					}
 					if a.Level < 0 || math.IsNaN(a.Level) {
@@ -868,17 +868,17 @@
 				}
 			}
 			for p, n := range lines {
-				queue += n + set.HeadLines + 1
+				queue += n + set.MessageCost + 1
 				sent[p] = append(sent[p], now)
 				within := 0
 				for _, at := range sent[p] {
-					if now-at <= set.MessagesOver {
+					if now-at <= set.MessageWindow {
 						within++
 					}
 				}
 				if set.MaxMessages > 0 && within > set.MaxMessages {
 					t.Fatalf("seed %d: %d messages to proxy %d within %v ms", seed, within, p,
-						set.MessagesOver)
+						set.MessageWindow)
 				}
 			}
 			if queue > set.QueueLines {
--- a/rules/state.go
+++ b/rules/state.go
@@ -173,7 +173,7 @@
 		workLimit:   math.Inf(1),
 		idleLatency: math.Inf(1), zones: make([]zone, max(1, set.Zones)), demands: make([]float64,
 			len(set.Classes)),
-		serverByID: map[ServerID]*server{}, proxyByID: map[ProxyID]*proxy{}, otherParts: Part{Channel: 1}}
+		serverByID: map[ServerID]*server{}, proxyByID: map[ProxyID]*proxy{}, otherParts: Part{ChannelShare: 1}}
 	for k := range set.Classes {
 		c.shedOrder = append(c.shedOrder, k)
 	}
@@ -199,9 +199,9 @@
 		len(c.zones)-1), nil
 }
 
-// Mine tells what the controller's own proxies bring, as of its last look, and the lines thought to wait for
+// OwnLoad tells what the controller's own proxies bring, as of its last look, and the lines thought to wait for
 // them.
-func (c *Controller) Mine() (own Part, waiting float64) { return c.ownPart, c.queuedLines }
+func (c *Controller) OwnLoad() (own Part, waiting float64) { return c.ownPart, c.queuedLines }
 
 // handleForgotten drops all that is remembered of a server.
 func (c *Controller) handleForgotten(id ServerID) {
