--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -333,7 +333,7 @@
 	}
 	equal("version in the snapshot", config.Version(state.Version()).String(), "r1")
 	equal("bookings", state.Bookings.Active, map[string]reservation.Booking{"fair": booking})
-	equal("known call", state.Bookings.Knows("call-1"), true)
+	equal("known call", state.Bookings.HasApplied("call-1"), true)
 	var refused []uint64
 	for _, e := range got.Entries {
 		if _, err := state.Apply(e); err != nil {
--- a/internal/control/controller/api_bookings.go
+++ b/internal/control/controller/api_bookings.go
@@ -100,7 +100,7 @@
 	}
 	ledger := a.reservations.ledger()
 	result := operator.BookingResult{Accepted: true}
-	if !ledger.Knows(op.Call) {
+	if !ledger.HasApplied(op.Call) {
 		if result, err = a.judgeBookings(op); err != nil {
 			done <- outcome{err: err}
 			return
--- a/internal/control/controller/reservations.go
+++ b/internal/control/controller/reservations.go
@@ -95,7 +95,7 @@
 	if len(list) == 0 {
 		return
 	}
-	s.allocator.Plan(list, now)
+	s.allocator.SetReservations(list, now)
 	s.sendLeases(s.allocator.Allocate(now))
 }
 
@@ -228,7 +228,7 @@
 		}
 	}
 	if s.announced != nil && s.allocator != nil {
-		wanted := s.allocator.Wanted(now)
+		wanted := s.allocator.TotalRequested(now)
 		for _, r := range s.announced.List {
 			view.Usage = append(view.Usage, operator.ReservationUse{Reservation: r, Wanted: wanted[r.ID]})
 		}
--- a/internal/control/reservation/allocator.go
+++ b/internal/control/reservation/allocator.go
@@ -37,8 +37,8 @@
 
 const othersPrefix = "*"
 
-// OthersID names the reservation of all who have booked nothing at a service.
-func OthersID(service string) string { return othersPrefix + service }
+// UnreservedID names the reservation of all who have booked nothing at a service.
+func UnreservedID(service string) string { return othersPrefix + service }
 
 // Demand is what an edge says of its reservations: what runs or waits there, and the lease that it holds.
 type Demand struct {
@@ -46,7 +46,7 @@
 	Stamp         time.Duration  `cbor:"2,keyasint"` // on the edge's own steady clock
 	Term          uint64         `cbor:"3,keyasint"` // whose leases it accepts
 	Seq           uint64         `cbor:"4,keyasint,omitempty"`
-	Wanted        map[string]int `cbor:"5,keyasint,omitempty"` // requests, by reservation
+	Requested     map[string]int `cbor:"5,keyasint,omitempty"` // requests, by reservation
 	CurrentShares map[string]int `cbor:"6,keyasint,omitempty"` // by a lease of an earlier term, if it has none of this one
 	LeaseLeft     time.Duration  `cbor:"7,keyasint,omitempty"` // of that lease
 	Zone          string         `cbor:"8,keyasint,omitempty"`
@@ -98,8 +98,8 @@
 // Term is the one that the allocator allocates under.
 func (a *Allocator) Term() uint64 { return a.term }
 
-// Plan sets the reservations that are in force. They grow at once, and shrink as edges acknowledge or leases run out.
-func (a *Allocator) Plan(reservations []Reservation, now time.Duration) {
+// SetReservations sets the reservations that are in force. They grow at once, and shrink as edges acknowledge or leases run out.
+func (a *Allocator) SetReservations(reservations []Reservation, now time.Duration) {
 	clear(a.reservations)
 	for _, r := range reservations {
 		a.reservations[r.ID] = r
@@ -245,7 +245,7 @@
 }
 
 // wanted is what an edge wants of a reservation.
-func (a *Allocator) wanted(edge, id string) int { return max(0, a.edges[edge].demand.Wanted[id]) }
+func (a *Allocator) wanted(edge, id string) int { return max(0, a.edges[edge].demand.Requested[id]) }
 
 // targetShares are what the shares should be: to each edge what it wants if there is enough, and what is left evenly; else
 // in proportion to what is wanted, by the largest remainder.
@@ -282,14 +282,14 @@
 	return targets
 }
 
-// Wanted is how much of each reservation is wanted now, by the edges that were heard lately.
-func (a *Allocator) Wanted(now time.Duration) map[string]int {
+// TotalRequested is how much of each reservation is wanted now, by the edges that were heard lately.
+func (a *Allocator) TotalRequested(now time.Duration) map[string]int {
 	all := map[string]int{}
 	for _, e := range a.edges {
 		if now-e.heardAt > demandTTL {
 			continue
 		}
-		for id, n := range e.demand.Wanted {
+		for id, n := range e.demand.Requested {
 			all[id] += n
 		}
 	}
@@ -305,9 +305,9 @@
 	expiresAt   time.Duration
 }
 
-// FollowTerm takes over the term that reservations are allocated under. Leases of earlier ones are refused from then on,
+// AdvanceTerm takes over the term that reservations are allocated under. Leases of earlier ones are refused from then on,
 // since the new allocator may count on what it receives here.
-func (h *LeaseHolder) FollowTerm(term uint64) { h.term = max(h.term, term) }
+func (h *LeaseHolder) AdvanceTerm(term uint64) { h.term = max(h.term, term) }
 
 // Accept takes over a lease, and reports whether it is newer than the one that is held.
 func (h *LeaseHolder) Accept(l Lease) bool {
@@ -330,7 +330,7 @@
 
 // Demand is what the edge says, given what it wants of each reservation.
 func (h *LeaseHolder) Demand(wanted map[string]int, now time.Duration) Demand {
-	d := Demand{Incarnation: h.Incarnation, Stamp: now, Term: h.term, Wanted: wanted}
+	d := Demand{Incarnation: h.Incarnation, Stamp: now, Term: h.term, Requested: wanted}
 	switch {
 	case h.leaseTerm == h.term:
 		d.Seq = h.lease.Seq
--- a/internal/control/reservation/gate.go
+++ b/internal/control/reservation/gate.go
@@ -63,13 +63,13 @@
 	}
 }
 
-// LimitOthers limits all who have booked nothing to their share, and to the total while no more than that is wanted.
-func (g *AdmissionGate) LimitOthers(share, total int, exhausted bool) {
+// LimitUnreserved limits all who have booked nothing to their share, and to the total while no more than that is wanted.
+func (g *AdmissionGate) LimitUnreserved(share, total int, exhausted bool) {
 	g.others.share, g.others.total, g.others.exhausted, g.limitsOthers = max(0, share), total, exhausted, true
 }
 
-// UnlimitOthers admits all who have booked nothing.
-func (g *AdmissionGate) UnlimitOthers() { g.limitsOthers = false }
+// ClearUnreservedLimit admits all who have booked nothing.
+func (g *AdmissionGate) ClearUnreservedLimit() { g.limitsOthers = false }
 
 // Idle reports whether nothing runs under the gate.
 func (g *AdmissionGate) Idle() bool {
--- a/internal/control/reservation/ledger.go
+++ b/internal/control/reservation/ledger.go
@@ -107,8 +107,8 @@
 // NewLedger makes an empty ledger.
 func NewLedger() *Ledger { return &Ledger{Active: map[string]Booking{}} }
 
-// Knows reports whether a call was applied lately.
-func (l *Ledger) Knows(call string) bool { return slices.Contains(l.RecentCalls, call) }
+// HasApplied reports whether a call was applied lately.
+func (l *Ledger) HasApplied(call string) bool { return slices.Contains(l.RecentCalls, call) }
 
 // Validate says what is wrong with a change: it is built on another version, or asks for what can't be.
 func (l *Ledger) Validate(op Op) error {
@@ -148,7 +148,7 @@
 
 // Apply makes a change, once: the same call again changes nothing.
 func (l *Ledger) Apply(op Op) error {
-	if l.Knows(op.Call) {
+	if l.HasApplied(op.Call) {
 		return nil
 	}
 	if err := l.Validate(op); err != nil {
@@ -295,7 +295,7 @@
 	}
 	for _, service := range slices.Sorted(maps.Keys(reserved)) {
 		left := capacities[service].total() - reserved[service]
-		reservations = append(reservations, Reservation{ID: OthersID(service), Service: service, Slots: int(max(0, left))})
+		reservations = append(reservations, Reservation{ID: UnreservedID(service), Service: service, Slots: int(max(0, left))})
 	}
 	return reservations
 }
--- a/internal/control/reservation/reservation_test.go
+++ b/internal/control/reservation/reservation_test.go
@@ -106,9 +106,9 @@
 	for seed := range uint64(120) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		whole, rest := 1+rng.IntN(40), rng.IntN(30)
-		reservations := []reservation.Reservation{{ID: "b", Service: "s", Slots: whole}, {ID: reservation.OthersID("s"), Service: "s", Slots: rest}}
+		reservations := []reservation.Reservation{{ID: "b", Service: "s", Slots: whole}, {ID: reservation.UnreservedID("s"), Service: "s", Slots: rest}}
 		leaders := []*leader{{reservation.NewAllocator(1, 0), 1 << 60}}
-		leaders[0].Plan(reservations, 0)
+		leaders[0].SetReservations(reservations, 0)
 		edges := make([]*edge, 2+rng.IntN(8))
 		for i := range edges {
 			edges[i] = &edge{held: reservation.LeaseHolder{Incarnation: uint64(i + 1)}, offset: time.Duration(rng.IntN(7200)) * time.Second, load: rng.IntN(8)}
@@ -141,7 +141,7 @@
 				last := leaders[len(leaders)-1]
 				last.until = now + time.Duration(rng.Int64N(int64(reservation.LeaderProofTTL)))
 				next := &leader{reservation.NewAllocator(last.Term()+1, now), 1 << 60}
-				next.Plan(reservations, now)
+				next.SetReservations(reservations, now)
 				leaders = append(leaders, next)
 			}
 			for i, e := range edges {
@@ -163,8 +163,8 @@
 				}
 				if now%(250*time.Millisecond) == 0 && (calm || rng.IntN(4) > 0) {
 					term := leaders[max(0, len(leaders)-1-btoi(!calm && rng.IntN(3) == 0))].Term() // as its controller knows it
-					e.held.FollowTerm(term)
-					demand := e.held.Demand(map[string]int{"b": e.load, reservation.OthersID("s"): e.load / 2}, now+e.offset)
+					e.held.AdvanceTerm(term)
+					demand := e.held.Demand(map[string]int{"b": e.load, reservation.UnreservedID("s"): e.load / 2}, now+e.offset)
 					for _, d := range leaders {
 						at := now + delay()
 						mail = append(mail, letter{at, -1, func() { d.HandleDemand(fmt.Sprint(i), demand, at) }})
@@ -216,13 +216,13 @@
 func TestSharesFollowTheTraffic(t *testing.T) {
 	g := NewWithT(t)
 	d := reservation.NewAllocator(1, -time.Minute)
-	d.Plan([]reservation.Reservation{{ID: "b", Service: "s", Slots: 20}}, 0)
+	d.SetReservations([]reservation.Reservation{{ID: "b", Service: "s", Slots: 20}}, 0)
 	edges := make([]reservation.LeaseHolder, 10)
 	load := 2
 	for now := time.Duration(0); now <= 5*time.Second; now += 250 * time.Millisecond {
 		for i := range edges {
 			edges[i].Incarnation = uint64(i + 1)
-			edges[i].FollowTerm(1)
+			edges[i].AdvanceTerm(1)
 			want := 0
 			if i == 0 {
 				want = load
@@ -261,7 +261,7 @@
 	turn := func(d *reservation.Allocator, now time.Duration, heard int) (parts []int) {
 		for i := range edges[:heard] {
 			edges[i].Incarnation = uint64(i + 1)
-			edges[i].FollowTerm(d.Term())
+			edges[i].AdvanceTerm(d.Term())
 			d.HandleDemand(fmt.Sprint(i), edges[i].Demand(map[string]int{"b": wants[i]}, now), now)
 		}
 		for name, lease := range d.Allocate(now) {
@@ -276,10 +276,10 @@
 		return parts
 	}
 	first := reservation.NewAllocator(1, -time.Minute)
-	first.Plan(reservations, 0)
+	first.SetReservations(reservations, 0)
 	g.Expect(turn(first, 0, 4)).To(Equal([]int{5, 5, 5, 5}))
 	second := reservation.NewAllocator(2, time.Second)
-	second.Plan(reservations, time.Second)
+	second.SetReservations(reservations, time.Second)
 	wants = []int{15, 0, 0, 0}
 	g.Expect(turn(second, time.Second, 3)).To(Equal([]int{5, 0, 0, 5}), "two give theirs up")
 	g.Expect(turn(second, 1250*time.Millisecond, 3)).To(Equal([]int{15, 0, 0, 5}), "and one has it; the fourth was not heard")
@@ -315,7 +315,7 @@
 	for _, r := range k.ReservationsAt(carry, 96) {
 		slots[r.ID] = r.Slots
 	}
-	g.Expect(slots).To(Equal(map[string]int{"high": 12, "low": 6, reservation.OthersID("ledger"): 0}))
+	g.Expect(slots).To(Equal(map[string]int{"high": 12, "low": 6, reservation.UnreservedID("ledger"): 0}))
 	g.Expect(k.ReservationsAt(carry, 201)).To(BeEmpty())
 }
 
@@ -328,7 +328,7 @@
 			rng := rand.New(rand.NewPCG(seed, 9))
 			gate := reservation.NewAdmissionGate() // room for 40, of which 20 are booked
 			gate.SetShare("b", 20, 20, true)
-			gate.LimitOthers(20, 20, true)
+			gate.LimitUnreserved(20, 20, true)
 			type running struct {
 				under string
 				ends  time.Duration
--- a/internal/edge/proxy/reservations.go
+++ b/internal/edge/proxy/reservations.go
@@ -61,7 +61,7 @@
 // handleReservations takes over what the controller says is in force.
 func (g *reservationGates) handleReservations(m *peer.Reservations) {
 	g.mu.Lock()
-	g.lease.FollowTerm(m.Term)
+	g.lease.AdvanceTerm(m.Term)
 	g.announced = m.List
 	g.updateGates()
 	g.mu.Unlock()
@@ -105,7 +105,7 @@
 			})
 		})
 		if !services[service] {
-			if gate.UnlimitOthers(); gate.Idle() {
+			if gate.ClearUnreservedLimit(); gate.Idle() {
 				delete(g.gates, service)
 			}
 		}
@@ -121,20 +121,20 @@
 	}
 	share, exhausted, known := g.lease.Share(r.ID, g.Now())
 	switch {
-	case r.ID != reservation.OthersID(r.Service):
+	case r.ID != reservation.UnreservedID(r.Service):
 		gate.SetShare(r.ID, share, r.Slots, exhausted)
 	case known:
-		gate.LimitOthers(share, r.Slots, exhausted)
+		gate.LimitUnreserved(share, r.Slots, exhausted)
 	default:
 		edges := max(1, int(g.fleetEdges.Load()))
-		gate.LimitOthers((r.Slots+edges-1)/edges, r.Slots, true)
+		gate.LimitUnreserved((r.Slots+edges-1)/edges, r.Slots, true)
 	}
 }
 
 // reservationFor finds the reservation that a request may use: one of its tenant at its service, with capacity if there is
 // such a one.
 func (g *reservationGates) reservationFor(route *config.Route, service string) string {
-	found, tenant := reservation.OthersID(service), strings.ToLower(route.Host)
+	found, tenant := reservation.UnreservedID(service), strings.ToLower(route.Host)
 	for _, r := range g.announced {
 		if r.Service != service || !g.mayUse(tenant, route.Name, r) {
 			continue
--- a/internal/edge/proxy/reservations_test.go
+++ b/internal/edge/proxy/reservations_test.go
@@ -62,8 +62,8 @@
 		for i := range 4 { // eight slots
 			h.addServer(fmt.Sprint("i-", i), works(h, 300*time.Millisecond))
 		}
-		list := []reservation.Reservation{{ID: "flyer", Tenant: "A.example", Service: "tags", Slots: 6}, {ID: reservation.OthersID("tags"), Service: "tags", Slots: 2}}
-		h.setReservations(list, map[string]int{"flyer": 6, reservation.OthersID("tags"): 2}, map[string]bool{reservation.OthersID("tags"): true})
+		list := []reservation.Reservation{{ID: "flyer", Tenant: "A.example", Service: "tags", Slots: 6}, {ID: reservation.UnreservedID("tags"), Service: "tags", Slots: 2}}
+		h.setReservations(list, map[string]int{"flyer": 6, reservation.UnreservedID("tags"): 2}, map[string]bool{reservation.UnreservedID("tags"): true})
 		others := h.requestMany(30, "b.example")
 		time.Sleep(20 * time.Millisecond)
 		booked := h.requestMany(4, "a.example")
@@ -87,8 +87,8 @@
 		for i := range 4 {
 			h.addServer(fmt.Sprint("i-", i), works(h, 300*time.Millisecond))
 		}
-		list := []reservation.Reservation{{ID: "flyer", Tenant: "a.example", Service: "tags", Slots: 7}, {ID: reservation.OthersID("tags"), Service: "tags", Slots: 1}}
-		h.setReservations(list, map[string]int{"flyer": 7, reservation.OthersID("tags"): 1}, map[string]bool{reservation.OthersID("tags"): true})
+		list := []reservation.Reservation{{ID: "flyer", Tenant: "a.example", Service: "tags", Slots: 7}, {ID: reservation.UnreservedID("tags"), Service: "tags", Slots: 1}}
+		h.setReservations(list, map[string]int{"flyer": 7, reservation.UnreservedID("tags"): 1}, map[string]bool{reservation.UnreservedID("tags"): true})
 		lent := h.requestMany(3, "b.example")
 		booked := h.requestMany(1, "a.example")
 		h.reservations.handleReservations(&peer.Reservations{Term: 3})
@@ -111,11 +111,11 @@
 		for i := range 4 {
 			h.addServer(fmt.Sprint("i-", i), works(h, 300*time.Millisecond))
 		}
-		list := []reservation.Reservation{{ID: "flyer", Tenant: "a.example", Service: "tags", Slots: 6}, {ID: reservation.OthersID("tags"), Service: "tags", Slots: 2}}
-		h.setReservations(list, map[string]int{"flyer": 1, reservation.OthersID("tags"): 0}, nil)
+		list := []reservation.Reservation{{ID: "flyer", Tenant: "a.example", Service: "tags", Slots: 6}, {ID: reservation.UnreservedID("tags"), Service: "tags", Slots: 2}}
+		h.setReservations(list, map[string]int{"flyer": 1, reservation.UnreservedID("tags"): 0}, nil)
 		h.g.Expect(h.requestMany(6, "a.example")()).To(Equal(map[int]int{200: 6}))
 		h.reservations.handleLease(reservation.Lease{Incarnation: h.Incarnation, Stamp: h.Now(), Term: 3, Seq: 2, Duration: 10 * time.Second,
-			Shares: map[string]int{"flyer": 1, reservation.OthersID("tags"): 2}, Exhausted: map[string]bool{"flyer": true, reservation.OthersID("tags"): true}})
+			Shares: map[string]int{"flyer": 1, reservation.UnreservedID("tags"): 2}, Exhausted: map[string]bool{"flyer": true, reservation.UnreservedID("tags"): true}})
 		h.g.Expect(h.requestMany(8, "a.example")()[200]).To(Equal(3), "one booked, two as everybody")
 	})
 }
@@ -129,12 +129,12 @@
 			h.addServer(fmt.Sprint("i-", i), works(h, 300*time.Millisecond))
 		}
 		h.fleetEdges.Store(2)
-		list := []reservation.Reservation{{ID: "flyer", Tenant: "a.example", Service: "tags", Slots: 4}, {ID: reservation.OthersID("tags"), Service: "tags", Slots: 4}}
-		h.setReservations(list, map[string]int{"flyer": 4, reservation.OthersID("tags"): 4}, map[string]bool{reservation.OthersID("tags"): true})
+		list := []reservation.Reservation{{ID: "flyer", Tenant: "a.example", Service: "tags", Slots: 4}, {ID: reservation.UnreservedID("tags"), Service: "tags", Slots: 4}}
+		h.setReservations(list, map[string]int{"flyer": 4, reservation.UnreservedID("tags"): 4}, map[string]bool{reservation.UnreservedID("tags"): true})
 		time.Sleep(11 * time.Second)
 		h.reservations.sendDemand()
 		h.reservations.handleReservations(&peer.Reservations{Term: 4, List: list})
-		h.reservations.handleLease(reservation.Lease{Incarnation: h.Incarnation, Stamp: h.Now(), Term: 3, Seq: 9, Duration: 10 * time.Second, Shares: map[string]int{reservation.OthersID("tags"): 8}})
+		h.reservations.handleLease(reservation.Lease{Incarnation: h.Incarnation, Stamp: h.Now(), Term: 3, Seq: 9, Duration: 10 * time.Second, Shares: map[string]int{reservation.UnreservedID("tags"): 8}})
 		others := h.requestMany(10, "b.example")
 		booked := h.requestMany(4, "a.example")
 		h.g.Expect(booked()).To(Equal(map[int]int{200: 4}))
--- a/internal/simulation/bookings.go
+++ b/internal/simulation/bookings.go
@@ -156,7 +156,7 @@
 	if len(r.announced) == 0 {
 		return
 	}
-	r.allocator.Plan(r.announced, w.now)
+	r.allocator.SetReservations(r.announced, w.now)
 	leases := r.allocator.Allocate(w.now)
 	for i := range w.edges {
 		if lease, ok := leases[linkName(-1-i)]; ok {
@@ -232,7 +232,7 @@
 		controller := w.controllers[e.controller]
 		if controller.reservations.term > 0 {
 			r.announced = controller.reservations.announced
-			r.leases.FollowTerm(controller.reservations.term)
+			r.leases.AdvanceTerm(controller.reservations.term)
 		}
 		if len(r.announced) > 0 {
 			w.sendDemand(e, controller, k)
@@ -242,17 +242,17 @@
 		return slices.ContainsFunc(r.announced, func(o reservation.Reservation) bool { return o.ID == id })
 	})
 	if len(r.announced) == 0 {
-		r.gate.UnlimitOthers()
+		r.gate.ClearUnreservedLimit()
 	}
 	for _, held := range r.announced {
 		share, full, known := r.leases.Share(held.ID, w.now)
 		switch {
-		case held.ID != reservation.OthersID(held.Service):
+		case held.ID != reservation.UnreservedID(held.Service):
 			r.gate.SetShare(held.ID, share, held.Slots, full)
 		case known:
-			r.gate.LimitOthers(share, held.Slots, full)
+			r.gate.LimitUnreserved(share, held.Slots, full)
 		default: // without a lease: an even share
-			r.gate.LimitOthers((held.Slots+len(w.edges)-1)/len(w.edges), held.Slots, true)
+			r.gate.LimitUnreserved((held.Slots+len(w.edges)-1)/len(w.edges), held.Slots, true)
 		}
 	}
 }
@@ -348,7 +348,7 @@
 	e.serviceRequests[q.service]++
 	e.budget(q.service, len(w.edges)).Earn()
 	if len(e.reservations.announced) > 0 {
-		q.admission = &admission{gate: e.reservations.gate, reservation: reservation.OthersID(q.service)}
+		q.admission = &admission{gate: e.reservations.gate, reservation: reservation.UnreservedID(q.service)}
 		if group == &w.result.Tenant {
 			q.admission.reservation = "busy"
 		}
