--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -208,7 +208,7 @@
 func claims() []idempotency.Record {
 	answered, answer, void, copied, contested := claim(1), claim(1), claim(3), claim(4), claim(5)
 	answer.Response = &idempotency.Response{Status: 201, Headers: map[string]string{"X-Server-Seal": "seal"}, Body: []byte("paid")}
-	void.Revoked, copied.Copied, contested.Copied, contested.Contested = true, true, true, true
+	void.Revoked, copied.Imported, contested.Imported, contested.Contested = true, true, true, true
 	return []idempotency.Record{answered, answer, claim(2), claim(3), void, copied, contested}
 }
 
--- a/internal/control/consensus/cluster_test.go
+++ b/internal/control/consensus/cluster_test.go
@@ -88,15 +88,15 @@
 }
 
 func (w *cluster) start(m *machine) {
-	m.replica = consensus.New(consensus.Config{ID: m.id, Timing: timing, Seed: w.rng.Uint64(), Membership: m.disk.membership, Hard: m.disk.hard,
+	m.replica = consensus.New(consensus.Config{ID: m.id, Timing: timing, Seed: w.rng.Uint64(), Membership: m.disk.membership, HardState: m.disk.hard,
 		Snapshot: m.disk.snap, Log: slices.Clone(m.disk.log), Now: w.now})
 	m.queue, m.waiting, m.reading, m.applied, m.frozen = nil, map[uint64]uint64{}, map[uint64]uint64{}, m.disk.snap.Index, 0
 }
 
 // store brings what an output says onto the disk.
 func (d *disk) store(out consensus.Output) {
-	if out.Hard != nil {
-		d.hard = *out.Hard
+	if out.HardState != nil {
+		d.hard = *out.HardState
 	}
 	if out.Snapshot != nil {
 		d.snap, d.log = *out.Snapshot, nil
@@ -129,7 +129,7 @@
 	w.post(m, out.Immediate)
 	if w.fault == "acknowledges before storing" {
 		w.post(m, out.AfterSync)
-		m.replica.MarkDurable(m.replica.Last(), m.replica.LastTerm(), w.now)
+		m.replica.MarkDurable(m.replica.LastIndex(), m.replica.LastTerm(), w.now)
 		out.AfterSync = nil
 	}
 	if w.fault == "keeps a snapshot without its membership" && out.Snapshot != nil {
@@ -146,7 +146,7 @@
 		w.apply(m, e)
 	}
 	w.answerReads(m)
-	if w.rng.IntN(60) == 0 && m.replica.Commit() > 6 {
+	if w.rng.IntN(60) == 0 && m.replica.CommitIndex() > 6 {
 		m.replica.Compact(m.applied, make([]byte, w.rng.IntN(600)<<(10*w.rng.IntN(2))))
 	}
 }
@@ -200,8 +200,8 @@
 		if w.fault == "reads without a round" && m.replica.Role() == consensus.Leader || m.replica.ReadConfirmed(round) {
 			delete(m.reading, round)
 			w.reads++
-			if m.replica.Commit() < newest {
-				w.wrong = fmt.Sprintf("%s reads up to %d after %d was acknowledged", m.id, m.replica.Commit(), newest)
+			if m.replica.CommitIndex() < newest {
+				w.wrong = fmt.Sprintf("%s reads up to %d after %d was acknowledged", m.id, m.replica.CommitIndex(), newest)
 			}
 		}
 	}
@@ -211,7 +211,7 @@
 func (w *cluster) calm() bool {
 	for _, id := range w.voters.All() {
 		m := w.machine(id)
-		if m == nil || m.down > w.now || m.frozen > w.now || m.replica.Commit() < uint64(len(w.history)) {
+		if m == nil || m.down > w.now || m.frozen > w.now || m.replica.CommitIndex() < uint64(len(w.history)) {
 			return false
 		}
 	}
@@ -319,11 +319,11 @@
 		m.queue = m.queue[1:]
 		m.disk.store(out)
 		w.post(m, out.AfterSync)
-		if index, term := out.Last(); index > 0 {
+		if index, term := out.LastEntry(); index > 0 {
 			m.replica.MarkDurable(index, term, w.now)
 		}
 	}
-	if m.removed && !m.replica.Votes() { // comes back as somebody else
+	if m.removed && !m.replica.IsVoter() { // comes back as somebody else
 		m.disks++
 		m.id = fmt.Sprintf("%s#%d", m.name, m.disks)
 		m.replica.SetID(m.id)
--- a/internal/control/consensus/election.go
+++ b/internal/control/consensus/election.go
@@ -36,7 +36,7 @@
 func (r *Replica) requestVotes(kind Kind, term uint64, send func(Message)) {
 	for _, id := range r.Membership().All() {
 		if id != r.id {
-			send(Message{Kind: kind, To: id, Term: term, Index: r.last(), LogTerm: r.LastTerm()})
+			send(Message{Kind: kind, To: id, Term: term, Index: r.lastIndex(), LogTerm: r.LastTerm()})
 		}
 	}
 }
@@ -44,7 +44,7 @@
 // countVotes goes on where the votes are enough. The own vote counts before it is durable only in a pre-vote: vote requests
 // leave after it is.
 func (r *Replica) countVotes() {
-	if !r.Membership().Quorum(func(id string) bool { return r.votes[id] }) {
+	if !r.Membership().HasQuorum(func(id string) bool { return r.votes[id] }) {
 		return
 	}
 	if r.preVote {
@@ -79,8 +79,8 @@
 
 // upToDate reports whether a candidate's log holds all that this one may have committed.
 func (r *Replica) upToDate(msg Message) bool {
-	term, _ := r.termAt(r.last())
-	return msg.LogTerm > term || msg.LogTerm == term && msg.Index >= r.last()
+	term, _ := r.termAt(r.lastIndex())
+	return msg.LogTerm > term || msg.LogTerm == term && msg.Index >= r.lastIndex()
 }
 
 // hasLiveLeader reports whether there is a leader that a pre-vote must not depose.
@@ -137,7 +137,7 @@
 func (r *Replica) TransferLeadership(to string, now time.Duration) bool {
 	r.now = now
 	p := r.peers[to]
-	if r.role != Leader || p == nil || p.match < r.last() || !r.Membership().Contains(to) {
+	if r.role != Leader || p == nil || p.match < r.lastIndex() || !r.Membership().Contains(to) {
 		return false
 	}
 	r.sendImmediately(Message{Kind: TimeoutNow, To: to})
@@ -146,7 +146,7 @@
 
 // campaignNow campaigns without a pre-vote, since the leader itself asks for it.
 func (r *Replica) campaignNow(msg Message) {
-	if r.role == Follower && r.leader == msg.From && r.Votes() {
+	if r.role == Follower && r.leader == msg.From && r.IsVoter() {
 		r.campaign()
 	}
 }
--- a/internal/control/consensus/membership.go
+++ b/internal/control/consensus/membership.go
@@ -30,8 +30,8 @@
 	return slices.Compact(all)
 }
 
-// Quorum reports whether the replicas for which has is true decide: a majority of Voters and, in a joint membership, of Next.
-func (m Membership) Quorum(has func(id string) bool) bool {
+// HasQuorum reports whether the replicas for which has is true decide: a majority of Voters and, in a joint membership, of Next.
+func (m Membership) HasQuorum(has func(id string) bool) bool {
 	return len(m.Voters) > 0 && majority(m.Voters, has) && (!m.Joint() || majority(m.Next, has))
 }
 
@@ -105,7 +105,7 @@
 // Bootstrap sets the voters of a cluster that starts for the first time, and reports whether it did. It changes nothing on a
 // replica that has a membership or a log.
 func (r *Replica) Bootstrap(voters []string) bool {
-	if r.Membership().Epoch > 0 || r.last() > 0 {
+	if r.Membership().Epoch > 0 || r.lastIndex() > 0 {
 		return false
 	}
 	r.memberships = []membershipEntry{{0, Membership{Epoch: 1, Voters: slices.Sorted(slices.Values(voters))}}}
@@ -126,7 +126,7 @@
 	targets := r.replicationTargets()
 	for _, id := range targets {
 		if r.peers[id] == nil {
-			r.peers[id] = &progress{next: r.last() + 1, heardAt: r.now}
+			r.peers[id] = &progress{next: r.lastIndex() + 1, heardAt: r.now}
 		}
 	}
 	for id := range r.peers {
@@ -156,12 +156,12 @@
 
 // The reasons for which a membership can't be changed now.
 const (
-	ErrNotLeader     ChangeError = "this replica does not lead"
-	ErrOwnTerm       ChangeError = "no entry of the leader's own term is committed yet"
-	ErrChanging      ChangeError = "another change of the membership is under way"
-	ErrNotChanging   ChangeError = "no change of the membership is under way"
-	ErrNoChange      ChangeError = "the change leads to no other voters"
-	ErrLeaderRemoved ChangeError = "the leader itself would lose its vote: leadership is transferred first"
+	ErrNotLeader          ChangeError = "this replica does not lead"
+	ErrTermNotCommitted   ChangeError = "no entry of the leader's own term is committed yet"
+	ErrChangeInProgress   ChangeError = "another change of the membership is under way"
+	ErrNoChangeInProgress ChangeError = "no change of the membership is under way"
+	ErrSameVoters         ChangeError = "the change leads to no other voters"
+	ErrLeaderRemoved      ChangeError = "the leader itself would lose its vote: leadership is transferred first"
 )
 
 // BeginChange appends a joint membership that leads to the voters next. It takes effect at once and has to be finished
@@ -175,9 +175,9 @@
 	next = slices.Sorted(slices.Values(next))
 	switch {
 	case current.Joint():
-		return ErrChanging
+		return ErrChangeInProgress
 	case slices.Equal(next, current.Voters) || len(next) == 0:
-		return ErrNoChange
+		return ErrSameVoters
 	case !slices.Contains(next, r.id):
 		return ErrLeaderRemoved
 	}
@@ -207,7 +207,7 @@
 	}
 	current := r.Membership()
 	if !current.Joint() {
-		return ErrNotChanging
+		return ErrNoChangeInProgress
 	}
 	if !slices.Contains(voters, r.id) {
 		return ErrLeaderRemoved
@@ -223,10 +223,10 @@
 		return ErrNotLeader
 	}
 	if !r.CommittedInTerm() {
-		return ErrOwnTerm
+		return ErrTermNotCommitted
 	}
 	if !r.MembershipCommitted() {
-		return ErrChanging
+		return ErrChangeInProgress
 	}
 	return nil
 }
--- a/internal/control/consensus/message.go
+++ b/internal/control/consensus/message.go
@@ -94,7 +94,7 @@
 // Output is what the caller has to do after events: send Immediate, store the fields from Hard to Entries and then send
 // AfterSync and call MarkDurable, and apply Install and Committed to the state.
 type Output struct {
-	Hard      *HardState
+	HardState *HardState
 	Snapshot  *Snapshot // replaces log and snapshot on disk
 	Truncate  uint64    // entries from this index on are dropped first; 0: none
 	Entries   []Entry   // then these are added
@@ -106,11 +106,11 @@
 
 // Empty reports whether nothing has to be stored.
 func (o *Output) Empty() bool {
-	return o.Hard == nil && o.Snapshot == nil && o.Truncate == 0 && len(o.Entries) == 0
+	return o.HardState == nil && o.Snapshot == nil && o.Truncate == 0 && len(o.Entries) == 0
 }
 
-// Last is the index and term of the last entry that has to be stored; 0, 0: there is none.
-func (o *Output) Last() (index, term uint64) {
+// LastEntry is the index and term of the last entry that has to be stored; 0, 0: there is none.
+func (o *Output) LastEntry() (index, term uint64) {
 	if n := len(o.Entries); n > 0 {
 		return o.Entries[n-1].Index, o.Entries[n-1].Term
 	}
--- a/internal/control/consensus/replica.go
+++ b/internal/control/consensus/replica.go
@@ -11,7 +11,7 @@
 	Timing     Timing
 	Seed       uint64     // of its random election timeouts
 	Membership Membership // that the cluster started with; empty: the replica learns it from the log
-	Hard       HardState
+	HardState  HardState
 	Snapshot   Snapshot
 	Log        []Entry // after the snapshot
 	Now        time.Duration
@@ -73,7 +73,7 @@
 // New makes a replica from what its disk held.
 func New(c Config) *Replica {
 	r := &Replica{id: c.ID, timing: c.Timing, rng: rand.New(rand.NewPCG(c.Seed, 2)), now: c.Now}
-	r.hard, r.snapshot, r.log = c.Hard, c.Snapshot, c.Log
+	r.hard, r.snapshot, r.log = c.HardState, c.Snapshot, c.Log
 	r.commit, r.applied, r.leaderHeardAt = c.Snapshot.Index, c.Snapshot.Index, c.Now
 	r.memberships = []membershipEntry{{0, c.Membership}}
 	if c.Snapshot.Index > 0 {
@@ -84,8 +84,8 @@
 	for _, e := range c.Log {
 		r.applyMembershipEntry(e)
 	}
-	r.durable = r.last()
-	r.commit = max(r.commit, min(c.Hard.Commit, r.durable))
+	r.durable = r.lastIndex()
+	r.commit = max(r.commit, min(c.HardState.Commit, r.durable))
 	r.resetElectionTimer()
 	return r
 }
@@ -96,7 +96,7 @@
 // SetID gives a replica that has no vote another identity, under which it may become a voter. It changes nothing on one that
 // votes or leads.
 func (r *Replica) SetID(id string) {
-	if !r.Votes() && r.role == Follower {
+	if !r.IsVoter() && r.role == Follower {
 		r.id = id
 	}
 }
@@ -110,12 +110,12 @@
 // Term is the newest term that the replica has seen.
 func (r *Replica) Term() uint64 { return r.hard.Term }
 
-// Commit is the index of the last entry that is known to be committed.
-func (r *Replica) Commit() uint64 { return r.commit }
+// CommitIndex is the index of the last entry that is known to be committed.
+func (r *Replica) CommitIndex() uint64 { return r.commit }
 
 // LastTerm is the term of the last entry of the log.
 func (r *Replica) LastTerm() uint64 {
-	term, _ := r.termAt(r.last())
+	term, _ := r.termAt(r.lastIndex())
 	return term
 }
 
@@ -129,11 +129,11 @@
 	return r.role == Leader && known && term == r.hard.Term
 }
 
-// Last is the index of the last entry of the log.
-func (r *Replica) Last() uint64 { return r.last() }
+// LastIndex is the index of the last entry of the log.
+func (r *Replica) LastIndex() uint64 { return r.lastIndex() }
 
-// Votes reports whether the replica has a vote.
-func (r *Replica) Votes() bool { return r.Membership().Contains(r.id) }
+// IsVoter reports whether the replica has a vote.
+func (r *Replica) IsVoter() bool { return r.Membership().Contains(r.id) }
 
 // Match is how far a peer's durable log is known to agree with the leader's, and when the peer was last heard. It is known
 // on a leader only, but for the replica itself.
@@ -148,7 +148,7 @@
 	return p.match, p.heardAt, true
 }
 
-func (r *Replica) last() uint64 {
+func (r *Replica) lastIndex() uint64 {
 	if n := len(r.log); n > 0 {
 		return r.log[n-1].Index
 	}
@@ -160,7 +160,7 @@
 	if index == r.snapshot.Index {
 		return r.snapshot.Term, true
 	}
-	if index < r.snapshot.Index || index > r.last() {
+	if index < r.snapshot.Index || index > r.lastIndex() {
 		return 0, false
 	}
 	return r.log[index-r.snapshot.Index-1].Term, true
@@ -171,7 +171,7 @@
 
 func (r *Replica) persistHardState() {
 	hard := r.hard
-	r.output.Hard = &hard
+	r.output.HardState = &hard
 }
 
 func (r *Replica) sendImmediately(msg Message) {
@@ -205,7 +205,7 @@
 	return out
 }
 
-// MarkDurable tells that an output is durable, by the index and term of its last entry (see Output.Last). A write whose
+// MarkDurable tells that an output is durable, by the index and term of its last entry (see Output.LastEntry). A write whose
 // entries were truncated or replaced by a snapshot while it was under way counts for nothing: what took their place has a
 // write of its own.
 func (r *Replica) MarkDurable(index, term uint64, now time.Duration) {
@@ -225,7 +225,7 @@
 		r.tickLeader()
 		return
 	}
-	if now >= r.electionDeadline && r.Votes() {
+	if now >= r.electionDeadline && r.IsVoter() {
 		r.preCampaign()
 	}
 }
@@ -249,7 +249,7 @@
 	if r.role != Leader {
 		return r.leader != "" && now-r.leaderHeardAt < span && r.leaderHasQuorum
 	}
-	return r.Membership().Quorum(func(id string) bool { return id == r.id || now-r.peers[id].heardAt < span })
+	return r.Membership().HasQuorum(func(id string) bool { return id == r.id || now-r.peers[id].heardAt < span })
 }
 
 // Propose appends an entry with data to the log of a leader, and gives the entry's index and term. It is not ok on a replica
@@ -260,12 +260,12 @@
 		return 0, 0, false
 	}
 	r.append(Entry{Data: data})
-	return r.last(), r.hard.Term, true
+	return r.lastIndex(), r.hard.Term, true
 }
 
 // append adds an entry to a leader's log and sends it.
 func (r *Replica) append(e Entry) {
-	e.Term, e.Index = r.hard.Term, r.last()+1
+	e.Term, e.Index = r.hard.Term, r.lastIndex()+1
 	r.log = append(r.log, e)
 	r.output.Entries = append(r.output.Entries, e)
 	r.applyMembershipEntry(e)
@@ -277,7 +277,7 @@
 // advance commits what is durable on a majority. Only entries of the own term are committed by counting: an earlier one may
 // still be replaced.
 func (r *Replica) advance() {
-	index := r.last()
+	index := r.lastIndex()
 	for ; index > r.commit; index-- {
 		if term, _ := r.termAt(index); term != r.hard.Term {
 			return
@@ -293,7 +293,7 @@
 }
 
 func (r *Replica) durableOnQuorum(index uint64) bool {
-	return r.Membership().Quorum(func(id string) bool {
+	return r.Membership().HasQuorum(func(id string) bool {
 		if id == r.id {
 			return r.durable >= index
 		}
@@ -316,7 +316,7 @@
 	if !r.CommittedInTerm() {
 		return false
 	}
-	return r.Membership().Quorum(func(id string) bool { return id == r.id || r.peers[id].readRound >= round })
+	return r.Membership().HasQuorum(func(id string) bool { return id == r.id || r.peers[id].readRound >= round })
 }
 
 // Compact replaces the log up to an applied entry by a snapshot with data. It changes nothing for any other index.
--- a/internal/control/consensus/replica_test.go
+++ b/internal/control/consensus/replica_test.go
@@ -15,7 +15,7 @@
 
 // replica makes one of three, with what its disk held.
 func replica(id string, hard consensus.HardState, log ...consensus.Entry) *consensus.Replica {
-	return consensus.New(consensus.Config{ID: id, Membership: founders, Timing: timing, Seed: 1, Hard: hard, Log: log})
+	return consensus.New(consensus.Config{ID: id, Membership: founders, Timing: timing, Seed: 1, HardState: hard, Log: log})
 }
 
 // learner makes one that knows nothing yet.
@@ -54,7 +54,7 @@
 }
 
 // stored tells a replica that its whole log is durable.
-func stored(r *consensus.Replica) { r.MarkDurable(r.Last(), r.LastTerm(), began) }
+func stored(r *consensus.Replica) { r.MarkDurable(r.LastIndex(), r.LastTerm(), began) }
 
 // holds has a peer answer that it holds a leader's log up to an entry.
 func holds(leader *consensus.Replica, id string, index uint64) {
@@ -67,7 +67,7 @@
 		lead(r)
 		r.Propose([]byte("x"), began)
 		stored(r)
-		Expect(r.Commit()).To(BeZero())
+		Expect(r.CommitIndex()).To(BeZero())
 	})
 	It("counts no write whose entries were cut off the log while it was under way", func() {
 		c := replica("c", consensus.HardState{Term: 1})
@@ -76,7 +76,7 @@
 		under := c.DrainOutput()
 		c.Step(consensus.Message{Kind: consensus.Append, From: "b", To: "c", Term: 2, Entries: []consensus.Entry{{Term: 2, Index: 1}, {Term: 2, Index: 2}}}, time.Second)
 		c.DrainOutput()
-		index, term := under.Last()
+		index, term := under.LastEntry()
 		c.MarkDurable(index, term, time.Second)
 		c.Step(consensus.Message{Kind: consensus.Append, From: "b", To: "c", Term: 2, Index: 2, LogTerm: 2}, time.Second)
 		Expect(ofKind(c.DrainOutput().Immediate, consensus.AppendReply)[0].Index).To(BeZero(), "what b sent is not on the disk yet")
@@ -85,7 +85,7 @@
 		c := replica("c", consensus.HardState{Term: 1})
 		twice := consensus.Membership{Epoch: 2, Voters: []string{"a", "a"}}
 		c.Step(consensus.Message{Kind: consensus.Append, From: "a", To: "c", Term: 1, Entries: []consensus.Entry{{Term: 1, Index: 1, Membership: &twice}}}, time.Second)
-		Expect(c.Last()).To(BeZero())
+		Expect(c.LastIndex()).To(BeZero())
 		Expect(c.Membership()).To(Equal(founders))
 	})
 	It("tells nobody of a vote that is not stored", func() {
@@ -94,7 +94,7 @@
 		out := r.DrainOutput()
 		Expect(ofKind(out.Immediate, consensus.VoteReply)).To(BeEmpty())
 		Expect(ofKind(out.AfterSync, consensus.VoteReply)).To(HaveLen(1))
-		Expect(out.Hard.Vote).To(Equal("b"))
+		Expect(out.HardState.Vote).To(Equal("b"))
 	})
 	It("goes by what was committed as soon as it starts again", func() {
 		r := replica("a", consensus.HardState{Term: 3, Commit: 1}, consensus.Entry{Term: 2, Index: 1, Data: []byte("x")}, consensus.Entry{Term: 3, Index: 2})
@@ -173,7 +173,7 @@
 		for range 200 {
 			a.Propose(make([]byte, 50<<10), began)
 			stored(a)
-			holds(a, "b", a.Last())
+			holds(a, "b", a.LastIndex())
 		}
 		a.DrainOutput()
 		a.Step(consensus.Message{Kind: consensus.AppendReply, From: "c", To: "a", Term: 1}, began) // it holds nothing
@@ -194,11 +194,11 @@
 			for _, m := range append(out.Immediate, out.AfterSync...) {
 				a.Step(m, began)
 			}
-			if c.Last() == a.Last() {
+			if c.LastIndex() == a.LastIndex() {
 				break
 			}
 		}
-		Expect(c.Last()).To(Equal(a.Last()))
+		Expect(c.LastIndex()).To(Equal(a.LastIndex()))
 		Expect(most).To(BeNumerically("<=", 300<<10))
 		Expect(messages).To(BeNumerically(">", 20))
 	})
@@ -250,13 +250,13 @@
 		Expect(chunks).To(Equal(7))
 		Expect(installed.Data).To(Equal(state))
 		Expect(installed.Membership).To(Equal(founders))
-		Expect(c.Last()).To(Equal(uint64(6)))
+		Expect(c.LastIndex()).To(Equal(uint64(6)))
 	})
 	It("takes a snapshot up where it was broken off, from another leader too", func() {
 		a, c := leading(), replica("c", consensus.HardState{})
 		before, _ := exchange(a, c, 4)
 		Expect(before).To(Equal(4))
-		b := consensus.New(consensus.Config{ID: "b", Timing: timing, Seed: 1, Hard: consensus.HardState{Term: 1},
+		b := consensus.New(consensus.Config{ID: "b", Timing: timing, Seed: 1, HardState: consensus.HardState{Term: 1},
 			Snapshot: consensus.Snapshot{Term: 1, Index: 5, Data: state, Membership: founders}, Log: []consensus.Entry{{Term: 1, Index: 6}}})
 		b.Tick(began)
 		for _, kind := range []consensus.Kind{consensus.PreVoteReply, consensus.VoteReply} {
@@ -277,7 +277,7 @@
 		a.Compact(7, append([]byte("newer"), state...))
 		a.Tick(began + 5*timing.Heartbeat) // what was on its way is lost with what was taken above
 		chunks, _ := exchange(a, c, 80)
-		Expect(c.Commit()).To(BeNumerically(">=", 7))
+		Expect(c.CommitIndex()).To(BeNumerically(">=", 7))
 		Expect(chunks).To(BeNumerically("<=", 4+8))
 	})
 	It("begins a snapshot anew that fails its sum", func() {
@@ -304,10 +304,10 @@
 			for i := range changes {
 				a.Propose(fmt.Appendf(nil, "change %d", i), began)
 				stored(a)
-				holds(a, "b", a.Last())
+				holds(a, "b", a.LastIndex())
 				a.DrainOutput()
 				if i%64 == 63 {
-					a.Compact(a.Commit(), state)
+					a.Compact(a.CommitIndex(), state)
 					a.DrainOutput()
 				}
 			}
@@ -328,7 +328,7 @@
 					a.Step(m, began)
 				}
 			}
-			Expect(c.Last()).To(Equal(a.Last()))
+			Expect(c.LastIndex()).To(Equal(a.LastIndex()))
 			return bytes
 		}
 		Expect(cost(1000)).To(BeNumerically("~", cost(100), 1000))
@@ -339,7 +339,7 @@
 	It("is not changed before an entry of the leader's own term is committed", func() {
 		r := replica("a", consensus.HardState{})
 		lead(r)
-		Expect(r.BeginChange([]string{"a", "b", "d"}, began)).To(MatchError(consensus.ErrOwnTerm))
+		Expect(r.BeginChange([]string{"a", "b", "d"}, began)).To(MatchError(consensus.ErrTermNotCommitted))
 		holds(r, "b", 1)
 		Expect(r.BeginChange([]string{"a", "b", "d"}, began)).To(Succeed())
 	})
@@ -348,11 +348,11 @@
 		lead(r)
 		holds(r, "b", 1)
 		Expect(r.BeginChange([]string{"a", "b", "d"}, began)).To(Succeed())
-		Expect(r.BeginChange([]string{"a", "b", "e"}, began)).To(MatchError(consensus.ErrChanging))
-		Expect(r.AdoptChange(began)).To(MatchError(consensus.ErrChanging), "it is not committed")
+		Expect(r.BeginChange([]string{"a", "b", "e"}, began)).To(MatchError(consensus.ErrChangeInProgress))
+		Expect(r.AdoptChange(began)).To(MatchError(consensus.ErrChangeInProgress), "it is not committed")
 		stored(r)
 		holds(r, "b", 2)
-		Expect(r.BeginChange([]string{"a", "b", "e"}, began)).To(MatchError(consensus.ErrChanging))
+		Expect(r.BeginChange([]string{"a", "b", "e"}, began)).To(MatchError(consensus.ErrChangeInProgress))
 		Expect(r.AdoptChange(began)).To(Succeed())
 		Expect(r.Membership()).To(Equal(consensus.Membership{Epoch: 3, Cluster: 7, Voters: []string{"a", "b", "d"}}))
 	})
@@ -378,9 +378,9 @@
 		Expect(r.BeginChange([]string{"a", "d", "e"}, began)).To(Succeed())
 		stored(r)
 		holds(r, "b", 2)
-		Expect(r.Commit()).To(Equal(uint64(1)), "of the next voters only a holds it")
+		Expect(r.CommitIndex()).To(Equal(uint64(1)), "of the next voters only a holds it")
 		holds(r, "d", 2)
-		Expect(r.Commit()).To(Equal(uint64(2)))
+		Expect(r.CommitIndex()).To(Equal(uint64(2)))
 	})
 	It("counts no learner", func() {
 		r := replica("a", consensus.HardState{})
@@ -388,7 +388,7 @@
 		r.SetLearners([]string{"x", "y"})
 		holds(r, "x", 1)
 		holds(r, "y", 1)
-		Expect(r.Commit()).To(BeZero())
+		Expect(r.CommitIndex()).To(BeZero())
 	})
 	It("is learnt by a replica that knew nothing, which then votes", func() {
 		d := learner("d")
@@ -396,7 +396,7 @@
 		Expect(d.Role()).To(Equal(consensus.Follower), "one that knows no voters doesn't stand")
 		joint := consensus.Membership{Epoch: 2, Cluster: 7, Voters: founders.Voters, Next: []string{"a", "b", "d"}}
 		d.Step(consensus.Message{Kind: consensus.Append, From: "a", To: "d", Term: 3, Entries: []consensus.Entry{{Term: 3, Index: 1, Membership: &joint}}}, time.Hour)
-		Expect(d.Votes()).To(BeTrue())
+		Expect(d.IsVoter()).To(BeTrue())
 		d.Tick(2 * time.Hour)
 		Expect(d.Role()).To(Equal(consensus.Candidate))
 	})
--- a/internal/control/consensus/replication.go
+++ b/internal/control/consensus/replication.go
@@ -34,7 +34,7 @@
 
 // nextBatch is what may be sent to a peer now, within the bounds of a message and of what is in flight.
 func (r *Replica) nextBatch(p *progress) []Entry {
-	if p.next > r.last() || p.next <= r.snapshot.Index {
+	if p.next > r.lastIndex() || p.next <= r.snapshot.Index {
 		return nil
 	}
 	if from := max(p.match, r.snapshot.Index) + 1; from < p.next {
@@ -80,7 +80,7 @@
 	case msg.Index < r.snapshot.Index: // it may all be older than the snapshot: what is committed here matches
 		reply.OK, reply.Index = true, r.commit
 	case !known || term != msg.LogTerm:
-		reply.Index = min(r.last(), max(r.commit, msg.Index-min(msg.Index, 1)))
+		reply.Index = min(r.lastIndex(), max(r.commit, msg.Index-min(msg.Index, 1)))
 		r.sendAfterSync(reply)
 		return
 	default:
@@ -140,7 +140,7 @@
 	case msg.Chunk != nil && !msg.OK:
 		r.handleChunkReply(p, *msg.Chunk)
 	case !msg.OK:
-		p.next = max(1, min(msg.Index+1, r.last()+1))
+		p.next = max(1, min(msg.Index+1, r.lastIndex()+1))
 	default:
 		p.next = max(p.next, msg.Index+1)
 		if p.transfer != nil && msg.Index >= p.transfer.snapshot.Index {
--- a/internal/control/consensus/stored_test.go
+++ b/internal/control/consensus/stored_test.go
@@ -35,7 +35,7 @@
 			Entries: []consensus.Entry{{Term: 1, Index: 2}, {Term: 1, Index: 3}, {Term: 1, Index: 4}, {Term: 1, Index: 5}}}, time.Second)
 		c.DrainOutput()
 		c.Step(consensus.Message{Kind: consensus.Append, From: "b", To: "c", Term: 2, Chunk: &consensus.Chunk{Term: 2, Index: 4, Membership: founders, Checksum: emptySum}}, time.Second)
-		Expect(c.Last()).To(Equal(uint64(4)))
+		Expect(c.LastIndex()).To(Equal(uint64(4)))
 		c.DrainOutput()
 		c.MarkDurable(5, 1, time.Second)
 		c.Step(consensus.Message{Kind: consensus.Append, From: "b", To: "c", Term: 2, Index: 4, LogTerm: 2}, time.Second)
--- a/internal/control/controller/api_config.go
+++ b/internal/control/controller/api_config.go
@@ -54,7 +54,7 @@
 	a.onLeader(w, r, func(done chan<- outcome) {
 		// What is plainly wrong needs no entry: whether it is stale or invalid, it is refused either way.
 		state := a.consensus.state
-		if !state.Knows(change) && len(a.consensus.proposals) == 0 && change.Base == state.Version() {
+		if !state.HasAccepted(change) && len(a.consensus.proposals) == 0 && change.Base == state.Version() {
 			if _, err := state.Check(change); err != nil {
 				done <- outcome{err: err}
 				return
@@ -95,7 +95,7 @@
 	done := make(chan []acceptedVersion, 1)
 	a.runOnOwner(func() {
 		all := []acceptedVersion{}
-		for _, one := range slices.Backward(a.consensus.state.Accepted) {
+		for _, one := range slices.Backward(a.consensus.state.AcceptedChanges) {
 			all = append(all, acceptedVersion{config.Version(one.Version).String(), hex.EncodeToString(one.Digest[:digestBytes])})
 		}
 		done <- all
@@ -116,7 +116,7 @@
 		Version: config.Version(state.Version()).String(), Leader: a.consensus.leaderIP(), Members: a.members.current.Voters,
 		Keys: a.claims.store.Len(), Recovering: a.claims.store.Recovering(),
 		DiskFailing: a.writer.failing, DiskMs: a.writer.meanMillis,
-		Term: replica.Term(), Commit: replica.Commit(), LastIndex: replica.Last(),
+		Term: replica.Term(), Commit: replica.CommitIndex(), LastIndex: replica.LastIndex(),
 		BookingShortfalls: a.reservations.shortfalls(), Membership: a.members.operatorView()}
 	for _, e := range a.links.edges {
 		s.Edges = append(s.Edges, e.node)
--- a/internal/control/controller/api_members.go
+++ b/internal/control/controller/api_members.go
@@ -29,7 +29,7 @@
 // finished like any other, by the leader of that time.
 func (a *controlAPI) proposeReplacement(call operator.Replacement, done chan<- outcome) {
 	next, err := membership.Replace(a.members.view(), call.Voter, call.By)
-	if errors.Is(err, membership.ErrVoterLeads) && !call.DryRun {
+	if errors.Is(err, membership.ErrVoterIsLeader) && !call.DryRun {
 		a.members.transferLeadership()
 	}
 	if err != nil {
@@ -49,14 +49,14 @@
 	}
 	a.LogEvent("membership change", "action", membership.ActionBegin, "cause", "an operator replaces "+call.Voter)
 	result.Epoch = replica.Membership().Epoch
-	a.consensus.awaitEntry(replica.Last(), replica.Term(), func(_ uint64, err error) {
+	a.consensus.awaitEntry(replica.LastIndex(), replica.Term(), func(_ uint64, err error) {
 		done <- outcome{body: result, err: err}
 	})
 }
 
 // replacementError is the answer to a replacement that can't be made: now, or at all.
 func replacementError(voter string, err error) error {
-	if errors.Is(err, membership.ErrVoterLeads) || errors.Is(err, membership.ErrChanging) {
+	if errors.Is(err, membership.ErrVoterIsLeader) || errors.Is(err, membership.ErrChangeInProgress) {
 		return apierror.NoLeader.Wrap(err, "not now")
 	}
 	return apierror.Conflict.Wrap(err, "voter %s", voter)
--- a/internal/control/controller/authority_test.go
+++ b/internal/control/controller/authority_test.go
@@ -129,7 +129,7 @@
 		g := NewWithT(t)
 		h, b := startVoter(t)
 		h.becomeLeader(b)
-		before := consensus.Message{Kind: consensus.AppendReply, Term: h.consensus.replica.Term(), OK: true, Index: h.consensus.replica.Last()}
+		before := consensus.Message{Kind: consensus.AppendReply, Term: h.consensus.replica.Term(), OK: true, Index: h.consensus.replica.LastIndex()}
 		read := h.startCall(http.MethodGet, "/config", "", "")
 		b.sendConsensus(before)
 		g.Expect(read.status()).To(BeZero())
@@ -169,7 +169,7 @@
 		g := NewWithT(t)
 		h, b := startVoter(t)
 		h.becomeLeader(b)
-		term, at := h.consensus.replica.Term(), h.consensus.replica.Last()+1
+		term, at := h.consensus.replica.Term(), h.consensus.replica.LastIndex()+1
 		one := h.startCall(http.MethodPut, "/config", "r0", firstConfig)
 		g.Expect(one.status()).To(BeZero())
 		// Another leader's entry takes its place, and is committed, in the same turn.
@@ -180,7 +180,7 @@
 
 		h.becomeLeader(b)
 		one = h.startCall(http.MethodPut, "/config", "r0", firstConfig)
-		index := h.consensus.replica.Last()
+		index := h.consensus.replica.LastIndex()
 		h.consensus.awaitEntry(index, 0, func(uint64, error) {}) // it leads again and proposes at the same index
 		g.Expect(one.status()).To(Equal(http.StatusBadGateway))
 		h.stop()
--- a/internal/control/controller/claims.go
+++ b/internal/control/controller/claims.go
@@ -353,7 +353,7 @@
 
 // forgetGrants takes back what a replica granted to claims that are still open: its disk was lost, or it was voted out.
 func (s *claimsService) forgetGrants(identity string) {
-	s.finishClaims(s.coordinator.ForgetGrants(identity))
+	s.finishClaims(s.coordinator.DiscardGrants(identity))
 }
 
 // restartCopy begins to copy the claims of the other stores from the start.
@@ -416,7 +416,7 @@
 	}
 	s.copiedFrom[p.status.Identity] = true
 	previous := consensus.Membership{Voters: current.Voters}
-	if previous.Quorum(func(identity string) bool { return s.copiedFrom[identity] }) {
+	if previous.HasQuorum(func(identity string) bool { return s.copiedFrom[identity] }) {
 		s.finishRecovery(m.Epoch)
 	}
 }
--- a/internal/control/controller/claims_test.go
+++ b/internal/control/controller/claims_test.go
@@ -176,7 +176,7 @@
 		g.Expect(s.Recovering).To(BeFalse())
 		keys := map[idempotency.Key]bool{}
 		for _, r := range s.Claims {
-			g.Expect(r.Copied).To(BeTrue())
+			g.Expect(r.Imported).To(BeTrue())
 			keys[r.Key] = true
 		}
 		g.Expect(keys).To(HaveLen(40))
--- a/internal/control/controller/consensus.go
+++ b/internal/control/controller/consensus.go
@@ -106,7 +106,7 @@
 	if out.Empty() && len(out.AfterSync) == 0 {
 		return
 	}
-	index, term := out.Last()
+	index, term := out.LastEntry()
 	messages := out.AfterSync
 	done := func() {
 		for _, m := range messages {
@@ -120,7 +120,8 @@
 		done()
 		return
 	}
-	r.writer.write(&storage.Batch{Hard: out.Hard, Snapshot: out.Snapshot, Truncate: out.Truncate, Entries: out.Entries}, done)
+	r.writer.write(&storage.Batch{Hard: out.HardState, Snapshot: out.Snapshot, Truncate: out.Truncate,
+		Entries: out.Entries}, done)
 }
 
 // apply applies what was committed, and tells the edges if that changed the configuration.
@@ -280,11 +281,11 @@
 	} else if r.replica.Leader() == "" {
 		role = "no leader"
 	}
-	if !r.replica.Votes() {
+	if !r.replica.IsVoter() {
 		role += ", no vote"
 	}
 	if role != r.loggedRole {
 		r.loggedRole = role
-		r.LogEvent("role changed", "role", role, "term", r.replica.Term(), "commit", r.replica.Commit())
+		r.LogEvent("role changed", "role", role, "term", r.replica.Term(), "commit", r.replica.CommitIndex())
 	}
 }
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -172,7 +172,7 @@
 		Timing:     consensus.Timing{Heartbeat: heartbeatInterval, ElectionTimeout: electionTimeout},
 		Seed:       c.Incarnation,
 		Membership: bootstrapMembership(state.BootstrapVoters),
-		Hard:       state.Hard,
+		HardState:  state.Hard,
 		Snapshot:   state.Snapshot,
 		Log:        state.Entries,
 		Now:        c.Now(),
--- a/internal/control/controller/earlier_files_test.go
+++ b/internal/control/controller/earlier_files_test.go
@@ -23,7 +23,7 @@
 		writeDisk(t, dir, &storage.Batch{BootstrapVoters: three.Voters, Hard: &consensus.HardState{Term: 5, Commit: 64}, Recovering: &no,
 			Snapshot: &consensus.Snapshot{Term: 5, Index: 64, Data: data}})
 		h := start(t, ipA, dir, false)
-		g.Expect(h.consensus.replica.Votes()).To(BeTrue())
+		g.Expect(h.consensus.replica.IsVoter()).To(BeTrue())
 		h.becomeLeader(h.linkReplica(ipB))
 		h.stop()
 	})
--- a/internal/control/controller/harness_test.go
+++ b/internal/control/controller/harness_test.go
@@ -263,7 +263,7 @@
 			round = max(round, m.ReadRound)
 		}
 	}
-	by.sendConsensus(consensus.Message{Kind: consensus.AppendReply, Term: h.consensus.replica.Term(), OK: true, Index: h.consensus.replica.Last(), ReadRound: round})
+	by.sendConsensus(consensus.Message{Kind: consensus.AppendReply, Term: h.consensus.replica.Term(), OK: true, Index: h.consensus.replica.LastIndex(), ReadRound: round})
 }
 
 // followLeader has a peer lead, in contact with a majority.
--- a/internal/control/controller/membership.go
+++ b/internal/control/controller/membership.go
@@ -258,7 +258,7 @@
 			s.seen[identity] = replica
 		}
 	}
-	s.seen[status.Identity] = membership.Controller{ID: status.Identity, Zone: p.zone, Counted: p.counted}
+	s.seen[status.Identity] = membership.Controller{ID: status.Identity, Zone: p.zone, MayVote: p.counted}
 }
 
 // manage lets a leader change the membership.
@@ -289,7 +289,7 @@
 		return replica.AdoptChange(now)
 	case membership.ActionAbandon:
 		return replica.AbandonChange(now)
-	case membership.TransferLeadership:
+	case membership.ActionTransferLeadership:
 		replica.TransferLeadership(d.To, now)
 	}
 	return nil
@@ -302,13 +302,13 @@
 		Committed:    replica.MembershipCommitted(),
 		WantedVoters: s.wantedVoters()}
 	v.Controllers = append(v.Controllers, membership.Controller{ID: s.identity, Zone: s.Settings.Zone,
-		Counted: s.Settings.Counted, Connected: true,
+		MayVote: s.Settings.Counted, Connected: true,
 		CaughtUp: true, ShuttingDown: s.shuttingDown(), Epoch: s.durable, Ready: !s.claims.store.Recovering()})
 	for identity, one := range s.seen {
 		if p := s.links.replica(identity); p != nil {
 			one.Connected, one.ShuttingDown, one.Epoch, one.Ready = true, p.status.ShuttingDown, p.status.Epoch, p.status.Ready
 			match, _, known := replica.Match(identity)
-			one.CaughtUp = known && match+caughtUpLag >= replica.Commit()
+			one.CaughtUp = known && match+caughtUpLag >= replica.CommitIndex()
 		} else if !v.Membership.Contains(identity) {
 			delete(s.seen, identity) // if it comes back, it is a new one
 			continue
@@ -349,7 +349,7 @@
 	r := operator.Replica{Identity: one.ID, Votes: s.current.Contains(one.ID), Connected: one.Connected, Ready: one.Ready,
 		ShuttingDown: one.ShuttingDown, Epoch: one.Epoch}
 	if match, _, known := s.consensus.replica.Match(one.ID); known {
-		commit := s.consensus.replica.Commit()
+		commit := s.consensus.replica.CommitIndex()
 		r.Lag = commit - min(match, commit)
 	}
 	return r
--- a/internal/control/controller/shutdown.go
+++ b/internal/control/controller/shutdown.go
@@ -35,7 +35,7 @@
 	now := c.Now()
 	grace := c.Settings.Seconds("grace_s", defaultGrace)
 	c.shutdown = shutdown{started: true, startedAt: now, deadline: now + max(minShutdown, grace-exitReserve)}
-	c.LogEvent("shutdown requested", "leads", c.consensus.leads(), "votes", c.consensus.replica.Votes(), "edges",
+	c.LogEvent("shutdown requested", "leads", c.consensus.leads(), "votes", c.consensus.replica.IsVoter(), "edges",
 		len(c.links.edges))
 	c.members.announceStatus()
 	c.summaries.sendNow(now)
@@ -50,7 +50,7 @@
 	c.summaries.sendNow(now) // edges that are still here look for another controller at each summary
 	switch {
 	case now > c.shutdown.deadline:
-		c.LogEvent("shutdown deadline exceeded", "leads", c.consensus.leads(), "votes", c.consensus.replica.Votes())
+		c.LogEvent("shutdown deadline exceeded", "leads", c.consensus.leads(), "votes", c.consensus.replica.IsVoter())
 		c.shutdown.done = true
 	case !c.mustWait(now):
 		c.shutdown.done = true
@@ -78,7 +78,7 @@
 func (c *Controller) mustWait(now time.Duration) bool {
 	switch {
 	case c.consensus.leads() && c.otherVoterLinked():
-	case c.consensus.replica.Votes() && c.standbyLinked():
+	case c.consensus.replica.IsVoter() && c.standbyLinked():
 	case c.members.retired && !c.handedOver(now):
 	case now-c.shutdown.startedAt < minShutdown && len(c.links.edges) > 0:
 	case len(c.consensus.proposals) > 0:
--- a/internal/control/controller/shutdown_test.go
+++ b/internal/control/controller/shutdown_test.go
@@ -84,7 +84,7 @@
 		}
 		g.Expect(asked).To(BeTrue())
 		g.Expect(h.shutdown.done).To(BeFalse())
-		h.followLeader(b, h.consensus.replica.Term()+1, consensus.Message{Index: h.consensus.replica.Last(), LogTerm: h.consensus.replica.Term()})
+		h.followLeader(b, h.consensus.replica.Term()+1, consensus.Message{Index: h.consensus.replica.LastIndex(), LogTerm: h.consensus.replica.Term()})
 		h.advance(tickInterval)
 		g.Expect(h.shutdown.done).To(BeTrue(), "nobody stands by: it keeps its vote, and ends as for a restart")
 		h.stop()
--- a/internal/control/controller/voted_out_test.go
+++ b/internal/control/controller/voted_out_test.go
@@ -41,13 +41,13 @@
 						}
 					}
 				}
-				s.sendConsensus(consensus.Message{Kind: consensus.AppendReply, Term: h.consensus.replica.Term(), OK: true, Index: h.consensus.replica.Last()})
+				s.sendConsensus(consensus.Message{Kind: consensus.AppendReply, Term: h.consensus.replica.Term(), OK: true, Index: h.consensus.replica.LastIndex()})
 			}
 		}
 		g.Expect(h.consensus.leads()).To(BeTrue())
 		g.Expect(h.members.current.Joint()).To(BeTrue())
 		g.Expect(asked).To(BeNumerically(">", 0))
-		last, final := h.consensus.replica.Last(), consensus.Membership{Epoch: joint.Epoch + 1, Cluster: joint.Cluster, Voters: joint.Next}
+		last, final := h.consensus.replica.LastIndex(), consensus.Membership{Epoch: joint.Epoch + 1, Cluster: joint.Cluster, Voters: joint.Next}
 		h.followLeader(sb, term+1, consensus.Message{Index: last, LogTerm: term, Entries: []consensus.Entry{{Term: term + 1, Index: last + 1, Membership: &final}}, Commit: last + 1})
 		h.advance(4 * electionTimeout)
 		g.Expect(h.members.current.Joint()).To(BeFalse())
--- a/internal/control/idempotency/cluster_test.go
+++ b/internal/control/idempotency/cluster_test.go
@@ -192,7 +192,7 @@
 
 func (w *cluster) forget(identity string) {
 	for _, o := range w.hosts {
-		for _, done := range o.coordinator.ForgetGrants(identity) {
+		for _, done := range o.coordinator.DiscardGrants(identity) {
 			w.ruled(done)
 		}
 	}
@@ -277,7 +277,7 @@
 		}
 		to.copied[source] = true
 		former := consensus.Membership{Voters: m.Voters}
-		if former.Quorum(func(id string) bool { return to.copied[id] }) || w.fault == "an entrant copies from one store only" {
+		if former.HasQuorum(func(id string) bool { return to.copied[id] }) || w.fault == "an entrant copies from one store only" {
 			to.store.FinishRecovery()
 		}
 	})
--- a/internal/control/idempotency/coordinator.go
+++ b/internal/control/idempotency/coordinator.go
@@ -252,8 +252,8 @@
 	return &result
 }
 
-// ForgetGrants takes back what a store granted to pending claims: its disk was lost, or it counts for nothing any more.
-func (c *Coordinator) ForgetGrants(from string) (results []Result) {
+// DiscardGrants takes back what a store granted to pending claims: its disk was lost, or it counts for nothing any more.
+func (c *Coordinator) DiscardGrants(from string) (results []Result) {
 	for _, p := range c.oldestFirst() {
 		if p.replies[from] != ReplyGranted {
 			continue
--- a/internal/control/idempotency/idempotency_test.go
+++ b/internal/control/idempotency/idempotency_test.go
@@ -189,7 +189,7 @@
 		c := idempotency.NewCoordinator([]string{"a", "b", "c"}, 20, 900)
 		open(c, 1)
 		c.HandleReply("b", token(1), idempotency.ReplyGranted, idempotency.Record{})
-		Expect(c.ForgetGrants("b")).To(BeEmpty())
+		Expect(c.DiscardGrants("b")).To(BeEmpty())
 		_, done := c.HandleReply("a", token(1), idempotency.ReplyGranted, idempotency.Record{})
 		Expect(done).To(BeNil())
 	})
--- a/internal/control/idempotency/store.go
+++ b/internal/control/idempotency/store.go
@@ -39,7 +39,7 @@
 	ResponseHolder string    `cbor:"3,keyasint,omitempty"`
 	Revoked        bool      `cbor:"4,keyasint,omitempty"` // nothing was run under it, and nothing ever will be
 	Response       *Response `cbor:"5,keyasint,omitempty"` // nil: not completed, or no longer kept
-	Copied         bool      `cbor:"6,keyasint,omitempty"` // imported from another store: nobody is granted it here
+	Imported       bool      `cbor:"6,keyasint,omitempty"` // imported from another store: nobody is granted it here
 	// Contested: imported for two tokens. Which of them was granted is not known, so neither can be revoked, here or at a
 	// store that imports it.
 	Contested bool `cbor:"7,keyasint,omitempty"`
@@ -159,7 +159,7 @@
 		c := s.insert(r, now)
 		c.durable, c.aged = true, true
 	default:
-		c.Copied, c.Contested = c.Copied || r.Copied, c.Contested || r.Contested
+		c.Imported, c.Contested = c.Imported || r.Imported, c.Contested || r.Contested
 		s.keepResponse(c, r.Response)
 	}
 }
@@ -168,10 +168,10 @@
 // durable.
 func (s *Store) Import(r Record, now time.Duration) Record {
 	if c := s.claims[r.Key]; c != nil {
-		c.Copied, c.Contested = true, c.Contested || r.Contested || c.Token != r.Token
+		c.Imported, c.Contested = true, c.Contested || r.Contested || c.Token != r.Token
 		return c.Record
 	}
-	r.Copied = true
+	r.Imported = true
 	c := s.insert(r, now)
 	c.durable, c.aged = true, true
 	return c.Record
@@ -211,7 +211,7 @@
 		return ReplyUnavailable, Record{}, false
 	}
 	if c := s.claims[r.Key]; c != nil {
-		if c.Token == r.Token && !c.Copied {
+		if c.Token == r.Token && !c.Imported {
 			return ReplyGranted, c.Record, !c.durable
 		}
 		return ReplyConflict, Record{Key: c.Key, Token: c.Token, ResponseHolder: c.ResponseHolder}, false
--- a/internal/control/membership/manager.go
+++ b/internal/control/membership/manager.go
@@ -22,7 +22,7 @@
 type Controller struct {
 	ID           string
 	Zone         string
-	Counted      bool // the platform counts its loss: it has a disk and may vote
+	MayVote      bool // the platform counts its loss: it has a disk and may vote
 	Connected    bool // in contact now
 	CaughtUp     bool // its durable log is nearly level with what the leader has committed
 	ShuttingDown bool
@@ -45,16 +45,16 @@
 
 // The actions.
 const (
-	ActionNone         Action = iota
-	ActionBegin               // a change that leads to the voters Next
-	ActionAdopt               // finish the change under way: the next voters remain
-	ActionAbandon             // end the change under way: the voters from before it remain
-	TransferLeadership        // to the voter To
+	ActionNone               Action = iota
+	ActionBegin                     // a change that leads to the voters Next
+	ActionAdopt                     // finish the change under way: the next voters remain
+	ActionAbandon                   // end the change under way: the voters from before it remain
+	ActionTransferLeadership        // to the voter To
 )
 
 // String is the action's name in logs.
 func (a Action) String() string {
-	return [...]string{"none", "begin", "adopt", "abandon", "transfer leadership"}[min(a, TransferLeadership)]
+	return [...]string{"none", "begin", "adopt", "abandon", "transfer leadership"}[min(a, ActionTransferLeadership)]
 }
 
 // Decision is an action with its cause, in a few words for the log.
@@ -143,7 +143,7 @@
 	for _, id := range ids {
 		if c := known[id]; id != v.Self && c.Connected && c.CaughtUp && !c.ShuttingDown {
 			m.nextTransfer = now + transferRetry
-			return Decision{Action: TransferLeadership, To: id, Cause: cause}
+			return Decision{Action: ActionTransferLeadership, To: id, Cause: cause}
 		}
 	}
 	return Decision{}
@@ -225,7 +225,7 @@
 	var standby []Controller
 	for _, c := range v.Controllers {
 		applied := c.Epoch == v.Membership.Epoch // one that may not have heard of its own removal is no candidate
-		if c.Counted && c.Connected && c.CaughtUp && applied && !c.ShuttingDown && !v.Membership.Contains(c.ID) {
+		if c.MayVote && c.Connected && c.CaughtUp && applied && !c.ShuttingDown && !v.Membership.Contains(c.ID) {
 			standby = append(standby, c)
 		}
 	}
@@ -330,10 +330,10 @@
 
 // The reasons for which a replacement can't be made now.
 const (
-	ErrChanging   ReplaceError = "another change of the membership is under way"
-	ErrVoterLeads ReplaceError = "the voter leads: leadership is transferred first"
-	ErrNoVoter    ReplaceError = "no such voter"
-	ErrNoStandby  ReplaceError = "there is no standby that could take the vote"
+	ErrChangeInProgress ReplaceError = "another change of the membership is under way"
+	ErrVoterIsLeader    ReplaceError = "the voter leads: leadership is transferred first"
+	ErrUnknownVoter     ReplaceError = "no such voter"
+	ErrNoStandby        ReplaceError = "there is no standby that could take the vote"
 )
 
 // Replace gives the voters after a replacement that an operator asks for, by any standby if by is empty. They are the
@@ -343,13 +343,13 @@
 	at := slices.Index(voters, voter)
 	switch {
 	case v.Membership.Joint() || !v.Committed:
-		return nil, ErrChanging
+		return nil, ErrChangeInProgress
 	case at < 0 && by != "" && slices.Contains(voters, by):
 		return voters, nil
 	case at < 0:
-		return nil, ErrNoVoter
+		return nil, ErrUnknownVoter
 	case voter == v.Self:
-		return nil, ErrVoterLeads
+		return nil, ErrVoterIsLeader
 	}
 	known := byID(v.Controllers)
 	standby := standbys(v)
--- a/internal/control/membership/manager_test.go
+++ b/internal/control/membership/manager_test.go
@@ -18,7 +18,7 @@
 
 // at is a controller in zone z, sound and in reach.
 func at(id, zone string) membership.Controller {
-	return membership.Controller{ID: id, Zone: zone, Counted: true, Connected: true, CaughtUp: true, Epoch: 4, Ready: true}
+	return membership.Controller{ID: id, Zone: zone, MayVote: true, Connected: true, CaughtUp: true, Epoch: 4, Ready: true}
 }
 
 // three is what leader a sees of three voters in three zones.
@@ -105,13 +105,13 @@
 		d := settled(v, 1)
 		Expect(d.Action).To(Equal(membership.ActionNone), "asked a moment ago")
 		d = settled(v, time.Second)
-		Expect(d.Action).To(Equal(membership.TransferLeadership))
+		Expect(d.Action).To(Equal(membership.ActionTransferLeadership))
 		Expect(d.To).To(Equal("c"))
 	})
 	It("takes nobody who is behind, ends, has no lasting disk or hasn't heard of the last change", func() {
 		for _, spoil := range []func(*membership.Controller){
 			func(c *membership.Controller) { c.CaughtUp = false }, func(c *membership.Controller) { c.ShuttingDown = true },
-			func(c *membership.Controller) { c.Counted = false }, func(c *membership.Controller) { c.Epoch = 3 },
+			func(c *membership.Controller) { c.MayVote = false }, func(c *membership.Controller) { c.Epoch = 3 },
 			func(c *membership.Controller) { c.Connected = false },
 		} {
 			d := standby("d", "z")
@@ -141,7 +141,7 @@
 		v := three(at("d", "z"))
 		v.Membership = consensus.Membership{Epoch: 4, Voters: []string{"a", "b", "c"}, Next: []string{"b", "c", "d"}}
 		d := settled(v, time.Second)
-		Expect(d.Action).To(Equal(membership.TransferLeadership))
+		Expect(d.Action).To(Equal(membership.ActionTransferLeadership))
 		Expect(v.Membership.Next).To(ContainElement(d.To))
 	})
 	It("abandons a change whose entrant is lost, or not ready in time", func() {
@@ -189,10 +189,10 @@
 		_, err := membership.Replace(v, voter, by)
 		Expect(err).To(MatchError(reason))
 	},
-		Entry("of the leader", "a", "", func(*membership.View) {}, membership.ErrVoterLeads),
-		Entry("of nobody", "z", "", func(*membership.View) {}, membership.ErrNoVoter),
+		Entry("of the leader", "a", "", func(*membership.View) {}, membership.ErrVoterIsLeader),
+		Entry("of nobody", "z", "", func(*membership.View) {}, membership.ErrUnknownVoter),
 		Entry("by one who doesn't stand by", "c", "b", func(*membership.View) {}, membership.ErrNoStandby),
 		Entry("without anybody who stands by", "c", "", func(v *membership.View) { lose(v, "d") }, membership.ErrNoStandby),
-		Entry("during a change", "c", "", func(v *membership.View) { v.Committed = false }, membership.ErrChanging),
+		Entry("during a change", "c", "", func(v *membership.View) { v.Committed = false }, membership.ErrChangeInProgress),
 	)
 })
--- a/internal/control/statemachine/statemachine.go
+++ b/internal/control/statemachine/statemachine.go
@@ -36,8 +36,8 @@
 	return [32]byte(h.Sum(nil))
 }
 
-// Accepted is a version of the configuration, and the digest of the call that brought it.
-type Accepted struct {
+// AcceptedChange is a version of the configuration, and the digest of the call that brought it.
+type AcceptedChange struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint64
 	Digest  [32]byte
@@ -52,8 +52,8 @@
 type StateMachine struct {
 	Config               *config.Config // nil before the first
 	Bookings             *reservation.Ledger
-	Accepted             []Accepted // the last ones, oldest first
-	Index                uint64     // of the last entry
+	AcceptedChanges      []AcceptedChange // the last ones, oldest first
+	Index                uint64           // of the last entry
 	EntriesSinceSnapshot int
 
 	acceptedDigests map[[32]byte]struct{} // of Accepted
@@ -70,15 +70,15 @@
 	return uint64(m.Config.Version)
 }
 
-// Knows reports whether a call was accepted lately.
-func (m *StateMachine) Knows(c Change) bool {
+// HasAccepted reports whether a call was accepted lately.
+func (m *StateMachine) HasAccepted(c Change) bool {
 	return m.knows(c.digest())
 }
 
 func (m *StateMachine) knows(digest [32]byte) bool {
-	if m.acceptedDigests == nil || len(m.acceptedDigests) != len(m.Accepted) { // it was restored
-		m.acceptedDigests = make(map[[32]byte]struct{}, len(m.Accepted))
-		for _, t := range m.Accepted {
+	if m.acceptedDigests == nil || len(m.acceptedDigests) != len(m.AcceptedChanges) { // it was restored
+		m.acceptedDigests = make(map[[32]byte]struct{}, len(m.AcceptedChanges))
+		for _, t := range m.AcceptedChanges {
 			m.acceptedDigests[t.Digest] = struct{}{}
 		}
 	}
@@ -87,12 +87,12 @@
 }
 
 // recordAccepted notes a call that was accepted, and forgets the oldest ones.
-func (m *StateMachine) recordAccepted(t Accepted) {
-	m.Accepted = append(m.Accepted, t)
+func (m *StateMachine) recordAccepted(t AcceptedChange) {
+	m.AcceptedChanges = append(m.AcceptedChanges, t)
 	m.acceptedDigests[t.Digest] = struct{}{}
-	for len(m.Accepted) > maxAccepted {
-		delete(m.acceptedDigests, m.Accepted[0].Digest)
-		m.Accepted = m.Accepted[1:]
+	for len(m.AcceptedChanges) > maxAccepted {
+		delete(m.acceptedDigests, m.AcceptedChanges[0].Digest)
+		m.AcceptedChanges = m.AcceptedChanges[1:]
 	}
 }
 
@@ -123,7 +123,7 @@
 		return nil, err
 	}
 	m.Config = next
-	m.recordAccepted(Accepted{Version: uint64(next.Version), Digest: digest})
+	m.recordAccepted(AcceptedChange{Version: uint64(next.Version), Digest: digest})
 	return &c, nil
 }
 
@@ -143,8 +143,8 @@
 }
 
 type savedState struct {
-	Config   []byte     `cbor:"1,keyasint,omitempty"`
-	Accepted []Accepted `cbor:"2,keyasint,omitempty"`
+	Config   []byte           `cbor:"1,keyasint,omitempty"`
+	Accepted []AcceptedChange `cbor:"2,keyasint,omitempty"`
 
 	Bookings *reservation.Ledger `cbor:"3,keyasint,omitempty"`
 }
@@ -160,7 +160,7 @@
 
 // Save gives the data of a snapshot of the state.
 func (m *StateMachine) Save() ([]byte, error) {
-	s := savedState{Accepted: m.Accepted}
+	s := savedState{Accepted: m.AcceptedChanges}
 	if m.Bookings.Version > 0 {
 		s.Bookings = m.Bookings
 	}
@@ -179,7 +179,7 @@
 	if err := cbor.Unmarshal(s.Data, &saved); err != nil {
 		return err
 	}
-	next := StateMachine{Accepted: saved.Accepted, Index: s.Index, Bookings: reservation.NewLedger()}
+	next := StateMachine{AcceptedChanges: saved.Accepted, Index: s.Index, Bookings: reservation.NewLedger()}
 	if saved.Bookings != nil {
 		next.Bookings = saved.Bookings
 	}
--- a/internal/control/statemachine/statemachine_test.go
+++ b/internal/control/statemachine/statemachine_test.go
@@ -113,7 +113,7 @@
 		b, err := json.Marshal(other.h.Config)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(b).To(MatchJSON(a))
-		Expect(other.h.Accepted).To(Equal(f.h.Accepted))
+		Expect(other.h.AcceptedChanges).To(Equal(f.h.AcceptedChanges))
 	})
 
 	// restored is a replica that starts from this one's snapshot.
@@ -134,7 +134,7 @@
 	again := func(f *feeder, c Change) {
 		GinkgoHelper()
 		at := f.h.Version()
-		Expect(f.h.Knows(c)).To(BeTrue())
+		Expect(f.h.HasAccepted(c)).To(BeTrue())
 		applied, err := f.apply(c)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(applied).To(BeFalse())
@@ -165,15 +165,15 @@
 			all = append(all, change(f))
 		}
 		for _, one := range []*feeder{f, restored()} {
-			Expect(one.h.Accepted).To(HaveLen(maxAccepted))
-			Expect(one.h.Knows(all[1])).To(BeFalse())
-			Expect(one.h.Knows(all[2])).To(BeTrue())
+			Expect(one.h.AcceptedChanges).To(HaveLen(maxAccepted))
+			Expect(one.h.HasAccepted(all[1])).To(BeFalse())
+			Expect(one.h.HasAccepted(all[2])).To(BeTrue())
 			_, err := one.apply(all[1])
 			Expect(apierror.For(err).Status).To(Equal(412), "forgotten, but on a version that is past")
 			again(one, all[2])
 			again(one, all[len(all)-1])
-			one.h.Accepted = nil
-			Expect(one.h.Knows(all[2])).To(BeFalse())
+			one.h.AcceptedChanges = nil
+			Expect(one.h.HasAccepted(all[2])).To(BeFalse())
 		}
 	})
 	DescribeTable("takes exactly one of two calls for one version on different bases", func(at uint64, first, second Change) {
@@ -198,7 +198,7 @@
 			if taken[0].Base == first.Base {
 				lost = second
 			}
-			Expect(one.h.Knows(lost)).To(BeFalse())
+			Expect(one.h.HasAccepted(lost)).To(BeFalse())
 			_, err := one.apply(lost)
 			Expect(apierror.For(err).Status).To(Equal(412))
 			wins = append(wins, taken[0])
--- a/internal/simulation/audit_membership.go
+++ b/internal/simulation/audit_membership.go
@@ -133,7 +133,7 @@
 			return id + "'s store of claims is not ready"
 		case n.epoch != m.Epoch:
 			return id + " has not applied the membership"
-		case n.replica.Commit()+caughtUpLag < leader.replica.Commit():
+		case n.replica.CommitIndex()+caughtUpLag < leader.replica.CommitIndex():
 			return id + " lags"
 		}
 	}
--- a/internal/simulation/bounded_model.go
+++ b/internal/simulation/bounded_model.go
@@ -126,7 +126,7 @@
 // forget has the others' coordinators take back what a replica granted that is no more.
 func (s *boundedModel) forget(identity string) {
 	for j := range s.Nodes {
-		for _, out := range s.Nodes[j].Coordinator.ForgetGrants(identity) {
+		for _, out := range s.Nodes[j].Coordinator.DiscardGrants(identity) {
 			s.finishClaim(j, out)
 		}
 	}
--- a/internal/simulation/bounded_model_claims.go
+++ b/internal/simulation/bounded_model_claims.go
@@ -78,7 +78,7 @@
 	n.Copied = append(slices.Clip(n.Copied), m.Identity)
 	slices.Sort(n.Copied)
 	previous := consensus.Membership{Voters: s.membership(at).Voters}
-	w.Restored = previous.Quorum(func(id string) bool { return slices.Contains(n.Copied, id) }) ||
+	w.Restored = previous.HasQuorum(func(id string) bool { return slices.Contains(n.Copied, id) }) ||
 		s.bounds.Fault == "restored from one"
 	n.Writes = append(n.Writes, w)
 }
--- a/internal/simulation/disks.go
+++ b/internal/simulation/disks.go
@@ -85,8 +85,8 @@
 
 // storeOutput brings what the consensus says onto the disk.
 func (d *disk) storeOutput(out consensus.Output, fault string) {
-	if out.Hard != nil {
-		d.hard = *out.Hard
+	if out.HardState != nil {
+		d.hard = *out.HardState
 	}
 	if out.Snapshot != nil {
 		d.snap, d.log = *out.Snapshot, nil
--- a/internal/simulation/membership.go
+++ b/internal/simulation/membership.go
@@ -38,8 +38,8 @@
 	}
 	n.identity, n.bootstrapVoters = d.identity, d.founders
 	n.replica = consensus.New(consensus.Config{ID: n.identity, Timing: timing, Seed: w.rng.Uint64(), Membership: started,
-		Hard:     d.hard,
-		Snapshot: d.snap, Log: slices.Clone(d.log), Now: w.now})
+		HardState: d.hard,
+		Snapshot:  d.snap, Log: slices.Clone(d.log), Now: w.now})
 	if n.membership = d.membership; n.membership.Epoch == 0 {
 		n.membership = started
 	}
@@ -128,11 +128,11 @@
 			w.forgetGrants(n, id)
 		}
 	}
-	n.seenReplicas[s.identity] = membership.Controller{ID: s.identity, Zone: zoneName(from.zone), Counted: true}
+	n.seenReplicas[s.identity] = membership.Controller{ID: s.identity, Zone: zoneName(from.zone), MayVote: true}
 }
 
 func (w *cluster) forgetGrants(n *controller, identity string) {
-	for _, o := range n.coordinator.ForgetGrants(identity) {
+	for _, o := range n.coordinator.DiscardGrants(identity) {
 		w.finishClaim(n, o)
 	}
 }
@@ -164,7 +164,7 @@
 		_ = n.replica.AdoptChange(w.now) // an error: it may not end yet
 	case membership.ActionAbandon:
 		_ = n.replica.AbandonChange(w.now) // an error: it may not end yet
-	case membership.TransferLeadership:
+	case membership.ActionTransferLeadership:
 		n.replica.TransferLeadership(d.To, w.now)
 	}
 }
@@ -174,7 +174,7 @@
 	own := n.replicaStatus()
 	v := membership.View{Self: n.identity, Term: n.replica.Term(), Membership: n.replica.Membership(),
 		Committed: n.replica.MembershipCommitted(), WantedVoters: w.scenario.Members}
-	v.Controllers = append(v.Controllers, membership.Controller{ID: n.identity, Zone: zoneName(n.zone), Counted: true,
+	v.Controllers = append(v.Controllers, membership.Controller{ID: n.identity, Zone: zoneName(n.zone), MayVote: true,
 		Connected: true, CaughtUp: true,
 		ShuttingDown: own.leaving, Epoch: own.epoch, Ready: own.ready})
 	for _, id := range slices.Sorted(maps.Keys(n.seenReplicas)) {
@@ -183,7 +183,7 @@
 			s := n.replicaStatuses[p.n]
 			met.Connected, met.ShuttingDown, met.Epoch, met.Ready = true, s.leaving, s.epoch, s.ready
 			match, _, known := n.replica.Match(id)
-			met.CaughtUp = known && match+caughtUpLag >= n.replica.Commit()
+			met.CaughtUp = known && match+caughtUpLag >= n.replica.CommitIndex()
 		} else if !v.Membership.Contains(id) {
 			continue
 		}
@@ -243,7 +243,7 @@
 	w.persistSurely(n, func(d *disk) { d.records = append(d.records, records...) }, func() {})
 	n.copiedFrom[from] = true
 	previous := consensus.Membership{Voters: n.membership.Voters}
-	if !previous.Quorum(func(id string) bool { return n.copiedFrom[id] }) && w.scenario.PlantedFault != "restored from one" {
+	if !previous.HasQuorum(func(id string) bool { return n.copiedFrom[id] }) && w.scenario.PlantedFault != "restored from one" {
 		return
 	}
 	w.persistSurely(n, func(d *disk) { d.blank = false }, func() {
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -120,7 +120,7 @@
 			}
 		})
 	}
-	if !n.state.Knows(c.change) && len(n.proposals) == 0 && c.change.Base == n.state.Version() {
+	if !n.state.HasAccepted(c.change) && len(n.proposals) == 0 && c.change.Base == n.state.Version() {
 		if _, err := n.state.Check(c.change); err != nil {
 			respond(err)
 			return
@@ -235,7 +235,7 @@
 func (w *cluster) auditApplied(n *controller, e consensus.Entry) {
 	if w.scenario.PlantedFault == "a base isn't looked at" && len(e.Data) > 0 {
 		var c statemachine.Change
-		if cbor.Unmarshal(e.Data, &c) == nil && !n.state.Knows(c) {
+		if cbor.Unmarshal(e.Data, &c) == nil && !n.state.HasAccepted(c) {
 			c.Base = n.state.Version()
 			e.Data, _ = cbor.Marshal(c)
 		}
@@ -246,7 +246,7 @@
 		w.fail("LOST: a booking is gone from %s", n.name)
 	}
 	if w.scenario.PlantedFault == "calls are forgotten" {
-		n.state.Accepted = nil
+		n.state.AcceptedChanges = nil
 	}
 	if want := w.versionAt[e.Index-1]; n.state.Version() != want {
 		w.fail("CONFIG: %s holds r%d after entry %d, the history leads to r%d", n.name, n.state.Version(), e.Index, want)
--- a/internal/simulation/replication.go
+++ b/internal/simulation/replication.go
@@ -53,7 +53,7 @@
 
 // persistOutput makes an output durable; what has to wait for that is told then.
 func (w *cluster) persistOutput(n *controller, out consensus.Output) {
-	index, term := out.Last()
+	index, term := out.LastEntry()
 	w.persistSurely(n, func(d *disk) { d.storeOutput(out, w.scenario.PlantedFault) }, func() {
 		if w.scenario.PlantedFault != "tells before storing" {
 			w.sendAll(n, out.AfterSync)
@@ -95,6 +95,6 @@
 		w.fail("LOST: a snapshot of entry %d holds r%d, not r%d", s.Index, n.state.Version(), want)
 	}
 	if w.scenario.PlantedFault == "digests are lost with the snapshot" {
-		n.state.Accepted = nil
+		n.state.AcceptedChanges = nil
 	}
 }
--- a/internal/simulation/shutdown.go
+++ b/internal/simulation/shutdown.go
@@ -45,7 +45,7 @@
 	case w.now-d.since > maxShutdown:
 	case n.replica.Role() == consensus.Leader && w.otherVoterLinked(n):
 		return
-	case n.replica.Votes() && w.standbyLinked(n):
+	case n.replica.IsVoter() && w.standbyLinked(n):
 		return
 	case n.retired && !w.handedOver(n):
 		return
