--- a/cmd/mulleinwood/tables.go
+++ b/cmd/mulleinwood/tables.go
@@ -123,8 +123,9 @@
 			if k.Proxy >= 0 && int(u.Proxy) != k.Proxy {
 				return true
 			}
-			l.Version, l.Planner, l.Life = fmt.Sprintf("%d/%d", u.Proxy, u.Number), u.Instance, strconv.FormatUint(u.Life, 16)
-			l.Whole, l.Rows = u.Whole, len(u.Weights)
+			l.Version, l.Planner, l.Life = fmt.Sprintf("%d/%d", u.Proxy, u.Number), u.Instance,
+				strconv.FormatUint(u.Incarnation, 16)
+			l.Whole, l.Rows = u.Snapshot, len(u.Weights)
 		}
 		if k.JSON {
 			return to.Encode(l) == nil
@@ -160,14 +161,14 @@
 	var origin tables.Origin
 	err = r.Each(func(e record.Entry) bool {
 		u, bad := tables.Decode(e.Update, key)
-		if e.Gap > 0 || bad != nil || u.Proxy != uint32(proxy) || life != "" && strconv.FormatUint(u.Life, 16) != life {
+		if e.Gap > 0 || bad != nil || u.Proxy != uint32(proxy) || life != "" && strconv.FormatUint(u.Incarnation, 16) != life {
 			return true
 		}
 		if receiver == nil || u.Origin != origin {
 			receiver, origin = tables.NewReceiver(u.Proxy, key), u.Origin
-			receiver.Joined(0, origin)
+			receiver.StreamStarted(0, origin)
 		}
-		if receiver.Update(0, u) == nil && u.Number == number {
+		if receiver.Apply(0, u) == nil && u.Number == number {
 			held, version := receiver.Table()
 			found, at = held.Clone(), version
 		}
@@ -196,14 +197,14 @@
 		return err
 	}
 	if k.JSON {
-		return json.NewEncoder(out).Encode(map[string]any{"planner": at.Instance, "life": strconv.FormatUint(at.Life, 16),
+		return json.NewEncoder(out).Encode(map[string]any{"planner": at.Instance, "life": strconv.FormatUint(at.Incarnation, 16),
 			"proxy":  at.Proxy,
-			"number": at.Number, "weights": t.Weights, "shut": slices.Sorted(maps.Keys(t.Shut)), "levels": t.Gates})
+			"number": at.Number, "weights": t.Weights, "shut": slices.Sorted(maps.Keys(t.Excluded)), "levels": t.Gates})
 	}
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "server\tweight\tshut out")
 	for _, name := range slices.Sorted(maps.Keys(t.Weights)) {
-		fmt.Fprintf(table, "%s\t%g\t%t\n", name, t.Weights[name], t.Shut[name])
+		fmt.Fprintf(table, "%s\t%g\t%t\n", name, t.Weights[name], t.Excluded[name])
 	}
 	for _, class := range slices.Sorted(maps.Keys(t.Gates)) {
 		fmt.Fprintf(table, "class %s\tlevel %g\tagain %d\n", class, t.Gates[class].Level, t.Gates[class].Again)
--- a/cmd/mulleinwood/tables_test.go
+++ b/cmd/mulleinwood/tables_test.go
@@ -20,12 +20,12 @@
 		t.Fatal(err)
 	}
 	add := func(e record.Entry) {
-		if err := r.Append(time.Now(), record.Bounds{}, e); err != nil {
+		if err := r.Append(time.Now(), record.Retention{}, e); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for life := range uint64(2) {
-		s := tables.NewSender(tables.Origin{Instance: "n0", Life: life + 10}, 7, nil)
+		s := tables.NewSender(tables.Origin{Instance: "n0", Incarnation: life + 10}, 7, nil)
 		for n := range 6 {
 			table := tables.New()
 			table.Weights["s-a"], table.Weights["s-b"] = float32(n+1), float32(life+1)
--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -354,7 +354,7 @@
 		_ = os.Remove(kept) // there may be none
 		r, err := record.Open(kept, key, false)
 		if err == nil {
-			err = r.Append(at, record.Bounds{}, want...)
+			err = r.Append(at, record.Retention{}, want...)
 		}
 		if err == nil {
 			err = r.Close()
--- a/internal/planner/bench/hammer.go
+++ b/internal/planner/bench/hammer.go
@@ -29,17 +29,17 @@
 
 func hammer(deliveries int, rng *rand.Rand) (wrong int64) {
 	now, life := 0.0, uint64(1)
-	origin := tables.Origin{Instance: "n0", Life: life}
+	origin := tables.Origin{Instance: "n0", Incarnation: life}
 	sender, other := tables.NewSender(origin, 1, nil), tables.NewSender(origin, 2, nil)
 	receiver := tables.NewReceiver(1, nil)
-	receiver.Joined(now, origin)
+	receiver.StreamStarted(now, origin)
 	sent := map[uint64]tables.Table{}
 	var held [][]byte
 	deliver := func(text []byte) {
 		if deliveries--; len(text) == 0 {
 			return
 		}
-		receiver.Bytes(now, text)
+		receiver.ApplyEncoded(now, text)
 		table, at := receiver.Table()
 		if want, known := sent[at.Number]; at.Number > 0 &&
 			(!known || at.Origin != origin || at.Proxy != 1 || !table.Equal(want)) {
@@ -59,10 +59,10 @@
 		now += 50
 		if rng.IntN(500) == 0 { // the planner's next life
 			life++
-			origin.Life = life
+			origin.Incarnation = life
 			sender, other = tables.NewSender(origin, 1, nil), tables.NewSender(origin, 2, nil)
 			sent = map[uint64]tables.Table{}
-			receiver.Joined(now, origin)
+			receiver.StreamStarted(now, origin)
 		}
 		u, err := sender.Next(draw(), rng.IntN(20) == 0)
 		if err != nil {
@@ -97,8 +97,8 @@
 			held[i] = held[n-1]
 			held = held[:n-1]
 		}
-		if a, asks := receiver.Ask(now); asks {
-			for _, u := range sender.Answer(a) {
+		if a, asks := receiver.NextResendRequest(now); asks {
+			for _, u := range sender.Resend(a) {
 				deliver(u.Append(nil, nil))
 			}
 		}
--- a/internal/planner/bench/versions.go
+++ b/internal/planner/bench/versions.go
@@ -70,7 +70,7 @@
 
 // versions plays the day once. Costs are those of the last play.
 func (f Fleet) versions(v *Versions, share float64) error {
-	origin := tables.Origin{Instance: "bench", Life: 1}
+	origin := tables.Origin{Instance: "bench", Incarnation: 1}
 	senders, receivers := map[int]*tables.Sender{}, map[int]*lossy{}
 	rng := rand.New(rand.NewPCG(f.Seed, 31))
 	back, noted := hdrhistogram.New(1, maxLatency, 3), hdrhistogram.New(1, maxLatency, 3)
@@ -83,7 +83,7 @@
 		l := receivers[proxy]
 		_, at := l.receiver.Table()
 		switch {
-		case l.receiver.InStep():
+		case l.receiver.UpToDate():
 			if l.notedAt > 0 { // as far as it knows: what is lost since may not be noticed yet
 				noted.RecordValue(int64((d.group.now - l.notedAt) * 1000))
 				l.notedAt = 0
@@ -109,7 +109,7 @@
 		if senders[proxy] == nil {
 			senders[proxy], receivers[proxy] = tables.NewSender(origin, uint32(proxy),
 				nil), &lossy{receiver: tables.NewReceiver(uint32(proxy), nil)}
-			receivers[proxy].receiver.Joined(d.group.now, origin)
+			receivers[proxy].receiver.StreamStarted(d.group.now, origin)
 		}
 		s, l := senders[proxy], receivers[proxy]
 		table, _ := s.Table()
@@ -119,13 +119,13 @@
 		}
 		text := u.Append(nil, nil)
 		versioning += time.Since(begun)
-		if !u.Whole {
+		if !u.Snapshot {
 			line, _ := o.Append(nil)
 			sent, at := s.Table()
 			v.Changes++
 			v.LineBytes += float64(len(line))
 			v.DeltaBytes += float64(len(text))
-			v.WholeBytes += float64(len(tables.Whole(sent, at, nil).Append(nil, nil)))
+			v.WholeBytes += float64(len(tables.Snapshot(sent, at, nil).Append(nil, nil)))
 			if len(kept) < 100000 {
 				kept = append(kept, record.Entry{At: time.UnixMilli(int64(d.group.now)), Cause: "weights", Update: text})
 			}
@@ -137,7 +137,7 @@
 			}
 			return
 		}
-		l.receiver.Bytes(d.group.now, text)
+		l.receiver.ApplyEncoded(d.group.now, text)
 		check(proxy)
 		settle(proxy)
 	}
@@ -158,25 +158,25 @@
 		steps += time.Since(begun) - (versioning - before)
 		now := d.group.now
 		for proxy, l := range receivers { // notices, questions and answers between two looks
-			if l.sentAt > 0 && now-l.sentAt >= tables.NoticeAfter {
+			if l.sentAt > 0 && now-l.sentAt >= tables.NoticeDelayMS {
 				if l.sentAt = 0; rng.Float64() >= share {
-					l.receiver.Told(now, newest(senders[proxy]), senders[proxy].Digest())
+					l.receiver.HandleNotice(now, newest(senders[proxy]), senders[proxy].Digest())
 					settle(proxy)
 				}
 			}
 			for at := now; at < now+decideInterval; at += roundTrip {
-				a, asks := l.receiver.Ask(at)
+				a, asks := l.receiver.NextResendRequest(at)
 				if !asks {
 					continue
 				}
 				d.group.now = at + roundTrip
 				loss.Asked++
-				for _, u := range senders[proxy].Answer(a) {
-					if u.Whole {
+				for _, u := range senders[proxy].Resend(a) {
+					if u.Snapshot {
 						loss.Whole++
 					}
 					if rng.Float64() >= share {
-						l.receiver.Bytes(d.group.now, u.Append(nil, nil))
+						l.receiver.ApplyEncoded(d.group.now, u.Append(nil, nil))
 						check(proxy)
 					}
 				}
@@ -212,7 +212,7 @@
 	}
 	begun := time.Now()
 	for i := 0; i < len(kept); i += 512 {
-		if err := r.Append(time.Now(), record.Bounds{}, kept[i:min(i+512, len(kept))]...); err != nil {
+		if err := r.Append(time.Now(), record.Retention{}, kept[i:min(i+512, len(kept))]...); err != nil {
 			return err
 		}
 	}
--- a/internal/planner/dialect/dialect.go
+++ b/internal/planner/dialect/dialect.go
@@ -19,14 +19,14 @@
 	return "http"
 }
 
-// Verdict is what an attempt says about the protocol.
-type Verdict int
+// Result is what an attempt says about the protocol.
+type Result int
 
 // The verdicts.
 const (
-	Spoke   Verdict = iota // the server answered in the protocol, whatever it said
-	Foreign                // what came was of another protocol
-	Nothing                // nothing came that tells: refused, reset, silent
+	Answered      Result = iota // the server answered in the protocol, whatever it said
+	WrongProtocol               // what came was of another protocol
+	NoAnswer                    // nothing came that tells: refused, reset, silent
 )
 
 // maxKept bounds the addresses that are remembered.
@@ -36,17 +36,17 @@
 // HTTP first.
 type ProtocolCache struct{ last map[string]Protocol }
 
-// Begin is the protocol of the first attempt.
-func (b *ProtocolCache) Begin(address string) Protocol { return b.last[address] }
+// Preferred is the protocol of the first attempt.
+func (b *ProtocolCache) Preferred(address string) Protocol { return b.last[address] }
 
-// After says what to do after an attempt: try the other protocol, which happens once a question at most, or be content. A
+// Next says what to do after an attempt: try the other protocol, which happens once a question at most, or be content. A
 // server that nothing came from is not tried by the other: guards against twice the connections to one that is down, and
 // against a sick server that is asked until it has no time left to be found well.
-func (b *ProtocolCache) After(address string, tried Protocol, attempt int, v Verdict) (other Protocol, again bool) {
+func (b *ProtocolCache) Next(address string, tried Protocol, attempt int, v Result) (other Protocol, again bool) {
 	switch {
-	case v == Spoke:
+	case v == Answered:
 		b.learn(address, tried)
-	case v == Foreign && attempt == 1:
+	case v == WrongProtocol && attempt == 1:
 		return HTTP + GRPC - tried, true
 	}
 	return tried, false
@@ -63,5 +63,5 @@
 	b.last[address] = p
 }
 
-// Known is how many addresses are remembered to speak gRPC.
-func (b *ProtocolCache) Known() int { return len(b.last) }
+// Len is how many addresses are remembered to speak gRPC.
+func (b *ProtocolCache) Len() int { return len(b.last) }
--- a/internal/planner/dialect/dialect_test.go
+++ b/internal/planner/dialect/dialect_test.go
@@ -9,30 +9,30 @@
 // question, against a silent server that is asked twice, and against a protocol remembered for another address.
 func TestChangeOfProtocol(t *testing.T) {
 	var b ProtocolCache
-	question := func(address string, server func(Protocol) Verdict) (asked []Protocol) {
-		by := b.Begin(address)
+	question := func(address string, server func(Protocol) Result) (asked []Protocol) {
+		by := b.Preferred(address)
 		for attempt := 1; ; attempt++ {
 			asked = append(asked, by)
-			other, again := b.After(address, by, attempt, server(by))
+			other, again := b.Next(address, by, attempt, server(by))
 			if !again {
 				return asked
 			}
 			by = other
 		}
 	}
-	speaks := func(p Protocol) func(Protocol) Verdict {
-		return func(by Protocol) Verdict {
+	speaks := func(p Protocol) func(Protocol) Result {
+		return func(by Protocol) Result {
 			if by == p {
-				return Spoke
+				return Answered
 			}
-			return Foreign
+			return WrongProtocol
 		}
 	}
-	silent := func(Protocol) Verdict { return Nothing }
-	odd := func(Protocol) Verdict { return Foreign } // speaks neither
+	silent := func(Protocol) Result { return NoAnswer }
+	odd := func(Protocol) Result { return WrongProtocol } // speaks neither
 	for i, step := range []struct {
 		address string
-		server  func(Protocol) Verdict
+		server  func(Protocol) Result
 		want    string
 	}{
 		{"a", speaks(HTTP), "[http]"},
@@ -53,7 +53,7 @@
 	for i := range 3 * maxKept {
 		question(fmt.Sprint(i), speaks(GRPC))
 	}
-	if b.Known() > maxKept {
-		t.Errorf("%d addresses are remembered", b.Known())
+	if b.Len() > maxKept {
+		t.Errorf("%d addresses are remembered", b.Len())
 	}
 }
--- a/internal/planner/program/ask.go
+++ b/internal/planner/program/ask.go
@@ -37,10 +37,10 @@
 // settings give one, or the answer doesn't come within as long again.
 func (a *asker) ask(ctx context.Context, address string, load bool) (result routing.Probed, cancelled bool) {
 	a.mu.Lock()
-	by := a.book.Begin(address)
+	by := a.book.Preferred(address)
 	a.mu.Unlock()
 	for attempt := 1; ; attempt++ {
-		var verdict dialect.Verdict
+		var verdict dialect.Result
 		begun := time.Now()
 		if by == dialect.GRPC {
 			result, verdict = a.grpc(ctx, address, load)
@@ -55,7 +55,7 @@
 			return result, false
 		}
 		a.mu.Lock()
-		other, again := a.book.After(address, by, attempt, verdict)
+		other, again := a.book.Next(address, by, attempt, verdict)
 		a.mu.Unlock()
 		if !again {
 			return result, false
@@ -86,18 +86,18 @@
 	return len(head) == headKept && head[0] == 0 && head[3] == 4 && head[4] == 0 && bytes.Equal(head[5:9], []byte{0, 0, 0, 0})
 }
 
-func (a *asker) http(ctx context.Context, address string, load bool) (routing.Probed, dialect.Verdict) {
+func (a *asker) http(ctx context.Context, address string, load bool) (routing.Probed, dialect.Result) {
 	var answer protocol.ProbeResponse
 	request, machine := protocol.Probe(address, load, &answer)
 	p := &peeked{HTTPExchange: machine}
-	err := transport.Call{Address: address, Connect: a.connect, Silence: a.connect, Whole: 2 * a.connect,
-		Request: request, InMost: protocol.MaxHead}.Do(ctx, p)
-	verdict := dialect.Spoke
+	err := transport.Call{Address: address, ConnectTimeout: a.connect, IdleTimeout: a.connect, TotalTimeout: 2 * a.connect,
+		Request: request, MaxBuffered: protocol.MaxHead}.Do(ctx, p)
+	verdict := dialect.Answered
 	switch {
 	case settingsFrame(p.head):
-		verdict = dialect.Foreign
+		verdict = dialect.WrongProtocol
 	case err != nil:
-		verdict = dialect.Nothing
+		verdict = dialect.NoAnswer
 	}
 	return routing.Probed{Load: answer.Load, OK: err == nil && answer.Status == http.StatusOK,
 		Refused: err == nil && answer.Status == http.StatusServiceUnavailable}, verdict
@@ -130,7 +130,7 @@
 // maxORCABytes bounds a load report.
 const maxORCABytes = 64 << 10
 
-func (a *asker) grpc(ctx context.Context, address string, load bool) (result routing.Probed, verdict dialect.Verdict) {
+func (a *asker) grpc(ctx context.Context, address string, load bool) (result routing.Probed, verdict dialect.Result) {
 	ctx, cancel := context.WithTimeout(ctx, 2*a.connect)
 	defer cancel()
 	var mu sync.Mutex
@@ -155,7 +155,7 @@
 			return heard, nil
 		}))
 	if err != nil {
-		return result, dialect.Nothing
+		return result, dialect.NoAnswer
 	}
 	defer client.Close()
 	answer, err := healthpb.NewHealthClient(client).Check(ctx, &healthpb.HealthCheckRequest{})
@@ -167,15 +167,15 @@
 		result.OK = answer.GetStatus() == healthpb.HealthCheckResponse_SERVING
 		result.Refused = answer.GetStatus() == healthpb.HealthCheckResponse_NOT_SERVING
 	case spoken != nil && bytes.HasPrefix(spoken.first(), []byte("HTTP/1.")):
-		return result, dialect.Foreign
+		return result, dialect.WrongProtocol
 	case status.Code(err) == codes.Unavailable || status.Code(err) == codes.DeadlineExceeded ||
 		status.Code(err) == codes.Canceled:
-		return result, dialect.Nothing
+		return result, dialect.NoAnswer
 	}
 	if load && err == nil {
 		result.Load = firstReport(ctx, client)
 	}
-	return result, dialect.Spoke
+	return result, dialect.Answered
 }
 
 // firstReport is a server's load as its out-of-band stream tells it first. A stream that stalls, or brings nothing that can
--- a/internal/planner/program/calls.go
+++ b/internal/planner/program/calls.go
@@ -46,7 +46,8 @@
 	c.mu.Lock()
 	c.ends[call] = end
 	c.mu.Unlock()
-	task := transport.Call{Address: c.discovery, Connect: c.connect, Silence: watchTimeout, Request: request, InMost: maxResponse}
+	task := transport.Call{Address: c.discovery, ConnectTimeout: c.connect, IdleTimeout: watchTimeout,
+		Request: request, MaxBuffered: maxResponse}
 	c.group.Go(func() {
 		err := task.Do(ctx, answer)
 		c.Cancel(call)
--- a/internal/planner/program/front_loads.go
+++ b/internal/planner/program/front_loads.go
@@ -78,7 +78,7 @@
 	}
 	s.known = true
 	if who.Role == xds.Collector {
-		s.conn.Rise(transport.Known)
+		s.conn.Promote(transport.Identified)
 	}
 	return nil
 }
--- a/internal/planner/program/front_streams.go
+++ b/internal/planner/program/front_streams.go
@@ -111,7 +111,7 @@
 			if err := f.may(from, who); err != nil {
 				return err
 			}
-			conn.Rise(transport.Known)
+			conn.Promote(transport.Identified)
 			f.hold(conn, who.Proxy, 1)
 			p.join()
 		}
--- a/internal/planner/program/front_test.go
+++ b/internal/planner/program/front_test.go
@@ -238,8 +238,8 @@
 	if load := ask("gRPC", true, false); load["util"] != 0.1 || byGRPC.Probed() != 1 {
 		t.Errorf("load %v, probed %d", load, byGRPC.Probed())
 	}
-	if ask("gRPC at once", true, false); a.book.Known() != 1 || byGRPC.Probed() != 2 {
-		t.Errorf("%d remembered, probed %d", a.book.Known(), byGRPC.Probed())
+	if ask("gRPC at once", true, false); a.book.Len() != 1 || byGRPC.Probed() != 2 {
+		t.Errorf("%d remembered, probed %d", a.book.Len(), byGRPC.Probed())
 	}
 	byGRPC.Set(healthpb.HealthCheckResponse_NOT_SERVING, nil)
 	ask("turned away", false, true)
@@ -258,7 +258,7 @@
 		t.Fatal(err)
 	}
 	defer byHTTP.Close()
-	if ask("HTTP again", true, false); a.book.Known() != 0 {
+	if ask("HTTP again", true, false); a.book.Len() != 0 {
 		t.Error("the former protocol is remembered")
 	}
 }
--- a/internal/planner/program/peers.go
+++ b/internal/planner/program/peers.go
@@ -55,12 +55,12 @@
 
 // Beat implements routing.Peer.
 func (p linePeer) Beat() error {
-	defer p.Owe(false)
+	defer p.SetReplyPending(false)
 	return p.Send(protocol.HeartbeatReply())
 }
 
 // Await implements routing.Peer.
-func (p linePeer) Await() { p.Owe(true) }
+func (p linePeer) Await() { p.SetReplyPending(true) }
 
 // role is what a connection has shown itself to be.
 type role int
@@ -126,7 +126,7 @@
 				return bad(fmt.Errorf("%T: %w", m, errRole))
 			}
 			if s.role != unjoined {
-				c.Rise(transport.Known) // one thought replaced still speaks
+				c.Promote(transport.Identified) // one thought replaced still speaks
 			} else if err := p.join(c, &s, m); err != nil {
 				return err
 			}
@@ -161,13 +161,13 @@
 	case protocol.Attach: // its number has been checked with the line
 		s.role, s.proxy, zone = proxy, m.Proxy, m.Zone
 	default:
-		c.Rise(transport.Unidentified)
+		c.Promote(transport.Unidentified)
 		return nil
 	}
 	if !slices.Contains(p.set.ZoneNames, zone) {
 		return fmt.Errorf("joins from the unknown zone %.40q", zone)
 	}
-	c.Rise(transport.Known)
+	c.Promote(transport.Identified)
 	if s.role == collector {
 		p.collects(c, zone)
 	}
@@ -180,7 +180,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if old := p.collectors[zone]; old != nil && old != c {
-		old.Fall()
+		old.MarkSuperseded()
 	}
 	p.collectors[zone] = c
 }
@@ -196,13 +196,13 @@
 	}
 }
 
-// Refused implements transport.Handler.
-func (p *peers) Refused(peer string) {
+// Rejected implements transport.Handler.
+func (p *peers) Rejected(peer string) {
 	p.count("connection refused: descriptors are used up by known peers", peer, nil)
 }
 
-// Ended implements transport.Handler. Strangers come in any number; they are counted, not told of one by one.
-func (p *peers) Ended(c *transport.Conn, reason error) {
+// Closed implements transport.Handler. Strangers come in any number; they are counted, not told of one by one.
+func (p *peers) Closed(c *transport.Conn, reason error) {
 	p.mu.Lock()
 	maps.DeleteFunc(p.collectors, func(_ string, newest *transport.Conn) bool { return newest == c })
 	p.mu.Unlock()
--- a/internal/planner/program/program.go
+++ b/internal/planner/program/program.go
@@ -80,11 +80,12 @@
 		decide = h.run
 	}
 
-	listener, err := transport.Listen(c.Listen, connections(c.Limits.Sockets), transport.Buffers(buffers(c.Limits.MemoryMB)))
+	listener, err := transport.Listen(c.Listen, connections(c.Limits.Sockets),
+		transport.NewBufferBudget(buffers(c.Limits.MemoryMB)))
 	if err != nil {
 		return &StartError{fmt.Errorf("%s (or \"listen\" in the configuration): %w", envListen, err)}
 	}
-	listener.Join = joinWithin
+	listener.JoinTimeout = joinWithin
 	log.Info().Str("name", c.Name).Stringer("listen", listener.Addr()).Str("discovery", c.Discovery).
 		Int64("revision", c.Known.Revision).Int("known", len(c.Known.Members)).Int("cores", n).Msg("planner starts")
 	served := make(chan error, 1)
@@ -99,7 +100,7 @@
 	}
 	if c.Own.GRPC.Enabled {
 		handler.front = newFrontend(ctx, c.Settings, c.Own.GRPC, handler, listener.Addr(), keys)
-		listener.Foreign = handler.front.take
+		listener.Handoff = handler.front.take
 		group.Go(func() { handler.front.serve(ctx) })
 	}
 	group.Go(func() {
--- a/internal/planner/program/reload.go
+++ b/internal/planner/program/reload.go
@@ -47,8 +47,8 @@
 	}
 	if next.Limits != r.config.Limits {
 		next.Limits.apply()
-		r.listener.SetMost(connections(next.Limits.Sockets))
-		r.listener.Memory.SetMost(buffers(next.Limits.MemoryMB))
+		r.listener.SetMaxConns(connections(next.Limits.Sockets))
+		r.listener.Memory.SetLimit(buffers(next.Limits.MemoryMB))
 	}
 	if next.Discovery != r.config.Discovery {
 		r.post(routing.Moved{Discovery: next.Discovery})
--- a/internal/planner/program/versions.go
+++ b/internal/planner/program/versions.go
@@ -42,7 +42,7 @@
 	v := &versions{origin: tables.Origin{Instance: name}, by: map[int]*versioned{}, sent: sent}
 	var life [8]byte
 	rand.Read(life[:]) // never fails
-	v.origin.Life = binary.BigEndian.Uint64(life[:])
+	v.origin.Incarnation = binary.BigEndian.Uint64(life[:])
 	if own.KeyFile != "" {
 		text, err := os.ReadFile(own.KeyFile)
 		if err != nil {
@@ -105,7 +105,7 @@
 		log.Error().Err(err).Str("file", own.File).Msg("no record is kept: the file can't be used, and stays as it is")
 		return
 	}
-	within := record.Bounds{Entries: uint64(own.Entries), Age: time.Duration(own.AgeHours * float64(time.Hour))}
+	within := record.Retention{MaxEntries: uint64(own.Entries), MaxAge: time.Duration(own.AgeHours * float64(time.Hour))}
 	v.recorded = true
 	v.record = record.NewWriter(r, within, func(err error) {
 		log.Error().Err(err).Str("file", own.File).Msg("the record takes nothing: what is missing will be marked in it")
@@ -151,7 +151,7 @@
 		if v.notice != nil {
 			v.notice.Stop()
 		}
-		v.notice = time.AfterFunc(time.Duration(tables.NoticeAfter*float64(time.Millisecond)), func() { v.tell(to, u.Version) })
+		v.notice = time.AfterFunc(time.Duration(tables.NoticeDelayMS*float64(time.Millisecond)), func() { v.tell(to, u.Version) })
 		return v.send(to, u, o.Stamp)
 	}
 	text, err := o.Append(nil)
@@ -202,7 +202,7 @@
 		return true // it asks again, ever farther apart
 	}
 	_, at := v.sender.Table()
-	answer := v.sender.Answer(tables.Ask{Origin: at.Origin, Proxy: at.Proxy, Whole: m.Whole, After: m.After})
+	answer := v.sender.Resend(tables.ResendRequest{Origin: at.Origin, Proxy: at.Proxy, Snapshot: m.Whole, After: m.After})
 	if len(answer) == 0 { // nothing is missing, or nothing was sent yet: then a whole table comes with the first order
 		if at.Number > 0 {
 			d := v.sender.Digest()
@@ -210,7 +210,7 @@
 		}
 		return true
 	}
-	if answer[0].Whole {
+	if answer[0].Snapshot {
 		return false
 	}
 	for _, u := range answer {
--- a/internal/planner/program/versions_test.go
+++ b/internal/planner/program/versions_test.go
@@ -31,7 +31,7 @@
 		c.sent = func(u tables.Update) {
 			mu.Lock()
 			defer mu.Unlock()
-			sent[u.Version] = u.To
+			sent[u.Version] = u.ResultDigest
 			if u.Number > newest[u.Proxy].Number {
 				newest[u.Proxy] = u.Version
 			}
@@ -142,7 +142,7 @@
 			t.Errorf("%+v: %v", u, err)
 		}
 		causes[e.Cause]++
-		lives[u.Life] = true
+		lives[u.Incarnation] = true
 		return true
 	})
 	if causes["join"] != 2 || causes["removal"] < 2 || len(lives) != 2 {
--- a/internal/planner/protocol/orders.go
+++ b/internal/planner/protocol/orders.go
@@ -61,10 +61,10 @@
 		}
 	}
 	for _, name := range o.Drop {
-		next.Shut[name] = true
+		next.Excluded[name] = true
 	}
 	for _, name := range o.Undrop {
-		delete(next.Shut, name)
+		delete(next.Excluded, name)
 	}
 	for _, g := range o.Gates {
 		for _, class := range g.Classes {
--- a/internal/planner/record/record.go
+++ b/internal/planner/record/record.go
@@ -25,17 +25,17 @@
 	Gap    uint64
 }
 
-// Bounds of a record. 0: none.
-type Bounds struct {
-	Entries uint64
-	Age     time.Duration
+// Retention of a record. 0: none.
+type Retention struct {
+	MaxEntries uint64
+	MaxAge     time.Duration
 }
 
 // The errors of a record that can't be used. None of them is repaired by writing over it.
 var (
-	ErrLocked  = errors.New("the record is in use by another process")
-	ErrForeign = errors.New("the file is no record")
-	ErrChanged = errors.New("the record was changed or cut")
+	ErrLocked    = errors.New("the record is in use by another process")
+	ErrNotRecord = errors.New("the file is no record")
+	ErrCorrupt   = errors.New("the record was changed or cut")
 )
 
 var (
@@ -96,10 +96,10 @@
 func readHead(text, key []byte) (h head, err error) {
 	const size = 8 + 16 + 8 + 16
 	if len(text) != size+16 {
-		return head{}, ErrForeign
+		return head{}, ErrNotRecord
 	}
 	if digest(key, text[:size]) != chain(text[size:]) {
-		return head{}, fmt.Errorf("%w: its head's seal doesn't hold (or the key is another)", ErrChanged)
+		return head{}, fmt.Errorf("%w: its head's seal doesn't hold (or the key is another)", ErrCorrupt)
 	}
 	return head{binary.BigEndian.Uint64(text), chain(text[8:24]), binary.BigEndian.Uint64(text[24:]), chain(text[32:48])}, nil
 }
@@ -124,14 +124,14 @@
 	for len(text) > 0 {
 		n, kind, size := protowire.ConsumeTag(text)
 		if size < 0 {
-			return Entry{}, ErrChanged
+			return Entry{}, ErrCorrupt
 		}
 		text = text[size:]
 		switch kind {
 		case protowire.VarintType:
 			x, size := protowire.ConsumeVarint(text)
 			if size < 0 {
-				return Entry{}, ErrChanged
+				return Entry{}, ErrCorrupt
 			}
 			if text = text[size:]; n == fieldAt {
 				e.At = time.UnixMilli(int64(x))
@@ -141,7 +141,7 @@
 		case protowire.BytesType:
 			b, size := protowire.ConsumeBytes(text)
 			if size < 0 {
-				return Entry{}, ErrChanged
+				return Entry{}, ErrCorrupt
 			}
 			if text = text[size:]; n == fieldCause {
 				e.Cause = string(b)
@@ -149,7 +149,7 @@
 				e.Update = append([]byte(nil), b...)
 			}
 		default:
-			return Entry{}, ErrChanged
+			return Entry{}, ErrCorrupt
 		}
 	}
 	return e, nil
@@ -163,7 +163,7 @@
 	var db *bolt.DB
 	defer func() {
 		if p := recover(); p != nil {
-			r, err = nil, fmt.Errorf("%w: %v", ErrChanged, p)
+			r, err = nil, fmt.Errorf("%w: %v", ErrCorrupt, p)
 		}
 		if err != nil && db != nil {
 			closeDamaged(db)
@@ -175,7 +175,7 @@
 		return nil, ErrLocked
 	case errors.Is(err, bolterrors.ErrInvalid), errors.Is(err, bolterrors.ErrVersionMismatch), errors.Is(err,
 		bolterrors.ErrChecksum):
-		return nil, fmt.Errorf("%w: %w", ErrForeign, err)
+		return nil, fmt.Errorf("%w: %w", ErrNotRecord, err)
 	case err != nil:
 		return nil, err
 	}
@@ -203,7 +203,7 @@
 			return nil
 		}
 		if name, _ := tx.Cursor().First(); name != nil {
-			return ErrForeign
+			return ErrNotRecord
 		}
 		b, err := tx.CreateBucket(meta)
 		if err != nil {
@@ -224,7 +224,7 @@
 	return r.db.View(func(tx *bolt.Tx) error {
 		b, list := tx.Bucket(meta), tx.Bucket(entries)
 		if b == nil || list == nil || string(b.Get(formKey)) != string(form) {
-			return ErrForeign
+			return ErrNotRecord
 		}
 		h, err := readHead(b.Get(headKey), r.key)
 		if err != nil {
@@ -233,10 +233,10 @@
 		seq, link := h.first, h.before
 		err = list.ForEach(func(k, v []byte) error {
 			if len(k) != 8 || binary.BigEndian.Uint64(k) != seq || seq > h.last {
-				return fmt.Errorf("%w: entry %d is missing or another stands there", ErrChanged, seq)
+				return fmt.Errorf("%w: entry %d is missing or another stands there", ErrCorrupt, seq)
 			}
 			if len(v) < len(link) || digest(r.key, link[:], v[len(link):]) != chain(v[:len(link)]) {
-				return fmt.Errorf("%w: entry %d", ErrChanged, seq)
+				return fmt.Errorf("%w: entry %d", ErrCorrupt, seq)
 			}
 			link, seq = chain(v[:len(link)]), seq+1
 			return nil
@@ -245,7 +245,7 @@
 			return err
 		}
 		if seq != h.last+1 || link != h.end {
-			return fmt.Errorf("%w: it ends at entry %d and should at %d", ErrChanged, seq-1, h.last)
+			return fmt.Errorf("%w: it ends at entry %d and should at %d", ErrCorrupt, seq-1, h.last)
 		}
 		r.head = h
 		return nil
@@ -253,7 +253,7 @@
 }
 
 // Append writes entries in one transaction, all or none, and lets go of those over the bounds.
-func (r *Record) Append(now time.Time, within Bounds, list ...Entry) error {
+func (r *Record) Append(now time.Time, within Retention, list ...Entry) error {
 	h := r.head
 	err := r.db.Update(func(tx *bolt.Tx) error {
 		b := tx.Bucket(entries)
@@ -289,8 +289,8 @@
 }
 
 // over says whether an entry is over the bounds of a record that ends with the given one.
-func (b Bounds) over(e Entry, last uint64, now time.Time) bool {
-	return b.Entries > 0 && last-e.Seq >= b.Entries || b.Age > 0 && now.Sub(e.At) > b.Age
+func (b Retention) over(e Entry, last uint64, now time.Time) bool {
+	return b.MaxEntries > 0 && last-e.Seq >= b.MaxEntries || b.MaxAge > 0 && now.Sub(e.At) > b.MaxAge
 }
 
 // Each goes through the entries from the first to the last until the function says no.
--- a/internal/planner/record/record_test.go
+++ b/internal/planner/record/record_test.go
@@ -21,7 +21,7 @@
 			panic(err)
 		}
 		for n := r.head.last; ; n++ {
-			if err := r.Append(time.Now(), Bounds{Entries: 50}, entry(n+1)); err != nil {
+			if err := r.Append(time.Now(), Retention{MaxEntries: 50}, entry(n+1)); err != nil {
 				panic(err)
 			}
 			fmt.Println(n + 1) // written
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	for i := range n {
-		if err := r.Append(time.UnixMilli(0), Bounds{}, entry(uint64(i+1))); err != nil {
+		if err := r.Append(time.UnixMilli(0), Retention{}, entry(uint64(i+1))); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -186,16 +186,16 @@
 			t.Fatal(err)
 		}
 		db.Close()
-		if _, err := Open(file, secret, false); !errors.Is(err, ErrChanged) && !errors.Is(err, ErrForeign) {
+		if _, err := Open(file, secret, false); !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrNotRecord) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	if _, err := Open(filled(t, 3), []byte("another key"), false); !errors.Is(err, ErrChanged) {
+	if _, err := Open(filled(t, 3), []byte("another key"), false); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("another key: %v", err)
 	}
 	foreign := filepath.Join(t.TempDir(), "f")
 	os.WriteFile(foreign, make([]byte, 64<<10), 0o600)
-	if _, err := Open(foreign, secret, false); !errors.Is(err, ErrForeign) {
+	if _, err := Open(foreign, secret, false); !errors.Is(err, ErrNotRecord) {
 		t.Errorf("a foreign file: %v", err)
 	}
 	file := filled(t, 3)
@@ -216,10 +216,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := r.Append(time.UnixMilli(31000), Bounds{Entries: 10}, entry(31)); err != nil || r.Len() != 10 {
+	if err := r.Append(time.UnixMilli(31000), Retention{MaxEntries: 10}, entry(31)); err != nil || r.Len() != 10 {
 		t.Errorf("%d entries, %v", r.Len(), err)
 	}
-	if err := r.Append(time.UnixMilli(32000), Bounds{Age: 4 * time.Second}, entry(32)); err != nil || r.Len() != 5 {
+	if err := r.Append(time.UnixMilli(32000), Retention{MaxAge: 4 * time.Second}, entry(32)); err != nil || r.Len() != 5 {
 		t.Errorf("%d entries, %v", r.Len(), err)
 	}
 	r.Close()
--- a/internal/planner/record/writer.go
+++ b/internal/planner/record/writer.go
@@ -26,7 +26,7 @@
 }
 
 // NewWriter returns a writer on a record, which it closes in the end.
-func NewWriter(r *Record, within Bounds, failed func(error)) *Writer {
+func NewWriter(r *Record, within Retention, failed func(error)) *Writer {
 	w := newWriter(func(now time.Time, list ...Entry) error { return r.Append(now, within, list...) }, failed)
 	go func() {
 		w.run()
--- a/internal/planner/standin/versioned.go
+++ b/internal/planner/standin/versioned.go
@@ -74,10 +74,10 @@
 		case <-pace.C:
 		}
 		p.mu.Lock()
-		a, asks := p.receiver.Ask(p.now())
+		a, asks := p.receiver.NextResendRequest(p.now())
 		p.mu.Unlock()
 		if asks {
-			p.say(fmt.Sprintf(`{"t":"again","proxy":%d,"whole":%t,"after":%d}`, p.Number, a.Whole, a.After))
+			p.say(fmt.Sprintf(`{"t":"again","proxy":%d,"whole":%t,"after":%d}`, p.Number, a.Snapshot, a.After))
 		}
 	}
 }
@@ -107,7 +107,7 @@
 		}
 		if l.Update == nil {
 			p.mu.Lock()
-			p.receiver.Told(p.now(), tables.Version{Origin: p.origin, Proxy: uint32(p.Number), Number: l.At},
+			p.receiver.HandleNotice(p.now(), tables.Version{Origin: p.origin, Proxy: uint32(p.Number), Number: l.At},
 				tables.Digest(l.Digest))
 			p.mu.Unlock()
 			continue
@@ -130,10 +130,10 @@
 	p.alter(func(s *State) {
 		if u, err := tables.Decode(update, key); err == nil && p.origin == (tables.Origin{}) {
 			p.origin = u.Origin
-			p.receiver.Joined(p.now(), u.Origin)
+			p.receiver.StreamStarted(p.now(), u.Origin)
 		}
 		_, before := p.receiver.Table()
-		if p.receiver.Bytes(p.now(), update) != nil {
+		if p.receiver.ApplyEncoded(p.now(), update) != nil {
 			s.Refused++
 			return
 		}
@@ -142,7 +142,7 @@
 			return
 		}
 		s.Messages++
-		s.Table, s.Levels, s.Shut = map[string]float64{}, map[string]float64{}, table.Clone().Shut
+		s.Table, s.Levels, s.Shut = map[string]float64{}, map[string]float64{}, table.Clone().Excluded
 		for name, weight := range table.Weights {
 			s.Table[name] = float64(weight)
 		}
@@ -160,5 +160,5 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_, at := p.receiver.Table()
-	return p.receiver.InStep(), at
+	return p.receiver.UpToDate(), at
 }
--- a/internal/planner/transport/conn.go
+++ b/internal/planner/transport/conn.go
@@ -25,8 +25,8 @@
 var (
 	// ErrOverflow says that a peer left too much unread.
 	ErrOverflow = errors.New("peer leaves its messages unread")
-	// ErrUnjoined says that a peer has not said in time who it is.
-	ErrUnjoined = errors.New("has not joined in time")
+	// ErrJoinTimeout says that a peer has not said in time who it is.
+	ErrJoinTimeout = errors.New("has not joined in time")
 )
 
 // Machine is a protocol fed with bytes. It takes from the buffer what is complete and leaves the rest.
@@ -39,10 +39,10 @@
 
 // The standings, those that go first first.
 const (
-	TimedOut     ConnState = iota // has sent no whole message
+	Silent       ConnState = iota // has sent no whole message
 	Unidentified                  // has sent some, and has not said who it is
-	Stale                         // was known, and another has come in its place; it may be gone without a sign
-	Known                         // a stream or a collector, which are never shed
+	Superseded                    // was known, and another has come in its place; it may be gone without a sign
+	Identified                    // a stream or a collector, which are never shed
 )
 
 var lastID atomic.Uint64
@@ -81,25 +81,25 @@
 // Remote is the peer's address, for the log.
 func (c *Conn) Remote() string { return c.nc.RemoteAddr().String() }
 
-// Owe notes whether the peer has asked something that is not yet answered. While that is so, the time in which it
+// SetReplyPending notes whether the peer has asked something that is not yet answered. While that is so, the time in which it
 // must join does not end: a planner that can't make orders yet answers whoever asked before.
-func (c *Conn) Owe(owed bool) { c.asked.Store(owed) }
+func (c *Conn) SetReplyPending(owed bool) { c.asked.Store(owed) }
 
-// Fall notes that another connection has come in place of this one. It rises again if its peer still speaks.
-func (c *Conn) Fall() { c.standing.Store(int32(Stale)) }
+// MarkSuperseded notes that another connection has come in place of this one. It rises again if its peer still speaks.
+func (c *Conn) MarkSuperseded() { c.standing.Store(int32(Superseded)) }
 
-// Rise notes what the peer has shown of itself. Called by the connection's machine.
-func (c *Conn) Rise(s ConnState) {
+// Promote notes what the peer has shown of itself. Called by the connection's machine.
+func (c *Conn) Promote(s ConnState) {
 	if ConnState(c.standing.Load()) < s {
 		c.standing.Store(int32(s))
 	}
-	if s == Known {
-		c.in.SetMost(inSize)
+	if s == Identified {
+		c.in.SetLimit(inSize)
 	}
 }
 
 // Joined says whether the peer has shown who it is, now or before another came in its place.
-func (c *Conn) Joined() bool { return ConnState(c.standing.Load()) >= Stale }
+func (c *Conn) Joined() bool { return ConnState(c.standing.Load()) >= Superseded }
 
 // Send queues bytes for the peer. It never waits: a peer that leaves too much unread loses this connection.
 func (c *Conn) Send(p []byte) error {
@@ -160,7 +160,7 @@
 		c.owed = asked
 		if c.late {
 			if !asked {
-				return 0, ErrUnjoined
+				return 0, ErrJoinTimeout
 			}
 			c.joinBy = time.Now().Add(within)
 		}
--- a/internal/planner/transport/conn_test.go
+++ b/internal/planner/transport/conn_test.go
@@ -26,15 +26,15 @@
 		case "end":
 			return errors.New("told to end")
 		case "hello":
-			e.c.Rise(Known)
+			e.c.Promote(Identified)
 		case "stale":
-			e.c.Fall()
+			e.c.MarkSuperseded()
 		case "word":
-			e.c.Rise(Unidentified)
+			e.c.Promote(Unidentified)
 		case "owe":
-			e.c.Owe(true)
+			e.c.SetReplyPending(true)
 		case "paid":
-			e.c.Owe(false)
+			e.c.SetReplyPending(false)
 		case "flood":
 			for e.c.Send(make([]byte, 64<<10)) == nil {
 			}
@@ -59,9 +59,9 @@
 
 func (h *hall) Accepted(c *Conn) Machine { return &echo{c} }
 
-func (h *hall) Refused(string) { h.refused.Add(1) }
+func (h *hall) Rejected(string) { h.refused.Add(1) }
 
-func (h *hall) Ended(c *Conn, reason error) {
+func (h *hall) Closed(c *Conn, reason error) {
 	h.mu.Lock()
 	h.ended[c.ID()] = reason
 	h.mu.Unlock()
@@ -274,7 +274,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Join = 100 * time.Millisecond
+	l.JoinTimeout = 100 * time.Millisecond
 	h := &hall{ended: map[uint64]error{}, more: make(chan struct{}, 1000)}
 	address := serve(t, l, h)
 	known, owed := dial(t, address), dial(t, address)
@@ -288,7 +288,7 @@
 	}()
 	go io.Copy(io.Discard, endless.nc)
 	for range 3 {
-		if err := h.end(); !errors.Is(err, ErrUnjoined) {
+		if err := h.end(); !errors.Is(err, ErrJoinTimeout) {
 			t.Errorf("ended by %v", err)
 		}
 	}
@@ -299,13 +299,13 @@
 	}
 	known.says("still here")
 	owed.says("still here")
-	time.Sleep(l.Join * 6 / 10) // into the time that began anew while it was owed the answer
+	time.Sleep(l.JoinTimeout * 6 / 10) // into the time that began anew while it was owed the answer
 	paid := time.Now()
 	owed.says("paid")
 	if !owed.closed() {
 		t.Error("one that has its answer and has not joined stays")
 	}
-	if kept := time.Since(paid); kept < l.Join { // it may else be closed before the answer is written
+	if kept := time.Since(paid); kept < l.JoinTimeout { // it may else be closed before the answer is written
 		t.Errorf("one that got its answer is closed %v later, before its time", kept)
 	}
 	known.says("still here")
--- a/internal/planner/transport/dial.go
+++ b/internal/planner/transport/dial.go
@@ -21,7 +21,7 @@
 	Connecting Stage = "connecting"
 	Sending    Stage = "sending"
 	Receiving  Stage = "receiving"
-	Reading    Stage = "reading the answer"
+	Parsing    Stage = "reading the answer"
 )
 
 // CallError says how far a call to another party came before it failed.
@@ -40,8 +40,8 @@
 // Unwrap returns the cause, for errors.Is and errors.As.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// Response is a machine that reads one answer.
-type Response interface {
+// ResponseMachine is a machine that reads one answer.
+type ResponseMachine interface {
 	Machine
 	Done() bool   // the answer is complete
 	Close() error // the peer has ended the connection: was the answer complete?
@@ -49,23 +49,23 @@
 
 // Call is a request to another party.
 type Call struct {
-	Address string
-	Connect time.Duration // for the connection to come up
-	Silence time.Duration // longest time without a byte of the answer
-	Whole   time.Duration // for the whole call; 0: without end
-	Request []byte
-	InMost  int // most bytes that may wait to be understood
+	Address        string
+	ConnectTimeout time.Duration // for the connection to come up
+	IdleTimeout    time.Duration // longest time without a byte of the answer
+	TotalTimeout   time.Duration // for the whole call; 0: without end
+	Request        []byte
+	MaxBuffered    int // most bytes that may wait to be understood
 }
 
 // Do makes the call and feeds the response to machine until it is complete. A panic of the machine ends this call alone.
-func (call Call) Do(ctx context.Context, machine Response) (err error) {
+func (call Call) Do(ctx context.Context, machine ResponseMachine) (err error) {
 	run := &callRun{call: call, machine: machine, began: time.Now(), failure: CallError{Address: call.Address, Stage: Connecting}}
 	defer func() {
 		if p := recover(); p != nil {
 			err = run.fail(fmt.Errorf("panic: %v\n%s", p, debug.Stack()))
 		}
 	}()
-	dialer := net.Dialer{Timeout: call.Connect}
+	dialer := net.Dialer{Timeout: call.ConnectTimeout}
 	nc, err := dialer.DialContext(ctx, "tcp", call.Address)
 	if err != nil {
 		return run.fail(err)
@@ -73,14 +73,14 @@
 	defer closeConn(nc)
 	defer context.AfterFunc(ctx, func() { closeConn(nc) })()
 	run.failure.Stage = Sending
-	if err := nc.SetWriteDeadline(time.Now().Add(call.Silence)); err != nil {
+	if err := nc.SetWriteDeadline(time.Now().Add(call.IdleTimeout)); err != nil {
 		return run.fail(err)
 	}
 	if _, err := nc.Write(call.Request); err != nil {
 		return run.fail(err)
 	}
 	run.failure.Stage = Receiving
-	in := ring.New(startSize, call.InMost, nil)
+	in := ring.New(startSize, call.MaxBuffered, nil)
 	for !machine.Done() {
 		if over, err := run.receive(nc, in); over || err != nil {
 			return err
@@ -92,7 +92,7 @@
 // callRun is a call under way.
 type callRun struct {
 	call    Call
-	machine Response
+	machine ResponseMachine
 	began   time.Time
 	failure CallError
 }
@@ -105,8 +105,8 @@
 
 // deadline is the time by which the next bytes have to come.
 func (r *callRun) deadline() time.Time {
-	silence := time.Now().Add(r.call.Silence)
-	if last := r.began.Add(r.call.Whole); r.call.Whole > 0 && last.Before(silence) {
+	silence := time.Now().Add(r.call.IdleTimeout)
+	if last := r.began.Add(r.call.TotalTimeout); r.call.TotalTimeout > 0 && last.Before(silence) {
 		return last
 	}
 	return silence
@@ -123,7 +123,7 @@
 	r.failure.Received += n
 	if n > 0 {
 		if err := r.machine.Feed(in); err != nil {
-			r.failure.Stage = Reading
+			r.failure.Stage = Parsing
 			return false, r.fail(err)
 		}
 	}
--- a/internal/planner/transport/dial_test.go
+++ b/internal/planner/transport/dial_test.go
@@ -60,7 +60,7 @@
 		{answer: "a part", stage: Receiving, received: 6, want: io.ErrUnexpectedEOF},
 		{answer: "a part,,,", stage: Receiving, received: 9, want: os.ErrDeadlineExceeded},
 		{answer: ",,,", stage: Receiving, received: 3, want: os.ErrDeadlineExceeded},
-		{answer: "nonsense!", stage: Reading, received: 9},
+		{answer: "nonsense!", stage: Parsing, received: 9},
 		{answer: "x", panic: true, stage: Receiving, received: 1},
 		{answer: "refused", stage: Connecting},
 	} {
@@ -85,9 +85,10 @@
 				<-release
 			}
 		}()
-		call := Call{Address: ln.Addr().String(), Connect: time.Second, Silence: time.Minute, Request: []byte("hello"), InMost: 1 << 10}
+		call := Call{Address: ln.Addr().String(), ConnectTimeout: time.Second, IdleTimeout: time.Minute,
+			Request: []byte("hello"), MaxBuffered: 1 << 10}
 		if strings.HasSuffix(tc.answer, ",,,") {
-			call.Silence = 20 * time.Millisecond
+			call.IdleTimeout = 20 * time.Millisecond
 		}
 		if tc.answer == "refused" {
 			call.Address = closed
@@ -151,7 +152,8 @@
 			io.Copy(io.Discard, nc)
 		}
 	}()
-	err = Call{Address: ln.Addr().String(), Connect: time.Second, Silence: 20 * time.Second, InMost: 1 << 10}.Do(ctx, &text{})
+	err = Call{Address: ln.Addr().String(), ConnectTimeout: time.Second, IdleTimeout: 20 * time.Second,
+		MaxBuffered: 1 << 10}.Do(ctx, &text{})
 	if err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a cancelled call ended with %v", err)
 	}
--- a/internal/planner/transport/handover.go
+++ b/internal/planner/transport/handover.go
@@ -55,7 +55,7 @@
 	if !c.joinBy.IsZero() {
 		late := time.AfterFunc(time.Until(c.joinBy), func() {
 			if !c.Joined() {
-				c.Close(ErrUnjoined)
+				c.Close(ErrJoinTimeout)
 			}
 		})
 		defer late.Stop()
--- a/internal/planner/transport/listener.go
+++ b/internal/planner/transport/listener.go
@@ -21,20 +21,20 @@
 // refused since all others are known.
 type Handler interface {
 	Accepted(c *Conn) Machine
-	Ended(c *Conn, reason error)
-	Refused(peer string)
+	Closed(c *Conn, reason error)
+	Rejected(peer string)
 }
 
-// Buffers returns a budget for what connections hold beyond the little that each may hold in any case.
-func Buffers(most int64) *ring.Budget { return ring.NewBudget(most, unidentifiedSize) }
+// NewBufferBudget returns a budget for what connections hold beyond the little that each may hold in any case.
+func NewBufferBudget(most int64) *ring.Budget { return ring.NewBudget(most, unidentifiedSize) }
 
 // Listener accepts connections, no more than Most at a time. All their buffers together stay within Memory. A
 // connection that is not known within Join of its accepting is closed; 0: it may stay.
 type Listener struct {
-	Join time.Duration
+	JoinTimeout time.Duration
 	// Foreign takes over connections whose first byte is of HTTP/2 or TLS; nil: they are fed to the machine as any. It must
 	// see to it that the connection is closed in the end.
-	Foreign func(c *Conn, nc net.Conn)
+	Handoff func(c *Conn, nc net.Conn)
 	Memory  *ring.Budget
 
 	most  atomic.Int64
@@ -51,12 +51,12 @@
 		return nil, err
 	}
 	l := &Listener{Memory: memory, ln: ln, conns: map[uint64]*Conn{}}
-	l.SetMost(most)
+	l.SetMaxConns(most)
 	return l, nil
 }
 
-// SetMost changes how many connections may be open from the next one on.
-func (l *Listener) SetMost(most int) { l.most.Store(int64(most)) }
+// SetMaxConns changes how many connections may be open from the next one on.
+func (l *Listener) SetMaxConns(most int) { l.most.Store(int64(most)) }
 
 // full says whether no more connections may be open.
 func (l *Listener) full() bool {
@@ -91,11 +91,11 @@
 			continue
 		}
 		c := newConn(nc, l.Memory)
-		c.foreign = l.Foreign
+		c.foreign = l.Handoff
 		for l.full() && l.shed() {
 		}
 		if l.full() {
-			h.Refused(nc.RemoteAddr().String())
+			h.Rejected(nc.RemoteAddr().String())
 			closeConn(nc)
 			continue
 		}
@@ -103,11 +103,11 @@
 		l.conns[c.id] = c
 		l.mu.Unlock()
 		l.group.Go(func() {
-			reason := c.serve(h.Accepted(c), l.Join)
+			reason := c.serve(h.Accepted(c), l.JoinTimeout)
 			l.mu.Lock()
 			delete(l.conns, c.id)
 			l.mu.Unlock()
-			h.Ended(c, reason)
+			h.Closed(c, reason)
 		})
 	}
 }
@@ -119,7 +119,7 @@
 	defer l.mu.Unlock()
 	var first *Conn
 	for _, c := range l.conns {
-		if ConnState(c.standing.Load()) == Known {
+		if ConnState(c.standing.Load()) == Identified {
 			continue
 		}
 		if first == nil || c.standing.Load() < first.standing.Load() ||
--- a/internal/planner/transport/ring/ring.go
+++ b/internal/planner/transport/ring/ring.go
@@ -21,12 +21,12 @@
 // NewBudget returns a budget of most bytes beyond the free ones of each buffer.
 func NewBudget(most int64, free int) *Budget {
 	b := &Budget{free: free}
-	b.SetMost(most)
+	b.SetLimit(most)
 	return b
 }
 
-// SetMost changes the bound. What is already held stays.
-func (b *Budget) SetMost(most int64) { b.most.Store(most) }
+// SetLimit changes the bound. What is already held stays.
+func (b *Budget) SetLimit(most int64) { b.most.Store(most) }
 
 // take books a buffer's change from one size to another; it says whether there was room for it.
 func (b *Budget) take(from, to int) bool {
@@ -58,8 +58,8 @@
 // Len is the number of bytes held.
 func (b *Buffer) Len() int { return b.n }
 
-// SetMost changes the cap. Bytes already held stay.
-func (b *Buffer) SetMost(most int) { b.most = most }
+// SetLimit changes the cap. Bytes already held stay.
+func (b *Buffer) SetLimit(most int) { b.most = most }
 
 // grow makes room for at least one more byte, or for want more where the cap allows.
 func (b *Buffer) grow(want int) {
--- a/internal/planner/transport/ring/ring_test.go
+++ b/internal/planner/transport/ring/ring_test.go
@@ -86,7 +86,7 @@
 	if b.Discard(1); b.data != nil {
 		t.Errorf("%d bytes of memory kept by an empty buffer", len(b.data))
 	}
-	if b.SetMost(4096); len(held(b)) != 0 {
+	if b.SetLimit(4096); len(held(b)) != 0 {
 		t.Error("an empty buffer holds bytes")
 	}
 	if _, err := b.Write(make([]byte, 4000)); err != nil {
--- a/tables/model_test.go
+++ b/tables/model_test.go
@@ -33,7 +33,7 @@
 	{{"c": 1}, {"a": 1, "c": 1}, {"a": 1}},
 }
 
-func origin(life uint64) Origin { return Origin{Instance: "n0", Life: life + 1} }
+func origin(life uint64) Origin { return Origin{Instance: "n0", Incarnation: life + 1} }
 
 func tableOf(weights map[string]float32) Table {
 	t := New()
@@ -46,7 +46,7 @@
 func newModel(f faults) *model {
 	m := &model{sender: NewSender(origin(0), modelProxy, nil), receiver: *NewReceiver(modelProxy, nil), budget: 3, sent: map[Version]Table{}}
 	m.receiver.faults = f
-	m.receiver.Joined(0, origin(0))
+	m.receiver.StreamStarted(0, origin(0))
 	return m
 }
 
@@ -68,7 +68,7 @@
 	out := fmt.Sprint(m.life, m.sender.at.Number, m.budget, m.receiver.at, m.receiver.digest, m.receiver.table.Weights, m.receiver.behind, m.receiver.whole,
 		m.receiver.asked, m.receiver.next-m.now)
 	for _, p := range m.channel {
-		out += fmt.Sprint(p.u.Version, p.u.Whole, p.touched)
+		out += fmt.Sprint(p.u.Version, p.u.Snapshot, p.touched)
 	}
 	return out
 }
@@ -101,7 +101,7 @@
 }
 
 func (m *model) deliver(p packet) {
-	m.receiver.Update(m.now, p.u)
+	m.receiver.Apply(m.now, p.u)
 	if m.receiver.at.Origin == origin(m.life) {
 		m.newest = max(m.newest, m.receiver.at.Number)
 	}
@@ -147,26 +147,26 @@
 		trouble("the planner's next life", func(c *model) {
 			c.life, c.newest = 1, 0
 			c.sender = NewSender(origin(1), modelProxy, nil)
-			c.receiver.Joined(c.now, origin(1))
+			c.receiver.StreamStarted(c.now, origin(1))
 		})
 	}
 	trouble("a receiver that starts anew", func(c *model) {
 		f := c.receiver.faults
 		c.receiver, c.newest = *NewReceiver(modelProxy, nil), 0
 		c.receiver.faults = f
-		c.receiver.Joined(c.now, origin(c.life))
+		c.receiver.StreamStarted(c.now, origin(c.life))
 	})
 	trouble("an update for another proxy", func(c *model) {
-		c.put(Whole(tableOf(map[string]float32{"z": 1}), Version{Origin: origin(c.life), Proxy: 2, Number: c.receiver.at.Number + 1}, nil))
+		c.put(Snapshot(tableOf(map[string]float32{"z": 1}), Version{Origin: origin(c.life), Proxy: 2, Number: c.receiver.at.Number + 1}, nil))
 	})
 	trouble("an update of another planner", func(c *model) {
-		c.put(Whole(tableOf(map[string]float32{"y": 1}), Version{Origin: Origin{Instance: "n9", Life: 4}, Proxy: modelProxy, Number: c.receiver.at.Number + 1}, nil))
+		c.put(Snapshot(tableOf(map[string]float32{"y": 1}), Version{Origin: Origin{Instance: "n9", Incarnation: 4}, Proxy: modelProxy, Number: c.receiver.at.Number + 1}, nil))
 	})
-	if due := m.receiver.Due(); due > 0 && m.sender.at.Number > 0 && m.receiver.asked < 4 {
+	if due := m.receiver.NextResendAt(); due > 0 && m.sender.at.Number > 0 && m.receiver.asked < 4 {
 		step("a question", func(c *model) {
 			c.now = max(c.now, due)
-			if a, asks := c.receiver.Ask(c.now); asks {
-				c.put(c.sender.Answer(a)...)
+			if a, asks := c.receiver.NextResendRequest(c.now); asks {
+				c.put(c.sender.Resend(a)...)
 			}
 		})
 	}
@@ -186,16 +186,16 @@
 			c.channel = c.channel[1:]
 			c.deliver(p)
 		}
-		c.receiver.Told(c.now, c.sender.at, c.sender.Digest())
-		if c.receiver.InStep() && c.receiver.at == c.sender.at {
+		c.receiver.HandleNotice(c.now, c.sender.at, c.sender.Digest())
+		if c.receiver.UpToDate() && c.receiver.at == c.sender.at {
 			return true
 		}
 		if round == 2 {
 			return false
 		}
-		c.now = max(c.now, c.receiver.Due())
-		if a, asks := c.receiver.Ask(c.now); asks {
-			c.put(c.sender.Answer(a)...)
+		c.now = max(c.now, c.receiver.NextResendAt())
+		if a, asks := c.receiver.NextResendRequest(c.now); asks {
+			c.put(c.sender.Resend(a)...)
 		}
 	}
 }
--- a/tables/receiver.go
+++ b/tables/receiver.go
@@ -2,12 +2,12 @@
 
 import "errors"
 
-// Ask is what a receiver wants sent again: the updates after a number, or the whole table.
-type Ask struct {
+// ResendRequest is what a receiver wants sent again: the updates after a number, or the whole table.
+type ResendRequest struct {
 	Origin
-	Proxy uint32
-	Whole bool
-	After uint64
+	Proxy    uint32
+	Snapshot bool
+	After    uint64
 }
 
 // Waits of a receiver between two asks for the same, in milliseconds. They grow, since a planner that can't answer now won't
@@ -43,9 +43,9 @@
 	return &Receiver{proxy: proxy, key: key, table: New()}
 }
 
-// Joined says that a stream to a planner's life has begun. What is held of another origin is kept in use and builds nothing:
+// StreamStarted says that a stream to a planner's life has begun. What is held of another origin is kept in use and builds nothing:
 // the first update must be whole.
-func (r *Receiver) Joined(now float64, o Origin) {
+func (r *Receiver) StreamStarted(now float64, o Origin) {
 	if r.origin != o {
 		r.origin, r.digest = o, Digest{}
 		r.at = Version{Origin: o, Proxy: r.proxy}
@@ -57,38 +57,39 @@
 // Table is what is held, and the version that it is of; number 0: of no version of the present origin.
 func (r *Receiver) Table() (Table, Version) { return r.table, r.at }
 
-// InStep says whether nothing is known to be missing.
-func (r *Receiver) InStep() bool { return !r.behind && r.at.Number > 0 }
+// UpToDate says whether nothing is known to be missing.
+func (r *Receiver) UpToDate() bool { return !r.behind && r.at.Number > 0 }
 
-// Bytes takes an update as it came. One that can't be read counts as lost.
-func (r *Receiver) Bytes(now float64, text []byte) error {
+// ApplyEncoded takes an update as it came. One that can't be read counts as lost.
+func (r *Receiver) ApplyEncoded(now float64, text []byte) error {
 	u, err := Decode(text, r.key)
 	if err != nil {
 		r.lost(now, false)
 		return err
 	}
-	return r.Update(now, u)
+	return r.Apply(now, u)
 }
 
-// Update takes an update. It is applied whole or not at all; an error says why not, and Ask what that calls for.
-func (r *Receiver) Update(now float64, u Update) error {
+// Apply takes an update. It is applied whole or not at all; an error says why not, and Ask what that calls for.
+func (r *Receiver) Apply(now float64, u Update) error {
 	switch {
 	case u.Proxy != r.proxy && !r.faults.proxy:
-		return ErrProxy
+		return ErrProxyMismatch
 	case u.Origin != r.origin && !r.faults.origin:
-		return ErrOrigin
-	case u.Number == r.at.Number && r.at.Number > 0 && u.To == r.digest: // what is held is the newest
+		return ErrOriginMismatch
+	case u.Number == r.at.Number && r.at.Number > 0 && u.ResultDigest == r.digest: // what is held is the newest
 		r.behind, r.whole, r.asked = false, false, 0
 		return nil
 	case u.Number <= r.at.Number && !r.faults.old:
-		return ErrOld
-	case !u.Whole && !r.faults.base && (u.Base != r.at.Number || u.From != r.digest || r.at.Number == 0 || u.Number != u.Base+1):
+		return ErrStale
+	case !u.Snapshot && !r.faults.base && (u.Base != r.at.Number || u.BaseDigest != r.digest || r.at.Number == 0 ||
+		u.Number != u.Base+1):
 		r.lost(now, u.Base == r.at.Number) // the same number and another table: nothing can build on that
-		return ErrGap
+		return ErrMissingBase
 	}
 	next, err := u.apply(r.table, r.key)
-	if errors.Is(err, ErrDigest) && r.faults.digest {
-		if next, err = u.unchecked(r.table), nil; u.Whole {
+	if errors.Is(err, ErrDigestMismatch) && r.faults.digest {
+		if next, err = u.unchecked(r.table), nil; u.Snapshot {
 			next = u.unchecked(New())
 		}
 	}
@@ -96,7 +97,7 @@
 		r.lost(now, true)
 		return err
 	}
-	r.table, r.at, r.digest = next, u.Version, u.To
+	r.table, r.at, r.digest = next, u.Version, u.ResultDigest
 	r.behind, r.whole, r.asked = false, false, 0
 	return nil
 }
@@ -112,9 +113,9 @@
 	return t
 }
 
-// Told is a planner's word, without an update, on which version it has sent last. It tells a receiver of a loss that no later
+// HandleNotice is a planner's word, without an update, on which version it has sent last. It tells a receiver of a loss that no later
 // update would, or that nothing is missing.
-func (r *Receiver) Told(now float64, v Version, d Digest) {
+func (r *Receiver) HandleNotice(now float64, v Version, d Digest) {
 	switch {
 	case v.Origin != r.origin || v.Proxy != r.proxy || v.Number < r.at.Number || v.Number == 0:
 	case v.Number == r.at.Number && d == r.digest:
@@ -132,10 +133,10 @@
 	r.whole = r.whole || whole || r.at.Number == 0
 }
 
-// Ask is what to ask for now, if anything: missing updates first, the whole table if those don't help.
-func (r *Receiver) Ask(now float64) (Ask, bool) {
+// NextResendRequest is what to ask for now, if anything: missing updates first, the whole table if those don't help.
+func (r *Receiver) NextResendRequest(now float64) (ResendRequest, bool) {
 	if !r.behind || now < r.next || r.origin == (Origin{}) {
-		return Ask{}, false
+		return ResendRequest{}, false
 	}
 	wait := firstResend
 	for range r.asked {
@@ -143,11 +144,12 @@
 	}
 	r.asked++
 	r.next = now + wait
-	return Ask{Origin: r.origin, Proxy: r.proxy, Whole: r.whole || r.asked > maxDeltaAttempts, After: r.at.Number}, true
+	return ResendRequest{Origin: r.origin, Proxy: r.proxy, Snapshot: r.whole || r.asked > maxDeltaAttempts,
+		After: r.at.Number}, true
 }
 
-// Due is when Ask is worth a call next; 0: not before something comes.
-func (r *Receiver) Due() float64 {
+// NextResendAt is when Ask is worth a call next; 0: not before something comes.
+func (r *Receiver) NextResendAt() float64 {
 	if !r.behind {
 		return 0
 	}
--- a/tables/sender.go
+++ b/tables/sender.go
@@ -41,28 +41,28 @@
 	s.table = t.Clone()
 	if whole || s.at.Number == 1 {
 		s.history = nil
-		return Whole(s.table, s.at, s.key), nil
+		return Snapshot(s.table, s.at, s.key), nil
 	}
-	u := Between(before, s.table, s.at, s.key)
+	u := Delta(before, s.table, s.at, s.key)
 	if s.history = append(s.history, u); len(s.history) > maxHistory {
 		s.history = s.history[1:]
 	}
 	return u, nil
 }
 
-// NoticeAfter is how long after its last update a receiver should be told which version that was, in milliseconds: a loss that
+// NoticeDelayMS is how long after its last update a receiver should be told which version that was, in milliseconds: a loss that
 // no later update shows is noticed by that. Once is enough for a quiet while; a notice that is lost waits for the next update.
-const NoticeAfter = 1000.0
+const NoticeDelayMS = 1000.0
 
-// Answer is what an ask calls for: the updates after a number if they are still kept, and otherwise, or if they would be
+// Resend is what an ask calls for: the updates after a number if they are still kept, and otherwise, or if they would be
 // larger, the whole table. One of another origin or proxy, or of a number that was never sent, gets the whole table if it is
 // this proxy's, and nothing if it isn't, or if nothing is missing.
-func (s *Sender) Answer(a Ask) []Update {
+func (s *Sender) Resend(a ResendRequest) []Update {
 	if a.Proxy != s.at.Proxy || s.at.Number == 0 {
 		return nil
 	}
-	whole := []Update{Whole(s.table, s.at, s.key)}
-	if a.Whole || a.Origin != s.at.Origin || a.After > s.at.Number {
+	whole := []Update{Snapshot(s.table, s.at, s.key)}
+	if a.Snapshot || a.Origin != s.at.Origin || a.After > s.at.Number {
 		return whole
 	}
 	lines, missing := 0, s.at.Number-a.After
@@ -84,8 +84,8 @@
 
 // Lines is what an update counts in the planner's channel, its head left aside, as orders do.
 func (u Update) Lines() int {
-	n := len(u.Weights) + len(u.Shut) + len(u.Open) + len(u.Gates) + len(u.NoGates) + 1 // its number is to be answered
-	if u.Whole {
+	n := len(u.Weights) + len(u.Excluded) + len(u.Readmitted) + len(u.Gates) + len(u.RemovedGates) + 1 // its acknowledgement
+	if u.Snapshot {
 		n++
 	}
 	return n
--- a/tables/table.go
+++ b/tables/table.go
@@ -15,8 +15,8 @@
 
 // Origin says whose versions they are: those of one life of one planner. Versions of different origins are never mixed.
 type Origin struct {
-	Instance string
-	Life     uint64 // drawn at each start
+	Instance    string
+	Incarnation uint64 // drawn at each start
 }
 
 // Version names a table: the nth that an origin has sent to a proxy. Numbers begin with 1; 0 is no table.
@@ -34,19 +34,19 @@
 
 // Table is what a proxy holds.
 type Table struct {
-	Weights map[string]float32 // by server; none is 0
-	Shut    map[string]bool
-	Gates   map[string]Gate // by class
+	Weights  map[string]float32 // by server; none is 0
+	Excluded map[string]bool
+	Gates    map[string]Gate // by class
 }
 
 // New returns a table that holds nothing.
 func New() Table {
-	return Table{Weights: map[string]float32{}, Shut: map[string]bool{}, Gates: map[string]Gate{}}
+	return Table{Weights: map[string]float32{}, Excluded: map[string]bool{}, Gates: map[string]Gate{}}
 }
 
 // Clone is a copy that shares nothing.
 func (t Table) Clone() Table {
-	return Table{Weights: maps.Clone(t.Weights), Shut: maps.Clone(t.Shut), Gates: maps.Clone(t.Gates)}
+	return Table{Weights: maps.Clone(t.Weights), Excluded: maps.Clone(t.Excluded), Gates: maps.Clone(t.Gates)}
 }
 
 // Digest tells tables of versions apart. It covers the version, so that the same table under another number, of another
@@ -60,15 +60,15 @@
 // canonical is the one form of a table: every part sorted, every text with its length, so that no two tables share it.
 func (t Table) canonical(v Version) []byte {
 	out := text(nil, v.Instance)
-	out = binary.BigEndian.AppendUint64(out, v.Life)
+	out = binary.BigEndian.AppendUint64(out, v.Incarnation)
 	out = binary.BigEndian.AppendUint32(out, v.Proxy)
 	out = binary.BigEndian.AppendUint64(out, v.Number)
 	out = binary.BigEndian.AppendUint32(out, uint32(len(t.Weights)))
 	for _, name := range slices.Sorted(maps.Keys(t.Weights)) {
 		out = binary.BigEndian.AppendUint32(text(out, name), math.Float32bits(t.Weights[name]))
 	}
-	out = binary.BigEndian.AppendUint32(out, uint32(len(t.Shut)))
-	for _, name := range slices.Sorted(maps.Keys(t.Shut)) {
+	out = binary.BigEndian.AppendUint32(out, uint32(len(t.Excluded)))
+	for _, name := range slices.Sorted(maps.Keys(t.Excluded)) {
 		out = text(out, name)
 	}
 	out = binary.BigEndian.AppendUint32(out, uint32(len(t.Gates)))
@@ -106,5 +106,5 @@
 
 // Equal says whether two tables are the same.
 func (t Table) Equal(o Table) bool {
-	return maps.Equal(t.Weights, o.Weights) && maps.Equal(t.Shut, o.Shut) && maps.Equal(t.Gates, o.Gates)
+	return maps.Equal(t.Weights, o.Weights) && maps.Equal(t.Excluded, o.Excluded) && maps.Equal(t.Gates, o.Gates)
 }
--- a/tables/wire.go
+++ b/tables/wire.go
@@ -30,14 +30,14 @@
 	fieldSeal // of all bytes before it; always last
 )
 
-// MaxUpdate is the most bytes that an update may have.
-const MaxUpdate = 1 << 20
+// MaxUpdateBytes is the most bytes that an update may have.
+const MaxUpdateBytes = 1 << 20
 
 // The errors of an update that can't be read.
 var (
-	ErrLong   = errors.New("an update over 1 MiB")
-	ErrForm   = errors.New("bytes that are no update")
-	ErrSealed = errors.New("bytes that differ from those sent")
+	ErrTooLarge  = errors.New("an update over 1 MiB")
+	ErrMalformed = errors.New("bytes that are no update")
+	ErrChecksum  = errors.New("bytes that differ from those sent")
 )
 
 // Append writes an update, sealed by a digest over its bytes: so a flipped bit is noticed before anything is believed,
@@ -51,20 +51,20 @@
 		out = protowire.AppendVarint(protowire.AppendTag(out, n, protowire.VarintType), x)
 	}
 	bytes(fieldInstance, []byte(u.Instance))
-	number(fieldIncarnation, u.Life)
+	number(fieldIncarnation, u.Incarnation)
 	number(fieldProxy, uint64(u.Proxy))
 	number(fieldNumber, u.Number)
-	number(fieldSnapshot, protowire.EncodeBool(u.Whole))
+	number(fieldSnapshot, protowire.EncodeBool(u.Snapshot))
 	number(fieldBase, u.Base)
-	bytes(fieldFrom, u.From[:])
-	bytes(fieldTo, u.To[:])
+	bytes(fieldFrom, u.BaseDigest[:])
+	bytes(fieldTo, u.ResultDigest[:])
 	for _, name := range slices.Sorted(maps.Keys(u.Weights)) {
 		bytes(fieldWeight, protowire.AppendFixed32(protowire.AppendBytes(nil, []byte(name)), math.Float32bits(u.Weights[name])))
 	}
 	for _, list := range []struct {
 		n     protowire.Number
 		names []string
-	}{{fieldShut, u.Shut}, {fieldOpen, u.Open}, {fieldNoGate, u.NoGates}} {
+	}{{fieldShut, u.Excluded}, {fieldOpen, u.Readmitted}, {fieldNoGate, u.RemovedGates}} {
 		for _, name := range slices.Sorted(slices.Values(list.names)) {
 			bytes(list.n, []byte(name))
 		}
@@ -81,46 +81,46 @@
 
 // Decode reads an update. Nothing of it is believed unless its seal holds.
 func Decode(text []byte, key Key) (u Update, err error) {
-	if len(text) > MaxUpdate {
-		return Update{}, ErrLong
+	if len(text) > MaxUpdateBytes {
+		return Update{}, ErrTooLarge
 	}
 	const sealSize = 2 + len(Digest{}) // tag and length take a byte each
 	if len(text) < sealSize {
-		return Update{}, ErrForm
+		return Update{}, ErrMalformed
 	}
 	body, tail := text[:len(text)-sealSize], text[len(text)-sealSize:]
 	n, kind, size := protowire.ConsumeTag(tail)
 	seal, rest := protowire.ConsumeBytes(tail[max(0, size):])
 	if n != fieldSeal || kind != protowire.BytesType || rest < 0 || len(seal) != len(Digest{}) {
-		return Update{}, ErrForm
+		return Update{}, ErrMalformed
 	}
 	if want := sum(body, key); subtle.ConstantTimeCompare(seal, want[:]) == 0 {
-		return Update{}, ErrSealed
+		return Update{}, ErrChecksum
 	}
 	u = Update{Weights: map[string]float32{}, Gates: map[string]Gate{}}
 	for len(body) > 0 {
 		n, kind, size := protowire.ConsumeTag(body)
 		if size < 0 {
-			return Update{}, ErrForm
+			return Update{}, ErrMalformed
 		}
 		body = body[size:]
 		switch kind {
 		case protowire.VarintType:
 			x, size := protowire.ConsumeVarint(body)
 			if size < 0 {
-				return Update{}, ErrForm
+				return Update{}, ErrMalformed
 			}
 			body = body[size:]
 			err = u.number(n, x)
 		case protowire.BytesType:
 			b, size := protowire.ConsumeBytes(body)
 			if size < 0 {
-				return Update{}, ErrForm
+				return Update{}, ErrMalformed
 			}
 			body = body[size:]
 			err = u.bytes(n, b)
 		default:
-			err = ErrForm
+			err = ErrMalformed
 		}
 		if err != nil {
 			return Update{}, err
@@ -132,19 +132,19 @@
 func (u *Update) number(n protowire.Number, x uint64) error {
 	switch n {
 	case fieldIncarnation:
-		u.Life = x
+		u.Incarnation = x
 	case fieldProxy:
 		if u.Proxy = uint32(x); uint64(u.Proxy) != x {
-			return ErrForm
+			return ErrMalformed
 		}
 	case fieldNumber:
 		u.Number = x
 	case fieldSnapshot:
-		u.Whole = protowire.DecodeBool(x)
+		u.Snapshot = protowire.DecodeBool(x)
 	case fieldBase:
 		u.Base = x
 	default:
-		return fmt.Errorf("%w: field %d", ErrForm, n)
+		return fmt.Errorf("%w: field %d", ErrMalformed, n)
 	}
 	return nil
 }
@@ -155,21 +155,21 @@
 		u.Instance = string(b)
 	case fieldFrom, fieldTo:
 		if len(b) != len(Digest{}) {
-			return ErrForm
+			return ErrMalformed
 		}
 		if n == fieldFrom {
-			u.From = Digest(b)
+			u.BaseDigest = Digest(b)
 		} else {
-			u.To = Digest(b)
+			u.ResultDigest = Digest(b)
 		}
 	case fieldWeight, fieldGate:
 		name, size := protowire.ConsumeBytes(b)
 		if size < 0 {
-			return ErrForm
+			return ErrMalformed
 		}
 		bits, more := protowire.ConsumeFixed32(b[size:])
 		if more < 0 {
-			return ErrForm
+			return ErrMalformed
 		}
 		switch rest := b[size+more:]; {
 		case n == fieldWeight && len(rest) == 0:
@@ -177,16 +177,16 @@
 		case n == fieldGate && len(rest) == 1:
 			u.Gates[string(name)] = Gate{math.Float32frombits(bits), rest[0]}
 		default:
-			return ErrForm
+			return ErrMalformed
 		}
 	case fieldShut:
-		u.Shut = append(u.Shut, string(b))
+		u.Excluded = append(u.Excluded, string(b))
 	case fieldOpen:
-		u.Open = append(u.Open, string(b))
+		u.Readmitted = append(u.Readmitted, string(b))
 	case fieldNoGate:
-		u.NoGates = append(u.NoGates, string(b))
+		u.RemovedGates = append(u.RemovedGates, string(b))
 	default:
-		return fmt.Errorf("%w: field %d", ErrForm, n)
+		return fmt.Errorf("%w: field %d", ErrMalformed, n)
 	}
 	return nil
 }
--- a/tables/wire_test.go
+++ b/tables/wire_test.go
@@ -27,7 +27,7 @@
 func TestFlippedBits(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 18))
 	for _, key := range []Key{nil, Key("a group's key")} {
-		small := Between(large(3), large(4), someVersion, key).Append(nil, key)
+		small := Delta(large(3), large(4), someVersion, key).Append(nil, key)
 		for bit := range 8 * len(small) {
 			small[bit/8] ^= 1 << (bit % 8)
 			if u, err := Decode(small, key); err == nil {
@@ -40,7 +40,7 @@
 				t.Fatalf("cut at %d of %d: read", cut, len(small))
 			}
 		}
-		big := Whole(large(2000), someVersion, key).Append(nil, key)
+		big := Snapshot(large(2000), someVersion, key).Append(nil, key)
 		for range 300 {
 			bit := rng.IntN(8 * len(big))
 			big[bit/8] ^= 1 << (bit % 8)
@@ -58,12 +58,12 @@
 // TestForgedUpdates: who can compute the plain digest can make an update that passes for an accident's absence; with a key
 // it is refused, and so is one made with another key, or a plain one where a key is wanted.
 func TestForgedUpdates(t *testing.T) {
-	forged := Whole(tableOf(map[string]float32{"evil": 1}), someVersion, nil).Append(nil, nil)
+	forged := Snapshot(tableOf(map[string]float32{"evil": 1}), someVersion, nil).Append(nil, nil)
 	if _, err := Decode(forged, nil); err != nil {
 		t.Errorf("a plain digest is no proof of who made it, and yet: %v", err)
 	}
-	for _, text := range [][]byte{forged, Whole(tableOf(map[string]float32{"evil": 1}), someVersion, Key("guess")).Append(nil, Key("guess"))} {
-		if _, err := Decode(text, Key("secret")); !errors.Is(err, ErrSealed) {
+	for _, text := range [][]byte{forged, Snapshot(tableOf(map[string]float32{"evil": 1}), someVersion, Key("guess")).Append(nil, Key("guess"))} {
+		if _, err := Decode(text, Key("secret")); !errors.Is(err, ErrChecksum) {
 			t.Errorf("%v; want ErrSealed", err)
 		}
 	}
@@ -78,14 +78,14 @@
 			return // nobody's
 		}
 		s, r, now := NewSender(o, 3, key), NewReceiver(3, key), 0.0
-		r.Joined(now, o)
+		r.StreamStarted(now, o)
 		for range rapid.IntRange(1, 12).Draw(t, "tables") {
 			next := New()
 			for range rapid.IntRange(0, 5).Draw(t, "servers") {
 				next.Weights[rapid.StringN(0, 5, -1).Draw(t, "server")] = float32(rapid.Float64Range(1e-9, 1e6).Draw(t, "weight"))
 			}
 			for range rapid.IntRange(0, 2).Draw(t, "shut") {
-				next.Shut[rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")] = true
+				next.Excluded[rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")] = true
 			}
 			if rapid.Bool().Draw(t, "gated") {
 				next.Gates["view"] = Gate{float32(rapid.Float64Range(0, 1).Draw(t, "level")), 1}
@@ -100,28 +100,28 @@
 				continue
 			case 1: // spoilt
 				text[rapid.IntRange(0, len(text)-1).Draw(t, "at")] ^= 0x40
-				if r.Bytes(now, text) == nil {
+				if r.ApplyEncoded(now, text) == nil {
 					t.Fatal("a spoilt update is taken")
 				}
 				continue
 			}
 			before, at := r.Table()
-			if err := r.Bytes(now, text); err != nil {
+			if err := r.ApplyEncoded(now, text); err != nil {
 				if after, still := r.Table(); still != at || !after.Equal(before) {
 					t.Fatalf("an update that was refused (%v) changed the table", err)
 				}
 			}
 		}
-		r.Told(now, s.at, s.Digest())
+		r.HandleNotice(now, s.at, s.Digest())
 		for range 4 {
-			now = max(now, r.Due())
-			if a, asks := r.Ask(now); asks {
-				for _, u := range s.Answer(a) {
-					r.Bytes(now, u.Append(nil, key))
+			now = max(now, r.NextResendAt())
+			if a, asks := r.NextResendRequest(now); asks {
+				for _, u := range s.Resend(a) {
+					r.ApplyEncoded(now, u.Append(nil, key))
 				}
 			}
 		}
-		if held, at := r.Table(); at != s.at || !held.Equal(s.table) || !r.InStep() {
+		if held, at := r.Table(); at != s.at || !held.Equal(s.table) || !r.UpToDate() {
 			t.Fatalf("holds %+v as %v, sent %+v as %v", held, at, s.table, s.at)
 		}
 	})
@@ -130,14 +130,14 @@
 // TestQuestionsGrowApart guards against a receiver that floods a planner which can't answer, and one that gives up.
 func TestQuestionsGrowApart(t *testing.T) {
 	r := NewReceiver(1, nil)
-	r.Joined(0, origin(0))
+	r.StreamStarted(0, origin(0))
 	r.at.Number, r.behind, r.whole = 4, false, false
 	r.lost(0, false)
 	var at []float64
 	wholes := 0
 	for now := 0.0; now < 600000; now += 50 {
-		if a, asks := r.Ask(now); asks {
-			if at = append(at, now); a.Whole {
+		if a, asks := r.NextResendRequest(now); asks {
+			if at = append(at, now); a.Snapshot {
 				wholes++
 			}
 		}
@@ -164,7 +164,7 @@
 // TestAnswers: missing updates while they are kept and smaller than the table, else the whole; nothing to another proxy.
 func TestAnswers(t *testing.T) {
 	s := NewSender(origin(0), 1, nil)
-	if got := s.Answer(Ask{Origin: origin(0), Proxy: 1}); got != nil {
+	if got := s.Resend(ResendRequest{Origin: origin(0), Proxy: 1}); got != nil {
 		t.Errorf("before any version: %v", got)
 	}
 	for i := range 40 {
@@ -173,37 +173,37 @@
 		s.Next(table, false)
 	}
 	for what, tc := range map[string]struct {
-		ask   Ask
+		ask   ResendRequest
 		n     int
 		whole bool
 	}{
-		"three missing":      {Ask{Origin: origin(0), Proxy: 1, After: 37}, 3, false},
-		"older than is kept": {Ask{Origin: origin(0), Proxy: 1, After: 3}, 1, true},
-		"none missing":       {Ask{Origin: origin(0), Proxy: 1, After: 40}, 0, false},
-		"never sent":         {Ask{Origin: origin(0), Proxy: 1, After: 99}, 1, true},
-		"of another life":    {Ask{Origin: origin(1), Proxy: 1, After: 39}, 1, true},
-		"wants all":          {Ask{Origin: origin(0), Proxy: 1, After: 39, Whole: true}, 1, true},
-		"dearer than all":    {Ask{Origin: origin(0), Proxy: 1, After: 10}, 1, true},
-		"of another proxy":   {Ask{Origin: origin(0), Proxy: 2, After: 39}, 0, false},
+		"three missing":      {ResendRequest{Origin: origin(0), Proxy: 1, After: 37}, 3, false},
+		"older than is kept": {ResendRequest{Origin: origin(0), Proxy: 1, After: 3}, 1, true},
+		"none missing":       {ResendRequest{Origin: origin(0), Proxy: 1, After: 40}, 0, false},
+		"never sent":         {ResendRequest{Origin: origin(0), Proxy: 1, After: 99}, 1, true},
+		"of another life":    {ResendRequest{Origin: origin(1), Proxy: 1, After: 39}, 1, true},
+		"wants all":          {ResendRequest{Origin: origin(0), Proxy: 1, After: 39, Snapshot: true}, 1, true},
+		"dearer than all":    {ResendRequest{Origin: origin(0), Proxy: 1, After: 10}, 1, true},
+		"of another proxy":   {ResendRequest{Origin: origin(0), Proxy: 2, After: 39}, 0, false},
 	} {
-		got := s.Answer(tc.ask)
-		if len(got) != tc.n || len(got) > 0 && got[0].Whole != tc.whole {
+		got := s.Resend(tc.ask)
+		if len(got) != tc.n || len(got) > 0 && got[0].Snapshot != tc.whole {
 			t.Errorf("%s: %d updates, want %d, whole %t", what, len(got), tc.n, tc.whole)
 		}
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(Whole(large(3), someVersion, nil).Append(nil, nil))
-	f.Add(Between(large(3), large(5), someVersion, nil).Append(nil, nil))
+	f.Add(Snapshot(large(3), someVersion, nil).Append(nil, nil))
+	f.Add(Delta(large(3), large(5), someVersion, nil).Append(nil, nil))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		u, err := Decode(text, nil)
 		if err != nil {
 			return
 		}
 		r := NewReceiver(u.Proxy, nil)
-		r.Joined(0, u.Origin)
-		r.Update(0, u)
+		r.StreamStarted(0, u.Origin)
+		r.Apply(0, u)
 	})
 }
 
@@ -212,7 +212,7 @@
 	for _, key := range []Key{nil, Key("a group's key")} {
 		b.Run(map[bool]string{true: "keyed", false: "plain"}[len(key) > 0], func(b *testing.B) {
 			s, r := NewSender(origin(0), 1, key), NewReceiver(1, key)
-			r.Joined(0, origin(0))
+			r.StreamStarted(0, origin(0))
 			table, bytes := large(30), 0
 			for i := 0; b.Loop(); i++ {
 				table.Weights["s-000003"] = float32(i%100 + 1)
@@ -221,12 +221,12 @@
 					b.Fatal(err)
 				}
 				text := u.Append(nil, key)
-				if bytes += len(text); r.Bytes(0, text) != nil {
+				if bytes += len(text); r.ApplyEncoded(0, text) != nil {
 					b.Fatal("refused")
 				}
 			}
 			b.ReportMetric(float64(bytes)/float64(b.N), "bytes/change")
-			b.ReportMetric(float64(len(Whole(table, s.at, key).Append(nil, key))), "bytes/whole")
+			b.ReportMetric(float64(len(Snapshot(table, s.at, key).Append(nil, key))), "bytes/whole")
 		})
 	}
 }
