--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -100,10 +100,10 @@
 
 // Limits bound what clients may send and how long they may take. 0 leaves a limit to the edge.
 type Limits struct {
-	HeaderBytes int     `json:"max_header_bytes"`
-	BodyBytes   int64   `json:"max_body_bytes"`
-	HeaderWait  float64 `json:"header_wait_s"` // seconds for a header, from its first byte
-	Idle        float64 `json:"idle_s"`        // seconds that a connection may be idle
+	MaxHeaderBytes int     `json:"max_header_bytes"`
+	MaxBodyBytes   int64   `json:"max_body_bytes"`
+	HeaderTimeout  float64 `json:"header_wait_s"` // seconds for a header, from its first byte
+	IdleTimeout    float64 `json:"idle_s"`        // seconds that a connection may be idle
 }
 
 // Config is one complete configuration. It is not changed once it is made.
--- a/internal/edge/attempt/attempt.go
+++ b/internal/edge/attempt/attempt.go
@@ -10,8 +10,8 @@
 	Connected                  // there is one, and no byte of the request was written
 	Sending                    // the first byte was written, so the server may have any part
 	Sent                       // all of the request was written
-	Head                       // the response's head has begun
-	Body                       // the head belongs to this attempt, and the body is being read
+	ReadingHeader              // the response's head has begun
+	ReadingBody                // the head belongs to this attempt, and the body is being read
 	StreamingBody              // the beginning of a long body was handed on to the client
 	Done
 )
@@ -28,9 +28,9 @@
 const (
 	ConnectStarted   Event = iota
 	ConnectionReady        // an idle one was found, or a new one made
-	FirstByte              // the first byte of the request is being written
-	LastByte               // and the last one was
-	ResponseBegins         // the first byte of a response came
+	SendStarted            // the first byte of the request is being written
+	SendCompleted          // and the last one was
+	ResponseStarted        // the first byte of a response came
 	ConnectionClosed       // it was closed or reset, could not be made, or brought what is no response
 	DeadlineExceeded
 	ServerDraining
@@ -48,7 +48,7 @@
 func (a *Attempt) Handle(e Event) {
 	switch {
 	case a.State == Done:
-	case e <= ResponseBegins:
+	case e <= ResponseStarted:
 		a.advance(e)
 	case e == ServerDraining && a.State > Connected: // what is in flight goes on
 	default:
@@ -60,9 +60,9 @@
 var reached = [...]State{
 	ConnectStarted:  Connecting,
 	ConnectionReady: Connected,
-	FirstByte:       Sending,
-	LastByte:        Sent,
-	ResponseBegins:  Head,
+	SendStarted:     Sending,
+	SendCompleted:   Sent,
+	ResponseStarted: ReadingHeader,
 }
 
 func (a *Attempt) advance(e Event) { a.State = max(a.State, reached[e]) }
@@ -77,36 +77,36 @@
 	case a.State >= Sending && e == DeadlineExceeded:
 		return ResponseTimeout
 	case a.State >= Sending && e == ClientClosed:
-		return ClientStopped
-	case a.State == Body:
+		return ClientAborted
+	case a.State == ReadingBody:
 		return BodyTruncated
 	case a.State >= Sending:
-		return BrokenOff
+		return ConnectionBroken
 	case e == ServerDraining:
-		return ServerLeft
+		return DrainedBeforeSend
 	case a.State == Connected:
-		return Unsent
+		return ClosedBeforeSend
 	default:
 		return NoConnection
 	}
 }
 
-// HandleHead takes a response whose head has been read. It reports whether the body is worth reading.
-func (a *Attempt) HandleHead(r Response) bool {
+// HandleHeader takes a response whose head has been read. It reports whether the body is worth reading.
+func (a *Attempt) HandleHeader(r Response) bool {
 	if a.State == Done {
 		return false
 	}
-	if cause, ok := r.HeadCause(); !ok {
+	if cause, ok := r.HeaderCause(); !ok {
 		a.finish(cause)
 		return false
 	}
-	a.State = Body
+	a.State = ReadingBody
 	return true
 }
 
 // HandleBody takes a response whose body has been read as far as it is buffered.
 func (a *Attempt) HandleBody(r Response) {
-	if a.State != Body {
+	if a.State != ReadingBody {
 		return
 	}
 	if cause := r.Cause(); cause != Streaming {
@@ -116,8 +116,8 @@
 	a.State, a.Cause = StreamingBody, Streaming
 }
 
-// HandleStreamed takes the end of a long response, of which the client took all.
-func (a *Attempt) HandleStreamed() {
+// HandleStreamEnd takes the end of a long response, of which the client took all.
+func (a *Attempt) HandleStreamEnd() {
 	if a.State == StreamingBody {
 		a.finish(Streamed)
 	}
--- a/internal/edge/attempt/attempt_test.go
+++ b/internal/edge/attempt/attempt_test.go
@@ -14,14 +14,14 @@
 	g := NewWithT(t)
 	for n := range 1 << 10 {
 		bit := func(i int) bool { return n>>i&1 == 1 }
-		a := attempt.Response{Received: bit(0), OwnID: bit(1), Delimited: bit(2), Complete: bit(3), NotRun: bit(4), Success: bit(5), Sealed: bit(6),
-			Partial: bit(7), Switched: bit(8), Encoded: bit(9)}
+		a := attempt.Response{Received: bit(0), IDMatches: bit(1), Delimited: bit(2), Complete: bit(3), NotRun: bit(4), Success: bit(5), Sealed: bit(6),
+			Oversized: bit(7), ProtocolSwitched: bit(8), UnexpectedEncoding: bit(9)}
 		for _, status := range []int{0, 200, 404, 408, 421, 429, 500, 503} {
 			a.Status = status
-			believed := a.Received && a.OwnID && a.Delimited && a.Complete && !a.Switched && !a.Encoded
+			believed := a.Received && a.IDMatches && a.Delimited && a.Complete && !a.ProtocolSwitched && !a.UnexpectedEncoding
 			row := a.Cause().Consequence()
 			g.Expect(a.Outcome()).To(Equal(row.Outcome))
-			g.Expect(row.Outcome == attempt.NotRun).To(Equal(believed && a.NotRun && !a.Success && !a.Partial), "%+v", a)
+			g.Expect(row.Outcome == attempt.NotRun).To(Equal(believed && a.NotRun && !a.Success && !a.Oversized), "%+v", a)
 			g.Expect(row.Outcome == attempt.Ran).To(Equal(believed && !a.NotRun && (!a.Success || a.Sealed) && !attempt.PromisesNotRun(status)), "%+v", a)
 			g.Expect(row.Outcome).NotTo(Equal(attempt.NotSent))
 		}
@@ -47,19 +47,19 @@
 // after a whole answer, and a try that is over stays so.
 func TestEveryAttempt(t *testing.T) {
 	g := NewWithT(t)
-	whole := attempt.Response{Received: true, OwnID: true, Delimited: true, Complete: true, Success: true, Sealed: true, Status: 200}
-	away := attempt.Response{Received: true, OwnID: true, Delimited: true, Complete: true, NotRun: true, Status: 503}
+	whole := attempt.Response{Received: true, IDMatches: true, Delimited: true, Complete: true, Success: true, Sealed: true, Status: 200}
+	away := attempt.Response{Received: true, IDMatches: true, Delimited: true, Complete: true, NotRun: true, Status: 503}
 	long, foreign, cut := whole, whole, whole
-	long.Partial, foreign.OwnID, cut.Complete = true, false, false
+	long.Oversized, foreign.IDMatches, cut.Complete = true, false, false
 	ways := 0
 	var walk func(try attempt.Attempt, depth int, written, answered bool, last attempt.Response)
 	walk = func(try attempt.Attempt, depth int, written, answered bool, last attempt.Response) {
 		ways++
 		if try.State == attempt.Done {
 			row := try.Cause.Consequence()
-			byWord := answered && last.NotRun && last.OwnID && last.Complete
+			byWord := answered && last.NotRun && last.IDMatches && last.Complete
 			g.Expect(row.Disposition == attempt.SafeRefusal && written && !byWord).To(BeFalse(), "%s is promised after a byte was written", try.Cause)
-			g.Expect(row.ReuseConn && !(answered && last.OwnID && last.Complete)).To(BeFalse(), "%s keeps the connection", try.Cause)
+			g.Expect(row.ReuseConn && !(answered && last.IDMatches && last.Complete)).To(BeFalse(), "%s keeps the connection", try.Cause)
 		}
 		if depth == 0 {
 			return
@@ -71,18 +71,18 @@
 			if try.State == attempt.Done {
 				g.Expect(next).To(Equal(try))
 			}
-			walk(next, depth-1, written || e >= attempt.FirstByte && e <= attempt.ResponseBegins && try.State != attempt.Done, answered, last)
+			walk(next, depth-1, written || e >= attempt.SendStarted && e <= attempt.ResponseStarted && try.State != attempt.Done, answered, last)
 		}
-		if try.State < attempt.Sending || try.State > attempt.Head {
+		if try.State < attempt.Sending || try.State > attempt.ReadingHeader {
 			return
 		}
 		for _, a := range []attempt.Response{whole, away, long, foreign, cut} {
 			next := try
-			if next.HandleHead(a) {
+			if next.HandleHeader(a) {
 				next.HandleBody(a)
 			}
 			walk(next, depth-1, true, true, a)
-			next.HandleStreamed()
+			next.HandleStreamEnd()
 			walk(next, depth-1, true, true, a)
 		}
 	}
@@ -98,8 +98,8 @@
 	ways := 0
 	walk = func(a attempt.Retries, ran, paid int) {
 		ways++
-		g.Expect(a.Sent).To(BeNumerically("<=", a.MaxSent))
-		g.Expect(max(0, a.Sent-1)).To(BeNumerically("<=", paid))
+		g.Expect(a.SentAttempts).To(BeNumerically("<=", a.MaxServers))
+		g.Expect(max(0, a.SentAttempts-1)).To(BeNumerically("<=", paid))
 		if a.Attempts == 5 {
 			return
 		}
@@ -126,7 +126,7 @@
 	}
 	for _, safe := range []bool{true, false} {
 		for most := 1; most <= 3; most++ {
-			walk(attempt.Retries{Safe: safe, MaxSent: most}, 0, 0)
+			walk(attempt.Retries{Safe: safe, MaxServers: most}, 0, 0)
 		}
 	}
 	g.Expect(ways).To(BeNumerically(">", 500))
@@ -137,7 +137,7 @@
 	g := NewWithT(t)
 	for _, first := range attempt.Causes() {
 		for _, second := range attempt.Causes() {
-			a := attempt.Retries{Safe: true, MaxSent: 3}
+			a := attempt.Retries{Safe: true, MaxServers: 3}
 			a.AfterAttempt(first, true)
 			a.AfterAttempt(second, true)
 			ran := first.Consequence().Outcome == attempt.Ran || first.Consequence().Outcome == attempt.Unknown
--- a/internal/edge/attempt/consequences.go
+++ b/internal/edge/attempt/consequences.go
@@ -57,32 +57,32 @@
 
 // The causes, in the order of the states of an attempt.
 const (
-	NoCapacity         Cause = iota // no server was chosen: none has a free slot
-	NoTime                          // none was chosen: the deadline is too near
-	ClientLeft                      // none was chosen: the client has left
-	NoConnection                    // no connection could be made
-	ServerLeft                      // the server began to drain before the first byte
-	Unsent                          // the connection ended before the first byte
-	ResponseTimeout                 // the deadline passed after the first byte
-	BrokenOff                       // the connection ended, or brought bytes that are no response, before a complete head
-	ClientStopped                   // the client left after the first byte, or its body ended early
-	Foreign                         // the response has another attempt's id, none, or several
-	Switched                        // the response changes the protocol
-	Endless                         // the response doesn't tell its own end
-	Encoded                         // the response's body has a content coding that was not asked for
-	Unproven                        // a status that promises, without the server's word that nothing ran
-	Contradictory                   // a success that says that nothing ran
-	Unsealed                        // a success without a seal
-	Lengthy                         // the server turns the request away at length
-	BodyTruncated                   // the response's body ended early, and nothing of it was forwarded
-	TurnedAway                      // the server says that it did not run the request
-	WrongServer                     // another server has the address: it did not run the request
-	Answered                        // a complete response
-	Failed                          // a complete response that is the server's own failure
-	Streaming                       // a long response, whose beginning is buffered and which is forwarded as it comes
-	Streamed                        // a long response came up to its end and was forwarded
-	StreamTruncated                 // a long response ended early after its beginning was forwarded
-	ClientDisconnected              // the client took no more of a long response
+	NoCapacity            Cause = iota // no server was chosen: none has a free slot
+	DeadlineTooNear                    // none was chosen: the deadline is too near
+	ClientLeft                         // none was chosen: the client has left
+	NoConnection                       // no connection could be made
+	DrainedBeforeSend                  // the server began to drain before the first byte
+	ClosedBeforeSend                   // the connection ended before the first byte
+	ResponseTimeout                    // the deadline passed after the first byte
+	ConnectionBroken                   // the connection ended, or brought bytes that are no response, before a complete head
+	ClientAborted                      // the client left after the first byte, or its body ended early
+	ForeignResponse                    // the response has another attempt's id, none, or several
+	ProtocolSwitched                   // the response changes the protocol
+	Undelimited                        // the response doesn't tell its own end
+	UnexpectedEncoding                 // the response's body has a content coding that was not asked for
+	UnconfirmedRejection               // a status that promises, without the server's word that nothing ran
+	ContradictoryResponse              // a success that says that nothing ran
+	MissingSeal                        // a success without a seal
+	OversizedRejection                 // the server turns the request away at length
+	BodyTruncated                      // the response's body ended early, and nothing of it was forwarded
+	Rejected                           // the server says that it did not run the request
+	WrongServer                        // another server has the address: it did not run the request
+	Completed                          // a complete response
+	ServerError                        // a complete response that is the server's own failure
+	Streaming                          // a long response, whose beginning is buffered and which is forwarded as it comes
+	Streamed                           // a long response came up to its end and was forwarded
+	StreamTruncated                    // a long response ended early after its beginning was forwarded
+	ClientDisconnected                 // the client took no more of a long response
 	causes
 )
 
@@ -98,32 +98,32 @@
 
 // consequences is the one place where these decisions stand. docs/attempts.md shows it.
 var consequences = [causes]Consequence{
-	NoCapacity:         {"no_capacity", NotSent, SafeRefusal, Always, false, RevokeClaim},
-	NoTime:             {"no_time", NotSent, SafeRefusal, Always, false, RevokeClaim},
-	ClientLeft:         {"client_left", NotSent, SafeRefusal, Always, false, RevokeClaim},
-	NoConnection:       {"no_connection", NotSent, SafeRefusal, Always, false, RevokeClaim},
-	ServerLeft:         {"server_left", NotSent, SafeRefusal, Always, false, RevokeClaim},
-	Unsent:             {"unsent", NotSent, SafeRefusal, Always, false, RevokeClaim},
-	ResponseTimeout:    {"response_timeout", Unknown, GatewayTimeout, IfSafe, false, KeepClaim},
-	BrokenOff:          {"broken_off", Unknown, BadGateway, IfSafe, false, KeepClaim},
-	ClientStopped:      {"client_stopped", Unknown, BadGateway, Never, false, KeepClaim},
-	Foreign:            {"foreign", Unknown, BadGateway, IfSafe, false, KeepClaim},
-	Switched:           {"switched", Unknown, BadGateway, IfSafe, false, KeepClaim},
-	Endless:            {"endless", Unknown, BadGateway, IfSafe, false, KeepClaim},
-	Encoded:            {"encoded", Unknown, BadGateway, IfSafe, false, KeepClaim},
-	Unproven:           {"unproven", Unknown, BadGateway, IfSafe, false, KeepClaim},
-	Contradictory:      {"contradictory", Unknown, BadGateway, IfSafe, false, KeepClaim},
-	Unsealed:           {"unsealed", Unknown, BadGateway, IfSafe, false, KeepClaim},
-	Lengthy:            {"lengthy", Unknown, BadGateway, IfSafe, false, KeepClaim},
-	BodyTruncated:      {"truncated", Unknown, BadGateway, IfSafe, false, KeepClaim},
-	TurnedAway:         {"turned_away", NotRun, SafeRefusal, Always, true, RevokeClaim},
-	WrongServer:        {"wrong_server", NotRun, SafeRefusal, Always, false, RevokeClaim},
-	Answered:           {"answered", Ran, ForwardResponse, Never, true, CompleteClaim},
-	Failed:             {"failed", Ran, ForwardResponse, IfSafe, true, CompleteClaim},
-	Streaming:          {"streaming", Ran, ForwardResponse, Never, false, KeepClaim},
-	Streamed:           {"streamed", Ran, ForwardResponse, Never, true, KeepClaim},
-	StreamTruncated:    {"stream_truncated", Ran, AbortConnection, Never, false, KeepClaim},
-	ClientDisconnected: {"client_disconnected", Ran, AbortConnection, Never, false, KeepClaim},
+	NoCapacity:            {"no_capacity", NotSent, SafeRefusal, Always, false, RevokeClaim},
+	DeadlineTooNear:       {"no_time", NotSent, SafeRefusal, Always, false, RevokeClaim},
+	ClientLeft:            {"client_left", NotSent, SafeRefusal, Always, false, RevokeClaim},
+	NoConnection:          {"no_connection", NotSent, SafeRefusal, Always, false, RevokeClaim},
+	DrainedBeforeSend:     {"server_left", NotSent, SafeRefusal, Always, false, RevokeClaim},
+	ClosedBeforeSend:      {"unsent", NotSent, SafeRefusal, Always, false, RevokeClaim},
+	ResponseTimeout:       {"response_timeout", Unknown, GatewayTimeout, IfSafe, false, KeepClaim},
+	ConnectionBroken:      {"broken_off", Unknown, BadGateway, IfSafe, false, KeepClaim},
+	ClientAborted:         {"client_stopped", Unknown, BadGateway, Never, false, KeepClaim},
+	ForeignResponse:       {"foreign", Unknown, BadGateway, IfSafe, false, KeepClaim},
+	ProtocolSwitched:      {"switched", Unknown, BadGateway, IfSafe, false, KeepClaim},
+	Undelimited:           {"endless", Unknown, BadGateway, IfSafe, false, KeepClaim},
+	UnexpectedEncoding:    {"encoded", Unknown, BadGateway, IfSafe, false, KeepClaim},
+	UnconfirmedRejection:  {"unproven", Unknown, BadGateway, IfSafe, false, KeepClaim},
+	ContradictoryResponse: {"contradictory", Unknown, BadGateway, IfSafe, false, KeepClaim},
+	MissingSeal:           {"unsealed", Unknown, BadGateway, IfSafe, false, KeepClaim},
+	OversizedRejection:    {"lengthy", Unknown, BadGateway, IfSafe, false, KeepClaim},
+	BodyTruncated:         {"truncated", Unknown, BadGateway, IfSafe, false, KeepClaim},
+	Rejected:              {"turned_away", NotRun, SafeRefusal, Always, true, RevokeClaim},
+	WrongServer:           {"wrong_server", NotRun, SafeRefusal, Always, false, RevokeClaim},
+	Completed:             {"answered", Ran, ForwardResponse, Never, true, CompleteClaim},
+	ServerError:           {"failed", Ran, ForwardResponse, IfSafe, true, CompleteClaim},
+	Streaming:             {"streaming", Ran, ForwardResponse, Never, false, KeepClaim},
+	Streamed:              {"streamed", Ran, ForwardResponse, Never, true, KeepClaim},
+	StreamTruncated:       {"stream_truncated", Ran, AbortConnection, Never, false, KeepClaim},
+	ClientDisconnected:    {"client_disconnected", Ran, AbortConnection, Never, false, KeepClaim},
 }
 
 // Consequence finds what follows from the cause.
@@ -134,17 +134,17 @@
 
 // Response is what came back from a server that was sent a request.
 type Response struct {
-	Received  bool // at all
-	OwnID     bool // it carries this attempt's id, once
-	Delimited bool // it tells its own end
-	Complete  bool // and came up to it, or is Partial and still coming
-	NotRun    bool // it says that the request was not run
-	Success   bool // its status is one of 2xx
-	Sealed    bool // it carries the server's seal
-	Partial   bool // it is too long to be buffered
-	Switched  bool // it changes the protocol
-	Encoded   bool // its body has a content coding that was not asked for
-	Status    int  // 0: not stated, of a server that is known to keep the protocol
+	Received           bool // at all
+	IDMatches          bool // it carries this attempt's id, once
+	Delimited          bool // it tells its own end
+	Complete           bool // and came up to it, or is Partial and still coming
+	NotRun             bool // it says that the request was not run
+	Success            bool // its status is one of 2xx
+	Sealed             bool // it carries the server's seal
+	Oversized          bool // it is too long to be buffered
+	ProtocolSwitched   bool // it changes the protocol
+	UnexpectedEncoding bool // its body has a content coding that was not asked for
+	Status             int  // 0: not stated, of a server that is known to keep the protocol
 }
 
 // PromisesNotRun reports whether a status promises that the request has not run and never will.
@@ -156,25 +156,25 @@
 	return false
 }
 
-// HeadCause is the cause for which a response's head alone ends the attempt; ok: it doesn't, and the body counts.
-func (r Response) HeadCause() (cause Cause, ok bool) {
+// HeaderCause is the cause for which a response's head alone ends the attempt; ok: it doesn't, and the body counts.
+func (r Response) HeaderCause() (cause Cause, ok bool) {
 	switch {
 	case !r.Received:
-		return BrokenOff, false
-	case !r.OwnID:
-		return Foreign, false
-	case r.Switched:
-		return Switched, false
+		return ConnectionBroken, false
+	case !r.IDMatches:
+		return ForeignResponse, false
+	case r.ProtocolSwitched:
+		return ProtocolSwitched, false
 	case !r.Delimited:
-		return Endless, false
-	case r.Encoded:
-		return Encoded, false
+		return Undelimited, false
+	case r.UnexpectedEncoding:
+		return UnexpectedEncoding, false
 	case r.Success && r.NotRun:
-		return Contradictory, false
+		return ContradictoryResponse, false
 	case r.Success && !r.Sealed:
-		return Unsealed, false
+		return MissingSeal, false
 	case PromisesNotRun(r.Status) && !r.NotRun:
-		return Unproven, false
+		return UnconfirmedRejection, false
 	}
 	return 0, true
 }
@@ -182,24 +182,24 @@
 // Cause tells how an attempt ends that brought this response. Of a response that doesn't belong to the attempt, or is not
 // complete, nothing is believed: not even that the request didn't run.
 func (r Response) Cause() Cause {
-	cause, ok := r.HeadCause()
+	cause, ok := r.HeaderCause()
 	switch {
 	case !ok:
 		return cause
 	case !r.Complete:
 		return BodyTruncated
-	case r.NotRun && r.Partial:
-		return Lengthy
+	case r.NotRun && r.Oversized:
+		return OversizedRejection
 	case r.NotRun && r.Status == http.StatusMisdirectedRequest:
 		return WrongServer
 	case r.NotRun:
-		return TurnedAway
-	case r.Partial:
+		return Rejected
+	case r.Oversized:
 		return Streaming
 	case r.Status >= serverErrorStatus:
-		return Failed
+		return ServerError
 	default:
-		return Answered
+		return Completed
 	}
 }
 
--- a/internal/edge/attempt/retries.go
+++ b/internal/edge/attempt/retries.go
@@ -27,12 +27,12 @@
 
 // Retries is what is known of all attempts of one request.
 type Retries struct {
-	Safe       bool // the request may run more than once
-	MaxSent    int  // servers that it may reach
-	Sent       int  // attempts that reached a server
-	Attempts   int
-	Paid       bool // a retry is paid for that has reached no server yet
-	MayHaveRun bool // at one of the servers that were tried
+	Safe         bool // the request may run more than once
+	MaxServers   int  // servers that it may reach
+	SentAttempts int  // attempts that reached a server
+	Attempts     int
+	Paid         bool // a retry is paid for that has reached no server yet
+	MayHaveRun   bool // at one of the servers that were tried
 }
 
 // AfterAttempt counts an attempt that is over for this cause, and says what follows. Resendable reports whether the complete
@@ -41,7 +41,7 @@
 	then := cause.Consequence()
 	r.Attempts++
 	if then.Outcome != NotSent {
-		r.Sent++
+		r.SentAttempts++
 		r.Paid = false
 	}
 	if then.Outcome.mayHaveRun() {
@@ -49,9 +49,9 @@
 	}
 	mayRetry := then.Retry == Always || then.Retry == IfSafe && r.Safe
 	switch {
-	case !mayRetry || !resendable || r.Sent >= r.MaxSent || r.Attempts > maxAttempts:
+	case !mayRetry || !resendable || r.SentAttempts >= r.MaxServers || r.Attempts > maxAttempts:
 		return Stop
-	case r.Sent > 0 && !r.Paid: // the next server may be the second that the request reaches
+	case r.SentAttempts > 0 && !r.Paid: // the next server may be the second that the request reaches
 		return RetryPaid
 	default:
 		return RetryFree
@@ -68,13 +68,13 @@
 	case o == NotSent:
 		return NoConnection
 	case o == NotRun:
-		return TurnedAway
+		return Rejected
 	case o == Ran && status >= serverErrorStatus:
-		return Failed
+		return ServerError
 	case o == Ran:
-		return Answered
+		return Completed
 	default:
-		return BrokenOff
+		return ConnectionBroken
 	}
 }
 
--- a/internal/edge/picker/cancelled_test.go
+++ b/internal/edge/picker/cancelled_test.go
@@ -24,7 +24,7 @@
 		g.Expect(u.InFlight()).To(Equal(0))
 	}
 	u := pick(time.Second)
-	stats := p.DrainStats(u)
+	stats := p.TakeStats(u)
 	g.Expect(stats.Attempts).To(BeEquivalentTo(25))
 	g.Expect(stats.Failed).To(BeZero())
 	g.Expect(stats.TotalTime).To(Equal(25.0))
--- a/internal/edge/picker/picker.go
+++ b/internal/edge/picker/picker.go
@@ -355,8 +355,8 @@
 	u.suspectUntil = now + min(maxSuspicion, minSuspicion<<doublings)
 }
 
-// DrainStats gives what was counted at an upstream since the last call.
-func (p *Picker) DrainStats(u *Upstream) Stats {
+// TakeStats gives what was counted at an upstream since the last call.
+func (p *Picker) TakeStats(u *Upstream) Stats {
 	s := u.stats
 	u.stats = Stats{}
 	return s
--- a/internal/edge/proxy/listener.go
+++ b/internal/edge/proxy/listener.go
@@ -119,7 +119,8 @@
 // setLimits takes over the limits of a configuration, which may come before the listener serves.
 func (l *clientListener) setLimits(limits config.Limits) {
 	l.mu.Lock()
-	same := l.limits.HeaderBytes == limits.HeaderBytes && l.limits.HeaderWait == limits.HeaderWait && l.limits.Idle == limits.Idle
+	same := l.limits.MaxHeaderBytes == limits.MaxHeaderBytes && l.limits.HeaderTimeout == limits.HeaderTimeout &&
+		l.limits.IdleTimeout == limits.IdleTimeout
 	handoff := l.handoff
 	l.limits = limits
 	l.mu.Unlock()
@@ -134,17 +135,17 @@
 	limits, previous := l.limits, l.handoff
 	next := &handoffListener{in: make(chan net.Conn), closed: make(chan struct{}), addr: addr,
 		timeouts: httpconn.Timeouts{Header: defaultHeaderTimeout, Idle: defaultIdleTimeout}}
-	if limits.HeaderWait > 0 {
-		next.timeouts.Header = seconds(limits.HeaderWait)
+	if limits.HeaderTimeout > 0 {
+		next.timeouts.Header = seconds(limits.HeaderTimeout)
 	}
-	if limits.Idle > 0 {
-		next.timeouts.Idle = seconds(limits.Idle)
+	if limits.IdleTimeout > 0 {
+		next.timeouts.Idle = seconds(limits.IdleTimeout)
 	}
 	l.handoff = next
 	l.mu.Unlock()
 	maxHeader := defaultHeaderBytes
-	if limits.HeaderBytes > 0 {
-		maxHeader = limits.HeaderBytes
+	if limits.MaxHeaderBytes > 0 {
+		maxHeader = limits.MaxHeaderBytes
 	}
 	server := &http.Server{Handler: l.handler, ReadHeaderTimeout: next.timeouts.Header, IdleTimeout: keepAliveTimeout,
 		MaxHeaderBytes: maxHeader,
--- a/internal/edge/proxy/pipeline.go
+++ b/internal/edge/proxy/pipeline.go
@@ -127,7 +127,7 @@
 	for name, value := range first.Headers {
 		header.Set(name, value)
 	}
-	p.respond(w, req, attemptResult{cause: attempt.Answered, status: first.Status, header: header, body: first.Body})
+	p.respond(w, req, attemptResult{cause: attempt.Completed, status: first.Status, header: header, body: first.Body})
 }
 
 // storedResponse is what repeats of an operation are told.
@@ -150,11 +150,11 @@
 	req.admission = p.reservations.enter(req.route, req.service)
 	defer p.reservations.leave(req.admission, req.service)
 	retries := &req.retries
-	retries.Safe, retries.MaxSent = req.route.Kind == config.Safe, req.route.MaxServers
+	retries.Safe, retries.MaxServers = req.route.Kind == config.Safe, req.route.MaxServers
 	result := attemptResult{cause: attempt.NoCapacity, err: fmt.Errorf("no capacity at %s", req.service)}
 	for {
 		if cause, err := p.mustStop(req); err != nil {
-			if retries.Sent == 0 {
+			if retries.SentAttempts == 0 {
 				return attemptResult{cause: cause, err: err}
 			}
 			return result
@@ -165,9 +165,9 @@
 				p.traffic.refundRetry(budget)
 			}
 			switch {
-			case retries.Sent == 0 && req.clientLeft():
+			case retries.SentAttempts == 0 && req.clientLeft():
 				return attemptResult{cause: attempt.ClientLeft, err: errClientLeft}
-			case retries.Sent == 0:
+			case retries.SentAttempts == 0:
 				result.cause = attempt.NoCapacity
 			}
 			return result
@@ -188,7 +188,7 @@
 	case req.clientLeft():
 		return attempt.ClientLeft, errClientLeft
 	case req.timeLeft(p.Now())-returnMargin < minAttemptTime:
-		return attempt.NoTime, errDeadlineTooNear
+		return attempt.DeadlineTooNear, errDeadlineTooNear
 	}
 	return 0, nil
 }
@@ -220,7 +220,7 @@
 // acquireUpstream finds a server with a free slot. Before the first attempt it waits a little for one, as long as the client
 // does.
 func (p *Proxy) acquireUpstream(req *clientRequest) *upstream {
-	retry := req.retries.Sent > 0
+	retry := req.retries.SentAttempts > 0
 	if u := p.tryPick(req); u != nil || retry || !p.upstreams.serves(req.service) {
 		return u // without any server there is nothing to wait for
 	}
@@ -266,7 +266,7 @@
 		return nil
 	}
 	u := p.upstreams.pick(req.service, req.attempted)
-	if u == nil && req.retries.Sent == 0 {
+	if u == nil && req.retries.SentAttempts == 0 {
 		p.reservations.undoAdmit(req.admission)
 	}
 	return u
--- a/internal/edge/proxy/proxy.go
+++ b/internal/edge/proxy/proxy.go
@@ -178,9 +178,9 @@
 
 // closeIdle closes what has been idle for too long, on both sides.
 func (p *Proxy) closeIdle() {
-	if tree := p.tree.Load(); tree != nil && tree.Config.Limits.Idle > 0 {
+	if tree := p.tree.Load(); tree != nil && tree.Config.Limits.IdleTimeout > 0 {
 		const slack = 0.5 // seconds, for a request that is on its way
-		idle := seconds(tree.Config.Limits.Idle + slack)
+		idle := seconds(tree.Config.Limits.IdleTimeout + slack)
 		longest := 0.0
 		for _, r := range tree.Config.Routes {
 			longest = max(longest, r.Deadline)
--- a/internal/edge/proxy/request.go
+++ b/internal/edge/proxy/request.go
@@ -75,7 +75,7 @@
 		return nil, errShuttingDown
 	}
 	if r.Body != nil && r.ContentLength != 0 {
-		if err := p.bufferBody(w, req, tree.Config.Limits.BodyBytes); err != nil {
+		if err := p.bufferBody(w, req, tree.Config.Limits.MaxBodyBytes); err != nil {
 			return req, err
 		}
 		if !p.shutdown.admits(p.Now(), req.deadline) { // the body took its time
--- a/internal/edge/proxy/respond.go
+++ b/internal/edge/proxy/respond.go
@@ -117,11 +117,11 @@
 // safeRefusalKind is the kind of error by which a client is told that its request never ran.
 func (req *clientRequest) safeRefusalKind(cause attempt.Cause) *errorx.Type {
 	switch {
-	case req.retries.Sent > 0:
+	case req.retries.SentAttempts > 0:
 		return apierror.NotRun
 	case cause == attempt.ClientLeft:
 		return apierror.ClientLeft
-	case cause == attempt.NoCapacity || cause == attempt.NoTime:
+	case cause == attempt.NoCapacity || cause == attempt.DeadlineTooNear:
 		return apierror.Busy
 	default:
 		return apierror.NoServer
--- a/internal/edge/proxy/roundtrip.go
+++ b/internal/edge/proxy/roundtrip.go
@@ -114,8 +114,8 @@
 	if err == nil {
 		return rt.receive(resp)
 	}
-	unsent := rt.attempt.Cause == attempt.Unsent
-	if (unsent || rt.attempt.Cause == attempt.BrokenOff) && conn.reused && rt.ctx.Err() == nil {
+	unsent := rt.attempt.Cause == attempt.ClosedBeforeSend
+	if (unsent || rt.attempt.Cause == attempt.ConnectionBroken) && conn.reused && rt.ctx.Err() == nil {
 		rt.upstreams.distrust(rt.upstream.Service)
 		if unsent {
 			rt.attempt = attempt.Attempt{}
@@ -151,7 +151,7 @@
 // fail ends an attempt that got no response. Where the client left or stopped sending, the server did nothing wrong.
 func (rt *roundTrip) fail(err error) attemptResult {
 	use := usage{arrived: true}
-	if rt.attempt.Cause == attempt.ClientStopped || rt.abandoned() {
+	if rt.attempt.Cause == attempt.ClientAborted || rt.abandoned() {
 		use = rt.cancelled()
 	}
 	rt.upstreams.release(rt.upstream, use)
@@ -190,13 +190,13 @@
 	conn.tracked.resetWritten()
 	resp, err := conn.client.RoundTrip(request)
 	if err == nil {
-		rt.attempt.Handle(attempt.FirstByte)
-		rt.attempt.Handle(attempt.ResponseBegins)
+		rt.attempt.Handle(attempt.SendStarted)
+		rt.attempt.Handle(attempt.ResponseStarted)
 		return resp, nil
 	}
 	conn.close()
 	if conn.tracked.hasWritten() { // asked after the close: from then on no byte leaves
-		rt.attempt.Handle(attempt.FirstByte)
+		rt.attempt.Handle(attempt.SendStarted)
 	}
 	clientErr := rt.req.bodyTail.failure()
 	if clientErr != nil && rt.ctx.Err() == nil { // the client broke off, or was too slow: not the server's doing
@@ -213,7 +213,7 @@
 	response := rt.classify(resp, header)
 	var body []byte
 	var err error
-	if rt.attempt.HandleHead(response) {
+	if rt.attempt.HandleHeader(response) {
 		body, err = rt.readBody(resp, &response)
 	}
 	result := attemptResult{cause: rt.attempt.Cause, status: resp.StatusCode, header: header, body: body}
@@ -252,14 +252,15 @@
 	ids := header[headerAttemptID]
 	return attempt.Response{
 		Received:  true,
-		OwnID:     len(ids) == 1 && ids[0] == rt.req.id,
-		Delimited: resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0 || bodiless(rt.req.http.Method, resp.StatusCode),
-		NotRun:    header.Get(headerNotRun) != "" || resp.StatusCode == http.StatusMisdirectedRequest,
-		Success:   resp.StatusCode/100 == 2,
-		Sealed:    header.Get(headerServerSeal) != "",
-		Switched:  resp.StatusCode == http.StatusSwitchingProtocols,
-		Encoded:   header["Content-Encoding"] != nil && rt.req.http.Header["Accept-Encoding"] == nil,
-		Status:    resp.StatusCode,
+		IDMatches: len(ids) == 1 && ids[0] == rt.req.id,
+		Delimited: resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0 ||
+			bodiless(rt.req.http.Method, resp.StatusCode),
+		NotRun:             header.Get(headerNotRun) != "" || resp.StatusCode == http.StatusMisdirectedRequest,
+		Success:            resp.StatusCode/100 == 2,
+		Sealed:             header.Get(headerServerSeal) != "",
+		ProtocolSwitched:   resp.StatusCode == http.StatusSwitchingProtocols,
+		UnexpectedEncoding: header["Content-Encoding"] != nil && rt.req.http.Header["Accept-Encoding"] == nil,
+		Status:             resp.StatusCode,
 	}
 }
 
@@ -275,7 +276,7 @@
 		rt.handleInterruption()
 		return body.data, err
 	}
-	response.Complete, response.Partial = true, !body.complete
+	response.Complete, response.Oversized = true, !body.complete
 	rt.attempt.HandleBody(*response)
 	return body.data, nil
 }
@@ -283,9 +284,9 @@
 // describe tells for the log why a response can't be forwarded.
 func (rt *roundTrip) describe(resp *http.Response, err error) error {
 	switch rt.attempt.Cause {
-	case attempt.Answered, attempt.Failed:
+	case attempt.Completed, attempt.ServerError:
 		return nil
-	case attempt.Foreign:
+	case attempt.ForeignResponse:
 		return fmt.Errorf("response of server %s belongs to another attempt: %q", rt.upstream.ID, resp.Header[headerAttemptID])
 	}
 	if err != nil {
@@ -302,7 +303,7 @@
 	case toClient != nil:
 		rt.attempt.Handle(attempt.ClientClosed)
 	default:
-		rt.attempt.HandleStreamed()
+		rt.attempt.HandleStreamEnd()
 	}
 }
 
--- a/internal/edge/proxy/upstreams.go
+++ b/internal/edge/proxy/upstreams.go
@@ -205,7 +205,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, u := range p.picker.All() {
-		if s := p.picker.DrainStats(u); s.Attempts > 0 {
+		if s := p.picker.TakeStats(u); s.Attempts > 0 {
 			all = append(all, peer.ServerStats{Server: u.ID, Attempts: s.Attempts, Failed: s.Failed, TotalTime: s.TotalTime})
 		}
 	}
--- a/internal/simulation/bookings.go
+++ b/internal/simulation/bookings.go
@@ -342,7 +342,7 @@
 	if q.measured {
 		q.tenant.Asked++
 	}
-	q.retries = attempt.Retries{Safe: true, MaxSent: maxAttempts}
+	q.retries = attempt.Retries{Safe: true, MaxServers: maxAttempts}
 	w.result.Requests++
 	w.requestTimes[q.service] = append(w.requestTimes[q.service], w.now)
 	e.serviceRequests[q.service]++
@@ -365,7 +365,7 @@
 		}
 		p.at = w.now
 	}
-	if u = w.pick(e, q); u == nil && q.admission != nil && q.retries.Sent == 0 {
+	if u = w.pick(e, q); u == nil && q.admission != nil && q.retries.SentAttempts == 0 {
 		q.admission.gate.Release(q.admission.admittedAs, 0)
 		q.admission.admitted = false
 	}
--- a/internal/simulation/capacity_test.go
+++ b/internal/simulation/capacity_test.go
@@ -453,7 +453,7 @@
 		x, met := s.picker(), 0
 		for b.Loop() {
 			for _, l := range x.All() {
-				if x.DrainStats(l).Attempts > 0 {
+				if x.TakeStats(l).Attempts > 0 {
 					met++
 				}
 			}
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -74,7 +74,7 @@
 	q := &request{id: w.nextKey, safe: w.rng.IntN(2) == 0, service: w.services[w.rng.IntN(len(w.services))], edge: e,
 		incarnation: e.incarnation, startedAt: w.now,
 		calm: w.isCalm() && e.calmSince <= w.now}
-	q.retries = attempt.Retries{Safe: q.safe, MaxSent: maxAttempts}
+	q.retries = attempt.Retries{Safe: q.safe, MaxServers: maxAttempts}
 	w.result.Requests++
 	w.requestTimes[q.service] = append(w.requestTimes[q.service], w.now)
 	e.serviceRequests[q.service]++
@@ -115,7 +115,7 @@
 		w.sendAttempt(q, u)
 		return
 	}
-	if q.retries.Sent > 0 || w.now-q.startedAt >= queueTimeout || !e.picker.Serves(q.service) {
+	if q.retries.SentAttempts > 0 || w.now-q.startedAt >= queueTimeout || !e.picker.Serves(q.service) {
 		if q.retries.Paid {
 			e.budget(q.service, len(w.edges)).Refund()
 		}
@@ -179,7 +179,7 @@
 	if !response.Received && status == 0 && !t.pooled && t.sent+dialTimeout >= w.now && !w.attemptsReached[t] {
 		outcome = attempt.NotSent // the connection was refused
 	}
-	if w.scenario.PlantedFault == "answers aren't told apart" && response.Received && !response.OwnID {
+	if w.scenario.PlantedFault == "answers aren't told apart" && response.Received && !response.IDMatches {
 		outcome = attempt.Ran
 	}
 	if w.scenario.PlantedFault == "what broke off is tried again" && outcome == attempt.Unknown {
@@ -193,7 +193,7 @@
 	default:
 		e.picker.Failed(t.upstream, w.now)
 	}
-	if response.Received && response.OwnID {
+	if response.Received && response.IDMatches {
 		e.picker.ReportLoad(t.upstream, load[0], load[1], w.now)
 	}
 	switch q.retries.AfterOutcome(outcome, status, true) {
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -197,7 +197,7 @@
 		return
 	}
 	if s.id != t.expect && w.scenario.PlantedFault != "connections belong to an address" {
-		t.respond(attempt.Response{Received: true, OwnID: true, Delimited: true, Complete: true, NotRun: true}, 421, load())
+		t.respond(attempt.Response{Received: true, IDMatches: true, Delimited: true, Complete: true, NotRun: true}, 421, load())
 		return
 	}
 	w.countArrival(t, s)
@@ -207,7 +207,7 @@
 	case len(s.queue) < queuePerSlot*s.capacity:
 		s.queue = append(s.queue, t)
 	default:
-		t.respond(attempt.Response{Received: true, OwnID: true, Delimited: true, Complete: true, NotRun: true}, 503, load())
+		t.respond(attempt.Response{Received: true, IDMatches: true, Delimited: true, Complete: true, NotRun: true}, 503, load())
 	}
 }
 
@@ -235,11 +235,11 @@
 		}
 	}
 	load := [2]float64{float64(len(s.running)), float64(len(s.queue))}
-	response := attempt.Response{Received: true, OwnID: true, Delimited: true, Complete: true, Success: true, Sealed: true}
+	response := attempt.Response{Received: true, IDMatches: true, Delimited: true, Complete: true, Success: true, Sealed: true}
 	t.responseTo = t.request.id
 	switch {
 	case s.garbling > w.now && w.rng.IntN(8) == 0:
-		if response.OwnID = w.rng.IntN(2) == 0; response.OwnID {
+		if response.IDMatches = w.rng.IntN(2) == 0; response.IDMatches {
 			response.Complete = false
 		} else {
 			t.responseTo-- // one that came late, in this one's place
--- a/internal/simulation/tables.go
+++ b/internal/simulation/tables.go
@@ -71,7 +71,7 @@
 	r := &peer.Report{Period: reportOf.Seconds()}
 	for _, service := range w.services {
 		for _, u := range e.picker.Upstreams(service) {
-			if m := e.picker.DrainStats(u); m.Attempts > 0 {
+			if m := e.picker.TakeStats(u); m.Attempts > 0 {
 				r.Servers = append(r.Servers, peer.ServerStats{Server: u.ID, Attempts: m.Attempts, Failed: m.Failed,
 					TotalTime: m.TotalTime})
 			}
