--- a/internal/control/weights/weights.go
+++ b/internal/control/weights/weights.go
@@ -27,7 +27,7 @@
 	config        *config.Config            // nil: none yet
 	edges         map[string]string         // zones, by edge
 	servers       map[string]registry.Entry // that have not ended, by id
-	services      map[string]*table
+	services      map[string]*serviceTable
 	tablesCreated uint64
 	nextDecision  time.Duration
 }
@@ -38,27 +38,27 @@
 	TrafficByZone []peer.ZoneTraffic
 }
 
-// table is the weight table of one service. The decision module names servers and edges by numbers.
-type table struct {
+// serviceTable is the weight table of one service. The decision module names servers and edges by numbers.
+type serviceTable struct {
 	service     string
 	tokenPrefix uint64
 	controller  *rules.Controller
 	events      []rules.Event // that the module has not seen yet
 
-	serverIDs   map[string]rules.ServerID
-	serverNames map[rules.ServerID]string
-	lastServer  rules.ServerID
-	edgeIDs     map[string]rules.ProxyID // by IP
-	edgeIPs     map[rules.ProxyID]string
-	lastEdge    rules.ProxyID
-	ordered     map[string]map[string]float64 // weights of servers, by edge, as they were ordered
+	serverIDs    map[string]rules.ServerID
+	serverNames  map[rules.ServerID]string
+	lastServerID rules.ServerID
+	edgeIDs      map[string]rules.ProxyID // by IP
+	edgeIPs      map[rules.ProxyID]string
+	lastEdgeID   rules.ProxyID
+	assigned     map[string]map[string]float64 // weights of servers, by edge, as they were ordered
 }
 
 const (
 	reportPeriod     = 1000.0  // milliseconds between two reports of an edge
 	unlimitedChannel = 1e6     // lines a second: a controller's links to its edges limit nothing
 	maxWarmupMillis  = 30000.0 // in which the module takes a server for cold
-	decideInterval   = 250 * time.Millisecond
+	decisionInterval = 250 * time.Millisecond
 	minTrafficRate   = 0.05 // requests a second, below which traffic isn't reported
 
 	// Values for services that the configuration doesn't name, in milliseconds.
@@ -72,7 +72,7 @@
 // a service is first met; logNote gets what the module says of its decisions.
 func New(zone string, zones []string, seed uint64, instances func() int, logNote func(service, note string)) *Tables {
 	t := &Tables{zone: zone, zones: slices.Sorted(slices.Values(zones)), seed: seed, instances: instances, logNote: logNote,
-		edges: map[string]string{}, servers: map[string]registry.Entry{}, services: map[string]*table{}}
+		edges: map[string]string{}, servers: map[string]registry.Entry{}, services: map[string]*serviceTable{}}
 	if len(t.zones) == 0 {
 		t.zones = []string{zone}
 	}
@@ -82,15 +82,15 @@
 func (t *Tables) zoneIndex(zone string) int { return max(0, slices.Index(t.zones, zone)) }
 
 // tableFor finds a service's table, or makes it.
-func (t *Tables) tableFor(service string) *table {
+func (t *Tables) tableFor(service string) *serviceTable {
 	if s := t.services[service]; s != nil {
 		return s
 	}
 	t.tablesCreated++
-	s := &table{service: service, tokenPrefix: t.tablesCreated << tokenPrefixShift,
+	s := &serviceTable{service: service, tokenPrefix: t.tablesCreated << tokenPrefixShift,
 		controller: rules.New(t.moduleSettings(service), t.seed),
 		serverIDs:  map[string]rules.ServerID{}, serverNames: map[rules.ServerID]string{},
-		edgeIDs: map[string]rules.ProxyID{}, edgeIPs: map[rules.ProxyID]string{}, ordered: map[string]map[string]float64{}}
+		edgeIDs: map[string]rules.ProxyID{}, edgeIPs: map[rules.ProxyID]string{}, assigned: map[string]map[string]float64{}}
 	t.services[service] = s
 	for _, edge := range slices.Sorted(maps.Keys(t.edges)) {
 		s.join(t, edge)
@@ -128,15 +128,15 @@
 	return latencyTarget, deadline
 }
 
-func (s *table) join(t *Tables, edge string) {
+func (s *serviceTable) join(t *Tables, edge string) {
 	id, known := s.edgeIDs[edge]
 	if !known {
-		s.lastEdge++
-		id = s.lastEdge
+		s.lastEdgeID++
+		id = s.lastEdgeID
 		s.edgeIDs[edge], s.edgeIPs[id] = id, edge
 	}
-	if s.ordered[edge] == nil { // the module knows what it ordered for an edge that was here before
-		s.ordered[edge] = map[string]float64{}
+	if s.assigned[edge] == nil { // the module knows what it ordered for an edge that was here before
+		s.assigned[edge] = map[string]float64{}
 	}
 	s.events = append(s.events, rules.Joined{Proxy: id, Zone: t.zoneIndex(t.edges[edge]), Rate: initialEdgeRate, Fresh: true})
 }
@@ -173,14 +173,14 @@
 	}
 }
 
-func (s *table) updateServer(t *Tables, e registry.Entry, now time.Duration) {
+func (s *serviceTable) updateServer(t *Tables, e registry.Entry, now time.Duration) {
 	id, known := s.serverIDs[e.ID]
 	if !known {
 		if e.Ended() {
 			return
 		}
-		s.lastServer++
-		id = s.lastServer
+		s.lastServerID++
+		id = s.lastServerID
 		s.serverIDs[e.ID], s.serverNames[id] = id, e.ID
 	}
 	s.events = append(s.events, rules.List{Kind: rules.ListChanges, Servers: []rules.Server{{ID: id, Weight: float64(e.Capacity),
@@ -210,12 +210,12 @@
 	return max(1, float64(now.Milliseconds())-maxWarmupMillis+e.WarmupLeft*1000)
 }
 
-func (s *table) forgetServer(name string, id rules.ServerID) {
+func (s *serviceTable) forgetServer(name string, id rules.ServerID) {
 	s.events = append(s.events, rules.Forgotten{Server: id})
 	delete(s.serverIDs, name)
 	delete(s.serverNames, id)
-	for _, ordered := range s.ordered {
-		delete(ordered, name)
+	for _, assigned := range s.assigned {
+		delete(assigned, name)
 	}
 }
 
@@ -250,7 +250,7 @@
 	}
 }
 
-func (s *table) handleServerStats(zone int, stats peer.ServerStats, period float64) {
+func (s *serviceTable) handleServerStats(zone int, stats peer.ServerStats, period float64) {
 	id, known := s.serverIDs[stats.Server]
 	if !known {
 		return
@@ -300,24 +300,24 @@
 	if now < t.nextDecision {
 		return nil
 	}
-	t.nextDecision = now + decideInterval
-	elsewhere := peers()
-	o := &orders{byEdge: map[string]*peer.Weights{}}
+	t.nextDecision = now + decisionInterval
+	remote := peers()
+	u := &updates{byEdge: map[string]*peer.Weights{}}
 	for _, name := range t.serviceNames() {
 		s := t.services[name]
-		s.events = append(s.events, t.trafficElsewhere(name, elsewhere))
+		s.events = append(s.events, t.remoteTraffic(name, remote))
 		actions := s.controller.Step(float64(now.Milliseconds())+1, s.events)
 		s.events = s.events[:0]
-		o.collect(t, s, actions)
+		u.collect(t, s, actions)
 	}
-	for _, w := range o.byEdge {
+	for _, w := range u.byEdge {
 		slices.SortFunc(w.Changed, func(a, b peer.Weight) int { return cmp.Compare(a.Server, b.Server) })
 	}
-	return o.byEdge
+	return u.byEdge
 }
 
-// trafficElsewhere is what the edges of the other controllers bring to a service.
-func (t *Tables) trafficElsewhere(service string, peers []PeerTraffic) rules.Part {
+// remoteTraffic is what the edges of the other controllers bring to a service.
+func (t *Tables) remoteTraffic(service string, peers []PeerTraffic) rules.Part {
 	part := rules.Part{ChannelShare: 1, TypicalRates: make([]float64, len(t.zones)), Demands: []float64{0}}
 	for _, p := range peers {
 		part.JoinedProxies += float64(p.Edges)
@@ -331,32 +331,32 @@
 	return part
 }
 
-// orders gathers what edges are sent after a decision.
-type orders struct {
-	byEdge  map[string]*peer.Weights
-	touched map[string]bool // edges that the present table orders something for
+// updates gathers what edges are sent after a decision.
+type updates struct {
+	byEdge       map[string]*peer.Weights
+	changedEdges map[string]bool // edges that the present table orders something for
 }
 
-func (o *orders) to(edge string) *peer.Weights {
-	o.touched[edge] = true
-	if o.byEdge[edge] == nil {
-		o.byEdge[edge] = &peer.Weights{}
+func (u *updates) forEdge(edge string) *peer.Weights {
+	u.changedEdges[edge] = true
+	if u.byEdge[edge] == nil {
+		u.byEdge[edge] = &peer.Weights{}
 	}
-	return o.byEdge[edge]
+	return u.byEdge[edge]
 }
 
 // collect turns the module's actions into orders.
-func (o *orders) collect(t *Tables, s *table, actions []rules.Action) {
-	o.touched = map[string]bool{}
+func (u *updates) collect(t *Tables, s *serviceTable, actions []rules.Action) {
+	u.changedEdges = map[string]bool{}
 	for _, action := range actions {
 		switch action := action.(type) {
 		case rules.SetWeight:
-			o.setWeight(s, s.edgeIPs[rules.ProxyID(action.Table)], s.serverNames[action.Server], action.Weight)
+			u.setWeight(s, s.edgeIPs[rules.ProxyID(action.Table)], s.serverNames[action.Server], action.Weight)
 		case rules.Bind:
-			o.replaceTable(s, s.edgeIPs[action.Proxy])
+			u.replaceTable(s, s.edgeIPs[action.Proxy])
 		case rules.Mark:
-			for edge := range o.touched {
-				o.byEdge[edge].Tokens = append(o.byEdge[edge].Tokens, s.tokenPrefix|uint64(action.Token))
+			for edge := range u.changedEdges {
+				u.byEdge[edge].Tokens = append(u.byEdge[edge].Tokens, s.tokenPrefix|uint64(action.Token))
 			}
 		case rules.Log:
 			t.logNote(s.service, action.Text)
@@ -364,23 +364,23 @@
 	}
 }
 
-func (o *orders) setWeight(s *table, edge, server string, weight float64) {
-	w := o.to(edge)
+func (u *updates) setWeight(s *serviceTable, edge, server string, weight float64) {
+	w := u.forEdge(edge)
 	if server == "" {
 		return // it has ended
 	}
 	w.Changed = append(w.Changed, peer.Weight{Server: server, Weight: weight})
-	ordered := s.ordered[edge]
-	if ordered[server] = weight; weight <= 0 {
-		delete(ordered, server)
+	assigned := s.assigned[edge]
+	if assigned[server] = weight; weight <= 0 {
+		delete(assigned, server)
 	}
 }
 
 // replaceTable orders the complete table: what is not in it is out.
-func (o *orders) replaceTable(s *table, edge string) {
-	w := o.to(edge)
+func (u *updates) replaceTable(s *serviceTable, edge string) {
+	w := u.forEdge(edge)
 	w.Replaced = append(w.Replaced, s.service)
-	for server, weight := range s.ordered[edge] {
+	for server, weight := range s.assigned[edge] {
 		if weight > 0 && !slices.ContainsFunc(w.Changed, func(l peer.Weight) bool { return l.Server == server }) {
 			w.Changed = append(w.Changed, peer.Weight{Server: server, Weight: weight})
 		}
@@ -390,7 +390,7 @@
 // WeightsFor is the table of a service as it was ordered for an edge. It must not be changed.
 func (t *Tables) WeightsFor(edge, service string) map[string]float64 {
 	if s := t.services[service]; s != nil {
-		return s.ordered[edge]
+		return s.assigned[edge]
 	}
 	return nil
 }
@@ -398,8 +398,8 @@
 // Weight is what some edge was last sent for a server; 0: none.
 func (t *Tables) Weight(server string) float64 {
 	for _, s := range t.services {
-		for _, ordered := range s.ordered {
-			if w, ok := ordered[server]; ok && w > 0 {
+		for _, assigned := range s.assigned {
+			if w, ok := assigned[server]; ok && w > 0 {
 				return w
 			}
 		}
--- a/rules/admission.go
+++ b/rules/admission.go
@@ -1,6 +1,6 @@
 package rules
 
-// How much is let in.
+// Admission levels: how much of each class is admitted.
 
 import (
 	"cmp"
@@ -8,13 +8,14 @@
 	"slices"
 )
 
-// lessValuable orders classes by their worth for their work. The aim is all that is known of a class's work.
+// lessValuable orders classes by value per work. The latency target stands for the work of a request, as
+// nothing else is known of it.
 func lessValuable(a, b Class) int {
 	return cmp.Compare(a.Value/a.LatencyTarget, b.Value/b.LatencyTarget)
 }
 
-// classTotals are sums over the classes: of values by demand, and of work, in units of the latency targets,
-// which are all that is known of a class's work.
+// classTotals holds sums over the classes, weighted by demand. A request's work is the latency target of its
+// class, as nothing else is known of it.
 type classTotals struct {
 	valueOverTarget, value float64
 	offered, admitted      float64 // work a second
@@ -34,57 +35,57 @@
 	return sum
 }
 
-// updateAdmission sheds work when answers come too late for their targets. What may come in is held against
-// what the fleet lately answered, not against the last level: reports are seconds old, and a level that
-// builds on its past swings. It is kept in work a second: a share would let in all the repeats of refused
-// clients at once.
-func (c *Controller) updateAdmission(span float64) {
+// updateAdmission sheds load when latencies exceed what the targets allow. The limit follows the fleet's
+// recent throughput, not the last level: reports are seconds old, and a level derived from its own past
+// oscillates.
+// It is an absolute rate of work: a share would admit all the repeated requests of refused clients at once.
+func (c *Controller) updateAdmission(elapsed float64) {
 	sum := c.classTotals()
 	if c.fleet.tries < 1 || sum.requests < 1e-9 {
 		return
 	}
-	work := sum.admitted / sum.requests // of a request that is let in
+	work := sum.admitted / sum.requests // of an admitted request
 	c.updatePressure(sum.value/sum.valueOverTarget, work)
-	c.updateWorkLimit(span, work)
+	c.updateWorkLimit(elapsed, work)
 	before := c.shedShare
-	c.shedShare = max(0, min(maxShedding, 1-c.workLimit/sum.offered))
+	c.shedShare = max(0, min(maxShedShare, 1-c.workLimit/sum.offered))
 	if (before == 0) != (c.shedShare == 0) {
 		c.log("shedding now %.2f of the work, pressure %.2f", c.shedShare, c.pressure)
 	}
-	decay := math.Exp(-span / fleetTime)
-	c.fleet.fade(decay)
+	decay := math.Exp(-elapsed / fleetTime)
+	c.fleet.decay(decay)
 	for _, s := range c.servers {
-		s.recent.fade(decay)
+		s.recentTotals.decay(decay)
 	}
 }
 
-// updatePressure compares the answer time with what is wanted. The idle time goes by the work let in: once
-// the heavy requests are refused, answers come sooner.
+// updatePressure compares the latency with the wanted one. The idle latency is kept per unit of admitted
+// work: once heavy requests are refused, the remaining ones are answered sooner.
 func (c *Controller) updatePressure(target, work float64) {
-	latency := c.latency()
-	if latency > 0 && c.averageFill > filledEnough {
-		c.recentIdle = append(c.recentIdle, latency/work)[max(0, len(c.recentIdle)+1-idleLooks):]
-		c.idleLatency = min(c.idleLatency, slices.Max(c.recentIdle))
+	latency := c.medianLatency()
+	if latency > 0 && c.averageFill > minFill {
+		c.idleLatencies = append(c.idleLatencies, latency/work)[max(0, len(c.idleLatencies)+1-idleSamples):]
+		c.idleLatency = min(c.idleLatency, slices.Max(c.idleLatencies))
 	}
-	idle := min(c.idleLatency*work, latencyTargetShare*target)
-	c.pressure = c.fleet.failed/c.fleet.tries + latency/(baseShare*idle+waitShare*target)
+	idle := min(c.idleLatency*work, maxIdleShare*target)
+	c.pressure = c.fleet.failed/c.fleet.tries + latency/(idleLatencyFactor*idle+queueingShare*target)
 }
 
-// updateWorkLimit lets the limit grow without pressure, and holds it to what the fleet answers under it.
-func (c *Controller) updateWorkLimit(span, work float64) {
-	decay := math.Exp(-span / fleetTime)
+// updateWorkLimit grows the work limit, and under pressure bounds it by the fleet's recent throughput.
+func (c *Controller) updateWorkLimit(elapsed, work float64) {
+	decay := math.Exp(-elapsed / fleetTime)
 	c.averageFill = 1 - (1-c.averageFill)*decay // corrects the average of a controller that just started
-	answered := c.fleet.answered * (1 - decay) / c.averageFill * 1000 / span * work
+	answered := c.fleet.answered * (1 - decay) / c.averageFill * 1000 / elapsed * work
 	c.bestThroughput = max(answered/max(tinyShare, c.listedWeight),
-		c.bestThroughput*math.Pow(throughputDecay, span/1000))
+		c.bestThroughput*math.Pow(throughputDecay, elapsed/1000))
 	capacity := c.bestThroughput * c.listedWeight
-	c.workLimit = max(c.workLimit*math.Pow(limitGrowth, span/1000), capacity*minCapacity)
-	if c.pressure > sheddingFrom && c.averageFill > filledEnough { // a first report may be of a part
-		c.workLimit = min(c.workLimit, capacity*max(minCapacity, 1+capacitySlope*(1-c.pressure)))
+	c.workLimit = max(c.workLimit*math.Pow(limitGrowth, elapsed/1000), capacity*minCapacityShare)
+	if c.pressure > sheddingPressure && c.averageFill > minFill { // the first reports may cover only a part
+		c.workLimit = min(c.workLimit, capacity*max(minCapacityShare, 1+capacitySlope*(1-c.pressure)))
 	}
 }
 
-// admissionLevels gives each class its level as a share: those with the least worth for their work give way.
+// admissionLevels returns the admitted share of each class; the least valuable work is shed first.
 func (c *Controller) admissionLevels() []float64 {
 	total := 0.0
 	for k, d := range c.demands {
@@ -100,14 +101,15 @@
 	return levels
 }
 
-// levelFor is what a proxy is told of a class's level. A rate is its usual part of the fleet's demand, with
-// room for chance: a proxy with few requests would else refuse what the fleet has room for.
+// levelFor returns the level of class k as it is sent to a proxy. A rate is the proxy's typical part of the
+// fleet's admitted demand, with headroom for random variation: a proxy with few requests would otherwise
+// refuse requests that the fleet has capacity for.
 func (c *Controller) levelFor(p *proxy, k int, level float64) float64 {
 	if c.settings.Admission != AdmitRate {
 		return level
 	}
 	if level >= 1 {
-		return unlimited
+		return unlimitedRate
 	}
 	rate := level * c.demands[k] * p.typicalRate / c.typicalRate
 	return rate + rateHeadroom*math.Sqrt(rate)
--- a/rules/booking_test.go
+++ b/rules/booking_test.go
@@ -16,14 +16,14 @@
 
 // proxy counts what its stream carries, as the protocol counts it, and keeps the table that results.
 type proxy struct {
-	t     *testing.T
-	id    uint64
-	head  float64
-	lines *float64
-	table map[string]float64
-	fresh bool // a message begins
-	again bool // it had joined before
-	bound *bool
+	t             *testing.T
+	id            uint64
+	messageCost   float64
+	lines         *float64
+	table         map[string]float64
+	messageStarts bool // a message begins
+	rejoined      bool // it had joined before
+	bound         *bool
 }
 
 func (p *proxy) ID() uint64  { return p.id }
@@ -37,13 +37,13 @@
 		for text[end] != '\n' {
 			end++
 		}
-		p.part(text[:end])
+		p.handlePart(text[:end])
 		text = text[end+1:]
 	}
 	return err
 }
 
-func (p *proxy) part(text []byte) {
+func (p *proxy) handlePart(text []byte) {
 	var o struct {
 		Replace, Part bool
 		Rows          [][2]any
@@ -53,14 +53,14 @@
 	if err := json.Unmarshal(text, &o); err != nil {
 		p.t.Fatalf("%v in %s", err, text)
 	}
-	if p.fresh {
-		*p.lines += p.head
+	if p.messageStarts {
+		*p.lines += p.messageCost
 	}
-	p.fresh = !o.Part
+	p.messageStarts = !o.Part
 	if o.Replace {
 		p.table = map[string]float64{}
 		*p.lines++
-		*p.bound = *p.bound || p.again
+		*p.bound = *p.bound || p.rejoined
 	}
 	for _, has := range []bool{o.Gate != nil, o.Stamp != nil} {
 		if has {
@@ -85,11 +85,11 @@
 func (noCalls) Move(string)                        {}
 func (noCalls) Probe(rules.ServerID, string, bool) {}
 
-// TestBookedLines plays joins, departures, reports and changes of the list, and compares what the module booked
+// TestQueuedLinesCoverTheMessagesWritten plays joins, departures, reports and changes of the list, and compares what the module booked
 // for its channel with what the protocol counts of the messages written. Guards the rule on the queue: a host
 // that writes more than was booked breaks it without the module's knowing. For a proxy that joins again lines
 // may be booked that its old table held and the new one doesn't.
-func TestBookedLines(t *testing.T) {
+func TestQueuedLinesCoverTheMessagesWritten(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		// A channel that never drains keeps the sum of all that was booked.
@@ -118,8 +118,8 @@
 			case 0:
 				if p == nil {
 					last++
-					joined[n] = &proxy{t: t, id: last, head: set.Rules.MessageCost, lines: &lines, fresh: true,
-						again: before[n], bound: &bound}
+					joined[n] = &proxy{t: t, id: last, messageCost: set.Rules.MessageCost, lines: &lines, messageStarts: true,
+						rejoined: before[n], bound: &bound}
 					before[n] = true
 					r.Handle(routing.Reported{Peer: joined[n],
 						Message: protocol.Attach{Proxy: n, Zone: set.ZoneNames[n%2], Weight: float64(n)}})
--- a/rules/churn_test.go
+++ b/rules/churn_test.go
@@ -12,17 +12,17 @@
 	"mulleinwood/rules"
 )
 
-// numbered is a module that notes the largest number of a server it was told.
-type numbered struct {
+// countingController is a module that notes the largest number of a server it was told.
+type countingController struct {
 	*rules.Controller
-	most rules.ServerID
+	highestID rules.ServerID
 }
 
-func (n *numbered) Step(now float64, events []rules.Event) []rules.Action {
+func (n *countingController) Step(now float64, events []rules.Event) []rules.Action {
 	for _, e := range events {
 		if list, ok := e.(rules.List); ok {
 			for _, s := range list.Servers {
-				n.most = max(n.most, s.ID)
+				n.highestID = max(n.highestID, s.ID)
 			}
 		}
 	}
@@ -46,7 +46,7 @@
 		for n := range live {
 			known.Members = append(known.Members, entry(n, "up"))
 		}
-		module := &numbered{Controller: rules.New(set.Rules, 7)}
+		module := &countingController{Controller: rules.New(set.Rules, 7)}
 		r := routing.New(set, module, noCalls{}, known, zerolog.Nop())
 		lines, bound := 0.0, false
 		streams := map[int]*proxy{}
@@ -70,7 +70,7 @@
 					delete(streams, at)
 				} else {
 					id++
-					streams[at] = &proxy{t: t, id: id, lines: &lines, fresh: true, again: true, bound: &bound}
+					streams[at] = &proxy{t: t, id: id, lines: &lines, messageStarts: true, rejoined: true, bound: &bound}
 					r.Handle(routing.Reported{Peer: streams[at],
 						Message: protocol.Attach{Proxy: at, Zone: set.ZoneNames[at%2], Weight: 3}})
 				}
@@ -86,8 +86,8 @@
 			servers, held := module.TrackedCounts()
 			most, mostLines = max(most, servers), max(mostLines, held)
 		}
-		if most > 3*live || int(module.most) > 3*live {
-			t.Errorf("drain only %t: of %d servers that live, %d were remembered and numbers went up to %d", drainOnly, live, most, module.most)
+		if most > 3*live || int(module.highestID) > 3*live {
+			t.Errorf("drain only %t: of %d servers that live, %d were remembered and numbers went up to %d", drainOnly, live, most, module.highestID)
 		}
 		if mostLines > proxies*3*live || lines == 0 {
 			t.Errorf("drain only %t: %d lines of tables were kept, %v were ordered", drainOnly, mostLines,
--- a/rules/dealing.go
+++ b/rules/dealing.go
@@ -1,6 +1,6 @@
 package rules
 
-// Which servers a proxy's table holds.
+// Assignment of servers to the tables of proxies.
 
 import (
 	"math"
@@ -8,30 +8,30 @@
 )
 
 const (
-	// tinyRate keeps divisions by rates away from zero, in requests a second.
+	// tinyRate prevents divisions by a rate of zero, in requests a second.
 	tinyRate = 1e-3
-	// tinyShare does the same for shares and weights.
+	// tinyShare prevents divisions by a share or weight of zero.
 	tinyShare = 1e-9
 )
 
-// computeTargets splits the shares by proxy zone. Crossing zones has a price, so a zone's proxies use its own
-// servers as far as these have room and spill only the rest. Where proxies join controllers of their own
-// zone, those that we don't see are taken to be in the zones where we see none.
+// computeTargets splits the shares by proxy zone. Traffic between zones is costly, so a zone's proxies use
+// its own servers up to their capacity and spill only the rest. With Settings.LocalFirst, proxies of other
+// controllers are assumed to be in the zones that have no proxies of this planner.
 func (c *Controller) computeTargets() {
 	for i := range c.zones {
 		c.zones[i] = zone{servers: c.zones[i].servers}
 	}
 	c.sumDemand()
 	c.addOtherParts()
-	c.fillZones(c.computeZoneShares())
+	c.distributeTraffic(c.computeZoneShares())
 	for _, s := range c.servers {
 		z := &c.zones[s.Zone]
 		s.targetRate = s.share / max(tinyShare, z.capacityShare) * z.inboundRate
 	}
 }
 
-// sumDemand sums up what our own proxies bring. What is not asked for is not reported, so silence counts as
-// less.
+// sumDemand sums up the demand of our own proxies. A class without requests is not reported, so a demand
+// without reports decays.
 func (c *Controller) sumDemand() {
 	clear(c.demands)
 	c.joinedProxies, c.typicalRate = 0, tinyRate
@@ -40,7 +40,7 @@
 			continue
 		}
 		for k, d := range p.demand {
-			silent := max(0, c.now-p.reportedAt[k]-silenceTimeout*c.settings.ReportPeriod)
+			silent := max(0, c.now-p.reportedAt[k]-silentPeriods*c.settings.ReportPeriod)
 			c.demands[k] += d * math.Exp(-silent/demandTime)
 		}
 		c.joinedProxies++
@@ -54,7 +54,7 @@
 	}
 }
 
-// addOtherParts adds what the planner's other cores bring.
+// addOtherParts adds the traffic of the planner's other cores.
 func (c *Controller) addOtherParts() {
 	c.joinedProxies += c.otherParts.JoinedProxies
 	for k, d := range c.otherParts.Demands {
@@ -70,36 +70,36 @@
 	}
 }
 
-// computeZoneShares compares each zone's traffic with the capacity of its servers, and sums up what is to
-// spare.
+// computeZoneShares compares each zone's traffic with the capacity of its servers, and returns the sum of the
+// spare capacity.
 func (c *Controller) computeZoneShares() (spare float64) {
-	unseen, hidden := 0.0, 0.0 // traffic of proxies not seen, capacity of zones without ours
+	unseenRate, unseenCapacity := 0.0, 0.0 // of other controllers' proxies; of zones without our proxies
 	if c.settings.LocalFirst && c.joinedProxies > 0 {
-		unseen = max(0, float64(c.settings.Proxies)-c.joinedProxies) * c.typicalRate / c.joinedProxies
+		unseenRate = max(0, float64(c.settings.Proxies)-c.joinedProxies) * c.typicalRate / c.joinedProxies
 	}
 	for _, s := range c.servers {
 		c.zones[s.Zone].capacityShare += s.share
 		if c.zones[s.Zone].totalRate == 0 {
-			hidden += s.share
+			unseenCapacity += s.share
 		}
 	}
 	spare = tinyShare
 	for i := range c.zones {
 		z := &c.zones[i]
-		z.trafficShare = z.totalRate / (c.typicalRate + unseen)
-		if z.totalRate == 0 && hidden > 0 {
-			z.trafficShare = unseen / (c.typicalRate + unseen) * z.capacityShare / hidden
+		z.trafficShare = z.totalRate / (c.typicalRate + unseenRate)
+		if z.totalRate == 0 && unseenCapacity > 0 {
+			z.trafficShare = unseenRate / (c.typicalRate + unseenRate) * z.capacityShare / unseenCapacity
 		}
-		z.spillShare = max(0, 1-z.capacityShare*(1+zoneSlack)/max(tinyShare, z.trafficShare))
+		z.spillShare = max(0, 1-z.capacityShare*(1+zoneHeadroom)/max(tinyShare, z.trafficShare))
 		z.spareShare = max(0, z.capacityShare-z.trafficShare) + tinyShare*z.capacityShare
 		spare += z.spareShare
 	}
 	return spare
 }
 
-// fillZones sends what does not spill to the zone's own servers, and the rest to all zones by what they have
-// to spare.
-func (c *Controller) fillZones(spare float64) {
+// distributeTraffic adds each zone's traffic to its own servers, and what spills to all zones by their spare
+// capacity.
+func (c *Controller) distributeTraffic(spare float64) {
 	for i := range c.zones {
 		from := &c.zones[i]
 		from.inboundRate += from.ownRate * (1 - from.spillShare)
@@ -109,27 +109,27 @@
 	}
 }
 
-// tableSize is the number of lines of a proxy's table, mostly by its traffic: no more than servers'
-// connection limits and the channel allow with every proxy at that, nor many more servers than its traffic
-// fills. Guards against full connections; a table of fewer lines could be without a server for longer when
-// many die.
+// tableSize returns the wanted number of lines of a proxy's table, which grows with its traffic. The mean is
+// bounded by the servers' connection limits and the channel's queue, for tables of all proxies, and by a few
+// times the servers that a proxy's traffic fills, so that connections don't run out. With too few lines a
+// proxy could be without a server for longer when many servers fail.
 func (c *Controller) tableSize(p *proxy) float64 {
 	n := max(1, c.joinedProxies, float64(c.settings.Proxies))
-	mean := min(tableShare*c.settings.QueueLines/n-c.settings.MessageCost,
-		max(maxMeanLines, linesPerFilledServer*c.usableServers/n))
+	mean := min(tableQueueShare*c.settings.QueueLines/n-c.settings.MessageCost,
+		max(maxMeanTableLines, linesPerFilledServer*c.usableServers/n))
 	if c.settings.MinConnections > 0 {
-		mean = min(mean, connShare*c.settings.MinConnections*c.usableServers/n)
+		mean = min(mean, connectionShare*c.settings.MinConnections*c.usableServers/n)
 	}
-	return max(minLines, mean*(1+3*p.typicalRate*c.joinedProxies/c.typicalRate)/4)
+	return max(minTableLines, mean*(1+3*p.typicalRate*c.joinedProxies/c.typicalRate)/4)
 }
 
-// dealTables gives each proxy its part of the fleet: its own zone first, others only for what spills. It
-// starts from the tables as they are, so that few lines change when servers come and go; each new line is for
-// the server held least for its target. Few servers in a zone are all held, but by proxies with little
-// traffic.
-func (c *Controller) dealTables() {
+// assignTables assigns each proxy a part of the fleet: servers of its own zone, and of others only for
+// traffic that spills. It starts from the current tables, so that few lines change when servers come and go;
+// each new line is for the server with the least assigned traffic relative to its target. In a zone of few
+// servers each table has all of them, except those of proxies with little traffic.
+func (c *Controller) assignTables() {
 	for _, s := range c.servers {
-		s.assignedRate, s.dealtTo = 0, nil
+		s.assignedRate, s.visitedBy = 0, nil
 	}
 	for _, p := range c.proxies {
 		c.dropUnwantedLines(p)
@@ -140,19 +140,19 @@
 		if !p.joined {
 			continue
 		}
-		size, far := c.tableSize(p), 0.0
+		size, remote := c.tableSize(p), 0.0
 		if spill := c.zones[p.zone].spillShare; spill > 0 {
-			far = max(1, math.Round(size*spill))
+			remote = max(1, math.Round(size*spill))
 		}
-		c.fill(p, p.isHome, size-far)
-		c.fill(p, p.isAway, far)
+		c.fillTable(p, p.isLocal, size-remote)
+		c.fillTable(p, p.isRemote, remote)
 		c.totalLines += p.wantedLines
 	}
-	c.dealToStarved()
+	c.assignUnderassigned()
 }
 
-// dropUnwantedLines takes lines out of a proxy's table whose servers may hold none, or that lie in other
-// zones while nothing spills, and counts what the others bring their servers.
+// dropUnwantedLines removes lines of a proxy's table whose servers may have none, or are in other zones while
+// nothing spills, and adds the proxy's traffic to the servers of the other lines.
 func (c *Controller) dropUnwantedLines(p *proxy) {
 	p.wantedLines = 0
 	for i := range p.lines {
@@ -174,10 +174,10 @@
 	}
 }
 
-// rankServers orders the servers of each zone by how little they are held for their target.
+// rankServers orders the servers of each zone by their assigned traffic relative to their target.
 func (c *Controller) rankServers() {
 	for z := range c.zones {
-		c.zones[z].servers.begin(lessAssigned)
+		c.zones[z].servers.reset(lessAssigned)
 	}
 	for _, s := range c.servers {
 		if s.targetRate > 0 {
@@ -186,7 +186,7 @@
 	}
 }
 
-// lessAssigned orders servers by how little they are held for their target.
+// lessAssigned orders servers by their assigned traffic relative to their target, then by id.
 func lessAssigned(a, b *server) bool {
 	if x, y := a.assignedRate*b.targetRate, b.assignedRate*a.targetRate; x != y {
 		return x < y
@@ -194,25 +194,25 @@
 	return a.ID < b.ID
 }
 
-// busier orders proxies by the traffic of a line.
-func busier(a, b *proxy) bool {
+// moreTrafficPerLine orders proxies by descending traffic per line, then by id.
+func moreTrafficPerLine(a, b *proxy) bool {
 	if x, y := a.typicalRate*b.wantedLines, b.typicalRate*a.wantedLines; x != y {
 		return x > y
 	}
 	return a.id < b.id
 }
 
-// dealToStarved deals servers that are held for too little once more, each to the busiest proxy of its zone:
-// newcomers, and those whose proxies left.
-func (c *Controller) dealToStarved() {
-	byZone := map[int]*ranked[*proxy]{} // few looks need any
+// assignUnderassigned assigns each server with too little traffic for its target to one more proxy, the one
+// of its zone with the most traffic per line: new servers, and those whose proxies left.
+func (c *Controller) assignUnderassigned() {
+	byZone := map[int]*priorityQueue[*proxy]{} // rarely needed
 	for _, s := range c.servers {
-		if s.assignedRate >= starvedShare*s.targetRate {
+		if s.assignedRate >= underassignedShare*s.targetRate {
 			continue
 		}
 		r := byZone[s.Zone]
 		if r == nil {
-			r = &ranked[*proxy]{before: busier}
+			r = &priorityQueue[*proxy]{less: moreTrafficPerLine}
 			for _, p := range c.proxies {
 				if p.joined && p.zone == s.Zone {
 					r.add(p)
@@ -220,22 +220,22 @@
 			}
 			byZone[s.Zone] = r
 		}
-		if best, found := r.first(func(p *proxy) bool { return p.knows(s) }); found {
+		if best, found := r.first(func(p *proxy) bool { return p.hasLine(s) }); found {
 			best.addLine(s)
-			r.moved()
+			r.fixFirst()
 		}
 		r.restore()
 	}
 }
 
-// isHome and isAway tell the proxy's own zone from others.
-func (p *proxy) isHome(zone int) bool { return zone == p.zone }
-func (p *proxy) isAway(zone int) bool { return zone != p.zone }
+// isLocal and isRemote report whether a zone is the proxy's own one or another one.
+func (p *proxy) isLocal(zone int) bool  { return zone == p.zone }
+func (p *proxy) isRemote(zone int) bool { return zone != p.zone }
 
-// fill deals a proxy servers of eligible zones until its table holds enough of them.
-func (c *Controller) fill(p *proxy, eligible func(zone int) bool, lines float64) {
+// fillTable assigns servers of eligible zones to a proxy until its table has enough lines for them.
+func (c *Controller) fillTable(p *proxy, eligible func(zone int) bool, lines float64) {
 	for _, l := range p.lines {
-		l.server.dealtTo = p
+		l.server.visitedBy = p
 		if l.wanted > 0 && eligible(l.server.Zone) {
 			lines--
 		}
@@ -246,21 +246,21 @@
 			break
 		}
 		p.addLine(best)
-		c.zones[best.Zone].servers.moved()
+		c.zones[best.Zone].servers.fixFirst()
 	}
 	for z := range c.zones {
 		c.zones[z].servers.restore()
 	}
 }
 
-// leastAssigned is the server of the eligible zones that is held least for its target and that is not in the
-// proxy's table; nil: there is none.
+// leastAssigned returns the server of the eligible zones with the least assigned traffic relative to its
+// target that is not in the proxy's table; nil: there is none.
 func (c *Controller) leastAssigned(p *proxy, eligible func(zone int) bool) (best *server) {
 	for z := range c.zones {
 		if !eligible(z) {
 			continue
 		}
-		s, found := c.zones[z].servers.first(func(s *server) bool { return s.dealtTo == p })
+		s, found := c.zones[z].servers.first(func(s *server) bool { return s.visitedBy == p })
 		if found && (best == nil || lessAssigned(s, best)) {
 			best = s
 		}
@@ -268,20 +268,20 @@
 	return best
 }
 
-// addLine gives a proxy a line for a server; its weight comes with computeWeights.
+// addLine adds a line for a server to the proxy's table; computeWeights sets its weight.
 func (p *proxy) addLine(s *server) {
 	p.wantedLines++
-	s.dealtTo, s.assignedRate = p, s.assignedRate+p.typicalRate/p.wantedLines
+	s.visitedBy, s.assignedRate = p, s.assignedRate+p.typicalRate/p.wantedLines
 	p.lines = append(p.lines, line{server: s, wanted: 1})
 }
 
-// moved says whether a line differs from what the proxy was sent by enough to be worth an order.
-func (l line) moved() bool { return math.Abs(l.wanted-l.sent) > minMove*l.sent }
+// needsUpdate reports whether a line differs enough from the weight last sent to be worth an order.
+func (l line) needsUpdate() bool { return math.Abs(l.wanted-l.sent) > minWeightChange*l.sent }
 
-// computeWeights sets the weights of all lines: a server's share, corrected for how it is held, so that the
-// traffic it gets from all our tables follows its share although each table holds only a part of the fleet.
+// computeWeights sets the weights of all lines: a server's share, corrected for its assignment, so that its
+// traffic from all our tables follows its share although each table has only a part of the fleet.
 func (c *Controller) computeWeights() {
-	for range fitSteps {
+	for range correctionSteps {
 		c.fitCorrections()
 	}
 	for _, p := range c.proxies {
@@ -289,7 +289,7 @@
 	}
 }
 
-// fitCorrections is one step of fitting the weights to the tables.
+// fitCorrections runs one iteration of fitting the corrections to the tables.
 func (c *Controller) fitCorrections() {
 	for _, s := range c.servers {
 		s.assignedRate = 0
@@ -311,25 +311,26 @@
 	}
 }
 
-// computeUrgency says whether a proxy's table can wait, and how much of its traffic goes elsewhere than
-// wanted. A table is urgent if it is not the proxy's yet, has a line that must go, or none that works.
+// computeUrgency sets whether a proxy's table is urgent, and how much of the proxy's traffic doesn't follow
+// the wanted weights. A table is urgent if it is not bound to the proxy, has a line that must be removed, or
+// has no usable line that was sent.
 func (c *Controller) computeUrgency(p *proxy, sum float64) {
 	works := false
 	p.urgent, p.misroutedRate = !p.bound, 0
 	for _, l := range p.lines {
 		works = works || l.wanted > 0 && l.sent > 0
 		p.urgent = p.urgent || l.sent > 0 && !l.server.inTables
-		if l.moved() {
+		if l.needsUpdate() {
 			p.misroutedRate += math.Abs(l.wanted-l.sent) / sum * p.typicalRate
 		}
 	}
 	if p.urgent = p.urgent || !works && p.wantedLines > 0; p.urgent {
-		p.misroutedRate += c.typicalRate // first
+		p.misroutedRate += c.typicalRate // urgent tables come first
 	}
 }
 
-// setWeights sets the weights of a proxy's lines, in which a mean server has the given weight, and sums them
-// up.
+// setWeights sets the wanted weights of a proxy's lines, scaled so that a server of average share has the
+// weight mean, and returns their sum.
 func (p *proxy) setWeights(mean float64) (sum float64) {
 	for i := range p.lines {
 		if l := &p.lines[i]; l.wanted > 0 {
--- a/rules/dealing_test.go
+++ b/rules/dealing_test.go
@@ -35,9 +35,9 @@
 	t.Helper()
 	set := largeSettings(proxies)
 	f := newFleet(t, set, manyServers(servers, set.Zones)...)
-	f.after(100, manyProxies(proxies, set.Zones)...)
+	f.advance(100, manyProxies(proxies, set.Zones)...)
 	for range 50 {
-		f.after(1000, f.acks()...)
+		f.advance(1000, f.acks()...)
 	}
 	return f
 }
@@ -75,7 +75,7 @@
 
 // Full tables fit neither the channel nor the servers' connections: at a large site they once broke the rule
 // on drains.
-func TestTablesOfALargeFleetArePartsHeldEvenly(t *testing.T) {
+func TestTablesOfALargeFleetArePartialAndEven(t *testing.T) {
 	f := largeFleet(t, 240, 300)
 	if len(f.bound) != 300 {
 		t.Fatalf("%d of 300 proxies bound", len(f.bound))
@@ -83,7 +83,7 @@
 	held := map[ServerID]int{}
 	for p := range f.bound {
 		lines := f.linesOf(p)
-		if float64(len(lines)) > f.c.tableSize(f.c.proxyByID[p])+3 || len(lines) < minLines {
+		if float64(len(lines)) > f.c.tableSize(f.c.proxyByID[p])+3 || len(lines) < minTableLines {
 			t.Errorf("proxy %d has %d lines, its size is %v", p, len(lines), f.c.tableSize(f.c.proxyByID[p]))
 		}
 		for id := range lines {
@@ -111,15 +111,15 @@
 	set := largeSettings(45)
 	set.MinConnections = 0 // the connections would not be the limit
 	f := newFleet(t, set, manyServers(111, 3)...)
-	f.after(100, manyProxies(45, 3)...)
+	f.advance(100, manyProxies(45, 3)...)
 	for range 20 {
-		f.after(1000, f.acks()...)
+		f.advance(1000, f.acks()...)
 	}
 	lines := 0
 	for p := range f.bound {
 		lines += len(f.linesOf(p))
 	}
-	if mean, most := float64(lines)/45, max(maxMeanLines, linesPerFilledServer*111.0/45); mean > 1.2*most {
+	if mean, most := float64(lines)/45, max(maxMeanTableLines, linesPerFilledServer*111.0/45); mean > 1.2*most {
 		t.Fatalf("%v lines in a mean table, want about %v", mean, most)
 	}
 	if few, many := len(f.linesOf(0)), len(f.linesOf(6)); few >= many {
@@ -127,24 +127,24 @@
 	}
 }
 
-func TestLoadFollowsTheDesignsWeightThroughParts(t *testing.T) {
+func TestLoadFollowsWeightsWithPartialTables(t *testing.T) {
 	f := largeFleet(t, 120, 200)
 	s := f.c.servers[10]
 	before := f.loads()[s.ID]
 	s.factor = 0.5
 	for range 20 {
-		f.after(1000, f.acks()...)
+		f.advance(1000, f.acks()...)
 	}
 	if now := f.loads()[s.ID] / before; now < 0.4 || now > 0.6 {
 		t.Fatalf("a server at half its weight gets %.2f of its load before", now)
 	}
 }
 
-func TestSmallFleetIsHeldWhole(t *testing.T) {
+func TestTablesOfASmallFleetHoldAllServers(t *testing.T) {
 	set := settings()
 	set.MinConnections = 60
 	f := newFleet(t, set, fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true},
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true},
 		Joined{Proxy: 2, Zone: 0, Rate: 10, Fresh: true})
 	if n := len(f.linesOf(1)); n != 4 {
 		t.Fatalf("%d lines in a fleet of four that spills", n)
@@ -159,9 +159,9 @@
 	}
 	gone := f.c.servers[30].Server
 	gone.State = Removed
-	f.after(1000, append(f.acks(), List{Kind: ListChanges, Servers: []Server{gone}})...)
+	f.advance(1000, append(f.acks(), List{Kind: ListChanges, Servers: []Server{gone}})...)
 	for range 10 {
-		f.after(1000, f.acks()...)
+		f.advance(1000, f.acks()...)
 	}
 	changed := 0
 	for p := range f.bound {
@@ -177,13 +177,13 @@
 	if changed > 10 {
 		t.Fatalf("%d lines changed in tables that did not hold the lost server", changed)
 	}
-	if !f.out(gone.ID) {
+	if !f.hasNoLines(gone.ID) {
 		t.Fatal("a lost server keeps a line")
 	}
 	gone.State = Ready
-	f.after(1000, append(f.acks(), List{Kind: ListChanges, Servers: []Server{gone}})...)
+	f.advance(1000, append(f.acks(), List{Kind: ListChanges, Servers: []Server{gone}})...)
 	for range 20 {
-		f.after(1000, f.acks()...)
+		f.advance(1000, f.acks()...)
 	}
 	if load := f.loads()[gone.ID] / (f.c.typicalRate / 120); load < 0.5 {
 		t.Fatalf("a server that came back gets %.2f of the mean load: full tables have no place for it", load)
@@ -199,8 +199,8 @@
 			rest = append(rest, s.Server)
 		}
 	}
-	f.after(1000, append(f.acks(), List{Kind: ListFull, Servers: rest})...)
-	f.after(urgentGap)
+	f.advance(1000, append(f.acks(), List{Kind: ListFull, Servers: rest})...)
+	f.advance(urgentGap)
 	for p := range f.bound {
 		if len(f.linesOf(p)) < 2 {
 			t.Errorf("proxy %d has %d lines after the loss of a zone", p, len(f.linesOf(p)))
@@ -211,13 +211,13 @@
 // Nobody answers for a message that emptied a table; the next one must not wait for that.
 func TestTableThatWasEmptiedDoesNotWait(t *testing.T) {
 	f := largeFleet(t, 60, 60)
-	f.after(1000, append(f.acks(), List{Kind: ListFull})...)
+	f.advance(1000, append(f.acks(), List{Kind: ListFull})...)
 	for _, s := range f.c.servers {
-		if !f.out(s.ID) {
+		if !f.hasNoLines(s.ID) {
 			t.Fatalf("server %d keeps a line though none is listed", s.ID)
 		}
 	}
-	f.after(urgentGap, List{Kind: ListFull, Servers: manyServers(60, 3)})
+	f.advance(urgentGap, List{Kind: ListFull, Servers: manyServers(60, 3)})
 	for p := range f.bound {
 		if len(f.linesOf(p)) == 0 {
 			t.Errorf("proxy %d waits without a line", p)
@@ -226,18 +226,18 @@
 }
 
 // The fleet doubles at once while the channel, not the connections, limits the tables.
-func TestNewcomersAreSpreadOverTheProxies(t *testing.T) {
+func TestNewServersAreSpreadOverTheProxies(t *testing.T) {
 	set := largeSettings(90)
 	set.MinConnections, set.QueueLines = 0, 4000
 	all := manyServers(240, 3)
 	f := newFleet(t, set, all[:120]...)
-	f.after(100, manyProxies(90, 3)...)
+	f.advance(100, manyProxies(90, 3)...)
 	for range 20 {
-		f.after(1000, f.acks()...)
+		f.advance(1000, f.acks()...)
 	}
-	f.after(1000, append(f.acks(), List{Kind: ListChanges, Servers: all[120:]})...)
+	f.advance(1000, append(f.acks(), List{Kind: ListChanges, Servers: all[120:]})...)
 	for range 30 {
-		f.after(1000, f.acks()...)
+		f.advance(1000, f.acks()...)
 	}
 	// half of them leave and come back to full tables
 	for _, state := range []State{Removed, Ready, Removed, Ready} {
@@ -245,9 +245,9 @@
 		for i := range some {
 			some[i].State = state
 		}
-		f.after(1000, append(f.acks(), List{Kind: ListChanges, Servers: some})...)
+		f.advance(1000, append(f.acks(), List{Kind: ListChanges, Servers: some})...)
 		for range 20 {
-			f.after(1000, f.acks()...)
+			f.advance(1000, f.acks()...)
 		}
 	}
 	loads, mean := f.loads(), f.c.typicalRate/240
@@ -274,12 +274,12 @@
 			drained = append(drained, gone)
 		}
 	}
-	f.after(decideTime, List{Kind: ListChanges, Servers: drained})
+	f.advance(decisionInterval, List{Kind: ListChanges, Servers: drained})
 	for range 5 {
-		f.after(decideTime)
+		f.advance(decisionInterval)
 	}
 	for _, s := range drained {
-		if !f.out(s.ID) {
+		if !f.hasNoLines(s.ID) {
 			t.Errorf("draining server %d keeps a line half a second later", s.ID)
 		}
 	}
@@ -290,34 +290,34 @@
 	set := settings()
 	set.DrainOnly = true
 	f := newFleet(t, set, fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
-	f.calm()
-	f.after(1000, f.ack(1), List{Kind: ListFull, Servers: fourServers()[:1]})
-	f.after(1000)
-	if f.out(2) || f.out(3) || f.out(4) {
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
+	f.feedIdleReports()
+	f.advance(1000, f.ack(1), List{Kind: ListFull, Servers: fourServers()[:1]})
+	f.advance(1000)
+	if f.hasNoLines(2) || f.hasNoLines(3) || f.hasNoLines(4) {
 		t.Fatal("servers that answer lost their lines though only draining binds")
 	}
-	f.after(1000, heard(2, 0, suspectTries, suspectTries, 0), heard(3, 1, suspectTries, suspectTries, 0),
-		heard(4, 1, suspectTries, suspectTries, 0))
-	if !f.out(2) || !f.out(3) || !f.out(4) {
+	f.advance(1000, heard(2, 0, suspectAttempts, suspectAttempts, 0), heard(3, 1, suspectAttempts, suspectAttempts, 0),
+		heard(4, 1, suspectAttempts, suspectAttempts, 0))
+	if !f.hasNoLines(2) || !f.hasNoLines(3) || !f.hasNoLines(4) {
 		t.Fatal("dropped servers that answer nothing keep their lines: the list and their silence agree")
 	}
 	drains := ready(1, 0)
 	drains.State = Draining
-	f.after(1000, List{Kind: ListChanges, Servers: []Server{drains}})
-	if !f.out(1) {
+	f.advance(1000, List{Kind: ListChanges, Servers: []Server{drains}})
+	if !f.hasNoLines(1) {
 		t.Fatal("a draining server keeps its line")
 	}
 	drains.State = Removed
-	f.after(1000, List{Kind: ListChanges, Servers: []Server{drains}})
-	if !f.out(1) {
+	f.advance(1000, List{Kind: ListChanges, Servers: []Server{drains}})
+	if !f.hasNoLines(1) {
 		t.Fatal("a drained server came back when the list dropped it")
 	}
 	set.DrainOnly = false
 	f = newFleet(t, set, fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
-	f.after(1000, List{Kind: ListFull, Servers: fourServers()[:1]})
-	if !f.out(2) {
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
+	f.advance(1000, List{Kind: ListFull, Servers: fourServers()[:1]})
+	if !f.hasNoLines(2) {
 		t.Fatal("a dropped server keeps its line where dropping binds")
 	}
 }
@@ -327,7 +327,7 @@
 	set := settings()
 	set.LocalFirst, set.Proxies = true, 4
 	f := newFleet(t, set, fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true},
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true},
 		Joined{Proxy: 2, Zone: 0, Rate: 10, Fresh: true})
 	if home := f.share(1, 1) + f.share(1, 2); home < 0.99 {
 		t.Fatalf("%v of the traffic stays home with half of the proxies in a zone that we don't see", home)
@@ -340,7 +340,7 @@
 	set.LocalFirst, set.Proxies, set.Zones = true, 20, 4
 	f := newFleet(t, set, manyServers(16, 4)...)
 	for i := range 5 {
-		f.after(10, Joined{Proxy: ProxyID(i), Zone: 0, Rate: 10, Fresh: true})
+		f.advance(10, Joined{Proxy: ProxyID(i), Zone: 0, Rate: 10, Fresh: true})
 	}
 	for i := range 4 {
 		var reports []Event
@@ -349,17 +349,17 @@
 				reports = append(reports, heard(s.ID, 0, 10, 0, 100+5*float64(s.ID)))
 			}
 		}
-		f.after(roundTime, reports...)
-		if got := len(f.c.servers[0].recentErrors); got != min(i+1, errorsKept) {
+		f.advance(roundInterval, reports...)
+		if got := len(f.c.servers[0].recentErrors); got != min(i+1, errorWindow) {
 			t.Fatalf("%d errors learnt after %d rounds with all servers in our tables heard", got, i+1)
 		}
 	}
-	f.after(2 * heardFor)
+	f.advance(2 * reportLifetime)
 	if got := f.c.servers[0].errorSum; got == 0 {
 		t.Fatal("nothing was learnt")
 	}
 	before := f.c.servers[0].errorSum
-	if f.after(roundTime); f.c.servers[0].errorSum != before {
+	if f.advance(roundInterval); f.c.servers[0].errorSum != before {
 		t.Fatal("a round ran on figures older than a minute")
 	}
 }
@@ -369,7 +369,7 @@
 	set := settings()
 	set.Admission = AdmitRate
 	f := newFleet(t, set, fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 1, Fresh: true},
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 1, Fresh: true},
 		Joined{Proxy: 2, Zone: 1, Rate: 99, Fresh: true})
 	f.c.demands[0] = 100
 	small, large := f.c.levelFor(f.c.proxyByID[1], 0, 0.8), f.c.levelFor(f.c.proxyByID[2], 0, 0.8)
@@ -380,9 +380,9 @@
 
 func TestReportsCountForTheTimeTheyCover(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 1, Fresh: true})
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 1, Fresh: true})
 	for range 20 { // a request each five seconds, told late and then a busy fifth of a second
-		f.after(100, Demand{Proxy: 1, Class: 0, Requests: 1, Period: 4800},
+		f.advance(100, Demand{Proxy: 1, Class: 0, Requests: 1, Period: 4800},
 			Demand{Proxy: 1, Class: 0, Requests: 1, Period: 200})
 	}
 	if d := f.c.proxyByID[1].demand[0]; d > 1.2 {
@@ -390,14 +390,14 @@
 	}
 }
 
-func TestLooksAreSpacedHoweverOftenEventsCome(t *testing.T) {
+func TestDecisionsAreSpacedRegardlessOfEvents(t *testing.T) {
 	c := New(largeSettings(30), 1)
 	c.Step(1000, []Event{List{Kind: ListCached, Servers: manyServers(30, 3)}})
 	looks := 0
 	for i := range 1000 {
 		looks += count[Timer](c.Step(1000+float64(i), []Event{heard(3, 0, 1, 0, 100)}))
 	}
-	if most := int(1000 / decideTime); looks > most || looks < most-1 {
+	if most := int(1000 / decisionInterval); looks > most || looks < most-1 {
 		t.Fatalf("%d looks in a second of events each millisecond, want about %d", looks, most)
 	}
 }
@@ -442,12 +442,12 @@
 				set := largeSettings(90)
 				set.DrainOnly = drainOnly
 				f := newFleet(t, set, manyServers(60, 3)...)
-				f.after(100, manyProxies(90, 3)...)
+				f.advance(100, manyProxies(90, 3)...)
 				for _, e := range tc.events {
-					f.after(decideTime, e)
+					f.advance(decisionInterval, e)
 				}
 				for range 10 {
-					f.after(1000, f.acks()...)
+					f.advance(1000, f.acks()...)
 				}
 				for _, p := range f.c.proxies {
 					if p.joined && len(f.linesOf(p.id)) == 0 {
@@ -461,24 +461,24 @@
 
 func TestControllerWithoutProxiesOrServers(t *testing.T) {
 	f := newFleet(t, settings())
-	if f.after(100); len(f.bound) != 0 {
+	if f.advance(100); len(f.bound) != 0 {
 		t.Fatal("something was bound")
 	}
-	f.after(100, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true}, heard(1, 0, 5, 0, 100))
-	f.after(1000, List{Kind: ListFull, Servers: fourServers()})
+	f.advance(100, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true}, heard(1, 0, 5, 0, 100))
+	f.advance(1000, List{Kind: ListFull, Servers: fourServers()})
 	if len(f.linesOf(1)) == 0 {
 		t.Fatal("a proxy that joined before any server was listed has no line")
 	}
 }
 
 // A look with nothing new orders nothing, and what it allocates does not grow with the fleet.
-func TestIdleLookCostsLittle(t *testing.T) {
+func TestIdleDecisionCostsLittle(t *testing.T) {
 	var allocs [2]float64
 	for i, scale := range []int{1, 4} {
 		f := largeFleet(t, 60*scale, 80*scale)
 		orders := 0
 		allocs[i] = testing.AllocsPerRun(20, func() {
-			f.now += decideTime
+			f.now += decisionInterval
 			actions := f.c.Step(f.now, nil)
 			orders += count[SetWeight](actions) + count[Admit](actions) + count[Bind](actions) +
 				count[Mark](actions)
@@ -498,12 +498,12 @@
 	c := New(set, 1)
 	servers, now := manyServers(500, 3), 1000.0
 	c.Step(now, []Event{List{Kind: ListCached, Servers: servers}})
-	c.Step(now+decideTime, manyProxies(600, 3))
+	c.Step(now+decisionInterval, manyProxies(600, 3))
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		now += decideTime
+		now += decisionInterval
 		servers[i%500].State = State(i % 2)
-		c.Step(now+decideTime, []Event{List{Kind: ListChanges, Servers: servers[i%500 : i%500+1]}})
+		c.Step(now+decisionInterval, []Event{List{Kind: ListChanges, Servers: servers[i%500 : i%500+1]}})
 	}
 }
 
@@ -520,7 +520,7 @@
 	for i := range draining {
 		draining[i].State = Draining
 	}
-	for tick := range int(set.MaxTimeWithoutServer / decideTime) {
+	for tick := range int(set.MaxTimeWithoutServer / decisionInterval) {
 		var events []Event
 		switch tick {
 		case 0:
@@ -528,9 +528,9 @@
 		case 5:
 			events = []Event{List{Kind: ListChanges, Servers: draining}}
 		}
-		queue = max(0, queue-set.LinesPerSec*decideTime/1000)
+		queue = max(0, queue-set.LinesPerSec*decisionInterval/1000)
 		lines := map[TableID]float64{}
-		for _, a := range f.after(decideTime, events...) {
+		for _, a := range f.advance(decisionInterval, events...) {
 			switch a := a.(type) {
 			case SetWeight:
 				lines[a.Table]++
@@ -549,7 +549,7 @@
 		t.Fatalf("%d proxies bound, %v lines waited, %v may", len(f.bound), most, set.QueueLines)
 	}
 	for _, s := range draining {
-		if !f.out(s.ID) {
+		if !f.hasNoLines(s.ID) {
 			t.Errorf("draining server %d keeps a line beyond the grace", s.ID)
 		}
 	}
--- a/rules/estimates.go
+++ b/rules/estimates.go
@@ -1,26 +1,27 @@
 package rules
 
-// What reports add up to.
+// Estimates from the reports of proxies.
 
 import (
 	"math"
 	"slices"
 )
 
+// handleReport adds a report on a server to the totals and counts attempts since the last answer.
 func (c *Controller) handleReport(e Heard) {
 	s := c.serverByID[e.Server]
-	if s == nil || e.Zone >= len(s.zones) || e.Attempts <= 0 {
+	if s == nil || e.Zone >= len(s.roundByZone) || e.Attempts <= 0 {
 		return
 	}
 	answered := max(0, e.Attempts-e.Failed)
 	if e.Latency <= 0 {
 		answered = 0
 	}
-	for _, sum := range []*tally{&s.round, &s.zones[e.Zone], &s.recent, &c.fleet} {
+	for _, sum := range []*reportTotals{&s.thisRound, &s.roundByZone[e.Zone], &s.recentTotals, &c.fleet} {
 		sum.tries += e.Attempts
 		sum.failed += e.Failed
 		sum.answered += answered
-		sum.time += answered * e.Latency
+		sum.totalLatency += answered * e.Latency
 	}
 	s.lastHeard = c.now
 	if answered > 0 {
@@ -33,7 +34,7 @@
 	s.unanswered += e.Attempts
 }
 
-// handleDemand counts a report for as much as the time it covers: late ones cover many periods.
+// handleDemand averages a demand report, weighted by the time it covers: late reports cover many periods.
 func (c *Controller) handleDemand(e Demand) {
 	p := c.proxyByID[e.Proxy]
 	if p == nil || e.Class >= len(p.demand) || e.Period <= 0 {
@@ -41,20 +42,20 @@
 	}
 	p.reportedAt[e.Class] = c.now
 	p.demand[e.Class] += (1 - math.Exp(-e.Period/demandTime)) * (e.Requests/e.Period*1000 - p.demand[e.Class])
-	step := (1 - math.Exp(-e.Period/typicalTime)) / float64(len(p.demand))
+	step := (1 - math.Exp(-e.Period/typicalRateTime)) / float64(len(p.demand))
 	p.typicalRate *= 1 - step
 	for _, d := range p.demand {
 		p.typicalRate += step * d
 	}
 }
 
-// latency is the mean answer time of the median server: a few sick servers or a few heavy requests don't
-// speak for the fleet.
-func (c *Controller) latency() float64 {
+// medianLatency returns the mean latency of the median server, in milliseconds; 0: no server has answered. A
+// few slow servers or a few heavy requests don't affect it.
+func (c *Controller) medianLatency() float64 {
 	var all []float64
 	for _, s := range c.servers {
-		if s.usable() && s.recent.answered > 0 {
-			all = append(all, s.recent.time/s.recent.answered)
+		if s.usable() && s.recentTotals.answered > 0 {
+			all = append(all, s.recentTotals.totalLatency/s.recentTotals.answered)
 		}
 	}
 	if len(all) == 0 {
--- a/rules/mass_test.go
+++ b/rules/mass_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// replaced is a fleet of 60 servers, 36 of which start while the others answer late and fail half of their tries. Its 240
+// newReplacedFleet is a fleet of 60 servers, 36 of which start while the others answer late and fail half of their tries. Its 240
 // proxies have rate requests a second each.
-func replaced(t *testing.T, rate float64) *fleet {
+func newReplacedFleet(t *testing.T, rate float64) *fleet {
 	t.Helper()
 	set := largeSettings(240)
 	servers := manyServers(60, set.Zones)
@@ -16,7 +16,7 @@
 	for i := range set.Proxies {
 		joins = append(joins, Joined{Proxy: ProxyID(i), Zone: i % set.Zones, Rate: rate, Fresh: true})
 	}
-	f.after(100, joins...)
+	f.advance(100, joins...)
 	meets := func(failed, latency float64) {
 		events := f.acks()
 		for _, s := range servers {
@@ -25,7 +25,7 @@
 		for i := range set.Proxies {
 			events = append(events, Demand{Proxy: ProxyID(i), Requests: rate, Period: 1000})
 		}
-		f.after(1000, events...)
+		f.advance(1000, events...)
 	}
 	for range 8 {
 		meets(0, 100)
@@ -37,7 +37,7 @@
 	for range 4 {
 		meets(5, 900)
 	}
-	if f.c.pressure <= collapse {
+	if f.c.pressure <= collapsePressure {
 		t.Fatalf("pressure %v is no collapse", f.c.pressure)
 	}
 	return f
@@ -46,16 +46,16 @@
 // Six in ten servers were replaced within seconds. All successors were held out as cold until they were warm by the
 // settings, 18 s, and the others collapsed under what all had carried. A proxy with a request in two seconds over nine
 // lines never meets enough failures at one server to avoid it, so nothing runs to the cold ones but what tables send.
-func TestReplacedFleetIsNotHeldOut(t *testing.T) {
-	f := replaced(t, 0.4)
+func TestReplacedFleetIsNotExcluded(t *testing.T) {
+	f := newReplacedFleet(t, 0.4)
 	kept, cold := 0, 0.0
 	for _, s := range f.c.servers {
-		if s.heldBack {
+		if s.coldExcluded {
 			kept++
 		}
 		if f.c.warmCapacity(s) < 1 {
 			cold += s.share
-			if most := warmupSafety * f.c.settings.OverloadFactor * f.c.warmCapacity(s) / 60; s.share > most+1e-9 {
+			if most := coldBudgetShare * f.c.settings.OverloadFactor * f.c.warmCapacity(s) / 60; s.share > most+1e-9 {
 				t.Errorf("cold server %d gets a share of %.4f, over its budget of %.4f", s.ID, s.share, most)
 			}
 		}
@@ -63,9 +63,9 @@
 	if kept > 0 || cold < 0.1 {
 		t.Errorf("%d servers are held out, and the cold ones get %.2f of the traffic", kept, cold)
 	}
-	f = replaced(t, 40) // here a proxy meets a server often enough to avoid it
+	f = newReplacedFleet(t, 40) // here a proxy meets a server often enough to avoid it
 	for _, s := range f.c.servers {
-		if f.c.warmCapacity(s) < 1 && !s.heldBack {
+		if f.c.warmCapacity(s) < 1 && !s.coldExcluded {
 			t.Fatalf("cold server %d is let in though proxies avoid those that fail them", s.ID)
 		}
 	}
@@ -84,10 +84,10 @@
 	room float64
 }
 
-// look has the planner look once, passes what the channel can, and answers. It returns how many lines wait.
-func (ch *channel) look(events ...Event) (waiting float64) {
+// decide has the planner look once, passes what the channel can, and answers. It returns how many lines wait.
+func (ch *channel) decide(events ...Event) (waiting float64) {
 	f := ch.f
-	ch.room = min(ch.room+ch.pace*decideTime/1000, ch.pace)
+	ch.room = min(ch.room+ch.pace*decisionInterval/1000, ch.pace)
 	for i := range ch.lines {
 		if m := &ch.lines[i]; m.left == 0 && ch.room >= m.n {
 			m.left, ch.room = f.now, ch.room-m.n
@@ -99,7 +99,7 @@
 		events, ch.lines = append(events, ch.lines[0].ack), ch.lines[1:]
 	}
 	messages, order := map[TableID]int{}, []TableID(nil)
-	for _, a := range f.after(decideTime, events...) {
+	for _, a := range f.advance(decisionInterval, events...) {
 		var id TableID
 		switch a := a.(type) {
 		case SetWeight:
@@ -145,7 +145,7 @@
 			}
 			f.c.shedShare = 0.3 + float64(look%20)/50
 		}
-		waiting := ch.look()
+		waiting := ch.decide()
 		if most = max(most, waiting); look > 50 {
 			least = min(least, waiting)
 		}
@@ -153,26 +153,26 @@
 			t.Fatalf("look %d: %v lines wait, %v are thought to", look, waiting, f.c.queuedLines)
 		}
 	}
-	if window := f.c.settings.LinesPerSec * orderLag / 1000; most > window {
+	if window := f.c.settings.LinesPerSec * maxLag / 1000; most > window {
 		t.Errorf("up to %v lines wait, in a channel that should not be sent more than %v", most, window)
 	}
-	if least > ch.pace*orderLag/1000*2 {
+	if least > ch.pace*maxLag/1000*2 {
 		t.Errorf("never under %v lines wait in a channel that passes %v a second", least, ch.pace)
 	}
 }
 
 // Urgent orders once ran ordinary ones into a debt of ten seconds and more of the channel's time. After waves of drains the
 // servers that came in place of the drained ones stood idle, known and in no table.
-func TestNewcomersDontWaitForADebtOfDrains(t *testing.T) {
+func TestNewServersDontWaitForTheBudgetDebtOfDrains(t *testing.T) {
 	set := largeSettings(240)
 	set.LinesPerSec, set.QueueLines = 2000, 40000
 	servers := manyServers(120, set.Zones)
 	f := newFleet(t, set, servers...)
-	f.after(100, manyProxies(240, set.Zones)...)
+	f.advance(100, manyProxies(240, set.Zones)...)
 	ch := &channel{f: f, pace: set.LinesPerSec}
 	looks := func(n int, events ...Event) {
 		for ; n > 0; n-- {
-			ch.look(events...)
+			ch.decide(events...)
 			events = nil
 		}
 	}
@@ -189,7 +189,7 @@
 	looks(70)
 	idle := 0
 	for _, s := range f.c.servers {
-		if s.State == Ready && f.out(s.ID) {
+		if s.State == Ready && f.hasNoLines(s.ID) {
 			idle++
 		}
 	}
--- a/rules/part_test.go
+++ b/rules/part_test.go
@@ -5,44 +5,44 @@
 	"testing"
 )
 
-// shared makes controllers that share one planner: proxy p is joined to controller p mod n. Each is told what the others
+// sharedPlanner makes controllers that share one planner: proxy p is joined to controller p mod n. Each is told what the others
 // bring, as a host does.
-type shared struct {
-	t    *testing.T
-	each []*fleet
+type sharedPlanner struct {
+	t      *testing.T
+	fleets []*fleet
 }
 
-func newShared(t *testing.T, n int, set Settings, servers ...Server) *shared {
-	s := &shared{t: t}
+func newSharedPlanner(t *testing.T, n int, set Settings, servers ...Server) *sharedPlanner {
+	s := &sharedPlanner{t: t}
 	for range n {
-		s.each = append(s.each, newFleet(t, set, servers...))
+		s.fleets = append(s.fleets, newFleet(t, set, servers...))
 	}
 	for p := range set.Proxies {
-		s.each[p%n].step(Joined{Proxy: ProxyID(p), Zone: p / n % set.Zones, Rate: 20})
+		s.fleets[p%n].step(Joined{Proxy: ProxyID(p), Zone: p / n % set.Zones, Rate: 20})
 	}
 	return s
 }
 
-func (s *shared) share() {
-	for i, f := range s.each {
-		part := Part{ChannelShare: 1 / float64(len(s.each))}
-		for j, other := range s.each {
+func (s *sharedPlanner) exchangeParts() {
+	for i, f := range s.fleets {
+		part := Part{ChannelShare: 1 / float64(len(s.fleets))}
+		for j, other := range s.fleets {
 			if own, _ := other.c.OwnLoad(); i != j {
-				part = part.with(own)
+				part = part.plus(own)
 			}
 		}
 		f.step(part)
 	}
 }
 
-func (p Part) with(o Part) Part {
+func (p Part) plus(o Part) Part {
 	p.JoinedProxies += o.JoinedProxies
-	p.TypicalRates = add(p.TypicalRates, o.TypicalRates)
-	p.Demands = add(p.Demands, o.Demands)
+	p.TypicalRates = sumByIndex(p.TypicalRates, o.TypicalRates)
+	p.Demands = sumByIndex(p.Demands, o.Demands)
 	return p
 }
 
-func add(a, b []float64) []float64 {
+func sumByIndex(a, b []float64) []float64 {
 	sum := make([]float64, max(len(a), len(b)))
 	for i := range sum {
 		if i < len(a) {
@@ -55,15 +55,15 @@
 	return sum
 }
 
-// TestLevelsOfSharersAreThePlanners guards against controllers that each hold the work of a part of the proxies against
+// TestLevelsOfSeveralCoresMatchASingleController guards against controllers that each hold the work of a part of the proxies against
 // what the whole fleet answers: together they would let in a multiple of it.
-func TestLevelsOfSharersAreThePlanners(t *testing.T) {
+func TestLevelsOfSeveralCoresMatchASingleController(t *testing.T) {
 	set := settings()
 	set.Proxies = 8
 	levels := func(n int) []float64 {
-		s := newShared(t, n, set, fourServers()...)
+		s := newSharedPlanner(t, n, set, fourServers()...)
 		for look := range 40 {
-			for i, f := range s.each {
+			for i, f := range s.fleets {
 				var events []Event
 				// the servers answer 200 a second, ever later from the tenth look on
 				for id := range ServerID(4) {
@@ -79,11 +79,11 @@
 							Period: 1000})
 					}
 				}
-				f.after(1000, events...)
+				f.advance(1000, events...)
 			}
-			s.share()
+			s.exchangeParts()
 		}
-		return s.each[n-1].c.admissionLevels()
+		return s.fleets[n-1].c.admissionLevels()
 	}
 	alone, together := levels(1), levels(4)
 	if alone[0] > 0.9 {
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestSharerKeepsToItsPartOfTheChannel guards against sharers that each fill the planner's whole channel.
-func TestSharerKeepsToItsPartOfTheChannel(t *testing.T) {
+// TestCoreKeepsToItsChannelShare guards against sharers that each fill the planner's whole channel.
+func TestCoreKeepsToItsChannelShare(t *testing.T) {
 	set := largeSettings(600)
 	f := newFleet(t, set, manyServers(200, 3)...)
 	f.step(append([]Event{Part{ChannelShare: 0.25}}, manyProxies(600, 3)...)...)
--- a/rules/publish.go
+++ b/rules/publish.go
@@ -1,6 +1,6 @@
 package rules
 
-// When proxies are sent what changed.
+// Sending of changed tables and levels to the proxies.
 
 import (
 	"cmp"
@@ -8,17 +8,18 @@
 	"slices"
 )
 
-// publish brings the proxies from what they were sent to what is wanted, most needed first; each has its own
-// table. Urgent messages wait for no answer: for a line that must go (which guards the rule on drains), a
-// table that works no more, and a proxy without a table of ours.
+// publish sends the differences between wanted and sent tables, those of the most misrouted traffic first;
+// each proxy has its own table. Urgent messages don't wait for an acknowledgement: for a line that must be
+// removed, as the rule on draining requires, a table without a usable line, and a proxy that is not bound to
+// its table.
 func (c *Controller) publish() {
 	if c.settings.KeyRanges > 0 || len(c.servers) == 0 {
-		return // slices of a key space are not decided here; and without a list nothing is
+		return // tables of key ranges are not supported, and there is nothing to assign without a list
 	}
 	c.updateQueue(c.settings.LinesPerSec * c.otherParts.ChannelShare)
 	c.computeShares()
 	c.computeTargets()
-	c.dealTables()
+	c.assignTables()
 	c.computeWeights()
 	levels := c.admissionLevels()
 	due := slices.DeleteFunc(slices.Clone(c.proxies), func(p *proxy) bool { return !p.joined })
@@ -37,14 +38,14 @@
 	}
 }
 
-// expectAck notes a message whose answer is out; the oldest is given up when there are too many.
+// expectAck adds an unacknowledged message and drops the oldest beyond maxUnacknowledged.
 func (p *proxy) expectAck(mark writeMark) {
 	oldest := max(0, len(p.unacknowledged)+1-maxUnacknowledged)
 	p.unacknowledged = append(p.unacknowledged[oldest:], mark)
 }
 
-// handleAck takes a proxy's answer. The channel keeps the order, so all that was written before has left it,
-// whoever it was for: what proxies that vanished without a sign don't answer counts no longer than the rest.
+// handleAck applies a proxy's acknowledgement. The channel keeps the order, so all lines written before, to
+// any proxy, have left it: lines to a proxy that vanished silently count as queued no longer than the others.
 func (c *Controller) handleAck(e Ack) {
 	p := c.proxyByID[e.Proxy]
 	if p == nil {
@@ -57,14 +58,14 @@
 	}
 }
 
-// updateQueue brings the lines thought to wait up to date: those behind the last message that was answered.
-// Where nobody answers, they are taken to leave at a part of the channel's pace.
-func (c *Controller) updateQueue(ours float64) {
-	paced := (c.now - c.queueUpdatedAt) / 1000 * ours
-	if len(c.sentMarks) > 0 && c.now-max(c.lastAckAt, c.sentMarks[0].at) > orderLag {
-		c.linesDelivered = min(c.linesWritten, c.linesDelivered+paced*unackedPace)
-	}
-	c.ordinaryBudget = min(max(c.ordinaryBudget, -maxDebt/1000*ours)+paced*ordinaryPace, ours*ordinaryPace)
+// updateQueue updates the estimate of the queued lines: those written after the last acknowledged message.
+// While no proxy acknowledges, lines are assumed to leave at unackedPace of the channel's pace.
+func (c *Controller) updateQueue(pace float64) {
+	drained := (c.now - c.queueUpdatedAt) / 1000 * pace
+	if len(c.sentMarks) > 0 && c.now-max(c.lastAckAt, c.sentMarks[0].at) > maxLag {
+		c.linesDelivered = min(c.linesWritten, c.linesDelivered+drained*unackedPace)
+	}
+	c.ordinaryBudget = min(max(c.ordinaryBudget, -maxDebt/1000*pace)+drained*ordinaryPace, pace*ordinaryPace)
 	for len(c.sentMarks) > 0 && c.sentMarks[0].end <= c.linesDelivered {
 		c.sentMarks = c.sentMarks[1:]
 	}
@@ -74,8 +75,9 @@
 	}
 }
 
-// publishTable writes the changed lines and levels of one proxy's table, once its last message was answered
-// or has been waited for; a new proxy gets the whole table at once. It says whether anything was written.
+// publishTable writes the changed lines and levels of one proxy's table, once its last message was
+// acknowledged or ackTimeout has passed; a new proxy gets the whole table at once. It reports whether
+// anything was written.
 func (c *Controller) publishTable(p *proxy, levels []float64) bool {
 	whole, gap, share := float64(len(p.lines)+len(levels))+c.settings.MessageCost+2, messageGap, ordinaryShare
 	if len(p.unacknowledged) > 0 {
@@ -89,7 +91,7 @@
 	}
 	before := len(c.actions)
 	c.writeLevels(p, levels)
-	// Without a message that goes out anyway, lines take something left of what ordinary orders may use.
+	// Lines that don't share a message with levels or urgent changes need budget for ordinary orders.
 	if p.urgent || len(c.actions) > before || c.ordinaryBudget > 0 {
 		c.writeWeights(p)
 	}
@@ -107,11 +109,11 @@
 	return true
 }
 
-// writeLevels writes the levels that have changed by enough.
+// writeLevels writes the admission levels that changed by more than minLevelChange.
 func (c *Controller) writeLevels(p *proxy, levels []float64) {
 	for k := range levels {
 		level := c.levelFor(p, k, levels[k])
-		if math.Abs(level-p.levels[k]) <= minLevel*p.levels[k] {
+		if math.Abs(level-p.levels[k]) <= minLevelChange*p.levels[k] {
 			continue
 		}
 		p.levels[k] = level
@@ -119,11 +121,11 @@
 	}
 }
 
-// writeWeights writes the lines that have changed by enough.
+// writeWeights writes the lines that changed by more than minWeightChange.
 func (c *Controller) writeWeights(p *proxy) {
 	for i := range p.lines {
 		l := &p.lines[i]
-		if l.moved() {
+		if l.needsUpdate() {
 			l.sent = l.wanted
 			weight := SetWeight{Table: TableID(p.id), Server: l.server.ID, Weight: l.wanted}
 			c.actions = append(c.actions, weight)
@@ -131,8 +133,8 @@
 	}
 }
 
-// mayWrite guards the channel's limits, each only up to a share: lines that wait, for which the channel is
-// thought to run slower than stated, and messages to one proxy within the span.
+// mayWrite reports whether a message fits a share of the channel's limits: the queued lines, whose estimate
+// allows for a channel slower than its stated pace, and the messages to one proxy within MessageWindow.
 func (c *Controller) mayWrite(p *proxy, lines, share float64) bool {
 	for len(p.messageTimes) > 0 && c.now-p.messageTimes[0] > c.settings.MessageWindow {
 		p.messageTimes = p.messageTimes[1:]
@@ -140,9 +142,9 @@
 	if c.settings.MaxMessages > 0 && float64(len(p.messageTimes)+1) > share*float64(c.settings.MaxMessages) {
 		return false
 	}
-	ours := c.settings.LinesPerSec * c.otherParts.ChannelShare
-	if share == ordinaryShare && (c.deliveryLag > orderLag || c.queuedLines+lines > orderLag/1000*ours) {
-		return false // what waits here can still change, and lets urgent orders pass
+	pace := c.settings.LinesPerSec * c.otherParts.ChannelShare
+	if share == ordinaryShare && (c.deliveryLag > maxLag || c.queuedLines+lines > maxLag/1000*pace) {
+		return false // pending changes can still be merged, and don't delay urgent orders
 	}
 	return c.queuedLines+lines <= share*c.settings.QueueLines*c.otherParts.ChannelShare
 }
--- a/rules/ranked.go
+++ b/rules/ranked.go
@@ -2,54 +2,54 @@
 
 import "container/heap"
 
-// ranked is a set whose first element, by an order that only falls for elements that are looked at, is found without
-// comparing all. No decision is made here; the orders are in dealing.go.
-type ranked[T any] struct {
-	items  []T
-	before func(a, b T) bool
-	aside  []T
+// priorityQueue is a heap whose elements change their place only while they are first. No decision is made here; the orders
+// are in dealing.go.
+type priorityQueue[T any] struct {
+	items   []T
+	less    func(a, b T) bool
+	skipped []T
 }
 
 // Len, Less, Swap, Push and Pop implement heap.Interface.
-func (r *ranked[T]) Len() int           { return len(r.items) }
-func (r *ranked[T]) Less(i, j int) bool { return r.before(r.items[i], r.items[j]) }
-func (r *ranked[T]) Swap(i, j int)      { r.items[i], r.items[j] = r.items[j], r.items[i] }
-func (r *ranked[T]) Push(x any)         { r.items = append(r.items, x.(T)) }
-func (r *ranked[T]) Pop() any {
+func (r *priorityQueue[T]) Len() int           { return len(r.items) }
+func (r *priorityQueue[T]) Less(i, j int) bool { return r.less(r.items[i], r.items[j]) }
+func (r *priorityQueue[T]) Swap(i, j int)      { r.items[i], r.items[j] = r.items[j], r.items[i] }
+func (r *priorityQueue[T]) Push(x any)         { r.items = append(r.items, x.(T)) }
+func (r *priorityQueue[T]) Pop() any {
 	last := len(r.items) - 1
 	x := r.items[last]
 	r.items = r.items[:last]
 	return x
 }
 
-// begin empties the set and gives it an order.
-func (r *ranked[T]) begin(before func(a, b T) bool) { r.items, r.before = r.items[:0], before }
+// reset empties the queue and sets its order.
+func (r *priorityQueue[T]) reset(less func(a, b T) bool) { r.items, r.less = r.items[:0], less }
 
-// add puts an element in.
-func (r *ranked[T]) add(x T) { heap.Push(r, x) }
+// add inserts an element.
+func (r *priorityQueue[T]) add(x T) { heap.Push(r, x) }
 
-// first returns the first element that is not to be passed over; those that are stay aside until all are returned.
-func (r *ranked[T]) first(passOver func(T) bool) (x T, found bool) {
+// first returns the first element for which skip reports false. Skipped elements stay out of the queue until restore.
+func (r *priorityQueue[T]) first(skip func(T) bool) (x T, found bool) {
 	for len(r.items) > 0 {
-		if x = r.items[0]; !passOver(x) {
+		if x = r.items[0]; !skip(x) {
 			return x, true
 		}
-		r.aside = append(r.aside, heap.Pop(r).(T))
+		r.skipped = append(r.skipped, heap.Pop(r).(T))
 	}
 	return x, false
 }
 
-// moved says that the first element's place has changed.
-func (r *ranked[T]) moved() {
+// fixFirst restores the order after the first element has changed.
+func (r *priorityQueue[T]) fixFirst() {
 	if len(r.items) > 0 {
 		heap.Fix(r, 0)
 	}
 }
 
-// restore brings back what is aside.
-func (r *ranked[T]) restore() {
-	for _, x := range r.aside {
+// restore inserts the skipped elements again.
+func (r *priorityQueue[T]) restore() {
+	for _, x := range r.skipped {
 		r.add(x)
 	}
-	r.aside = r.aside[:0]
+	r.skipped = r.skipped[:0]
 }
--- a/rules/ranked_test.go
+++ b/rules/ranked_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// TestRankedAgainstSearch plays random sets against a search through all, and counts the comparisons.
-func TestRankedAgainstSearch(t *testing.T) {
+// TestPriorityQueueAgainstSearch plays random sets against a search through all, and counts the comparisons.
+func TestPriorityQueueAgainstSearch(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	for _, n := range []int{1, 7, 64, 1000} {
 		compared := 0
 		before := func(a, b *server) bool { compared++; return lessAssigned(a, b) }
-		var r ranked[*server]
+		var r priorityQueue[*server]
 		var all []*server
-		r.begin(before)
+		r.reset(before)
 		for i := range n {
 			s := &server{Server: Server{ID: ServerID(i)}, assignedRate: float64(rng.IntN(9)),
 				targetRate: 1 + rng.Float64()}
@@ -40,7 +40,7 @@
 			}
 			if found {
 				got.assignedRate += rng.Float64()
-				r.moved()
+				r.fixFirst()
 			}
 			r.restore()
 		}
@@ -61,23 +61,23 @@
 			come.Servers = append(come.Servers, ready(ServerID(100000+i), s.Zone))
 		}
 		gone = append(gone, List{Kind: ListFull, Servers: servers[60*n:]})
-		look := func(name string, joined bool, prepare, measured []Event) {
+		runLook := func(name string, joined bool, prepare, measured []Event) {
 			b.Run(fmt.Sprintf("%s/%dx%d", name, set.Proxies, len(servers)), func(b *testing.B) {
 				for b.Loop() {
 					b.StopTimer()
 					c, now := New(set, 1), 1000.0
 					c.Step(now, []Event{List{Kind: ListCached, Servers: servers}})
 					if joined {
-						c.Step(now+decideTime, manyProxies(set.Proxies, 3))
+						c.Step(now+decisionInterval, manyProxies(set.Proxies, 3))
 					}
-					c.Step(now+2*decideTime, prepare)
+					c.Step(now+2*decisionInterval, prepare)
 					b.StartTimer()
-					c.Step(now+3*decideTime, measured)
+					c.Step(now+3*decisionInterval, measured)
 				}
 			})
 		}
-		look("join", false, nil, manyProxies(set.Proxies, 3))
-		look("leave", true, nil, gone)
-		look("come", true, gone, []Event{come})
+		runLook("join", false, nil, manyProxies(set.Proxies, 3))
+		runLook("leave", true, nil, gone)
+		runLook("come", true, gone, []Event{come})
 	}
 }
--- a/rules/round.go
+++ b/rules/round.go
@@ -1,96 +1,97 @@
 package rules
 
-// The round: the design, and the shares that follow from it.
+// The feedback loop of the weights, and the shares of traffic that follow from them.
 
 import "math"
 
-// usable says whether a server may hold a line.
-func (s *server) usable() bool { return s.State == Ready && !s.suspected && !s.heldBack }
+// usable reports whether a server may have a line in a table.
+func (s *server) usable() bool { return s.State == Ready && !s.suspected && !s.coldExcluded }
 
-// fleetMeans are what a round compares a server with: sums over the servers that hold lines, and their
-// numbers.
+// fleetMeans holds the sums over the usable servers, and the number of summands, from which a round computes
+// the means that it compares a server with.
 type fleetMeans struct {
-	inTables, heard    float64 // servers in our tables, and those of them that were heard lately
-	speeds, withSpeed  float64
-	rates, withReports float64 // success rates
+	assigned, heard         float64 // servers in our tables, and those of them with a recent report
+	speedSum, speedCount    float64
+	successes, successCount float64 // success rates
 }
 
-// runRound is one step of the feedback loop, when enough of the fleet was heard.
+// runRound runs one step of the feedback loop if enough servers have a recent report.
 func (c *Controller) runRound() {
-	c.nextRound = c.now + roundTime
+	c.nextRound = c.now + roundInterval
 	fleet := c.fleetMeans()
-	if fleet.heard == 0 || fleet.heard < coverage*fleet.inTables {
-		c.log("round waits: %v of %v servers heard", fleet.heard, fleet.inTables)
+	if fleet.heard == 0 || fleet.heard < minCoverage*fleet.assigned {
+		c.log("round waits: %v of %v servers heard", fleet.heard, fleet.assigned)
 		return
 	}
 	for _, s := range c.servers {
 		if s.usable() {
 			s.updateFactor(fleet.errorOf(s))
 		}
-		s.round = tally{}
-		clear(s.zones)
+		s.thisRound = reportTotals{}
+		clear(s.roundByZone)
 	}
 }
 
-// fleetMeans sums up the round. Only servers in our tables can be heard: were all of them to be, a round
-// would never begin where a planner serves one zone.
+// fleetMeans sums up the reports of the round. Coverage counts only servers in our tables, as no others are
+// reported: if all servers counted, no round would run where a planner serves a single zone.
 func (c *Controller) fleetMeans() (fleet fleetMeans) {
 	for _, s := range c.servers {
 		if !s.usable() {
 			continue
 		}
 		if s.assignedRate > 0 {
-			fleet.inTables++
-			if s.lastHeard > 0 && c.now-s.lastHeard <= heardFor {
+			fleet.assigned++
+			if s.lastHeard > 0 && c.now-s.lastHeard <= reportLifetime {
 				fleet.heard++
 			}
 		}
-		if s.round.tries > 0 {
-			fleet.rates += s.round.rate()
-			fleet.withReports++
+		if s.thisRound.tries > 0 {
+			fleet.successes += s.thisRound.successRate()
+			fleet.successCount++
 		}
 		if speed := s.speed(); speed > 0 {
-			fleet.speeds += speed
-			fleet.withSpeed++
+			fleet.speedSum += speed
+			fleet.speedCount++
 		}
 	}
 	return fleet
 }
 
-// errorOf is how much faster than the mean a server is, as a share; unheard servers count as average. The
-// failure clamp: no server's error is over that of its success rate, where it is below the mean.
+// errorOf returns the relative deviation of a server's speed from the mean; servers without reports count as
+// average. Failure clamp: if a server's success rate is below the mean, its error is at most the relative
+// deviation of the success rate.
 func (f fleetMeans) errorOf(s *server) float64 {
 	e := 0.0
 	if speed := s.speed(); speed > 0 {
-		e = speed*f.withSpeed/f.speeds - 1
+		e = speed*f.speedCount/f.speedSum - 1
 	}
-	if s.round.tries > 0 && f.rates > 0 && s.round.rate()*f.withReports < f.rates {
-		e = min(e, s.round.rate()*f.withReports/f.rates-1)
+	if s.thisRound.tries > 0 && f.successes > 0 && s.thisRound.successRate()*f.successCount < f.successes {
+		e = min(e, s.thisRound.successRate()*f.successCount/f.successes-1)
 	}
 	return e
 }
 
-// updateFactor takes the error of one round into the factor.
+// updateFactor adjusts the factor by the error of one round.
 func (s *server) updateFactor(e float64) {
 	s.recentErrors = append(s.recentErrors, e)
-	s.recentErrors = s.recentErrors[max(0, len(s.recentErrors)-errorsKept):]
+	s.recentErrors = s.recentErrors[max(0, len(s.recentErrors)-errorWindow):]
 	mean := 0.0
 	for _, x := range s.recentErrors {
 		mean += x / float64(len(s.recentErrors))
 	}
 	if math.Abs(mean) > deadBand {
-		s.errorSum = max(-sumCap, min(sumCap, s.errorSum*(1-tDecay/tI)+mean))
-		s.factor += approach * (max(factorLow, min(factorHigh, 1+kP*mean+kP/tI*s.errorSum)) - s.factor)
+		s.errorSum = max(-maxErrorSum, min(maxErrorSum, s.errorSum*(1-tDecay/tI)+mean))
+		s.factor += factorStep * (max(minFactor, min(maxFactor, 1+kP*mean+kP/tI*s.errorSum)) - s.factor)
 	}
 }
 
-// speed is the inverse mean latency, averaged over the proxy zones at or above their mean; 0: no answer.
+// speed returns the inverse mean latency, averaged over the proxy zones at or above their mean; 0: no answer.
 func (s *server) speed() (mean float64) {
 	for range 2 { // over all zones, then over those at or above that mean
 		sum, n := 0.0, 0.0
-		for _, z := range s.zones {
-			if z.time > 0 && z.answered/z.time >= mean*0.999999 {
-				sum, n = sum+z.answered/z.time, n+1
+		for _, z := range s.roundByZone {
+			if z.totalLatency > 0 && z.answered/z.totalLatency >= mean*0.999999 {
+				sum, n = sum+z.answered/z.totalLatency, n+1
 			}
 		}
 		mean = sum / max(1, n)
@@ -98,7 +99,7 @@
 	return mean
 }
 
-// warmCapacity is the share of its capacity that a server has at least, by its last start.
+// warmCapacity returns the least share of its full capacity that a server has, by the time since its start.
 func (c *Controller) warmCapacity(s *server) float64 {
 	if s.StartedAt == 0 || c.now-s.StartedAt >= c.settings.WarmupTime {
 		return 1
@@ -107,25 +108,25 @@
 		c.now-s.StartedAt)/c.settings.WarmupTime
 }
 
-// factoredWeight is a server's listed weight times its factor; a started or returned server begins at a
-// share.
-func (c *Controller) factoredWeight(s *server) float64 {
+// effectiveWeight returns a server's listed weight times its factor, reduced while a started server warms up
+// and during the slow start of a returned one.
+func (c *Controller) effectiveWeight(s *server) float64 {
 	factor := s.factor
-	if now := c.warmCapacity(s); now < 1 {
-		factor = min(factor, max(startShare, now))
+	if capacity := c.warmCapacity(s); capacity < 1 {
+		factor = min(factor, max(initialShare, capacity))
 	}
-	if back := c.now - s.returnedAt; s.returnedAt > 0 && back < returnTime {
-		factor = min(factor, startShare+(1-startShare)*back/returnTime)
+	if sinceReturn := c.now - s.returnedAt; s.returnedAt > 0 && sinceReturn < slowStartTime {
+		factor = min(factor, initialShare+(1-initialShare)*sinceReturn/slowStartTime)
 	}
 	return s.Weight * factor
 }
 
-// computeShares fixes each server's part of all traffic. Cold budget: guards the rule that a started server
-// is never pushed over. Its share stays under what it can do if the whole fleet ran full, so planners need
-// not agree. Last line: no proxy is left without a server; if none is usable, all ready ones count, suspected
-// or not.
+// computeShares sets each server's share of all traffic. The cold budget enforces the rule that a started
+// server is never overloaded: its share stays below its capacity even if the whole fleet runs at full load,
+// so planners need not coordinate. No proxy is left without a server: if none is usable, all ready ones are
+// used, suspected or not.
 func (c *Controller) computeShares() {
-	ready, usable := c.countReady()
+	ready, usable := c.countServers()
 	total, warm := c.shareByWeight(usable == 0)
 	cold := c.limitColdShares(total, ready)
 	c.coldCapacity = 1
@@ -141,13 +142,13 @@
 	}
 }
 
-// countReady counts the ready and the usable servers, and sums up the weight that is listed ready.
-func (c *Controller) countReady() (ready, usable float64) {
+// countServers counts the ready and the usable servers, and sums up the weight of the ready ones.
+func (c *Controller) countServers() (ready, usable float64) {
 	c.listedWeight = 0
 	for _, s := range c.servers {
 		if s.State == Ready {
 			ready++
-			c.listedWeight += s.Weight * max(startShare, c.warmCapacity(s))
+			c.listedWeight += s.Weight * max(initialShare, c.warmCapacity(s))
 		}
 		if s.usable() {
 			usable++
@@ -156,8 +157,9 @@
 	return ready, usable
 }
 
-// shareByWeight gives the servers that may hold lines their weight as a share for now, and sums them up: all
-// of them, and the warm ones. All ready servers may hold lines if none is usable.
+// shareByWeight sets the share of each server that may have lines to its effective weight, not normalized
+// yet. It returns the sums over all of them and over the warm ones. If none is usable, all ready servers may
+// have lines.
 func (c *Controller) shareByWeight(noneUsable bool) (total, warm float64) {
 	c.usableServers = 0
 	for _, s := range c.servers {
@@ -166,7 +168,7 @@
 		if !s.inTables {
 			continue
 		}
-		s.share = c.factoredWeight(s)
+		s.share = c.effectiveWeight(s)
 		total += s.share
 		c.usableServers++
 		if c.warmCapacity(s) == 1 {
@@ -176,11 +178,11 @@
 	return total, warm
 }
 
-// limitColdShares holds the shares of cold servers to their budget, and sums them up.
+// limitColdShares limits the shares of cold servers to their budget and returns their sum.
 func (c *Controller) limitColdShares(total, ready float64) (cold float64) {
 	for _, s := range c.servers {
-		if now := c.warmCapacity(s); s.inTables && now < 1 {
-			s.share = min(s.share/max(1e-9, total), warmupSafety*c.settings.OverloadFactor*now/ready)
+		if capacity := c.warmCapacity(s); s.inTables && capacity < 1 {
+			s.share = min(s.share/max(1e-9, total), coldBudgetShare*c.settings.OverloadFactor*capacity/ready)
 			cold += s.share
 		}
 	}
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -2,9 +2,9 @@
 
 // The decisions of the control plane. The interface (settings, events, actions) is in api.go.
 //
-// The ordinary path: each round compares a server's speed with the fleet's mean and sets its weight to
-// listed x (1 + kP*e + kP/tI*sum). Everything else keeps that path safe when things fail.
-// What is remembered is in state.go. Reading order: constants and events here, then estimates, round, health,
+// In normal operation, each round compares a server's speed with the fleet's mean and sets its weight to
+// listed x (1 + kP*e + kP/tI*sum), a proportional-integral controller. Everything else handles failures.
+// The state is in state.go. Reading order: constants and events here, then estimates, round, health,
 // admission, dealing, publish.
 
 import (
@@ -12,96 +12,99 @@
 	"slices"
 )
 
-// Tuned values. Times in milliseconds.
+// Times are in milliseconds unless the comment names another unit.
 const (
-	kP         = 1.0   // gain of the error
-	tI         = 5.0   // rounds over which a steady error is corrected
-	tDecay     = 1.0   // decay of the sum, in rounds
-	sumCap     = 500.0 // cap of the sum, either way
-	factorLow  = 0.1   // least factor on a listed weight
-	factorHigh = 1.5   // largest factor
-	deadBand   = 0.1   // a mean error within this leaves weight and sum alone
-	approach   = 0.15  // of the way that a round goes to the computed factor; the whole way swings
-	errorsKept = 3     // rounds over which a server's error is averaged
-	roundTime  = 2500.0
-	coverage   = 0.6     // share of the usable servers that must have been heard
-	heardFor   = 60000.0 // how long a report of a server counts for that
+	kP             = 1.0   // proportional gain
+	tI             = 5.0   // integral time: rounds over which a steady error is corrected
+	tDecay         = 1.0   // decay of the error sum, in rounds
+	maxErrorSum    = 500.0 // bound of the absolute error sum
+	minFactor      = 0.1   // smallest factor on a listed weight
+	maxFactor      = 1.5   // largest factor on a listed weight
+	deadBand       = 0.1   // a mean error within this range leaves the factor and the error sum unchanged
+	factorStep     = 0.15  // share of the distance to the computed factor per round; all of it oscillates
+	errorWindow    = 3     // rounds over which a server's error is averaged
+	roundInterval  = 2500.0
+	minCoverage    = 0.6     // share of the servers in our tables that must have a recent report
+	reportLifetime = 60000.0 // how long a server's report counts as recent
 
-	minColdCapacity = 0.05   // of the demand is let in even if all servers are cold
-	startShare      = 0.25   // of its weight that a started server gets at once
-	warmupSafety    = 0.6    // of the cold budget that we plan to use
-	zoneSlack       = 0.15   // a zone may take this much over its even share before it spills to others
-	demandTime      = 1500.0 // time over which the demand of a class at a proxy is averaged
-	silenceTimeout  = 2.0    // report periods without a report of a class, from which on its demand fades
-	typicalTime     = 4000.0 // and the usual rate of a proxy
+	minColdCapacity = 0.05   // smallest share of the demand that is admitted, even if all servers are cold
+	initialShare    = 0.25   // share of its weight that a started or returned server gets at once
+	coldBudgetShare = 0.6    // share of a cold server's capacity budget that is used
+	zoneHeadroom    = 0.15   // relative excess over its even share that a zone takes before it spills
+	demandTime      = 1500.0 // time constant of the average demand of a class at a proxy
+	silentPeriods   = 2.0    // report periods without a report of a class after which its demand decays
+	typicalRateTime = 4000.0 // time constant of a proxy's typical rate
 
-	decideTime       = 100.0   // between two looks at everything
-	suspectTries     = 6.0     // tries in a row without one answer that cast doubt on a server
-	suspectLatencies = 3.0     // and for at least this many mean answer times
-	maxSuspected     = 0.4     // share of the ready servers that doubt may keep out
-	minSuspicion     = 3000.0  // a doubted server stays out at least this long; doubled each time it relapses
-	maxSuspicion     = 24000.0 // at most
-	returnTime       = 10000   // from its end until a doubted server has its whole weight again
-	probeBackoff     = 1000.0  // between two probes of a doubted server
-	probesToReturn   = 2       // answers in a row that end a doubt
+	decisionInterval  = 100.0   // least time between two decisions
+	suspectAttempts   = 6.0     // consecutive attempts without an answer that make a server suspected
+	suspectLatencies  = 3.0     // least duration of these attempts, in median latencies of the fleet
+	maxSuspectedShare = 0.4     // largest share of the ready servers that suspicion may exclude
+	minSuspicionTime  = 3000.0  // least duration of a first suspicion; doubled each time a server relapses
+	maxSuspicionTime  = 24000.0 // largest value of the doubled duration
+	slowStartTime     = 10000   // time after a suspicion until a server has its full weight again
+	probeInterval     = 1000.0  // least time between two probes of a suspected server
+	probesToReturn    = 2       // consecutive answered probes that end a suspicion
 
-	collapse           = 1.6    // pressure over which cold servers are kept out
-	avoidTries         = 3.0    // at one server, that fail in a row: from then on a proxy may avoid it
-	latencyTargetShare = 0.5    // of the aim: the idle answer time is taken to be no longer
-	baseShare          = 1.1    // of the idle answer time that is wanted at most, plus
-	waitShare          = 0.08   // of the aim, for waiting
-	idleLooks          = 3      // decisions in a row that tell the idle response time
-	filledEnough       = 0.9    // of that average before it tells the idle answer time
-	fleetTime          = 1000   // time over which the fleet's answers are averaged
-	throughputDecay    = 0.98   // what is left after a step of the most that the fleet answered
-	sheddingFrom       = 0.8    // pressure from which work is held against what the fleet can do
-	capacitySlope      = 0.5    // of what the fleet can do that is refused for each point of pressure over 1
-	minCapacity        = 0.5    // of it that is let in at any pressure
-	limitGrowth        = 1.06   // of the limit at each step without pressure
-	maxShedding        = 0.9    // of the work may be refused
-	sheddingStep       = 1000.0 // between two looks at the pressure
-	unlimited          = 1e6    // a rate that never binds
-	rateHeadroom       = 0.5    // square roots of a proxy's rate that are let in over it
+	collapsePressure  = 1.6    // pressure above which cold servers are excluded
+	avoidanceAttempts = 3.0    // consecutive failed attempts at a server after which a proxy may avoid it
+	maxIdleShare      = 0.5    // upper bound of the assumed idle latency, as a share of the latency target
+	idleLatencyFactor = 1.1    // the wanted latency is at most this multiple of the idle latency, plus
+	queueingShare     = 0.08   // this share of the latency target for queueing
+	idleSamples       = 3      // consecutive latencies whose largest is a sample of the idle latency
+	minFill           = 0.9    // averageFill from which the fleet's average is used
+	fleetTime         = 1000   // time constant of the average of the fleet's answers
+	throughputDecay   = 0.98   // share of the best throughput that is left after a second
+	sheddingPressure  = 0.8    // pressure above which the work limit is bound to the fleet's capacity
+	capacitySlope     = 0.5    // share of the capacity that is refused per unit of pressure above 1
+	minCapacityShare  = 0.5    // share of the capacity that is admitted at any pressure
+	limitGrowth       = 1.06   // growth of the work limit per second without pressure
+	maxShedShare      = 0.9    // largest share of the offered work that is refused
+	admissionInterval = 1000.0 // least time between two updates of the admission levels
+	unlimitedRate     = 1e6    // requests a second that never limit a proxy
+	rateHeadroom      = 0.5    // headroom of a proxy's rate limit, in square roots of the rate
 
-	// of the connections that a small server takes: what all tables together may open
-	connShare            = 0.25
-	tableShare           = 0.5 // of the channel's queue: what one table for every proxy may take
-	minLines             = 4   // of any table
-	maxMeanLines         = 8   // of a mean one, at most, or
-	linesPerFilledServer = 4   // for each server that its traffic fills
-	// of its part of the traffic: a server held for less than that is dealt once more
-	starvedShare  = 0.4
-	fitSteps      = 3   // of fitting the weights to the tables, each look
-	maxCorrection = 5.0 // largest correction of a weight for how the server is held, up or down
+	// connectionShare is the share of a small server's connections that all tables together may open.
+	connectionShare      = 0.25
+	tableQueueShare      = 0.5 // share of the channel's queue for one table of each proxy
+	minTableLines        = 4   // smallest number of lines of a table
+	maxMeanTableLines    = 8   // bound of the mean number of lines of a table, unless the next one is larger
+	linesPerFilledServer = 4   // bound of the same, per server that a mean proxy's traffic fills
+	// A server whose tables bring it less than underassignedShare of its target rate is assigned once more.
+	underassignedShare = 0.4
+	correctionSteps    = 3   // iterations of fitting the corrections to the tables, per decision
+	maxCorrection      = 5.0 // largest factor, up or down, that corrects a weight for a server's assignment
 
-	ackTimeout        = 2000.0 // a message's answers are waited for this long
-	messageGap        = 500.0  // between two ordinary messages to one proxy
-	urgentGap         = 250.0  // between two urgent ones
-	minMove           = 0.1    // relative change of a line that is worth an order
-	minLevel          = 0.05   // relative change of a level that is worth an order
-	unackedPace       = 0.5    // of its usual pace that the channel is trusted to keep while nobody answers
-	orderLag          = 1000.0 // that ordinary orders may be on their way: what waits here can still change
-	maxUnacknowledged = 16     // messages of a proxy whose answers are looked for
-	ordinaryPace      = 0.1    // of that pace that ordinary orders may use in the long run
-	// of its time that they owe at most: newcomers would wait for all that was urgent
-	maxDebt       = 500.0
-	ordinaryShare = 0.4    // of the channel's limits that ordinary orders may fill
-	urgentShare   = 0.8    // and urgent ones
-	resendAfter   = 8000.0 // when discovery does not answer at all
-	resendPause   = 800.0  // before discovery is asked again, plus as much by chance
-	maxLogLines   = 150    // lines of log from one controller within
-	logSpan       = 60000.0
+	ackTimeout        = 2000.0 // longest wait for the acknowledgement of a proxy's last message
+	messageGap        = 500.0  // least time between two ordinary messages to one proxy
+	urgentGap         = 250.0  // least time between two urgent messages to one proxy
+	minWeightChange   = 0.1    // relative change of a weight that is worth an order
+	minLevelChange    = 0.05   // relative change of an admission level that is worth an order
+	unackedPace       = 0.5    // share of the channel's pace that is assumed while no proxy acknowledges
+	maxLag            = 1000.0 // largest delivery lag for ordinary orders; pending ones can still change
+	maxUnacknowledged = 16     // messages of a proxy whose acknowledgements are tracked
+	ordinaryPace      = 0.1    // share of the channel's pace that ordinary orders may use in the long run
+	// maxDebt limits how far urgent orders overdraw the budget of ordinary ones, in time of the channel at
+	// its full pace: new servers would wait until the whole debt is paid.
+	maxDebt             = 500.0
+	ordinaryShare       = 0.4    // share of the channel's limits that ordinary orders may fill
+	urgentShare         = 0.8    // share of the channel's limits that urgent orders may fill
+	discoveryTimeout    = 8000.0 // time without an answer after which discovery is asked again
+	discoveryRetryDelay = 800.0  // least delay after a failure of discovery; the jitter is at most as long
+	maxLogLines         = 150    // log lines of one controller per logWindow
+	logWindow           = 60000.0
 )
 
-// Safe repeats: guards the rule that nothing takes effect twice. Proxies try again only after proof that the
-// first try never ran, whatever the class. (For safe classes more was measured: it doubles work under load.)
+// retry is the retry method of all classes. It enforces the rule that no request takes effect twice: proxies
+// retry only after proof that the first attempt never ran. More retries of safe classes double the work under
+// load.
 const retry = RetryIfNotRun
 
-// Step takes what happened at now and returns what to do. Events only add up between two looks.
+// Step applies the events that arrived by now and returns the actions to carry out. It decides at most once
+// per decisionInterval; between two decisions it only accumulates events and returns nil.
 func (c *Controller) Step(now float64, events []Event) []Action {
 	c.now, c.actions = now, nil
-	if c.nextRound == 0 { // the first turn
-		c.queueUpdatedAt, c.lastShedding, c.nextRound = now, now, now+roundTime
+	if c.nextRound == 0 { // the first step
+		c.queueUpdatedAt, c.lastAdmission, c.nextRound = now, now, now+roundInterval
 	}
 	for _, event := range events {
 		c.handle(event)
@@ -109,26 +112,26 @@
 	if now < c.nextDecision {
 		return nil
 	}
-	c.nextDecision = now + decideTime
-	c.actions = append(c.actions, Timer{Delay: decideTime})
-	if c.settings.QueryDiscovery && !c.watching && now >= c.queryAt { // discovery that speaks only when asked
-		c.queryAt = now + resendAfter
+	c.nextDecision = now + decisionInterval
+	c.actions = append(c.actions, Timer{Delay: decisionInterval})
+	if c.settings.QueryDiscovery && !c.watching && now >= c.nextQuery {
+		c.nextQuery = now + discoveryTimeout
 		c.actions = append(c.actions, Watch{})
 	}
 	c.checkHealth()
 	if now >= c.nextRound {
 		c.runRound()
 	}
-	// so that each look has a whole report
-	if now-c.lastShedding >= max(sheddingStep, c.settings.ReportPeriod) {
-		c.updateAdmission(now - c.lastShedding)
-		c.lastShedding = now
+	// The interval is at least a report period, so that each update has a complete report.
+	if now-c.lastAdmission >= max(admissionInterval, c.settings.ReportPeriod) {
+		c.updateAdmission(now - c.lastAdmission)
+		c.lastAdmission = now
 	}
 	c.publish()
 	return c.actions
 }
 
-// handle takes one event. It decides nothing.
+// handle applies one event to the state. It decides nothing.
 func (c *Controller) handle(event Event) {
 	switch e := event.(type) {
 	case List:
@@ -154,7 +157,7 @@
 	}
 }
 
-// handleProbed counts the probes that a server answered in a row. One that refuses a connection is alive too.
+// handleProbed counts consecutive answered probes. A server that refuses a connection is alive too.
 func (c *Controller) handleProbed(e Probed) {
 	s := c.serverByID[e.Server]
 	switch {
@@ -166,10 +169,10 @@
 	}
 }
 
-// handleList follows discovery. A server missing from a whole list is gone.
+// handleList applies a server list. A server that is missing from a complete list is removed.
 func (c *Controller) handleList(e List) {
 	if e.Kind == ListFailed {
-		c.watching, c.queryAt = false, c.now+resendPause*(1+c.rng.Float64())
+		c.watching, c.nextQuery = false, c.now+discoveryRetryDelay*(1+c.rng.Float64())
 		return
 	}
 	if e.Kind != ListCached {
@@ -181,27 +184,26 @@
 		entry.Zone = min(entry.Zone, len(c.zones)-1)
 		s := c.serverByID[entry.ID]
 		if s == nil {
-			s = &server{Server: entry, factor: 1, correction: 1, nextSuspicion: minSuspicion}
-			s.zones = make([]tally, len(c.zones))
+			s = &server{Server: entry, factor: 1, correction: 1, nextSuspicion: minSuspicionTime}
+			s.roundByZone = make([]reportTotals, len(c.zones))
 			c.serverByID[entry.ID], c.servers = s, append(c.servers, s)
 		}
 		s.applyListing(entry, c.settings.DrainOnly)
 	}
 	slices.SortFunc(c.servers, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
 	for _, s := range c.servers {
-		if gone := s.Server; !listed[s.ID] && (e.Kind == ListFull || e.Kind == ListCached) {
-			gone.State = Removed
-			s.applyListing(gone, c.settings.DrainOnly)
+		if removed := s.Server; !listed[s.ID] && (e.Kind == ListFull || e.Kind == ListCached) {
+			removed.State = Removed
+			s.applyListing(removed, c.settings.DrainOnly)
 		}
 	}
 }
 
-// applyListing takes what the list says of a server. Where only draining binds, a ready server that the list
-// drops stays in use while it answers: guards against a list that is wrong or behind. A dead one falls into
-// doubt.
+// applyListing updates a server from its entry in the list. With drainOnly, a ready server that the list
+// drops stays in use while it answers, which guards against a wrong or stale list. A dead one is suspected.
 func (s *server) applyListing(e Server, drainOnly bool) {
 	if e.StartedAt > s.StartedAt {
-		// A new process: what was held against the old one, and its stale sum, no longer counts.
+		// A new process: the suspicion and the stale error sum of the old one no longer apply.
 		s.recentErrors, s.errorSum, s.factor, s.unanswered, s.suspected = nil, 0, 1, 0, false
 	}
 	if s.unlisted = drainOnly && e.State == Removed && s.State == Ready; s.unlisted {
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -23,12 +23,12 @@
 
 // fleet drives a controller and keeps what its proxies were told.
 type fleet struct {
-	t      *testing.T
-	c      *Controller
-	now    float64
-	tables map[TableID]map[ServerID]float64
-	bound  map[ProxyID]TableID
-	last   []Action
+	t           *testing.T
+	c           *Controller
+	now         float64
+	tables      map[TableID]map[ServerID]float64
+	bound       map[ProxyID]TableID
+	lastActions []Action
 }
 
 func newFleet(t *testing.T, set Settings, servers ...Server) *fleet {
@@ -46,8 +46,8 @@
 // step gives a controller events and has it look at once; the pace of its looks has a test of its own.
 func (f *fleet) step(events ...Event) []Action {
 	f.c.nextDecision = 0
-	f.last = f.c.Step(f.now, events)
-	for _, a := range f.last {
+	f.lastActions = f.c.Step(f.now, events)
+	for _, a := range f.lastActions {
 		switch a := a.(type) {
 		case SetWeight:
 			if f.tables[a.Table] == nil {
@@ -61,10 +61,10 @@
 			f.bound[a.Proxy] = a.Table
 		}
 	}
-	return f.last
+	return f.lastActions
 }
 
-func (f *fleet) after(ms float64, events ...Event) []Action {
+func (f *fleet) advance(ms float64, events ...Event) []Action {
 	f.now += ms
 	return f.step(events...)
 }
@@ -84,8 +84,8 @@
 	return table[id] / sum
 }
 
-// out says that no bound proxy has a line for a server.
-func (f *fleet) out(id ServerID) bool {
+// hasNoLines says that no bound proxy has a line for a server.
+func (f *fleet) hasNoLines(id ServerID) bool {
 	for p := range f.bound {
 		if f.share(p, id) > 0 {
 			return false
@@ -108,38 +108,38 @@
 	return Heard{Server: id, Zone: zone, Attempts: tries, Failed: failed, Latency: latency, Period: 1000}
 }
 
-func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
+func almostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
-// calm makes the controller see an idle fleet.
-func (f *fleet) calm() {
+// feedIdleReports makes the controller see an idle fleet.
+func (f *fleet) feedIdleReports() {
 	for range 6 {
-		f.after(1000, heard(1, 0, 50, 0, 100), heard(2, 0, 50, 0, 100), heard(3, 1, 50, 0, 100),
+		f.advance(1000, heard(1, 0, 50, 0, 100), heard(2, 0, 50, 0, 100), heard(3, 1, 50, 0, 100),
 			heard(4, 1, 50, 0, 100), Demand{Proxy: 1, Class: 0, Requests: 200, Period: 1000})
 	}
 }
 
 func TestRoundByHand(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.after(1, Joined{Proxy: 1, Zone: 0, Rate: 10}, Joined{Proxy: 2, Zone: 1, Rate: 10})
+	f.advance(1, Joined{Proxy: 1, Zone: 0, Rate: 10}, Joined{Proxy: 2, Zone: 1, Rate: 10})
 	// Speeds 1/100 for three servers and 1/400 for one: mean 0.008125, errors 0.2308 and -0.6923.
 	reports := []Event{heard(1, 0, 10, 0, 100), heard(2, 0, 10, 0, 100), heard(3, 1, 10, 0, 100),
 		heard(4, 1, 10, 0, 400)}
-	f.after(roundTime, reports...)
+	f.advance(roundInterval, reports...)
 	fast, slow := 0.01/0.008125-1, 0.0025/0.008125-1
 	s1, s4 := f.c.serverByID[1], f.c.serverByID[4]
-	if !near(s1.errorSum, fast) || !near(s4.errorSum, slow) {
+	if !almostEqual(s1.errorSum, fast) || !almostEqual(s4.errorSum, slow) {
 		t.Fatalf("sums %v and %v, want %v and %v", s1.errorSum, s4.errorSum, fast, slow)
 	}
-	want1, want4 := 1+approach*(fast+fast/tI), 1+approach*(slow+slow/tI)
-	if !near(s1.factor, want1) || !near(s4.factor, want4) {
+	want1, want4 := 1+factorStep*(fast+fast/tI), 1+factorStep*(slow+slow/tI)
+	if !almostEqual(s1.factor, want1) || !almostEqual(s4.factor, want4) {
 		t.Fatalf("factors %v and %v, want %v and %v", s1.factor, s4.factor, want1, want4)
 	}
-	f.after(roundTime, reports...)
+	f.advance(roundInterval, reports...)
 	sum := fast*(1-tDecay/tI) + fast
-	if !near(s1.errorSum, sum) {
+	if !almostEqual(s1.errorSum, sum) {
 		t.Fatalf("second sum %v, want the first decayed plus the error, %v", s1.errorSum, sum)
 	}
-	if want := want1 + approach*(min(factorHigh, 1+fast+sum/tI)-want1); !near(s1.factor, want) {
+	if want := want1 + factorStep*(min(maxFactor, 1+fast+sum/tI)-want1); !almostEqual(s1.factor, want) {
 		t.Fatalf("second factor %v, want %v", s1.factor, want)
 	}
 }
@@ -167,40 +167,40 @@
 }
 
 func TestSumIsCappedAndFactorBounded(t *testing.T) {
-	s := &server{factor: 1, errorSum: 10 * sumCap}
+	s := &server{factor: 1, errorSum: 10 * maxErrorSum}
 	for range 100 {
 		s.updateFactor(1000)
 	}
-	if s.errorSum != sumCap || s.factor > factorHigh || s.factor < factorHigh-0.01 {
+	if s.errorSum != maxErrorSum || s.factor > maxFactor || s.factor < maxFactor-0.01 {
 		t.Fatalf("sum %v and factor %v, want the cap and the upper bound", s.errorSum, s.factor)
 	}
 	for range 100 {
 		s.updateFactor(-1000)
 	}
-	if s.errorSum != -sumCap || s.factor < factorLow || s.factor > factorLow+0.01 {
+	if s.errorSum != -maxErrorSum || s.factor < minFactor || s.factor > minFactor+0.01 {
 		t.Fatalf("sum %v and factor %v, want the cap and the lower bound", s.errorSum, s.factor)
 	}
 }
 
 func TestSpeedAveragesZonesAtOrAboveTheirMean(t *testing.T) {
-	s := &server{zones: []tally{{answered: 10, time: 1000}, {answered: 10, time: 2000},
-		{answered: 10, time: 10000}}}
+	s := &server{roundByZone: []reportTotals{{answered: 10, totalLatency: 1000}, {answered: 10, totalLatency: 2000},
+		{answered: 10, totalLatency: 10000}}}
 	// Zone speeds 0.01, 0.005, 0.001: mean 0.00533, only the first is at or above it.
-	if got := s.speed(); !near(got, 0.01) {
+	if got := s.speed(); !almostEqual(got, 0.01) {
 		t.Fatalf("speed %v, want 0.01", got)
 	}
-	if got := (&server{zones: make([]tally, 2)}).speed(); got != 0 {
+	if got := (&server{roundByZone: make([]reportTotals, 2)}).speed(); got != 0 {
 		t.Fatalf("speed without answers %v, want 0", got)
 	}
 }
 
 func TestFailureClampReplacesSpeed(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.after(1, Joined{Proxy: 1, Zone: 0, Rate: 10}, Joined{Proxy: 2, Zone: 1, Rate: 10})
+	f.advance(1, Joined{Proxy: 1, Zone: 0, Rate: 10}, Joined{Proxy: 2, Zone: 1, Rate: 10})
 	// Server 4 is as fast as the rest but fails half its tries: rates 1, 1, 1, 0.5, mean 0.875.
-	f.after(roundTime, heard(1, 0, 10, 0, 100), heard(2, 0, 10, 0, 100), heard(3, 1, 10, 0, 100),
+	f.advance(roundInterval, heard(1, 0, 10, 0, 100), heard(2, 0, 10, 0, 100), heard(3, 1, 10, 0, 100),
 		heard(4, 1, 10, 5, 100))
-	if got, want := f.c.serverByID[4].recentErrors[0], 0.5/0.875-1; !near(got, want) {
+	if got, want := f.c.serverByID[4].recentErrors[0], 0.5/0.875-1; !almostEqual(got, want) {
 		t.Fatalf("error %v, want the failure clamp's %v", got, want)
 	}
 	if got := f.c.serverByID[1].recentErrors[0]; got != 0 {
@@ -210,16 +210,16 @@
 
 func TestRoundWaitsForCoverage(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.after(1, Joined{Proxy: 1, Zone: 0, Rate: 10}, Joined{Proxy: 2, Zone: 1, Rate: 10})
-	f.after(roundTime, heard(1, 0, 10, 0, 100), heard(2, 0, 10, 0, 400)) // two of four
+	f.advance(1, Joined{Proxy: 1, Zone: 0, Rate: 10}, Joined{Proxy: 2, Zone: 1, Rate: 10})
+	f.advance(roundInterval, heard(1, 0, 10, 0, 100), heard(2, 0, 10, 0, 400)) // two of four
 	if len(f.c.serverByID[1].recentErrors) != 0 {
 		t.Fatal("a round ran with half of the servers heard")
 	}
-	f.after(roundTime, heard(3, 1, 10, 0, 100)) // three of four
+	f.advance(roundInterval, heard(3, 1, 10, 0, 100)) // three of four
 	if len(f.c.serverByID[1].recentErrors) != 1 {
 		t.Fatal("no round with three quarters of the servers heard")
 	}
-	f.after(2 * heardFor)
+	f.advance(2 * reportLifetime)
 	if len(f.c.serverByID[1].recentErrors) != 1 {
 		t.Fatal("reports older than a minute counted as fresh")
 	}
@@ -227,9 +227,9 @@
 
 func TestMissedRoundsDoNotRunInABurst(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.after(1, Joined{Proxy: 1, Zone: 0, Rate: 10}, Joined{Proxy: 2, Zone: 1, Rate: 10})
+	f.advance(1, Joined{Proxy: 1, Zone: 0, Rate: 10}, Joined{Proxy: 2, Zone: 1, Rate: 10})
 	for range 3 {
-		f.after(20*roundTime, heard(1, 0, 10, 0, 100), heard(2, 0, 10, 0, 100), heard(3, 1, 10, 0, 100))
+		f.advance(20*roundInterval, heard(1, 0, 10, 0, 100), heard(2, 0, 10, 0, 100), heard(3, 1, 10, 0, 100))
 	}
 	if got := len(f.c.serverByID[1].recentErrors); got != 3 {
 		t.Fatalf("%d rounds in three turns after standing still, want 3", got)
@@ -242,7 +242,7 @@
 
 func TestNewProxyGetsTheWholeTable(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	actions := f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
+	actions := f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
 	if count[Bind](actions) != 1 || count[SetWeight](actions) != 4 || count[Mark](actions) != 1 {
 		t.Fatalf("actions %v, want a bind, four lines and a mark", actions)
 	}
@@ -251,69 +251,69 @@
 	}
 }
 
-func TestOrdinaryChangesWaitForTheAnswer(t *testing.T) {
+func TestOrdinaryChangesWaitForTheAck(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
 	f.c.serverByID[1].factor = 0.4
-	if got := count[SetWeight](f.after(messageGap + 100)); got != 0 {
+	if got := count[SetWeight](f.advance(messageGap + 100)); got != 0 {
 		t.Fatalf("%d lines before the answer", got)
 	}
 	f.c.serverByID[1].factor = 0.3 // merges with the change before
-	if got := count[SetWeight](f.after(100, f.ack(1))); got == 0 {
+	if got := count[SetWeight](f.advance(100, f.ack(1))); got == 0 {
 		t.Fatal("no lines after the answer")
 	}
 	f.c.serverByID[1].factor = 1
-	if got := count[SetWeight](f.after(ackTimeout + 1)); got == 0 {
+	if got := count[SetWeight](f.advance(ackTimeout + 1)); got == 0 {
 		t.Fatal("no lines after the longest wait")
 	}
 }
 
-func TestOnlyMovedLinesGo(t *testing.T) {
+func TestUnchangedLinesAreNotSent(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
 	for range 20 {
-		if got := count[SetWeight](f.after(1000, f.ack(1))); got != 0 {
+		if got := count[SetWeight](f.advance(1000, f.ack(1))); got != 0 {
 			t.Fatalf("%d lines though nothing moved", got)
 		}
 	}
 }
 
-func TestDrainGoesAtOnceWhoeverWroteTheTable(t *testing.T) {
+func TestDrainIsSentWithoutWaitingForAnAck(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true}) // not answered yet
-	f.after(300, List{Kind: ListChanges, Servers: []Server{{ID: 1, Weight: 1, State: Draining}}})
-	if !f.out(1) {
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true}) // not answered yet
+	f.advance(300, List{Kind: ListChanges, Servers: []Server{{ID: 1, Weight: 1, State: Draining}}})
+	if !f.hasNoLines(1) {
 		t.Fatal("a draining server was not withdrawn in the same turn")
 	}
-	f.after(300, List{Kind: ListFull, Servers: fourServers()[:3]})
-	if !f.out(4) {
+	f.advance(300, List{Kind: ListFull, Servers: fourServers()[:3]})
+	if !f.hasNoLines(4) {
 		t.Fatal("a server missing from a whole list was not withdrawn")
 	}
-	if f.out(1) {
+	if f.hasNoLines(1) {
 		t.Fatal("a server that is ready again stays withdrawn")
 	}
 }
 
 func TestReturningServerGetsItsNewWeightWithTheOrder(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
-	f.calm()
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
+	f.feedIdleReports()
 	full := f.share(1, 1)
-	if got := f.c.factoredWeight(f.c.serverByID[1]); got != 1 {
+	if got := f.c.effectiveWeight(f.c.serverByID[1]); got != 1 {
 		t.Fatalf("weight %v of a warm server, want the listed 1", got)
 	}
-	f.after(300, List{Kind: ListChanges, Servers: []Server{{ID: 1, Weight: 1, State: Removed}}})
-	if !f.out(1) {
+	f.advance(300, List{Kind: ListChanges, Servers: []Server{{ID: 1, Weight: 1, State: Removed}}})
+	if !f.hasNoLines(1) {
 		t.Fatal("a server that is gone keeps its line")
 	}
 	back := ready(1, 0)
 	back.StartedAt = f.now + messageGap
-	f.after(messageGap, f.ack(1), List{Kind: ListChanges, Servers: []Server{back}})
-	if f.out(1) {
+	f.advance(messageGap, f.ack(1), List{Kind: ListChanges, Servers: []Server{back}})
+	if f.hasNoLines(1) {
 		t.Fatal("the server stays out though the fleet is calm")
 	}
-	if got := f.c.factoredWeight(f.c.serverByID[1]); got != startShare {
-		t.Fatalf("weight %v of a started server, want the start share %v", got, startShare)
+	if got := f.c.effectiveWeight(f.c.serverByID[1]); got != initialShare {
+		t.Fatalf("weight %v of a started server, want the start share %v", got, initialShare)
 	}
 	if got := f.share(1, 1); got > 0.5*full || got == 0 {
 		t.Fatalf("a started server gets %v of the traffic at once, before it had %v", got, full)
@@ -326,10 +326,10 @@
 		servers[i].StartedAt = 49000
 	}
 	f := newFleet(t, settings(), servers...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 60, Fresh: true},
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 60, Fresh: true},
 		Joined{Proxy: 2, Zone: 1, Rate: 40, Fresh: true})
-	f.calm()
-	f.after(3000, f.ack(1), f.ack(2))
+	f.feedIdleReports()
+	f.advance(3000, f.ack(1), f.ack(2))
 	for id := ServerID(1); id <= 3; id++ {
 		now := f.c.warmCapacity(f.c.serverByID[id])
 		share := 0.6*f.share(1, id) + 0.4*f.share(2, id)
@@ -344,16 +344,16 @@
 	}
 }
 
-func TestAllColdShedsInsteadOfPushingOver(t *testing.T) {
+func TestAllColdFleetShedsLoad(t *testing.T) {
 	servers := fourServers()
 	for i := range servers {
 		servers[i].StartedAt = 50000
 	}
 	f := newFleet(t, settings(), servers...)
 	f.c.pressure = 0.5
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true},
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true},
 		Demand{Proxy: 1, Class: 0, Requests: 100, Period: 1000})
-	f.after(10, Demand{Proxy: 1, Class: 0, Requests: 100, Period: 1000})
+	f.advance(10, Demand{Proxy: 1, Class: 0, Requests: 100, Period: 1000})
 	if f.c.coldCapacity > 0.5 || f.c.coldCapacity < minColdCapacity {
 		t.Fatalf("demand let in %v with every server at %v of its capacity", f.c.coldCapacity,
 			f.c.warmCapacity(f.c.serverByID[1]))
@@ -365,31 +365,31 @@
 
 // A collapse sends all traffic to the lines that have not failed yet; met on a zone-loss day, where a
 // cold server was sent five times what it could do.
-func TestColdServerStaysOutOfACollapse(t *testing.T) {
+func TestColdServerIsExcludedDuringACollapse(t *testing.T) {
 	servers := fourServers()
 	servers[0].StartedAt = 49000
 	f := newFleet(t, settings(), servers...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
-	if !f.out(1) {
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
+	if !f.hasNoLines(1) {
 		t.Fatal("a cold server is let in before the state of the fleet is known")
 	}
-	f.after(1000, heard(2, 0, 5, 0, 100)) // the first, partial report of a collapsed fleet once looked calm
-	f.after(1000)
-	if !f.out(1) {
+	f.advance(1000, heard(2, 0, 5, 0, 100)) // the first, partial report of a collapsed fleet once looked calm
+	f.advance(1000)
+	if !f.hasNoLines(1) {
 		t.Fatal("a cold server is let in on a first report")
 	}
-	f.calm()
-	if f.out(1) {
+	f.feedIdleReports()
+	if f.hasNoLines(1) {
 		t.Fatal("a cold server stays out though the fleet answers")
 	}
 	for range 4 {
-		f.after(1000, heard(2, 0, 50, 40, 900), heard(3, 1, 50, 40, 900), heard(4, 1, 50, 40, 900))
+		f.advance(1000, heard(2, 0, 50, 40, 900), heard(3, 1, 50, 40, 900), heard(4, 1, 50, 40, 900))
 	}
-	if !f.out(1) {
+	if !f.hasNoLines(1) {
 		t.Fatalf("a cold server is kept in at pressure %v", f.c.pressure)
 	}
-	f.after(20000)
-	if f.out(1) {
+	f.advance(20000)
+	if f.hasNoLines(1) {
 		t.Fatal("a server that is warm by now stays out")
 	}
 }
@@ -401,96 +401,96 @@
 		servers[i].StartedAt = 50000
 	}
 	f := newFleet(t, set, servers...) // all cold and the fleet's state unknown: all held
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
 	sum := 0.0
 	for id := ServerID(1); id <= 4; id++ {
 		sum += f.share(1, id)
 	}
-	if !near(sum, 1) {
+	if !almostEqual(sum, 1) {
 		t.Fatalf("the proxy was left with %v of a table", sum)
 	}
 }
 
 // With tables that stay home, a lost zone takes all of a proxy's lines at once.
-func TestProxyOfALostZoneDoesNotWait(t *testing.T) {
+func TestProxyOfALostZoneDoesNotWaitForAnAck(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true},
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true},
 		Joined{Proxy: 2, Zone: 1, Rate: 10, Fresh: true})
-	f.after(3000, f.ack(1), f.ack(2))
+	f.advance(3000, f.ack(1), f.ack(2))
 	f.c.serverByID[1].factor = 1.5
-	f.after(messageGap+1, f.ack(2)) // proxy 1 has a message under way
-	f.after(300, List{Kind: ListFull, Servers: fourServers()[2:]})
+	f.advance(messageGap+1, f.ack(2)) // proxy 1 has a message under way
+	f.advance(300, List{Kind: ListFull, Servers: fourServers()[2:]})
 	if f.share(1, 3)+f.share(1, 4) == 0 {
 		t.Fatal("a proxy without a line waits for the answer to its last message")
 	}
 }
 
-func TestDoubtNeverKeepsOutTheFleet(t *testing.T) {
+func TestSuspicionNeverExcludesTheFleet(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
 	for range 3 {
-		f.after(1000, heard(1, 0, 20, 20, 0), heard(2, 0, 20, 20, 0), heard(3, 1, 20, 20, 0),
+		f.advance(1000, heard(1, 0, 20, 20, 0), heard(2, 0, 20, 20, 0), heard(3, 1, 20, 20, 0),
 			heard(4, 1, 20, 0, 100))
 	}
 	out := 0
 	for id := ServerID(1); id <= 4; id++ {
-		if f.out(id) {
+		if f.hasNoLines(id) {
 			out++
 		}
 	}
-	if float64(out) > maxSuspected*4 {
+	if float64(out) > maxSuspectedShare*4 {
 		t.Fatalf("%d of 4 servers withdrawn on doubt", out)
 	}
 }
 
-func TestSilentServerIsWithdrawnAndComesBackEased(t *testing.T) {
+func TestUnresponsiveServerIsExcludedAndReturnsWithSlowStart(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
-	f.calm()
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
+	f.feedIdleReports()
 	probes := 0
 	for range 3 {
-		probes += count[Probe](f.after(1000, heard(1, 0, 10, 0, 0), heard(2, 0, 10, 0, 100)))
+		probes += count[Probe](f.advance(1000, heard(1, 0, 10, 0, 0), heard(2, 0, 10, 0, 100)))
 	}
-	if !f.out(1) || probes == 0 {
-		t.Fatalf("withdrawn %v, %d probes; want the silent server out and probed", f.out(1), probes)
+	if !f.hasNoLines(1) || probes == 0 {
+		t.Fatalf("withdrawn %v, %d probes; want the silent server out and probed", f.hasNoLines(1), probes)
 	}
-	f.after(minSuspicion, Probed{Server: 1}, Probed{Server: 1, OK: true})
-	if !f.out(1) {
+	f.advance(minSuspicionTime, Probed{Server: 1}, Probed{Server: 1, OK: true})
+	if !f.hasNoLines(1) {
 		t.Fatal("one answered probe was enough")
 	}
-	f.after(100, Probed{Server: 1, OK: true}, heard(2, 0, 10, 0, 100), heard(3, 0, 10, 0, 100))
-	f.after(100)
-	if f.out(1) {
+	f.advance(100, Probed{Server: 1, OK: true}, heard(2, 0, 10, 0, 100), heard(3, 0, 10, 0, 100))
+	f.advance(100)
+	if f.hasNoLines(1) {
 		t.Fatal("two answered probes did not bring the server back")
 	}
-	early := f.c.factoredWeight(f.c.serverByID[1])
-	f.after(returnTime)
-	if late := f.c.factoredWeight(f.c.serverByID[1]); early > 0.5*late {
+	early := f.c.effectiveWeight(f.c.serverByID[1])
+	f.advance(slowStartTime)
+	if late := f.c.effectiveWeight(f.c.serverByID[1]); early > 0.5*late {
 		t.Fatalf("weight %v at its return, %v later: not eased", early, late)
 	}
-	if f.c.serverByID[1].nextSuspicion <= minSuspicion {
+	if f.c.serverByID[1].nextSuspicion <= minSuspicionTime {
 		t.Fatal("a relapse would not keep the server out for longer")
 	}
 }
 
 // A doubted server that returned was once held out as cold in an overload, when capacity was scarcest.
-func TestReturnedServerIsNotHeldAsCold(t *testing.T) {
+func TestReturnedServerIsNotTreatedAsCold(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.c.pressure = collapse + 1
+	f.c.pressure = collapsePressure + 1
 	f.c.serverByID[1].returnedAt = f.now
-	f.after(10)
+	f.advance(10)
 	if !f.c.serverByID[1].usable() {
 		t.Fatal("a returned server that never restarted is held as cold")
 	}
 }
 
-func TestNewProcessDropsStaleJudgement(t *testing.T) {
+func TestNewProcessResetsHealthState(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
 	s := f.c.serverByID[1]
 	s.errorSum, s.factor, s.suspected, s.unanswered = -3, 0.2, true, 40
 	back := ready(1, 0)
 	back.StartedAt = f.now
-	f.after(300, List{Kind: ListChanges, Servers: []Server{back}})
+	f.advance(300, List{Kind: ListChanges, Servers: []Server{back}})
 	if s.errorSum != 0 || s.factor != 1 || s.suspected || s.unanswered != 0 {
 		t.Fatalf("a new process keeps sum %v, factor %v, doubt %v", s.errorSum, s.factor, s.suspected)
 	}
@@ -498,13 +498,13 @@
 
 func TestZoneTablesKeepTrafficHomeAndSpillTheRest(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 50, Fresh: true},
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 50, Fresh: true},
 		Joined{Proxy: 2, Zone: 1, Rate: 50, Fresh: true})
 	if home := f.share(1, 1) + f.share(1, 2); home < 0.95 {
 		t.Fatalf("%v of a balanced zone's traffic stays home", home)
 	}
 	f = newFleet(t, settings(), fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 90, Fresh: true},
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 90, Fresh: true},
 		Joined{Proxy: 2, Zone: 1, Rate: 10, Fresh: true})
 	load := 0.9*(f.share(1, 1)+f.share(1, 2)) + 0.1*(f.share(2, 1)+f.share(2, 2))
 	if load > 0.62 || load < 0.5 {
@@ -514,15 +514,15 @@
 
 // overload feeds reports of a fleet whose answers take this long; demand is 200 views a second.
 func (f *fleet) overload(latency, demand float64) {
-	f.after(1000, heard(1, 0, 50, 0, latency), heard(2, 0, 50, 0, latency), heard(3, 1, 50, 0, latency),
+	f.advance(1000, heard(1, 0, 50, 0, latency), heard(2, 0, 50, 0, latency), heard(3, 1, 50, 0, latency),
 		heard(4, 1, 50, 0, latency), Demand{Proxy: 1, Class: 0, Requests: demand, Period: 1000},
 		Demand{Proxy: 1, Class: 1, Requests: 20, Period: 1000})
 }
 
 func TestAdmissionShedsLeastWorthPerWorkFirst(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
-	f.calm()
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
+	f.feedIdleReports()
 	for range 5 {
 		f.overload(800, 200)
 	}
@@ -533,10 +533,10 @@
 }
 
 // Refused requests come again; when the limit was a share, all of them came in at once.
-func TestRecoveryDoesNotFollowSwollenDemand(t *testing.T) {
+func TestRecoveryDoesNotFollowRepeatedRequests(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
-	f.calm()
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
+	f.feedIdleReports()
 	for range 8 {
 		f.overload(800, 600) // repeats swell the demand
 	}
@@ -558,10 +558,10 @@
 // A few very heavy requests once held the mean answer time up and half the requests were refused.
 func TestFewSlowServersDoNotCauseShedding(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
-	f.calm()
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
+	f.feedIdleReports()
 	for range 10 {
-		f.after(1000, heard(1, 0, 50, 0, 5000), heard(2, 0, 50, 0, 100), heard(3, 1, 50, 0, 100),
+		f.advance(1000, heard(1, 0, 50, 0, 5000), heard(2, 0, 50, 0, 100), heard(3, 1, 50, 0, 100),
 			heard(4, 1, 50, 0, 100), Demand{Proxy: 1, Class: 0, Requests: 200, Period: 1000})
 	}
 	if f.c.shedShare != 0 {
@@ -570,10 +570,10 @@
 }
 
 // The average of the first seconds was once taken for all the fleet can do, which locked the limit.
-func TestFirstSecondsDoNotLookLikeTheLimit(t *testing.T) {
+func TestFirstSecondsDoNotSetTheCapacity(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
-	f.after(1000)
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
+	f.advance(1000)
 	f.overload(100, 200)
 	f.overload(100, 200)
 	// 200 answers a second of class 0 and 1, in units of their aims.
@@ -585,15 +585,15 @@
 // A lost zone once left the limit at what the whole fleet had answered before.
 func TestLimitFollowsTheServersListed(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
-	f.calm()
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
+	f.feedIdleReports()
 	for range 3 {
 		f.overload(600, 200)
 	}
 	before := f.c.workLimit
-	f.after(300, List{Kind: ListFull, Servers: fourServers()[:2]})
+	f.advance(300, List{Kind: ListFull, Servers: fourServers()[:2]})
 	for range 2 {
-		f.after(1000, heard(1, 0, 50, 0, 600), heard(2, 0, 50, 0, 600))
+		f.advance(1000, heard(1, 0, 50, 0, 600), heard(2, 0, 50, 0, 600))
 	}
 	if f.c.workLimit > 0.75*before {
 		t.Fatalf("limit %v with half of the servers gone, %v before", f.c.workLimit, before)
@@ -602,12 +602,12 @@
 
 // After a restart the first reports told of a few proxies only; the limit made from them took half a minute
 // to grow back.
-func TestFirstReportsMakeNoLimit(t *testing.T) {
+func TestFirstReportsSetNoWorkLimit(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
-	f.after(500, Demand{Proxy: 1, Class: 0, Requests: 30, Period: 1000})
-	f.after(500, heard(1, 0, 5, 2, 900))
-	if f.c.pressure < sheddingFrom || !math.IsInf(f.c.workLimit, 1) {
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
+	f.advance(500, Demand{Proxy: 1, Class: 0, Requests: 30, Period: 1000})
+	f.advance(500, heard(1, 0, 5, 2, 900))
+	if f.c.pressure < sheddingPressure || !math.IsInf(f.c.workLimit, 1) {
 		t.Fatalf("limit %v at pressure %v from the first report", f.c.workLimit, f.c.pressure)
 	}
 	for range 3 {
@@ -615,16 +615,16 @@
 	}
 	f.c.workLimit = 1 // however it came to be that low
 	f.overload(900, 200)
-	if least := minCapacity * f.c.bestThroughput * f.c.listedWeight; f.c.workLimit < least {
+	if least := minCapacityShare * f.c.bestThroughput * f.c.listedWeight; f.c.workLimit < least {
 		t.Fatalf("limit %v, half of what the fleet answers is %v", f.c.workLimit, least)
 	}
 }
 
 // The first reports hold only what was answered quickly; taken for idle, they locked the limit at half load.
-func TestFirstAnswersDoNotTellTheIdleTime(t *testing.T) {
+func TestFirstReportsDoNotSetTheIdleLatency(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
-	f.after(1000)
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
+	f.advance(1000)
 	f.overload(20, 100)
 	for range 5 {
 		f.overload(200, 100)
@@ -636,12 +636,12 @@
 
 // Once the class with the most work for each request stays away, or is refused, what is left is answered sooner. Taken
 // for the idle time of all, that refused half of the work of an idle fleet, and more with each round of a long day.
-func TestLighterWorkIsNoIdleTime(t *testing.T) {
+func TestLighterWorkDoesNotLowerTheIdleLatency(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
-	f.calm()
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
+	f.feedIdleReports()
 	answers := func(latency, heavy float64) {
-		f.after(1000, heard(1, 0, 30, 0, latency), heard(2, 0, 30, 0, latency), heard(3, 1, 30, 0, latency),
+		f.advance(1000, heard(1, 0, 30, 0, latency), heard(2, 0, 30, 0, latency), heard(3, 1, 30, 0, latency),
 			heard(4, 1, 30, 0, latency), Demand{Proxy: 1, Class: 0, Requests: heavy, Period: 1000},
 			Demand{Proxy: 1, Class: 1, Requests: 20, Period: 1000})
 	}
@@ -649,7 +649,7 @@
 		answers(50, 0.1)
 	}
 	for i := range 20 { // the first reports still tell of both
-		if answers(100, 200); i > 8 && f.c.pressure > sheddingFrom || f.c.shedShare > 0 {
+		if answers(100, 200); i > 8 && f.c.pressure > sheddingPressure || f.c.shedShare > 0 {
 			t.Fatalf("idle as at first, but pressure %v and %v refused", f.c.pressure, f.c.shedShare)
 		}
 	}
@@ -657,9 +657,9 @@
 
 // A proxy of little traffic reports a class only when it was asked for. Its last report, often of a burst, is not what
 // comes until the next one: on sockets such beliefs added up to a quarter more than what passed.
-func TestDemandFadesInSilence(t *testing.T) {
+func TestDemandDecaysWithoutReports(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
 	sum, n := 0.0, 0.0
 	for i := range 200 { // one request in eight seconds
 		var events []Event
@@ -671,7 +671,7 @@
 		if i%2 == 0 { // a class that reports late holds
 			events = append(events, Demand{Proxy: 1, Class: 2, Requests: 20, Period: 2000})
 		}
-		f.after(1000, events...)
+		f.advance(1000, events...)
 		if i > 40 {
 			sum, n = sum+f.c.demands[1], n+1
 			if f.c.demands[2] < 9 || f.c.demands[2] > 11 {
@@ -689,18 +689,18 @@
 	set := settings()
 	set.Admission = AdmitRate
 	f := newFleet(t, set, fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
-	for _, a := range f.last {
-		if a, ok := a.(Admit); ok && a.Level < unlimited {
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
+	for _, a := range f.lastActions {
+		if a, ok := a.(Admit); ok && a.Level < unlimitedRate {
 			t.Fatalf("rate %v ordered without overload", a.Level)
 		}
 	}
-	f.calm()
+	f.feedIdleReports()
 	var rate float64
 	for range 6 {
 		f.overload(900, 200)
 		f.c.proxyByID[1].unacknowledged = nil
-		for _, a := range f.last {
+		for _, a := range f.lastActions {
 			if a, ok := a.(Admit); ok && a.Mask == 1 {
 				rate = a.Level
 			}
@@ -715,35 +715,35 @@
 	set := settings()
 	set.QueryDiscovery = true
 	f := newFleet(t, set, fourServers()...)
-	if count[Watch](f.last) != 1 {
+	if count[Watch](f.lastActions) != 1 {
 		t.Fatal("discovery on request was not asked at the start")
 	}
-	if count[Watch](f.after(100, List{Kind: ListFailed})) != 0 {
+	if count[Watch](f.advance(100, List{Kind: ListFailed})) != 0 {
 		t.Fatal("asked again at once after a failure")
 	}
-	if count[Watch](f.after(2*resendPause)) != 1 {
+	if count[Watch](f.advance(2*discoveryRetryDelay)) != 1 {
 		t.Fatal("not asked again after a failure")
 	}
-	f.after(100, List{Kind: ListChanges})
-	if count[Watch](f.after(10*resendAfter)) != 0 {
+	f.advance(100, List{Kind: ListChanges})
+	if count[Watch](f.advance(10*discoveryTimeout)) != 0 {
 		t.Fatal("asked again while subscribed")
 	}
-	f.after(100, List{Kind: ListFailed})
-	if count[Watch](f.after(2*resendPause)) != 1 {
+	f.advance(100, List{Kind: ListFailed})
+	if count[Watch](f.advance(2*discoveryRetryDelay)) != 1 {
 		t.Fatal("not asked again after the subscription broke")
 	}
 	set.QueryDiscovery = false
-	if f := newFleet(t, set, fourServers()...); count[Watch](f.last) != 0 {
+	if f := newFleet(t, set, fourServers()...); count[Watch](f.lastActions) != 0 {
 		t.Fatal("asked though changes are pushed")
 	}
 }
 
 func TestOddEventsChangeNothing(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
-	f.calm()
-	f.after(3000, f.ack(1))
-	actions := f.after(1, Ack{Proxy: 99, Token: 5}, Left{Proxy: 98}, heard(77, 0, 5, 5, 0),
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
+	f.feedIdleReports()
+	f.advance(3000, f.ack(1))
+	actions := f.advance(1, Ack{Proxy: 99, Token: 5}, Left{Proxy: 98}, heard(77, 0, 5, 5, 0),
 		heard(1, 9, 5, 5, 0),
 		heard(1, 0, 0, 0, 0), Demand{Proxy: 97, Requests: 5,
 			Period: 1000}, Probed{Server: 55}, Tick{Token: 12},
@@ -756,18 +756,18 @@
 	}
 }
 
-func TestSlicesAreLeftAlone(t *testing.T) {
+func TestKeyRangesAreNotAssigned(t *testing.T) {
 	set := settings()
 	set.KeyRanges = 64
 	f := newFleet(t, set, fourServers()...)
-	actions := f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
+	actions := f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
 	if count[Bind](actions)+count[SetWeight](actions) != 0 {
 		t.Fatalf("actions %v at a site with slices", actions)
 	}
 }
 
-// storm returns a random but legal run of events, the same for the same seed.
-func storm(seed uint64, turns int) (times []float64, batches [][]Event) {
+// randomEvents returns a random but legal run of events, the same for the same seed.
+func randomEvents(seed uint64, turns int) (times []float64, batches [][]Event) {
 	r := rand.New(rand.NewPCG(seed, 9))
 	now := 1000.0
 	for range turns {
@@ -806,7 +806,7 @@
 func TestSameEventsSameActions(t *testing.T) {
 	for seed := range uint64(20) {
 		a, b := New(settings(), seed), New(settings(), seed)
-		times, batches := storm(seed, 400)
+		times, batches := randomEvents(seed, 400)
 		for i := range times {
 			if x, y := a.Step(times[i], batches[i]), b.Step(times[i], batches[i]); !reflect.DeepEqual(x, y) {
 				t.Fatalf("seed %d, turn %d: %v and %v", seed, i, x, y)
@@ -816,7 +816,7 @@
 }
 
 // Safe repeats, the channel's lines and the messages to one proxy, in storms of events.
-func TestRulesHoldInStorms(t *testing.T) {
+func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(40) {
 		set := settings()
 		set.QueueLines, set.LinesPerSec, set.MaxMessages = 200, 130, 8
@@ -824,7 +824,7 @@
 			set.Admission, set.QueueLines, set.LinesPerSec, set.MaxMessages = AdmitRate, 100, 20, 0
 		}
 		c := New(set, seed)
-		times, batches := storm(seed, 800)
+		times, batches := randomEvents(seed, 800)
 		queue, last := 0.0, times[0]
 		joined, inTable := map[ProxyID]bool{}, map[ProxyID]bool{}
 		tables := map[TableID]map[ServerID]bool{}
@@ -899,6 +899,6 @@
 		if n := count[Log](f.c.actions); n != maxLogLines {
 			t.Errorf("%d lines in a minute", n)
 		}
-		f.c.now += 2 * logSpan
+		f.c.now += 2 * logWindow
 	}
 }
--- a/rules/size_test.go
+++ b/rules/size_test.go
@@ -21,7 +21,7 @@
 // that the deploy file lists.
 func TestModuleSize(t *testing.T) {
 	files := token.NewFileSet()
-	for _, name := range policyFiles(t) {
+	for _, name := range moduleFiles(t) {
 		text, err := os.ReadFile("../" + name)
 		if err != nil {
 			t.Fatal(err)
@@ -52,7 +52,7 @@
 	}
 }
 
-func policyFiles(t *testing.T) []string {
+func moduleFiles(t *testing.T) []string {
 	t.Helper()
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
--- a/rules/state.go
+++ b/rules/state.go
@@ -1,6 +1,6 @@
 package rules
 
-// What a controller remembers. No decision is made here; they are in the files of policy.
+// The state of a controller. The decisions are in the files of the module, see rules.go.
 
 import (
 	"cmp"
@@ -10,182 +10,184 @@
 	"slices"
 )
 
-// tally sums up reports; time is that of all answers together.
-type tally struct{ tries, failed, answered, time float64 }
+// reportTotals sums up reports. The total latency is that of all answers, in milliseconds.
+type reportTotals struct{ tries, failed, answered, totalLatency float64 }
 
-func (z tally) rate() float64 { return 1 - z.failed/z.tries }
+// successRate returns the share of successful attempts. There must be at least one attempt.
+func (t reportTotals) successRate() float64 { return 1 - t.failed/t.tries }
 
-func (z *tally) fade(by float64) {
-	*z = tally{z.tries * by, z.failed * by, z.answered * by, z.time * by}
+// decay multiplies all totals by a factor.
+func (t *reportTotals) decay(by float64) {
+	*t = reportTotals{t.tries * by, t.failed * by, t.answered * by, t.totalLatency * by}
 }
 
-// server is what is known of one server.
+// server is the state of one server. Times are in milliseconds.
 type server struct {
 	Server
 
-	// What reports said of it.
-	round        tally     // this round
-	zones        []tally   // this round, by zone of the proxies
-	recent       tally     // lately, faded
-	lastHeard    float64   // time of the last report
-	recentErrors []float64 // of the last rounds
-	errorSum     float64   // decayed and capped sum of the mean errors
-	factor       float64   // on the listed weight
-
-	// Whether it is kept out.
-	unanswered      float64 // tries since the last answer
+	// From reports of the proxies.
+	thisRound    reportTotals   // of the current round
+	roundByZone  []reportTotals // of the current round, by zone of the proxies
+	recentTotals reportTotals   // decayed by updateAdmission
+	lastHeard    float64        // time of the last report
+	recentErrors []float64      // of the last errorWindow rounds
+	errorSum     float64        // decayed and bounded sum of the mean errors
+	factor       float64        // multiplies the listed weight
+
+	// Health, and reasons to exclude the server.
+	unanswered      float64 // attempts since the last answer
 	unansweredSince float64
-	suspected       bool    // kept out by our own judgement
-	suspectedUntil  float64 // at least
-	nextSuspicion   float64 // how long the next suspicion lasts at least
+	suspected       bool    // excluded as it does not answer
+	suspectedUntil  float64 // earliest end of the suspicion
+	nextSuspicion   float64 // least duration of the next suspicion
 	nextProbe       float64
-	probesAnswered  int     // in a row
+	probesAnswered  int     // consecutive
 	returnedAt      float64 // end of the last suspicion
-	heldBack        bool    // cold, and kept out while the fleet is failing
-	unlisted        bool    // the list dropped it, which does not bind
-
-	// What the current look decides.
-	inTables     bool    // may hold a line
-	share        float64 // of the traffic of all proxies
-	targetRate   float64 // the same in requests a second of our own proxies
-	assignedRate float64 // requests a second that our tables bring it
-	correction   float64 // of its weight, for how it is held
-	dealtTo      *proxy  // whose table is being dealt and holds it
+	coldExcluded    bool    // cold, and excluded while the fleet is failing
+	unlisted        bool    // missing from the list but still used, as only draining removes servers
+
+	// Results of the current decision.
+	inTables     bool    // may have lines
+	share        float64 // of the traffic of all proxies of the fleet
+	targetRate   float64 // wanted traffic from our own proxies, in requests a second
+	assignedRate float64 // traffic from our tables, in requests a second
+	correction   float64 // factor on its weight that compensates for its assignment to tables
+	visitedBy    *proxy  // proxy whose table is being filled and has a line for the server
 }
 
-// line is a server in a proxy's table. One that is not wanted any more has wanted 0.
+// line is a server in a proxy's table. The wanted weight is 0 once the line is to be removed.
 type line struct {
 	server       *server
 	wanted, sent float64 // weights
 }
 
-// proxy is what is known of one proxy, and what its table holds.
+// proxy is the state of one proxy and of its table.
 type proxy struct {
 	id     ProxyID
 	zone   int
 	joined bool
-	bound  bool // its table is the one that is kept here
+	bound  bool // to the table that is kept here
 
-	// What it asks for.
+	// Its demand.
 	typicalRate float64   // requests a second
-	demand      []float64 // the same by class, lately
+	demand      []float64 // average requests a second, by class
 	reportedAt  []float64 // time of the last report, by class
 
 	// Its table.
 	lines         []line
-	wantedLines   float64   // how many of them are wanted
-	levels        []float64 // by class, as ordered so far; -1: none yet
-	urgent        bool      // a line must go, or none works, or the table is not bound
-	misroutedRate float64   // requests a second that the table sends elsewhere than wanted
-
-	// What it was sent.
-	messageTimes   []float64   // of recent messages
-	unacknowledged []writeMark // messages whose answers are out, oldest first
+	wantedLines   float64   // number of lines with a wanted weight above 0
+	levels        []float64 // last sent admission levels, by class; -1: none yet
+	urgent        bool      // a line must be removed, no line is usable, or the table is not bound
+	misroutedRate float64   // requests a second that don't follow the wanted weights
+
+	// Messages to it.
+	messageTimes   []float64   // of messages within MessageWindow
+	unacknowledged []writeMark // oldest first
 	lastSent       float64
 }
 
-// knows says whether the proxy's table has a line for a server, wanted or not yet removed.
-func (p *proxy) knows(s *server) bool {
+// hasLine reports whether the proxy's table has a line for a server, wanted or not yet removed.
+func (p *proxy) hasLine(s *server) bool {
 	return slices.ContainsFunc(p.lines, func(l line) bool { return l.server == s })
 }
 
-// writeMark is where a message, or all of a look, ends in the sequence of all lines written.
+// writeMark is the end of a message, or of all messages of a decision, in the sequence of all lines written.
 type writeMark struct {
 	token uint32
-	end   float64 // lines written up to it, since the start
-	at    float64 // time
+	end   float64 // number of lines written until then, since the start
+	at    float64 // time of writing
 }
 
 // zone is the traffic of one zone. Rates are requests a second; shares are of all traffic.
 type zone struct {
 	ownRate       float64 // from our proxies there
-	totalRate     float64 // own, and from the proxies there that share our planner
-	inboundRate   float64 // from all our proxies to its servers
-	trafficShare  float64 // what comes from its proxies
-	spillShare    float64 // of that, what has no room at home
-	capacityShare float64 // what its servers should get
-	spareShare    float64 // what of that other zones may use
-	servers       ranked[*server]
+	totalRate     float64 // from all proxies of the planner there
+	inboundRate   float64 // from our proxies of all zones to its servers
+	trafficShare  float64 // from its proxies
+	spillShare    float64 // share of its traffic that exceeds the capacity of its servers
+	capacityShare float64 // for its servers
+	spareShare    float64 // part of capacityShare that other zones may use
+	servers       priorityQueue[*server]
 }
 
-// Controller decides for the proxies joined to it. It is for one goroutine.
+// Controller decides for the proxies joined to it. It is not safe for concurrent use.
 type Controller struct {
 	settings Settings
 	rng      *rand.Rand
 	now      float64
 	actions  []Action // of this step
 
-	servers    []*server // sorted by id, as are the proxies
+	servers    []*server // sorted by id, like proxies
 	serverByID map[ServerID]*server
 	proxies    []*proxy
 	proxyByID  map[ProxyID]*proxy
 	zones      []zone
 
-	// When what is due. Discovery that speaks only when asked is asked at queryAt, unless it is watched.
-	watching     bool
-	queryAt      float64
-	nextDecision float64
-	nextRound    float64
-	lastShedding float64
-
-	// What comes in. Parts are of the planner's other cores.
-	ownPart       Part      // what our own proxies bring
-	otherParts    Part      // what we were told of the others
-	joinedProxies float64   // of the planner
-	typicalRate   float64   // their requests a second
-	demands       []float64 // the same by class, lately
-
-	// What the fleet can do.
-	usableServers  float64   // servers in tables
-	totalLines     float64   // of all tables together
-	listedWeight   float64   // weight that the list shows ready, less for cold servers
-	coldCapacity   float64   // share of the demand that cold servers leave room for
-	fleet          tally     // recent answers of all servers, decayed
-	averageFill    float64   // how far that has filled since the start
-	pressure       float64   // how late answers come; 1 is the most that is wanted
-	recentIdle     []float64 // lately, answer times for the work of a request
-	idleLatency    float64   // least answer time met so far, for the work of a request
-	bestThroughput float64   // most work a second lately answered, for each weight listed
-
-	// What is let in.
-	shedOrder []int   // classes, least worth for their work first
-	workLimit float64 // work a second that may come in
+	// Schedule. With Settings.QueryDiscovery, discovery is asked at nextQuery unless a subscription stands.
+	watching      bool
+	nextQuery     float64
+	nextDecision  float64
+	nextRound     float64
+	lastAdmission float64
+
+	// Traffic.
+	ownPart       Part      // from our own proxies
+	otherParts    Part      // from the proxies of the planner's other cores
+	joinedProxies float64   // number of proxies of all cores of the planner
+	typicalRate   float64   // of all these proxies, in requests a second
+	demands       []float64 // average requests a second of all these proxies, by class
+
+	// Capacity and load of the fleet.
+	usableServers  float64      // number of servers that may have lines
+	totalLines     float64      // of all tables together
+	listedWeight   float64      // sum of the weights of ready servers, reduced for cold ones
+	coldCapacity   float64      // share of the demand that the fleet can take if all servers are cold, else 1
+	fleet          reportTotals // of all servers, decayed
+	averageFill    float64      // weight, 0 to 1, of the data since the start in the average of fleet
+	pressure       float64      // failure share plus the ratio of latency to wanted latency; above 1 is overload
+	idleLatencies  []float64    // last latencies per unit of work
+	idleLatency    float64      // least latency met so far, per unit of work
+	bestThroughput float64      // decaying maximum of the work answered per second and listed weight
+
+	// Admission.
+	shedOrder []int   // classes by ascending value per work
+	workLimit float64 // admitted work per second
 	shedShare float64 // share of the offered work that is refused
 
-	// What is on its way to the proxies.
+	// Orders in the channel to the proxies.
 	token          uint32      // of the last message
 	linesWritten   float64     // since the start
-	linesDelivered float64     // those of them known to have left
-	queuedLines    float64     // thought to wait
-	ordinaryBudget float64     // lines that ordinary orders may use; below 0, they owe
-	sentMarks      []writeMark // of each look, while they have not left
-	deliveryLag    float64     // how long the oldest of them has been on its way
-	lastAckAt      float64     // when a message was last answered
+	linesDelivered float64     // of these, the ones known to have left the channel
+	queuedLines    float64     // estimate of the lines that wait in the channel
+	ordinaryBudget float64     // lines that ordinary orders may use; negative after urgent ones overdrew it
+	sentMarks      []writeMark // ends of the decisions with undelivered lines, oldest first
+	deliveryLag    float64     // age of the oldest of sentMarks
+	lastAckAt      float64     // time of the last acknowledgement
 	queueUpdatedAt float64
 
-	logged  int     // log lines
-	logFrom float64 // since when they are counted
+	loggedLines    int // log lines since logWindowStart
+	logWindowStart float64
 }
 
-// New returns a controller that knows only its settings.
-func New(set Settings, seed uint64) *Controller {
-	c := &Controller{settings: set, rng: rand.New(rand.NewPCG(seed, 1)), coldCapacity: 1,
+// New returns a controller without servers or proxies. The seed determines its random choices.
+func New(settings Settings, seed uint64) *Controller {
+	c := &Controller{settings: settings, rng: rand.New(rand.NewPCG(seed, 1)), coldCapacity: 1,
 		workLimit:   math.Inf(1),
-		idleLatency: math.Inf(1), zones: make([]zone, max(1, set.Zones)), demands: make([]float64,
-			len(set.Classes)),
+		idleLatency: math.Inf(1), zones: make([]zone, max(1, settings.Zones)), demands: make([]float64,
+			len(settings.Classes)),
 		serverByID: map[ServerID]*server{}, proxyByID: map[ProxyID]*proxy{}, otherParts: Part{ChannelShare: 1}}
-	for k := range set.Classes {
+	for k := range settings.Classes {
 		c.shedOrder = append(c.shedOrder, k)
 	}
 	slices.SortStableFunc(c.shedOrder, func(i, j int) int {
-		return lessValuable(set.Classes[i],
-			set.Classes[j])
+		return lessValuable(settings.Classes[i],
+			settings.Classes[j])
 	})
 	return c
 }
 
-// handleJoined takes a proxy in. The lines and levels of its table stay as we know them: it is bound to it
-// again.
+// handleJoined adds a proxy. The lines and levels that are known of a returning proxy's table are kept: the
+// proxy is bound to that table again.
 func (c *Controller) handleJoined(e Joined) {
 	p, n := c.proxyByID[e.Proxy], len(c.settings.Classes)
 	if p == nil {
@@ -199,11 +201,11 @@
 		len(c.zones)-1), nil
 }
 
-// OwnLoad tells what the controller's own proxies bring, as of its last look, and the lines thought to wait for
-// them.
+// OwnLoad returns the traffic of the controller's own proxies as of its last decision, and the estimated number of lines
+// that wait in the channel for them.
 func (c *Controller) OwnLoad() (own Part, waiting float64) { return c.ownPart, c.queuedLines }
 
-// handleForgotten drops all that is remembered of a server.
+// handleForgotten removes all state of a server.
 func (c *Controller) handleForgotten(id ServerID) {
 	delete(c.serverByID, id)
 	c.servers = slices.DeleteFunc(c.servers, func(s *server) bool { return s.ID == id })
@@ -212,12 +214,12 @@
 	}
 }
 
-// log adds a line to the operators' log. What goes over its bound is left out, for a while and not for good.
+// log adds a line to the operators' log, unless there are maxLogLines within the current logWindow.
 func (c *Controller) log(format string, args ...any) {
-	if c.now-c.logFrom > logSpan {
-		c.logFrom, c.logged = c.now, 0
+	if c.now-c.logWindowStart > logWindow {
+		c.logWindowStart, c.loggedLines = c.now, 0
 	}
-	if c.logged++; c.logged <= maxLogLines {
+	if c.loggedLines++; c.loggedLines <= maxLogLines {
 		c.actions = append(c.actions, Log{Text: fmt.Sprintf(format, args...)})
 	}
 }
