--- a/internal/control/weights/weights.go
+++ b/internal/control/weights/weights.go
@@ -1,7 +1,7 @@
-// Package weights decides in what shares each edge's requests go to a service's servers. For each service it drives one
-// controller of the decision module (package rules), which is fed with the register of servers, the configuration and the
-// reports of the edges that are attached to one gateway controller. What it orders goes to the edges merged, and further
-// changes wait for their acknowledgements. Tables is a value fed with events; time is handed in.
+// Package weights computes the weights by which each edge distributes requests over a service's servers. For each service it
+// runs one controller of the decision module (package rules). Its inputs are the registry of servers, the configuration and
+// the reports of the edges that are attached to one gateway controller. Its orders are merged into one message per edge, and
+// further changes wait for the acknowledgements. Tables does no I/O and takes the time as a parameter.
 package weights
 
 import (
@@ -16,7 +16,8 @@
 	"mulleinwood/rules"
 )
 
-// Tables holds the weight tables of all services, for the edges that are attached to one controller.
+// Tables holds the weight tables of all services, for the edges that are attached to one controller. It is not safe for
+// concurrent use.
 type Tables struct {
 	zone      string
 	zones     []string // sorted
@@ -24,26 +25,26 @@
 	instances func() int
 	logNote   func(service, note string)
 
-	config        *config.Config            // nil: none yet
-	edges         map[string]string         // zones, by edge
-	servers       map[string]registry.Entry // that have not ended, by id
+	config        *config.Config            // nil before the first configuration
+	edges         map[string]string         // zone by edge
+	servers       map[string]registry.Entry // servers that have not ended, by id
 	services      map[string]*serviceTable
 	tablesCreated uint64
 	nextDecision  time.Duration
 }
 
-// PeerTraffic is what the edges of another controller bring.
+// PeerTraffic is the traffic of the edges that are attached to another controller.
 type PeerTraffic struct {
 	Edges         int
 	TrafficByZone []peer.ZoneTraffic
 }
 
-// serviceTable is the weight table of one service. The decision module names servers and edges by numbers.
+// serviceTable is the weight table of one service. The decision module identifies servers and edges by numbers.
 type serviceTable struct {
 	service     string
 	tokenPrefix uint64
 	controller  *rules.Controller
-	events      []rules.Event // that the module has not seen yet
+	events      []rules.Event // pending for the next step of the module
 
 	serverIDs    map[string]rules.ServerID
 	serverNames  map[rules.ServerID]string
@@ -51,25 +52,25 @@
 	edgeIDs      map[string]rules.ProxyID // by IP
 	edgeIPs      map[rules.ProxyID]string
 	lastEdgeID   rules.ProxyID
-	assigned     map[string]map[string]float64 // weights of servers, by edge, as they were ordered
+	assigned     map[string]map[string]float64 // last assigned weight by edge and server
 }
 
 const (
 	reportPeriod     = 1000.0  // milliseconds between two reports of an edge
-	unlimitedChannel = 1e6     // lines a second: a controller's links to its edges limit nothing
-	maxWarmupMillis  = 30000.0 // in which the module takes a server for cold
+	unlimitedChannel = 1e6     // lines a second: links from a controller to its edges are not a bottleneck
+	maxWarmupMillis  = 30000.0 // longest time for which the module treats a server as cold
 	decisionInterval = 250 * time.Millisecond
-	minTrafficRate   = 0.05 // requests a second, below which traffic isn't reported
+	minTrafficRate   = 0.05 // requests a second; less traffic isn't reported to peers
 
-	// Values for services that the configuration doesn't name, in milliseconds.
+	// Values for services without a route that sets them, in milliseconds.
 	defaultLatencyTarget = 1000.0
 	defaultDeadline      = 5000.0
-	// initialEdgeRate is what an edge is thought to bring before its first report, in requests a second.
+	// initialEdgeRate is the assumed traffic of an edge before its first report, in requests a second.
 	initialEdgeRate = 10
 )
 
-// New makes the tables of a controller in a zone. Instances is how many controllers decide beside each other, as known when
-// a service is first met; logNote gets what the module says of its decisions.
+// New returns the tables of a controller in a zone. Instances returns the number of controllers that decide independently,
+// and is called once per service table; logNote is called with the log lines of the module.
 func New(zone string, zones []string, seed uint64, instances func() int, logNote func(service, note string)) *Tables {
 	t := &Tables{zone: zone, zones: slices.Sorted(slices.Values(zones)), seed: seed, instances: instances, logNote: logNote,
 		edges: map[string]string{}, servers: map[string]registry.Entry{}, services: map[string]*serviceTable{}}
@@ -81,7 +82,7 @@
 
 func (t *Tables) zoneIndex(zone string) int { return max(0, slices.Index(t.zones, zone)) }
 
-// tableFor finds a service's table, or makes it.
+// tableFor returns a service's table and creates it if necessary.
 func (t *Tables) tableFor(service string) *serviceTable {
 	if s := t.services[service]; s != nil {
 		return s
@@ -95,7 +96,7 @@
 	for _, edge := range slices.Sorted(maps.Keys(t.edges)) {
 		s.join(t, edge)
 	}
-	for _, id := range slices.Sorted(maps.Keys(t.servers)) { // of a service that was dropped and is back
+	for _, id := range slices.Sorted(maps.Keys(t.servers)) { // the service may have been dropped and added again
 		if e := t.servers[id]; e.Service == service {
 			s.updateServer(t, e, 0)
 		}
@@ -112,7 +113,7 @@
 		WarmupTime: maxWarmupMillis, StartCapacity: 0.5, OverloadFactor: 100}
 }
 
-// targets are the latency target and the deadline of the last route to a service, in milliseconds.
+// targets returns the latency target and the deadline of the last route to a service, in milliseconds.
 func (t *Tables) targets(service string) (latencyTarget, deadline float64) {
 	latencyTarget, deadline = defaultLatencyTarget, defaultDeadline
 	if t.config == nil {
@@ -135,13 +136,13 @@
 		id = s.lastEdgeID
 		s.edgeIDs[edge], s.edgeIPs[id] = id, edge
 	}
-	if s.assigned[edge] == nil { // the module knows what it ordered for an edge that was here before
+	if s.assigned[edge] == nil { // the module keeps the assigned weights of an edge that rejoins
 		s.assigned[edge] = map[string]float64{}
 	}
 	s.events = append(s.events, rules.Joined{Proxy: id, Zone: t.zoneIndex(t.edges[edge]), Rate: initialEdgeRate, Fresh: true})
 }
 
-// Join adds an edge, by its IP address. It holds no table yet.
+// Join adds an edge, identified by its IP address, that has no table yet.
 func (t *Tables) Join(edge, zone string) {
 	t.edges[edge] = zone
 	for _, s := range t.services {
@@ -149,7 +150,7 @@
 	}
 }
 
-// Leave drops an edge.
+// Leave removes an edge.
 func (t *Tables) Leave(edge string) {
 	delete(t.edges, edge)
 	for _, s := range t.services {
@@ -159,7 +160,7 @@
 	}
 }
 
-// UpdateServers takes over what changed of servers.
+// UpdateServers applies changed entries of the registry.
 func (t *Tables) UpdateServers(updates []registry.Entry, now time.Duration) {
 	for _, e := range updates {
 		if e.Service == "" {
@@ -190,7 +191,8 @@
 	}
 }
 
-// moduleState is an entry's state in the decision module. A server that timed out gets nothing until it is heard again.
+// moduleState returns an entry's state for the decision module. A server that timed out gets no requests until its next
+// heartbeat.
 func moduleState(e registry.Entry) rules.State {
 	switch {
 	case e.Ended() || e.TimedOut:
@@ -201,8 +203,8 @@
 	return rules.Ready
 }
 
-// moduleStart is when the module takes a server to have started, in milliseconds, so that its warm-up ends when the server
-// says; 0: it is warm.
+// moduleStart returns the start time of a server for the module, in milliseconds, chosen such that the warm-up ends when the
+// server reported; 0: it is warm.
 func moduleStart(e registry.Entry, now time.Duration) float64 {
 	if e.WarmupLeft <= 0 {
 		return 0
@@ -219,7 +221,7 @@
 	}
 }
 
-// SetConfig follows a new configuration: services that it doesn't name are dropped.
+// SetConfig applies a new configuration and drops the tables of services that it doesn't contain.
 func (t *Tables) SetConfig(c *config.Config) {
 	t.config = c
 	for name := range t.services {
@@ -229,7 +231,7 @@
 	}
 }
 
-// HandleReport takes what an edge counted. ServiceOf names the service of a server that is known.
+// HandleReport applies a report of an edge. ServiceOf returns the service of a server, and whether the server is known.
 func (t *Tables) HandleReport(edge string, r *peer.Report, serviceOf func(server string) (service string, known bool)) {
 	period := max(1, r.Period*1000)
 	for _, stats := range r.Servers {
@@ -263,7 +265,7 @@
 		Failed: float64(stats.Failed), Latency: latency, Period: period})
 }
 
-// handleApplied tells the table that a token belongs to that an edge has applied its orders.
+// handleApplied passes an edge's acknowledgement of a token to the table that issued it.
 func (t *Tables) handleApplied(edge string, token uint64) {
 	for _, s := range t.services {
 		if id, ok := s.edgeIDs[edge]; ok && s.tokenPrefix == token&^tokenMask {
@@ -272,8 +274,8 @@
 	}
 }
 
-// Tokens to an edge carry the table's number above the module's own token: one that is returned after its table was dropped
-// is nobody's.
+// Tokens to an edge contain the table's number in the bits above the module's own token, so that a token of a dropped table
+// matches no other table.
 const (
 	tokenPrefixShift = 32
 	tokenMask        = 1<<tokenPrefixShift - 1
@@ -281,7 +283,8 @@
 
 func (t *Tables) serviceNames() []string { return slices.Sorted(maps.Keys(t.services)) }
 
-// OwnTraffic is what the edges of this controller bring, by service and zone, in tenths of a request a second.
+// OwnTraffic returns the traffic of the edges of this controller by service and zone, in requests a second rounded down to a
+// tenth.
 func (t *Tables) OwnTraffic() (all []peer.ZoneTraffic) {
 	for _, name := range t.serviceNames() {
 		own, _ := t.services[name].controller.OwnLoad()
@@ -294,8 +297,8 @@
 	return all
 }
 
-// Tick lets the module decide, if it is time, and gives what it orders, by edge. Peers gives what the edges of the other
-// controllers bring.
+// Tick runs the module's decisions every decisionInterval and returns the resulting weights by edge; nil: none are due. Peers
+// returns the traffic of the other controllers' edges.
 func (t *Tables) Tick(now time.Duration, peers func() []PeerTraffic) map[string]*peer.Weights {
 	if now < t.nextDecision {
 		return nil
@@ -316,7 +319,7 @@
 	return u.byEdge
 }
 
-// remoteTraffic is what the edges of the other controllers bring to a service.
+// remoteTraffic returns the traffic of the other controllers' edges for a service.
 func (t *Tables) remoteTraffic(service string, peers []PeerTraffic) rules.Part {
 	part := rules.Part{ChannelShare: 1, TypicalRates: make([]float64, len(t.zones)), Demands: []float64{0}}
 	for _, p := range peers {
@@ -331,10 +334,10 @@
 	return part
 }
 
-// updates gathers what edges are sent after a decision.
+// updates collects the messages to the edges after a decision.
 type updates struct {
 	byEdge       map[string]*peer.Weights
-	changedEdges map[string]bool // edges that the present table orders something for
+	changedEdges map[string]bool // edges with changes of the table that is being collected
 }
 
 func (u *updates) forEdge(edge string) *peer.Weights {
@@ -345,7 +348,7 @@
 	return u.byEdge[edge]
 }
 
-// collect turns the module's actions into orders.
+// collect adds the module's actions for one service to the messages.
 func (u *updates) collect(t *Tables, s *serviceTable, actions []rules.Action) {
 	u.changedEdges = map[string]bool{}
 	for _, action := range actions {
@@ -367,7 +370,7 @@
 func (u *updates) setWeight(s *serviceTable, edge, server string, weight float64) {
 	w := u.forEdge(edge)
 	if server == "" {
-		return // it has ended
+		return // the server has ended
 	}
 	w.Changed = append(w.Changed, peer.Weight{Server: server, Weight: weight})
 	assigned := s.assigned[edge]
@@ -376,7 +379,7 @@
 	}
 }
 
-// replaceTable orders the complete table: what is not in it is out.
+// replaceTable adds the complete table; it replaces all weights that the edge has for the service.
 func (u *updates) replaceTable(s *serviceTable, edge string) {
 	w := u.forEdge(edge)
 	w.Replaced = append(w.Replaced, s.service)
@@ -387,7 +390,7 @@
 	}
 }
 
-// WeightsFor is the table of a service as it was ordered for an edge. It must not be changed.
+// WeightsFor returns the last assigned weights of a service's servers for an edge. The map must not be changed.
 func (t *Tables) WeightsFor(edge, service string) map[string]float64 {
 	if s := t.services[service]; s != nil {
 		return s.assigned[edge]
@@ -395,7 +398,7 @@
 	return nil
 }
 
-// Weight is what some edge was last sent for a server; 0: none.
+// Weight returns a weight above 0 that was last assigned to a server for any edge; 0: none.
 func (t *Tables) Weight(server string) float64 {
 	for _, s := range t.services {
 		for _, assigned := range s.assigned {
--- a/internal/control/weights/weights_test.go
+++ b/internal/control/weights/weights_test.go
@@ -15,7 +15,7 @@
 
 const step = 250 * time.Millisecond
 
-// harness plays the tables' owner: it passes orders on to edges that answer at once, and asks as edges do.
+// harness drives the tables: it delivers updates to edges that acknowledge at once, and sends the edges' reports.
 type harness struct {
 	*weights.Tables
 	now       time.Duration
@@ -35,7 +35,7 @@
 	h.UpdateServers([]registry.Entry{{ID: id, Service: service, Address: id, Zone: "a", Capacity: 2, State: state}}, h.now)
 }
 
-// run lets time pass; each second edges say what they met, by the latency of each server.
+// run advances the time by span; every second each edge reports attempts with the latency, in seconds, of each server.
 func (h *harness) run(span time.Duration, latency func(server string) float64) {
 	for end := h.now + span; h.now < end; h.now += step {
 		if h.now%time.Second == 0 {
@@ -90,10 +90,10 @@
 	g.Expect(h.sent["e-1"]["tags-3"]).To(BeNumerically("<", 0.8*h.sent["e-1"]["tags-0"]))
 	h.updateServer("tags", 0, registry.Draining)
 	h.run(time.Second, evenLatency)
-	g.Expect(h.sent["e-1"]["tags-0"]).To(BeZero(), "it leaves, and is out of the table")
+	g.Expect(h.sent["e-1"]["tags-0"]).To(BeZero(), "a draining server is removed from the table")
 }
 
-// An edge whose process or link ended comes back to its controller: the whole table follows, without what is gone.
+// An edge whose process or link ended attaches again: it gets the whole table, without the servers that were removed.
 func TestReattachedEdgeGetsTheWholeTable(t *testing.T) {
 	g := NewWithT(t)
 	h := newHarness()
@@ -113,8 +113,8 @@
 	g.Expect(h.sent["e-1"]).To(HaveKey("tags-3"))
 }
 
-// A configuration drops a service and a later one has it again, while its servers were there all the time: nothing is news
-// to the registry, and the tables have to know them all the same.
+// A configuration drops a service and a later one adds it again, while its servers stay registered: the registry sends no
+// changes, so the tables must add the servers themselves.
 func TestRestoredServiceHasItsServers(t *testing.T) {
 	g := NewWithT(t)
 	h := newHarness()
--- a/rules/api.go
+++ b/rules/api.go
@@ -1,34 +1,34 @@
 // Package rules holds the decisions of a control plane that assigns servers to proxies.
 //
-// This file is its whole interface: settings, events in, actions out. The decisions are in rules.go and the files beside it
+// This file is the whole interface: settings, events in, actions out. The decisions are in rules.go and the files beside it
 // that the deploy file lists.
-// Times are milliseconds on the caller's clock. Nothing here knows a wire format.
+// Times are in milliseconds on the caller's clock. The package is independent of any wire format.
 package rules
 
-// Names of servers, proxies and tables. The numbers carry no meaning.
+// Identifiers of servers, proxies and tables. The numbers have no meaning of their own.
 type (
-	// ServerID names a server.
+	// ServerID identifies a server.
 	ServerID uint32
-	// ProxyID names a proxy.
+	// ProxyID identifies a proxy.
 	ProxyID uint16
-	// TableID names a table of weights.
+	// TableID identifies a table of weights.
 	TableID uint16
 )
 
-// AllTables stands for every table of every joined proxy in Admit.
+// AllTables selects the tables of all joined proxies in Admit.
 const AllTables TableID = 65535
 
-// Effect says whether running a request of a class twice does harm.
+// Effect classifies requests by whether they may run more than once.
 type Effect uint8
 
 // The effects of a class.
 const (
 	Safe   Effect = iota // may run again at any time
-	Keyed                // carries a key; servers of Class.Scope drop a repeat within Class.Window
+	Keyed                // carries an idempotency key; servers of Class.Scope drop a duplicate within Class.Window
 	Unsafe               // must never run twice
 )
 
-// Scope says which servers know a keyed request again.
+// Scope is the set of servers that detect duplicates of a keyed request.
 type Scope uint8
 
 // The scopes of a key.
@@ -41,65 +41,65 @@
 // Class is one kind of request.
 type Class struct {
 	Name          string
-	LatencyTarget float64 // full worth when answered within this time
-	Deadline      float64 // the client waits this long over all tries
+	LatencyTarget float64 // an answer within this time earns the full value
+	Deadline      float64 // the client waits this long, over all attempts
 	Value         float64
-	LateValue     float64 // share of the worth earned between aim and deadline
+	LateValue     float64 // share of the value earned by an answer between latency target and deadline
 	Effect        Effect
 	Scope         Scope
-	Window        float64
-	OwnZone       bool // may go only to servers of the proxy's zone
+	Window        float64 // duplicates of a keyed request are dropped within this time
+	OwnZone       bool    // may go only to servers of the proxy's zone
 }
 
-// AdmitKind says how a proxy reads an admission level.
+// AdmitKind is the meaning of an admission level.
 type AdmitKind uint8
 
 // The kinds of admission level.
 const (
 	AdmitShare AdmitKind = iota // a fraction of a class, 1 for all
-	AdmitRate                   // requests a second at each proxy
-	AdmitNone                   // levels are ignored; the retry method still counts
+	AdmitRate                   // requests a second, at each proxy
+	AdmitNone                   // levels are ignored; the retry method still applies
 )
 
-// Retry says when a proxy tries another server.
+// Retry is a method of retrying a failed attempt at another server.
 type Retry uint8
 
 // The retry methods.
 const (
 	RetryNever    Retry = iota
-	RetryIfNotRun       // once, after proof that the first try never ran
+	RetryIfNotRun       // once, after proof that the first attempt never ran
 	RetryOnce           // once, after any failure
 	RetryTwice          // twice, after any failure
 )
 
-// Settings are the facts a controller is given when it starts.
+// Settings are the parameters of a controller. They don't change while it runs.
 type Settings struct {
 	Instances            int // controllers, this one included
 	Zone                 int // this controller's zone
 	Zones                int
 	Proxies              int // over all instances
 	Classes              []Class
-	QueryDiscovery       bool // the server list comes only when asked for
+	QueryDiscovery       bool // the server list is sent only on request
 	Probes               bool
-	KeyRanges            int // above 0: tables are slices of a key space, given into charge
+	KeyRanges            int // above 0: tables assign ranges of a key space
 	Admission            AdmitKind
 	RetryDefault         Retry
-	AttemptTimeoutFactor float64 // a try that may be followed waits this many aims
+	AttemptTimeoutFactor float64 // timeout of an attempt that may be retried, in latency targets of its class
 	ReportPeriod         float64
-	QueueLines           float64 // most lines that may wait in the channel
-	LinesPerSec          float64 // usual pace of the channel
-	MessageCost          float64 // lines that each message costs beyond its own
-	MaxMessages          int     // most messages to one proxy within MessageWindow; 0: no limit
+	QueueLines           float64 // maximum number of lines that may wait in the channel
+	LinesPerSec          float64 // usual pace of the channel, in lines a second
+	MessageCost          float64 // lines that each message costs in addition to its content
+	MaxMessages          int     // maximum number of messages to one proxy within MessageWindow; 0: no limit
 	MessageWindow        float64
 	DrainGrace           float64
-	MinConnections       float64 // connections that the smallest servers accept; 0: not known
+	MinConnections       float64 // connections that the smallest servers accept; 0: unknown
 	LocalFirst           bool    // a proxy joins a controller of its own zone if there is one
-	DrainOnly            bool    // a server that the list drops may stay in use; only draining binds
-	MaxTimeWithoutServer float64 // a joined proxy may be without a line for this long
-	WarmupTime           float64 // a started server is warm after this time at the latest
-	StartCapacity        float64 // share of its capacity that a server starts with at least
-	OverloadFactor       float64 // a cold server sent more than this multiple of its capacity
-	OverloadTime         float64 // for this long falls over
+	DrainOnly            bool    // a server that the list drops may stay in use; only draining removes it
+	MaxTimeWithoutServer float64 // a joined proxy may be without a line for at most this long
+	WarmupTime           float64 // a started server is warm after at most this time
+	StartCapacity        float64 // least share of its capacity that a started server has
+	OverloadFactor       float64 // load of a cold server, as a multiple of its capacity, above which it fails
+	OverloadTime         float64 // a cold server fails after this time above OverloadFactor
 }
 
 // State of a server in the list.
@@ -123,73 +123,73 @@
 	StartedAt float64 // last start of its process; 0: long ago
 }
 
-// Event is something a controller is told.
+// Event is an input of a controller.
 type Event interface{ event() }
 
-// ListKind says what a List holds.
+// ListKind is the kind of content of a List.
 type ListKind uint8
 
 // The kinds of List.
 const (
 	ListChanges ListKind = iota
 	ListFull
-	ListCached // as this instance last held it, perhaps stale
+	ListCached // last list stored by this instance, possibly stale
 	ListFailed // a call failed or the subscription broke; no entries
 )
 
 // The events.
 type (
-	// List is an answer of discovery.
+	// List is a response of discovery.
 	List struct {
 		Kind    ListKind
 		Servers []Server
 	}
-	// Tick is a timer that fell due.
+	// Tick reports that a Timer expired.
 	Tick struct{ Token uint32 }
-	// Forgotten says that a server is not listed any more and in no table: its number may name another from now on.
+	// Forgotten reports that a server is no longer listed and in no table: its number may be reused from now on.
 	Forgotten struct{ Server ServerID }
-	// Probed is the result of one probe. Load holds the server's load report, if it sent one.
+	// Probed is the result of one probe. Load is the server's load report, if it sent one.
 	Probed struct {
 		Server  ServerID
 		OK      bool
-		Refused bool // turned away: draining or too many probes; the process lives
+		Refused bool // rejected by a live process: draining, or too many probes
 		Elapsed float64
 		Load    []float64
 	}
-	// Joined says that a proxy's stream to this controller stands.
+	// Joined reports that a proxy's stream to this controller is established.
 	Joined struct {
 		Proxy ProxyID
 		Zone  int
-		Rate  float64 // requests a second it usually gets
-		Fresh bool    // it holds only its standing table
+		Rate  float64 // typical requests a second
+		Fresh bool    // it has only its default table
 	}
-	// Left says that a proxy's stream broke.
+	// Left reports that a proxy's stream broke.
 	Left struct{ Proxy ProxyID }
-	// Ack says that a proxy applied the message marked Token and all before it.
+	// Ack reports that a proxy applied the message marked with Token and all earlier ones.
 	Ack struct {
 		Proxy   ProxyID
 		Token   uint32
 		Elapsed float64
 	}
-	// Part tells a controller that shares a planner with others what of the channel is its own, and what the proxies
-	// joined to the others bring. Without one it has the whole planner.
+	// Part tells a controller that shares a planner with others its share of the channel, and the traffic of the proxies
+	// joined to the others. Without one, the controller has the whole planner.
 	Part struct {
-		ChannelShare  float64   // share of the channel's queue and pace
-		JoinedProxies float64   // proxies
-		TypicalRates  []float64 // their requests a second, by zone
-		Demands       []float64 // the same lately, by class
+		ChannelShare  float64   // of the channel's queue and pace
+		JoinedProxies float64   // proxies joined to the others
+		TypicalRates  []float64 // their typical requests a second, by zone
+		Demands       []float64 // their recent requests a second, by class
 	}
-	// Heard sums up what the joined proxies of one zone met at one server.
+	// Heard sums up the attempts of the joined proxies of one zone at one server.
 	Heard struct {
 		Zone     int
 		Server   ServerID
 		Attempts float64
 		Failed   float64
-		Latency  float64 // mean of the successful tries; 0: none
+		Latency  float64 // mean of the successful attempts; 0: none
 		Period   float64
 		Load     []float64
 	}
-	// Demand counts the requests of a class that came to a proxy, repeats and refused ones included.
+	// Demand counts the requests of a class that arrived at a proxy, including repeated and refused ones.
 	Demand struct {
 		Proxy      ProxyID
 		Class      int
@@ -210,7 +210,7 @@
 func (Heard) event()     {}
 func (Demand) event()    {}
 
-// Action is something a controller orders.
+// Action is an output of a controller.
 type Action interface{ action() }
 
 // The actions.
@@ -234,12 +234,12 @@
 		Server ServerID
 		Weight float64
 	}
-	// Bind gives a proxy a whole table for all classes, and its changes from then on.
+	// Bind assigns a complete table to a proxy for all classes; the proxy also gets the table's later changes.
 	Bind struct {
 		Proxy ProxyID
 		Table TableID
 	}
-	// Withdraw shuts a server out of every table of the joined proxies, or lets it in again.
+	// Withdraw excludes a server from all tables of the joined proxies, or readmits it.
 	Withdraw struct {
 		Server   ServerID
 		Excluded bool
@@ -251,7 +251,7 @@
 		Level float64
 		Retry Retry
 	}
-	// Mark asks every proxy reached by this step's messages for an Ack.
+	// Mark requests an Ack from every proxy that gets a message of this step.
 	Mark struct{ Token uint32 }
 )
 
--- a/rules/booking_test.go
+++ b/rules/booking_test.go
@@ -14,15 +14,15 @@
 	"mulleinwood/rules"
 )
 
-// proxy counts what its stream carries, as the protocol counts it, and keeps the table that results.
+// proxy counts the lines on its stream as the protocol does, and keeps the resulting table.
 type proxy struct {
 	t             *testing.T
 	id            uint64
 	messageCost   float64
 	lines         *float64
 	table         map[string]float64
-	messageStarts bool // a message begins
-	rejoined      bool // it had joined before
+	messageStarts bool // the next line begins a message
+	rejoined      bool // it has joined before
 	bound         *bool
 }
 
@@ -85,14 +85,14 @@
 func (noCalls) Move(string)                        {}
 func (noCalls) Probe(rules.ServerID, string, bool) {}
 
-// TestQueuedLinesCoverTheMessagesWritten plays joins, departures, reports and changes of the list, and compares what the module booked
-// for its channel with what the protocol counts of the messages written. Guards the rule on the queue: a host
-// that writes more than was booked breaks it without the module's knowing. For a proxy that joins again lines
-// may be booked that its old table held and the new one doesn't.
+// TestQueuedLinesCoverTheMessagesWritten runs joins, departures, reports and changes of the list, and compares the lines that the
+// module adds to its queue estimate with those that the protocol counts in the messages written. A host that writes more lines
+// than the module counts would exceed the queue limit unnoticed. For a proxy that rejoins, the module may count lines of its old
+// table that the new one doesn't have.
 func TestQueuedLinesCoverTheMessagesWritten(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		// A channel that never drains keeps the sum of all that was booked.
+		// A channel that never drains keeps the sum of all queued lines.
 		set := settings.Settings{ZoneNames: []string{"a", "b"},
 			Rules: rules.Settings{Instances: 1, Zones: 2, Proxies: 9,
 				QueryDiscovery: true, Admission: rules.AdmitShare, ReportPeriod: 1000, QueueLines: 1e9, LinesPerSec: 0, MessageCost: 3, DrainGrace: 1500,
@@ -147,12 +147,12 @@
 			}
 			sent, booked := lines-linesBefore, module.QueuedLines()-bookedBefore
 			if sent > booked || sent < booked && !bound {
-				t.Fatalf("seed %d at %v: the messages count %v lines, %v were booked", seed, now, sent,
+				t.Fatalf("seed %d at %v: the messages have %v lines, the module counted %v", seed, now, sent,
 					booked)
 			}
 		}
 		if lines == 0 || again == 0 {
-			t.Errorf("seed %d: %v lines ordered, %d proxies joined again", seed, lines, again)
+			t.Errorf("seed %d: %v lines ordered, %d proxies rejoined", seed, lines, again)
 		}
 	}
 }
--- a/rules/churn_test.go
+++ b/rules/churn_test.go
@@ -12,7 +12,7 @@
 	"mulleinwood/rules"
 )
 
-// countingController is a module that notes the largest number of a server it was told.
+// countingController is a controller that records the highest number of a server in its events.
 type countingController struct {
 	*rules.Controller
 	highestID rules.ServerID
@@ -29,8 +29,8 @@
 	return n.Controller.Step(now, events)
 }
 
-// TestChurn plays thousands of servers that come and go under new names, while streams break and return. Guards against
-// memory, and work at each look, that grow with all servers ever met instead of those that live.
+// TestChurn adds and removes thousands of servers with new names, while streams break and return. It guards against memory,
+// and work per decision, that grow with all servers ever listed instead of the current ones.
 func TestChurn(t *testing.T) {
 	for _, drainOnly := range []bool{false, true} {
 		const live, proxies = 12, 9
@@ -64,7 +64,7 @@
 		var watch uint64 = 1
 		most, mostLines := 0, 0
 		for n := live; n < 3000; n++ {
-			if at := n % proxies; n%3 == 0 { // its stream breaks, and another comes at once or later
+			if at := n % proxies; n%3 == 0 { // the stream breaks; a new one is established at once or later
 				if old := streams[at]; old != nil {
 					r.Handle(routing.Ended{Peer: old})
 					delete(streams, at)
@@ -87,10 +87,10 @@
 			most, mostLines = max(most, servers), max(mostLines, held)
 		}
 		if most > 3*live || int(module.highestID) > 3*live {
-			t.Errorf("drain only %t: of %d servers that live, %d were remembered and numbers went up to %d", drainOnly, live, most, module.highestID)
+			t.Errorf("drain only %t: with %d current servers, %d were kept and numbers went up to %d", drainOnly, live, most, module.highestID)
 		}
 		if mostLines > proxies*3*live || lines == 0 {
-			t.Errorf("drain only %t: %d lines of tables were kept, %v were ordered", drainOnly, mostLines,
+			t.Errorf("drain only %t: %d table lines were kept, %v were ordered", drainOnly, mostLines,
 				lines)
 		}
 	}
--- a/rules/dealing_test.go
+++ b/rules/dealing_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// largeSettings are those of a site with many servers and proxies and connections that are scarce.
+// largeSettings returns the settings of a site with many servers and proxies and scarce connections.
 func largeSettings(proxies int) Settings {
 	set := settings()
 	set.Zones, set.Proxies, set.MinConnections = 3, proxies, 60
@@ -30,7 +30,7 @@
 	return all
 }
 
-// largeFleet has all its proxies bound and their first messages answered.
+// largeFleet returns a fleet whose proxies are all bound and have acknowledged their first messages.
 func largeFleet(t *testing.T, servers, proxies int) *fleet {
 	t.Helper()
 	set := largeSettings(proxies)
@@ -52,7 +52,7 @@
 	return all
 }
 
-// loads is what each server gets from all tables as they were sent, by the proxies' usual rates.
+// loads returns the traffic of each server by the tables that were sent and the proxies' typical rates.
 func (f *fleet) loads() map[ServerID]float64 {
 	loads := map[ServerID]float64{}
 	for _, p := range f.c.proxies {
@@ -73,8 +73,8 @@
 	return held
 }
 
-// Full tables fit neither the channel nor the servers' connections: at a large site they once broke the rule
-// on drains.
+// Guards against full tables at a large site: they fit neither the channel nor the servers' connections, and
+// broke the rule on draining.
 func TestTablesOfALargeFleetArePartialAndEven(t *testing.T) {
 	f := largeFleet(t, 240, 300)
 	if len(f.bound) != 300 {
@@ -95,21 +95,21 @@
 	}
 	for _, s := range f.c.servers {
 		if n := held[s.ID]; n < 3 || float64(n) > 0.5*f.c.settings.MinConnections {
-			t.Errorf("server %d is held by %d proxies", s.ID, n)
+			t.Errorf("server %d is in the tables of %d proxies", s.ID, n)
 		}
 	}
 	loads, mean := f.loads(), f.c.typicalRate/240
 	for _, s := range f.c.servers {
 		if l := loads[s.ID]; math.Abs(l/mean-1) > 0.25 {
-			t.Errorf("server %d gets %.2f of the mean load from tables that each hold a part", s.ID, l/mean)
+			t.Errorf("server %d gets %.2f of the mean load from partial tables", s.ID, l/mean)
 		}
 	}
 }
 
-// Where servers squeezed their connections, tables of many lines for little traffic found most of them full.
+// Guards against tables with many lines for little traffic: where connections were scarce, most were taken.
 func TestTablesAreNoLargerThanUseful(t *testing.T) {
 	set := largeSettings(45)
-	set.MinConnections = 0 // the connections would not be the limit
+	set.MinConnections = 0 // connections are not the limit
 	f := newFleet(t, set, manyServers(111, 3)...)
 	f.advance(100, manyProxies(45, 3)...)
 	for range 20 {
@@ -175,10 +175,10 @@
 		}
 	}
 	if changed > 10 {
-		t.Fatalf("%d lines changed in tables that did not hold the lost server", changed)
+		t.Fatalf("%d lines changed in tables that did not have the removed server", changed)
 	}
 	if !f.hasNoLines(gone.ID) {
-		t.Fatal("a lost server keeps a line")
+		t.Fatal("a removed server keeps a line")
 	}
 	gone.State = Ready
 	f.advance(1000, append(f.acks(), List{Kind: ListChanges, Servers: []Server{gone}})...)
@@ -186,11 +186,12 @@
 		f.advance(1000, f.acks()...)
 	}
 	if load := f.loads()[gone.ID] / (f.c.typicalRate / 120); load < 0.5 {
-		t.Fatalf("a server that came back gets %.2f of the mean load: full tables have no place for it", load)
+		t.Fatalf("a server that returned to full tables gets %.2f of the mean load", load)
 	}
 }
 
-// With tables of a part, a lost zone once took all lines of its proxies and many of the others'.
+// Guards against proxies without a line after the loss of a zone: with partial tables, it took all lines of its
+// proxies and many of the others'.
 func TestLostZoneLeavesNoProxyWithoutALine(t *testing.T) {
 	f := largeFleet(t, 120, 150)
 	var rest []Server
@@ -208,7 +209,7 @@
 	}
 }
 
-// Nobody answers for a message that emptied a table; the next one must not wait for that.
+// A message that empties a table is not acknowledged; the next message must not wait for that.
 func TestTableThatWasEmptiedDoesNotWait(t *testing.T) {
 	f := largeFleet(t, 60, 60)
 	f.advance(1000, append(f.acks(), List{Kind: ListFull})...)
@@ -225,7 +226,7 @@
 	}
 }
 
-// The fleet doubles at once while the channel, not the connections, limits the tables.
+// The fleet doubles at once while the tables are limited by the channel, not by connections.
 func TestNewServersAreSpreadOverTheProxies(t *testing.T) {
 	set := largeSettings(90)
 	set.MinConnections, set.QueueLines = 0, 4000
@@ -239,7 +240,7 @@
 	for range 30 {
 		f.advance(1000, f.acks()...)
 	}
-	// half of them leave and come back to full tables
+	// half of the servers leave and return to full tables
 	for _, state := range []State{Removed, Ready, Removed, Ready} {
 		some := append([]Server{}, all[120:]...)
 		for i := range some {
@@ -253,7 +254,7 @@
 	loads, mean := f.loads(), f.c.typicalRate/240
 	for _, s := range all[120:] {
 		if l := loads[s.ID] / mean; l < 0.5 || l > 1.6 {
-			t.Errorf("newcomer %d gets %.2f of the mean load", s.ID, l)
+			t.Errorf("new server %d gets %.2f of the mean load", s.ID, l)
 		}
 	}
 	for p := range f.bound {
@@ -263,7 +264,8 @@
 	}
 }
 
-// A rolling release once kept drained servers in tables: each withdrawal counted against every proxy.
+// Guards against draining servers that stay in tables during a rolling release: each withdrawal counted against the message
+// limit of every proxy.
 func TestDrainsLeaveTablesInTimeAtALargeFleet(t *testing.T) {
 	f := largeFleet(t, 240, 300)
 	var drained []Server
@@ -285,7 +287,7 @@
 	}
 }
 
-// A wrong list once took two thirds of a healthy fleet out; only draining binds at such sites.
+// Guards against a wrong list that removes two thirds of a healthy fleet: with DrainOnly only draining removes servers.
 func TestServerDroppedByTheListStaysWhileItAnswers(t *testing.T) {
 	set := settings()
 	set.DrainOnly = true
@@ -295,12 +297,12 @@
 	f.advance(1000, f.ack(1), List{Kind: ListFull, Servers: fourServers()[:1]})
 	f.advance(1000)
 	if f.hasNoLines(2) || f.hasNoLines(3) || f.hasNoLines(4) {
-		t.Fatal("servers that answer lost their lines though only draining binds")
+		t.Fatal("servers that answer lost their lines though only draining removes servers")
 	}
 	f.advance(1000, heard(2, 0, suspectAttempts, suspectAttempts, 0), heard(3, 1, suspectAttempts, suspectAttempts, 0),
 		heard(4, 1, suspectAttempts, suspectAttempts, 0))
 	if !f.hasNoLines(2) || !f.hasNoLines(3) || !f.hasNoLines(4) {
-		t.Fatal("dropped servers that answer nothing keep their lines: the list and their silence agree")
+		t.Fatal("servers that were dropped and answer nothing keep their lines")
 	}
 	drains := ready(1, 0)
 	drains.State = Draining
@@ -311,18 +313,18 @@
 	drains.State = Removed
 	f.advance(1000, List{Kind: ListChanges, Servers: []Server{drains}})
 	if !f.hasNoLines(1) {
-		t.Fatal("a drained server came back when the list dropped it")
+		t.Fatal("a drained server returned when the list dropped it")
 	}
 	set.DrainOnly = false
 	f = newFleet(t, set, fourServers()...)
 	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
 	f.advance(1000, List{Kind: ListFull, Servers: fourServers()[:1]})
 	if !f.hasNoLines(2) {
-		t.Fatal("a dropped server keeps its line where dropping binds")
+		t.Fatal("a dropped server keeps its line without DrainOnly")
 	}
 }
 
-// A controller that sees only its own zone's proxies once spilled most of their traffic to other zones.
+// Guards against a controller with proxies of its own zone only that spills most of their traffic to other zones.
 func TestProxiesOfOtherControllersAreTakenToBeInTheirZones(t *testing.T) {
 	set := settings()
 	set.LocalFirst, set.Proxies = true, 4
@@ -330,11 +332,11 @@
 	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true},
 		Joined{Proxy: 2, Zone: 0, Rate: 10, Fresh: true})
 	if home := f.share(1, 1) + f.share(1, 2); home < 0.99 {
-		t.Fatalf("%v of the traffic stays home with half of the proxies in a zone that we don't see", home)
+		t.Fatalf("%v of the traffic stays in its zone, with half of the proxies at a controller of another zone", home)
 	}
 }
 
-// A controller whose proxies stay in their zone never hears most of the fleet; its rounds once waited for good.
+// Guards against rounds that never run: a controller whose proxies stay in their zone gets no reports on most of the fleet.
 func TestRoundsRunOnTheServersInOurTables(t *testing.T) {
 	set := settings()
 	set.LocalFirst, set.Proxies, set.Zones = true, 20, 4
@@ -351,20 +353,20 @@
 		}
 		f.advance(roundInterval, reports...)
 		if got := len(f.c.servers[0].recentErrors); got != min(i+1, errorWindow) {
-			t.Fatalf("%d errors learnt after %d rounds with all servers in our tables heard", got, i+1)
+			t.Fatalf("%d errors after %d rounds with reports on all servers in our tables", got, i+1)
 		}
 	}
 	f.advance(2 * reportLifetime)
 	if got := f.c.servers[0].errorSum; got == 0 {
-		t.Fatal("nothing was learnt")
+		t.Fatal("the error sum is 0")
 	}
 	before := f.c.servers[0].errorSum
 	if f.advance(roundInterval); f.c.servers[0].errorSum != before {
-		t.Fatal("a round ran on figures older than a minute")
+		t.Fatal("a round ran on reports older than a minute")
 	}
 }
 
-// A proxy with a few requests a second refuses many of them at a rate that is just their mean.
+// Guards against a rate limit without headroom: at the mean rate, a proxy with few requests refuses many of them.
 func TestRateOfASmallProxyHasRoomForChance(t *testing.T) {
 	set := settings()
 	set.Admission = AdmitRate
@@ -374,19 +376,19 @@
 	f.c.demands[0] = 100
 	small, large := f.c.levelFor(f.c.proxyByID[1], 0, 0.8), f.c.levelFor(f.c.proxyByID[2], 0, 0.8)
 	if small < 1 || large > 100 {
-		t.Fatalf("rates %v and %v, want room at the small proxy and about 80 at the large one", small, large)
+		t.Fatalf("rates %v and %v, want headroom at the small proxy and about 80 at the large one", small, large)
 	}
 }
 
 func TestReportsCountForTheTimeTheyCover(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
 	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 1, Fresh: true})
-	for range 20 { // a request each five seconds, told late and then a busy fifth of a second
+	for range 20 { // two requests in five seconds: a late report, then one of a busy fifth of a second
 		f.advance(100, Demand{Proxy: 1, Class: 0, Requests: 1, Period: 4800},
 			Demand{Proxy: 1, Class: 0, Requests: 1, Period: 200})
 	}
 	if d := f.c.proxyByID[1].demand[0]; d > 1.2 {
-		t.Fatalf("demand %v a second where 0.4 came", d)
+		t.Fatalf("demand %v a second where 0.4 arrive", d)
 	}
 }
 
@@ -398,13 +400,13 @@
 		looks += count[Timer](c.Step(1000+float64(i), []Event{heard(3, 0, 1, 0, 100)}))
 	}
 	if most := int(1000 / decisionInterval); looks > most || looks < most-1 {
-		t.Fatalf("%d looks in a second of events each millisecond, want about %d", looks, most)
+		t.Fatalf("%d decisions in a second of events each millisecond, want about %d", looks, most)
 	}
 }
 
-// Odd but possible input: nothing crashes, weights stay finite, and a proxy keeps a line while a server is ready.
+// Unusual but possible input: nothing panics, weights stay finite, and a proxy keeps a line while a server is ready.
 func TestOddInputAtALargeFleet(t *testing.T) {
-	far := manyServers(500, 9) // zones and servers never listed before
+	far := manyServers(500, 9) // zones and servers that were never listed
 	for _, tc := range []struct {
 		name   string
 		events []Event
@@ -420,9 +422,9 @@
 			heard(99999, 1, 9, 9, 0), Probed{Server: 99999}}},
 		{"an old list after a newer one", []Event{List{Kind: ListFull, Servers: manyServers(50, 3)},
 			List{Kind: ListCached, Servers: manyServers(60, 3)}}},
-		{"sums about the unknown", []Event{heard(4, 0, 9, 9, 0),
+		{"reports on unknown servers and proxies", []Event{heard(4, 0, 9, 9, 0),
 			Demand{Proxy: 5000, Requests: 3, Period: 1000}}},
-		{"sums long after their period", []Event{Heard{Server: 3, Attempts: 5, Latency: 200, Period: 1e6},
+		{"reports of a long period", []Event{Heard{Server: 3, Attempts: 5, Latency: 200, Period: 1e6},
 			Demand{Proxy: 1, Requests: 5, Period: 1e6}}},
 		{"all proxies leave", func() (all []Event) {
 			for i := range 90 {
@@ -462,7 +464,7 @@
 func TestControllerWithoutProxiesOrServers(t *testing.T) {
 	f := newFleet(t, settings())
 	if f.advance(100); len(f.bound) != 0 {
-		t.Fatal("something was bound")
+		t.Fatal("a table was bound without proxies")
 	}
 	f.advance(100, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true}, heard(1, 0, 5, 0, 100))
 	f.advance(1000, List{Kind: ListFull, Servers: fourServers()})
@@ -471,7 +473,7 @@
 	}
 }
 
-// A look with nothing new orders nothing, and what it allocates does not grow with the fleet.
+// A decision without changes orders nothing, and its allocations don't grow with the fleet.
 func TestIdleDecisionCostsLittle(t *testing.T) {
 	var allocs [2]float64
 	for i, scale := range []int{1, 4} {
@@ -484,15 +486,15 @@
 				count[Mark](actions)
 		})
 		if orders > 0 {
-			t.Errorf("%d orders from looks at a fleet where nothing changed", orders)
+			t.Errorf("%d orders for an unchanged fleet", orders)
 		}
 	}
 	if allocs[1] > allocs[0]+20 {
-		t.Errorf("%v allocations a look, %v at four times the size", allocs[0], allocs[1])
+		t.Errorf("%v allocations per decision, %v at four times the size", allocs[0], allocs[1])
 	}
 }
 
-// BenchmarkLook is a look at a fleet of 500 servers and 600 proxies on one controller, one server flapping.
+// BenchmarkLook measures a decision for 500 servers and 600 proxies on one controller, with one server that changes state.
 func BenchmarkLook(b *testing.B) {
 	set := largeSettings(600)
 	c := New(set, 1)
@@ -507,8 +509,9 @@
 	}
 }
 
-// All proxies of a site join one controller at once, over a slow channel, while a tenth of the servers drains: every
-// proxy has a table of ours within the longest time without a line, drains keep their grace, the queue its limit.
+// All proxies of a site join one controller at once, over a slow channel, while a tenth of the servers drains. Every proxy
+// must get a table within MaxTimeWithoutServer, draining servers must leave the tables within DrainGrace, and the queue must
+// keep its limit.
 func TestAllProxiesJoiningAtOnceFitTheChannel(t *testing.T) {
 	set := largeSettings(150)
 	set.QueueLines, set.LinesPerSec, set.MaxTimeWithoutServer, set.DrainGrace = 3500, 2300, 3000, 2500
@@ -546,11 +549,11 @@
 		most = max(most, queue)
 	}
 	if len(f.bound) != 150 || most > set.QueueLines {
-		t.Fatalf("%d proxies bound, %v lines waited, %v may", len(f.bound), most, set.QueueLines)
+		t.Fatalf("%d proxies bound, %v lines waited, want at most %v", len(f.bound), most, set.QueueLines)
 	}
 	for _, s := range draining {
 		if !f.hasNoLines(s.ID) {
-			t.Errorf("draining server %d keeps a line beyond the grace", s.ID)
+			t.Errorf("draining server %d keeps a line beyond DrainGrace", s.ID)
 		}
 	}
 }
--- a/rules/export_test.go
+++ b/rules/export_test.go
@@ -1,9 +1,9 @@
 package rules
 
-// QueuedLines is what a controller thinks it has written to its channel and was not yet sent.
+// QueuedLines returns the controller's estimate of the lines that wait in its channel.
 func (c *Controller) QueuedLines() float64 { return c.queuedLines }
 
-// TrackedCounts is how many servers a controller remembers, and how many lines all its tables have.
+// TrackedCounts returns the number of servers in the controller's state, and of lines in all its tables.
 func (c *Controller) TrackedCounts() (servers, lines int) {
 	for _, p := range c.proxies {
 		lines += len(p.lines)
--- a/rules/mass_test.go
+++ b/rules/mass_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// newReplacedFleet is a fleet of 60 servers, 36 of which start while the others answer late and fail half of their tries. Its 240
-// proxies have rate requests a second each.
+// newReplacedFleet returns a fleet of 60 servers, 36 of which start while the others answer late and fail half of their
+// attempts. Its 240 proxies have rate requests a second each.
 func newReplacedFleet(t *testing.T, rate float64) *fleet {
 	t.Helper()
 	set := largeSettings(240)
@@ -38,14 +38,14 @@
 		meets(5, 900)
 	}
 	if f.c.pressure <= collapsePressure {
-		t.Fatalf("pressure %v is no collapse", f.c.pressure)
+		t.Fatalf("pressure %v is below a collapse", f.c.pressure)
 	}
 	return f
 }
 
-// Six in ten servers were replaced within seconds. All successors were held out as cold until they were warm by the
-// settings, 18 s, and the others collapsed under what all had carried. A proxy with a request in two seconds over nine
-// lines never meets enough failures at one server to avoid it, so nothing runs to the cold ones but what tables send.
+// Guards against excluding all new servers as cold for the 18 s of their warm-up after six in ten servers were replaced
+// within seconds: the others collapsed under the whole load. A proxy with a request in two seconds over nine lines never sees
+// enough failures at one server to avoid it, so cold servers get only the traffic that the tables send them.
 func TestReplacedFleetIsNotExcluded(t *testing.T) {
 	f := newReplacedFleet(t, 0.4)
 	kept, cold := 0, 0.0
@@ -61,17 +61,17 @@
 		}
 	}
 	if kept > 0 || cold < 0.1 {
-		t.Errorf("%d servers are held out, and the cold ones get %.2f of the traffic", kept, cold)
+		t.Errorf("%d servers are excluded, and the cold ones get %.2f of the traffic", kept, cold)
 	}
-	f = newReplacedFleet(t, 40) // here a proxy meets a server often enough to avoid it
+	f = newReplacedFleet(t, 40) // here a proxy sees enough failures at a server to avoid it
 	for _, s := range f.c.servers {
 		if f.c.warmCapacity(s) < 1 && !s.coldExcluded {
-			t.Fatalf("cold server %d is let in though proxies avoid those that fail them", s.ID)
+			t.Fatalf("cold server %d is used though proxies avoid failing servers", s.ID)
 		}
 	}
 }
 
-// channel carries a planner's messages in order at its own pace; what it passes is answered 400 ms later.
+// channel delivers a planner's messages in order at its own pace. Each is acknowledged 400 ms after its delivery.
 type channel struct {
 	f     *fleet
 	pace  float64 // lines a second
@@ -79,12 +79,13 @@
 		ack    Ack
 		n      float64
 		drains bool
-		left   float64 // when it left
+		left   float64 // time of delivery; 0: it waits
 	}
 	room float64
 }
 
-// decide has the planner look once, passes what the channel can, and answers. It returns how many lines wait.
+// decide delivers the messages that the channel has room for and due acknowledgements, runs one decision of the planner, and
+// returns the number of lines that wait.
 func (ch *channel) decide(events ...Event) (waiting float64) {
 	f := ch.f
 	ch.room = min(ch.room+ch.pace*decisionInterval/1000, ch.pace)
@@ -132,14 +133,14 @@
 	return waiting
 }
 
-// A channel once passed a tenth of its stated pace for seconds. It was believed to be empty by the clock, and was filled with
-// ordinary orders: what had to go at once waited five seconds behind them.
+// Guards against filling a channel that delivers only a tenth of its stated pace with ordinary orders: an estimate by the
+// clock takes it for empty, and urgent orders waited five seconds behind ordinary ones.
 func TestOrdinaryOrdersDontFillASlowChannel(t *testing.T) {
 	f := largeFleet(t, 60, 240)
 	ch := &channel{f: f, pace: f.c.settings.LinesPerSec / 10}
 	most, least := 0.0, math.Inf(1)
 	for look := range 100 {
-		if look%10 == 0 { // weights and levels that move for good
+		if look%10 == 0 { // lasting changes of weights and levels
 			for i, s := range f.c.servers {
 				s.factor = 0.5 + float64((i+look/10)%2)/2
 			}
@@ -150,19 +151,19 @@
 			least = min(least, waiting)
 		}
 		if f.c.queuedLines < waiting {
-			t.Fatalf("look %d: %v lines wait, %v are thought to", look, waiting, f.c.queuedLines)
+			t.Fatalf("decision %d: %v lines wait, the estimate is %v", look, waiting, f.c.queuedLines)
 		}
 	}
 	if window := f.c.settings.LinesPerSec * maxLag / 1000; most > window {
-		t.Errorf("up to %v lines wait, in a channel that should not be sent more than %v", most, window)
+		t.Errorf("up to %v lines wait in the channel, want at most %v", most, window)
 	}
 	if least > ch.pace*maxLag/1000*2 {
-		t.Errorf("never under %v lines wait in a channel that passes %v a second", least, ch.pace)
+		t.Errorf("never less than %v lines wait in a channel that delivers %v a second", least, ch.pace)
 	}
 }
 
-// Urgent orders once ran ordinary ones into a debt of ten seconds and more of the channel's time. After waves of drains the
-// servers that came in place of the drained ones stood idle, known and in no table.
+// Guards against a budget debt without limit: after waves of drains, urgent orders had overdrawn the budget of ordinary ones
+// by ten seconds and more of the channel's time, and the servers that replaced the drained ones were in no table.
 func TestNewServersDontWaitForTheBudgetDebtOfDrains(t *testing.T) {
 	set := largeSettings(240)
 	set.LinesPerSec, set.QueueLines = 2000, 40000
@@ -194,6 +195,6 @@
 		}
 	}
 	if idle > 4 {
-		t.Errorf("%d of 72 newcomers are in no table seven seconds later", idle)
+		t.Errorf("%d of 72 new servers are in no table seven seconds later", idle)
 	}
 }
--- a/rules/part_test.go
+++ b/rules/part_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// sharedPlanner makes controllers that share one planner: proxy p is joined to controller p mod n. Each is told what the others
-// bring, as a host does.
+// sharedPlanner runs controllers that share one planner: proxy p is joined to controller p mod n. Like a host, it passes
+// each controller the traffic of the others.
 type sharedPlanner struct {
 	t      *testing.T
 	fleets []*fleet
@@ -55,8 +55,8 @@
 	return sum
 }
 
-// TestLevelsOfSeveralCoresMatchASingleController guards against controllers that each hold the work of a part of the proxies against
-// what the whole fleet answers: together they would let in a multiple of it.
+// TestLevelsOfSeveralCoresMatchASingleController guards against controllers that each compare the work of their own proxies
+// with the throughput of the whole fleet: together they would admit a multiple of it.
 func TestLevelsOfSeveralCoresMatchASingleController(t *testing.T) {
 	set := settings()
 	set.Proxies = 8
@@ -65,7 +65,7 @@
 		for look := range 40 {
 			for i, f := range s.fleets {
 				var events []Event
-				// the servers answer 200 a second, ever later from the tenth look on
+				// the servers answer 200 requests a second, with a high latency after the tenth decision
 				for id := range ServerID(4) {
 					latency := 100.0
 					if look > 10 {
@@ -87,7 +87,7 @@
 	}
 	alone, together := levels(1), levels(4)
 	if alone[0] > 0.9 {
-		t.Fatalf("levels %v: the day brings no overload", alone)
+		t.Fatalf("levels %v: no overload", alone)
 	}
 	for k := range alone {
 		if math.Abs(alone[k]-together[k]) > 0.03 {
@@ -96,12 +96,12 @@
 	}
 }
 
-// TestCoreKeepsToItsChannelShare guards against sharers that each fill the planner's whole channel.
+// TestCoreKeepsToItsChannelShare guards against controllers that each fill the planner's whole channel.
 func TestCoreKeepsToItsChannelShare(t *testing.T) {
 	set := largeSettings(600)
 	f := newFleet(t, set, manyServers(200, 3)...)
 	f.step(append([]Event{Part{ChannelShare: 0.25}}, manyProxies(600, 3)...)...)
 	if _, waiting := f.c.OwnLoad(); waiting == 0 || waiting > 0.25*set.QueueLines {
-		t.Errorf("%v lines wait, a fourth of %v may", waiting, set.QueueLines)
+		t.Errorf("%v lines wait, want at most a quarter of %v", waiting, set.QueueLines)
 	}
 }
--- a/rules/ranked_test.go
+++ b/rules/ranked_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestPriorityQueueAgainstSearch plays random sets against a search through all, and counts the comparisons.
+// TestPriorityQueueAgainstSearch compares the queue with a linear search over random sets, and counts the comparisons.
 func TestPriorityQueueAgainstSearch(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	for _, n := range []int{1, 7, 64, 1000} {
@@ -50,8 +50,8 @@
 	}
 }
 
-// BenchmarkSizes is what the dearest looks cost as proxies and servers grow together: every proxy joins at once, and six in
-// ten servers are replaced.
+// BenchmarkSizes measures the most expensive decisions as proxies and servers grow together: all proxies join at once, and
+// six in ten servers are replaced.
 func BenchmarkSizes(b *testing.B) {
 	for _, n := range []int{1, 2, 4, 8, 16} {
 		servers, set := manyServers(100*n, 3), largeSettings(240*n)
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -48,8 +48,8 @@
 	collapsePressure  = 1.6    // pressure above which cold servers are excluded
 	avoidanceAttempts = 3.0    // consecutive failed attempts at a server after which a proxy may avoid it
 	maxIdleShare      = 0.5    // upper bound of the assumed idle latency, as a share of the latency target
-	idleLatencyFactor = 1.1    // the wanted latency is at most this multiple of the idle latency, plus
-	queueingShare     = 0.08   // this share of the latency target for queueing
+	idleLatencyFactor = 1.1    // multiple of the idle latency that is in the wanted latency
+	queueingShare     = 0.08   // share of the latency target that the wanted latency adds for queueing
 	idleSamples       = 3      // consecutive latencies whose largest is a sample of the idle latency
 	minFill           = 0.9    // averageFill from which the fleet's average is used
 	fleetTime         = 1000   // time constant of the average of the fleet's answers
@@ -67,8 +67,8 @@
 	connectionShare      = 0.25
 	tableQueueShare      = 0.5 // share of the channel's queue for one table of each proxy
 	minTableLines        = 4   // smallest number of lines of a table
-	maxMeanTableLines    = 8   // bound of the mean number of lines of a table, unless the next one is larger
-	linesPerFilledServer = 4   // bound of the same, per server that a mean proxy's traffic fills
+	maxMeanTableLines    = 8   // bound of the mean number of lines of a table, if larger than the next one
+	linesPerFilledServer = 4   // bound of the same mean, lines per server that a mean proxy fills
 	// A server whose tables bring it less than underassignedShare of its target rate is assigned once more.
 	underassignedShare = 0.4
 	correctionSteps    = 3   // iterations of fitting the corrections to the tables, per decision
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// fleet drives a controller and keeps what its proxies were told.
+// fleet drives a controller and keeps the tables of its proxies as ordered.
 type fleet struct {
 	t           *testing.T
 	c           *Controller
@@ -43,7 +43,7 @@
 
 func fourServers() []Server { return []Server{ready(1, 0), ready(2, 0), ready(3, 1), ready(4, 1)} }
 
-// step gives a controller events and has it look at once; the pace of its looks has a test of its own.
+// step passes events to the controller and makes it decide at once. The interval of decisions has a test of its own.
 func (f *fleet) step(events ...Event) []Action {
 	f.c.nextDecision = 0
 	f.lastActions = f.c.Step(f.now, events)
@@ -69,7 +69,7 @@
 	return f.step(events...)
 }
 
-// ack answers the last mark on behalf of a proxy.
+// ack returns a proxy's acknowledgement of the last message.
 func (f *fleet) ack(p ProxyID) Ack { return Ack{Proxy: p, Token: f.c.token} }
 
 func (f *fleet) share(p ProxyID, id ServerID) float64 {
@@ -84,7 +84,7 @@
 	return table[id] / sum
 }
 
-// hasNoLines says that no bound proxy has a line for a server.
+// hasNoLines reports whether no bound proxy has a line for a server.
 func (f *fleet) hasNoLines(id ServerID) bool {
 	for p := range f.bound {
 		if f.share(p, id) > 0 {
@@ -110,7 +110,7 @@
 
 func almostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
-// feedIdleReports makes the controller see an idle fleet.
+// feedIdleReports feeds reports of an idle fleet.
 func (f *fleet) feedIdleReports() {
 	for range 6 {
 		f.advance(1000, heard(1, 0, 50, 0, 100), heard(2, 0, 50, 0, 100), heard(3, 1, 50, 0, 100),
@@ -213,15 +213,15 @@
 	f.advance(1, Joined{Proxy: 1, Zone: 0, Rate: 10}, Joined{Proxy: 2, Zone: 1, Rate: 10})
 	f.advance(roundInterval, heard(1, 0, 10, 0, 100), heard(2, 0, 10, 0, 400)) // two of four
 	if len(f.c.serverByID[1].recentErrors) != 0 {
-		t.Fatal("a round ran with half of the servers heard")
+		t.Fatal("a round ran with reports on half of the servers")
 	}
 	f.advance(roundInterval, heard(3, 1, 10, 0, 100)) // three of four
 	if len(f.c.serverByID[1].recentErrors) != 1 {
-		t.Fatal("no round with three quarters of the servers heard")
+		t.Fatal("no round with reports on three quarters of the servers")
 	}
 	f.advance(2 * reportLifetime)
 	if len(f.c.serverByID[1].recentErrors) != 1 {
-		t.Fatal("reports older than a minute counted as fresh")
+		t.Fatal("reports older than a minute counted as recent")
 	}
 }
 
@@ -232,7 +232,7 @@
 		f.advance(20*roundInterval, heard(1, 0, 10, 0, 100), heard(2, 0, 10, 0, 100), heard(3, 1, 10, 0, 100))
 	}
 	if got := len(f.c.serverByID[1].recentErrors); got != 3 {
-		t.Fatalf("%d rounds in three turns after standing still, want 3", got)
+		t.Fatalf("%d rounds in three steps after long pauses, want 3", got)
 	}
 	f.step()
 	if f.c.nextRound <= f.now {
@@ -256,15 +256,15 @@
 	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
 	f.c.serverByID[1].factor = 0.4
 	if got := count[SetWeight](f.advance(messageGap + 100)); got != 0 {
-		t.Fatalf("%d lines before the answer", got)
+		t.Fatalf("%d lines before the acknowledgement", got)
 	}
 	f.c.serverByID[1].factor = 0.3 // merges with the change before
 	if got := count[SetWeight](f.advance(100, f.ack(1))); got == 0 {
-		t.Fatal("no lines after the answer")
+		t.Fatal("no lines after the acknowledgement")
 	}
 	f.c.serverByID[1].factor = 1
 	if got := count[SetWeight](f.advance(ackTimeout + 1)); got == 0 {
-		t.Fatal("no lines after the longest wait")
+		t.Fatal("no lines after ackTimeout")
 	}
 }
 
@@ -273,24 +273,24 @@
 	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
 	for range 20 {
 		if got := count[SetWeight](f.advance(1000, f.ack(1))); got != 0 {
-			t.Fatalf("%d lines though nothing moved", got)
+			t.Fatalf("%d lines though nothing changed", got)
 		}
 	}
 }
 
 func TestDrainIsSentWithoutWaitingForAnAck(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true}) // not answered yet
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true}) // not acknowledged yet
 	f.advance(300, List{Kind: ListChanges, Servers: []Server{{ID: 1, Weight: 1, State: Draining}}})
 	if !f.hasNoLines(1) {
-		t.Fatal("a draining server was not withdrawn in the same turn")
+		t.Fatal("a draining server was not removed from the tables in the same step")
 	}
 	f.advance(300, List{Kind: ListFull, Servers: fourServers()[:3]})
 	if !f.hasNoLines(4) {
-		t.Fatal("a server missing from a whole list was not withdrawn")
+		t.Fatal("a server missing from a complete list was not removed from the tables")
 	}
 	if f.hasNoLines(1) {
-		t.Fatal("a server that is ready again stays withdrawn")
+		t.Fatal("a server that is ready again stays out of the tables")
 	}
 }
 
@@ -304,16 +304,16 @@
 	}
 	f.advance(300, List{Kind: ListChanges, Servers: []Server{{ID: 1, Weight: 1, State: Removed}}})
 	if !f.hasNoLines(1) {
-		t.Fatal("a server that is gone keeps its line")
+		t.Fatal("a removed server keeps its line")
 	}
 	back := ready(1, 0)
 	back.StartedAt = f.now + messageGap
 	f.advance(messageGap, f.ack(1), List{Kind: ListChanges, Servers: []Server{back}})
 	if f.hasNoLines(1) {
-		t.Fatal("the server stays out though the fleet is calm")
+		t.Fatal("the server stays excluded though the fleet is idle")
 	}
 	if got := f.c.effectiveWeight(f.c.serverByID[1]); got != initialShare {
-		t.Fatalf("weight %v of a started server, want the start share %v", got, initialShare)
+		t.Fatalf("weight %v of a started server, want the initial share %v", got, initialShare)
 	}
 	if got := f.share(1, 1); got > 0.5*full || got == 0 {
 		t.Fatalf("a started server gets %v of the traffic at once, before it had %v", got, full)
@@ -322,7 +322,7 @@
 
 func TestColdBudgetHoldsOverAllProxies(t *testing.T) {
 	servers := fourServers()
-	for i := range 3 { // three of four start cold together
+	for i := range 3 { // three of four start cold at the same time
 		servers[i].StartedAt = 49000
 	}
 	f := newFleet(t, settings(), servers...)
@@ -333,13 +333,13 @@
 	for id := ServerID(1); id <= 3; id++ {
 		now := f.c.warmCapacity(f.c.serverByID[id])
 		share := 0.6*f.share(1, id) + 0.4*f.share(2, id)
-		// If the whole fleet ran full, this is the multiple of its present capacity that it would get.
+		// The multiple of its present capacity that the server gets if the whole fleet runs at full load.
 		if multiple := share * 4 / now; multiple > f.c.settings.OverloadFactor {
-			t.Errorf("server %d would get %.2f times what it can do, the limit is %.2f", id, multiple,
+			t.Errorf("server %d would get %.2f times its capacity, the limit is %.2f", id, multiple,
 				f.c.settings.OverloadFactor)
 		}
 		if f.share(1, id)+f.share(2, id) == 0 {
-			t.Errorf("cold server %d gets nothing though the fleet is calm", id)
+			t.Errorf("cold server %d gets nothing though the fleet is idle", id)
 		}
 	}
 }
@@ -355,7 +355,7 @@
 		Demand{Proxy: 1, Class: 0, Requests: 100, Period: 1000})
 	f.advance(10, Demand{Proxy: 1, Class: 0, Requests: 100, Period: 1000})
 	if f.c.coldCapacity > 0.5 || f.c.coldCapacity < minColdCapacity {
-		t.Fatalf("demand let in %v with every server at %v of its capacity", f.c.coldCapacity,
+		t.Fatalf("%v of the demand admitted with every server at %v of its capacity", f.c.coldCapacity,
 			f.c.warmCapacity(f.c.serverByID[1]))
 	}
 	if level := f.c.admissionLevels()[0]; level > 0.5 {
@@ -363,34 +363,34 @@
 	}
 }
 
-// A collapse sends all traffic to the lines that have not failed yet; met on a zone-loss day, where a
-// cold server was sent five times what it could do.
+// Guards against cold servers in a collapse, which sends all traffic to the servers that have not failed yet: after the loss
+// of a zone, a cold server got five times its capacity.
 func TestColdServerIsExcludedDuringACollapse(t *testing.T) {
 	servers := fourServers()
 	servers[0].StartedAt = 49000
 	f := newFleet(t, settings(), servers...)
 	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
 	if !f.hasNoLines(1) {
-		t.Fatal("a cold server is let in before the state of the fleet is known")
+		t.Fatal("a cold server is used before the state of the fleet is known")
 	}
-	f.advance(1000, heard(2, 0, 5, 0, 100)) // the first, partial report of a collapsed fleet once looked calm
+	f.advance(1000, heard(2, 0, 5, 0, 100)) // the first, partial report of a collapsed fleet looks idle
 	f.advance(1000)
 	if !f.hasNoLines(1) {
-		t.Fatal("a cold server is let in on a first report")
+		t.Fatal("a cold server is used after the first report")
 	}
 	f.feedIdleReports()
 	if f.hasNoLines(1) {
-		t.Fatal("a cold server stays out though the fleet answers")
+		t.Fatal("a cold server stays excluded though the fleet answers")
 	}
 	for range 4 {
 		f.advance(1000, heard(2, 0, 50, 40, 900), heard(3, 1, 50, 40, 900), heard(4, 1, 50, 40, 900))
 	}
 	if !f.hasNoLines(1) {
-		t.Fatalf("a cold server is kept in at pressure %v", f.c.pressure)
+		t.Fatalf("a cold server is used at pressure %v", f.c.pressure)
 	}
 	f.advance(20000)
 	if f.hasNoLines(1) {
-		t.Fatal("a server that is warm by now stays out")
+		t.Fatal("a warm server stays excluded")
 	}
 }
 
@@ -400,28 +400,28 @@
 	for i := range servers {
 		servers[i].StartedAt = 50000
 	}
-	f := newFleet(t, set, servers...) // all cold and the fleet's state unknown: all held
+	f := newFleet(t, set, servers...) // all are cold and the fleet's state is unknown, so all are excluded
 	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
 	sum := 0.0
 	for id := ServerID(1); id <= 4; id++ {
 		sum += f.share(1, id)
 	}
 	if !almostEqual(sum, 1) {
-		t.Fatalf("the proxy was left with %v of a table", sum)
+		t.Fatalf("the shares of the proxy's table add up to %v", sum)
 	}
 }
 
-// With tables that stay home, a lost zone takes all of a proxy's lines at once.
+// With tables of local servers only, the loss of a zone removes all of a proxy's lines at once.
 func TestProxyOfALostZoneDoesNotWaitForAnAck(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
 	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true},
 		Joined{Proxy: 2, Zone: 1, Rate: 10, Fresh: true})
 	f.advance(3000, f.ack(1), f.ack(2))
 	f.c.serverByID[1].factor = 1.5
-	f.advance(messageGap+1, f.ack(2)) // proxy 1 has a message under way
+	f.advance(messageGap+1, f.ack(2)) // proxy 1 has an unacknowledged message
 	f.advance(300, List{Kind: ListFull, Servers: fourServers()[2:]})
 	if f.share(1, 3)+f.share(1, 4) == 0 {
-		t.Fatal("a proxy without a line waits for the answer to its last message")
+		t.Fatal("a proxy without a line waits for the acknowledgement of its last message")
 	}
 }
 
@@ -439,7 +439,7 @@
 		}
 	}
 	if float64(out) > maxSuspectedShare*4 {
-		t.Fatalf("%d of 4 servers withdrawn on doubt", out)
+		t.Fatalf("%d of 4 servers excluded by suspicion", out)
 	}
 }
 
@@ -452,35 +452,36 @@
 		probes += count[Probe](f.advance(1000, heard(1, 0, 10, 0, 0), heard(2, 0, 10, 0, 100)))
 	}
 	if !f.hasNoLines(1) || probes == 0 {
-		t.Fatalf("withdrawn %v, %d probes; want the silent server out and probed", f.hasNoLines(1), probes)
+		t.Fatalf("excluded %v, %d probes; want the unresponsive server excluded and probed", f.hasNoLines(1), probes)
 	}
 	f.advance(minSuspicionTime, Probed{Server: 1}, Probed{Server: 1, OK: true})
 	if !f.hasNoLines(1) {
-		t.Fatal("one answered probe was enough")
+		t.Fatal("one answered probe readmitted the server")
 	}
 	f.advance(100, Probed{Server: 1, OK: true}, heard(2, 0, 10, 0, 100), heard(3, 0, 10, 0, 100))
 	f.advance(100)
 	if f.hasNoLines(1) {
-		t.Fatal("two answered probes did not bring the server back")
+		t.Fatal("two answered probes did not readmit the server")
 	}
 	early := f.c.effectiveWeight(f.c.serverByID[1])
 	f.advance(slowStartTime)
 	if late := f.c.effectiveWeight(f.c.serverByID[1]); early > 0.5*late {
-		t.Fatalf("weight %v at its return, %v later: not eased", early, late)
+		t.Fatalf("weight %v at its return, %v later: no slow start", early, late)
 	}
 	if f.c.serverByID[1].nextSuspicion <= minSuspicionTime {
-		t.Fatal("a relapse would not keep the server out for longer")
+		t.Fatal("a relapse would not exclude the server for longer")
 	}
 }
 
-// A doubted server that returned was once held out as cold in an overload, when capacity was scarcest.
+// Guards against treating a server that returns from suspicion as cold: it was excluded in an overload, when capacity was
+// scarcest.
 func TestReturnedServerIsNotTreatedAsCold(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
 	f.c.pressure = collapsePressure + 1
 	f.c.serverByID[1].returnedAt = f.now
 	f.advance(10)
 	if !f.c.serverByID[1].usable() {
-		t.Fatal("a returned server that never restarted is held as cold")
+		t.Fatal("a returned server that never restarted is excluded as cold")
 	}
 }
 
@@ -492,7 +493,7 @@
 	back.StartedAt = f.now
 	f.advance(300, List{Kind: ListChanges, Servers: []Server{back}})
 	if s.errorSum != 0 || s.factor != 1 || s.suspected || s.unanswered != 0 {
-		t.Fatalf("a new process keeps sum %v, factor %v, doubt %v", s.errorSum, s.factor, s.suspected)
+		t.Fatalf("a new process keeps sum %v, factor %v, suspected %v", s.errorSum, s.factor, s.suspected)
 	}
 }
 
@@ -501,18 +502,18 @@
 	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 50, Fresh: true},
 		Joined{Proxy: 2, Zone: 1, Rate: 50, Fresh: true})
 	if home := f.share(1, 1) + f.share(1, 2); home < 0.95 {
-		t.Fatalf("%v of a balanced zone's traffic stays home", home)
+		t.Fatalf("%v of a balanced zone's traffic stays in the zone", home)
 	}
 	f = newFleet(t, settings(), fourServers()...)
 	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 90, Fresh: true},
 		Joined{Proxy: 2, Zone: 1, Rate: 10, Fresh: true})
 	load := 0.9*(f.share(1, 1)+f.share(1, 2)) + 0.1*(f.share(2, 1)+f.share(2, 2))
 	if load > 0.62 || load < 0.5 {
-		t.Fatalf("the busy zone's servers get %v of all traffic, want about half and the slack", load)
+		t.Fatalf("the busy zone's servers get %v of all traffic, want about half and the headroom", load)
 	}
 }
 
-// overload feeds reports of a fleet whose answers take this long; demand is 200 views a second.
+// overload feeds reports with a latency in milliseconds, and a demand of the first class in requests a second.
 func (f *fleet) overload(latency, demand float64) {
 	f.advance(1000, heard(1, 0, 50, 0, latency), heard(2, 0, 50, 0, latency), heard(3, 1, 50, 0, latency),
 		heard(4, 1, 50, 0, latency), Demand{Proxy: 1, Class: 0, Requests: demand, Period: 1000},
@@ -528,24 +529,24 @@
 	}
 	levels := f.c.admissionLevels()
 	if levels[0] >= 1 || levels[1] != 1 || levels[2] != 1 {
-		t.Fatalf("levels %v, want only the first class cut", levels)
+		t.Fatalf("levels %v, want only the first class reduced", levels)
 	}
 }
 
-// Refused requests come again; when the limit was a share, all of them came in at once.
+// Guards against a limit that is a share of the demand: refused requests are repeated, and all of them were admitted at once.
 func TestRecoveryDoesNotFollowRepeatedRequests(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
 	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
 	f.feedIdleReports()
 	for range 8 {
-		f.overload(800, 600) // repeats swell the demand
+		f.overload(800, 600) // repeated requests increase the demand
 	}
 	let := f.c.admissionLevels()[0] * f.c.demands[0]
 	f.overload(100, 600)
 	f.overload(100, 600)
 	f.overload(100, 600)
 	if now := f.c.admissionLevels()[0] * f.c.demands[0]; now > 1.6*let {
-		t.Fatalf("%v requests a second let in, %v three seconds before", now, let)
+		t.Fatalf("%v requests a second admitted, %v three seconds before", now, let)
 	}
 	for range 60 {
 		f.overload(100, 200)
@@ -555,7 +556,7 @@
 	}
 }
 
-// A few very heavy requests once held the mean answer time up and half the requests were refused.
+// Guards against shedding by the mean latency: a few very heavy requests raised it, and half of the requests were refused.
 func TestFewSlowServersDoNotCauseShedding(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
 	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
@@ -569,20 +570,20 @@
 	}
 }
 
-// The average of the first seconds was once taken for all the fleet can do, which locked the limit.
+// Guards against taking the average of the first seconds for the capacity of the fleet, which locked the limit.
 func TestFirstSecondsDoNotSetTheCapacity(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
 	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
 	f.advance(1000)
 	f.overload(100, 200)
 	f.overload(100, 200)
-	// 200 answers a second of class 0 and 1, in units of their aims.
+	// 200 answers a second of class 0 and 1, in units of their latency targets.
 	if want := 200.0 * 900; f.c.bestThroughput*f.c.listedWeight < want {
-		t.Fatalf("ability %v after two reports, want at least %v", f.c.bestThroughput*f.c.listedWeight, want)
+		t.Fatalf("capacity %v after two reports, want at least %v", f.c.bestThroughput*f.c.listedWeight, want)
 	}
 }
 
-// A lost zone once left the limit at what the whole fleet had answered before.
+// Guards against a limit that stays at the throughput of the whole fleet after the loss of a zone.
 func TestLimitFollowsTheServersListed(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
 	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
@@ -600,8 +601,8 @@
 	}
 }
 
-// After a restart the first reports told of a few proxies only; the limit made from them took half a minute
-// to grow back.
+// Guards against a limit from the first reports after a restart: they covered a few proxies only, and the limit took half a
+// minute to recover.
 func TestFirstReportsSetNoWorkLimit(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
 	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
@@ -613,14 +614,14 @@
 	for range 3 {
 		f.overload(900, 200)
 	}
-	f.c.workLimit = 1 // however it came to be that low
+	f.c.workLimit = 1 // an arbitrary low value
 	f.overload(900, 200)
 	if least := minCapacityShare * f.c.bestThroughput * f.c.listedWeight; f.c.workLimit < least {
-		t.Fatalf("limit %v, half of what the fleet answers is %v", f.c.workLimit, least)
+		t.Fatalf("limit %v, half of the fleet's throughput is %v", f.c.workLimit, least)
 	}
 }
 
-// The first reports hold only what was answered quickly; taken for idle, they locked the limit at half load.
+// Guards against an idle latency from the first reports, which contain only quick answers: it locked the limit at half load.
 func TestFirstReportsDoNotSetTheIdleLatency(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
 	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
@@ -629,13 +630,13 @@
 	for range 5 {
 		f.overload(200, 100)
 	}
-	if f.c.idleLatency < 0.1 { // of a class whose aim is 1000
-		t.Fatalf("idle answer time %v of the aim taken from the first report", f.c.idleLatency)
+	if f.c.idleLatency < 0.1 { // for a latency target of 1000
+		t.Fatalf("idle latency of %v latency targets taken from the first report", f.c.idleLatency)
 	}
 }
 
-// Once the class with the most work for each request stays away, or is refused, what is left is answered sooner. Taken
-// for the idle time of all, that refused half of the work of an idle fleet, and more with each round of a long day.
+// Guards against an idle latency from light requests only: without the class with the most work per request, answers are
+// faster. Applied to all classes, that latency refused half of the work of an idle fleet, and more over time.
 func TestLighterWorkDoesNotLowerTheIdleLatency(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
 	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
@@ -648,15 +649,15 @@
 	for range 20 {
 		answers(50, 0.1)
 	}
-	for i := range 20 { // the first reports still tell of both
+	for i := range 20 { // the first reports still cover both
 		if answers(100, 200); i > 8 && f.c.pressure > sheddingPressure || f.c.shedShare > 0 {
-			t.Fatalf("idle as at first, but pressure %v and %v refused", f.c.pressure, f.c.shedShare)
+			t.Fatalf("idle fleet, but pressure %v and %v refused", f.c.pressure, f.c.shedShare)
 		}
 	}
 }
 
-// A proxy of little traffic reports a class only when it was asked for. Its last report, often of a burst, is not what
-// comes until the next one: on sockets such beliefs added up to a quarter more than what passed.
+// Guards against overestimated demand: a proxy with little traffic reports a class only after requests, and its last report,
+// often of a burst, doesn't hold until the next one. Over real connections the estimates exceeded the traffic by a quarter.
 func TestDemandDecaysWithoutReports(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
 	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
@@ -668,19 +669,19 @@
 				Period: map[bool]float64{true: 1000, false: 8000}[i%16 == 0]},
 				Demand{Proxy: 1, Class: 1, Requests: 4, Period: 1000})
 		}
-		if i%2 == 0 { // a class that reports late holds
+		if i%2 == 0 { // the demand of a class with late reports must not decay
 			events = append(events, Demand{Proxy: 1, Class: 2, Requests: 20, Period: 2000})
 		}
 		f.advance(1000, events...)
 		if i > 40 {
 			sum, n = sum+f.c.demands[1], n+1
 			if f.c.demands[2] < 9 || f.c.demands[2] > 11 {
-				t.Fatalf("demand %v where 10 a second come", f.c.demands[2])
+				t.Fatalf("demand %v where 10 a second arrive", f.c.demands[2])
 			}
 		}
 	}
 	if sum/n > 2.6 {
-		t.Errorf("believed: %v requests a second; in the reports' own seconds 4 came, in the others none",
+		t.Errorf("estimate of %v requests a second; 4 arrived in the seconds with reports, none in the others",
 			sum/n)
 	}
 }
@@ -716,7 +717,7 @@
 	set.QueryDiscovery = true
 	f := newFleet(t, set, fourServers()...)
 	if count[Watch](f.lastActions) != 1 {
-		t.Fatal("discovery on request was not asked at the start")
+		t.Fatal("discovery was not asked at the start")
 	}
 	if count[Watch](f.advance(100, List{Kind: ListFailed})) != 0 {
 		t.Fatal("asked again at once after a failure")
@@ -734,7 +735,7 @@
 	}
 	set.QueryDiscovery = false
 	if f := newFleet(t, set, fourServers()...); count[Watch](f.lastActions) != 0 {
-		t.Fatal("asked though changes are pushed")
+		t.Fatal("asked though discovery sends changes unasked")
 	}
 }
 
@@ -749,10 +750,10 @@
 			Period: 1000}, Probed{Server: 55}, Tick{Token: 12},
 		Demand{Proxy: 1, Class: 9, Requests: 5, Period: 1000}, Demand{Proxy: 1, Requests: 5})
 	if len(actions) != 1 || count[Timer](actions) != 1 {
-		t.Fatalf("actions %v on events that concern nobody, want the next look's timer", actions)
+		t.Fatalf("actions %v on events without effect, want the timer of the next decision", actions)
 	}
 	if len(f.c.proxies) != 1 || len(f.c.servers) != 4 {
-		t.Fatal("odd events made proxies or servers")
+		t.Fatal("events without effect added proxies or servers")
 	}
 }
 
@@ -762,11 +763,11 @@
 	f := newFleet(t, set, fourServers()...)
 	actions := f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
 	if count[Bind](actions)+count[SetWeight](actions) != 0 {
-		t.Fatalf("actions %v at a site with slices", actions)
+		t.Fatalf("actions %v at a site with key ranges", actions)
 	}
 }
 
-// randomEvents returns a random but legal run of events, the same for the same seed.
+// randomEvents returns a random sequence of valid events, determined by the seed.
 func randomEvents(seed uint64, turns int) (times []float64, batches [][]Event) {
 	r := rand.New(rand.NewPCG(seed, 9))
 	now := 1000.0
@@ -809,13 +810,13 @@
 		times, batches := randomEvents(seed, 400)
 		for i := range times {
 			if x, y := a.Step(times[i], batches[i]), b.Step(times[i], batches[i]); !reflect.DeepEqual(x, y) {
-				t.Fatalf("seed %d, turn %d: %v and %v", seed, i, x, y)
+				t.Fatalf("seed %d, step %d: %v and %v", seed, i, x, y)
 			}
 		}
 	}
 }
 
-// Safe repeats, the channel's lines and the messages to one proxy, in storms of events.
+// The rules on retries, on the channel's lines and on messages to one proxy hold under random events.
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(40) {
 		set := settings()
@@ -830,7 +831,7 @@
 		tables := map[TableID]map[ServerID]bool{}
 		sent := map[ProxyID][]float64{}
 		for i, now := range times {
-			queue, last = max(0, queue-(now-last)*set.LinesPerSec/1000*0.7), now // slower than stated
+			queue, last = max(0, queue-(now-last)*set.LinesPerSec/1000*0.7), now // slower than the stated pace
 			for _, e := range batches[i] {
 				switch e := e.(type) {
 				case Joined:
@@ -882,13 +883,13 @@
 				}
 			}
 			if queue > set.QueueLines {
-				t.Fatalf("seed %d, turn %d: %v lines wait, %v may", seed, i, queue, set.QueueLines)
+				t.Fatalf("seed %d, step %d: %v lines wait, want at most %v", seed, i, queue, set.QueueLines)
 			}
 		}
 	}
 }
 
-// A planner that serves for days has things to say on the second one too.
+// Guards against a log limit that is never reset: a planner that runs for days must still log after the first one.
 func TestLogIsBoundedByTheMinute(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
 	for range 2 {
--- a/rules/size_test.go
+++ b/rules/size_test.go
@@ -17,8 +17,8 @@
 	maxLineLength    = 110
 )
 
-// The module is read aloud after outages: its functions stay short, and so do its files and lines. Its files are those
-// that the deploy file lists.
+// The module is read line by line after outages, so the sizes of its functions, files and lines are limited. Its files are
+// those that the deploy file lists.
 func TestModuleSize(t *testing.T) {
 	files := token.NewFileSet()
 	for _, name := range moduleFiles(t) {
