--- a/internal/control/weights/weights.go
+++ b/internal/control/weights/weights.go
@@ -1,7 +1,7 @@
-// Package weights decides in what shares each edge's requests go to a service's servers. For each service it drives one
-// controller of the decision module (package rules), which is fed with the register of servers, the configuration and the
-// reports of the edges that are attached to one gateway controller. What it orders goes to the edges merged, and further
-// changes wait for their acknowledgements. Tables is a value fed with events; time is handed in.
+// Package weights computes the weights by which each edge distributes requests over a service's servers. For each service it
+// runs one controller of the decision module (package rules). Its inputs are the registry of servers, the configuration and
+// the reports of the edges that are attached to one gateway controller. Its orders are merged into one message per edge, and
+// further changes wait for the acknowledgements. Tables does no I/O and takes the time as a parameter.
 package weights
 
 import (
@@ -16,7 +16,8 @@
 	"mulleinwood/rules"
 )
 
-// Tables holds the weight tables of all services, for the edges that are attached to one controller.
+// Tables holds the weight tables of all services, for the edges that are attached to one controller. It is not safe for
+// concurrent use.
 type Tables struct {
 	zone      string
 	zones     []string // sorted
@@ -24,55 +25,55 @@
 	instances func() int
 	logNote   func(service, note string)
 
-	config        *config.Config            // nil: none yet
-	edges         map[string]string         // zones, by edge
-	servers       map[string]registry.Entry // that have not ended, by id
-	services      map[string]*table
+	config        *config.Config            // nil before the first configuration
+	edges         map[string]string         // zone by edge
+	servers       map[string]registry.Entry // servers that have not ended, by id
+	services      map[string]*serviceTable
 	tablesCreated uint64
 	nextDecision  time.Duration
 }
 
-// PeerTraffic is what the edges of another controller bring.
+// PeerTraffic is the traffic of the edges that are attached to another controller.
 type PeerTraffic struct {
 	Edges         int
 	TrafficByZone []peer.ZoneTraffic
 }
 
-// table is the weight table of one service. The decision module names servers and edges by numbers.
-type table struct {
+// serviceTable is the weight table of one service. The decision module identifies servers and edges by numbers.
+type serviceTable struct {
 	service     string
 	tokenPrefix uint64
 	controller  *rules.Controller
-	events      []rules.Event // that the module has not seen yet
-
-	serverIDs   map[string]rules.ServerID
-	serverNames map[rules.ServerID]string
-	lastServer  rules.ServerID
-	edgeIDs     map[string]rules.ProxyID // by IP
-	edgeIPs     map[rules.ProxyID]string
-	lastEdge    rules.ProxyID
-	ordered     map[string]map[string]float64 // weights of servers, by edge, as they were ordered
+	events      []rules.Event // pending for the next step of the module
+
+	serverIDs    map[string]rules.ServerID
+	serverNames  map[rules.ServerID]string
+	lastServerID rules.ServerID
+	edgeIDs      map[string]rules.ProxyID // by IP
+	edgeIPs      map[rules.ProxyID]string
+	lastEdgeID   rules.ProxyID
+	assigned     map[string]map[string]float64 // last assigned weight by edge and server
 }
 
 const (
 	reportPeriod     = 1000.0  // milliseconds between two reports of an edge
-	unlimitedChannel = 1e6     // lines a second: a controller's links to its edges limit nothing
-	maxWarmupMillis  = 30000.0 // in which the module takes a server for cold
-	decideInterval   = 250 * time.Millisecond
-	minTrafficRate   = 0.05 // requests a second, below which traffic isn't reported
+	unlimitedChannel = 1e6     // lines a second: links from a controller to its edges are not a bottleneck
+	maxWarmupMillis  = 30000.0 // longest time for which the module treats a server as cold
+	decisionInterval = 250 * time.Millisecond
+	minTrafficRate   = 0.05 // requests a second; less traffic isn't reported to peers
 
-	// Values for services that the configuration doesn't name, in milliseconds.
+	// Values for services without a route that sets them, in milliseconds.
 	defaultLatencyTarget = 1000.0
 	defaultDeadline      = 5000.0
-	// initialEdgeRate is what an edge is thought to bring before its first report, in requests a second.
+	// initialEdgeRate is the assumed traffic of an edge before its first report, in requests a second.
 	initialEdgeRate = 10
 )
 
-// New makes the tables of a controller in a zone. Instances is how many controllers decide beside each other, as known when
-// a service is first met; logNote gets what the module says of its decisions.
+// New returns the tables of a controller in a zone. Instances returns the number of controllers that decide independently,
+// and is called once per service table; logNote is called with the log lines of the module.
 func New(zone string, zones []string, seed uint64, instances func() int, logNote func(service, note string)) *Tables {
 	t := &Tables{zone: zone, zones: slices.Sorted(slices.Values(zones)), seed: seed, instances: instances, logNote: logNote,
-		edges: map[string]string{}, servers: map[string]registry.Entry{}, services: map[string]*table{}}
+		edges: map[string]string{}, servers: map[string]registry.Entry{}, services: map[string]*serviceTable{}}
 	if len(t.zones) == 0 {
 		t.zones = []string{zone}
 	}
@@ -81,21 +82,21 @@
 
 func (t *Tables) zoneIndex(zone string) int { return max(0, slices.Index(t.zones, zone)) }
 
-// tableFor finds a service's table, or makes it.
-func (t *Tables) tableFor(service string) *table {
+// tableFor returns a service's table and creates it if necessary.
+func (t *Tables) tableFor(service string) *serviceTable {
 	if s := t.services[service]; s != nil {
 		return s
 	}
 	t.tablesCreated++
-	s := &table{service: service, tokenPrefix: t.tablesCreated << tokenPrefixShift,
+	s := &serviceTable{service: service, tokenPrefix: t.tablesCreated << tokenPrefixShift,
 		controller: rules.New(t.moduleSettings(service), t.seed),
 		serverIDs:  map[string]rules.ServerID{}, serverNames: map[rules.ServerID]string{},
-		edgeIDs: map[string]rules.ProxyID{}, edgeIPs: map[rules.ProxyID]string{}, ordered: map[string]map[string]float64{}}
+		edgeIDs: map[string]rules.ProxyID{}, edgeIPs: map[rules.ProxyID]string{}, assigned: map[string]map[string]float64{}}
 	t.services[service] = s
 	for _, edge := range slices.Sorted(maps.Keys(t.edges)) {
 		s.join(t, edge)
 	}
-	for _, id := range slices.Sorted(maps.Keys(t.servers)) { // of a service that was dropped and is back
+	for _, id := range slices.Sorted(maps.Keys(t.servers)) { // the service may have been dropped and added again
 		if e := t.servers[id]; e.Service == service {
 			s.updateServer(t, e, 0)
 		}
@@ -112,7 +113,7 @@
 		WarmupTime: maxWarmupMillis, StartCapacity: 0.5, OverloadFactor: 100}
 }
 
-// targets are the latency target and the deadline of the last route to a service, in milliseconds.
+// targets returns the latency target and the deadline of the last route to a service, in milliseconds.
 func (t *Tables) targets(service string) (latencyTarget, deadline float64) {
 	latencyTarget, deadline = defaultLatencyTarget, defaultDeadline
 	if t.config == nil {
@@ -128,20 +129,20 @@
 	return latencyTarget, deadline
 }
 
-func (s *table) join(t *Tables, edge string) {
+func (s *serviceTable) join(t *Tables, edge string) {
 	id, known := s.edgeIDs[edge]
 	if !known {
-		s.lastEdge++
-		id = s.lastEdge
+		s.lastEdgeID++
+		id = s.lastEdgeID
 		s.edgeIDs[edge], s.edgeIPs[id] = id, edge
 	}
-	if s.ordered[edge] == nil { // the module knows what it ordered for an edge that was here before
-		s.ordered[edge] = map[string]float64{}
+	if s.assigned[edge] == nil { // the module keeps the assigned weights of an edge that rejoins
+		s.assigned[edge] = map[string]float64{}
 	}
 	s.events = append(s.events, rules.Joined{Proxy: id, Zone: t.zoneIndex(t.edges[edge]), Rate: initialEdgeRate, Fresh: true})
 }
 
-// Join adds an edge, by its IP address. It holds no table yet.
+// Join adds an edge, identified by its IP address, that has no table yet.
 func (t *Tables) Join(edge, zone string) {
 	t.edges[edge] = zone
 	for _, s := range t.services {
@@ -149,7 +150,7 @@
 	}
 }
 
-// Leave drops an edge.
+// Leave removes an edge.
 func (t *Tables) Leave(edge string) {
 	delete(t.edges, edge)
 	for _, s := range t.services {
@@ -159,7 +160,7 @@
 	}
 }
 
-// UpdateServers takes over what changed of servers.
+// UpdateServers applies changed entries of the registry.
 func (t *Tables) UpdateServers(updates []registry.Entry, now time.Duration) {
 	for _, e := range updates {
 		if e.Service == "" {
@@ -173,14 +174,14 @@
 	}
 }
 
-func (s *table) updateServer(t *Tables, e registry.Entry, now time.Duration) {
+func (s *serviceTable) updateServer(t *Tables, e registry.Entry, now time.Duration) {
 	id, known := s.serverIDs[e.ID]
 	if !known {
 		if e.Ended() {
 			return
 		}
-		s.lastServer++
-		id = s.lastServer
+		s.lastServerID++
+		id = s.lastServerID
 		s.serverIDs[e.ID], s.serverNames[id] = id, e.ID
 	}
 	s.events = append(s.events, rules.List{Kind: rules.ListChanges, Servers: []rules.Server{{ID: id, Weight: float64(e.Capacity),
@@ -190,7 +191,8 @@
 	}
 }
 
-// moduleState is an entry's state in the decision module. A server that timed out gets nothing until it is heard again.
+// moduleState returns an entry's state for the decision module. A server that timed out gets no requests until its next
+// heartbeat.
 func moduleState(e registry.Entry) rules.State {
 	switch {
 	case e.Ended() || e.TimedOut:
@@ -201,8 +203,8 @@
 	return rules.Ready
 }
 
-// moduleStart is when the module takes a server to have started, in milliseconds, so that its warm-up ends when the server
-// says; 0: it is warm.
+// moduleStart returns the start time of a server for the module, in milliseconds, chosen such that the warm-up ends when the
+// server reported; 0: it is warm.
 func moduleStart(e registry.Entry, now time.Duration) float64 {
 	if e.WarmupLeft <= 0 {
 		return 0
@@ -210,16 +212,16 @@
 	return max(1, float64(now.Milliseconds())-maxWarmupMillis+e.WarmupLeft*1000)
 }
 
-func (s *table) forgetServer(name string, id rules.ServerID) {
+func (s *serviceTable) forgetServer(name string, id rules.ServerID) {
 	s.events = append(s.events, rules.Forgotten{Server: id})
 	delete(s.serverIDs, name)
 	delete(s.serverNames, id)
-	for _, ordered := range s.ordered {
-		delete(ordered, name)
+	for _, assigned := range s.assigned {
+		delete(assigned, name)
 	}
 }
 
-// SetConfig follows a new configuration: services that it doesn't name are dropped.
+// SetConfig applies a new configuration and drops the tables of services that it doesn't contain.
 func (t *Tables) SetConfig(c *config.Config) {
 	t.config = c
 	for name := range t.services {
@@ -229,7 +231,7 @@
 	}
 }
 
-// HandleReport takes what an edge counted. ServiceOf names the service of a server that is known.
+// HandleReport applies a report of an edge. ServiceOf returns the service of a server, and whether the server is known.
 func (t *Tables) HandleReport(edge string, r *peer.Report, serviceOf func(server string) (service string, known bool)) {
 	period := max(1, r.Period*1000)
 	for _, stats := range r.Servers {
@@ -250,7 +252,7 @@
 	}
 }
 
-func (s *table) handleServerStats(zone int, stats peer.ServerStats, period float64) {
+func (s *serviceTable) handleServerStats(zone int, stats peer.ServerStats, period float64) {
 	id, known := s.serverIDs[stats.Server]
 	if !known {
 		return
@@ -263,7 +265,7 @@
 		Failed: float64(stats.Failed), Latency: latency, Period: period})
 }
 
-// handleApplied tells the table that a token belongs to that an edge has applied its orders.
+// handleApplied passes an edge's acknowledgement of a token to the table that issued it.
 func (t *Tables) handleApplied(edge string, token uint64) {
 	for _, s := range t.services {
 		if id, ok := s.edgeIDs[edge]; ok && s.tokenPrefix == token&^tokenMask {
@@ -272,8 +274,8 @@
 	}
 }
 
-// Tokens to an edge carry the table's number above the module's own token: one that is returned after its table was dropped
-// is nobody's.
+// Tokens to an edge contain the table's number in the bits above the module's own token, so that a token of a dropped table
+// matches no other table.
 const (
 	tokenPrefixShift = 32
 	tokenMask        = 1<<tokenPrefixShift - 1
@@ -281,7 +283,8 @@
 
 func (t *Tables) serviceNames() []string { return slices.Sorted(maps.Keys(t.services)) }
 
-// OwnTraffic is what the edges of this controller bring, by service and zone, in tenths of a request a second.
+// OwnTraffic returns the traffic of the edges of this controller by service and zone, in requests a second rounded down to a
+// tenth.
 func (t *Tables) OwnTraffic() (all []peer.ZoneTraffic) {
 	for _, name := range t.serviceNames() {
 		own, _ := t.services[name].controller.OwnLoad()
@@ -294,30 +297,30 @@
 	return all
 }
 
-// Tick lets the module decide, if it is time, and gives what it orders, by edge. Peers gives what the edges of the other
-// controllers bring.
+// Tick runs the module's decisions every decisionInterval and returns the resulting weights by edge; nil: none are due. Peers
+// returns the traffic of the other controllers' edges.
 func (t *Tables) Tick(now time.Duration, peers func() []PeerTraffic) map[string]*peer.Weights {
 	if now < t.nextDecision {
 		return nil
 	}
-	t.nextDecision = now + decideInterval
-	elsewhere := peers()
-	o := &orders{byEdge: map[string]*peer.Weights{}}
+	t.nextDecision = now + decisionInterval
+	remote := peers()
+	u := &updates{byEdge: map[string]*peer.Weights{}}
 	for _, name := range t.serviceNames() {
 		s := t.services[name]
-		s.events = append(s.events, t.trafficElsewhere(name, elsewhere))
+		s.events = append(s.events, t.remoteTraffic(name, remote))
 		actions := s.controller.Step(float64(now.Milliseconds())+1, s.events)
 		s.events = s.events[:0]
-		o.collect(t, s, actions)
+		u.collect(t, s, actions)
 	}
-	for _, w := range o.byEdge {
+	for _, w := range u.byEdge {
 		slices.SortFunc(w.Changed, func(a, b peer.Weight) int { return cmp.Compare(a.Server, b.Server) })
 	}
-	return o.byEdge
+	return u.byEdge
 }
 
-// trafficElsewhere is what the edges of the other controllers bring to a service.
-func (t *Tables) trafficElsewhere(service string, peers []PeerTraffic) rules.Part {
+// remoteTraffic returns the traffic of the other controllers' edges for a service.
+func (t *Tables) remoteTraffic(service string, peers []PeerTraffic) rules.Part {
 	part := rules.Part{ChannelShare: 1, TypicalRates: make([]float64, len(t.zones)), Demands: []float64{0}}
 	for _, p := range peers {
 		part.JoinedProxies += float64(p.Edges)
@@ -331,32 +334,32 @@
 	return part
 }
 
-// orders gathers what edges are sent after a decision.
-type orders struct {
-	byEdge  map[string]*peer.Weights
-	touched map[string]bool // edges that the present table orders something for
+// updates collects the messages to the edges after a decision.
+type updates struct {
+	byEdge       map[string]*peer.Weights
+	changedEdges map[string]bool // edges with changes of the table that is being collected
 }
 
-func (o *orders) to(edge string) *peer.Weights {
-	o.touched[edge] = true
-	if o.byEdge[edge] == nil {
-		o.byEdge[edge] = &peer.Weights{}
+func (u *updates) forEdge(edge string) *peer.Weights {
+	u.changedEdges[edge] = true
+	if u.byEdge[edge] == nil {
+		u.byEdge[edge] = &peer.Weights{}
 	}
-	return o.byEdge[edge]
+	return u.byEdge[edge]
 }
 
-// collect turns the module's actions into orders.
-func (o *orders) collect(t *Tables, s *table, actions []rules.Action) {
-	o.touched = map[string]bool{}
+// collect adds the module's actions for one service to the messages.
+func (u *updates) collect(t *Tables, s *serviceTable, actions []rules.Action) {
+	u.changedEdges = map[string]bool{}
 	for _, action := range actions {
 		switch action := action.(type) {
 		case rules.SetWeight:
-			o.setWeight(s, s.edgeIPs[rules.ProxyID(action.Table)], s.serverNames[action.Server], action.Weight)
+			u.setWeight(s, s.edgeIPs[rules.ProxyID(action.Table)], s.serverNames[action.Server], action.Weight)
 		case rules.Bind:
-			o.replaceTable(s, s.edgeIPs[action.Proxy])
+			u.replaceTable(s, s.edgeIPs[action.Proxy])
 		case rules.Mark:
-			for edge := range o.touched {
-				o.byEdge[edge].Tokens = append(o.byEdge[edge].Tokens, s.tokenPrefix|uint64(action.Token))
+			for edge := range u.changedEdges {
+				u.byEdge[edge].Tokens = append(u.byEdge[edge].Tokens, s.tokenPrefix|uint64(action.Token))
 			}
 		case rules.Log:
 			t.logNote(s.service, action.Text)
@@ -364,42 +367,42 @@
 	}
 }
 
-func (o *orders) setWeight(s *table, edge, server string, weight float64) {
-	w := o.to(edge)
+func (u *updates) setWeight(s *serviceTable, edge, server string, weight float64) {
+	w := u.forEdge(edge)
 	if server == "" {
-		return // it has ended
+		return // the server has ended
 	}
 	w.Changed = append(w.Changed, peer.Weight{Server: server, Weight: weight})
-	ordered := s.ordered[edge]
-	if ordered[server] = weight; weight <= 0 {
-		delete(ordered, server)
+	assigned := s.assigned[edge]
+	if assigned[server] = weight; weight <= 0 {
+		delete(assigned, server)
 	}
 }
 
-// replaceTable orders the complete table: what is not in it is out.
-func (o *orders) replaceTable(s *table, edge string) {
-	w := o.to(edge)
+// replaceTable adds the complete table; it replaces all weights that the edge has for the service.
+func (u *updates) replaceTable(s *serviceTable, edge string) {
+	w := u.forEdge(edge)
 	w.Replaced = append(w.Replaced, s.service)
-	for server, weight := range s.ordered[edge] {
+	for server, weight := range s.assigned[edge] {
 		if weight > 0 && !slices.ContainsFunc(w.Changed, func(l peer.Weight) bool { return l.Server == server }) {
 			w.Changed = append(w.Changed, peer.Weight{Server: server, Weight: weight})
 		}
 	}
 }
 
-// WeightsFor is the table of a service as it was ordered for an edge. It must not be changed.
+// WeightsFor returns the last assigned weights of a service's servers for an edge. The map must not be changed.
 func (t *Tables) WeightsFor(edge, service string) map[string]float64 {
 	if s := t.services[service]; s != nil {
-		return s.ordered[edge]
+		return s.assigned[edge]
 	}
 	return nil
 }
 
-// Weight is what some edge was last sent for a server; 0: none.
+// Weight returns a weight above 0 that was last assigned to a server for any edge; 0: none.
 func (t *Tables) Weight(server string) float64 {
 	for _, s := range t.services {
-		for _, ordered := range s.ordered {
-			if w, ok := ordered[server]; ok && w > 0 {
+		for _, assigned := range s.assigned {
+			if w, ok := assigned[server]; ok && w > 0 {
 				return w
 			}
 		}
--- a/rules/booking_test.go
+++ b/rules/booking_test.go
@@ -14,16 +14,16 @@
 	"mulleinwood/rules"
 )
 
-// proxy counts what its stream carries, as the protocol counts it, and keeps the table that results.
+// proxy counts the lines on its stream as the protocol does, and keeps the resulting table.
 type proxy struct {
-	t     *testing.T
-	id    uint64
-	head  float64
-	lines *float64
-	table map[string]float64
-	fresh bool // a message begins
-	again bool // it had joined before
-	bound *bool
+	t             *testing.T
+	id            uint64
+	messageCost   float64
+	lines         *float64
+	table         map[string]float64
+	messageStarts bool // the next line begins a message
+	rejoined      bool // it has joined before
+	bound         *bool
 }
 
 func (p *proxy) ID() uint64  { return p.id }
@@ -37,13 +37,13 @@
 		for text[end] != '\n' {
 			end++
 		}
-		p.part(text[:end])
+		p.handlePart(text[:end])
 		text = text[end+1:]
 	}
 	return err
 }
 
-func (p *proxy) part(text []byte) {
+func (p *proxy) handlePart(text []byte) {
 	var o struct {
 		Replace, Part bool
 		Rows          [][2]any
@@ -53,14 +53,14 @@
 	if err := json.Unmarshal(text, &o); err != nil {
 		p.t.Fatalf("%v in %s", err, text)
 	}
-	if p.fresh {
-		*p.lines += p.head
+	if p.messageStarts {
+		*p.lines += p.messageCost
 	}
-	p.fresh = !o.Part
+	p.messageStarts = !o.Part
 	if o.Replace {
 		p.table = map[string]float64{}
 		*p.lines++
-		*p.bound = *p.bound || p.again
+		*p.bound = *p.bound || p.rejoined
 	}
 	for _, has := range []bool{o.Gate != nil, o.Stamp != nil} {
 		if has {
@@ -85,14 +85,14 @@
 func (noCalls) Move(string)                        {}
 func (noCalls) Probe(rules.ServerID, string, bool) {}
 
-// TestBookedLines plays joins, departures, reports and changes of the list, and compares what the module booked
-// for its channel with what the protocol counts of the messages written. Guards the rule on the queue: a host
-// that writes more than was booked breaks it without the module's knowing. For a proxy that joins again lines
-// may be booked that its old table held and the new one doesn't.
-func TestBookedLines(t *testing.T) {
+// TestQueuedLinesCoverTheMessagesWritten runs joins, departures, reports and changes of the list, and compares the lines that the
+// module adds to its queue estimate with those that the protocol counts in the messages written. A host that writes more lines
+// than the module counts would exceed the queue limit unnoticed. For a proxy that rejoins, the module may count lines of its old
+// table that the new one doesn't have.
+func TestQueuedLinesCoverTheMessagesWritten(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		// A channel that never drains keeps the sum of all that was booked.
+		// A channel that never drains keeps the sum of all queued lines.
 		set := settings.Settings{ZoneNames: []string{"a", "b"},
 			Rules: rules.Settings{Instances: 1, Zones: 2, Proxies: 9,
 				QueryDiscovery: true, Admission: rules.AdmitShare, ReportPeriod: 1000, QueueLines: 1e9, LinesPerSec: 0, MessageCost: 3, DrainGrace: 1500,
@@ -118,8 +118,8 @@
 			case 0:
 				if p == nil {
 					last++
-					joined[n] = &proxy{t: t, id: last, head: set.Rules.MessageCost, lines: &lines, fresh: true,
-						again: before[n], bound: &bound}
+					joined[n] = &proxy{t: t, id: last, messageCost: set.Rules.MessageCost, lines: &lines, messageStarts: true,
+						rejoined: before[n], bound: &bound}
 					before[n] = true
 					r.Handle(routing.Reported{Peer: joined[n],
 						Message: protocol.Attach{Proxy: n, Zone: set.ZoneNames[n%2], Weight: float64(n)}})
@@ -147,12 +147,12 @@
 			}
 			sent, booked := lines-linesBefore, module.QueuedLines()-bookedBefore
 			if sent > booked || sent < booked && !bound {
-				t.Fatalf("seed %d at %v: the messages count %v lines, %v were booked", seed, now, sent,
+				t.Fatalf("seed %d at %v: the messages have %v lines, the module counted %v", seed, now, sent,
 					booked)
 			}
 		}
 		if lines == 0 || again == 0 {
-			t.Errorf("seed %d: %v lines ordered, %d proxies joined again", seed, lines, again)
+			t.Errorf("seed %d: %v lines ordered, %d proxies rejoined", seed, lines, again)
 		}
 	}
 }
--- a/rules/dealing_test.go
+++ b/rules/dealing_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// largeSettings are those of a site with many servers and proxies and connections that are scarce.
+// largeSettings returns the settings of a site with many servers and proxies and scarce connections.
 func largeSettings(proxies int) Settings {
 	set := settings()
 	set.Zones, set.Proxies, set.MinConnections = 3, proxies, 60
@@ -30,14 +30,14 @@
 	return all
 }
 
-// largeFleet has all its proxies bound and their first messages answered.
+// largeFleet returns a fleet whose proxies are all bound and have acknowledged their first messages.
 func largeFleet(t *testing.T, servers, proxies int) *fleet {
 	t.Helper()
 	set := largeSettings(proxies)
 	f := newFleet(t, set, manyServers(servers, set.Zones)...)
-	f.after(100, manyProxies(proxies, set.Zones)...)
+	f.advance(100, manyProxies(proxies, set.Zones)...)
 	for range 50 {
-		f.after(1000, f.acks()...)
+		f.advance(1000, f.acks()...)
 	}
 	return f
 }
@@ -52,7 +52,7 @@
 	return all
 }
 
-// loads is what each server gets from all tables as they were sent, by the proxies' usual rates.
+// loads returns the traffic of each server by the tables that were sent and the proxies' typical rates.
 func (f *fleet) loads() map[ServerID]float64 {
 	loads := map[ServerID]float64{}
 	for _, p := range f.c.proxies {
@@ -73,9 +73,9 @@
 	return held
 }
 
-// Full tables fit neither the channel nor the servers' connections: at a large site they once broke the rule
-// on drains.
-func TestTablesOfALargeFleetArePartsHeldEvenly(t *testing.T) {
+// Guards against full tables at a large site: they fit neither the channel nor the servers' connections, and
+// broke the rule on draining.
+func TestTablesOfALargeFleetArePartialAndEven(t *testing.T) {
 	f := largeFleet(t, 240, 300)
 	if len(f.bound) != 300 {
 		t.Fatalf("%d of 300 proxies bound", len(f.bound))
@@ -83,7 +83,7 @@
 	held := map[ServerID]int{}
 	for p := range f.bound {
 		lines := f.linesOf(p)
-		if float64(len(lines)) > f.c.tableSize(f.c.proxyByID[p])+3 || len(lines) < minLines {
+		if float64(len(lines)) > f.c.tableSize(f.c.proxyByID[p])+3 || len(lines) < minTableLines {
 			t.Errorf("proxy %d has %d lines, its size is %v", p, len(lines), f.c.tableSize(f.c.proxyByID[p]))
 		}
 		for id := range lines {
@@ -95,31 +95,31 @@
 	}
 	for _, s := range f.c.servers {
 		if n := held[s.ID]; n < 3 || float64(n) > 0.5*f.c.settings.MinConnections {
-			t.Errorf("server %d is held by %d proxies", s.ID, n)
+			t.Errorf("server %d is in the tables of %d proxies", s.ID, n)
 		}
 	}
 	loads, mean := f.loads(), f.c.typicalRate/240
 	for _, s := range f.c.servers {
 		if l := loads[s.ID]; math.Abs(l/mean-1) > 0.25 {
-			t.Errorf("server %d gets %.2f of the mean load from tables that each hold a part", s.ID, l/mean)
+			t.Errorf("server %d gets %.2f of the mean load from partial tables", s.ID, l/mean)
 		}
 	}
 }
 
-// Where servers squeezed their connections, tables of many lines for little traffic found most of them full.
+// Guards against tables with many lines for little traffic: where connections were scarce, most were taken.
 func TestTablesAreNoLargerThanUseful(t *testing.T) {
 	set := largeSettings(45)
-	set.MinConnections = 0 // the connections would not be the limit
+	set.MinConnections = 0 // connections are not the limit
 	f := newFleet(t, set, manyServers(111, 3)...)
-	f.after(100, manyProxies(45, 3)...)
+	f.advance(100, manyProxies(45, 3)...)
 	for range 20 {
-		f.after(1000, f.acks()...)
+		f.advance(1000, f.acks()...)
 	}
 	lines := 0
 	for p := range f.bound {
 		lines += len(f.linesOf(p))
 	}
-	if mean, most := float64(lines)/45, max(maxMeanLines, linesPerFilledServer*111.0/45); mean > 1.2*most {
+	if mean, most := float64(lines)/45, max(maxMeanTableLines, linesPerFilledServer*111.0/45); mean > 1.2*most {
 		t.Fatalf("%v lines in a mean table, want about %v", mean, most)
 	}
 	if few, many := len(f.linesOf(0)), len(f.linesOf(6)); few >= many {
@@ -127,24 +127,24 @@
 	}
 }
 
-func TestLoadFollowsTheDesignsWeightThroughParts(t *testing.T) {
+func TestLoadFollowsWeightsWithPartialTables(t *testing.T) {
 	f := largeFleet(t, 120, 200)
 	s := f.c.servers[10]
 	before := f.loads()[s.ID]
 	s.factor = 0.5
 	for range 20 {
-		f.after(1000, f.acks()...)
+		f.advance(1000, f.acks()...)
 	}
 	if now := f.loads()[s.ID] / before; now < 0.4 || now > 0.6 {
 		t.Fatalf("a server at half its weight gets %.2f of its load before", now)
 	}
 }
 
-func TestSmallFleetIsHeldWhole(t *testing.T) {
+func TestTablesOfASmallFleetHoldAllServers(t *testing.T) {
 	set := settings()
 	set.MinConnections = 60
 	f := newFleet(t, set, fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true},
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true},
 		Joined{Proxy: 2, Zone: 0, Rate: 10, Fresh: true})
 	if n := len(f.linesOf(1)); n != 4 {
 		t.Fatalf("%d lines in a fleet of four that spills", n)
@@ -159,9 +159,9 @@
 	}
 	gone := f.c.servers[30].Server
 	gone.State = Removed
-	f.after(1000, append(f.acks(), List{Kind: ListChanges, Servers: []Server{gone}})...)
+	f.advance(1000, append(f.acks(), List{Kind: ListChanges, Servers: []Server{gone}})...)
 	for range 10 {
-		f.after(1000, f.acks()...)
+		f.advance(1000, f.acks()...)
 	}
 	changed := 0
 	for p := range f.bound {
@@ -175,22 +175,23 @@
 		}
 	}
 	if changed > 10 {
-		t.Fatalf("%d lines changed in tables that did not hold the lost server", changed)
+		t.Fatalf("%d lines changed in tables that did not have the removed server", changed)
 	}
-	if !f.out(gone.ID) {
-		t.Fatal("a lost server keeps a line")
+	if !f.hasNoLines(gone.ID) {
+		t.Fatal("a removed server keeps a line")
 	}
 	gone.State = Ready
-	f.after(1000, append(f.acks(), List{Kind: ListChanges, Servers: []Server{gone}})...)
+	f.advance(1000, append(f.acks(), List{Kind: ListChanges, Servers: []Server{gone}})...)
 	for range 20 {
-		f.after(1000, f.acks()...)
+		f.advance(1000, f.acks()...)
 	}
 	if load := f.loads()[gone.ID] / (f.c.typicalRate / 120); load < 0.5 {
-		t.Fatalf("a server that came back gets %.2f of the mean load: full tables have no place for it", load)
+		t.Fatalf("a server that returned to full tables gets %.2f of the mean load", load)
 	}
 }
 
-// With tables of a part, a lost zone once took all lines of its proxies and many of the others'.
+// Guards against proxies without a line after the loss of a zone: with partial tables, it took all lines of its
+// proxies and many of the others'.
 func TestLostZoneLeavesNoProxyWithoutALine(t *testing.T) {
 	f := largeFleet(t, 120, 150)
 	var rest []Server
@@ -199,8 +200,8 @@
 			rest = append(rest, s.Server)
 		}
 	}
-	f.after(1000, append(f.acks(), List{Kind: ListFull, Servers: rest})...)
-	f.after(urgentGap)
+	f.advance(1000, append(f.acks(), List{Kind: ListFull, Servers: rest})...)
+	f.advance(urgentGap)
 	for p := range f.bound {
 		if len(f.linesOf(p)) < 2 {
 			t.Errorf("proxy %d has %d lines after the loss of a zone", p, len(f.linesOf(p)))
@@ -208,16 +209,16 @@
 	}
 }
 
-// Nobody answers for a message that emptied a table; the next one must not wait for that.
+// A message that empties a table is not acknowledged; the next message must not wait for that.
 func TestTableThatWasEmptiedDoesNotWait(t *testing.T) {
 	f := largeFleet(t, 60, 60)
-	f.after(1000, append(f.acks(), List{Kind: ListFull})...)
+	f.advance(1000, append(f.acks(), List{Kind: ListFull})...)
 	for _, s := range f.c.servers {
-		if !f.out(s.ID) {
+		if !f.hasNoLines(s.ID) {
 			t.Fatalf("server %d keeps a line though none is listed", s.ID)
 		}
 	}
-	f.after(urgentGap, List{Kind: ListFull, Servers: manyServers(60, 3)})
+	f.advance(urgentGap, List{Kind: ListFull, Servers: manyServers(60, 3)})
 	for p := range f.bound {
 		if len(f.linesOf(p)) == 0 {
 			t.Errorf("proxy %d waits without a line", p)
@@ -225,35 +226,35 @@
 	}
 }
 
-// The fleet doubles at once while the channel, not the connections, limits the tables.
-func TestNewcomersAreSpreadOverTheProxies(t *testing.T) {
+// The fleet doubles at once while the tables are limited by the channel, not by connections.
+func TestNewServersAreSpreadOverTheProxies(t *testing.T) {
 	set := largeSettings(90)
 	set.MinConnections, set.QueueLines = 0, 4000
 	all := manyServers(240, 3)
 	f := newFleet(t, set, all[:120]...)
-	f.after(100, manyProxies(90, 3)...)
+	f.advance(100, manyProxies(90, 3)...)
 	for range 20 {
-		f.after(1000, f.acks()...)
+		f.advance(1000, f.acks()...)
 	}
-	f.after(1000, append(f.acks(), List{Kind: ListChanges, Servers: all[120:]})...)
+	f.advance(1000, append(f.acks(), List{Kind: ListChanges, Servers: all[120:]})...)
 	for range 30 {
-		f.after(1000, f.acks()...)
+		f.advance(1000, f.acks()...)
 	}
-	// half of them leave and come back to full tables
+	// half of the servers leave and return to full tables
 	for _, state := range []State{Removed, Ready, Removed, Ready} {
 		some := append([]Server{}, all[120:]...)
 		for i := range some {
 			some[i].State = state
 		}
-		f.after(1000, append(f.acks(), List{Kind: ListChanges, Servers: some})...)
+		f.advance(1000, append(f.acks(), List{Kind: ListChanges, Servers: some})...)
 		for range 20 {
-			f.after(1000, f.acks()...)
+			f.advance(1000, f.acks()...)
 		}
 	}
 	loads, mean := f.loads(), f.c.typicalRate/240
 	for _, s := range all[120:] {
 		if l := loads[s.ID] / mean; l < 0.5 || l > 1.6 {
-			t.Errorf("newcomer %d gets %.2f of the mean load", s.ID, l)
+			t.Errorf("new server %d gets %.2f of the mean load", s.ID, l)
 		}
 	}
 	for p := range f.bound {
@@ -263,7 +264,8 @@
 	}
 }
 
-// A rolling release once kept drained servers in tables: each withdrawal counted against every proxy.
+// Guards against draining servers that stay in tables during a rolling release: each withdrawal counted against the message
+// limit of every proxy.
 func TestDrainsLeaveTablesInTimeAtALargeFleet(t *testing.T) {
 	f := largeFleet(t, 240, 300)
 	var drained []Server
@@ -274,73 +276,73 @@
 			drained = append(drained, gone)
 		}
 	}
-	f.after(decideTime, List{Kind: ListChanges, Servers: drained})
+	f.advance(decisionInterval, List{Kind: ListChanges, Servers: drained})
 	for range 5 {
-		f.after(decideTime)
+		f.advance(decisionInterval)
 	}
 	for _, s := range drained {
-		if !f.out(s.ID) {
+		if !f.hasNoLines(s.ID) {
 			t.Errorf("draining server %d keeps a line half a second later", s.ID)
 		}
 	}
 }
 
-// A wrong list once took two thirds of a healthy fleet out; only draining binds at such sites.
+// Guards against a wrong list that removes two thirds of a healthy fleet: with DrainOnly only draining removes servers.
 func TestServerDroppedByTheListStaysWhileItAnswers(t *testing.T) {
 	set := settings()
 	set.DrainOnly = true
 	f := newFleet(t, set, fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
-	f.calm()
-	f.after(1000, f.ack(1), List{Kind: ListFull, Servers: fourServers()[:1]})
-	f.after(1000)
-	if f.out(2) || f.out(3) || f.out(4) {
-		t.Fatal("servers that answer lost their lines though only draining binds")
-	}
-	f.after(1000, heard(2, 0, suspectTries, suspectTries, 0), heard(3, 1, suspectTries, suspectTries, 0),
-		heard(4, 1, suspectTries, suspectTries, 0))
-	if !f.out(2) || !f.out(3) || !f.out(4) {
-		t.Fatal("dropped servers that answer nothing keep their lines: the list and their silence agree")
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
+	f.feedIdleReports()
+	f.advance(1000, f.ack(1), List{Kind: ListFull, Servers: fourServers()[:1]})
+	f.advance(1000)
+	if f.hasNoLines(2) || f.hasNoLines(3) || f.hasNoLines(4) {
+		t.Fatal("servers that answer lost their lines though only draining removes servers")
+	}
+	f.advance(1000, heard(2, 0, suspectAttempts, suspectAttempts, 0), heard(3, 1, suspectAttempts, suspectAttempts, 0),
+		heard(4, 1, suspectAttempts, suspectAttempts, 0))
+	if !f.hasNoLines(2) || !f.hasNoLines(3) || !f.hasNoLines(4) {
+		t.Fatal("servers that were dropped and answer nothing keep their lines")
 	}
 	drains := ready(1, 0)
 	drains.State = Draining
-	f.after(1000, List{Kind: ListChanges, Servers: []Server{drains}})
-	if !f.out(1) {
+	f.advance(1000, List{Kind: ListChanges, Servers: []Server{drains}})
+	if !f.hasNoLines(1) {
 		t.Fatal("a draining server keeps its line")
 	}
 	drains.State = Removed
-	f.after(1000, List{Kind: ListChanges, Servers: []Server{drains}})
-	if !f.out(1) {
-		t.Fatal("a drained server came back when the list dropped it")
+	f.advance(1000, List{Kind: ListChanges, Servers: []Server{drains}})
+	if !f.hasNoLines(1) {
+		t.Fatal("a drained server returned when the list dropped it")
 	}
 	set.DrainOnly = false
 	f = newFleet(t, set, fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
-	f.after(1000, List{Kind: ListFull, Servers: fourServers()[:1]})
-	if !f.out(2) {
-		t.Fatal("a dropped server keeps its line where dropping binds")
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true})
+	f.advance(1000, List{Kind: ListFull, Servers: fourServers()[:1]})
+	if !f.hasNoLines(2) {
+		t.Fatal("a dropped server keeps its line without DrainOnly")
 	}
 }
 
-// A controller that sees only its own zone's proxies once spilled most of their traffic to other zones.
+// Guards against a controller with proxies of its own zone only that spills most of their traffic to other zones.
 func TestProxiesOfOtherControllersAreTakenToBeInTheirZones(t *testing.T) {
 	set := settings()
 	set.LocalFirst, set.Proxies = true, 4
 	f := newFleet(t, set, fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true},
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true},
 		Joined{Proxy: 2, Zone: 0, Rate: 10, Fresh: true})
 	if home := f.share(1, 1) + f.share(1, 2); home < 0.99 {
-		t.Fatalf("%v of the traffic stays home with half of the proxies in a zone that we don't see", home)
+		t.Fatalf("%v of the traffic stays in its zone, with half of the proxies at a controller of another zone", home)
 	}
 }
 
-// A controller whose proxies stay in their zone never hears most of the fleet; its rounds once waited for good.
+// Guards against rounds that never run: a controller whose proxies stay in their zone gets no reports on most of the fleet.
 func TestRoundsRunOnTheServersInOurTables(t *testing.T) {
 	set := settings()
 	set.LocalFirst, set.Proxies, set.Zones = true, 20, 4
 	f := newFleet(t, set, manyServers(16, 4)...)
 	for i := range 5 {
-		f.after(10, Joined{Proxy: ProxyID(i), Zone: 0, Rate: 10, Fresh: true})
+		f.advance(10, Joined{Proxy: ProxyID(i), Zone: 0, Rate: 10, Fresh: true})
 	}
 	for i := range 4 {
 		var reports []Event
@@ -349,62 +351,62 @@
 				reports = append(reports, heard(s.ID, 0, 10, 0, 100+5*float64(s.ID)))
 			}
 		}
-		f.after(roundTime, reports...)
-		if got := len(f.c.servers[0].recentErrors); got != min(i+1, errorsKept) {
-			t.Fatalf("%d errors learnt after %d rounds with all servers in our tables heard", got, i+1)
+		f.advance(roundInterval, reports...)
+		if got := len(f.c.servers[0].recentErrors); got != min(i+1, errorWindow) {
+			t.Fatalf("%d errors after %d rounds with reports on all servers in our tables", got, i+1)
 		}
 	}
-	f.after(2 * heardFor)
+	f.advance(2 * reportLifetime)
 	if got := f.c.servers[0].errorSum; got == 0 {
-		t.Fatal("nothing was learnt")
+		t.Fatal("the error sum is 0")
 	}
 	before := f.c.servers[0].errorSum
-	if f.after(roundTime); f.c.servers[0].errorSum != before {
-		t.Fatal("a round ran on figures older than a minute")
+	if f.advance(roundInterval); f.c.servers[0].errorSum != before {
+		t.Fatal("a round ran on reports older than a minute")
 	}
 }
 
-// A proxy with a few requests a second refuses many of them at a rate that is just their mean.
+// Guards against a rate limit without headroom: at the mean rate, a proxy with few requests refuses many of them.
 func TestRateOfASmallProxyHasRoomForChance(t *testing.T) {
 	set := settings()
 	set.Admission = AdmitRate
 	f := newFleet(t, set, fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 1, Fresh: true},
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 1, Fresh: true},
 		Joined{Proxy: 2, Zone: 1, Rate: 99, Fresh: true})
 	f.c.demands[0] = 100
 	small, large := f.c.levelFor(f.c.proxyByID[1], 0, 0.8), f.c.levelFor(f.c.proxyByID[2], 0, 0.8)
 	if small < 1 || large > 100 {
-		t.Fatalf("rates %v and %v, want room at the small proxy and about 80 at the large one", small, large)
+		t.Fatalf("rates %v and %v, want headroom at the small proxy and about 80 at the large one", small, large)
 	}
 }
 
 func TestReportsCountForTheTimeTheyCover(t *testing.T) {
 	f := newFleet(t, settings(), fourServers()...)
-	f.after(10, Joined{Proxy: 1, Zone: 0, Rate: 1, Fresh: true})
-	for range 20 { // a request each five seconds, told late and then a busy fifth of a second
-		f.after(100, Demand{Proxy: 1, Class: 0, Requests: 1, Period: 4800},
+	f.advance(10, Joined{Proxy: 1, Zone: 0, Rate: 1, Fresh: true})
+	for range 20 { // two requests in five seconds: a late report, then one of a busy fifth of a second
+		f.advance(100, Demand{Proxy: 1, Class: 0, Requests: 1, Period: 4800},
 			Demand{Proxy: 1, Class: 0, Requests: 1, Period: 200})
 	}
 	if d := f.c.proxyByID[1].demand[0]; d > 1.2 {
-		t.Fatalf("demand %v a second where 0.4 came", d)
+		t.Fatalf("demand %v a second where 0.4 arrive", d)
 	}
 }
 
-func TestLooksAreSpacedHoweverOftenEventsCome(t *testing.T) {
+func TestDecisionsAreSpacedRegardlessOfEvents(t *testing.T) {
 	c := New(largeSettings(30), 1)
 	c.Step(1000, []Event{List{Kind: ListCached, Servers: manyServers(30, 3)}})
 	looks := 0
 	for i := range 1000 {
 		looks += count[Timer](c.Step(1000+float64(i), []Event{heard(3, 0, 1, 0, 100)}))
 	}
-	if most := int(1000 / decideTime); looks > most || looks < most-1 {
-		t.Fatalf("%d looks in a second of events each millisecond, want about %d", looks, most)
+	if most := int(1000 / decisionInterval); looks > most || looks < most-1 {
+		t.Fatalf("%d decisions in a second of events each millisecond, want about %d", looks, most)
 	}
 }
 
-// Odd but possible input: nothing crashes, weights stay finite, and a proxy keeps a line while a server is ready.
+// Unusual but possible input: nothing panics, weights stay finite, and a proxy keeps a line while a server is ready.
 func TestOddInputAtALargeFleet(t *testing.T) {
-	far := manyServers(500, 9) // zones and servers never listed before
+	far := manyServers(500, 9) // zones and servers that were never listed
 	for _, tc := range []struct {
 		name   string
 		events []Event
@@ -420,9 +422,9 @@
 			heard(99999, 1, 9, 9, 0), Probed{Server: 99999}}},
 		{"an old list after a newer one", []Event{List{Kind: ListFull, Servers: manyServers(50, 3)},
 			List{Kind: ListCached, Servers: manyServers(60, 3)}}},
-		{"sums about the unknown", []Event{heard(4, 0, 9, 9, 0),
+		{"reports on unknown servers and proxies", []Event{heard(4, 0, 9, 9, 0),
 			Demand{Proxy: 5000, Requests: 3, Period: 1000}}},
-		{"sums long after their period", []Event{Heard{Server: 3, Attempts: 5, Latency: 200, Period: 1e6},
+		{"reports of a long period", []Event{Heard{Server: 3, Attempts: 5, Latency: 200, Period: 1e6},
 			Demand{Proxy: 1, Requests: 5, Period: 1e6}}},
 		{"all proxies leave", func() (all []Event) {
 			for i := range 90 {
@@ -442,12 +444,12 @@
 				set := largeSettings(90)
 				set.DrainOnly = drainOnly
 				f := newFleet(t, set, manyServers(60, 3)...)
-				f.after(100, manyProxies(90, 3)...)
+				f.advance(100, manyProxies(90, 3)...)
 				for _, e := range tc.events {
-					f.after(decideTime, e)
+					f.advance(decisionInterval, e)
 				}
 				for range 10 {
-					f.after(1000, f.acks()...)
+					f.advance(1000, f.acks()...)
 				}
 				for _, p := range f.c.proxies {
 					if p.joined && len(f.linesOf(p.id)) == 0 {
@@ -461,54 +463,55 @@
 
 func TestControllerWithoutProxiesOrServers(t *testing.T) {
 	f := newFleet(t, settings())
-	if f.after(100); len(f.bound) != 0 {
-		t.Fatal("something was bound")
+	if f.advance(100); len(f.bound) != 0 {
+		t.Fatal("a table was bound without proxies")
 	}
-	f.after(100, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true}, heard(1, 0, 5, 0, 100))
-	f.after(1000, List{Kind: ListFull, Servers: fourServers()})
+	f.advance(100, Joined{Proxy: 1, Zone: 0, Rate: 10, Fresh: true}, heard(1, 0, 5, 0, 100))
+	f.advance(1000, List{Kind: ListFull, Servers: fourServers()})
 	if len(f.linesOf(1)) == 0 {
 		t.Fatal("a proxy that joined before any server was listed has no line")
 	}
 }
 
-// A look with nothing new orders nothing, and what it allocates does not grow with the fleet.
-func TestIdleLookCostsLittle(t *testing.T) {
+// A decision without changes orders nothing, and its allocations don't grow with the fleet.
+func TestIdleDecisionCostsLittle(t *testing.T) {
 	var allocs [2]float64
 	for i, scale := range []int{1, 4} {
 		f := largeFleet(t, 60*scale, 80*scale)
 		orders := 0
 		allocs[i] = testing.AllocsPerRun(20, func() {
-			f.now += decideTime
+			f.now += decisionInterval
 			actions := f.c.Step(f.now, nil)
 			orders += count[SetWeight](actions) + count[Admit](actions) + count[Bind](actions) +
 				count[Mark](actions)
 		})
 		if orders > 0 {
-			t.Errorf("%d orders from looks at a fleet where nothing changed", orders)
+			t.Errorf("%d orders for an unchanged fleet", orders)
 		}
 	}
 	if allocs[1] > allocs[0]+20 {
-		t.Errorf("%v allocations a look, %v at four times the size", allocs[0], allocs[1])
+		t.Errorf("%v allocations per decision, %v at four times the size", allocs[0], allocs[1])
 	}
 }
 
-// BenchmarkLook is a look at a fleet of 500 servers and 600 proxies on one controller, one server flapping.
+// BenchmarkLook measures a decision for 500 servers and 600 proxies on one controller, with one server that changes state.
 func BenchmarkLook(b *testing.B) {
 	set := largeSettings(600)
 	c := New(set, 1)
 	servers, now := manyServers(500, 3), 1000.0
 	c.Step(now, []Event{List{Kind: ListCached, Servers: servers}})
-	c.Step(now+decideTime, manyProxies(600, 3))
+	c.Step(now+decisionInterval, manyProxies(600, 3))
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		now += decideTime
+		now += decisionInterval
 		servers[i%500].State = State(i % 2)
-		c.Step(now+decideTime, []Event{List{Kind: ListChanges, Servers: servers[i%500 : i%500+1]}})
+		c.Step(now+decisionInterval, []Event{List{Kind: ListChanges, Servers: servers[i%500 : i%500+1]}})
 	}
 }
 
-// All proxies of a site join one controller at once, over a slow channel, while a tenth of the servers drains: every
-// proxy has a table of ours within the longest time without a line, drains keep their grace, the queue its limit.
+// All proxies of a site join one controller at once, over a slow channel, while a tenth of the servers drains. Every proxy
+// must get a table within MaxTimeWithoutServer, draining servers must leave the tables within DrainGrace, and the queue must
+// keep its limit.
 func TestAllProxiesJoiningAtOnceFitTheChannel(t *testing.T) {
 	set := largeSettings(150)
 	set.QueueLines, set.LinesPerSec, set.MaxTimeWithoutServer, set.DrainGrace = 3500, 2300, 3000, 2500
@@ -520,7 +523,7 @@
 	for i := range draining {
 		draining[i].State = Draining
 	}
-	for tick := range int(set.MaxTimeWithoutServer / decideTime) {
+	for tick := range int(set.MaxTimeWithoutServer / decisionInterval) {
 		var events []Event
 		switch tick {
 		case 0:
@@ -528,9 +531,9 @@
 		case 5:
 			events = []Event{List{Kind: ListChanges, Servers: draining}}
 		}
-		queue = max(0, queue-set.LinesPerSec*decideTime/1000)
+		queue = max(0, queue-set.LinesPerSec*decisionInterval/1000)
 		lines := map[TableID]float64{}
-		for _, a := range f.after(decideTime, events...) {
+		for _, a := range f.advance(decisionInterval, events...) {
 			switch a := a.(type) {
 			case SetWeight:
 				lines[a.Table]++
@@ -546,11 +549,11 @@
 		most = max(most, queue)
 	}
 	if len(f.bound) != 150 || most > set.QueueLines {
-		t.Fatalf("%d proxies bound, %v lines waited, %v may", len(f.bound), most, set.QueueLines)
+		t.Fatalf("%d proxies bound, %v lines waited, want at most %v", len(f.bound), most, set.QueueLines)
 	}
 	for _, s := range draining {
-		if !f.out(s.ID) {
-			t.Errorf("draining server %d keeps a line beyond the grace", s.ID)
+		if !f.hasNoLines(s.ID) {
+			t.Errorf("draining server %d keeps a line beyond DrainGrace", s.ID)
 		}
 	}
 }
--- a/rules/mass_test.go
+++ b/rules/mass_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// replaced is a fleet of 60 servers, 36 of which start while the others answer late and fail half of their tries. Its 240
-// proxies have rate requests a second each.
-func replaced(t *testing.T, rate float64) *fleet {
+// newReplacedFleet returns a fleet of 60 servers, 36 of which start while the others answer late and fail half of their
+// attempts. Its 240 proxies have rate requests a second each.
+func newReplacedFleet(t *testing.T, rate float64) *fleet {
 	t.Helper()
 	set := largeSettings(240)
 	servers := manyServers(60, set.Zones)
@@ -16,7 +16,7 @@
 	for i := range set.Proxies {
 		joins = append(joins, Joined{Proxy: ProxyID(i), Zone: i % set.Zones, Rate: rate, Fresh: true})
 	}
-	f.after(100, joins...)
+	f.advance(100, joins...)
 	meets := func(failed, latency float64) {
 		events := f.acks()
 		for _, s := range servers {
@@ -25,7 +25,7 @@
 		for i := range set.Proxies {
 			events = append(events, Demand{Proxy: ProxyID(i), Requests: rate, Period: 1000})
 		}
-		f.after(1000, events...)
+		f.advance(1000, events...)
 	}
 	for range 8 {
 		meets(0, 100)
@@ -37,41 +37,41 @@
 	for range 4 {
 		meets(5, 900)
 	}
-	if f.c.pressure <= collapse {
-		t.Fatalf("pressure %v is no collapse", f.c.pressure)
+	if f.c.pressure <= collapsePressure {
+		t.Fatalf("pressure %v is below a collapse", f.c.pressure)
 	}
 	return f
 }
 
-// Six in ten servers were replaced within seconds. All successors were held out as cold until they were warm by the
-// settings, 18 s, and the others collapsed under what all had carried. A proxy with a request in two seconds over nine
-// lines never meets enough failures at one server to avoid it, so nothing runs to the cold ones but what tables send.
-func TestReplacedFleetIsNotHeldOut(t *testing.T) {
-	f := replaced(t, 0.4)
+// Guards against excluding all new servers as cold for the 18 s of their warm-up after six in ten servers were replaced
+// within seconds: the others collapsed under the whole load. A proxy with a request in two seconds over nine lines never sees
+// enough failures at one server to avoid it, so cold servers get only the traffic that the tables send them.
+func TestReplacedFleetIsNotExcluded(t *testing.T) {
+	f := newReplacedFleet(t, 0.4)
 	kept, cold := 0, 0.0
 	for _, s := range f.c.servers {
-		if s.heldBack {
+		if s.coldExcluded {
 			kept++
 		}
 		if f.c.warmCapacity(s) < 1 {
 			cold += s.share
-			if most := warmupSafety * f.c.settings.OverloadFactor * f.c.warmCapacity(s) / 60; s.share > most+1e-9 {
+			if most := coldBudgetShare * f.c.settings.OverloadFactor * f.c.warmCapacity(s) / 60; s.share > most+1e-9 {
 				t.Errorf("cold server %d gets a share of %.4f, over its budget of %.4f", s.ID, s.share, most)
 			}
 		}
 	}
 	if kept > 0 || cold < 0.1 {
-		t.Errorf("%d servers are held out, and the cold ones get %.2f of the traffic", kept, cold)
+		t.Errorf("%d servers are excluded, and the cold ones get %.2f of the traffic", kept, cold)
 	}
-	f = replaced(t, 40) // here a proxy meets a server often enough to avoid it
+	f = newReplacedFleet(t, 40) // here a proxy sees enough failures at a server to avoid it
 	for _, s := range f.c.servers {
-		if f.c.warmCapacity(s) < 1 && !s.heldBack {
-			t.Fatalf("cold server %d is let in though proxies avoid those that fail them", s.ID)
+		if f.c.warmCapacity(s) < 1 && !s.coldExcluded {
+			t.Fatalf("cold server %d is used though proxies avoid failing servers", s.ID)
 		}
 	}
 }
 
-// channel carries a planner's messages in order at its own pace; what it passes is answered 400 ms later.
+// channel delivers a planner's messages in order at its own pace. Each is acknowledged 400 ms after its delivery.
 type channel struct {
 	f     *fleet
 	pace  float64 // lines a second
@@ -79,15 +79,16 @@
 		ack    Ack
 		n      float64
 		drains bool
-		left   float64 // when it left
+		left   float64 // time of delivery; 0: it waits
 	}
 	room float64
 }
 
-// look has the planner look once, passes what the channel can, and answers. It returns how many lines wait.
-func (ch *channel) look(events ...Event) (waiting float64) {
+// decide delivers the messages that the channel has room for and due acknowledgements, runs one decision of the planner, and
+// returns the number of lines that wait.
+func (ch *channel) decide(events ...Event) (waiting float64) {
 	f := ch.f
-	ch.room = min(ch.room+ch.pace*decideTime/1000, ch.pace)
+	ch.room = min(ch.room+ch.pace*decisionInterval/1000, ch.pace)
 	for i := range ch.lines {
 		if m := &ch.lines[i]; m.left == 0 && ch.room >= m.n {
 			m.left, ch.room = f.now, ch.room-m.n
@@ -99,7 +100,7 @@
 		events, ch.lines = append(events, ch.lines[0].ack), ch.lines[1:]
 	}
 	messages, order := map[TableID]int{}, []TableID(nil)
-	for _, a := range f.after(decideTime, events...) {
+	for _, a := range f.advance(decisionInterval, events...) {
 		var id TableID
 		switch a := a.(type) {
 		case SetWeight:
@@ -132,47 +133,47 @@
 	return waiting
 }
 
-// A channel once passed a tenth of its stated pace for seconds. It was believed to be empty by the clock, and was filled with
-// ordinary orders: what had to go at once waited five seconds behind them.
+// Guards against filling a channel that delivers only a tenth of its stated pace with ordinary orders: an estimate by the
+// clock takes it for empty, and urgent orders waited five seconds behind ordinary ones.
 func TestOrdinaryOrdersDontFillASlowChannel(t *testing.T) {
 	f := largeFleet(t, 60, 240)
 	ch := &channel{f: f, pace: f.c.settings.LinesPerSec / 10}
 	most, least := 0.0, math.Inf(1)
 	for look := range 100 {
-		if look%10 == 0 { // weights and levels that move for good
+		if look%10 == 0 { // lasting changes of weights and levels
 			for i, s := range f.c.servers {
 				s.factor = 0.5 + float64((i+look/10)%2)/2
 			}
 			f.c.shedShare = 0.3 + float64(look%20)/50
 		}
-		waiting := ch.look()
+		waiting := ch.decide()
 		if most = max(most, waiting); look > 50 {
 			least = min(least, waiting)
 		}
 		if f.c.queuedLines < waiting {
-			t.Fatalf("look %d: %v lines wait, %v are thought to", look, waiting, f.c.queuedLines)
+			t.Fatalf("decision %d: %v lines wait, the estimate is %v", look, waiting, f.c.queuedLines)
 		}
 	}
-	if window := f.c.settings.LinesPerSec * orderLag / 1000; most > window {
-		t.Errorf("up to %v lines wait, in a channel that should not be sent more than %v", most, window)
+	if window := f.c.settings.LinesPerSec * maxLag / 1000; most > window {
+		t.Errorf("up to %v lines wait in the channel, want at most %v", most, window)
 	}
-	if least > ch.pace*orderLag/1000*2 {
-		t.Errorf("never under %v lines wait in a channel that passes %v a second", least, ch.pace)
+	if least > ch.pace*maxLag/1000*2 {
+		t.Errorf("never less than %v lines wait in a channel that delivers %v a second", least, ch.pace)
 	}
 }
 
-// Urgent orders once ran ordinary ones into a debt of ten seconds and more of the channel's time. After waves of drains the
-// servers that came in place of the drained ones stood idle, known and in no table.
-func TestNewcomersDontWaitForADebtOfDrains(t *testing.T) {
+// Guards against a budget debt without limit: after waves of drains, urgent orders had overdrawn the budget of ordinary ones
+// by ten seconds and more of the channel's time, and the servers that replaced the drained ones were in no table.
+func TestNewServersDontWaitForTheBudgetDebtOfDrains(t *testing.T) {
 	set := largeSettings(240)
 	set.LinesPerSec, set.QueueLines = 2000, 40000
 	servers := manyServers(120, set.Zones)
 	f := newFleet(t, set, servers...)
-	f.after(100, manyProxies(240, set.Zones)...)
+	f.advance(100, manyProxies(240, set.Zones)...)
 	ch := &channel{f: f, pace: set.LinesPerSec}
 	looks := func(n int, events ...Event) {
 		for ; n > 0; n-- {
-			ch.look(events...)
+			ch.decide(events...)
 			events = nil
 		}
 	}
@@ -189,11 +190,11 @@
 	looks(70)
 	idle := 0
 	for _, s := range f.c.servers {
-		if s.State == Ready && f.out(s.ID) {
+		if s.State == Ready && f.hasNoLines(s.ID) {
 			idle++
 		}
 	}
 	if idle > 4 {
-		t.Errorf("%d of 72 newcomers are in no table seven seconds later", idle)
+		t.Errorf("%d of 72 new servers are in no table seven seconds later", idle)
 	}
 }
--- a/rules/size_test.go
+++ b/rules/size_test.go
@@ -17,11 +17,11 @@
 	maxLineLength    = 110
 )
 
-// The module is read aloud after outages: its functions stay short, and so do its files and lines. Its files are those
-// that the deploy file lists.
+// The module is read line by line after outages, so the sizes of its functions, files and lines are limited. Its files are
+// those that the deploy file lists.
 func TestModuleSize(t *testing.T) {
 	files := token.NewFileSet()
-	for _, name := range policyFiles(t) {
+	for _, name := range moduleFiles(t) {
 		text, err := os.ReadFile("../" + name)
 		if err != nil {
 			t.Fatal(err)
@@ -52,7 +52,7 @@
 	}
 }
 
-func policyFiles(t *testing.T) []string {
+func moduleFiles(t *testing.T) []string {
 	t.Helper()
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
