--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -183,7 +183,7 @@
 	next := *c
 	next.Version = change.Version
 	next.Hosts, next.Routes, next.Services = slices.Clone(c.Hosts), slices.Clone(c.Routes), slices.Clone(c.Services)
-	routes, hosts, services := set(change.Remove.Routes), set(change.Remove.Hosts), set(change.Remove.Services)
+	routes, hosts, services := nameSet(change.Remove.Routes), nameSet(change.Remove.Hosts), nameSet(change.Remove.Services)
 	next.Routes = slices.DeleteFunc(next.Routes, func(r *Route) bool { return routes[r.Name] || hosts[r.Host] })
 	next.Services = slices.DeleteFunc(next.Services, func(s *Service) bool { return services[s.Name] })
 	if err := next.upsert(change.Upsert); err != nil {
@@ -193,7 +193,7 @@
 	return &next, next.check()
 }
 
-func set(names []string) map[string]bool {
+func nameSet(names []string) map[string]bool {
 	s := make(map[string]bool, len(names))
 	for _, name := range names {
 		s[name] = true
@@ -380,17 +380,17 @@
 	for _, s := range c.Services {
 		services = append(services, s.raw)
 	}
-	plants, groups := make([]wireHost, 0, len(c.Hosts)), c.groups()
+	hosts, groups := make([]wireHost, 0, len(c.Hosts)), c.groups()
 	for _, name := range c.Hosts {
 		p := wireHost{Host: name}
 		for _, r := range groups[name] {
 			p.Routes = append(p.Routes, r.raw)
 		}
 		if len(p.Routes) > 0 {
-			plants = append(plants, p)
+			hosts = append(hosts, p)
 		}
 	}
-	out["services"], out["plants"] = services, plants
+	out["services"], out["plants"] = services, hosts
 	if len(c.limits) > 0 {
 		out["limits"] = c.limits
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,12 +11,12 @@
 	"mulleinwood/internal/config"
 )
 
-func TestDialplan(t *testing.T) {
+func TestConfig(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "config")
 }
 
-const whole = `{"version":"r7","note":{"kept":true},"services":[{"name":"tags","health_path":"/health","conn_limit":110,"extra":1},{"name":"ledger"}],` +
+const validConfig = `{"version":"r7","note":{"kept":true},"services":[{"name":"tags","health_path":"/health","conn_limit":110,"extra":1},{"name":"ledger"}],` +
 	`"limits":{"max_body_bytes":1000,"idle_s":15},"plants":[{"plant":"A.example","channels":[` +
 	`{"name":"r-1","path_prefix":"/a/","kind":"safe","deadline_s":1,"setpoint_s":0.4,"service":"tags","tries":2},` +
 	`{"name":"r-2","path_prefix":"/a/b/","kind":"keyed","deadline_s":1.2,"split":[{"service":"tags","gain":9},{"service":"ledger","gain":1}],"tries":2}]}]}`
@@ -29,13 +29,13 @@
 
 var _ = Describe("a configuration", func() {
 	It("is read back as it was put, with fields that nobody here knows", func() {
-		out, err := json.Marshal(parse(whole))
+		out, err := json.Marshal(parse(validConfig))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(out).To(MatchJSON(whole))
+		Expect(out).To(MatchJSON(validConfig))
 	})
 	DescribeTable("is refused when", func(old, new string) {
-		Expect(whole).To(ContainSubstring(old))
-		_, err := config.Parse([]byte(strings.Replace(whole, old, new, 1)))
+		Expect(validConfig).To(ContainSubstring(old))
+		_, err := config.Parse([]byte(strings.Replace(validConfig, old, new, 1)))
 		Expect(err).To(HaveOccurred())
 	},
 		Entry("a route names an unknown service", `"service":"tags"`, `"service":"tabs"`),
@@ -51,7 +51,7 @@
 		Entry("a bracket too many follows it", `]}]}`, `]}]}}`),
 	)
 	It("takes a change of named items and stays as it was itself", func() {
-		c := parse(whole)
+		c := parse(validConfig)
 		next, err := c.Patch([]byte(`{"version":"r9","upsert":{"plants":[{"plant":"b.example","channels":[{"name":"r-3","path_prefix":"/","kind":"safe","deadline_s":2,"service":"ledger","tries":1}]}]},"remove":{"routes":["r-1"]}}`))
 		Expect(err).NotTo(HaveOccurred())
 		t := config.NewTree(next)
@@ -60,7 +60,7 @@
 		Expect(config.NewTree(c).Find("a.example", "/a/x").Name).To(Equal("r-1"))
 	})
 	DescribeTable("refuses a change that", func(change string) {
-		_, err := parse(whole).Patch([]byte(change))
+		_, err := parse(validConfig).Patch([]byte(change))
 		Expect(err).To(HaveOccurred())
 	},
 		Entry("is not newer", `{"version":"r7"}`),
@@ -71,7 +71,7 @@
 
 var _ = Describe("the tree of matchers", func() {
 	DescribeTable("finds the longest prefix", func(host, path, want string) {
-		r := config.NewTree(parse(whole)).Find(host, path)
+		r := config.NewTree(parse(validConfig)).Find(host, path)
 		if want == "" {
 			Expect(r).To(BeNil())
 			return
@@ -90,7 +90,7 @@
 })
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(whole))
+	f.Add([]byte(validConfig))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		c, err := config.Parse(body)
 		if err != nil {
--- a/internal/config/former_test.go
+++ b/internal/config/former_test.go
@@ -13,63 +13,63 @@
 	"mulleinwood/internal/config"
 )
 
-// former is a configuration by the plain algorithm that came before groups and sets: lists, searched from their start.
-type former struct {
+// reference is a configuration by the plain algorithm that came before groups and sets: lists, searched from their start.
+type reference struct {
 	version  string
 	other    map[string]json.RawMessage
-	services []item
+	services []namedItem
 	limits   json.RawMessage
 	plants   []string
-	routes   []item
+	routes   []namedItem
 }
 
-type item struct {
+type namedItem struct {
 	name, plant string
 	raw         json.RawMessage
 }
 
-type formerItems struct {
+type referenceItems struct {
 	Services []json.RawMessage `json:"services"`
 	Limits   json.RawMessage   `json:"limits"`
-	Plants   []formerPlant     `json:"plants"`
+	Plants   []referenceHost   `json:"plants"`
 }
 
-type formerPlant struct {
+type referenceHost struct {
 	Plant    string            `json:"plant"`
 	Channels []json.RawMessage `json:"channels"`
 }
 
-func put(list []item, raw json.RawMessage, plant string) []item {
+func upsertItem(list []namedItem, raw json.RawMessage, plant string) []namedItem {
 	var named struct{ Name string }
 	Expect(json.Unmarshal(raw, &named)).To(Succeed())
-	one := item{named.Name, plant, raw}
-	if i := slices.IndexFunc(list, func(o item) bool { return o.name == one.name }); i >= 0 {
+	one := namedItem{named.Name, plant, raw}
+	if i := slices.IndexFunc(list, func(o namedItem) bool { return o.name == one.name }); i >= 0 {
 		list[i] = one
 		return list
 	}
 	return append(list, one)
 }
 
-func (f *former) upsert(items formerItems) {
+func (f *reference) upsert(items referenceItems) {
 	if len(items.Limits) > 0 {
 		f.limits = items.Limits
 	}
 	for _, raw := range items.Services {
-		f.services = put(f.services, raw, "")
+		f.services = upsertItem(f.services, raw, "")
 	}
 	for _, p := range items.Plants {
 		if !slices.Contains(f.plants, p.Plant) {
 			f.plants = append(f.plants, p.Plant)
 		}
 		for _, raw := range p.Channels {
-			f.routes = put(f.routes, raw, p.Plant)
+			f.routes = upsertItem(f.routes, raw, p.Plant)
 		}
 	}
 }
 
-func formerParse(text []byte) *former {
-	f := &former{}
-	var items formerItems
+func parseReference(text []byte) *reference {
+	f := &reference{}
+	var items referenceItems
 	Expect(json.Unmarshal(text, &items)).To(Succeed())
 	Expect(json.Unmarshal(text, &f.other)).To(Succeed())
 	Expect(json.Unmarshal(f.other["version"], &f.version)).To(Succeed())
@@ -80,32 +80,32 @@
 	return f
 }
 
-func (f *former) patch(text []byte) {
+func (f *reference) patch(text []byte) {
 	var change struct {
 		Version string
-		Upsert  formerItems
+		Upsert  referenceItems
 		Remove  struct{ Routes, Services, Plants []string }
 	}
 	Expect(json.Unmarshal(text, &change)).To(Succeed())
 	f.version = change.Version
-	f.routes = slices.DeleteFunc(f.routes, func(r item) bool {
+	f.routes = slices.DeleteFunc(f.routes, func(r namedItem) bool {
 		return slices.Contains(change.Remove.Routes, r.name) || slices.Contains(change.Remove.Plants, r.plant)
 	})
-	f.services = slices.DeleteFunc(f.services, func(s item) bool { return slices.Contains(change.Remove.Services, s.name) })
+	f.services = slices.DeleteFunc(f.services, func(s namedItem) bool { return slices.Contains(change.Remove.Services, s.name) })
 	f.upsert(change.Upsert)
 }
 
-func (f *former) write() []byte {
+func (f *reference) write() []byte {
 	out := map[string]any{"version": f.version}
 	for name, raw := range f.other {
 		out[name] = raw
 	}
-	services, plants := []json.RawMessage{}, []formerPlant{}
+	services, plants := []json.RawMessage{}, []referenceHost{}
 	for _, s := range f.services {
 		services = append(services, s.raw)
 	}
 	for _, name := range f.plants {
-		p := formerPlant{Plant: name}
+		p := referenceHost{Plant: name}
 		for _, r := range f.routes {
 			if r.plant == name {
 				p.Channels = append(p.Channels, r.raw)
@@ -122,10 +122,10 @@
 	return must(json.Marshal(out))
 }
 
-// drawn are random configurations over few names, so that routes move, come again and meet on one prefix.
-type drawn struct{ *rand.Rand }
+// generator are random configurations over few names, so that routes move, come again and meet on one prefix.
+type generator struct{ *rand.Rand }
 
-func (d drawn) plants(hosts, channels int) string {
+func (d generator) plants(hosts, channels int) string {
 	var all []string
 	for range d.IntN(hosts + 1) {
 		var routes []string
@@ -138,7 +138,7 @@
 	return strings.Join(all, ",")
 }
 
-func (d drawn) services() string {
+func (d generator) services() string {
 	all := []string{`{"name":"always"}`}
 	for range d.IntN(4) {
 		all = append(all, fmt.Sprintf(`{"name":"s-%d","conn_limit":%d}`, d.IntN(5), d.IntN(99)))
@@ -147,36 +147,36 @@
 	return strings.Join(all, ",")
 }
 
-func (d drawn) limits() string {
+func (d generator) limits() string {
 	return []string{``, `"limits":{},`, fmt.Sprintf(`"limits":{"idle_s":%d},`, 1+d.IntN(9)), fmt.Sprintf(`"limits":{"max_body_bytes":%d},`, 1+d.IntN(9))}[d.IntN(4)]
 }
 
-func (d drawn) whole() []byte {
+func (d generator) whole() []byte {
 	return fmt.Appendf(nil, `{"version":"r1","note":{"kept":%d},%s"services":[%s],"plants":[%s]}`, d.IntN(9), d.limits(), d.services(), d.plants(8, 4))
 }
 
-func (d drawn) change(version int) []byte {
+func (d generator) change(version int) []byte {
 	return fmt.Appendf(nil, `{"version":"r%d","upsert":{%s"services":[%s],"plants":[%s]},"remove":{"routes":["r-%d","r-%d"],"plants":["%s.example"],"services":["s-%d"]}}`,
 		version, d.limits(), d.services(), d.plants(2, 3), d.IntN(20), d.IntN(20), []string{"a", "b", "c", "x", "y", "z"}[d.IntN(6)], d.IntN(9))
 }
 
 var _ = Describe("random configurations and changes", func() {
 	It("are written byte for byte as by the former algorithm", func() {
-		d := drawn{rand.New(rand.NewPCG(1, 2))}
+		d := generator{rand.New(rand.NewPCG(1, 2))}
 		for range 300 {
 			text := d.whole()
-			c, f := parse(string(text)), formerParse(text)
+			c, f := parse(string(text)), parseReference(text)
 			for version := 2; version < 8; version++ {
 				Expect(string(must(json.Marshal(c)))).To(Equal(string(f.write())), "from %s", text)
 				change := d.change(version)
 				c = must(c.Patch(change))
-				f = formerParse(f.write()) // as a member that restarted: the only order that all can hold
+				f = parseReference(f.write()) // as a member that restarted: the only order that all can hold
 				f.patch(change)
 			}
 		}
 	})
 	It("come to the same where each change was applied and where some were read back before the rest", func() {
-		d := drawn{rand.New(rand.NewPCG(3, 4))}
+		d := generator{rand.New(rand.NewPCG(3, 4))}
 		for range 100 {
 			c := parse(string(d.whole()))
 			read := c
--- a/internal/edge/attempt/attempt.go
+++ b/internal/edge/attempt/attempt.go
@@ -1,63 +1,64 @@
 package attempt
 
-// State is how far an attempt is. It only grows.
+// State is the progress of an attempt. It never decreases.
 type State uint8
 
 // The states of an attempt.
 const (
-	Chosen        State = iota // a server is chosen
-	Connecting                 // a connection is sought: an idle one, or a new one
-	Connected                  // there is one, and no byte of the request was written
-	Sending                    // the first byte was written, so the server may have any part
-	Sent                       // all of the request was written
-	ReadingHeader              // the response's head has begun
-	ReadingBody                // the head belongs to this attempt, and the body is being read
-	StreamingBody              // the beginning of a long body was handed on to the client
+	Chosen        State = iota // a server has been chosen
+	Connecting                 // an idle connection is being looked up or a new one dialled
+	Connected                  // a connection is ready and no byte of the request has been written
+	Sending                    // the first byte was written; the server may have received any part of the request
+	Sent                       // the complete request was written
+	ReadingHeader              // the first byte of the response header arrived
+	ReadingBody                // the header was accepted for this attempt and the body is being read
+	StreamingBody              // the beginning of an oversized body was forwarded to the client
 	Done
 )
 
-// String is the state's name.
+// String returns the state's name.
 func (s State) String() string {
 	return [...]string{"chosen", "connecting", "connected", "sending", "sent", "head", "body", "streaming", "done"}[min(s, Done)]
 }
 
-// Event is what happens to an attempt.
+// Event is an input of the state machine of an attempt.
 type Event uint8
 
-// The events. What the runtime can't tell from its sockets it leaves out: states may be passed over, never gone back.
+// The events. The caller omits events that it can't observe on its sockets, so an attempt may skip states, but it never
+// returns to an earlier one.
 const (
 	ConnectStarted   Event = iota
-	ConnectionReady        // an idle one was found, or a new one made
+	ConnectionReady        // an idle connection was found or a new one established
 	SendStarted            // the first byte of the request is being written
-	SendCompleted          // and the last one was
-	ResponseStarted        // the first byte of a response came
-	ConnectionClosed       // it was closed or reset, could not be made, or brought what is no response
+	SendCompleted          // the last byte of the request was written
+	ResponseStarted        // the first byte of a response arrived
+	ConnectionClosed       // closed or reset, not established, or it returned bytes that are not a response
 	DeadlineExceeded
 	ServerDraining
-	ClientClosed // the client broke off, or takes no more
+	ClientClosed // the client disconnected or stopped reading
 	events
 )
 
-// Attempt is a request at one server. The zero value is ready.
+// Attempt is the state machine of a request at one server. The zero value is ready for use.
 type Attempt struct {
 	State State
-	Cause Cause // once it is done
+	Cause Cause // why the attempt ended; valid in state Done, and Streaming in state StreamingBody
 }
 
-// Handle takes an event. One that the state has no use for changes nothing.
+// Handle applies an event. Events that don't apply to the current state are ignored.
 func (a *Attempt) Handle(e Event) {
 	switch {
 	case a.State == Done:
 	case e <= ResponseStarted:
 		a.advance(e)
-	case e == ServerDraining && a.State > Connected: // what is in flight goes on
+	case e == ServerDraining && a.State > Connected: // requests in flight continue while the server drains
 	default:
-		a.finish(a.failure(e))
+		a.finish(a.failureCause(e))
 	}
 }
 
-// reached is the state that an event leads to.
-var reached = [...]State{
+// stateAfter is the state that each event advances an attempt to.
+var stateAfter = [...]State{
 	ConnectStarted:  Connecting,
 	ConnectionReady: Connected,
 	SendStarted:     Sending,
@@ -65,10 +66,10 @@
 	ResponseStarted: ReadingHeader,
 }
 
-func (a *Attempt) advance(e Event) { a.State = max(a.State, reached[e]) }
+func (a *Attempt) advance(e Event) { a.State = max(a.State, stateAfter[e]) }
 
-// failure is the cause for which an event ends the attempt in its state.
-func (a *Attempt) failure(e Event) Cause {
+// failureCause returns the cause of an attempt that event e ends in its current state.
+func (a *Attempt) failureCause(e Event) Cause {
 	switch {
 	case a.State == StreamingBody && e == ClientClosed:
 		return ClientDisconnected
@@ -91,7 +92,8 @@
 	}
 }
 
-// HandleHeader takes a response whose head has been read. It reports whether the body is worth reading.
+// HandleHeader applies a response whose header has been read. It reports whether the body must be read; if not, the attempt
+// is done.
 func (a *Attempt) HandleHeader(r Response) bool {
 	if a.State == Done {
 		return false
@@ -104,7 +106,7 @@
 	return true
 }
 
-// HandleBody takes a response whose body has been read as far as it is buffered.
+// HandleBody applies a response whose body has been read up to the buffer limit. It is ignored except in state ReadingBody.
 func (a *Attempt) HandleBody(r Response) {
 	if a.State != ReadingBody {
 		return
@@ -116,7 +118,7 @@
 	a.State, a.Cause = StreamingBody, Streaming
 }
 
-// HandleStreamEnd takes the end of a long response, of which the client took all.
+// HandleStreamEnd ends an attempt whose oversized response was forwarded to the client completely.
 func (a *Attempt) HandleStreamEnd() {
 	if a.State == StreamingBody {
 		a.finish(Streamed)
--- a/internal/edge/attempt/consequences.go
+++ b/internal/edge/attempt/consequences.go
@@ -2,101 +2,102 @@
 
 import "net/http"
 
-// Outcome says what is known of a request after an attempt.
+// Outcome is what is known after an attempt about whether the server ran the request.
 type Outcome uint8
 
-// The outcomes. Only the first two allow an attempt elsewhere for what must not run twice, and a refusal that promises.
+// The outcomes. Only NotSent and NotRun allow another attempt of a request that must not run twice, or a response that
+// promises the client that the request didn't run.
 const (
-	NotSent Outcome = iota // no byte left for the server
-	NotRun                 // the server says that it did not run the request
-	Ran                    // a complete response of this attempt came, or began and is forwarded
-	Unknown                // anything else
+	NotSent Outcome = iota // no byte of the request was sent
+	NotRun                 // the server reported that it did not run the request
+	Ran                    // a complete response of this attempt was received, or one is being forwarded
+	Unknown                // the request may have run
 )
 
-// String is the outcome's name in metrics. The names are those of the first version, since dashboards read them.
+// String returns the outcome's name in metrics. Dashboards use the names of the first version, such as perhaps for Unknown.
 func (o Outcome) String() string {
 	return [...]string{"not_sent", "not_run", "ran", "perhaps"}[min(o, Unknown)]
 }
 
 func (o Outcome) mayHaveRun() bool { return o == Ran || o == Unknown }
 
-// Disposition is what the client may be told.
+// Disposition is the kind of response that the client receives.
 type Disposition uint8
 
 // The dispositions.
 const (
-	SafeRefusal     Disposition = iota // 503 with Retry-After: the request has not run and never will
+	SafeRefusal     Disposition = iota // 503 with Retry-After: promises that the request has not run and never will
 	ForwardResponse                    // the server's response
-	BadGateway                         // 502: nothing is promised
-	GatewayTimeout                     // 504: nothing is promised
-	AbortConnection                    // the client's connection is broken off: part of a response was forwarded
+	BadGateway                         // 502: the request may have run
+	GatewayTimeout                     // 504: the request may have run
+	AbortConnection                    // the client's connection is closed, since part of a response was already forwarded
 )
 
-// RetryRule says for which requests another server may be tried.
+// RetryRule states which requests may be retried on another server.
 type RetryRule uint8
 
 // The rules.
 const (
 	Never  RetryRule = iota
-	IfSafe           // those that may run more than once
-	Always           // unsafe and keyed ones as well: it is proved that nothing ran
+	IfSafe           // requests that may run more than once
+	Always           // all requests, including unsafe and keyed ones: it is proved that the request didn't run
 )
 
-// ClaimAction is what becomes of a keyed operation's claim.
+// ClaimAction is what is done with the claim of a keyed operation.
 type ClaimAction uint8
 
 // The actions.
 const (
-	KeepClaim     ClaimAction = iota // repeats are told 409 until the window is over
-	RevokeClaim                      // a repeat may run
-	CompleteClaim                    // the response is kept for repeats
+	KeepClaim     ClaimAction = iota // repeats receive 409 until the key window ends
+	RevokeClaim                      // a repeat of the operation may run
+	CompleteClaim                    // the response is stored and returned to repeats
 )
 
-// Cause is the way in which an attempt ended: one line of the table.
+// Cause is the reason why an attempt ended. Each cause has one row in the table of consequences.
 type Cause uint8
 
-// The causes, in the order of the states of an attempt.
+// The causes, in the order of the states in which they occur.
 const (
 	NoCapacity            Cause = iota // no server was chosen: none has a free slot
-	DeadlineTooNear                    // none was chosen: the deadline is too near
-	ClientLeft                         // none was chosen: the client has left
-	NoConnection                       // no connection could be made
-	DrainedBeforeSend                  // the server began to drain before the first byte
-	ClosedBeforeSend                   // the connection ended before the first byte
-	ResponseTimeout                    // the deadline passed after the first byte
-	ConnectionBroken                   // the connection ended, or brought bytes that are no response, before a complete head
-	ClientAborted                      // the client left after the first byte, or its body ended early
-	ForeignResponse                    // the response has another attempt's id, none, or several
-	ProtocolSwitched                   // the response changes the protocol
-	Undelimited                        // the response doesn't tell its own end
-	UnexpectedEncoding                 // the response's body has a content coding that was not asked for
-	UnconfirmedRejection               // a status that promises, without the server's word that nothing ran
-	ContradictoryResponse              // a success that says that nothing ran
-	MissingSeal                        // a success without a seal
-	OversizedRejection                 // the server turns the request away at length
-	BodyTruncated                      // the response's body ended early, and nothing of it was forwarded
-	Rejected                           // the server says that it did not run the request
-	WrongServer                        // another server has the address: it did not run the request
+	DeadlineTooNear                    // no server was chosen: the deadline is too near
+	ClientLeft                         // no server was chosen: the client has disconnected
+	NoConnection                       // no connection could be established
+	DrainedBeforeSend                  // the server began to drain before the first byte was written
+	ClosedBeforeSend                   // the connection was closed before the first byte was written
+	ResponseTimeout                    // the deadline passed after the first byte was written
+	ConnectionBroken                   // closed, or returned bytes that are not a response, before a complete header
+	ClientAborted                      // the client disconnected after the first byte was written, or its body ended early
+	ForeignResponse                    // the response carries another attempt's ID, no ID or several
+	ProtocolSwitched                   // the response switches the protocol
+	Undelimited                        // the response has neither a length nor chunked encoding
+	UnexpectedEncoding                 // the response has a content coding that the client did not request
+	UnconfirmedRejection               // a status that means not run, without the header that confirms it
+	ContradictoryResponse              // a 2xx status with the header that reports that the request did not run
+	MissingSeal                        // a 2xx status without the server's seal
+	OversizedRejection                 // the server rejected the request with a body that exceeds the buffer
+	BodyTruncated                      // the response body ended early; none of it was forwarded
+	Rejected                           // the server reported that it did not run the request
+	WrongServer                        // another server now has the address and did not run the request
 	Completed                          // a complete response
-	ServerError                        // a complete response that is the server's own failure
-	Streaming                          // a long response, whose beginning is buffered and which is forwarded as it comes
-	Streamed                           // a long response came up to its end and was forwarded
-	StreamTruncated                    // a long response ended early after its beginning was forwarded
-	ClientDisconnected                 // the client took no more of a long response
+	ServerError                        // a complete response with a 5xx status
+	Streaming                          // an oversized response is being forwarded, of which the beginning is buffered
+	Streamed                           // an oversized response was forwarded completely
+	StreamTruncated                    // an oversized response ended early after its beginning was forwarded
+	ClientDisconnected                 // the client stopped reading an oversized response
 	causes
 )
 
-// Consequence is what follows from a cause.
+// Consequence is the set of decisions that follow from a cause.
 type Consequence struct {
-	Name        string // for logs and docs/attempts.md
+	Name        string // used in logs and in docs/attempts.md
 	Outcome     Outcome
 	Disposition Disposition
 	Retry       RetryRule
-	ReuseConn   bool // the connection may be used again, unless the server closes it
+	ReuseConn   bool // the connection may be reused, unless the server closes it
 	Claim       ClaimAction
 }
 
-// consequences is the one place where these decisions stand. docs/attempts.md shows it.
+// consequences defines all decisions that follow from a cause. docs/attempts.md shows the same table.
 var consequences = [causes]Consequence{
 	NoCapacity:            {"no_capacity", NotSent, SafeRefusal, Always, false, RevokeClaim},
 	DeadlineTooNear:       {"no_time", NotSent, SafeRefusal, Always, false, RevokeClaim},
@@ -126,28 +127,28 @@
 	ClientDisconnected:    {"client_disconnected", Ran, AbortConnection, Never, false, KeepClaim},
 }
 
-// Consequence finds what follows from the cause.
+// Consequence returns the row of the table for the cause.
 func (c Cause) Consequence() Consequence { return consequences[c] }
 
-// String is the cause's name in logs.
+// String returns the cause's name in logs.
 func (c Cause) String() string { return consequences[c].Name }
 
-// Response is what came back from a server that was sent a request.
+// Response describes what a server returned for a request. Fields after Received are valid only if it is set.
 type Response struct {
-	Received           bool // at all
-	IDMatches          bool // it carries this attempt's id, once
-	Delimited          bool // it tells its own end
-	Complete           bool // and came up to it, or is Partial and still coming
-	NotRun             bool // it says that the request was not run
-	Success            bool // its status is one of 2xx
+	Received           bool // any response arrived
+	IDMatches          bool // it carries this attempt's ID, exactly once
+	Delimited          bool // it has a length, chunked encoding or by definition no body
+	Complete           bool // its end was received, or it is Oversized and still arriving
+	NotRun             bool // it reports that the request was not run
+	Success            bool // its status is 2xx
 	Sealed             bool // it carries the server's seal
-	Oversized          bool // it is too long to be buffered
-	ProtocolSwitched   bool // it changes the protocol
-	UnexpectedEncoding bool // its body has a content coding that was not asked for
-	Status             int  // 0: not stated, of a server that is known to keep the protocol
+	Oversized          bool // its body exceeds the buffer
+	ProtocolSwitched   bool // it switches the protocol
+	UnexpectedEncoding bool // its body has a content coding that the client did not request
+	Status             int  // HTTP status; 0 if not given, for a server that is known to follow the protocol
 }
 
-// PromisesNotRun reports whether a status promises that the request has not run and never will.
+// PromisesNotRun reports whether an HTTP status promises that the request has not run and never will.
 func PromisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -156,7 +157,8 @@
 	return false
 }
 
-// HeaderCause is the cause for which a response's head alone ends the attempt; ok: it doesn't, and the body counts.
+// HeaderCause returns the cause if the response's header alone ends the attempt. If ok is true it does not, and the body
+// must be read.
 func (r Response) HeaderCause() (cause Cause, ok bool) {
 	switch {
 	case !r.Received:
@@ -179,8 +181,8 @@
 	return 0, true
 }
 
-// Cause tells how an attempt ends that brought this response. Of a response that doesn't belong to the attempt, or is not
-// complete, nothing is believed: not even that the request didn't run.
+// Cause returns the cause of an attempt that received this response. A response that doesn't belong to the attempt, or is
+// not complete, is not trusted: not even its report that the request didn't run.
 func (r Response) Cause() Cause {
 	cause, ok := r.HeaderCause()
 	switch {
@@ -203,5 +205,5 @@
 	}
 }
 
-// Outcome is what is known after this response.
+// Outcome returns what is known after this response.
 func (r Response) Outcome() Outcome { return r.Cause().Consequence().Outcome }
--- a/internal/edge/attempt/export_test.go
+++ b/internal/edge/attempt/export_test.go
@@ -1,6 +1,6 @@
 package attempt
 
-// Causes are all lines of the table.
+// Causes returns all causes.
 func Causes() (all []Cause) {
 	for c := range causes {
 		all = append(all, c)
@@ -8,7 +8,7 @@
 	return all
 }
 
-// Events are all events of a try.
+// Events returns all events of an attempt.
 func Events() (all []Event) {
 	for e := range events {
 		all = append(all, e)
--- a/internal/edge/attempt/page_test.go
+++ b/internal/edge/attempt/page_test.go
@@ -11,7 +11,7 @@
 	"mulleinwood/internal/edge/attempt"
 )
 
-// The page shows the table as it is.
+// Guards against a page whose table differs from the code.
 func TestPageShowsTheTable(t *testing.T) {
 	g := NewWithT(t)
 	page, err := os.ReadFile("../../../docs/attempts.md")
--- a/internal/edge/attempt/retries.go
+++ b/internal/edge/attempt/retries.go
@@ -1,64 +1,66 @@
-// Package attempt follows one request from server to server. An Attempt is the request at one server, as a state machine;
-// Retries decides, after each attempt that is over, whether another server is tried and what the client is told.
+// Package attempt implements the attempts and retries of one request. An Attempt is the state machine of the request at one
+// server; Retries decides after each attempt whether another server is tried and which response the client receives.
 //
-// How an attempt can end, and what follows from each way, stands in one table (consequences.go): the outcome, what the
-// client is told, whether the request may be sent again, whether the connection is reused and what becomes of the claim of
-// a keyed operation. docs/attempts.md shows it. The package does no I/O and reads no clock.
+// One table (consequences.go) lists every cause that can end an attempt and its consequences: the outcome, the client's
+// response, whether the request may be retried, whether the connection is reused and what is done with the claim of a keyed
+// operation. docs/attempts.md shows the table. The package does no I/O and reads no clock.
 //
-// The invariants: what may run only once is never sent again after it may have run; a client is promised that a request
-// never ran only if that is proved for every server that was tried; a connection is reused only after a complete response.
+// The invariants: a request that may run only once is never sent again after it may have run; a client is promised that a
+// request never ran only if that is proved for every server that was tried; a connection is reused only after a complete
+// response.
 package attempt
 
-// Next says what follows an attempt.
+// Next is the decision after an attempt.
 type Next uint8
 
-// What may follow.
+// The decisions.
 const (
 	Stop      Next = iota
-	RetryFree      // another server, at no cost: none was reached yet, or the retry is paid for
-	RetryPaid      // another server, if the retry budget allows it
+	RetryFree      // try another server without the retry budget: no server was reached yet, or the retry is already paid for
+	RetryPaid      // try another server if the retry budget allows it
 )
 
-// serverErrorStatus is the status from which a server's response is a failure of its own, which may not happen elsewhere.
+// serverErrorStatus is the lowest HTTP status that is a server error, which another server may not return.
 const serverErrorStatus = 500
 
-// maxAttempts bounds the attempts of a request, whether or not they reach a server.
+// maxAttempts limits the attempts of a request, whether or not they reach a server: no further attempt is made after more than
+// maxAttempts.
 const maxAttempts = 6
 
-// Retries is what is known of all attempts of one request.
+// Retries is the state of all attempts of one request.
 type Retries struct {
 	Safe         bool // the request may run more than once
-	MaxServers   int  // servers that it may reach
+	MaxServers   int  // limit of attempts that may reach a server
 	SentAttempts int  // attempts that reached a server
-	Attempts     int
-	Paid         bool // a retry is paid for that has reached no server yet
-	MayHaveRun   bool // at one of the servers that were tried
+	Attempts     int  // all attempts that ended
+	Paid         bool // a retry was taken from the retry budget and has not reached a server yet
+	MayHaveRun   bool // the request may have run at one of the servers that were tried
 }
 
-// AfterAttempt counts an attempt that is over for this cause, and says what follows. Resendable reports whether the complete
-// request can be sent again and nothing of a response was forwarded.
+// AfterAttempt counts an attempt that ended with this cause and returns the next step. resendable means that the complete
+// request can be sent again and no part of a response was forwarded.
 func (r *Retries) AfterAttempt(cause Cause, resendable bool) Next {
-	then := cause.Consequence()
+	consequence := cause.Consequence()
 	r.Attempts++
-	if then.Outcome != NotSent {
+	if consequence.Outcome != NotSent {
 		r.SentAttempts++
 		r.Paid = false
 	}
-	if then.Outcome.mayHaveRun() {
+	if consequence.Outcome.mayHaveRun() {
 		r.MayHaveRun = true
 	}
-	mayRetry := then.Retry == Always || then.Retry == IfSafe && r.Safe
+	mayRetry := consequence.Retry == Always || consequence.Retry == IfSafe && r.Safe
 	switch {
 	case !mayRetry || !resendable || r.SentAttempts >= r.MaxServers || r.Attempts > maxAttempts:
 		return Stop
-	case r.SentAttempts > 0 && !r.Paid: // the next server may be the second that the request reaches
+	case r.SentAttempts > 0 && !r.Paid: // a server was already reached, so the next attempt is a retry
 		return RetryPaid
 	default:
 		return RetryFree
 	}
 }
 
-// AfterOutcome is AfterAttempt for callers that know only the outcome and the response's status.
+// AfterOutcome is like AfterAttempt, for callers that know only the outcome and the response's status.
 func (r *Retries) AfterOutcome(o Outcome, status int, resendable bool) Next {
 	return r.AfterAttempt(typicalCause(o, status), resendable)
 }
@@ -78,8 +80,8 @@
 	}
 }
 
-// Disposition is what the client may be told after an attempt that is over for this cause. A refusal that promises that the
-// request never ran has to hold for all servers that were tried, not only for the last one.
+// Disposition returns the kind of response for the client after an attempt that ended with this cause. A refusal promises
+// that the request never ran, which must hold for all servers that were tried and not only for the last one.
 func (r *Retries) Disposition(cause Cause) Disposition {
 	if d := cause.Consequence().Disposition; d != SafeRefusal || !r.MayHaveRun {
 		return d
@@ -87,13 +89,13 @@
 	return BadGateway
 }
 
-// Supersedes reports whether the result of an attempt that is over for this cause takes the place of the previous one. After
-// an attempt that may have run, one that never ran tells the client nothing new.
+// Supersedes reports whether the result of an attempt that ended with this cause replaces the previous result. After an
+// attempt that may have run, an attempt that never ran adds no information for the client.
 func (r *Retries) Supersedes(cause Cause) bool {
 	return !r.MayHaveRun || cause.Consequence().Outcome.mayHaveRun()
 }
 
-// ClaimAction is what becomes of a keyed operation's claim after an attempt that is over for this cause.
+// ClaimAction returns what is done with a keyed operation's claim after an attempt that ended with this cause.
 func (r *Retries) ClaimAction(cause Cause) ClaimAction {
 	if action := cause.Consequence().Claim; action != RevokeClaim || !r.MayHaveRun {
 		return action
--- a/internal/edge/picker/cancelled_test.go
+++ b/internal/edge/picker/cancelled_test.go
@@ -11,7 +11,7 @@
 
 // An attempt whose client left frees the slot and speaks neither for nor against the server: many of them have it avoided no
 // more than it was, and don't end what failures began. A time that is known to be long is reported, a short one isn't.
-func TestCancelledAttemptsSayNothingOfHealth(t *testing.T) {
+func TestCancelledAttemptsDoNotAffectHealth(t *testing.T) {
 	g := NewWithT(t)
 	p := picker.New("zone", func() float64 { return 0 })
 	p.Add(&picker.Upstream{ID: "i-1", Service: "tags", Zone: "zone", Capacity: 2})
--- a/internal/edge/picker/picker.go
+++ b/internal/edge/picker/picker.go
@@ -33,8 +33,8 @@
 	lastResortWeight = 0.01
 	// maxTableLoad is up to which load, in shares of its slots, a server of the weight table takes more requests.
 	maxTableLoad = 1.5
-	// maxOverbooking is up to how many requests a slot an edge sends as a last resort.
-	maxOverbooking = 2
+	// maxRequestsPerSlot is up to how many requests a slot an edge sends as a last resort.
+	maxRequestsPerSlot = 2
 )
 
 // Upstream leads to one incarnation of a server.
@@ -132,9 +132,9 @@
 	if u.ownSlots = 0; u.Zone != p.zone || !slices.Contains(p.zoneEdges, p.self) {
 		return
 	}
-	own, rank := score(u.ID, p.self), 0
+	own, rank := rendezvousScore(u.ID, p.self), 0
 	for _, edge := range p.zoneEdges {
-		if s := score(u.ID, edge); s > own || s == own && edge > p.self {
+		if s := rendezvousScore(u.ID, edge); s > own || s == own && edge > p.self {
 			rank++
 		}
 	}
@@ -144,7 +144,9 @@
 	}
 }
 
-func score(server string, edge uint32) uint64 { return xxh3.HashStringSeed(server, uint64(edge)) }
+func rendezvousScore(server string, edge uint32) uint64 {
+	return xxh3.HashStringSeed(server, uint64(edge))
+}
 
 // OwnSlots is how many slots of a service are this edge's.
 func (p *Picker) OwnSlots(service string) (slots int) {
@@ -256,9 +258,9 @@
 		return 1, u.available(now) && load < 1
 	default:
 		if !inZone || now < u.suspectUntil {
-			return lastResortWeight, u.inFlight < maxOverbooking*u.Capacity
+			return lastResortWeight, u.inFlight < maxRequestsPerSlot*u.Capacity
 		}
-		return 1, u.inFlight < maxOverbooking*u.Capacity
+		return 1, u.inFlight < maxRequestsPerSlot*u.Capacity
 	}
 }
 
--- a/internal/edge/picker/picker_test.go
+++ b/internal/edge/picker/picker_test.go
@@ -11,9 +11,9 @@
 	"mulleinwood/internal/edge/picker"
 )
 
-func nobody(*picker.Upstream) bool { return false }
+func excludeNone(*picker.Upstream) bool { return false }
 
-func hall(edges int, self uint32, servers, slots int) *picker.Picker {
+func newZonePicker(edges int, self uint32, servers, slots int) *picker.Picker {
 	rng := rand.New(rand.NewPCG(uint64(self), 1))
 	p := picker.New("hall", rng.Float64)
 	for i := range servers {
@@ -27,11 +27,11 @@
 	return p
 }
 
-// take books places until the picker has used what is dealt to it, and tells how many it took where.
-func take(p *picker.Picker, n int) map[string]int {
+// pickCounts books places until the picker has used what is dealt to it, and tells how many it took where.
+func pickCounts(p *picker.Picker, n int) map[string]int {
 	at := map[string]int{}
 	for range n {
-		if u := p.Pick("tags", nobody, 0); u != nil {
+		if u := p.Pick("tags", excludeNone, 0); u != nil {
 			at[u.ID]++
 		}
 	}
@@ -39,15 +39,15 @@
 }
 
 // Edges that know nothing of each other's requests never meet at a server while each stays within its part.
-func TestPartsSumToTheWhole(t *testing.T) {
+func TestOwnSlotsSumToCapacity(t *testing.T) {
 	g := NewWithT(t)
 	for _, c := range []struct{ edges, servers, slots int }{{3, 7, 2}, {10, 15, 2}, {23, 42, 2}, {4, 6, 4}, {2, 5, 5}, {1, 3, 2}, {9, 2, 4}} {
 		whole, parts := map[string]int{}, 0
 		for e := range c.edges {
-			p := hall(c.edges, uint32(e), c.servers, c.slots)
+			p := newZonePicker(c.edges, uint32(e), c.servers, c.slots)
 			own := p.OwnSlots("tags")
 			parts += own
-			for id, n := range take(p, own) {
+			for id, n := range pickCounts(p, own) {
 				whole[id] += n
 			}
 		}
@@ -58,12 +58,12 @@
 	}
 }
 
-func TestFewSlotsChangeHandsWhenAnEdgeGoes(t *testing.T) {
+func TestEdgeLeavingMovesNoSlotsOfOthers(t *testing.T) {
 	g := NewWithT(t)
 	moved, all := 0, 0
 	for e := range uint32(9) { // the tenth goes
-		before, after := hall(10, e, 40, 2), hall(9, e, 40, 2)
-		b, a := take(before, before.OwnSlots("tags")), take(after, after.OwnSlots("tags"))
+		before, after := newZonePicker(10, e, 40, 2), newZonePicker(9, e, 40, 2)
+		b, a := pickCounts(before, before.OwnSlots("tags")), pickCounts(after, after.OwnSlots("tags"))
 		for id, n := range b {
 			moved += max(0, n-a[id])
 		}
@@ -74,33 +74,33 @@
 }
 
 // What is dealt is no fence: an edge with all the traffic uses every slot.
-func TestUnusedPartsAreUsedByOthers(t *testing.T) {
+func TestOneEdgeMayUseAllSlots(t *testing.T) {
 	g := NewWithT(t)
-	p := hall(10, 3, 6, 2)
-	at := take(p, 12)
+	p := newZonePicker(10, 3, 6, 2)
+	at := pickCounts(p, 12)
 	g.Expect(at).To(HaveLen(6))
 	for id, n := range at {
 		g.Expect(n).To(Equal(2), id)
 	}
 }
 
-func TestPicksKeepToWhatIsKnown(t *testing.T) {
+func TestPickAvoidsRemovedSuspectedAndLoaded(t *testing.T) {
 	g := NewWithT(t)
-	p := hall(1, 0, 3, 2)
+	p := newZonePicker(1, 0, 3, 2)
 	p.Remove("i-0")
 	p.SetWeight("i-1", 0)
-	g.Expect(take(p, 2)).To(Equal(map[string]int{"i-2": 2}), "not at one that leaves, nor at one that the tables took out while others have room")
-	g.Expect(take(p, 2)).To(Equal(map[string]int{"i-1": 2}), "which helps out where nobody else can")
+	g.Expect(pickCounts(p, 2)).To(Equal(map[string]int{"i-2": 2}), "not at one that leaves, nor at one that the tables took out while others have room")
+	g.Expect(pickCounts(p, 2)).To(Equal(map[string]int{"i-1": 2}), "which helps out where nobody else can")
 
-	p = hall(1, 0, 2, 1)
-	u := p.Pick("tags", nobody, 0)
+	p = newZonePicker(1, 0, 2, 1)
+	u := p.Pick("tags", excludeNone, 0)
 	p.Unreachable(u, 0)
 	for range 5 {
-		o := p.Pick("tags", nobody, time.Millisecond)
+		o := p.Pick("tags", excludeNone, time.Millisecond)
 		g.Expect(o).NotTo(BeIdenticalTo(u), "a server that could not be reached is in doubt")
 		p.Succeeded(o, time.Millisecond, time.Millisecond)
 	}
 	p.ReportLoad(p.Get("i-0"), 1, 3, time.Second)
 	p.ReportLoad(p.Get("i-1"), 0, 0, time.Second)
-	g.Expect(p.Pick("tags", nobody, time.Second).ID).To(Equal("i-1"), "what a server says of others' requests counts")
+	g.Expect(p.Pick("tags", excludeNone, time.Second).ID).To(Equal("i-1"), "what a server says of others' requests counts")
 }
