--- a/internal/edge/picker/cancelled_test.go
+++ b/internal/edge/picker/cancelled_test.go
@@ -9,8 +9,9 @@
 	"mulleinwood/internal/edge/picker"
 )
 
-// An attempt whose client left frees the slot and speaks neither for nor against the server: many of them have it avoided no
-// more than it was, and don't end what failures began. A time that is known to be long is reported, a short one isn't.
+// Guards against cancelled attempts that change a server's health: an attempt whose client disconnected releases its slot and
+// counts neither as a failure nor as a success, so the server is not suspected, and a suspicion is not ended. A time that is
+// known to be long is counted; a short one isn't.
 func TestCancelledAttemptsDoNotAffectHealth(t *testing.T) {
 	g := NewWithT(t)
 	p := picker.New("zone", func() float64 { return 0 })
--- a/internal/edge/picker/picker.go
+++ b/internal/edge/picker/picker.go
@@ -1,11 +1,11 @@
-// Package picker picks a server for each request at an edge: it knows the upstreams, how full and how sound each is thought
-// to be, and the weights that the controllers ordered. It is a value fed with events; time and randomness are handed in. Its
-// owner keeps the connections and holds a lock around it.
+// Package picker selects a server for each request at an edge. It tracks the upstreams, their estimated load and health, and
+// the weights that the controllers assigned. It does no I/O: events, time and randomness are passed in. The owner manages the
+// connections and serialises all calls with a lock.
 //
 // A pick goes through passes, each of which considers more upstreams than the one before (see pass). Within a pass two
-// candidates are drawn by weight and the less loaded one is taken (the power of two choices), since several edges pick
-// without seeing each other. Slots of a zone's servers are divided among the zone's edges by rendezvous hashing, so that
-// edges rarely meet on a server while there is room.
+// candidates are drawn by weight and the less loaded one is chosen (the power of two choices), since several edges pick
+// without seeing each other's requests. The slots of a zone's servers are divided among the zone's edges by rendezvous
+// hashing, so that edges rarely use the same slots while there is free capacity.
 package picker
 
 import (
@@ -18,32 +18,32 @@
 )
 
 const (
-	// loadReportDecay is the time constant by which a server's word on its load loses its weight.
+	// loadReportDecay is the time constant with which the load that a server reported decays exponentially.
 	loadReportDecay = 300 * time.Millisecond
-	// minSuspicion and maxSuspicion are how long an upstream is avoided after failures; it doubles with each.
+	// minSuspicion and maxSuspicion bound how long an upstream is suspected after failures; the time doubles with each failure.
 	minSuspicion = 500 * time.Millisecond
 	maxSuspicion = 4 * time.Second
-	// maxSuspicionShift keeps the doubling from overflowing.
+	// maxSuspicionShift limits the number of doublings, so that the duration can't overflow.
 	maxSuspicionShift = 4
-	// toleratedFailures is how many attempts in a row may fail that arrived at the server, before it is avoided.
+	// toleratedFailures is the number of consecutive failed attempts that reached the server before it is suspected.
 	toleratedFailures = 1
-	// recentResponse is how old a response may be that is believed more than heartbeats that stopped.
+	// recentResponse is the maximum age of a response that counts as a sign of life although heartbeats stopped.
 	recentResponse = 2 * time.Second
-	// lastResortWeight is that of an upstream that is avoided or in another zone, where nothing better is left.
+	// lastResortWeight is the weight, in the last resort pass, of an upstream that is suspected or in another zone.
 	lastResortWeight = 0.01
-	// maxTableLoad is up to which load, in shares of its slots, a server of the weight table takes more requests.
+	// maxTableLoad is the load, as a fraction of its slots, below which a server of the weight table receives more requests.
 	maxTableLoad = 1.5
-	// maxRequestsPerSlot is up to how many requests a slot an edge sends as a last resort.
+	// maxRequestsPerSlot is the number of requests per slot up to which an edge sends more as a last resort.
 	maxRequestsPerSlot = 2
 )
 
-// Upstream leads to one incarnation of a server.
+// Upstream is one incarnation of a server, as seen by an edge.
 type Upstream struct {
 	ID, Service, Zone string
-	Capacity          int // slots of the server; at least 1
-	Attachment        any // what the owner keeps with it
+	Capacity          int // slots of the server; Add raises it to at least 1
+	Attachment        any // data of the owner; the picker doesn't use it
 
-	ownSlots int  // of its slots, those that are this edge's
+	ownSlots int  // slots of the server that are assigned to this edge
 	timedOut bool // its heartbeats stopped
 	removed  bool
 	tableWeight
@@ -52,42 +52,42 @@
 	stats Stats
 }
 
-// tableWeight is what the weight tables say of an upstream.
+// tableWeight is the weight that the weight tables assign to an upstream.
 type tableWeight struct {
 	weight    float64
-	hasWeight bool // any table named it
+	hasWeight bool // a table contains the upstream
 }
 
-// loadEstimate is how busy a server is thought to be.
+// loadEstimate is the estimated load of a server.
 type loadEstimate struct {
 	inFlight       int     // requests from this edge
-	othersLoad     float64 // requests of others, by the server's last word
+	othersLoad     float64 // requests of other edges, from the server's last load report
 	loadReportedAt time.Duration
 }
 
-// health is how the last attempts at a server went.
+// health is the result of the last attempts at a server.
 type health struct {
 	consecutiveFailures int
-	suspectUntil        time.Duration // it is avoided
+	suspectUntil        time.Duration // the server is suspected until then
 	lastResponse        time.Duration
 }
 
-// Stats counts attempts at an upstream.
+// Stats contains counts of the attempts at an upstream.
 type Stats struct {
 	Attempts, Failed uint32
-	TotalTime        float64 // seconds, over all successful attempts
+	TotalTime        float64 // seconds, over all successful attempts and those cancelled ones that count
 }
 
-// Removed reports whether the upstream's server is draining or gone: nothing new may be sent.
+// Removed reports whether the upstream's server is draining or gone, so that no new request may be sent to it.
 func (u *Upstream) Removed() bool { return u.removed }
 
-// HasWeight reports whether any weight table named the upstream.
+// HasWeight reports whether a weight table contains the upstream.
 func (u *Upstream) HasWeight() bool { return u.hasWeight }
 
-// InFlight is how many requests of this edge are at the server.
+// InFlight returns the number of requests of this edge at the server.
 func (u *Upstream) InFlight() int { return u.inFlight }
 
-// Picker holds the upstreams of one edge.
+// Picker holds the upstreams of one edge. It is not safe for concurrent use.
 type Picker struct {
 	zone       string
 	random     func() float64 // from [0, 1)
@@ -95,7 +95,7 @@
 	services   map[string][]*Upstream // sorted by id
 	zoneEdges  []uint32               // hashes of the zone's edges
 	self       uint32                 // hash of this edge
-	candidates []candidate            // of the present pass; kept to save allocations
+	candidates []candidate            // of the current pass; reused to save allocations
 }
 
 type candidate struct {
@@ -104,12 +104,12 @@
 	load     float64
 }
 
-// New makes a picker for an edge of a zone. Random draws from [0, 1).
+// New returns a picker for an edge of a zone. random returns numbers from [0, 1).
 func New(zone string, random func() float64) *Picker {
 	return &Picker{zone: zone, random: random, upstreams: map[string]*Upstream{}, services: map[string][]*Upstream{}}
 }
 
-// Add adds an upstream. Until a weight table names it its weight is 1.
+// Add adds an upstream, with weight 1 until a weight table contains it.
 func (p *Picker) Add(u *Upstream) {
 	u.weight, u.Capacity = 1, max(1, u.Capacity)
 	p.assignSlotsOf(u)
@@ -119,8 +119,8 @@
 	p.services[u.Service] = slices.Insert(slices.Clip(all), at, u)
 }
 
-// AssignSlots divides the slots of the zone's servers among the zone's edges, this one among them: by rendezvous hashing, so
-// that all edges come to the same division without a message, and few slots change hands when an edge comes or goes.
+// AssignSlots divides the slots of the zone's servers among the zone's edges, which include this one. Rendezvous hashing gives
+// all edges the same division without communication, and few slots are reassigned when an edge joins or leaves.
 func (p *Picker) AssignSlots(zoneEdges []uint32, self uint32) {
 	p.zoneEdges, p.self = zoneEdges, self
 	for _, u := range p.upstreams {
@@ -148,7 +148,7 @@
 	return xxh3.HashStringSeed(server, uint64(edge))
 }
 
-// OwnSlots is how many slots of a service are this edge's.
+// OwnSlots returns the number of slots of a service that are assigned to this edge.
 func (p *Picker) OwnSlots(service string) (slots int) {
 	for _, u := range p.services[service] {
 		slots += u.ownSlots
@@ -156,16 +156,16 @@
 	return slots
 }
 
-// Get finds an upstream by its server's id; nil: there is none.
+// Get returns the upstream with a server's ID, or nil if there is none.
 func (p *Picker) Get(id string) *Upstream { return p.upstreams[id] }
 
-// Len is how many upstreams there are.
+// Len returns the number of upstreams.
 func (p *Picker) Len() int { return len(p.upstreams) }
 
-// Serves reports whether any upstream leads to a service.
+// Serves reports whether there is an upstream for a service.
 func (p *Picker) Serves(service string) bool { return len(p.services[service]) > 0 }
 
-// All gives the upstreams in no order.
+// All returns the upstreams in no particular order.
 func (p *Picker) All() []*Upstream {
 	all := make([]*Upstream, 0, len(p.upstreams))
 	for _, u := range p.upstreams {
@@ -174,11 +174,11 @@
 	return all
 }
 
-// Upstreams are those of a service, sorted by id. The slice must not be changed.
+// Upstreams returns the upstreams of a service, sorted by ID. The slice must not be modified.
 func (p *Picker) Upstreams(service string) []*Upstream { return p.services[service] }
 
-// Remove takes out the upstream of a server that drains or is gone, and gives it; nil: there is none. What is in flight on it
-// goes on.
+// Remove removes and returns the upstream of a server that is draining or gone, or returns nil if there is none. Requests in
+// flight on it continue.
 func (p *Picker) Remove(id string) *Upstream {
 	u := p.upstreams[id]
 	if u == nil {
@@ -193,57 +193,57 @@
 	return u
 }
 
-// SetTimedOut notes whether a server's heartbeats stopped.
+// SetTimedOut records whether a server's heartbeats stopped.
 func (p *Picker) SetTimedOut(id string, timedOut bool) {
 	if u := p.upstreams[id]; u != nil {
 		u.timedOut = timedOut
 	}
 }
 
-// SetWeight sets a server's weight in the table of its service; 0 takes it out of the table.
+// SetWeight sets a server's weight in the table of its service; with 0 the table gives it no requests.
 func (p *Picker) SetWeight(id string, weight float64) {
 	if u := p.upstreams[id]; u != nil {
 		u.weight, u.hasWeight = weight, true
 	}
 }
 
-// ClearWeights forgets a service's weight table: those of another one follow. Servers that it doesn't name are as on the
-// first day, since on a large site a table names a part of the servers.
+// ClearWeights drops the weight table of a service before the weights of another one are set. Servers that the new table
+// doesn't contain have their initial weight again, since on a large site a table contains only part of the servers.
 func (p *Picker) ClearWeights(service string) {
 	for _, u := range p.services[service] {
 		u.weight, u.hasWeight = 1, false
 	}
 }
 
-// load is how full the server is thought to be, in shares of its slots.
+// load returns the estimated load of the server as a fraction of its slots.
 func (u *Upstream) load(now time.Duration) float64 {
 	others := u.othersLoad * math.Exp(-float64(now-u.loadReportedAt)/float64(loadReportDecay))
 	return (float64(u.inFlight) + others) / float64(u.Capacity)
 }
 
-// available reports whether the upstream takes another request now: it has a slot, is not avoided, and its heartbeats go on
-// or it answered lately.
+// available reports whether the upstream can receive another request now: it has a free slot, is not suspected, and its
+// heartbeats continue or it responded recently.
 func (u *Upstream) available(now time.Duration) bool {
 	alive := !u.timedOut || now-u.lastResponse <= recentResponse
 	return u.inFlight < u.Capacity && now >= u.suspectUntil && alive
 }
 
-// inTable reports whether the weight table gives the upstream requests, or no table names it.
+// inTable reports whether the weight table gives the upstream requests or no table contains it.
 func (u *Upstream) inTable() bool { return !u.hasWeight || u.weight > 0 }
 
-// pass is a round of a pick. Each considers more upstreams than the one before.
+// pass is a round of a pick. Each pass considers more upstreams than the one before.
 type pass uint8
 
 const (
-	ownSlots      pass = iota // slots that are this edge's: no other edge comes there while there is room
-	tableInZone               // by the table, in the own zone while there is room, since crossing zones has a price
-	tableAnyZone              // by the table, wherever
-	spareCapacity             // any server with room
-	lastResort                // nothing better is left: servers that are avoided, too, and some that are full
+	ownSlots      pass = iota // slots assigned to this edge, which other edges don't use while they have free slots
+	tableInZone               // servers of the weight table in the edge's zone with room, since crossing zones is costly
+	tableAnyZone              // servers of the weight table in any zone
+	spareCapacity             // any available server
+	lastResort                // also servers that are suspected, and full ones up to maxRequestsPerSlot
 	passes
 )
 
-// eligible reports whether an upstream is considered in a pass, and with what weight.
+// eligible reports whether an upstream is considered in a pass, and returns its weight there.
 func (p *Picker) eligible(u *Upstream, in pass, now time.Duration, load float64) (weight float64, ok bool) {
 	inZone := u.Zone == p.zone
 	switch in {
@@ -264,7 +264,7 @@
 	}
 }
 
-// Pick chooses an upstream of a service that is not excluded, and reserves a slot on it; nil: none has room.
+// Pick chooses an upstream of a service that is not excluded, and reserves a slot on it. It returns nil if none has room.
 func (p *Picker) Pick(service string, excluded func(*Upstream) bool, now time.Duration) *Upstream {
 	all := p.services[service]
 	for in := range passes {
@@ -282,7 +282,7 @@
 	return nil
 }
 
-// findCandidates collects the candidates of a pass, and gives the sum of their weights.
+// findCandidates collects the candidates of a pass in p.candidates and returns the sum of their weights.
 func (p *Picker) findCandidates(all []*Upstream, excluded func(*Upstream) bool, in pass, now time.Duration) (total float64) {
 	p.candidates = p.candidates[:0]
 	for _, u := range all {
@@ -308,15 +308,15 @@
 	return p.candidates[len(p.candidates)-1]
 }
 
-// Reserve takes a slot on an upstream, for a caller that chose it otherwise.
+// Reserve takes a slot on an upstream that the caller chose without Pick.
 func (p *Picker) Reserve(u *Upstream) { u.inFlight++ }
 
-// ReportLoad takes a server's word on its load: requests that run and that wait there.
+// ReportLoad records the load that a server reported: the requests that are running and waiting there.
 func (p *Picker) ReportLoad(u *Upstream, running, waiting float64, now time.Duration) {
 	u.othersLoad, u.loadReportedAt = max(0, running+waiting-float64(u.inFlight)), now
 }
 
-// Succeeded gives a slot back after an attempt that was answered well.
+// Succeeded releases a slot after a successful attempt that took the given time.
 func (p *Picker) Succeeded(u *Upstream, took, now time.Duration) {
 	u.inFlight--
 	u.health = health{lastResponse: now}
@@ -324,8 +324,8 @@
 	u.stats.Attempts++
 }
 
-// Failed gives a slot back after an attempt that arrived at the server and was not answered well. The server is avoided
-// after some of them in a row.
+// Failed releases a slot after a failed attempt that reached the server. The server is suspected after more than
+// toleratedFailures of them in a row.
 func (p *Picker) Failed(u *Upstream, now time.Duration) {
 	u.inFlight--
 	u.stats.Attempts++
@@ -335,8 +335,8 @@
 	}
 }
 
-// Cancelled gives a slot back after an attempt that was broken off because its client left. That says nothing of the
-// server's health. Took is a time that counts all the same, since it is known to be a long one; 0: none does.
+// Cancelled releases a slot after an attempt that was cancelled because its client disconnected, which is no evidence about
+// the server's health. took is counted in the stats, since it is known to be long; with 0 the attempt is not counted.
 func (p *Picker) Cancelled(u *Upstream, took time.Duration) {
 	u.inFlight--
 	if took > 0 {
@@ -345,7 +345,7 @@
 	}
 }
 
-// Unreachable gives a slot back after an attempt that didn't arrive at the server, which is avoided for a while.
+// Unreachable releases a slot after an attempt that didn't reach the server. The server is suspected at once.
 func (p *Picker) Unreachable(u *Upstream, now time.Duration) {
 	u.inFlight--
 	u.consecutiveFailures++
@@ -357,7 +357,7 @@
 	u.suspectUntil = now + min(maxSuspicion, minSuspicion<<doublings)
 }
 
-// TakeStats gives what was counted at an upstream since the last call.
+// TakeStats returns the counts of an upstream since the last call and resets them.
 func (p *Picker) TakeStats(u *Upstream) Stats {
 	s := u.stats
 	u.stats = Stats{}
--- a/internal/edge/picker/picker_test.go
+++ b/internal/edge/picker/picker_test.go
@@ -27,7 +27,7 @@
 	return p
 }
 
-// pickCounts books places until the picker has used what is dealt to it, and tells how many it took where.
+// pickCounts picks n times and returns the number of picks of each server.
 func pickCounts(p *picker.Picker, n int) map[string]int {
 	at := map[string]int{}
 	for range n {
@@ -38,7 +38,8 @@
 	return at
 }
 
-// Edges that know nothing of each other's requests never meet at a server while each stays within its part.
+// Guards against edges that use the same slots: edges that don't know each other's requests use different slots while each
+// stays within its own.
 func TestOwnSlotsSumToCapacity(t *testing.T) {
 	g := NewWithT(t)
 	for _, c := range []struct{ edges, servers, slots int }{{3, 7, 2}, {10, 15, 2}, {23, 42, 2}, {4, 6, 4}, {2, 5, 5}, {1, 3, 2}, {9, 2, 4}} {
@@ -61,7 +62,7 @@
 func TestEdgeLeavingMovesNoSlotsOfOthers(t *testing.T) {
 	g := NewWithT(t)
 	moved, all := 0, 0
-	for e := range uint32(9) { // the tenth goes
+	for e := range uint32(9) { // the tenth edge leaves
 		before, after := newZonePicker(10, e, 40, 2), newZonePicker(9, e, 40, 2)
 		b, a := pickCounts(before, before.OwnSlots("tags")), pickCounts(after, after.OwnSlots("tags"))
 		for id, n := range b {
@@ -69,11 +70,11 @@
 		}
 		all += before.OwnSlots("tags")
 	}
-	g.Expect(moved).To(Equal(0), "nobody loses a slot; the ones that are free are dealt anew")
+	g.Expect(moved).To(Equal(0), "no remaining edge loses a slot; only the free slots are reassigned")
 	g.Expect(all).To(BeNumerically("<", 80))
 }
 
-// What is dealt is no fence: an edge with all the traffic uses every slot.
+// Guards against slots that stay unused: an edge with all the traffic uses the slots that are assigned to other edges too.
 func TestOneEdgeMayUseAllSlots(t *testing.T) {
 	g := NewWithT(t)
 	p := newZonePicker(10, 3, 6, 2)
@@ -89,18 +90,18 @@
 	p := newZonePicker(1, 0, 3, 2)
 	p.Remove("i-0")
 	p.SetWeight("i-1", 0)
-	g.Expect(pickCounts(p, 2)).To(Equal(map[string]int{"i-2": 2}), "not at one that leaves, nor at one that the tables took out while others have room")
-	g.Expect(pickCounts(p, 2)).To(Equal(map[string]int{"i-1": 2}), "which helps out where nobody else can")
+	g.Expect(pickCounts(p, 2)).To(Equal(map[string]int{"i-2": 2}), "neither a removed server nor one with weight 0 is picked while others have room")
+	g.Expect(pickCounts(p, 2)).To(Equal(map[string]int{"i-1": 2}), "a server with weight 0 is picked when no other has room")
 
 	p = newZonePicker(1, 0, 2, 1)
 	u := p.Pick("tags", excludeNone, 0)
 	p.Unreachable(u, 0)
 	for range 5 {
 		o := p.Pick("tags", excludeNone, time.Millisecond)
-		g.Expect(o).NotTo(BeIdenticalTo(u), "a server that could not be reached is in doubt")
+		g.Expect(o).NotTo(BeIdenticalTo(u), "an unreachable server is suspected")
 		p.Succeeded(o, time.Millisecond, time.Millisecond)
 	}
 	p.ReportLoad(p.Get("i-0"), 1, 3, time.Second)
 	p.ReportLoad(p.Get("i-1"), 0, 0, time.Second)
-	g.Expect(p.Pick("tags", excludeNone, time.Second).ID).To(Equal("i-1"), "what a server says of others' requests counts")
+	g.Expect(p.Pick("tags", excludeNone, time.Second).ID).To(Equal("i-1"), "the load that a server reports includes requests of other edges")
 }
--- a/internal/edge/retrybudget/retrybudget.go
+++ b/internal/edge/retrybudget/retrybudget.go
@@ -1,28 +1,29 @@
-// Package retrybudget bounds retries. The budget is one for the whole fleet and every sliding window; each edge spends only
-// what it has earned itself: a share of the requests that it accepted, in a token bucket that is small and starts empty. So
-// a restart refills nothing, an edge that joins brings nothing, and the sum needs no agreement.
+// Package retrybudget limits retries. The limit applies to the whole fleet in any sliding window. Each edge has a token bucket
+// that is small, starts empty and is filled only by the requests that the edge accepted. Neither a restart nor an edge that
+// joins adds tokens, so the sum stays within the limit without coordination.
 package retrybudget
 
-// earnShare is the part of the allowed ratio that is earned: the rest covers attempts that a server counts and an edge
-// doesn't.
+// earnShare is the fraction of the allowed ratio that an edge earns. The rest covers attempts that a server counts and an
+// edge doesn't.
 const earnShare = 0.6
 
-// Budget is one edge's budget for one service: a token bucket of retries.
+// Budget is the token bucket of one edge for one service. Each retry costs one token. It is not safe for concurrent use.
 type Budget struct {
 	earnPerRequest float64
 	tokens         float64
-	limit          float64 // of tokens
+	limit          float64 // maximum number of tokens
 }
 
-// New makes an empty budget for a fleet that may make ratio retries a request, and slack more in any window. Edges is how
-// many edges share the slack; 0: not known yet.
+// New returns an empty budget for a fleet that may make ratio retries per request, and slack more retries in any window.
+// edges is the number of edges that share the slack, or 0 if it is not known yet.
 func New(ratio, slack float64, edges int) *Budget {
 	b := &Budget{earnPerRequest: ratio * earnShare}
 	b.SetShare(slack, edges)
 	return b
 }
 
-// SetShare sets the limit of tokens: half of the slack, divided among the edges and as many that may join.
+// SetShare sets the maximum number of tokens: half of the slack, divided by twice the number of edges to allow for edges that
+// join, but at least 1. While the number of edges is not known (0), it is half of the slack, but at most 1.
 func (b *Budget) SetShare(slack float64, edges int) {
 	if edges <= 0 {
 		b.limit = min(1, slack/2)
@@ -32,10 +33,10 @@
 	b.tokens = min(b.tokens, b.limit)
 }
 
-// Earn adds what a request earns.
+// Earn adds the tokens for one accepted request.
 func (b *Budget) Earn() { b.tokens = min(b.limit, b.tokens+b.earnPerRequest) }
 
-// Spend takes out one retry, and reports whether there was one.
+// Spend takes one token for a retry and reports whether there was one.
 func (b *Budget) Spend() bool {
 	if b.tokens < 1 {
 		return false
@@ -44,8 +45,8 @@
 	return true
 }
 
-// SpendUnlessLast takes out one retry only where another one remains, in a budget that can hold two: the last is kept for
-// others.
+// SpendUnlessLast is like Spend, but in a budget that can hold two tokens it takes one only if another remains, so that the
+// last token is kept for other callers.
 func (b *Budget) SpendUnlessLast() bool {
 	if b.limit >= 2 && b.tokens < 2 {
 		return false
@@ -53,5 +54,5 @@
 	return b.Spend()
 }
 
-// Refund returns a retry that reached no server.
+// Refund returns the token of a retry that reached no server.
 func (b *Budget) Refund() { b.tokens = min(b.limit, b.tokens+1) }
--- a/internal/edge/retrybudget/retrybudget_test.go
+++ b/internal/edge/retrybudget/retrybudget_test.go
@@ -18,9 +18,9 @@
 var _ = Describe("the retry budgets of a fleet", func() {
 	const ratio, slack, steps, window = 0.2, 60.0, 6000, 1000 // a step is a hundredth of a second
 
-	// play lets edges spend whatever they may, with bursts, quiet times, restarts and edges that join, and gives the
-	// largest excess over the budget in any window.
-	play := func(seed uint64, refill bool) (worst float64) {
+	// largestExcess simulates edges that retry whenever their budget allows it, with bursts, idle times, restarts and joining
+	// edges. It returns the largest excess over the fleet's budget in any window.
+	largestExcess := func(seed uint64, refill bool) (worst float64) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		edges := make([]*retrybudget.Budget, 10)
 		for i := range edges {
@@ -32,7 +32,7 @@
 			if rng.IntN(300) == 0 {
 				rate = rng.IntN(2)
 			}
-			if rng.IntN(2) == 0 { // a restart; or one joins in its place
+			if rng.IntN(2) == 0 { // a restart, or another edge joins in its place
 				i := rng.IntN(len(edges))
 				edges[i] = retrybudget.New(ratio, slack, len(edges))
 				for n := 0; refill && n < 100; n++ {
@@ -48,29 +48,29 @@
 				}
 			}
 		}
-		sumR, sumS := 0.0, 0.0
+		requestSum, spentSum := 0.0, 0.0
 		for now := range steps {
-			sumR, sumS = sumR+requests[now], sumS+spent[now]
+			requestSum, spentSum = requestSum+requests[now], spentSum+spent[now]
 			if now >= window {
-				sumR, sumS = sumR-requests[now-window], sumS-spent[now-window]
+				requestSum, spentSum = requestSum-requests[now-window], spentSum-spent[now-window]
 			}
-			worst = max(worst, sumS-ratio*sumR-slack)
+			worst = max(worst, spentSum-ratio*requestSum-slack)
 		}
 		return worst
 	}
 	It("spend less than the budget in every window, through bursts, restarts and joins", func() {
 		for seed := range uint64(60) {
-			Expect(play(seed, false)).To(BeNumerically("<=", 0), "seed %d", seed)
+			Expect(largestExcess(seed, false)).To(BeNumerically("<=", 0), "seed %d", seed)
 		}
 	})
-	It("are seen to break it when a restart fills the purse", func() {
+	It("exceed it when a restart fills the token bucket", func() {
 		broken := 0
 		for seed := range uint64(60) {
-			if play(seed, true) > 0 {
+			if largestExcess(seed, true) > 0 {
 				broken++
 			}
 		}
-		Expect(broken).To(BeNumerically(">", 0), "the planted fault was not seen")
+		Expect(broken).To(BeNumerically(">", 0), "the injected fault was not detected")
 	})
 	It("start empty", func() {
 		Expect(retrybudget.New(ratio, slack, 10).Spend()).To(BeFalse())
