--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,9 +1,9 @@
-// Package config holds the gateway's configuration: its form on the wire, its checks, how changes apply to it, and the tree
-// that finds a request's route. Nothing here does I/O.
+// Package config implements the gateway's configuration: its JSON encoding, its validation, how changes are applied to it, and
+// the tree that finds a request's route. It does no I/O.
 //
-// The wire says plant for a host, channel for a route, setpoint for a latency target, gain for a weight and tries for the
-// number of servers that a request may reach. A configuration keeps the bytes that its items were sent as, and is read back
-// as it was put, fields that are not known included.
+// The JSON encoding has plant for a host, channel for a route, setpoint for a latency target, gain for a weight and tries for
+// the number of servers that a request may reach. A configuration keeps the original bytes of its items and is returned as it
+// was put, including unknown fields.
 package config
 
 import (
@@ -15,10 +15,10 @@
 	"mulleinwood/internal/platform/apierror"
 )
 
-// Version is the number of a configuration, written r12 on the wire. 0 is none.
+// Version is the number of a configuration, encoded as r12, for example. 0 means no version.
 type Version uint64
 
-// ParseVersion reads a version; "0" and an empty text stand for none.
+// ParseVersion parses a version, which may be quoted, and reports whether it is valid. "0" and an empty text mean no version.
 func ParseVersion(text string) (Version, bool) {
 	text = strings.Trim(strings.TrimSpace(text), `"`)
 	if text == "" || text == "0" {
@@ -31,7 +31,7 @@
 // String implements fmt.Stringer.
 func (v Version) String() string { return "r" + strconv.FormatUint(uint64(v), 10) }
 
-// UnmarshalJSON reads a version.
+// UnmarshalJSON implements json.Unmarshaler. No version is an error.
 func (v *Version) UnmarshalJSON(b []byte) error {
 	var text string
 	if err := json.Unmarshal(b, &text); err != nil {
@@ -45,42 +45,42 @@
 	return nil
 }
 
-// MarshalJSON writes a version.
+// MarshalJSON implements json.Marshaler.
 func (v Version) MarshalJSON() ([]byte, error) { return json.Marshal(v.String()) }
 
-// Kind says what a route's requests may be repeated for.
+// Kind states whether a route's requests may run more than once.
 type Kind string
 
 // The kinds of a route.
 const (
 	Safe   Kind = "safe"   // may run more than once
 	Unsafe Kind = "unsafe" // may run only once
-	Keyed  Kind = "keyed"  // run only once for each key, and are answered alike when they are repeated
+	Keyed  Kind = "keyed"  // run only once for each key; repeats receive the response of the first run
 )
 
-// Share is a part of a split route.
+// Share is the share of a split route's requests that a service receives, in proportion to its weight.
 type Share struct {
 	Service string  `json:"service"`
 	Weight  float64 `json:"gain"`
 }
 
-// Route says where the requests for a prefix of paths go. It is not changed once it is made.
+// Route maps the requests for a path prefix to services. It is immutable.
 type Route struct {
 	Name          string  `json:"name"` // unique in a configuration
 	Prefix        string  `json:"path_prefix"`
 	Kind          Kind    `json:"kind"`
 	Deadline      float64 `json:"deadline_s"` // seconds that a request may take
-	LatencyTarget float64 `json:"setpoint_s"` // seconds in which it should be answered
-	Priority      int     `json:"priority"`   // the lowest goes first
-	Service       string  `json:"service"`    // or Split
+	LatencyTarget float64 `json:"setpoint_s"` // seconds within which a request should be answered
+	Priority      int     `json:"priority"`   // requests with the lowest value are served first
+	Service       string  `json:"service"`    // unused if Split is set
 	Split         []Share `json:"split"`
-	MaxServers    int     `json:"tries"` // that a request may reach
+	MaxServers    int     `json:"tries"` // number of servers that a request may reach
 
 	Host string          `json:"-"`
-	raw  json.RawMessage // as it was put
+	raw  json.RawMessage // original bytes
 }
 
-// Shares are the services that a route goes to.
+// Shares returns the services that receive a route's requests: Split, or Service with weight 1.
 func (r *Route) Shares() []Share {
 	if len(r.Split) > 0 {
 		return r.Split
@@ -88,34 +88,34 @@
 	return []Share{{r.Service, 1}}
 }
 
-// Service is what a configuration says of a service.
+// Service contains the settings of a service.
 type Service struct {
 	Name        string `json:"name"`
 	HealthPath  string `json:"health_path"`
 	ConnLimit   int    `json:"conn_limit"`
-	SelfDedupes bool   `json:"self_dedupes"` // its servers run a key's operation once by themselves
+	SelfDedupes bool   `json:"self_dedupes"` // the service's servers deduplicate keyed operations themselves
 
-	raw json.RawMessage // as it was put
+	raw json.RawMessage // original bytes
 }
 
-// Limits bound what clients may send and how long they may take. 0 leaves a limit to the edge.
+// Limits limits the size and duration of clients' requests. With 0 the edge's default applies.
 type Limits struct {
 	MaxHeaderBytes int     `json:"max_header_bytes"`
 	MaxBodyBytes   int64   `json:"max_body_bytes"`
-	HeaderTimeout  float64 `json:"header_wait_s"` // seconds for a header, from its first byte
+	HeaderTimeout  float64 `json:"header_wait_s"` // seconds for a request header, from its first byte
 	IdleTimeout    float64 `json:"idle_s"`        // seconds that a connection may be idle
 }
 
-// Config is one complete configuration. It is not changed once it is made.
+// Config is one complete configuration. It is immutable.
 type Config struct {
 	Version  Version
-	Hosts    []string // that have routes, in the order in which they came
-	Routes   []*Route // in the order of their hosts, then as they are written
+	Hosts    []string // hosts with routes, in the order in which they were added
+	Routes   []*Route // in the order of their hosts, then in the order of the input
 	Services []*Service
 	Limits   Limits
 
-	limits json.RawMessage            // as they were put
-	other  map[string]json.RawMessage // fields that are not known
+	limits json.RawMessage            // original bytes of the limits
+	other  map[string]json.RawMessage // unknown fields
 }
 
 type wireHost struct {
@@ -129,7 +129,7 @@
 	Hosts    []wireHost        `json:"plants"`
 }
 
-// Parse reads a complete configuration and checks it by itself.
+// Parse decodes and validates a complete configuration.
 func Parse(body []byte) (*Config, error) {
 	var document struct {
 		Version Version `json:"version"`
@@ -155,7 +155,7 @@
 	return c, c.check()
 }
 
-// unmarshal reads one JSON value with nothing after it.
+// unmarshal decodes a body that is exactly one JSON value.
 func unmarshal(body []byte, into any) error {
 	if err := json.Unmarshal(body, into); err != nil {
 		return apierror.Invalid.New("body can't be read: %s", err)
@@ -163,7 +163,8 @@
 	return nil
 }
 
-// Patch gives the configuration that a change of named items leads to; the present one stays as it is.
+// Patch returns the configuration that results from applying a change of named items. It doesn't modify c. The change's
+// version must be above c's.
 func (c *Config) Patch(body []byte) (*Config, error) {
 	var change struct {
 		Version Version   `json:"version"`
@@ -201,11 +202,11 @@
 	return s
 }
 
-// groupRoutes drops hosts without routes and groups routes by host. What was read from a snapshot and what changes led to are
-// then the same, and the same changes go on to the same.
+// groupRoutes drops hosts without routes and groups routes by host. A configuration that was read from a snapshot is then
+// identical to one that resulted from changes, and the same further changes keep them identical.
 func (c *Config) groupRoutes() {
 	if hosts, ok := c.hostOrder(); ok {
-		c.Hosts = slices.Clone(hosts) // without the memory of those that have none
+		c.Hosts = slices.Clone(hosts) // clone, to free the memory of hosts without routes
 		return
 	}
 	groups := c.groups()
@@ -218,7 +219,7 @@
 	c.Hosts, c.Routes = hosts, routes
 }
 
-// hostOrder reports whether the routes are grouped in the order of their hosts, and gives the hosts that have any.
+// hostOrder reports whether the routes are grouped in the order of their hosts, and returns the hosts that have routes.
 func (c *Config) hostOrder() (hosts []string, ok bool) {
 	rest := c.Hosts
 	hosts = make([]string, 0, len(rest))
@@ -237,7 +238,7 @@
 	return hosts, true
 }
 
-// groups are the routes of each host, in order.
+// groups returns the routes of each host, in order.
 func (c *Config) groups() map[string][]*Route {
 	groups := make(map[string][]*Route, len(c.Hosts))
 	for _, r := range c.Routes {
@@ -246,7 +247,7 @@
 	return groups
 }
 
-// upsert adds items, and replaces those of the same name.
+// upsert adds items and replaces those with the same name.
 func (c *Config) upsert(items wireItems) error {
 	if err := c.replaceLimits(items.Limits); err != nil {
 		return err
@@ -258,7 +259,7 @@
 	return c.upsertRoutes(items.Hosts)
 }
 
-// replaceLimits replaces the limits, which are one item, as they are read back.
+// replaceLimits replaces all limits, which are one item, and keeps their original bytes. Without raw bytes nothing changes.
 func (c *Config) replaceLimits(raw json.RawMessage) error {
 	if len(raw) == 0 {
 		return nil
@@ -291,7 +292,7 @@
 	return nil
 }
 
-// addHosts adds the hosts that are new. Only the hosts of the change are put into a map, since a change is mostly small.
+// addHosts adds new hosts. Only the hosts of the change are put into a map, since most changes are small.
 func (c *Config) addHosts(hosts []wireHost) {
 	absent := make(map[string]bool, len(hosts))
 	for _, h := range hosts {
@@ -330,7 +331,7 @@
 	return nil
 }
 
-// check finds what makes a configuration invalid.
+// check returns an error if the configuration is invalid.
 func (c *Config) check() error {
 	known := map[string]bool{}
 	for _, s := range c.Services {
@@ -370,7 +371,7 @@
 	return nil
 }
 
-// MarshalJSON lays the whole configuration out as it is put.
+// MarshalJSON encodes the complete configuration in the form that Parse accepts.
 func (c *Config) MarshalJSON() ([]byte, error) {
 	out := map[string]any{"version": c.Version}
 	for name, raw := range c.other {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,12 +28,12 @@
 }
 
 var _ = Describe("a configuration", func() {
-	It("is read back as it was put, with fields that nobody here knows", func() {
+	It("is returned as it was put, including unknown fields", func() {
 		out, err := json.Marshal(parse(validConfig))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(out).To(MatchJSON(validConfig))
 	})
-	DescribeTable("is refused when", func(old, new string) {
+	DescribeTable("is rejected when", func(old, new string) {
 		Expect(validConfig).To(ContainSubstring(old))
 		_, err := config.Parse([]byte(strings.Replace(validConfig, old, new, 1)))
 		Expect(err).To(HaveOccurred())
@@ -43,14 +43,14 @@
 		Entry("a deadline equals 0", `"deadline_s":1,`, `"deadline_s":0,`),
 		Entry("a route has no tries", `"tries":2`, `"tries":0`),
 		Entry("a prefix does not start with a slash", `"/a/"`, `"a/"`),
-		Entry("it is cut short", `]}]}`, `]}`),
-		Entry("a number is none", `"conn_limit":110`, `"conn_limit":"many"`),
+		Entry("it is truncated", `]}]}`, `]}`),
+		Entry("a number is a string", `"conn_limit":110`, `"conn_limit":"many"`),
 		Entry("it has no version", `"version":"r7",`, ``),
-		Entry("its version is no number", `"r7"`, `"seven"`),
-		Entry("more follows it", `]}]}`, `]}]}{}`),
-		Entry("a bracket too many follows it", `]}]}`, `]}]}}`),
+		Entry("its version is not a number", `"r7"`, `"seven"`),
+		Entry("another value follows it", `]}]}`, `]}]}{}`),
+		Entry("an extra bracket follows it", `]}]}`, `]}]}}`),
 	)
-	It("takes a change of named items and stays as it was itself", func() {
+	It("applies a change of named items and stays unmodified", func() {
 		c := parse(validConfig)
 		next, err := c.Patch([]byte(`{"version":"r9","upsert":{"plants":[{"plant":"b.example","channels":[{"name":"r-3","path_prefix":"/","kind":"safe","deadline_s":2,"service":"ledger","tries":1}]}]},"remove":{"routes":["r-1"]}}`))
 		Expect(err).NotTo(HaveOccurred())
@@ -59,17 +59,17 @@
 		Expect(t.Find("b.example", "/any").Name).To(Equal("r-3"))
 		Expect(config.NewTree(c).Find("a.example", "/a/x").Name).To(Equal("r-1"))
 	})
-	DescribeTable("refuses a change that", func(change string) {
+	DescribeTable("rejects a change that", func(change string) {
 		_, err := parse(validConfig).Patch([]byte(change))
 		Expect(err).To(HaveOccurred())
 	},
 		Entry("is not newer", `{"version":"r7"}`),
 		Entry("removes a service that a route needs", `{"version":"r8","remove":{"services":["ledger"]}}`),
-		Entry("is cut short", `{"version":"r8","upsert":{"plants":[`),
+		Entry("is truncated", `{"version":"r8","upsert":{"plants":[`),
 	)
 })
 
-var _ = Describe("the tree of matchers", func() {
+var _ = Describe("the route tree", func() {
 	DescribeTable("finds the longest prefix", func(host, path, want string) {
 		r := config.NewTree(parse(validConfig)).Find(host, path)
 		if want == "" {
@@ -79,10 +79,10 @@
 		Expect(r.Name).To(Equal(want))
 	},
 		Entry("a prefix", "a.example", "/a/x", "r-1"),
-		Entry("a longer one", "a.example", "/a/b/x", "r-2"),
+		Entry("a longer prefix", "a.example", "/a/b/x", "r-2"),
 		Entry("the prefix itself", "a.example", "/a/b/", "r-2"),
 		Entry("no slash after the last segment", "a.example", "/a/b", "r-1"),
-		Entry("a segment that only begins so", "a.example", "/ab/", ""),
+		Entry("a segment that only starts with the prefix", "a.example", "/ab/", ""),
 		Entry("a host in capitals with a port", "A.EXAMPLE:8080", "/a/x", "r-1"),
 		Entry("another host", "b.example", "/a/x", ""),
 		Entry("an empty segment", "a.example", "//a/x", ""),
@@ -98,10 +98,10 @@
 		}
 		text, err := json.Marshal(c)
 		if err != nil {
-			t.Fatalf("taken, but can't be written: %v", err)
+			t.Fatalf("parsed, but can't be encoded: %v", err)
 		}
 		if _, err := config.Parse(text); err != nil {
-			t.Fatalf("written, but not taken again: %v", err)
+			t.Fatalf("encoded, but rejected by Parse: %v", err)
 		}
 	})
 }
--- a/internal/config/former_test.go
+++ b/internal/config/former_test.go
@@ -13,7 +13,8 @@
 	"mulleinwood/internal/config"
 )
 
-// reference is a configuration by the plain algorithm that came before groups and sets: lists, searched from their start.
+// reference is a configuration that is implemented with a simpler algorithm than Config, by linear search in lists. The
+// results of Config must be identical to its results.
 type reference struct {
 	version  string
 	other    map[string]json.RawMessage
@@ -122,7 +123,8 @@
 	return must(json.Marshal(out))
 }
 
-// generator are random configurations over few names, so that routes move, come again and meet on one prefix.
+// generator creates random configurations from few names, so that routes move between hosts, are added again after a removal
+// and share a prefix.
 type generator struct{ *rand.Rand }
 
 func (d generator) plants(hosts, channels int) string {
@@ -161,7 +163,7 @@
 }
 
 var _ = Describe("random configurations and changes", func() {
-	It("are written byte for byte as by the former algorithm", func() {
+	It("are encoded byte for byte as by the reference algorithm", func() {
 		d := generator{rand.New(rand.NewPCG(1, 2))}
 		for range 300 {
 			text := d.whole()
@@ -170,12 +172,12 @@
 				Expect(string(must(json.Marshal(c)))).To(Equal(string(f.write())), "from %s", text)
 				change := d.change(version)
 				c = must(c.Patch(change))
-				f = parseReference(f.write()) // as a member that restarted: the only order that all can hold
+				f = parseReference(f.write()) // as read back after a restart: the order of routes that all controllers can reproduce
 				f.patch(change)
 			}
 		}
 	})
-	It("come to the same where each change was applied and where some were read back before the rest", func() {
+	It("are identical whether or not they are encoded and parsed again between changes", func() {
 		d := generator{rand.New(rand.NewPCG(3, 4))}
 		for range 100 {
 			c := parse(string(d.whole()))
--- a/internal/config/tree.go
+++ b/internal/config/tree.go
@@ -2,8 +2,7 @@
 
 import "strings"
 
-// Tree finds the route of a request: by host, then by the longest prefix, a segment a step. It is not changed once it
-// is made.
+// Tree finds the route of a request by host, then by the longest prefix, one path segment per level. It is immutable.
 type Tree struct {
 	Config *Config
 	hosts  map[string]*node
@@ -14,7 +13,7 @@
 	route *Route
 }
 
-// NewTree makes the matchers of a configuration.
+// NewTree returns the route tree of a configuration.
 func NewTree(c *Config) *Tree {
 	t := &Tree{Config: c, hosts: map[string]*node{}}
 	for _, r := range c.Routes {
@@ -40,7 +39,7 @@
 	return t
 }
 
-// segments are the parts of a prefix, each of which a slash ends.
+// segments returns the path segments of a prefix, each of which a slash ends.
 func segments(prefix string) []string {
 	prefix = strings.TrimPrefix(prefix, "/")
 	if prefix == "" {
@@ -49,7 +48,7 @@
 	return strings.Split(strings.TrimSuffix(prefix, "/"), "/")
 }
 
-// Find gives the route with the longest prefix, or nil. The host may carry a port.
+// Find returns the route with the longest prefix that matches, or nil. The host may include a port.
 func (t *Tree) Find(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -62,7 +61,7 @@
 	for {
 		i := strings.IndexByte(rest, '/')
 		if i < 0 {
-			return best // the last segment has no slash after it: no prefix ends in it
+			return best // the last segment isn't followed by a slash, so no prefix ends with it
 		}
 		if n = n.next[rest[:i]]; n == nil {
 			return best
@@ -74,7 +73,7 @@
 	}
 }
 
-// Service finds what the configuration says of a service.
+// Service returns the settings of a service, or nil if the configuration doesn't contain it.
 func (t *Tree) Service(name string) *Service {
 	for _, s := range t.Config.Services {
 		if s.Name == name {
