--- a/internal/control/reservation/allocator.go
+++ b/internal/control/reservation/allocator.go
@@ -9,51 +9,55 @@
 )
 
 const (
-	// leaseDuration is long, so that an edge that is cut off keeps its shares for a while. Slots that an edge gives up are
-	// free as soon as it acknowledges a newer lease.
+	// leaseDuration is long so that a partitioned edge keeps its shares for a while. It doesn't delay reallocation: slots
+	// that an edge gives up become free as soon as it acknowledges a newer lease.
 	leaseDuration = 10 * time.Second
-	// demandTTL is how long an edge gets new leases after its last demand.
+	// demandTTL is how long an edge is granted new leases after its last demand.
 	demandTTL = 2 * time.Second
-	// LeaderProofTTL is how old the proof may be by which a controller allocates as leader.
+	// LeaderProofTTL is the maximum age of the proof of leadership that a controller needs to allocate. Leadership is proven
+	// when a majority confirms it.
 	LeaderProofTTL = 500 * time.Millisecond
-	// inheritedLeaseTTL is how long leases of an earlier leader may be in force after a new one began.
+	// inheritedLeaseTTL is how long the leases of an earlier leader may remain valid after a new leader's term began.
 	inheritedLeaseTTL = leaseDuration + LeaderProofTTL
-	// maxClockSkew is what the time may differ by from controller to controller.
+	// maxClockSkew is the largest expected difference between the Clocks of two controllers.
 	maxClockSkew = 2 * time.Second
-	// maxPastIncarnations is how many earlier incarnations of an edge are remembered, whose late demands are ignored.
+	// maxPastIncarnations is how many earlier incarnations of an edge are remembered in order to ignore their delayed
+	// demands.
 	maxPastIncarnations = 16
 )
 
-// Reservation is what edges receive of a booking: the slots that it holds now. The capacity that is left for all who have
-// booked nothing at a service is a reservation, too.
+// Reservation is the part of a booking that is sent to edges: the slots that it holds now. The unreserved capacity of a
+// service, which serves requests without a booking, is a reservation as well.
 type Reservation struct {
 	ID      string `cbor:"1,keyasint" json:"id"`
 	Tenant  string `cbor:"2,keyasint,omitempty" json:"tenant,omitempty"`
 	Service string `cbor:"3,keyasint" json:"service"`
 	Route   string `cbor:"4,keyasint,omitempty" json:"route,omitempty"`
 	Slots   int    `cbor:"5,keyasint" json:"slots"`
-	Zone    string `cbor:"6,keyasint,omitempty" json:"zone,omitempty"` // whose edges share it; empty: all
+	Zone    string `cbor:"6,keyasint,omitempty" json:"zone,omitempty"` // only edges in this zone get shares; empty: all edges
 }
 
-const othersPrefix = "*"
+// unreservedPrefix begins the ids of reservations of unreserved capacity. The ids of bookings may not begin with it.
+const unreservedPrefix = "*"
 
-// UnreservedID names the reservation of all who have booked nothing at a service.
-func UnreservedID(service string) string { return othersPrefix + service }
+// UnreservedID returns the id of the reservation that holds a service's unreserved capacity.
+func UnreservedID(service string) string { return unreservedPrefix + service }
 
-// Demand is what an edge says of its reservations: what runs or waits there, and the lease that it holds.
+// Demand is an edge's report to the allocator: its requests in flight or queued, by reservation, and the lease that it holds.
 type Demand struct {
 	Incarnation   uint64         `cbor:"1,keyasint"`
-	Stamp         time.Duration  `cbor:"2,keyasint"` // on the edge's own steady clock
-	Term          uint64         `cbor:"3,keyasint"` // whose leases it accepts
-	Seq           uint64         `cbor:"4,keyasint,omitempty"`
-	Requested     map[string]int `cbor:"5,keyasint,omitempty"` // requests, by reservation
-	CurrentShares map[string]int `cbor:"6,keyasint,omitempty"` // by a lease of an earlier term, if it has none of this one
-	LeaseLeft     time.Duration  `cbor:"7,keyasint,omitempty"` // of that lease
+	Stamp         time.Duration  `cbor:"2,keyasint"`           // time of the report, on the edge's monotonic clock
+	Term          uint64         `cbor:"3,keyasint"`           // of the leases that the edge accepts
+	Seq           uint64         `cbor:"4,keyasint,omitempty"` // of the newest lease of this term that the edge holds; 0: none
+	Requested     map[string]int `cbor:"5,keyasint,omitempty"` // requests in flight or queued, by reservation
+	CurrentShares map[string]int `cbor:"6,keyasint,omitempty"` // by a lease of an earlier term, if none of this term is held
+	LeaseLeft     time.Duration  `cbor:"7,keyasint,omitempty"` // remaining validity of the lease behind CurrentShares
 	Zone          string         `cbor:"8,keyasint,omitempty"`
 }
 
-// Lease gives an edge its shares of all reservations. It answers a Demand and counts from that one's stamp, on the edge's
-// own clock: a lease that was long on its way, or that is read by a process that stood still, has run out when it is read.
+// Lease grants an edge its shares of all reservations. It answers a Demand and is valid for Duration from the stamp of that
+// Demand, on the edge's own clock: a lease that was delayed in transit, or that is read by a process that was suspended, has
+// expired when it is read.
 type Lease struct {
 	Incarnation uint64          `cbor:"1,keyasint"`
 	Stamp       time.Duration   `cbor:"2,keyasint"`
@@ -61,26 +65,26 @@
 	Seq         uint64          `cbor:"4,keyasint"`
 	Duration    time.Duration   `cbor:"5,keyasint"`
 	Shares      map[string]int  `cbor:"6,keyasint,omitempty"` // slots, by reservation
-	Exhausted   map[string]bool `cbor:"7,keyasint,omitempty"` // reservations of which more is wanted than there is
+	Exhausted   map[string]bool `cbor:"7,keyasint,omitempty"` // reservations whose requests at all edges exceed their slots
 }
 
-// Allocator divides the reservations among the edges, under one term of the consensus.
+// Allocator divides the slots of the reservations among the edges. It belongs to one consensus term.
 type Allocator struct {
 	term            uint64
-	since           time.Duration
+	startedAt       time.Duration
 	reservations    map[string]Reservation
 	edges           map[string]*edgeState
-	inheritedShares map[string]int // by reservation: what edges said that they hold by leases of an earlier term
-	openedAt        map[string]time.Duration
+	inheritedShares map[string]int // slots reported as held by leases of an earlier term, by reservation
+	activeSince     map[string]time.Duration
 	seq             uint64
 }
 
-// edgeState is what is known of an edge.
+// edgeState is the allocator's record of one edge.
 type edgeState struct {
-	demand           Demand // the last one
-	heardAt          time.Duration
+	demand           Demand // the last one received
+	lastDemandAt     time.Duration
 	pastIncarnations []uint64
-	leases           []grantedLease // that it may have received and not acknowledged a newer one of
+	leases           []grantedLease // the edge may hold any of these: it has acknowledged no newer one
 }
 
 type grantedLease struct {
@@ -89,37 +93,40 @@
 	shares    map[string]int
 }
 
-// NewAllocator makes an allocator for a term that begins now. The caller must lead under that term by then.
+// NewAllocator returns an allocator for a term that begins now. The caller must be the leader of that term.
 func NewAllocator(term uint64, now time.Duration) *Allocator {
-	return &Allocator{term: term, since: now, reservations: map[string]Reservation{}, edges: map[string]*edgeState{},
-		inheritedShares: map[string]int{}, openedAt: map[string]time.Duration{}}
+	return &Allocator{term: term, startedAt: now, reservations: map[string]Reservation{}, edges: map[string]*edgeState{},
+		inheritedShares: map[string]int{}, activeSince: map[string]time.Duration{}}
 }
 
-// Term is the one that the allocator allocates under.
+// Term returns the consensus term that the allocator belongs to.
 func (a *Allocator) Term() uint64 { return a.term }
 
-// SetReservations sets the reservations that are in force. They grow at once, and shrink as edges acknowledge or leases run out.
+// SetReservations replaces the active reservations. Added slots are granted with the next leases; removed slots are freed as
+// edges acknowledge newer leases or their leases expire.
 func (a *Allocator) SetReservations(reservations []Reservation, now time.Duration) {
 	clear(a.reservations)
 	for _, r := range reservations {
 		a.reservations[r.ID] = r
-		if _, known := a.openedAt[r.ID]; !known {
-			a.openedAt[r.ID] = now
+		if _, seenBefore := a.activeSince[r.ID]; !seenBefore {
+			a.activeSince[r.ID] = now
 		}
 	}
-	maps.DeleteFunc(a.openedAt, func(id string, _ time.Duration) bool {
-		_, planned := a.reservations[id]
-		return !planned
+	maps.DeleteFunc(a.activeSince, func(id string, _ time.Duration) bool {
+		_, reserved := a.reservations[id]
+		return !reserved
 	})
 }
 
-// inherited reports whether an earlier allocator may have given out shares of a reservation: it opened before this one's
-// term, or so near to its begin that the controllers' clocks may differ on which came first.
-func (a *Allocator) inherited(id string, now time.Duration) bool {
-	return now-a.since < inheritedLeaseTTL && a.openedAt[id]-a.since < maxClockSkew
+// mayBeInherited reports whether an earlier allocator may have granted shares of a reservation that are still valid: the
+// reservation became active before this allocator's term, or so soon after its start that the controllers' clocks may
+// disagree on which came first.
+func (a *Allocator) mayBeInherited(id string, now time.Duration) bool {
+	return now-a.startedAt < inheritedLeaseTTL && a.activeSince[id]-a.startedAt < maxClockSkew
 }
 
-// HandleDemand takes an edge's demand. One of another term says nothing of what the edge may hold by this one.
+// HandleDemand records an edge's demand. A demand of another term is ignored, since it doesn't tell which lease of this term
+// the edge holds.
 func (a *Allocator) HandleDemand(edge string, demand Demand, now time.Duration) {
 	if demand.Term != a.term {
 		return
@@ -129,23 +136,23 @@
 	case e == nil:
 		e = &edgeState{}
 		a.edges[edge] = e
-		a.adoptInherited(e, demand, now)
+		a.adoptInheritedLease(e, demand, now)
 	case slices.Contains(e.pastIncarnations, demand.Incarnation):
 		return
-	case demand.Incarnation != e.demand.Incarnation: // its process was restarted and holds nothing of before
+	case demand.Incarnation != e.demand.Incarnation: // the process was restarted and has lost its leases
 		e.pastIncarnations = append(e.pastIncarnations, e.demand.Incarnation)
 		e.pastIncarnations = e.pastIncarnations[max(0, len(e.pastIncarnations)-maxPastIncarnations):]
 		e.leases = nil
 	case demand.Stamp < e.demand.Stamp:
-		return // a late one
+		return // delivered out of order
 	}
-	e.demand, e.heardAt = demand, now
+	e.demand, e.lastDemandAt = demand, now
 	e.leases = slices.DeleteFunc(e.leases, func(l grantedLease) bool { return l.seq < demand.Seq })
 }
 
-// adoptInherited takes over what an edge holds by a lease of an earlier term.
-func (a *Allocator) adoptInherited(e *edgeState, demand Demand, now time.Duration) {
-	if demand.Seq != 0 || demand.LeaseLeft <= 0 || now-a.since >= inheritedLeaseTTL {
+// adoptInheritedLease records the shares that an edge holds by a lease of an earlier term.
+func (a *Allocator) adoptInheritedLease(e *edgeState, demand Demand, now time.Duration) {
+	if demand.Seq != 0 || demand.LeaseLeft <= 0 || now-a.startedAt >= inheritedLeaseTTL {
 		return
 	}
 	e.leases = append(e.leases, grantedLease{0, now + demand.LeaseLeft, demand.CurrentShares})
@@ -154,7 +161,7 @@
 	}
 }
 
-// maxShare is the most that an edge may hold of a reservation now, by any lease that it may have received.
+// maxShare returns the largest share of a reservation that the edge may hold now, by any lease that it may have received.
 func (e *edgeState) maxShare(id string, now time.Duration) (largest int) {
 	for _, l := range e.leases {
 		if now <= l.expiresAt {
@@ -164,7 +171,7 @@
 	return largest
 }
 
-// Allocate gives every edge that was heard lately its next lease, by edge.
+// Allocate returns the next lease for each edge that sent a demand within demandTTL, by edge.
 func (a *Allocator) Allocate(now time.Duration) map[string]Lease {
 	edges := a.activeEdges(now)
 	leases := map[string]Lease{}
@@ -180,19 +187,20 @@
 	}
 	for _, name := range edges {
 		e, l := a.edges[name], leases[name]
-		expiresAt := now + leaseDuration // at the latest: the stamp was before now
+		expiresAt := now + leaseDuration // upper bound: the lease counts from its stamp, which is earlier
 		e.leases = append(e.leases, grantedLease{l.Seq, expiresAt, l.Shares})
 	}
 	return leases
 }
 
-// activeEdges lists the edges that were heard lately, sorted, and forgets those that hold nothing any more.
+// activeEdges returns the sorted names of the edges that sent a demand within demandTTL. It removes other edges once they
+// hold no lease of this term and leases of earlier terms have expired.
 func (a *Allocator) activeEdges(now time.Duration) (names []string) {
 	for name, e := range a.edges {
 		e.leases = slices.DeleteFunc(e.leases, func(l grantedLease) bool { return now > l.expiresAt })
-		if now-e.heardAt <= demandTTL {
+		if now-e.lastDemandAt <= demandTTL {
 			names = append(names, name)
-		} else if len(e.leases) == 0 && now-a.since >= inheritedLeaseTTL {
+		} else if len(e.leases) == 0 && now-a.startedAt >= inheritedLeaseTTL {
 			delete(a.edges, name)
 		}
 	}
@@ -200,42 +208,42 @@
 	return names
 }
 
-// allocateReservation sets the shares of one reservation in the leases of these edges.
+// allocateReservation sets the shares of one reservation in the leases of the given edges.
 func (a *Allocator) allocateReservation(id string, edges []string, now time.Duration, leases map[string]Lease) {
 	total := a.reservations[id].Slots
-	if a.inherited(id, now) { // what was not heard of may be held by edges that were not heard yet
-		if a.inheritedShares[id] == 0 && strings.HasPrefix(id, othersPrefix) {
-			return // nothing is said of it, and edges limit the others to an even share
+	if a.mayBeInherited(id, now) { // slots that no edge has reported may be held by edges that haven't reported yet
+		if a.inheritedShares[id] == 0 && strings.HasPrefix(id, unreservedPrefix) {
+			return // without a share, edges limit unreserved requests to an even part of the slots
 		}
 		total = min(total, a.inheritedShares[id])
 	}
-	edges = a.sharers(id, edges)
+	edges = a.eligibleEdges(id, edges)
 	targets := a.targetShares(id, max(0, total), edges)
-	free, wanted := total, 0
+	free, requested := total, 0
 	for _, name := range edges {
-		wanted += a.wanted(name, id)
+		requested += a.requested(name, id)
 	}
 	for _, e := range a.edges {
 		free -= e.maxShare(id, now)
 	}
-	// First those who are furthest below what they should have.
+	// Edges furthest below their target come first.
 	slices.SortStableFunc(edges, func(x, y string) int {
 		return cmp.Compare(a.edges[x].maxShare(id, now)-targets[x], a.edges[y].maxShare(id, now)-targets[y])
 	})
 	for _, name := range edges {
 		share := min(targets[name], a.edges[name].maxShare(id, now))
-		if more := min(targets[name]-share, free); more > 0 {
-			share, free = share+more, free-more
+		if increase := min(targets[name]-share, free); increase > 0 {
+			share, free = share+increase, free-increase
 		}
 		leases[name].Shares[id] = share
-		if wanted > a.reservations[id].Slots {
+		if requested > a.reservations[id].Slots {
 			leases[name].Exhausted[id] = true
 		}
 	}
 }
 
-// sharers are the edges among which a reservation is divided.
-func (a *Allocator) sharers(id string, edges []string) []string {
+// eligibleEdges returns the edges among which a reservation is divided: those in its zone, or all if it has none.
+func (a *Allocator) eligibleEdges(id string, edges []string) []string {
 	edges = slices.Clone(edges)
 	zone := a.reservations[id].Zone
 	if zone == "" {
@@ -244,72 +252,73 @@
 	return slices.DeleteFunc(edges, func(name string) bool { return a.edges[name].demand.Zone != zone })
 }
 
-// wanted is what an edge wants of a reservation.
-func (a *Allocator) wanted(edge, id string) int { return max(0, a.edges[edge].demand.Requested[id]) }
+// requested returns the number of requests in flight or queued at an edge for a reservation.
+func (a *Allocator) requested(edge, id string) int { return max(0, a.edges[edge].demand.Requested[id]) }
 
-// targetShares are what the shares should be: to each edge what it wants if there is enough, and what is left evenly; else
-// in proportion to what is wanted, by the largest remainder.
+// targetShares returns the intended share of each edge. If there are enough slots, each edge gets as many as it requests and
+// an even part of the remainder. Otherwise slots are divided in proportion to the requests, by the largest remainder method.
 func (a *Allocator) targetShares(id string, total int, edges []string) map[string]int {
 	targets := map[string]int{}
 	if len(edges) == 0 {
 		return targets
 	}
-	wanted := 0
+	requested := 0
 	for _, name := range edges {
-		wanted += a.wanted(name, id)
+		requested += a.requested(name, id)
 	}
-	if spare := total - wanted; spare >= 0 {
+	if spare := total - requested; spare >= 0 {
 		for i, name := range edges {
-			targets[name] = a.wanted(name, id) + spare/len(edges)
+			targets[name] = a.requested(name, id) + spare/len(edges)
 			if i < spare%len(edges) {
 				targets[name]++
 			}
 		}
 		return targets
 	}
-	left := total
+	remaining := total
 	for _, name := range edges {
-		targets[name] = total * a.wanted(name, id) / wanted
-		left -= targets[name]
+		targets[name] = total * a.requested(name, id) / requested
+		remaining -= targets[name]
 	}
 	byRemainder := slices.Clone(edges)
 	slices.SortStableFunc(byRemainder, func(x, y string) int {
-		return cmp.Compare(total*a.wanted(y, id)%wanted, total*a.wanted(x, id)%wanted)
+		return cmp.Compare(total*a.requested(y, id)%requested, total*a.requested(x, id)%requested)
 	})
-	for _, name := range byRemainder[:left] {
+	for _, name := range byRemainder[:remaining] {
 		targets[name]++
 	}
 	return targets
 }
 
-// TotalRequested is how much of each reservation is wanted now, by the edges that were heard lately.
+// TotalRequested returns the requests in flight or queued by reservation, summed over the edges that sent a demand within
+// demandTTL.
 func (a *Allocator) TotalRequested(now time.Duration) map[string]int {
-	all := map[string]int{}
+	totals := map[string]int{}
 	for _, e := range a.edges {
-		if now-e.heardAt > demandTTL {
+		if now-e.lastDemandAt > demandTTL {
 			continue
 		}
 		for id, n := range e.demand.Requested {
-			all[id] += n
+			totals[id] += n
 		}
 	}
-	return all
+	return totals
 }
 
-// LeaseHolder is an edge's own view of its shares. An incarnation of its process begins with none.
+// LeaseHolder is an edge's view of its own shares. A new incarnation of the edge's process starts without a lease.
 type LeaseHolder struct {
 	Incarnation uint64
-	term        uint64 // whose leases are accepted
-	leaseTerm   uint64 // of the lease that is held
+	term        uint64 // of the leases that are accepted
+	leaseTerm   uint64 // of the lease held
 	lease       Lease
 	expiresAt   time.Duration
 }
 
-// AdvanceTerm takes over the term that reservations are allocated under. Leases of earlier ones are refused from then on,
-// since the new allocator may count on what it receives here.
+// AdvanceTerm raises the term of the leases that are accepted; a lower term is ignored. Leases of earlier terms are rejected
+// from then on, because the new allocator relies on the shares that the edge reports from now on.
 func (h *LeaseHolder) AdvanceTerm(term uint64) { h.term = max(h.term, term) }
 
-// Accept takes over a lease, and reports whether it is newer than the one that is held.
+// Accept replaces the lease held with l if l is for this incarnation and term and newer, and reports whether it did.
 func (h *LeaseHolder) Accept(l Lease) bool {
 	if l.Incarnation != h.Incarnation || l.Term != h.term || h.leaseTerm == l.Term && l.Seq <= h.lease.Seq {
 		return false
@@ -318,8 +327,8 @@
 	return true
 }
 
-// Share is what may be used of a reservation now, on the edge's clock, and whether more of it is wanted than there is.
-// Without a lease nothing is known.
+// Share returns the edge's slots of a reservation now, on the edge's monotonic clock, and whether the requests at all edges
+// exceed the reservation's slots. Known is false without a valid lease, or if the lease doesn't contain the reservation.
 func (h *LeaseHolder) Share(id string, now time.Duration) (slots int, exhausted, known bool) {
 	if now >= h.expiresAt {
 		return 0, false, false
@@ -328,9 +337,9 @@
 	return slots, h.lease.Exhausted[id], known
 }
 
-// Demand is what the edge says, given what it wants of each reservation.
-func (h *LeaseHolder) Demand(wanted map[string]int, now time.Duration) Demand {
-	d := Demand{Incarnation: h.Incarnation, Stamp: now, Term: h.term, Requested: wanted}
+// Demand returns the edge's report, given its requests in flight or queued by reservation.
+func (h *LeaseHolder) Demand(requested map[string]int, now time.Duration) Demand {
+	d := Demand{Incarnation: h.Incarnation, Stamp: now, Term: h.term, Requested: requested}
 	switch {
 	case h.leaseTerm == h.term:
 		d.Seq = h.lease.Seq
--- a/internal/control/reservation/doc.go
+++ b/internal/control/reservation/doc.go
@@ -1,15 +1,15 @@
-// Package reservation keeps capacity that is booked ahead for a tenant's busy hours. All its types are values fed with
-// events: they do no I/O and read no clock.
+// Package reservation manages capacity that is booked in advance for a tenant's busy hours. Its types are driven by events:
+// they do no I/O and read no clock. They are not safe for concurrent use.
 //
-//   - The Ledger is the lasting part: all bookings, agreed by the controllers like a configuration.
-//   - An Allocator, at the leader, divides the slots of the bookings that are due among the edges, by leases.
-//   - A LeaseHolder, at each edge, knows the edge's shares.
-//   - An AdmissionGate, at each edge and for each service, admits requests under those shares, and lends idle slots to
-//     requests that booked nothing.
-//   - The Clock is the time of day that bookings are kept by: the median of the controllers' clocks.
+//   - Ledger is the replicated state: all bookings, committed by the controllers through consensus like the configuration.
+//   - Allocator runs on the leader and divides the slots of the active bookings among the edges by granting leases.
+//   - LeaseHolder runs on each edge and holds the edge's shares.
+//   - AdmissionGate runs on each edge, one per service. It admits requests within the edge's shares and lends idle booked
+//     slots to requests without a booking.
+//   - Clock is the time of day that bookings refer to: the median of the controllers' clocks.
 //
-// The invariant is that the shares of a reservation sum to no more than its slots at every moment, through partitions, lost
-// messages, edges that die and leaders that follow each other. An allocator therefore counts, for every edge, the most that
-// any lease which the edge may have received gives it, until the edge acknowledges a newer lease or the older one has run
-// out; a new leader gives out nothing that its predecessor's leases may still cover.
+// Invariant: at every moment the shares of a reservation sum to no more than its slots, despite partitions, lost messages,
+// edge crashes and leader changes. For this, an allocator charges each edge with the largest share in any lease that the
+// edge may have received, until the edge acknowledges a newer lease or the older one expires. A new leader grants no slots
+// that its predecessor's leases may still cover.
 package reservation
--- a/internal/control/reservation/ledger.go
+++ b/internal/control/reservation/ledger.go
@@ -10,26 +10,26 @@
 	"mulleinwood/internal/platform/apierror"
 )
 
-// Booking is capacity for one tenant at one service. Times are seconds since 1970 on the controllers' Clock.
+// Booking reserves capacity at one service for one tenant. Times are seconds since 1970 on the controllers' Clock.
 type Booking struct {
 	ID      string  `cbor:"1,keyasint" json:"id"`
-	Tenant  string  `cbor:"2,keyasint" json:"tenant"` // host
+	Tenant  string  `cbor:"2,keyasint" json:"tenant"` // host name
 	Service string  `cbor:"3,keyasint" json:"service"`
-	Zone    string  `cbor:"4,keyasint,omitempty" json:"zone,omitempty"` // where the clients come in; empty: anywhere
+	Zone    string  `cbor:"4,keyasint,omitempty" json:"zone,omitempty"` // of the edges that the clients connect to; empty: any
 	Start   float64 `cbor:"5,keyasint" json:"start"`
 	End     float64 `cbor:"6,keyasint" json:"end"`
-	// Ramp is how many seconds before Start the slots begin to grow, and after End they go on shrinking.
+	// Ramp is the length, in seconds, of the linear increase of slots before Start and of the linear decrease after End.
 	Ramp   float64 `cbor:"7,keyasint,omitempty" json:"ramp_s,omitempty"`
-	Slots  float64 `cbor:"8,keyasint" json:"slots"`                    // requests at once; 0: Rate times Work
-	Rank   int     `cbor:"9,keyasint,omitempty" json:"rank,omitempty"` // 0 is kept longest
+	Slots  float64 `cbor:"8,keyasint" json:"slots"`                    // concurrent requests; 0: Rate times Work
+	Rank   int     `cbor:"9,keyasint,omitempty" json:"rank,omitempty"` // 0 is the highest priority
 	Owner  string  `cbor:"10,keyasint" json:"owner"`
 	Reason string  `cbor:"11,keyasint,omitempty" json:"reason,omitempty"`
-	Route  string  `cbor:"12,keyasint,omitempty" json:"route,omitempty"`  // empty: all of the tenant's to the service
-	Rate   float64 `cbor:"13,keyasint,omitempty" json:"rate,omitempty"`   // requests a second, where that is what is known
-	Work   float64 `cbor:"14,keyasint,omitempty" json:"work_s,omitempty"` // seconds that one of them takes
+	Route  string  `cbor:"12,keyasint,omitempty" json:"route,omitempty"`  // empty: all the tenant's routes to the service
+	Rate   float64 `cbor:"13,keyasint,omitempty" json:"rate,omitempty"`   // requests per second, an alternative to Slots
+	Work   float64 `cbor:"14,keyasint,omitempty" json:"work_s,omitempty"` // seconds per request
 }
 
-// WithSlots gives a booking that says its rate and work the slots that it needs.
+// WithSlots returns the booking with Slots computed from Rate and Work if Slots is 0.
 func (b Booking) WithSlots() Booking {
 	if b.Slots == 0 {
 		b.Slots = b.Rate * b.Work
@@ -37,7 +37,7 @@
 	return b
 }
 
-// SlotsAt is how many slots the booking holds at a time.
+// SlotsAt returns the slots that the booking holds at a time.
 func (b *Booking) SlotsAt(at float64) float64 {
 	switch {
 	case at >= b.Start && at < b.End:
@@ -50,17 +50,17 @@
 	return 0
 }
 
-// roundedSlotsAt is SlotsAt in whole slots, at least one while there is any.
+// roundedSlotsAt returns SlotsAt rounded up, so that a booking holds at least one slot while it holds any.
 func (b *Booking) roundedSlotsAt(at float64) float64 { return math.Ceil(b.SlotsAt(at)) }
 
 func (b *Booking) validate() error {
 	switch {
 	case b.ID == "" || b.Tenant == "" || b.Service == "" || b.Owner == "":
 		return apierror.Invalid.New("a booking needs an id, a tenant, a service and an owner")
-	case strings.HasPrefix(b.ID, othersPrefix) || len(b.ID) > maxIDLength:
+	case strings.HasPrefix(b.ID, unreservedPrefix) || len(b.ID) > maxIDLength:
 		return apierror.Invalid.New("booking %.20q: an id does not begin with %s and has %d bytes at most", b.ID,
-			othersPrefix, maxIDLength)
-	case !(b.End > b.Start) || math.IsInf(b.End, 0) || !(b.Ramp >= 0) || math.IsInf(b.Ramp, 0): // not a number fails, too
+			unreservedPrefix, maxIDLength)
+	case !(b.End > b.Start) || math.IsInf(b.End, 0) || !(b.Ramp >= 0) || math.IsInf(b.Ramp, 0): // the negations also reject NaN
 		return apierror.Invalid.New("booking %s: its end is not after its start, or its ramp is no time", b.ID)
 	case !(b.Slots > 0) || math.IsInf(b.Slots, 0):
 		return apierror.Invalid.New("booking %s: slots is not above 0", b.ID)
@@ -68,49 +68,50 @@
 	return nil
 }
 
-// Op is one change of the ledger, as the consensus log holds it.
+// Op is a change of the ledger as stored in the consensus log: Puts, or else Cancel.
 type Op struct {
-	Call   string    `cbor:"1,keyasint"`           // names the operator's call: the same one again changes nothing
-	Base   uint64    `cbor:"2,keyasint"`           // version of the ledger that it is built on
-	Puts   []Booking `cbor:"3,keyasint,omitempty"` // all of them or none
-	Cancel string    `cbor:"4,keyasint,omitempty"` // id of a booking, where there are no Puts
-	Now    float64   `cbor:"5,keyasint"`           // as the leader said
+	Call   string    `cbor:"1,keyasint"`           // unique id of the operator's call, which makes retries idempotent
+	Base   uint64    `cbor:"2,keyasint"`           // version of the ledger that the change is based on
+	Puts   []Booking `cbor:"3,keyasint,omitempty"` // bookings to add or replace, all or none
+	Cancel string    `cbor:"4,keyasint,omitempty"` // id of the booking to cancel; set if Puts is empty
+	Now    float64   `cbor:"5,keyasint"`           // time when the leader proposed the change, on its Clock
 }
 
-// How a booking went out of the ledger.
+// The values of PastBooking.EndReason: the booking was cancelled by an operator, or its time is over.
 const (
 	Cancelled = "cancelled"
 	Expired   = "expired"
 )
 
-// PastBooking is a booking that is over.
+// PastBooking is a booking that has ended.
 type PastBooking struct {
 	Booking
 	EndReason string `cbor:"20,keyasint" json:"how"` // Cancelled or Expired
 }
 
 const (
-	maxRecentCalls = 256
-	maxPast        = 1024
-	maxBookings    = 4096 // that are not over
+	maxRecentCalls = 256  // call ids kept for detecting retries
+	maxPast        = 1024 // past bookings kept
+	maxBookings    = 4096 // active bookings
 	maxIDLength    = 128  // bytes
 )
 
-// Ledger holds all bookings. Every controller that applies the same changes holds the same.
+// Ledger holds all bookings. It is deterministic: controllers that apply the same changes in the same order hold equal
+// ledgers.
 type Ledger struct {
 	Version     uint64             `cbor:"1,keyasint"`
-	Active      map[string]Booking `cbor:"2,keyasint"`           // those that are not over, by id
-	Past        []PastBooking      `cbor:"3,keyasint,omitempty"` // the last ones, oldest first
-	RecentCalls []string           `cbor:"4,keyasint,omitempty"` // that were applied, oldest first
+	Active      map[string]Booking `cbor:"2,keyasint"`           // bookings that have not ended, by id
+	Past        []PastBooking      `cbor:"3,keyasint,omitempty"` // the most recent ones, oldest first
+	RecentCalls []string           `cbor:"4,keyasint,omitempty"` // ids of the last calls applied, oldest first
 }
 
-// NewLedger makes an empty ledger.
+// NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{Active: map[string]Booking{}} }
 
-// HasApplied reports whether a call was applied lately.
+// HasApplied reports whether the call is among the last ones applied.
 func (l *Ledger) HasApplied(call string) bool { return slices.Contains(l.RecentCalls, call) }
 
-// Validate says what is wrong with a change: it is built on another version, or asks for what can't be.
+// Validate returns an error if a change is based on another version of the ledger, or is invalid. It doesn't check capacity.
 func (l *Ledger) Validate(op Op) error {
 	if op.Base != l.Version {
 		return apierror.Stale.New("built on %d, current is %d", op.Base, l.Version)
@@ -146,7 +147,8 @@
 	return nil
 }
 
-// Apply makes a change, once: the same call again changes nothing.
+// Apply applies a change. It is idempotent: a call that was applied recently is ignored and returns nil. A change that fails
+// Validate leaves the ledger as it is.
 func (l *Ledger) Apply(op Op) error {
 	if l.HasApplied(op.Call) {
 		return nil
@@ -167,6 +169,7 @@
 	return nil
 }
 
+// expire moves the bookings to Past whose End and Ramp are over.
 func (l *Ledger) expire(now float64) {
 	for _, b := range l.byRank(func(b *Booking) bool { return b.End+b.Ramp <= now }) {
 		l.endBooking(b, Expired)
@@ -179,31 +182,32 @@
 	l.Past = l.Past[max(0, len(l.Past)-maxPast):]
 }
 
-// byRank lists bookings by rank, then by start, then by id: the order in which they are kept when capacity is short.
-func (l *Ledger) byRank(include func(*Booking) bool) (all []Booking) {
+// byRank returns bookings ordered by rank, then start, then id: when capacity is short, earlier ones keep their slots first.
+func (l *Ledger) byRank(include func(*Booking) bool) (bookings []Booking) {
 	for _, b := range l.Active {
 		if include(&b) {
-			all = append(all, b)
+			bookings = append(bookings, b)
 		}
 	}
-	slices.SortFunc(all, func(a, b Booking) int {
+	slices.SortFunc(bookings, func(a, b Booking) int {
 		return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.Start, b.Start), cmp.Compare(a.ID, b.ID))
 	})
-	return all
+	return bookings
 }
 
-// Capacity is how many requests a service's servers work on at once, by zone.
+// Capacity is the number of concurrent requests that a service's servers can process, by zone.
 type Capacity map[string]float64
 
-// total is that of all zones.
-func (c Capacity) total() (all float64) {
+// total returns the capacity of all zones.
+func (c Capacity) total() (sum float64) {
 	for _, slots := range c {
-		all += slots
+		sum += slots
 	}
-	return all
+	return sum
 }
 
-// AfterZoneLoss is what remains when the largest zone is lost; that of a single zone is all of it.
+// AfterZoneLoss returns the capacity that remains if the zone with the largest capacity fails. With a single zone, it returns
+// all capacity.
 func (c Capacity) AfterZoneLoss() float64 {
 	if len(c) < 2 {
 		return c.total()
@@ -215,17 +219,17 @@
 	return c.total() - largest
 }
 
-// AvailableFor is the most slots that a booking could hold from its start to its end, ramps included, beside those that are
-// there. One of the same id counts as replaced.
+// AvailableFor returns the largest number of slots that a booking could hold from its start to its end, ramps included, in
+// addition to the other active bookings of its service. An active booking with the same id counts as replaced.
 func (l *Ledger) AvailableFor(wanted Booking, capacity Capacity) float64 {
 	others := l.byRank(func(b *Booking) bool { return b.ID != wanted.ID && b.Service == wanted.Service })
-	corners := wanted.corners()
+	breakpoints := wanted.breakpoints()
 	for _, b := range others {
-		corners = append(corners, b.corners()...)
+		breakpoints = append(breakpoints, b.breakpoints()...)
 	}
 	available := math.Inf(1)
-	for _, corner := range corners { // the slots of all are linear between these
-		for _, at := range []float64{corner, math.Nextafter(corner, math.Inf(-1)), math.Nextafter(corner, math.Inf(1))} {
+	for _, point := range breakpoints { // the slots of all bookings are linear between these
+		for _, at := range []float64{point, math.Nextafter(point, math.Inf(-1)), math.Nextafter(point, math.Inf(1))} {
 			share := wanted.SlotsAt(at) / wanted.Slots
 			if share <= 0 {
 				continue
@@ -240,62 +244,62 @@
 	return max(0, available)
 }
 
-// corners are the times at which the course of the booking's slots changes.
-func (b *Booking) corners() []float64 {
+// breakpoints returns the times at which the slope of the booking's slots changes.
+func (b *Booking) breakpoints() []float64 {
 	return []float64{b.Start - b.Ramp, b.Start, b.End, b.End + b.Ramp}
 }
 
-// FirstShortfall finds the first of some bookings that could not be kept beside those before it and all that are there, and
-// how many slots of it could be; if all can be kept it tells that of the last. Services that capacities doesn't name have
-// none.
+// FirstShortfall returns the first booking of puts that doesn't fit in addition to those before it and to the active
+// bookings, and the slots available for it. If all fit, short is false, id is empty and available is that of the last one.
+// Services missing from capacities have none.
 func (l *Ledger) FirstShortfall(puts []Booking, capacities map[string]Capacity) (short bool, id string, available float64) {
-	after := Ledger{Active: maps.Clone(l.Active)}
-	for _, b := range puts { // replaced bookings go first: they may make room for another one
-		delete(after.Active, b.ID)
+	projected := Ledger{Active: maps.Clone(l.Active)}
+	for _, b := range puts { // replaced bookings are removed first, since that may free slots for the others
+		delete(projected.Active, b.ID)
 	}
 	for _, b := range puts {
-		if available = after.AvailableFor(b, capacities[b.Service]); available < b.Slots {
+		if available = projected.AvailableFor(b, capacities[b.Service]); available < b.Slots {
 			return true, b.ID, available
 		}
-		after.Active[b.ID] = b
+		projected.Active[b.ID] = b
 	}
 	return false, "", available
 }
 
-// Shortfalls are the bookings of a service that can't be kept at a time, by id, and how many slots each of them lacks. Which
-// of them lack is decided by rank.
+// Shortfalls returns the slots that bookings of a service lack at a time, by id. Bookings get their slots in the order of
+// rank; those that lack none are left out.
 func (l *Ledger) Shortfalls(service string, capacity Capacity, at float64) map[string]float64 {
-	lacking, left := map[string]float64{}, capacity.AfterZoneLoss()
+	shortfalls, remaining := map[string]float64{}, capacity.AfterZoneLoss()
 	for _, b := range l.byRank(func(b *Booking) bool { return b.Service == service && b.SlotsAt(at) > 0 }) {
 		wanted := b.SlotsAt(at)
-		kept := max(0, min(wanted, left))
-		if left -= kept; kept < wanted {
-			lacking[b.ID] = wanted - kept
+		kept := max(0, min(wanted, remaining))
+		if remaining -= kept; kept < wanted {
+			shortfalls[b.ID] = wanted - kept
 		}
 	}
-	return lacking
+	return shortfalls
 }
 
-// leadTime is how many seconds before its time a booking's slots are reserved: they are allocated by then, and controllers
-// that are lost just before change nothing.
+// leadTime is how many seconds in advance a booking's slots are reserved, so that they are allocated when they are needed
+// even if controllers fail just before.
 const leadTime = 5.0
 
-// ReservationsAt lists the reservations in force at a time, each service's followed by that of all others there. What can't
-// be kept of a booking is not reserved.
+// ReservationsAt returns the active reservations at a time: those of bookings by rank, then one per service for its
+// unreserved capacity. Slots of a booking that exceed the remaining capacity are not reserved.
 func (l *Ledger) ReservationsAt(capacities map[string]Capacity, at float64) (reservations []Reservation) {
 	reserved := map[string]float64{}
-	due := func(b *Booking) float64 { return max(b.roundedSlotsAt(at), b.roundedSlotsAt(at+leadTime)) }
-	for _, b := range l.byRank(func(b *Booking) bool { return due(b) > 0 }) {
-		left := capacities[b.Service].total() - reserved[b.Service]
-		slots := math.Floor(max(0, min(due(&b), left)))
+	slotsDue := func(b *Booking) float64 { return max(b.roundedSlotsAt(at), b.roundedSlotsAt(at+leadTime)) }
+	for _, b := range l.byRank(func(b *Booking) bool { return slotsDue(b) > 0 }) {
+		remaining := capacities[b.Service].total() - reserved[b.Service]
+		slots := math.Floor(max(0, min(slotsDue(&b), remaining)))
 		reserved[b.Service] += slots
 		reservations = append(reservations, Reservation{ID: b.ID, Tenant: b.Tenant, Service: b.Service, Route: b.Route,
 			Zone:  b.Zone,
 			Slots: int(slots)})
 	}
 	for _, service := range slices.Sorted(maps.Keys(reserved)) {
-		left := capacities[service].total() - reserved[service]
-		reservations = append(reservations, Reservation{ID: UnreservedID(service), Service: service, Slots: int(max(0, left))})
+		free := capacities[service].total() - reserved[service]
+		reservations = append(reservations, Reservation{ID: UnreservedID(service), Service: service, Slots: int(max(0, free))})
 	}
 	return reservations
 }
