--- a/internal/control/registry/registry_test.go
+++ b/internal/control/registry/registry_test.go
@@ -17,57 +17,57 @@
 	RunSpecs(t, "registry")
 }
 
-const beat = 1500 * time.Millisecond
+const heartbeatInterval = 1500 * time.Millisecond
 
-func never(string) bool { return false }
+func alwaysReachable(string) bool { return false }
 
 func entry(seq uint64, state registry.State) registry.Entry {
 	return registry.Entry{ID: "i-1", Service: "ledger", Address: "10.0.0.9:80", Capacity: 2, Seq: seq, State: state, Owner: "x"}
 }
 
 var _ = Describe("a registry", func() {
-	It("keeps a server draining when a late beat says ready", func() {
+	It("keeps a server draining when a delayed heartbeat reports it as ready", func() {
 		r := registry.New(time.Minute)
 		r.Apply(entry(5, registry.Draining), 0)
-		now, news := r.Apply(entry(4, registry.Ready), 1)
-		Expect(now.State).To(Equal(registry.Draining))
-		Expect(news).To(BeFalse())
-		now, _ = r.Apply(entry(6, registry.Ready), 2)
-		Expect(now.State).To(Equal(registry.Draining))
+		current, updated := r.Apply(entry(4, registry.Ready), 1)
+		Expect(current.State).To(Equal(registry.Draining))
+		Expect(updated).To(BeFalse())
+		current, _ = r.Apply(entry(6, registry.Ready), 2)
+		Expect(current.State).To(Equal(registry.Draining))
 	})
-	It("keeps a life gone when a snapshot of one who missed that comes", func() {
+	It("keeps an incarnation removed when an outdated snapshot arrives", func() {
 		r := registry.New(time.Minute)
 		r.Apply(entry(5, registry.Removed), 0)
-		now, news := r.Apply(entry(9, registry.Ready), 1)
-		Expect(now.State).To(Equal(registry.Removed))
-		Expect(news).To(BeFalse())
+		current, updated := r.Apply(entry(9, registry.Ready), 1)
+		Expect(current.State).To(Equal(registry.Removed))
+		Expect(updated).To(BeFalse())
 	})
-	It("takes an address given to another service for another life", func() {
+	It("treats an address that is reused by another service as another incarnation", func() {
 		r := registry.New(time.Minute)
 		r.Apply(entry(5, registry.Removed), 0)
 		next := registry.Entry{ID: "i-2", Service: "tags", Address: "10.0.0.9:80", Capacity: 2, Seq: 1}
-		now, news := r.Apply(next, 1)
-		Expect(news).To(BeTrue())
-		Expect(now.Service).To(Equal("tags"))
+		current, updated := r.Apply(next, 1)
+		Expect(updated).To(BeTrue())
+		Expect(current.Service).To(Equal("tags"))
 		old, _ := r.Get("i-1")
 		Expect(old.State).To(Equal(registry.Removed))
 	})
-	It("marks silent whose beats stop, and takes the next beat back", func() {
+	It("marks a server as timed out without heartbeats, and reverts that with the next heartbeat", func() {
 		r := registry.New(time.Minute)
 		r.Apply(entry(5, registry.Ready), 0)
-		Expect(r.MarkTimedOut("x", never, 3*beat, 3*beat)).To(BeEmpty())
-		Expect(r.MarkTimedOut("x", never, 3*beat, 3*beat+1)).To(HaveLen(1))
-		now, news := r.Apply(entry(6, registry.Ready), 4*beat)
-		Expect(now.TimedOut).To(BeFalse())
-		Expect(news).To(BeTrue())
+		Expect(r.MarkTimedOut("x", alwaysReachable, 3*heartbeatInterval, 3*heartbeatInterval)).To(BeEmpty())
+		Expect(r.MarkTimedOut("x", alwaysReachable, 3*heartbeatInterval, 3*heartbeatInterval+1)).To(HaveLen(1))
+		current, updated := r.Apply(entry(6, registry.Ready), 4*heartbeatInterval)
+		Expect(current.TimedOut).To(BeFalse())
+		Expect(updated).To(BeTrue())
 	})
-	It("leaves the beats of others alone, while those are heard", func() {
+	It("marks the servers of another controller only while that is unreachable", func() {
 		r := registry.New(time.Minute)
 		r.Apply(entry(5, registry.Ready), 0)
-		Expect(r.MarkTimedOut("y", never, 3*beat, 9*beat)).To(BeEmpty())
-		Expect(r.MarkTimedOut("y", func(string) bool { return true }, 3*beat, 9*beat)).To(HaveLen(1))
+		Expect(r.MarkTimedOut("y", alwaysReachable, 3*heartbeatInterval, 9*heartbeatInterval)).To(BeEmpty())
+		Expect(r.MarkTimedOut("y", func(string) bool { return true }, 3*heartbeatInterval, 9*heartbeatInterval)).To(HaveLen(1))
 	})
-	It("comes to the same, whatever the order of what it hears", func() {
+	It("merges entries to the same result in any order", func() {
 		rng := rand.New(rand.NewPCG(1, 1))
 		for range 2000 {
 			var all []registry.Entry
@@ -92,7 +92,7 @@
 			}
 		}
 	})
-	It("has the same sums as another that holds the same, and others in the cells that differ", func() {
+	It("has equal digests for equal entries, and different digests for the zones that differ", func() {
 		rng := rand.New(rand.NewPCG(4, 4))
 		zones := []string{"a", "b", "c"}
 		for range 300 {
@@ -120,22 +120,22 @@
 			}
 			extra.State = registry.Removed
 			two.Apply(extra, 0)
-			Expect(one.Digest()).To(Equal(two.Digest()), "what is gone doesn't count: it is forgotten at different times")
+			Expect(one.Digest()).To(Equal(two.Digest()), "removed incarnations are pruned at different times")
 		}
 	})
-	It("has a server back that beat on while two controllers were cut off from each other for long", func() {
-		for _, cut := range []time.Duration{30 * time.Second, 100 * time.Second, 170 * time.Second, time.Hour} {
+	It("restores a server that kept sending heartbeats during a long partition between two controllers", func() {
+		for _, partition := range []time.Duration{30 * time.Second, 100 * time.Second, 170 * time.Second, time.Hour} {
 			near, far := registry.New(90*time.Second), registry.New(90*time.Second)
 			seq, healed := uint64(1), false
 			near.Apply(entry(seq, registry.Ready), 0)
 			far.Apply(entry(seq, registry.Ready), 0)
-			lost := func(string) bool { return !healed }
-			for now := time.Duration(0); now < cut+10*time.Minute; now += beat {
+			unreachable := func(string) bool { return !healed }
+			for now := time.Duration(0); now < partition+10*time.Minute; now += heartbeatInterval {
 				seq++
-				changed, news := near.Apply(entry(seq, registry.Ready), now)
-				if now > cut {
-					if news || !healed {
-						far.Apply(changed, now)
+				current, updated := near.Apply(entry(seq, registry.Ready), now)
+				if now > partition {
+					if updated || !healed {
+						far.Apply(current, now)
 					}
 					if !healed {
 						for _, e := range far.All(now) {
@@ -144,25 +144,25 @@
 					}
 					healed = true
 				}
-				near.MarkTimedOut("x", never, 3*beat, now)
-				far.MarkTimedOut("y", lost, 3*beat, now)
+				near.MarkTimedOut("x", alwaysReachable, 3*heartbeatInterval, now)
+				far.MarkTimedOut("y", unreachable, 3*heartbeatInterval, now)
 			}
 			for _, r := range []*registry.Registry{near, far} {
 				e, known := r.Get("i-1")
-				Expect(known).To(BeTrue(), "cut for %s", cut)
-				Expect(e.Ended()).To(BeFalse(), "cut for %s", cut)
+				Expect(known).To(BeTrue(), "partition of %s", partition)
+				Expect(e.Ended()).To(BeFalse(), "partition of %s", partition)
 			}
 		}
 	})
-	It("takes one that falls silent while it leaves for gone, whatever comes late", func() {
+	It("removes a draining server whose heartbeats stop, despite a delayed heartbeat", func() {
 		r := registry.New(time.Minute)
 		r.Apply(entry(5, registry.Draining), 0)
-		r.MarkTimedOut("x", never, beat, beat+1)
-		Expect(r.MarkTimedOut("x", never, beat, beat+2+time.Minute)).To(HaveLen(1))
-		now, _ := r.Apply(entry(6, registry.Ready), 2*time.Minute)
-		Expect(now.State).To(Equal(registry.Removed))
+		r.MarkTimedOut("x", alwaysReachable, heartbeatInterval, heartbeatInterval+1)
+		Expect(r.MarkTimedOut("x", alwaysReachable, heartbeatInterval, heartbeatInterval+2+time.Minute)).To(HaveLen(1))
+		current, _ := r.Apply(entry(6, registry.Ready), 2*time.Minute)
+		Expect(current.State).To(Equal(registry.Removed))
 	})
-	It("forgets what is long gone", func() {
+	It("prunes a removed incarnation after the retention", func() {
 		r := registry.New(time.Minute)
 		r.Apply(entry(5, registry.Removed), 0)
 		r.Prune(time.Minute)
