--- a/internal/control/storage/entries_test.go
+++ b/internal/control/storage/entries_test.go
@@ -8,8 +8,8 @@
 	"mulleinwood/internal/control/storage"
 )
 
-var _ = Describe("a membership in the log on disk", func() {
-	It("that can't be makes the file spoilt, like one in a snapshot", func() {
+var _ = Describe("a stored log entry", func() {
+	It("with an invalid membership makes the file corrupt, as in a snapshot", func() {
 		dir := GinkgoT().TempDir()
 		st, _ := open(dir)
 		Expect(st.Commit([]*storage.Batch{{Hard: &consensus.HardState{Term: 1},
--- a/internal/control/storage/growth_test.go
+++ b/internal/control/storage/growth_test.go
@@ -16,9 +16,10 @@
 	"mulleinwood/internal/control/storage"
 )
 
-// Two simulated hours of claims with answers, changes with snapshots, and servers that come and go: the file is as large
-// after them as after the first windows, and a start reads no more than what is in its window.
-func TestTheFileStopsGrowing(t *testing.T) {
+// The file would grow without bound if expired claims, compacted entries or removed servers were kept. After two simulated
+// hours of claims with responses, entries with snapshots, and servers that are added and removed, the file must be as large as
+// after the first windows, and opening it must load only the claims of the last spans.
+func TestFileSizeIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		dir := t.TempDir()
@@ -50,12 +51,12 @@
 			}
 			time.Sleep(5 * time.Second)
 		}
-		g.Expect(size()).To(BeNumerically("<=", early+16<<20), "bbolt makes a file longer by 16 MB at a time")
+		g.Expect(size()).To(BeNumerically("<=", early+16<<20), "bbolt grows a file by 16 MB at a time")
 		g.Expect(st.Close()).To(Succeed())
 		st, s, err := storage.Open(dir, window, 64<<20)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(s.Corrupt).NotTo(HaveOccurred())
-		g.Expect(len(s.Claims)).To(BeNumerically("<=", 100*24), "eight spans, each of which ends with the first write after ten seconds")
+		g.Expect(len(s.Claims)).To(BeNumerically("<=", 100*24), "eight spans, each of which ends with the first commit after ten seconds")
 		g.Expect(len(s.Claims)).To(BeNumerically(">=", 100*12))
 		g.Expect(len(s.Entries)).To(BeNumerically("<", 64))
 		g.Expect(len(s.Servers)).To(BeNumerically("<=", 21))
--- a/internal/control/storage/membership_test.go
+++ b/internal/control/storage/membership_test.go
@@ -13,12 +13,12 @@
 	"mulleinwood/internal/control/storage"
 )
 
-var _ = Describe("a replica's identity and membership on disk", func() {
+var _ = Describe("a replica's stored identity and membership", func() {
 	yes, no := true, false
 	former := consensus.Membership{Epoch: 4, Cluster: 9, Voters: []string{"a", "b", "c"}}
 	final := consensus.Membership{Epoch: 6, Cluster: 9, Voters: []string{"a", "b", "d"}}
 
-	It("come back as they were, and stay when nothing is said of them", func() {
+	It("are restored, and unchanged by batches that don't set them", func() {
 		dir := GinkgoT().TempDir()
 		st, _ := open(dir)
 		joint := consensus.Membership{Epoch: 5, Cluster: 9, Voters: former.Voters, Next: final.Voters}
@@ -36,7 +36,7 @@
 		Expect(s.Membership).To(Equal(joint))
 		Expect(st.Close()).To(Succeed())
 	})
-	It("travel with entries and snapshots", func() {
+	It("are stored with entries and snapshots", func() {
 		dir := GinkgoT().TempDir()
 		st, _ := open(dir)
 		snapshot := consensus.Snapshot{Term: 3, Index: 7, Data: []byte("s"), Membership: former}
@@ -48,7 +48,7 @@
 		Expect(s.Entries).To(Equal(entries))
 		Expect(st.Close()).To(Succeed())
 	})
-	// A file of the version before identities: what it lacks is empty, and nothing of it is taken for spoilt.
+	// A file of the version before identities lacks these values; that must not make it corrupt.
 	It("are empty in a file that was written without them", func() {
 		for _, flag := range []*bool{nil, &no, &yes} {
 			dir := GinkgoT().TempDir()
@@ -68,7 +68,7 @@
 			Expect(st.Close()).To(Succeed())
 		}
 	})
-	DescribeTable("that can't be make the file spoilt, whole", func(b *storage.Batch, cause string) {
+	DescribeTable("make the whole file corrupt if they are invalid", func(b *storage.Batch, cause string) {
 		dir := GinkgoT().TempDir()
 		st, _ := open(dir)
 		Expect(st.Commit([]*storage.Batch{{BootstrapVoters: former.Voters, Identity: "c", Hard: &consensus.HardState{Term: 3}, Claims: []idempotency.Record{record(1)}}, b})).To(Succeed())
@@ -80,35 +80,35 @@
 		Expect(s.New).To(BeTrue())
 		Expect([]any{s.BootstrapVoters, s.Claims, s.Entries}).To(HaveEach(BeEmpty()))
 		Expect(s.Identity).To(BeEmpty())
-		Expect(os.ReadFile(filepath.Join(dir, "exchange.db.spoilt"))).To(Equal(before), "for whoever looks into it")
+		Expect(os.ReadFile(filepath.Join(dir, "exchange.db.spoilt"))).To(Equal(before), "the corrupt file is kept for analysis")
 		Expect(st.Close()).To(Succeed())
 	},
 		Entry("a voter twice", &storage.Batch{Membership: &consensus.Membership{Epoch: 4, Voters: []string{"a", "b", "b"}}}, "names a voter twice"),
 		Entry("no voters", &storage.Batch{Membership: &consensus.Membership{Epoch: 4}}, "membership 4 has no voters"),
 		Entry("a next voter twice", &storage.Batch{Membership: &consensus.Membership{Epoch: 4, Voters: []string{"a"}, Next: []string{"b", "b"}}}, "names a voter twice"),
 		Entry("a voter without a name", &storage.Batch{Membership: &consensus.Membership{Epoch: 4, Voters: []string{"a", ""}}}, "without a name"),
-		Entry("that of a snapshot", &storage.Batch{Snapshot: &consensus.Snapshot{Term: 1, Index: 3, Membership: consensus.Membership{Epoch: 4}}}, "membership 4 has no voters"),
+		Entry("no voters in a snapshot", &storage.Batch{Snapshot: &consensus.Snapshot{Term: 1, Index: 3, Membership: consensus.Membership{Epoch: 4}}}, "membership 4 has no voters"),
 	)
-	It("change together when a replica is voted out, whichever write the power is lost in", func() {
+	It("change atomically when a replica is voted out, at any power loss", func() {
 		dir := GinkgoT().TempDir()
 		st, _ := open(dir)
 		Expect(st.Commit([]*storage.Batch{{Identity: "c", Membership: &former, Recovering: &no, BootstrapVoters: former.Voters, Hard: &consensus.HardState{Term: 3}}})).To(Succeed())
 		Expect(st.Commit([]*storage.Batch{{Claims: []idempotency.Record{record(1)}}})).To(Succeed())
 		Expect(st.Commit([]*storage.Batch{{Identity: "c#1", Membership: &final, Recovering: &yes}})).To(Succeed())
 		Expect(st.Close()).To(Succeed())
-		whole, err := os.ReadFile(filepath.Join(dir, "exchange.db"))
+		intact, err := os.ReadFile(filepath.Join(dir, "exchange.db"))
 		Expect(err).NotTo(HaveOccurred())
 		rng := rand.New(rand.NewPCG(4, 4))
 		seen := map[string]bool{}
 		for range 60 {
-			cut := GinkgoT().TempDir()
-			page := 4096 * rng.IntN(2) // one of the two heads is torn, as a loss of power leaves it
-			text := append([]byte{}, whole...)
+			damagedDir := GinkgoT().TempDir()
+			page := 4096 * rng.IntN(2) // one of the two meta pages is torn, as after a power loss
+			content := append([]byte{}, intact...)
 			for i := page + rng.IntN(64); i < page+128; i++ {
-				text[i] ^= byte(1 + rng.IntN(255))
+				content[i] ^= byte(1 + rng.IntN(255))
 			}
-			Expect(os.WriteFile(filepath.Join(cut, "exchange.db"), text, 0o600)).To(Succeed())
-			other, s := open(cut)
+			Expect(os.WriteFile(filepath.Join(damagedDir, "exchange.db"), content, 0o600)).To(Succeed())
+			other, s := open(damagedDir)
 			Expect(s.Corrupt).NotTo(HaveOccurred())
 			seen[s.Identity] = true
 			switch s.Identity {
@@ -122,23 +122,23 @@
 			Expect(s.Claims).To(HaveLen(1))
 			Expect(other.Close()).To(Succeed())
 		}
-		Expect(seen).To(HaveLen(2), "before and after")
+		Expect(seen).To(HaveLen(2), "both the state before and the state after the last commit")
 	})
-	It("are nothing or all when the power is lost in the first write of a disk", func() {
+	It("are stored completely or not at all if the power is lost during the first commit", func() {
 		dir := GinkgoT().TempDir()
 		st, _ := open(dir)
 		Expect(st.Commit([]*storage.Batch{{Identity: "c", Recovering: &no, BootstrapVoters: former.Voters, Hard: &consensus.HardState{}}})).To(Succeed())
 		Expect(st.Close()).To(Succeed())
-		whole, err := os.ReadFile(filepath.Join(dir, "exchange.db"))
+		intact, err := os.ReadFile(filepath.Join(dir, "exchange.db"))
 		Expect(err).NotTo(HaveOccurred())
 		for page := range 2 {
-			cut := GinkgoT().TempDir()
-			text := append([]byte{}, whole...)
+			damagedDir := GinkgoT().TempDir()
+			content := append([]byte{}, intact...)
 			for i := range 128 {
-				text[4096*page+i] ^= 0x5a
+				content[4096*page+i] ^= 0x5a
 			}
-			Expect(os.WriteFile(filepath.Join(cut, "exchange.db"), text, 0o600)).To(Succeed())
-			other, s := open(cut)
+			Expect(os.WriteFile(filepath.Join(damagedDir, "exchange.db"), content, 0o600)).To(Succeed())
+			other, s := open(damagedDir)
 			Expect(s.Corrupt).NotTo(HaveOccurred())
 			if s.Identity == "" {
 				Expect(s.BootstrapVoters).To(BeEmpty())
--- a/internal/control/storage/open.go
+++ b/internal/control/storage/open.go
@@ -21,72 +21,73 @@
 	"mulleinwood/internal/control/registry"
 )
 
-// Names of the files in the data directory. They are those of the first version, whose data is still read.
+// Names of the files in the data directory. They are unchanged since the first version, whose data can still be read.
 const (
-	fileName      = "exchange.db"
-	corruptSuffix = ".spoilt"
-	startsSuffix  = ".opening"
+	fileName            = "exchange.db"
+	corruptSuffix       = ".spoilt"
+	startAttemptsSuffix = ".opening"
 
-	// CorruptFileName is where a file that can't be trusted is moved to.
+	// CorruptFileName is the name that a corrupt file is moved to.
 	CorruptFileName = fileName + corruptSuffix
 )
 
 const (
 	fileMode        = 0o600
-	initialMmapSize = 64 << 20 // bytes; growing the map later would wait for readers
+	initialMmapSize = 64 << 20 // bytes; growing the map later has to wait for readers
 	checksumBytes   = 8
-	lockTimeout     = time.Second // for another process that has the file open
-	// maxFailedStarts is how many starts in a row may end while the file is opened, until it is not opened any more.
+	lockTimeout     = time.Second // maximum wait for another process that has the file open
+	// maxFailedStarts is the number of consecutive starts that may fail while the file is being opened. After that the file
+	// counts as corrupt.
 	maxFailedStarts = 5
 )
 
-// The errors of what is read.
+// Errors of reading the file.
 var (
-	errChecksum = errors.New("a value and its checksum differ")
-	errFormat   = errors.New("the file has another format") // written by another version: it is left alone
-	errBucket   = errors.New("a bucket is missing")
+	errChecksum      = errors.New("checksum mismatch")
+	errFormat        = errors.New("unsupported file format") // written by another version, the file is left unchanged
+	errMissingBucket = errors.New("missing bucket")
 )
 
-// seal adds a checksum over a key and its value: a bit that flips in a page, or a value that turns up under another key,
-// is noticed when it is read.
-func seal(key, body []byte) []byte {
+// appendChecksum appends a checksum over the key and the body, which detects flipped bits and values stored under a wrong key
+// when they are read.
+func appendChecksum(key, body []byte) []byte {
 	return binary.BigEndian.AppendUint64(body, checksum(key, body))
 }
 
 func checksum(key, body []byte) uint64 { return xxh3.HashSeed(body, xxh3.Hash(key)) }
 
-// unseal gives the value under a key, if it is what was put there.
-func unseal(key, sealed []byte) ([]byte, error) {
-	n := len(sealed) - checksumBytes
-	if n < 0 || binary.BigEndian.Uint64(sealed[n:]) != checksum(key, sealed[:n]) {
+// verifyChecksum returns the body of a stored value without its checksum, or errChecksum if they don't match.
+func verifyChecksum(key, stored []byte) ([]byte, error) {
+	n := len(stored) - checksumBytes
+	if n < 0 || binary.BigEndian.Uint64(stored[n:]) != checksum(key, stored[:n]) {
 		return nil, fmt.Errorf("%w: %q", errChecksum, key)
 	}
-	return sealed[:n], nil
+	return stored[:n], nil
 }
 
-func decodeSealed(key, sealed []byte, into any) error {
-	body, err := unseal(key, sealed)
+func decodeVerified(key, stored []byte, target any) error {
+	body, err := verifyChecksum(key, stored)
 	if err != nil {
 		return err
 	}
-	return cbor.Unmarshal(body, into)
+	return cbor.Unmarshal(body, target)
 }
 
-// Open reads the file in a data directory, or makes it. Claims are kept for the window at least; the bodies of their
-// responses take at most maxResponseBytes.
+// Open opens the file in a data directory, or creates it, and returns its content. Claims are kept at least for the window;
+// the stored bodies of their responses take at most maxResponseBytes.
 //
-// A file that can't be trusted is worth as much as an empty disk, and no more: it is moved aside to CorruptFileName, and
-// State.Corrupt says why. It is read through once before it is opened for writing, since a torn or corrupt page makes
-// bbolt panic, some of it where nobody can recover. A file that can't be read now, or that another version wrote, is left
-// alone, and an error is returned.
+// A corrupt file is moved aside to CorruptFileName and replaced by an empty one, and State.Corrupt is the reason. The file is
+// read completely before it is opened for writing, since a torn or corrupt page makes bbolt panic, in part where
+// the panic can't be recovered. A file that can't be read at the moment, or that another version wrote, is left
+// unchanged, and Open returns an error.
 func Open(dir string, window time.Duration, maxResponseBytes int64) (*Storage, *State, error) {
 	path := filepath.Join(dir, fileName)
-	startsPath := path + startsSuffix
-	corrupt := countStart(startsPath)
+	attemptsPath := path + startAttemptsSuffix
+	corrupt := recordStartAttempt(attemptsPath)
 	if corrupt == nil {
 		corrupt = verifyFile(path)
 	}
-	if mayBeSound(corrupt) {
+	if mayBeIntact(corrupt) {
 		return nil, nil, fmt.Errorf("read %s: %w", path, corrupt)
 	}
 	db, corrupt, err := openOrReplace(path, corrupt)
@@ -100,18 +101,19 @@
 		return nil, nil, errors.Join(fmt.Errorf("read %s: %w", path, err), db.Close())
 	}
 	state.Corrupt = corrupt
-	_ = os.Remove(startsPath) // one that stays is counted from the next time on
+	_ = os.Remove(attemptsPath) // if it can't be removed, the next start counts on from it
 	return st, state, nil
 }
 
-// mayBeSound reports whether a file that could not be read may still be sound.
-func mayBeSound(err error) bool {
+// mayBeIntact reports whether a file that can't be read may still be intact: another version wrote it, the operating system
+// returned an error, or another process has it locked.
+func mayBeIntact(err error) bool {
 	var errno syscall.Errno
 	return errors.Is(err, errFormat) || errors.As(err, &errno) || errors.Is(err, bolterrors.ErrTimeout)
 }
 
-// openOrReplace opens a file for writing. One that is corrupt, as was found before or shows now, is moved aside, and a new
-// one takes its place.
+// openOrReplace opens a file for writing. A corrupt file is moved aside and replaced by a new one; known is the reason if it
+// was found corrupt before.
 func openOrReplace(path string, known error) (db *bolt.DB, corrupt, err error) {
 	corrupt = known
 	if corrupt == nil {
@@ -129,11 +131,11 @@
 	return db, corrupt, nil
 }
 
-// openDB opens a file for writing. bbolt looks for free pages then, and panics where pages contradict each other.
+// openDB opens a file for writing. bbolt then searches for free pages, and panics if pages are inconsistent.
 func openDB(path string) (db *bolt.DB, corrupt, err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			corrupt = fmt.Errorf("pages contradict each other: %v", r)
+			corrupt = fmt.Errorf("inconsistent pages: %v", r)
 		}
 	}()
 	db, err = bolt.Open(path, fileMode, &bolt.Options{
@@ -145,41 +147,41 @@
 	return db, nil, err
 }
 
-// countStart counts the starts that ended while the file was opened, by the bytes of a file beside it. What is corrupt in a
-// way that reading doesn't show may end the process each time, and would keep a machine from ever coming back.
-func countStart(path string) error {
-	text, _ := os.ReadFile(path) // none: the last start went well
-	if len(text) >= maxFailedStarts {
-		_ = os.Remove(path) // one that stays is counted again
-		return fmt.Errorf("%d starts in a row ended while it was opened", len(text))
-	}
-	_ = os.WriteFile(path, append(text, '.'), fileMode) // a full disk: the data file itself may still be sound
+// recordStartAttempt counts consecutive starts that failed while the file was being opened, as the length of a file next to it. A
+// fault that verifyFile doesn't detect may crash the process at each start, which would keep the controller down forever.
+func recordStartAttempt(path string) error {
+	attempts, _ := os.ReadFile(path) // there is no file if the last start succeeded
+	if len(attempts) >= maxFailedStarts {
+		_ = os.Remove(path) // if it can't be removed, the next start counts it again
+		return fmt.Errorf("%d starts in a row failed while the file was being opened", len(attempts))
+	}
+	_ = os.WriteFile(path, append(attempts, '.'), fileMode) // the disk may be full, which doesn't make the data file corrupt
 	return nil
 }
 
-// verifyFile reads a file through, without changing it, and says why it can't be trusted.
+// verifyFile reads the whole file without changing it, and returns an error if it can't be read or is corrupt.
 func verifyFile(path string) (err error) {
 	info, err := os.Stat(path)
 	if errors.Is(err, fs.ErrNotExist) || err == nil && info.Size() == 0 {
 		return nil
 	}
-	panics := debug.SetPanicOnFault(true) // a page beyond the end of a file that was cut short
-	defer debug.SetPanicOnFault(panics)
+	previous := debug.SetPanicOnFault(true) // a page may be beyond the end of a truncated file
+	defer debug.SetPanicOnFault(previous)
 	defer func() {
 		if r := recover(); r != nil {
-			err = fmt.Errorf("a page can't be read: %v", r)
+			err = fmt.Errorf("unreadable page: %v", r)
 		}
 	}()
 	db, err := bolt.Open(path, fileMode, &bolt.Options{Timeout: lockTimeout, ReadOnly: true, InitialMmapSize: initialMmapSize})
 	if err != nil {
 		return err
 	}
-	defer func() { _ = db.Close() }() // it was only read
+	defer func() { _ = db.Close() }() // the file was only read
 	_, err = (&Storage{db: db}).load()
 	return err
 }
 
-// load reads all that the file holds, and makes the buckets of a new one.
+// load reads the content of the file, and creates the buckets of a new one.
 func (st *Storage) load() (*State, error) {
 	s := &State{}
 	if err := st.db.View(func(tx *bolt.Tx) error { return st.read(tx, s) }); err != nil {
@@ -197,7 +199,7 @@
 			return err
 		}
 	}
-	return tx.Bucket(metaBucket).Put(formatKey, seal(formatKey, []byte{Format}))
+	return tx.Bucket(metaBucket).Put(formatKey, appendChecksum(formatKey, []byte{Format}))
 }
 
 func (st *Storage) read(tx *bolt.Tx, s *State) error {
@@ -220,7 +222,7 @@
 
 func forEach(b *bolt.Bucket, do func(key, value []byte) error) error {
 	if b == nil {
-		return errBucket
+		return errMissingBucket
 	}
 	return b.ForEach(do)
 }
@@ -229,7 +231,7 @@
 	if err := checkFormat(meta.Get(formatKey)); err != nil {
 		return err
 	}
-	for _, one := range []struct {
+	for _, field := range []struct {
 		key  []byte
 		into any
 	}{
@@ -239,27 +241,27 @@
 		{identityKey, &s.Identity},
 		{membershipKey, &s.Membership},
 	} {
-		sealed := meta.Get(one.key)
-		if sealed == nil {
+		stored := meta.Get(field.key)
+		if stored == nil {
 			continue
 		}
-		if err := decodeSealed(one.key, sealed, one.into); err != nil {
-			return fmt.Errorf("%s: %w", one.key, err)
+		if err := decodeVerified(field.key, stored, field.into); err != nil {
+			return fmt.Errorf("%s: %w", field.key, err)
 		}
 	}
 	if len(s.BootstrapVoters) > 0 && meta.Get(hardKey) == nil {
-		return errors.New("there are voters and no votes")
+		return errors.New("bootstrap voters are stored without a hard state")
 	}
 	for _, m := range []consensus.Membership{s.Membership, s.Snapshot.Membership} {
 		if err := m.Validate(); err != nil {
 			return err
 		}
 	}
-	sealed := meta.Get(recoveringKey)
-	if sealed == nil {
+	stored := meta.Get(recoveringKey)
+	if stored == nil {
 		return nil
 	}
-	flag, err := unseal(recoveringKey, sealed)
+	flag, err := verifyChecksum(recoveringKey, stored)
 	if err != nil {
 		return fmt.Errorf("%s: %w", recoveringKey, err)
 	}
@@ -267,11 +269,11 @@
 	return nil
 }
 
-func checkFormat(sealed []byte) error {
-	if len(sealed) == 1 { // the first format had no checksums
-		return fmt.Errorf("%w: %d, not %d", errFormat, sealed[0], Format)
+func checkFormat(stored []byte) error {
+	if len(stored) == 1 { // the first format had no checksums
+		return fmt.Errorf("%w: %d, not %d", errFormat, stored[0], Format)
 	}
-	format, err := unseal(formatKey, sealed)
+	format, err := verifyChecksum(formatKey, stored)
 	if err != nil {
 		return fmt.Errorf("format: %w", err)
 	}
@@ -281,19 +283,19 @@
 	return nil
 }
 
-// readLog reads the entries after the snapshot, of which none may be missing.
+// readLog reads the log entries after the snapshot. Their indexes must be consecutive.
 func (s *State) readLog(log *bolt.Bucket) error {
 	next := s.Snapshot.Index + 1
 	return forEach(log, func(key, value []byte) error {
 		var e consensus.Entry
-		if err := decodeSealed(key, value, &e); err != nil {
+		if err := decodeVerified(key, value, &e); err != nil {
 			return fmt.Errorf("log: %w", err)
 		}
 		if err := e.Validate(); err != nil {
 			return fmt.Errorf("log: %w", err)
 		}
 		if e.Index != next {
-			return fmt.Errorf("log: entry %d where %d belongs", e.Index, next)
+			return fmt.Errorf("log: entry has index %d, want %d", e.Index, next)
 		}
 		next++
 		s.Entries = append(s.Entries, e)
@@ -304,7 +306,7 @@
 func (s *State) readServers(servers *bolt.Bucket) error {
 	return forEach(servers, func(key, value []byte) error {
 		var e registry.Entry
-		if err := decodeSealed(key, value, &e); err != nil {
+		if err := decodeVerified(key, value, &e); err != nil {
 			return fmt.Errorf("servers: %w", err)
 		}
 		s.Servers = append(s.Servers, e)
@@ -312,10 +314,10 @@
 	})
 }
 
-// readClaims reads the spans of the claim store, whose records are numbered without a gap.
+// readClaims reads the spans of the claim store. The sequence numbers of their records must be consecutive.
 func (st *Storage) readClaims(claims *bolt.Bucket, s *State) error {
 	if claims == nil {
-		return errBucket
+		return errMissingBucket
 	}
 	return claims.ForEachBucket(func(name []byte) error {
 		st.ids, st.sizes = append(st.ids, binary.BigEndian.Uint64(name)), append(st.sizes, 0)
@@ -325,12 +327,12 @@
 
 func (st *Storage) readClaim(key, value []byte, s *State) error {
 	var r idempotency.Record
-	if err := decodeSealed(key, value, &r); err != nil {
+	if err := decodeVerified(key, value, &r); err != nil {
 		return fmt.Errorf("ledger: %w", err)
 	}
 	sequence := binary.BigEndian.Uint64(key)
 	if st.sequence != 0 && sequence != st.sequence+1 {
-		return fmt.Errorf("ledger: record %d after record %d", sequence, st.sequence)
+		return fmt.Errorf("ledger: record %d follows record %d", sequence, st.sequence)
 	}
 	st.sequence = sequence
 	if r.Response != nil {
--- a/internal/control/storage/storage.go
+++ b/internal/control/storage/storage.go
@@ -1,9 +1,9 @@
-// Package storage keeps a controller's lasting state on disk: its part of the consensus, its claim store, and the servers
-// that it knows, in one bbolt file. What is handed over in one Commit becomes durable together or not at all.
+// Package storage persists a controller's state in one bbolt file: its consensus state, its claim store, and its registry
+// entries. All batches of one Commit become durable atomically.
 //
-// The file has four buckets. meta holds single values; log holds the consensus log by index; servers holds registry
-// entries by id; ledger holds the claim store in a bucket for each span of time, so that claims whose window is over are
-// dropped a span at a time. Every value carries a checksum over its key and itself. docs/state.md has the format.
+// The file has four buckets. meta holds single values; log holds the consensus log by index; servers holds registry entries
+// by id; ledger holds the claim store, with a bucket for each span of time, so that expired claims are deleted a span at a
+// time. Every value is stored with a checksum over its key and body. docs/state.md describes the format.
 package storage
 
 import (
@@ -19,10 +19,10 @@
 	"mulleinwood/internal/control/registry"
 )
 
-// Format is the version of the file's format. A file of another one is not read, and left as it is.
+// Format is the version of the file format. A file of another version is not read, and is left unchanged.
 const Format = 2
 
-// Names on disk. They don't follow the names in the code, so that files of earlier versions are read.
+// Names on disk. They differ from the names in the code so that files of earlier versions can be read.
 var (
 	metaBucket    = []byte("meta")
 	logBucket     = []byte("log")
@@ -38,38 +38,38 @@
 	membershipKey      = []byte("membership")
 )
 
-// State is what the disk held when it was opened.
+// State is the content of the file when it was opened.
 type State struct {
-	New bool // nothing was there
-	// Corrupt says why what was there could not be trusted and was moved aside; nil: it could. Such a disk has voted and
-	// granted what it doesn't know any more.
+	New bool // there was no file, or an empty one, or it was corrupt
+	// Corrupt is the reason why the file was found corrupt and moved aside, or nil. In that case the replica has lost votes
+	// and grants that it gave before.
 	Corrupt         error
-	BootstrapVoters []string // voters that the cluster started with, where this disk knows them
-	Identity        string   // of the replica; empty: none was drawn yet
+	BootstrapVoters []string // voters that the cluster started with, if stored
+	Identity        string   // of the replica; empty: not assigned yet
 	Membership      consensus.Membership
 	Hard            consensus.HardState
 	Snapshot        consensus.Snapshot
 	Entries         []consensus.Entry    // after Snapshot
-	Claims          []idempotency.Record // in the order in which they were written
+	Claims          []idempotency.Record // in the order of writing
 	Servers         []registry.Entry
 	Recovering      bool // the claim store is not complete
 }
 
-// Batch is what becomes durable together. Zero fields leave what is stored as it is.
+// Batch is a set of changes that become durable atomically. Zero fields leave the stored values unchanged.
 type Batch struct {
 	BootstrapVoters []string
 	Identity        string
 	Membership      *consensus.Membership
 	Hard            *consensus.HardState
 	Snapshot        *consensus.Snapshot // replaces snapshot and log
-	Truncate        uint64              // entries from this index on are dropped, after Snapshot; 0: none
-	Entries         []consensus.Entry   // are added, after Truncate
+	Truncate        uint64              // entries from this index on are deleted, after Snapshot is applied; 0: none
+	Entries         []consensus.Entry   // added after Truncate is applied
 	Claims          []idempotency.Record
-	Servers         []registry.Entry // those that have ended are removed
+	Servers         []registry.Entry // entries that have ended are deleted, others are stored
 	Recovering      *bool
 }
 
-// Storage is an open file. It is for one goroutine at a time.
+// Storage is an open data file. It is not safe for concurrent use.
 type Storage struct {
 	db               *bolt.DB
 	spanLength       time.Duration
@@ -79,14 +79,14 @@
 
 // spans are the buckets of the claim store: each holds the claims that were written in one span of time.
 type spans struct {
-	ids       []uint64 // oldest first
-	sizes     []int64  // bytes of the responses in each
-	startedAt time.Time
-	sequence  uint64 // of the last record
+	ids       []uint64  // oldest first
+	sizes     []int64   // bytes of response bodies in each
+	startedAt time.Time // of the newest span
+	sequence  uint64    // of the last claim record
 }
 
-// maxSpans is how many spans, of a sixth of the window each, are kept: the oldest is out of its window however full the
-// newest is.
+// A span lasts a sixth of the window, and maxSpans spans are kept. When a span is dropped, its claims are therefore older than
+// the window, even if the newest span has just begun.
 const (
 	maxSpans       = 8
 	spansPerWindow = 6
@@ -103,20 +103,20 @@
 	return total
 }
 
-// Close closes the file. What was committed is durable already.
+// Close closes the file. Committed batches are durable already.
 func (st *Storage) Close() error { return st.db.Close() }
 
 func numberKey(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-func putSealed(b *bolt.Bucket, key []byte, value any) error {
+func putWithChecksum(b *bolt.Bucket, key []byte, value any) error {
 	body, err := cbor.Marshal(value)
 	if err != nil {
 		return err
 	}
-	return b.Put(key, seal(key, body))
+	return b.Put(key, appendChecksum(key, body))
 }
 
-// Commit makes batches durable, in order, or nothing of them. It blocks until they are.
+// Commit writes the batches in order, in one transaction, and blocks until they are durable. If it fails, none is written.
 func (st *Storage) Commit(batches []*Batch) error {
 	next := st.clone()
 	err := st.db.Update(func(tx *bolt.Tx) error {
@@ -153,17 +153,17 @@
 		set bool
 		v   any
 	}
-	for _, one := range []value{
+	for _, field := range []value{
 		{hardKey, b.Hard != nil, b.Hard},
 		{bootstrapVotersKey, b.BootstrapVoters != nil, b.BootstrapVoters},
 		{identityKey, b.Identity != "", b.Identity},
 		{membershipKey, b.Membership != nil, b.Membership},
 		{snapshotKey, b.Snapshot != nil, b.Snapshot},
 	} {
-		if !one.set {
+		if !field.set {
 			continue
 		}
-		if err := putSealed(meta, one.key, one.v); err != nil {
+		if err := putWithChecksum(meta, field.key, field.v); err != nil {
 			return err
 		}
 	}
@@ -174,10 +174,10 @@
 	if *b.Recovering {
 		flag = []byte{1}
 	}
-	return meta.Put(recoveringKey, seal(recoveringKey, flag))
+	return meta.Put(recoveringKey, appendChecksum(recoveringKey, flag))
 }
 
-// writeLog writes the batch's part of the consensus log.
+// writeLog applies the batch's changes of the consensus log.
 func (b *Batch) writeLog(tx *bolt.Tx) error {
 	log := tx.Bucket(logBucket)
 	if b.Snapshot != nil {
@@ -195,14 +195,14 @@
 		}
 	}
 	for _, e := range b.Entries {
-		if err := putSealed(log, numberKey(e.Index), e); err != nil {
+		if err := putWithChecksum(log, numberKey(e.Index), e); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// truncate drops the entries from an index on.
+// truncate deletes the entries from an index on.
 func truncate(log *bolt.Bucket, from uint64) error {
 	first := numberKey(from)
 	c := log.Cursor()
@@ -214,14 +214,14 @@
 	return nil
 }
 
-// writeServers writes what is known of servers.
+// writeServers stores the batch's registry entries, and deletes those that have ended.
 func (b *Batch) writeServers(bucket *bolt.Bucket) error {
 	for _, e := range b.Servers {
 		var err error
 		if e.Ended() {
 			err = bucket.Delete([]byte(e.ID))
 		} else {
-			err = putSealed(bucket, []byte(e.ID), e)
+			err = putWithChecksum(bucket, []byte(e.ID), e)
 		}
 		if err != nil {
 			return err
@@ -230,14 +230,15 @@
 	return nil
 }
 
-// writeClaims adds records to the newest span. A response that would take more than the bound is left out, which bounds
-// the file: repeats of its operation are told that it is in progress.
+// writeClaims appends records to the newest span, and starts a span if none is current. A record whose response would exceed
+// maxResponseBytes is left out, which bounds the file: later requests for its operation are answered as if it were still in
+// progress.
 func (st *Storage) writeClaims(bucket *bolt.Bucket, claims []idempotency.Record, s *spans) error {
 	if len(claims) == 0 {
 		return nil
 	}
 	if len(s.ids) == 0 || time.Since(s.startedAt) > st.spanLength {
-		if err := s.begin(bucket); err != nil {
+		if err := s.startSpan(bucket); err != nil {
 			return err
 		}
 	}
@@ -253,15 +254,15 @@
 			s.sizes[newest] += size
 		}
 		s.sequence++
-		if err := putSealed(span, numberKey(s.sequence), r); err != nil {
+		if err := putWithChecksum(span, numberKey(s.sequence), r); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// begin starts a span, and drops those whose claims are all out of their window.
-func (s *spans) begin(bucket *bolt.Bucket) error {
+// startSpan starts a new span, and deletes the oldest ones, whose claims are older than the window.
+func (s *spans) startSpan(bucket *bolt.Bucket) error {
 	id := uint64(1)
 	if n := len(s.ids); n > 0 {
 		id = s.ids[n-1] + 1
--- a/internal/control/storage/storage_test.go
+++ b/internal/control/storage/storage_test.go
@@ -37,7 +37,7 @@
 }
 
 var _ = Describe("a storage file", func() {
-	It("tells a new disk from one that was used", func() {
+	It("distinguishes a new data directory from a used one", func() {
 		dir := GinkgoT().TempDir()
 		st, s := open(dir)
 		Expect(s.New).To(BeTrue())
@@ -46,7 +46,7 @@
 		Expect(s.New).To(BeFalse())
 		Expect(st.Close()).To(Succeed())
 	})
-	It("gives back what was made durable, in order", func() {
+	It("restores committed batches in order", func() {
 		dir := GinkgoT().TempDir()
 		st, _ := open(dir)
 		hard := consensus.HardState{Term: 4, Vote: "b", Commit: 2}
@@ -70,7 +70,7 @@
 		Expect(s.Claims).To(HaveLen(3))
 		Expect(st.Close()).To(Succeed())
 	})
-	It("keeps servers until they are gone", func() {
+	It("stores servers until they are removed", func() {
 		dir := GinkgoT().TempDir()
 		st, _ := open(dir)
 		one, two := registry.Entry{ID: "i-1", Service: "tags", Address: "x:1", Seq: 3}, registry.Entry{ID: "i-2", Service: "tags", Address: "x:2", Seq: 4}
@@ -83,7 +83,7 @@
 		Expect(s.Servers).To(Equal([]registry.Entry{one}))
 		Expect(st.Close()).To(Succeed())
 	})
-	It("puts a file aside that is none, and starts new", func() {
+	It("moves a file aside that is not a database, and creates a new one", func() {
 		dir := GinkgoT().TempDir()
 		Expect(os.WriteFile(filepath.Join(dir, "exchange.db"), []byte("this is no database, whatever it says"), 0o600)).To(Succeed())
 		st, s := open(dir)
@@ -91,32 +91,32 @@
 		Expect(filepath.Join(dir, "exchange.db.spoilt")).To(BeAnExistingFile())
 		Expect(st.Close()).To(Succeed())
 	})
-	It("gives the last whole write or the one before when a head is torn", func() {
+	It("restores the last commit or the one before if a meta page is torn", func() {
 		dir := GinkgoT().TempDir()
 		st, _ := open(dir)
 		for n := range uint64(20) {
 			Expect(st.Commit([]*storage.Batch{{Hard: &consensus.HardState{Term: n + 1}, Claims: []idempotency.Record{record(n)}}})).To(Succeed())
 		}
 		Expect(st.Close()).To(Succeed())
-		whole, err := os.ReadFile(filepath.Join(dir, "exchange.db"))
+		intact, err := os.ReadFile(filepath.Join(dir, "exchange.db"))
 		Expect(err).NotTo(HaveOccurred())
 		rng := rand.New(rand.NewPCG(1, 1))
 		for range 40 {
-			cut := GinkgoT().TempDir()
-			page := 4096 * rng.IntN(2) // one of the two heads is torn, as a loss of power leaves it
-			text := append([]byte{}, whole...)
+			damagedDir := GinkgoT().TempDir()
+			page := 4096 * rng.IntN(2) // one of the two meta pages is torn, as after a power loss
+			content := append([]byte{}, intact...)
 			for i := page + rng.IntN(64); i < page+128; i++ {
-				text[i] ^= byte(1 + rng.IntN(255))
+				content[i] ^= byte(1 + rng.IntN(255))
 			}
-			Expect(os.WriteFile(filepath.Join(cut, "exchange.db"), text, 0o600)).To(Succeed())
-			other, s, err := storage.Open(cut, window, 64<<20)
+			Expect(os.WriteFile(filepath.Join(damagedDir, "exchange.db"), content, 0o600)).To(Succeed())
+			other, s, err := storage.Open(damagedDir, window, 64<<20)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(s.Hard.Term).To(BeElementOf(uint64(19), uint64(20)))
 			Expect(len(s.Claims)).To(BeElementOf(19, 20))
 			Expect(other.Close()).To(Succeed())
 		}
 	})
-	It("believes nothing of a file that was cut or in which a bit flipped, or all of it", func() {
+	It("restores either everything or nothing of a file that was truncated or has a flipped bit", func() {
 		dir := GinkgoT().TempDir()
 		st, _ := open(dir)
 		for n := range uint64(60) {
@@ -125,61 +125,61 @@
 				Claims: []idempotency.Record{record(n), {Key: idempotency.Key{byte(n)}, Token: idempotency.Token{Incarnation: 1, Sequence: n}, Response: &idempotency.Response{Status: 200, Body: make([]byte, 300)}}}}})).To(Succeed())
 		}
 		Expect(st.Close()).To(Succeed())
-		whole, err := os.ReadFile(filepath.Join(dir, "exchange.db"))
+		intact, err := os.ReadFile(filepath.Join(dir, "exchange.db"))
 		Expect(err).NotTo(HaveOccurred())
-		used := len(bytes.TrimRight(whole, "\x00")) // the file is made longer than what is in it
+		used := len(bytes.TrimRight(intact, "\x00")) // bbolt allocates more than it uses
 		st, good := open(dir)
 		Expect(st.Close()).To(Succeed())
 		Expect(good.Claims).To(HaveLen(120))
 		rng := rand.New(rand.NewPCG(2, 2))
-		spoilt, same := 0, 0
+		corrupt, unchanged := 0, 0
 		for round := range 200 {
-			text := append([]byte{}, whole...)
-			what := ""
+			content := append([]byte{}, intact...)
+			damage := ""
 			if round%10 == 0 {
-				text = text[:rng.IntN(used)]
-				what = fmt.Sprintf("cut to %d bytes", len(text))
+				content = content[:rng.IntN(used)]
+				damage = fmt.Sprintf("truncated to %d bytes", len(content))
 			} else {
-				at := 2*4096 + rng.IntN(used-2*4096) // a head that isn't whole is a torn write, which another test plays
-				text[at] ^= 1 << rng.IntN(8)
-				what = fmt.Sprintf("byte %d", at)
+				at := 2*4096 + rng.IntN(used-2*4096) // torn meta pages are covered by another test
+				content[at] ^= 1 << rng.IntN(8)
+				damage = fmt.Sprintf("byte %d", at)
 			}
-			touched := GinkgoT().TempDir()
-			Expect(os.WriteFile(filepath.Join(touched, "exchange.db"), text, 0o600)).To(Succeed())
-			other, s, err := storage.Open(touched, window, 64<<20)
-			Expect(err).NotTo(HaveOccurred(), what)
+			damagedDir := GinkgoT().TempDir()
+			Expect(os.WriteFile(filepath.Join(damagedDir, "exchange.db"), content, 0o600)).To(Succeed())
+			other, s, err := storage.Open(damagedDir, window, 64<<20)
+			Expect(err).NotTo(HaveOccurred(), damage)
 			if s.Corrupt != nil || s.New {
-				spoilt++
-				Expect(s.New).To(BeTrue(), what)
-				Expect(s.BootstrapVoters).To(BeEmpty(), what)
+				corrupt++
+				Expect(s.New).To(BeTrue(), damage)
+				Expect(s.BootstrapVoters).To(BeEmpty(), damage)
 			} else {
-				same++
-				Expect(s).To(Equal(good), what)
+				unchanged++
+				Expect(s).To(Equal(good), damage)
 			}
-			Expect(other.Commit([]*storage.Batch{{Claims: []idempotency.Record{record(1)}}})).To(Succeed(), what)
+			Expect(other.Commit([]*storage.Batch{{Claims: []idempotency.Record{record(1)}}})).To(Succeed(), damage)
 			Expect(other.Close()).To(Succeed())
 		}
-		Expect(spoilt).To(BeNumerically(">", 30))
-		Expect(same).To(BeNumerically(">", 30), "free pages are spoilt, too, and don't matter")
+		Expect(corrupt).To(BeNumerically(">", 30))
+		Expect(unchanged).To(BeNumerically(">", 30), "a flipped bit in a free page doesn't matter")
 	})
-	It("is put aside when its opening ends the process again and again", func() {
+	It("is moved aside after repeated starts that failed while it was being opened", func() {
 		dir := GinkgoT().TempDir()
 		st, _ := open(dir)
 		Expect(st.Commit([]*storage.Batch{{BootstrapVoters: []string{"a"}, Hard: &consensus.HardState{Term: 7}}})).To(Succeed())
 		Expect(st.Close()).To(Succeed())
-		tries := filepath.Join(dir, "exchange.db.opening")
-		Expect(os.WriteFile(tries, []byte("...."), 0o600)).To(Succeed())
+		attemptsPath := filepath.Join(dir, "exchange.db.opening")
+		Expect(os.WriteFile(attemptsPath, []byte("...."), 0o600)).To(Succeed())
 		st, s := open(dir)
-		Expect(s.Hard.Term).To(BeEquivalentTo(7), "four may be chance")
-		Expect(tries).NotTo(BeAnExistingFile())
+		Expect(s.Hard.Term).To(BeEquivalentTo(7), "four failed starts are tolerated")
+		Expect(attemptsPath).NotTo(BeAnExistingFile())
 		Expect(st.Close()).To(Succeed())
-		Expect(os.WriteFile(tries, []byte("....."), 0o600)).To(Succeed())
+		Expect(os.WriteFile(attemptsPath, []byte("....."), 0o600)).To(Succeed())
 		st, s = open(dir)
 		Expect(s.New).To(BeTrue())
 		Expect(s.Corrupt).To(MatchError(ContainSubstring("5 starts in a row")))
 		Expect(st.Close()).To(Succeed())
 	})
-	It("leaves a file of another format alone", func() {
+	It("leaves a file of another format unchanged", func() {
 		dir := GinkgoT().TempDir()
 		db, err := bolt.Open(filepath.Join(dir, "exchange.db"), 0o600, nil)
 		Expect(err).NotTo(HaveOccurred())
@@ -190,10 +190,10 @@
 		})).To(Succeed())
 		Expect(db.Close()).To(Succeed())
 		_, _, err = storage.Open(dir, window, 64<<20)
-		Expect(err).To(MatchError(ContainSubstring("another format: 1, not 2")))
+		Expect(err).To(MatchError(ContainSubstring("unsupported file format: 1, not 2")))
 		Expect(filepath.Join(dir, "exchange.db.spoilt")).NotTo(BeAnExistingFile())
 	})
-	It("bounds what answers take", func() {
+	It("limits the size of stored responses", func() {
 		dir := GinkgoT().TempDir()
 		st, _, err := storage.Open(dir, window, 1000)
 		Expect(err).NotTo(HaveOccurred())
@@ -204,7 +204,7 @@
 		}
 		Expect(st.Close()).To(Succeed())
 		st, s := open(dir)
-		Expect(s.Claims).To(HaveLen(9+3), "all claims, and as many answers as there is room for")
+		Expect(s.Claims).To(HaveLen(9+3), "all claims, and responses up to the limit")
 		Expect(st.Close()).To(Succeed())
 	})
 })
