--- a/internal/control/reservation/allocator.go
+++ b/internal/control/reservation/allocator.go
@@ -56,8 +56,8 @@
 }
 
 // Lease grants an edge its shares of all reservations. It answers a Demand and is valid for Duration from the stamp of that
-// Demand, on the edge's own clock: a lease that was delayed in transit, or that is read by a process that was suspended, has
-// expired when it is read.
+// Demand, on the edge's own clock: a lease that is delayed in transit for longer than Duration, or received by a process that
+// was suspended for as long, has expired when it is read.
 type Lease struct {
 	Incarnation uint64          `cbor:"1,keyasint"`
 	Stamp       time.Duration   `cbor:"2,keyasint"`
@@ -74,9 +74,9 @@
 	startedAt       time.Duration
 	reservations    map[string]Reservation
 	edges           map[string]*edgeState
-	inheritedShares map[string]int // slots reported as held by leases of an earlier term, by reservation
-	activeSince     map[string]time.Duration
-	seq             uint64
+	inheritedShares map[string]int           // slots reported as held by leases of an earlier term, by reservation
+	activeSince     map[string]time.Duration // when a reservation was first set, by reservation
+	seq             uint64                   // of the last lease granted
 }
 
 // edgeState is the allocator's record of one edge.
--- a/internal/control/storage/open.go
+++ b/internal/control/storage/open.go
@@ -56,7 +56,7 @@
 
 func checksum(key, body []byte) uint64 { return xxh3.HashSeed(body, xxh3.Hash(key)) }
 
-// verifyChecksum returns the body of a stored value without its checksum, or errChecksum if they don't match.
+// verifyChecksum returns the body of a stored value, or errChecksum if the checksum doesn't match the key and the body.
 func verifyChecksum(key, stored []byte) ([]byte, error) {
 	n := len(stored) - checksumBytes
 	if n < 0 || binary.BigEndian.Uint64(stored[n:]) != checksum(key, stored[:n]) {
@@ -77,9 +77,9 @@
 // the stored bodies of their responses take at most maxResponseBytes.
 //
 // A corrupt file is moved aside to CorruptFileName and replaced by an empty one, and State.Corrupt is the reason. The file is
-// read completely before it is opened for writing, since a torn or corrupt page makes bbolt panic, in part where
-// the panic can't be recovered. A file that can't be read at the moment, or that another version wrote, is left
-// unchanged, and Open returns an error.
+// read completely before it is opened for writing, since a torn or corrupt page makes bbolt panic, in part where the panic
+// can't be recovered. A file that can't be read at the moment, or that another version wrote, is left unchanged, and Open
+// returns an error.
 func Open(dir string, window time.Duration, maxResponseBytes int64) (*Storage, *State, error) {
 	path := filepath.Join(dir, fileName)
 	attemptsPath := path + startAttemptsSuffix
