--- a/internal/control/idempotency/cluster_test.go
+++ b/internal/control/idempotency/cluster_test.go
@@ -14,76 +14,77 @@
 	"mulleinwood/internal/control/membership"
 )
 
-// Claims race over the claim stores of a core while messages are lost and late, claimers give up, stores lose their disks,
-// as many at once as are borne, and voters are replaced. Whatever happens, two claims of a key never both stand.
-var _ = Describe("stores and coordinators together", func() {
-	It("never let two claims of a key stand", func() {
-		stood, changes := 0, 0
+// Concurrent claims of one key while messages are lost and delayed, claimants revoke their claims, up to the tolerated number
+// of stores lose their disks at once, and voters are replaced. At most one claim of the key may be granted.
+var _ = Describe("stores and coordinators in a cluster", func() {
+	It("never grant two claims of a key", func() {
+		granted, changes := 0, 0
 		for seed := range uint64(4000) {
 			for _, w := range []*cluster{newCluster(seed, 3, 0, 1, ""), newCluster(seed, 3, 2, 1, ""), newCluster(seed, 5, 1, 2, "")} {
-				if !w.play() {
-					Fail(fmt.Sprintf("seed %d, %d stores: two claims stand", seed, len(w.hosts)))
+				if !w.run() {
+					Fail(fmt.Sprintf("seed %d, %d stores: two claims are granted", seed, len(w.hosts)))
 				}
-				stood, changes = stood+len(w.stands), changes+w.changes
+				granted, changes = granted+len(w.granted), changes+w.changeCount
 			}
 		}
-		Expect(stood).To(BeNumerically(">", 6000), "hardly any claim stood: the test shows nothing")
-		Expect(changes).To(BeNumerically(">", 4000), "hardly any membership changed: the test shows nothing")
+		Expect(granted).To(BeNumerically(">", 6000), "too few claims were granted for a meaningful test")
+		Expect(changes).To(BeNumerically(">", 4000), "too few membership changes for a meaningful test")
 	})
-	for _, fault := range []string{"an identity is used again after its disk was lost", "an entrant counts before it copied", "an entrant copies from one store only"} {
-		It("are seen to go wrong: "+fault, func() {
+	for _, fault := range []string{"an identity is reused after its disk was lost", "a new voter grants before it imported claims", "a new voter imports from one store only"} {
+		It("violate the invariant if "+fault, func() {
 			for seed := range uint64(20000) {
-				if !newCluster(seed, 3, 1, 1, fault).play() {
+				if !newCluster(seed, 3, 1, 1, fault).run() {
 					AddReportEntry(fmt.Sprintf("%s: seed %d", fault, seed))
 					return
 				}
 			}
-			Fail("the planted fault was not seen")
+			Fail("the injected fault was not detected")
 		})
 	}
 })
 
-// letter is a message on its way, which is lost with the process at either end.
-type letter struct {
-	at    int
-	do    func()
-	ends  [2]*host
-	lives [2]int
+// delivery is a message in flight. It is dropped if the process at either endpoint has been restarted since it was sent.
+type delivery struct {
+	arrivesAt    int // step
+	deliver      func()
+	endpoints    [2]*host
+	incarnations [2]int
 }
 
-// host is a controller's machine: its store, its coordinator, and what it has applied of the memberships that are committed.
+// host is a controller with its store and its coordinator, and the committed memberships that it has applied.
 type host struct {
-	name        string
-	disks       int
-	identity    string
-	life        int
-	applied     int // of the committed memberships, by number
-	durable     int // and durably
-	durableAt   int // step in which the newest becomes durable
-	store       *idempotency.Store
-	coordinator *idempotency.Coordinator
-	copied      map[string]bool
+	name              string
+	diskCount         int
+	identity          string
+	incarnation       int
+	appliedMembership int // index of the newest applied membership in cluster.memberships
+	durableMembership int // index of the newest membership that is durable
+	durableAtStep     int // step in which appliedMembership becomes durable
+	store             *idempotency.Store
+	coordinator       *idempotency.Coordinator
+	importedFrom      map[string]bool // identities of the stores whose claims were imported
 }
 
+// cluster simulates controllers that compete for one key. Time is counted in steps.
 type cluster struct {
-	rng     *rand.Rand
-	hosts   []*host
-	log     []consensus.Membership // committed
-	mail    []letter
-	step    int
-	stands  map[idempotency.Token]bool
-	alive   map[idempotency.Token]bool // not given up by its claimer
-	key     idempotency.Key
-	lost    int // disks that may be lost at once
-	changes int
-	fault   string // planted
+	rng         *rand.Rand
+	hosts       []*host
+	memberships []consensus.Membership // all committed memberships, oldest first
+	inFlight    []delivery
+	step        int
+	granted     map[idempotency.Token]bool
+	active      map[idempotency.Token]bool // claims that their claimant has not revoked
+	key         idempotency.Key
+	tolerance   int    // number of disks that may be lost at once
+	changeCount int    // finished membership changes
+	fault       string // injected fault; empty: none
 }
 
-func newCluster(seed uint64, voters, standbys, lost int, fault string) *cluster {
-	w := &cluster{rng: rand.New(rand.NewPCG(seed, 7)), stands: map[idempotency.Token]bool{}, alive: map[idempotency.Token]bool{},
-		key: idempotency.KeyOf("t", "k"), lost: lost, fault: fault}
+func newCluster(seed uint64, voters, standbys, tolerance int, fault string) *cluster {
+	w := &cluster{rng: rand.New(rand.NewPCG(seed, 7)), granted: map[idempotency.Token]bool{}, active: map[idempotency.Token]bool{},
+		key: idempotency.KeyOf("t", "k"), tolerance: tolerance, fault: fault}
 	names := []string{"a", "b", "c", "d", "e", "f"}[:voters+standbys]
-	w.log = []consensus.Membership{{Epoch: 1, Voters: names[:voters]}}
+	w.memberships = []consensus.Membership{{Epoch: 1, Voters: names[:voters]}}
 	for i, name := range names {
 		w.hosts = append(w.hosts, &host{name: name, identity: name, store: idempotency.NewStore(time.Hour, i >= voters)})
 		w.start(w.hosts[i])
@@ -93,14 +94,14 @@
 
 func (w *cluster) start(h *host) {
 	h.coordinator = idempotency.NewCoordinator(nil, 5, 60)
-	h.copied = map[string]bool{}
-	h.applied = h.durable
+	h.importedFrom = map[string]bool{}
+	h.appliedMembership = h.durableMembership
 	h.coordinator.SetStores(h.identity, w.membership(h).Voters, w.membership(h).Next)
 }
 
-func (w *cluster) membership(h *host) consensus.Membership { return w.log[h.applied] }
+func (w *cluster) membership(h *host) consensus.Membership { return w.memberships[h.appliedMembership] }
 
-func (w *cluster) newest() consensus.Membership { return w.log[len(w.log)-1] }
+func (w *cluster) newestMembership() consensus.Membership { return w.memberships[len(w.memberships)-1] }
 
 func (w *cluster) host(identity string) *host {
 	for _, h := range w.hosts {
@@ -113,152 +114,152 @@
 
 func (w *cluster) now() time.Duration { return time.Duration(w.step) }
 
-// send delivers later, or never.
-func (w *cluster) send(from, to *host, do func()) {
+// send schedules a message for delivery after a random delay; one in 12 messages is lost.
+func (w *cluster) send(from, to *host, deliver func()) {
 	if w.rng.IntN(12) == 0 {
 		return
 	}
-	w.mail = append(w.mail, letter{at: w.step + 1 + w.rng.IntN(8), do: do, ends: [2]*host{from, to}, lives: [2]int{from.life, to.life}})
+	w.inFlight = append(w.inFlight, delivery{arrivesAt: w.step + 1 + w.rng.IntN(8), deliver: deliver, endpoints: [2]*host{from, to}, incarnations: [2]int{from.incarnation, to.incarnation}})
 }
 
-func (w *cluster) asks(h *host, asks []idempotency.GrantRequest) {
-	for _, a := range asks {
-		to, epoch := w.host(a.To), w.membership(h).Epoch
+func (w *cluster) sendRequests(h *host, requests []idempotency.GrantRequest) {
+	for _, request := range requests {
+		to, epoch := w.host(request.To), w.membership(h).Epoch
 		if to == nil {
-			w.verdict(h, a.To, a.Record.Token, idempotency.ReplyUnavailable, idempotency.Record{})
+			w.handleReply(h, request.To, request.Record.Token, idempotency.ReplyUnavailable, idempotency.Record{})
 			continue
 		}
 		w.send(h, to, func() {
-			v, holder := w.judge(to, a.Record, epoch)
+			reply, holder := w.grant(to, request.Record, epoch)
 			from := to.identity
-			w.send(to, h, func() { w.verdict(h, from, a.Record.Token, v, holder) })
+			w.send(to, h, func() { w.handleReply(h, from, request.Record.Token, reply, holder) })
 		})
 	}
 }
 
-// judge has a store judge a claim that is asked under an epoch.
-func (w *cluster) judge(h *host, r idempotency.Record, epoch uint64) (idempotency.GrantReply, idempotency.Record) {
-	if epoch < w.log[h.durable].Epoch && w.fault != "a store without the epoch fence" {
+// grant requests a claim from a store under the requester's membership epoch.
+func (w *cluster) grant(h *host, r idempotency.Record, epoch uint64) (idempotency.GrantReply, idempotency.Record) {
+	if epoch < w.memberships[h.durableMembership].Epoch && w.fault != "a store ignores the epoch of requests" {
 		return idempotency.ReplyStaleEpoch, idempotency.Record{}
 	}
-	v, holder, store := h.store.Grant(r, w.now())
-	if store && !h.store.MarkDurable(r.Key, r.Token) {
-		v = idempotency.ReplyUnavailable
+	reply, holder, mustStore := h.store.Grant(r, w.now())
+	if mustStore && !h.store.MarkDurable(r.Key, r.Token) {
+		reply = idempotency.ReplyUnavailable
 	}
-	return v, holder
+	return reply, holder
 }
 
-func (w *cluster) verdict(h *host, from string, t idempotency.Token, v idempotency.GrantReply, holder idempotency.Record) {
-	more, done := h.coordinator.HandleReply(from, t, v, holder)
-	w.asks(h, more)
-	if done != nil {
-		w.ruled(*done)
+func (w *cluster) handleReply(h *host, from string, t idempotency.Token, reply idempotency.GrantReply, holder idempotency.Record) {
+	more, result := h.coordinator.HandleReply(from, t, reply, holder)
+	w.sendRequests(h, more)
+	if result != nil {
+		w.handleResult(*result)
 	}
 }
 
-func (w *cluster) ruled(o idempotency.Result) {
-	if o.Outcome == idempotency.OutcomeGranted && w.alive[o.Token] {
-		w.stands[o.Token] = true
+func (w *cluster) handleResult(o idempotency.Result) {
+	if o.Outcome == idempotency.OutcomeGranted && w.active[o.Token] {
+		w.granted[o.Token] = true
 		return
 	}
-	w.withdraw(o.Token)
+	w.revoke(o.Token)
 }
 
-func (w *cluster) withdraw(t idempotency.Token) {
-	if w.stands[t] || !w.alive[t] {
+func (w *cluster) revoke(t idempotency.Token) {
+	if w.granted[t] || !w.active[t] {
 		return
 	}
-	w.alive[t] = false
+	w.active[t] = false
 	for _, h := range w.hosts {
 		w.send(h, h, func() { h.store.Revoke(w.key, t, w.now()) })
 	}
 }
 
-// wipe ends a store's life and its disk; its coordinator ends with it. What comes back is another replica.
-func (w *cluster) wipe(h *host) {
-	h.life++
-	h.disks++
+// loseDisk restarts a host with an empty disk, under a new identity. Its coordinator loses all pending claims.
+func (w *cluster) loseDisk(h *host) {
+	h.incarnation++
+	h.diskCount++
 	former := h.identity
-	if w.fault == "an identity is used again after its disk was lost" {
+	if w.fault == "an identity is reused after its disk was lost" {
 		h.store = idempotency.NewStore(time.Hour, false)
 		w.start(h)
 		return
 	}
-	h.identity = membership.Identity(h.name, uint64(h.disks))
-	h.durable, h.store = 0, idempotency.NewStore(time.Hour, true)
+	h.identity = membership.Identity(h.name, uint64(h.diskCount))
+	h.durableMembership, h.store = 0, idempotency.NewStore(time.Hour, true)
 	w.start(h)
-	w.forget(former)
+	w.discardGrants(former)
 }
 
-func (w *cluster) forget(identity string) {
+func (w *cluster) discardGrants(identity string) {
 	for _, o := range w.hosts {
-		for _, done := range o.coordinator.DiscardGrants(identity) {
-			w.ruled(done)
+		for _, result := range o.coordinator.DiscardGrants(identity) {
+			w.handleResult(result)
 		}
 	}
 }
 
-// follow lets a host apply the next committed membership, and make it durable some steps later.
-func (w *cluster) follow(h *host) {
-	if h.applied > h.durable {
-		if w.step >= h.durableAt {
-			w.settled(h)
+// applyNextMembership applies the next committed membership to a host at random, and makes it durable some steps later.
+func (w *cluster) applyNextMembership(h *host) {
+	if h.appliedMembership > h.durableMembership {
+		if w.step >= h.durableAtStep {
+			w.makeMembershipDurable(h)
 		}
 		return
 	}
-	if h.applied == len(w.log)-1 || w.rng.IntN(6) > 0 {
+	if h.appliedMembership == len(w.memberships)-1 || w.rng.IntN(6) > 0 {
 		return
 	}
 	former := w.membership(h)
-	h.applied++
-	h.durableAt, h.copied = w.step+w.rng.IntN(6), map[string]bool{}
+	h.appliedMembership++
+	h.durableAtStep, h.importedFrom = w.step+w.rng.IntN(6), map[string]bool{}
 	if m := w.membership(h); former.Contains(h.identity) && !m.Contains(h.identity) {
 		h.store.BeginRecovery()
 	}
 	w.setStores(h)
 }
 
-// settled makes what was applied durable. One that was voted out draws a new identity.
-func (w *cluster) settled(h *host) {
-	h.durable = h.applied
-	if m, former := w.membership(h), w.log[h.applied-1]; former.Contains(h.identity) && !m.Contains(h.identity) {
+// makeMembershipDurable makes the applied membership durable. A host that is no longer a voter gets a new identity.
+func (w *cluster) makeMembershipDurable(h *host) {
+	h.durableMembership = h.appliedMembership
+	if m, former := w.membership(h), w.memberships[h.appliedMembership-1]; former.Contains(h.identity) && !m.Contains(h.identity) {
 		old := h.identity
-		h.disks++
-		h.identity = membership.Identity(h.name, uint64(h.disks))
-		w.forget(old)
+		h.diskCount++
+		h.identity = membership.Identity(h.name, uint64(h.diskCount))
+		w.discardGrants(old)
 		w.setStores(h)
 	}
 }
 
 func (w *cluster) setStores(h *host) {
 	m := w.membership(h)
-	asks, done := h.coordinator.SetStores(h.identity, m.Voters, m.Next)
-	w.asks(h, asks)
-	for _, o := range done {
-		w.ruled(o)
+	requests, results := h.coordinator.SetStores(h.identity, m.Voters, m.Next)
+	w.sendRequests(h, requests)
+	for _, o := range results {
+		w.handleResult(o)
 	}
 }
 
-// copy has an entrant ask the former voters for what they hold.
-func (w *cluster) copy(h *host) {
+// requestClaims sends requests for claims from a new voter to the former voters.
+func (w *cluster) requestClaims(h *host) {
 	m := w.membership(h)
 	if !h.store.Recovering() || !slices.Contains(m.Next, h.identity) || slices.Contains(m.Voters, h.identity) || w.rng.IntN(4) > 0 {
 		return
 	}
-	if w.fault == "an entrant counts before it copied" {
+	if w.fault == "a new voter grants before it imported claims" {
 		h.store.FinishRecovery()
 		return
 	}
 	for _, id := range m.Voters {
-		if from := w.host(id); from != nil && !h.copied[id] {
-			w.send(h, from, func() { w.sendCopy(from, h, m.Epoch) })
+		if from := w.host(id); from != nil && !h.importedFrom[id] {
+			w.send(h, from, func() { w.sendClaims(from, h, m.Epoch) })
 		}
 	}
 }
 
-func (w *cluster) sendCopy(from, to *host, epoch uint64) {
-	early := w.log[from.durable].Epoch < epoch || w.membership(from).Epoch != epoch
-	if early && w.fault != "a copy is taken before the source applied the joint membership" {
+func (w *cluster) sendClaims(from, to *host, epoch uint64) {
+	early := w.memberships[from.durableMembership].Epoch < epoch || w.membership(from).Epoch != epoch
+	if early && w.fault != "claims are exported before the source applied the joint membership" {
 		return
 	}
 	if from.store.Recovering() || !slices.Contains(w.membership(from).Voters, from.identity) {
@@ -275,17 +276,18 @@
 		for _, r := range all {
 			to.store.Import(r, w.now())
 		}
-		to.copied[source] = true
+		to.importedFrom[source] = true
 		former := consensus.Membership{Voters: m.Voters}
-		if former.HasQuorum(func(id string) bool { return to.copied[id] }) || w.fault == "an entrant copies from one store only" {
+		if former.HasQuorum(func(id string) bool { return to.importedFrom[id] }) || w.fault == "a new voter imports from one store only" {
 			to.store.FinishRecovery()
 		}
 	})
 }
 
-// change commits memberships as the manager would: a voter whose disk was lost is replaced, any other now and then.
-func (w *cluster) change() {
-	newest := w.newest()
+// changeMembership commits memberships as the membership manager does: a voter that lost its disk is replaced, and a random
+// voter occasionally.
+func (w *cluster) changeMembership() {
+	newest := w.newestMembership()
 	next := consensus.Membership{Epoch: newest.Epoch + 1, Voters: newest.Voters}
 	if newest.Joint() {
 		ready, lost := true, false
@@ -293,7 +295,7 @@
 			if !slices.Contains(newest.Voters, id) {
 				h := w.host(id)
 				lost = lost || h == nil
-				ready = ready && h != nil && !h.store.Recovering() && w.log[h.durable].Epoch == newest.Epoch
+				ready = ready && h != nil && !h.store.Recovering() && w.memberships[h.durableMembership].Epoch == newest.Epoch
 			}
 		}
 		if !ready && !lost && w.rng.IntN(60) > 0 {
@@ -301,25 +303,25 @@
 		}
 		if ready && !lost {
 			next.Voters = newest.Next
-			w.changes++
+			w.changeCount++
 		}
-	} else if next.Next = w.replaced(newest); next.Next == nil {
+	} else if next.Next = w.chooseNextVoters(newest); next.Next == nil {
 		return
 	}
-	w.log = append(w.log, next)
+	w.memberships = append(w.memberships, next)
 }
 
-// replaced are the voters after those that are gone have been replaced by hosts that stand by; nil: nobody does.
-func (w *cluster) replaced(newest consensus.Membership) []string {
-	next, any := slices.Clone(newest.Voters), w.rng.IntN(40) == 0
+// chooseNextVoters returns the voters after lost ones were replaced by standbys, or nil if nothing changes.
+func (w *cluster) chooseNextVoters(newest consensus.Membership) []string {
+	next, replaceAny := slices.Clone(newest.Voters), w.rng.IntN(40) == 0
 	for i, id := range next {
-		if w.host(id) != nil && !any {
+		if w.host(id) != nil && !replaceAny {
 			continue
 		}
 		for _, j := range w.rng.Perm(len(w.hosts)) {
 			h := w.hosts[j]
-			if w.log[h.durable].Epoch == newest.Epoch && !slices.Contains(next, h.identity) {
-				next[i], any = h.identity, false
+			if w.memberships[h.durableMembership].Epoch == newest.Epoch && !slices.Contains(next, h.identity) {
+				next[i], replaceAny = h.identity, false
 				break
 			}
 		}
@@ -330,48 +332,49 @@
 	return next
 }
 
-// whole tells that as many disks as are tolerated may be lost now.
-func (w *cluster) whole() bool {
-	for _, id := range w.newest().Voters {
+// canLoseDisks reports whether the tolerated number of disks may be lost now.
+func (w *cluster) canLoseDisks() bool {
+	for _, id := range w.newestMembership().Voters {
 		if h := w.host(id); h == nil || h.store.Recovering() {
 			return false
 		}
 	}
-	return !w.newest().Joint()
+	return !w.newestMembership().Joint()
 }
 
-func (w *cluster) play() bool {
-	next := uint64(0)
+// run plays 220 steps and reports whether at most one claim was granted.
+func (w *cluster) run() bool {
+	lastToken := uint64(0)
 	for w.step = 1; w.step < 220; w.step++ {
 		if w.rng.IntN(10) == 0 {
-			next++
+			lastToken++
 			h := w.hosts[w.rng.IntN(len(w.hosts))]
-			t := token(next)
-			w.alive[t] = true
-			w.asks(h, h.coordinator.Start(idempotency.Record{Key: w.key, Token: t, ResponseHolder: h.name}, w.now()))
+			t := token(lastToken)
+			w.active[t] = true
+			w.sendRequests(h, h.coordinator.Start(idempotency.Record{Key: w.key, Token: t, ResponseHolder: h.name}, w.now()))
 		}
-		if w.rng.IntN(40) == 0 && next > 0 {
-			w.withdraw(token(1 + w.rng.Uint64N(next)))
+		if w.rng.IntN(40) == 0 && lastToken > 0 {
+			w.revoke(token(1 + w.rng.Uint64N(lastToken)))
 		}
-		if w.rng.IntN(25) == 0 && w.whole() {
-			for _, i := range w.rng.Perm(len(w.newest().Voters))[:1+w.rng.IntN(w.lost)] {
-				w.wipe(w.host(w.newest().Voters[i]))
+		if w.rng.IntN(25) == 0 && w.canLoseDisks() {
+			for _, i := range w.rng.Perm(len(w.newestMembership().Voters))[:1+w.rng.IntN(w.tolerance)] {
+				w.loseDisk(w.host(w.newestMembership().Voters[i]))
 			}
 		}
 		if w.rng.IntN(4) == 0 {
-			w.change()
+			w.changeMembership()
 		}
 		for _, h := range w.hosts {
-			w.follow(h)
-			w.copy(h)
-			asks, done := h.coordinator.Tick(w.now())
-			w.asks(h, asks)
-			for _, o := range done {
-				w.ruled(o)
+			w.applyNextMembership(h)
+			w.requestClaims(h)
+			requests, results := h.coordinator.Tick(w.now())
+			w.sendRequests(h, requests)
+			for _, o := range results {
+				w.handleResult(o)
 			}
 		}
 		w.deliver()
-		if len(w.stands) > 1 {
+		if len(w.granted) > 1 {
 			return false
 		}
 	}
@@ -379,14 +382,14 @@
 }
 
 func (w *cluster) deliver() {
-	mail := w.mail
-	w.mail = nil
-	for _, m := range mail {
+	queued := w.inFlight
+	w.inFlight = nil
+	for _, m := range queued {
 		switch {
-		case m.at > w.step:
-			w.mail = append(w.mail, m)
-		case m.ends[0].life == m.lives[0] && m.ends[1].life == m.lives[1]:
-			m.do()
+		case m.arrivesAt > w.step:
+			w.inFlight = append(w.inFlight, m)
+		case m.endpoints[0].incarnation == m.incarnations[0] && m.endpoints[1].incarnation == m.incarnations[1]:
+			m.deliver()
 		}
 	}
 }
--- a/internal/control/idempotency/coordinator.go
+++ b/internal/control/idempotency/coordinator.go
@@ -6,43 +6,43 @@
 	"time"
 )
 
-// Outcome of a claim. The numbers are sent between processes.
+// Outcome is the outcome of a claim. Its numbers are part of the protocol between processes.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of a claim.
 const (
-	OutcomeUndecided Outcome = iota // not known in time: the claimant revokes the claim
+	OutcomeUndecided Outcome = iota // timed out or can't be granted, without a known holder; the claimant revokes the claim
 	OutcomeGranted                  // the claimant may run the operation
 	OutcomeConflict                 // another claim holds the key
 )
 
-// String is the outcome's name in metrics. The names are those of the first version, since dashboards read them.
+// String returns the outcome's label in metrics. The labels are those of the first release, because dashboards use them.
 func (o Outcome) String() string {
 	return [...]string{"refused", "stands", "taken"}[min(o, OutcomeConflict)]
 }
 
-// Result is the end of a claim.
+// Result is the final result of a claim.
 type Result struct {
 	Token   Token
 	Key     Key
 	Outcome Outcome
-	Holder  Record // with OutcomeConflict: the claim that holds the key
+	Holder  Record // the claim that holds the key; set with OutcomeConflict only
 }
 
-// GrantRequest is a claim that is to be put to a store.
+// GrantRequest is a claim to be sent to a store.
 type GrantRequest struct {
-	To     string // identity of the replica
+	To     string // identity of the replica that holds the store
 	Record Record
 }
 
-// Coordinator collects grants for claims. It asks its own store and as many others as make a majority first, and the rest
-// when those are slow or not enough: each store that is asked costs a sync and bytes between zones. While the membership is
-// joint it asks all at once.
+// Coordinator collects grants for claims. It first sends requests to its own store and to as many others as form a majority,
+// and to the remaining stores if those are slow or don't suffice: each request costs a disk sync and traffic between zones.
+// While the membership is joint it sends requests to all stores at once. It is not safe for concurrent use.
 type Coordinator struct {
 	self         string
 	voters       []string
-	next         []string // joint: the voters after the change under way
-	requestOrder []string // of voters and next, its own first
+	next         []string // voters after the change in progress; empty if the membership is not joint
+	requestOrder []string // all stores of voters and next, the own store first
 	hedgeDelay   time.Duration
 	timeout      time.Duration
 	pending      map[Token]*pendingClaim
@@ -52,14 +52,14 @@
 	record       Record
 	requested    map[string]bool
 	replies      map[string]GrantReply
-	holderCounts map[Token]int // stores that named a claim as holder of the key
+	holderCounts map[Token]int // number of stores that reported the claim as the holder of the key
 	holders      map[Token]Record
 	startedAt    time.Duration
-	hedged       bool // all stores were asked
+	hedged       bool // requests to all stores were sent after hedgeDelay
 }
 
-// NewCoordinator makes a coordinator for these stores, its own first. A claim asks all of them after hedgeDelay, and is
-// undecided after timeout.
+// NewCoordinator returns a coordinator for the given stores; the first is its own. After hedgeDelay a pending claim is sent to
+// all stores, and after timeout it ends with OutcomeUndecided.
 func NewCoordinator(stores []string, hedgeDelay, timeout time.Duration) *Coordinator {
 	c := &Coordinator{hedgeDelay: hedgeDelay, timeout: timeout, pending: map[Token]*pendingClaim{}}
 	if len(stores) > 0 {
@@ -69,8 +69,8 @@
 	return c
 }
 
-// SetStores changes the stores that count: voters, and during a change also next. Grants stay; stores that knew a newer
-// membership are asked again.
+// SetStores sets the stores whose grants count: voters and, during a membership change, also next. Grants received earlier
+// remain; requests are repeated to stores that replied ReplyStaleEpoch.
 func (c *Coordinator) SetStores(self string, voters, next []string) (requests []GrantRequest, results []Result) {
 	c.self, c.voters, c.next = self, slices.Clone(voters), slices.Clone(next)
 	all := slices.Concat(voters, next)
@@ -89,7 +89,7 @@
 	return requests, results
 }
 
-// retryStale asks again the stores that knew a newer membership than the one under which they were asked.
+// retryStale repeats the request to the stores that rejected it with ReplyStaleEpoch.
 func (c *Coordinator) retryStale(p *pendingClaim) (requests []GrantRequest) {
 	for _, id := range c.requestOrder {
 		if p.replies[id] == ReplyStaleEpoch {
@@ -100,7 +100,7 @@
 	return requests
 }
 
-// oldestFirst lists the pending claims in a fixed order, so that the same events have the same outcome.
+// oldestFirst returns the pending claims in a fixed order, so that the same events always have the same results.
 func (c *Coordinator) oldestFirst() []*pendingClaim {
 	all := make([]*pendingClaim, 0, len(c.pending))
 	for _, p := range c.pending {
@@ -116,7 +116,7 @@
 	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Sequence, b.Sequence))
 }
 
-// Start begins to collect grants for a claim. A claim that is pending already goes on as it was.
+// Start begins to collect grants for a claim. It does nothing for a claim that is already pending or while no voters are set.
 func (c *Coordinator) Start(r Record, now time.Duration) []GrantRequest {
 	if c.pending[r.Token] != nil || len(c.voters) == 0 {
 		return nil
@@ -132,7 +132,7 @@
 
 func quorum(stores []string) int { return len(stores)/2 + 1 }
 
-// requestUpTo asks further stores until count of those that matter were asked.
+// requestUpTo sends requests to further stores until count stores of requestOrder have received one.
 func (c *Coordinator) requestUpTo(p *pendingClaim, count int) (requests []GrantRequest) {
 	requested := c.requestedCount(p)
 	for _, id := range c.requestOrder {
@@ -148,7 +148,7 @@
 	return requests
 }
 
-// requestedCount is how many of the stores that matter were asked.
+// requestedCount returns the number of stores in requestOrder to which a request was sent.
 func (c *Coordinator) requestedCount(p *pendingClaim) (count int) {
 	for _, id := range c.requestOrder {
 		if p.requested[id] {
@@ -158,7 +158,7 @@
 	return count
 }
 
-// HandleReply takes a store's reply; holder counts with ReplyConflict. The first reply of a store is the one that counts.
+// HandleReply processes a store's reply; holder is used with ReplyConflict only. Later replies of the same store are ignored.
 func (c *Coordinator) HandleReply(from string, token Token, reply GrantReply, holder Record) (requests []GrantRequest,
 	result *Result) {
 	p := c.pending[token]
@@ -176,12 +176,12 @@
 	return c.evaluate(p)
 }
 
-// tally is how far a claim has come in one set of stores.
+// tally counts the replies to a claim in one set of stores.
 type tally struct {
 	quorum    int
 	granted   int
-	undecided int // stores that may still grant it
-	inFlight  int // of these, the ones that were asked
+	undecided int // stores that may still grant the claim
+	inFlight  int // undecided stores to which a request was sent
 }
 
 func (c *Coordinator) tally(p *pendingClaim, stores []string) tally {
@@ -191,7 +191,7 @@
 		switch {
 		case replied && reply == ReplyGranted:
 			t.granted++
-		case !replied || reply == ReplyStaleEpoch: // asked again once the membership is known here
+		case !replied || reply == ReplyStaleEpoch: // a stale request is repeated after SetStores
 			t.undecided++
 			if p.requested[id] {
 				t.inFlight++
@@ -205,8 +205,8 @@
 func (t tally) failed() bool    { return t.granted+t.undecided < t.quorum }
 func (t tally) needsMore() bool { return t.granted+t.inFlight < t.quorum }
 
-// evaluate ends a claim that is granted or can't be any more, and asks further stores where those that were asked are not
-// enough.
+// evaluate finishes a claim that is granted or can no longer be granted. Otherwise it returns requests to further stores if
+// the requests in flight can't complete a quorum.
 func (c *Coordinator) evaluate(p *pendingClaim) (requests []GrantRequest, result *Result) {
 	sets := []tally{c.tally(p, c.voters)}
 	if len(c.next) > 0 {
@@ -224,7 +224,7 @@
 	return nil, nil
 }
 
-// missingGrants is how many more stores have to be asked; all of them during a change.
+// missingGrants returns how many more stores need a request. During a membership change that is all stores.
 func (c *Coordinator) missingGrants(sets []tally) int {
 	if len(sets) > 1 {
 		return len(c.requestOrder)
@@ -232,7 +232,8 @@
 	return sets[0].quorum - sets[0].granted - sets[0].inFlight
 }
 
-// failureResult is the end of a claim that can't be granted any more: a conflict with the claim that most stores named.
+// failureResult returns the result of a claim that can no longer be granted: a conflict with the holder that most stores
+// reported, or OutcomeUndecided if no store reported one.
 func failureResult(p *pendingClaim) Result {
 	if len(p.holderCounts) == 0 {
 		return Result{Outcome: OutcomeUndecided}
@@ -252,7 +253,7 @@
 	return &result
 }
 
-// DiscardGrants takes back what a store granted to pending claims: its disk was lost, or it counts for nothing any more.
+// DiscardGrants discards a store's grants of pending claims, because its disk was lost or it is no longer a voter.
 func (c *Coordinator) DiscardGrants(from string) (results []Result) {
 	for _, p := range c.oldestFirst() {
 		if p.replies[from] != ReplyGranted {
@@ -266,7 +267,7 @@
 	return results
 }
 
-// Tick asks further stores where the first are slow, and gives up on claims that take too long.
+// Tick sends requests to all stores for claims older than the hedge delay, and ends claims older than the timeout.
 func (c *Coordinator) Tick(now time.Duration) (requests []GrantRequest, results []Result) {
 	for _, p := range c.oldestFirst() {
 		if now-p.startedAt > c.timeout {
@@ -282,5 +283,5 @@
 	return requests, results
 }
 
-// HasPending reports whether any claim is pending, for callers that set timers.
+// HasPending reports whether any claim is pending. Callers use it to set timers.
 func (c *Coordinator) HasPending() bool { return len(c.pending) > 0 }
--- a/internal/control/idempotency/store.go
+++ b/internal/control/idempotency/store.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Key names an operation: its tenant and the tenant's key, hashed.
+// Key identifies an operation. It is a hash of the tenant and the tenant's idempotency key.
 type Key [16]byte
 
-// KeyOf hashes a tenant's key. The same key of another tenant is another operation.
+// KeyOf returns the Key of a tenant's idempotency key. Equal keys of different tenants identify different operations.
 func KeyOf(tenant, key string) Key {
 	h := sha256.New()
 	h.Write([]byte(tenant))
@@ -17,62 +17,62 @@
 	return Key(h.Sum(nil)[:len(Key{})])
 }
 
-// Token names one attempt to claim a key: the incarnation of the claimant and a number of its own.
+// Token identifies one attempt to claim a key: the incarnation of the claimant and a sequence number within it.
 type Token struct {
 	_           struct{} `cbor:",toarray"`
 	Incarnation uint64
 	Sequence    uint64
 }
 
-// Response is what the first run of an operation answered, for repeats.
+// Response is the response of the first run of an operation, returned to repeated requests.
 type Response struct {
 	Status  int               `cbor:"1,keyasint"`
 	Headers map[string]string `cbor:"2,keyasint,omitempty"`
 	Body    []byte            `cbor:"3,keyasint,omitempty"`
 }
 
-// Record is a claim on its way between processes and on disk.
+// Record is the encoded form of a claim, in messages between processes and on disk.
 type Record struct {
 	Key   Key   `cbor:"1,keyasint"`
 	Token Token `cbor:"2,keyasint"`
-	// ResponseHolder is the IP address of the controller that will keep the response.
+	// ResponseHolder is the IP address of the controller that will store the response.
 	ResponseHolder string    `cbor:"3,keyasint,omitempty"`
-	Revoked        bool      `cbor:"4,keyasint,omitempty"` // nothing was run under it, and nothing ever will be
-	Response       *Response `cbor:"5,keyasint,omitempty"` // nil: not completed, or no longer kept
-	Imported       bool      `cbor:"6,keyasint,omitempty"` // imported from another store: nobody is granted it here
-	// Contested: imported for two tokens. Which of them was granted is not known, so neither can be revoked, here or at a
-	// store that imports it.
+	Revoked        bool      `cbor:"4,keyasint,omitempty"` // no operation ran under it or ever will
+	Response       *Response `cbor:"5,keyasint,omitempty"` // nil: not completed, or dropped
+	Imported       bool      `cbor:"6,keyasint,omitempty"` // imported from another store, so never granted here
+	// Contested is set if claims of this key were imported for two tokens. It is unknown which of them was granted, so
+	// neither can be revoked, here or at a store that imports it.
 	Contested bool `cbor:"7,keyasint,omitempty"`
 }
 
-// GrantReply is what one store says to a claim. The numbers are sent between processes.
+// GrantReply is a store's reply to a claim. Its numbers are part of the protocol between processes.
 type GrantReply uint8
 
-// The replies of a store.
+// The replies of a store to a claim.
 const (
-	ReplyUnavailable GrantReply = iota // the store can't tell now: its disk is failing, or it is recovering
-	ReplyGranted                       // it holds the claim, durably
-	ReplyConflict                      // another token holds the key
-	ReplyStaleEpoch                    // the store knows a newer membership than the one under which it was asked
+	ReplyUnavailable GrantReply = iota // the store is failing or recovering, or the claim was revoked
+	ReplyGranted                       // the store holds the claim durably
+	ReplyConflict                      // a claim of another token, or an imported one, holds the key
+	ReplyStaleEpoch                    // the store has applied a newer membership than the request's epoch
 )
 
-// revokedRetention is how long a revocation is remembered that came before its claim, which may still be on its way.
+// revokedRetention is how long revoked tokens are remembered, since a revocation may arrive before its claim.
 const revokedRetention = 10 * time.Second
 
-// Store holds the claims of one controller.
+// Store holds the claims of one controller. It is not safe for concurrent use.
 type Store struct {
 	window     time.Duration
 	claims     map[Key]*claim
-	ages       []claimAge              // of all claims ever stored that are not expired, oldest first
-	revoked    map[Token]time.Duration // lately, and when
+	ages       []claimAge              // one for each insertion within the window, oldest first
+	revoked    map[Token]time.Duration // recently revoked tokens, with the time of the revocation
 	recovering bool
 
-	responses        []responseRef // oldest first
-	responseBytes    int64         // of the bodies
-	maxResponseBytes int64         // 0: no limit
+	responses        []responseRef // references to stored responses, oldest first
+	responseBytes    int64         // total size of the response bodies
+	maxResponseBytes int64         // limit of responseBytes; 0: unlimited
 }
 
-// responseRef names the claim of a kept response.
+// responseRef identifies the claim of a stored response.
 type responseRef struct {
 	key   Key
 	token Token
@@ -80,10 +80,10 @@
 
 type claim struct {
 	Record
-	createdAt time.Duration
-	durable   bool
-	executed  bool // a response came, whether or not it is still kept
-	aged      bool // read from a disk or copied: how long it has been held is not known
+	createdAt  time.Duration
+	durable    bool
+	executed   bool // a response was received, whether or not it is still stored
+	ageUnknown bool // loaded from disk or imported, so its real age is unknown
 }
 
 type claimAge struct {
@@ -91,17 +91,18 @@
 	createdAt time.Duration
 }
 
-// NewStore makes an empty store that remembers claims for the window. One that is recovering grants nothing before
-// FinishRecovery.
+// NewStore returns an empty store that retains claims for window. A recovering store grants nothing until FinishRecovery is
+// called.
 func NewStore(window time.Duration, recovering bool) *Store {
 	return &Store{window: window, claims: map[Key]*claim{}, revoked: map[Token]time.Duration{}, recovering: recovering}
 }
 
-// SetMaxResponseBytes bounds the bodies of kept responses. The oldest are dropped first: a repeat comes soon or never, and
-// one that comes late is told that the operation is in progress.
+// SetMaxResponseBytes limits the total size of the stored response bodies; 0 means unlimited. The oldest responses are dropped
+// first, because most repeats come soon after the first request. A later repeat gets the reply that the operation is in
+// progress.
 func (s *Store) SetMaxResponseBytes(bytes int64) { s.maxResponseBytes = bytes }
 
-// keepResponse keeps the first response of a claim.
+// keepResponse stores the first response of a claim and drops the oldest responses beyond the limit.
 func (s *Store) keepResponse(c *claim, r *Response) {
 	if c.executed || r == nil {
 		return
@@ -111,15 +112,15 @@
 	s.responses = append(s.responses, responseRef{c.Key, c.Token})
 	dropped := 0
 	for ; s.maxResponseBytes > 0 && s.responseBytes > s.maxResponseBytes; dropped++ {
-		if oldest := s.find(s.responses[dropped]); oldest != nil {
+		if oldest := s.findClaim(s.responses[dropped]); oldest != nil {
 			s.dropResponse(oldest)
 		}
 	}
 	s.responses = s.responses[dropped:]
 }
 
-// find gives the claim of a kept response; nil: another claim has its key, or none.
-func (s *Store) find(ref responseRef) *claim {
+// findClaim returns the claim of a stored response, or nil if its key has no claim or a claim of another token.
+func (s *Store) findClaim(ref responseRef) *claim {
 	if c := s.claims[ref.key]; c != nil && c.Token == ref.token {
 		return c
 	}
@@ -133,21 +134,21 @@
 	}
 }
 
-// remove takes a claim out.
+// remove deletes a claim and the references to responses that are no longer stored.
 func (s *Store) remove(c *claim) {
 	s.dropResponse(c)
 	delete(s.claims, c.Key)
 	dropped := 0
 	for ; dropped < len(s.responses); dropped++ {
-		if c := s.find(s.responses[dropped]); c != nil && c.Response != nil {
+		if c := s.findClaim(s.responses[dropped]); c != nil && c.Response != nil {
 			break
 		}
 	}
 	s.responses = s.responses[dropped:]
 }
 
-// Load takes over a record that the disk held, in the order in which they were written. Its age is not known: it counts
-// from now.
+// Load restores a record from disk. Records must be loaded in the order in which they were written. The age of a loaded claim
+// is unknown, so its window starts now.
 func (s *Store) Load(r Record, now time.Duration) {
 	c := s.claims[r.Key]
 	switch {
@@ -157,14 +158,14 @@
 		}
 	case c == nil || c.Token != r.Token:
 		c := s.insert(r, now)
-		c.durable, c.aged = true, true
+		c.durable, c.ageUnknown = true, true
 	default:
 		c.Imported, c.Contested = c.Imported || r.Imported, c.Contested || r.Contested
 		s.keepResponse(c, r.Response)
 	}
 }
 
-// Import takes over a record of another store, while this one is recovering. It gives the record that has to become
+// Import adds a record of another store while this store is recovering. It returns the record that the caller must make
 // durable.
 func (s *Store) Import(r Record, now time.Duration) Record {
 	if c := s.claims[r.Key]; c != nil {
@@ -173,11 +174,11 @@
 	}
 	r.Imported = true
 	c := s.insert(r, now)
-	c.durable, c.aged = true, true
+	c.durable, c.ageUnknown = true, true
 	return c.Record
 }
 
-// insert stores a claim in place of the one that held its key.
+// insert adds a claim and replaces the previous claim of its key, if any.
 func (s *Store) insert(r Record, now time.Duration) *claim {
 	response := r.Response
 	r.Response = nil
@@ -191,21 +192,21 @@
 	return c
 }
 
-// BeginRecovery stops the store from granting: it counts for nothing any more, and before it counts again it has to import
-// what the others hold.
+// BeginRecovery stops the store from granting claims. It is called when the replica is no longer a voter; before the store
+// may grant again it must import the claims of the other stores.
 func (s *Store) BeginRecovery() { s.recovering = true }
 
-// FinishRecovery lets the store grant again.
+// FinishRecovery allows the store to grant claims again.
 func (s *Store) FinishRecovery() { s.recovering = false }
 
-// Recovering reports whether the store grants nothing since it may lack claims.
+// Recovering reports whether the store grants nothing because claims may be missing.
 func (s *Store) Recovering() bool { return s.recovering }
 
-// Len is how many claims are held.
+// Len returns the number of claims held.
 func (s *Store) Len() int { return len(s.claims) }
 
-// Grant asks the store for a claim. A ReplyGranted with mustStore may be sent only once the claim is durable: MarkDurable or
-// MarkFailed says how that went. With ReplyConflict holder is the claim that holds the key.
+// Grant requests a claim. If mustStore is true, the caller must make the claim durable before it sends ReplyGranted, and then
+// call MarkDurable or MarkFailed. With ReplyConflict holder is the claim that holds the key.
 func (s *Store) Grant(r Record, now time.Duration) (reply GrantReply, holder Record, mustStore bool) {
 	if s.recovering {
 		return ReplyUnavailable, Record{}, false
@@ -222,7 +223,8 @@
 	return ReplyGranted, s.insert(r, now).Record, true
 }
 
-// MarkDurable tells that a claim is durable, and reports whether it may be granted: it may have been revoked meanwhile.
+// MarkDurable records that a claim is durable, and reports whether it may be granted. It returns false if the claim was
+// revoked in the meantime.
 func (s *Store) MarkDurable(key Key, token Token) bool {
 	c := s.claims[key]
 	if c == nil || c.Token != token {
@@ -232,15 +234,15 @@
 	return true
 }
 
-// MarkFailed tells that a claim could not be stored. One that was durable before stays.
+// MarkFailed removes a claim that could not be stored. A claim that was already durable remains.
 func (s *Store) MarkFailed(key Key, token Token) {
 	if c := s.claims[key]; c != nil && c.Token == token && !c.durable {
 		s.remove(c)
 	}
 }
 
-// Revoke withdraws a claim under which nothing was run, or ever will be. The record, if there is one, has to become
-// durable; nothing depends on when.
+// Revoke revokes a claim under which no operation ran or ever will. If mustStore is true, the caller must make the returned
+// record durable; nothing depends on when.
 func (s *Store) Revoke(key Key, token Token, now time.Duration) (r Record, mustStore bool) {
 	s.revoked[token] = now
 	if c := s.claims[key]; c != nil && c.Token == token && !c.executed && !c.Contested {
@@ -250,8 +252,8 @@
 	return Record{}, false
 }
 
-// Complete keeps the response of a claim's run. A claim that ran was granted, so another claim of its key that was stored or
-// imported here never will be: it makes room.
+// Complete stores the response of a claim that ran. That claim was granted, so any other claim of its key held here can't be
+// granted, and is replaced.
 func (s *Store) Complete(r Record, now time.Duration) {
 	c := s.claims[r.Key]
 	switch {
@@ -262,35 +264,35 @@
 	}
 }
 
-// Response gives the response of a claim's run; nil: there is none, or it is no longer kept. Where another claim of the key
-// ran, its response is given: within the window only one of them runs, and repeats that race each other may be told of one
-// that holds the key at a few stores and never ran. A record whose age is not known may be of an earlier window, and speaks
-// for its own claim alone.
+// Response returns the response of a claim's run, or nil if there is none or it was dropped. If another claim of the key ran,
+// its response is returned: only one claim of a key runs within the window, and the holder reported to concurrent repeats may
+// be a claim that holds the key at a minority of the stores and never ran. A claim of unknown age may belong to an earlier
+// window, so its response is returned for its own token only.
 func (s *Store) Response(key Key, token Token) *Response {
 	c := s.claims[key]
-	if c == nil || c.Token != token && c.aged {
+	if c == nil || c.Token != token && c.ageUnknown {
 		return nil
 	}
 	return c.Response
 }
 
-// EachResponse hands out every kept response with its claim, in no order.
-func (s *Store) EachResponse(do func(Record)) {
+// EachResponse calls visit for every stored response with its claim, in no particular order.
+func (s *Store) EachResponse(visit func(Record)) {
 	for _, c := range s.claims {
 		if c.Response != nil {
-			do(Record{Key: c.Key, Token: c.Token, Response: c.Response})
+			visit(Record{Key: c.Key, Token: c.Token, Response: c.Response})
 		}
 	}
 }
 
-// EachClaim hands out every claim without its response, in no order, for a store that imports them.
-func (s *Store) EachClaim(do func(Record)) {
+// EachClaim calls visit for every claim without its response, in no particular order. Another store imports these records.
+func (s *Store) EachClaim(visit func(Record)) {
 	for _, c := range s.claims {
-		do(Record{Key: c.Key, Token: c.Token, ResponseHolder: c.ResponseHolder, Contested: c.Contested})
+		visit(Record{Key: c.Key, Token: c.Token, ResponseHolder: c.ResponseHolder, Contested: c.Contested})
 	}
 }
 
-// Expire forgets claims whose window is over. It is called every few milliseconds.
+// Expire removes claims whose window has passed and forgets old revocations. It is called every few milliseconds.
 func (s *Store) Expire(now time.Duration) {
 	expired := 0
 	for ; expired < len(s.ages) && now-s.ages[expired].createdAt > s.window; expired++ {
