--- a/internal/control/consensus/election.go
+++ b/internal/control/consensus/election.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// resetElectionTimer draws how long the replica waits for a leader before it campaigns: one to two election timeouts, so
-// that replicas rarely campaign at the same time.
+// resetElectionTimer sets the time at which the replica campaigns unless it hears from a leader before. The delay is random
+// between one and two election timeouts, so that replicas rarely campaign at the same time.
 func (r *Replica) resetElectionTimer() {
 	timeout := r.timing.ElectionTimeout
 	r.electionDeadline = r.now + timeout + time.Duration(r.rng.Int64N(int64(timeout)))
 }
 
-// preCampaign asks the voters whether they would vote for this replica in the next term. Nothing becomes durable, so that a
-// replica that can't be elected doesn't raise the term of the others.
+// preCampaign requests pre-votes for the next term from the voters. It changes neither term nor vote, so that a replica that
+// can't be elected doesn't raise the term of the others.
 func (r *Replica) preCampaign() {
 	r.becomeCandidate()
 	r.preVote = true
@@ -18,7 +18,7 @@
 	r.countVotes()
 }
 
-// campaign asks the voters for their votes in the next term.
+// campaign starts an election: it increments the term, votes for itself and requests votes from the other voters.
 func (r *Replica) campaign() {
 	r.becomeCandidate()
 	r.preVote = false
@@ -41,8 +41,8 @@
 	}
 }
 
-// countVotes goes on where the votes are enough. The own vote counts before it is durable only in a pre-vote: vote requests
-// leave after it is.
+// countVotes starts the election after a majority of pre-votes, and becomes leader after a majority of votes. In an election
+// the own vote is durable before any reply arrives, because vote requests are sent after the sync.
 func (r *Replica) countVotes() {
 	if !r.Membership().HasQuorum(func(id string) bool { return r.votes[id] }) {
 		return
@@ -54,12 +54,12 @@
 	r.becomeLeader()
 }
 
-// becomeLeader starts to lead the term of the election. The first leader of a cluster also names the cluster.
+// becomeLeader makes the replica the leader of the current term. The first leader of a cluster also chooses the cluster ID.
 func (r *Replica) becomeLeader() {
-	r.role, r.leader, r.leaderHeardAt, r.incoming = Leader, r.id, r.now, nil
+	r.role, r.leader, r.leaderHeardAt, r.incomingSnapshot = Leader, r.id, r.now, nil
 	r.peers = map[string]*progress{}
 	r.syncPeers()
-	first := Entry{} // commits what earlier terms left
+	first := Entry{} // committing it also commits the entries of earlier terms
 	if m := r.Membership(); m.Cluster == 0 {
 		m.Epoch, m.Cluster = m.Epoch+1, r.rng.Uint64()|1
 		first.Membership = &m
@@ -67,7 +67,8 @@
 	r.append(first)
 }
 
-// becomeFollower follows a leader in a term that is not older than the own one; an empty leader is not known yet.
+// becomeFollower makes the replica a follower in a term that must not be older than its own. An empty leader means that the
+// leader is not known yet.
 func (r *Replica) becomeFollower(term uint64, leader string) {
 	if term > r.hard.Term {
 		r.hard.Term, r.hard.Vote = term, ""
@@ -77,13 +78,13 @@
 	r.resetElectionTimer()
 }
 
-// upToDate reports whether a candidate's log holds all that this one may have committed.
+// upToDate reports whether a candidate's log is at least as up to date as the replica's own log.
 func (r *Replica) upToDate(msg Message) bool {
 	term, _ := r.termAt(r.lastIndex())
 	return msg.LogTerm > term || msg.LogTerm == term && msg.Index >= r.lastIndex()
 }
 
-// hasLiveLeader reports whether there is a leader that a pre-vote must not depose.
+// hasLiveLeader reports whether the replica is in contact with a leader, so that it must reject pre-votes.
 func (r *Replica) hasLiveLeader() bool {
 	if r.role == Leader {
 		return r.HasQuorumContact(r.now)
@@ -91,9 +92,9 @@
 	return r.role == Follower && r.leader != "" && r.now-r.leaderHeardAt < r.timing.ElectionTimeout
 }
 
-// handlePreVoteRequest tells a candidate whether it would get this vote, in the term that it asked for. A refusal carries the
-// own term instead: a replica that voted in a term which nobody led would otherwise refuse a candidate with the better log,
-// and be refused by it, for ever.
+// handlePreVoteRequest replies whether the replica would vote for a candidate in the requested term. A rejection carries the
+// replica's own term instead. Without it, a replica that voted in a term without a leader and a candidate with a more
+// up-to-date log would reject each other forever.
 func (r *Replica) handlePreVoteRequest(msg Message) {
 	reply := Message{Kind: PreVoteReply, To: msg.From, Term: r.hard.Term}
 	if msg.Term > r.hard.Term && r.upToDate(msg) && !r.hasLiveLeader() {
@@ -107,14 +108,14 @@
 	switch {
 	case r.role != Candidate || !r.preVote:
 	case !msg.OK && msg.Term > r.hard.Term:
-		r.becomeFollower(msg.Term, "") // and campaigns again in a term above it
+		r.becomeFollower(msg.Term, "") // the next campaign uses a higher term
 	case msg.OK && msg.Term == r.hard.Term+1:
 		r.votes[msg.From] = true
 		r.countVotes()
 	}
 }
 
-// handleVoteRequest votes for the first candidate of a term whose log is up to date.
+// handleVoteRequest grants the vote of a term to the first candidate with an up-to-date log.
 func (r *Replica) handleVoteRequest(msg Message) {
 	ok := r.upToDate(msg) && (r.hard.Vote == "" || r.hard.Vote == msg.From)
 	if ok && r.hard.Vote == "" {
@@ -133,7 +134,8 @@
 	}
 }
 
-// TransferLeadership asks a voter that holds the complete log to campaign at once, and reports whether it was asked.
+// TransferLeadership requests a voter that holds the complete log to campaign at once. It reports whether the request was
+// sent; it is not sent if this replica is not the leader, or the voter lacks entries.
 func (r *Replica) TransferLeadership(to string, now time.Duration) bool {
 	r.now = now
 	p := r.peers[to]
@@ -144,8 +146,8 @@
 	return true
 }
 
-// campaignNow campaigns without a pre-vote, since the leader itself asks for it.
-func (r *Replica) campaignNow(msg Message) {
+// handleTimeoutNow campaigns without a pre-vote, because the leader itself requested it.
+func (r *Replica) handleTimeoutNow(msg Message) {
 	if r.role == Follower && r.leader == msg.From && r.IsVoter() {
 		r.campaign()
 	}
--- a/internal/control/consensus/export_test.go
+++ b/internal/control/consensus/export_test.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// Unchecked ways to change the membership, for planted faults.
+// Membership changes without the safety checks, for tests that inject faults.
 
-// SwitchDirectly appends the new voters without a joint membership.
-func (r *Replica) SwitchDirectly(next []string) {
+// ChangeWithoutJoint switches to the voters next without a joint membership.
+func (r *Replica) ChangeWithoutJoint(next []string) {
 	if r.role != Leader || !slices.Contains(next, r.id) {
 		return
 	}
@@ -13,8 +13,8 @@
 	r.appendMembership(Membership{Epoch: m.Epoch + 1, Cluster: m.Cluster, Voters: slices.Sorted(slices.Values(next))})
 }
 
-// BeginUnchecked begins a change whatever is under way or uncommitted.
-func (r *Replica) BeginUnchecked(next []string) {
+// BeginChangeUnchecked begins a change even if another one is in progress or uncommitted.
+func (r *Replica) BeginChangeUnchecked(next []string) {
 	m := r.Membership()
 	if r.role != Leader || !slices.Contains(next, r.id) {
 		return
@@ -26,8 +26,8 @@
 	r.appendMembership(Membership{Epoch: m.Epoch + 1, Cluster: m.Cluster, Voters: from, Next: slices.Sorted(slices.Values(next))})
 }
 
-// FinishUnchecked ends a change before it is committed.
-func (r *Replica) FinishUnchecked() {
+// FinishChangeUnchecked adopts a change even if it is not committed.
+func (r *Replica) FinishChangeUnchecked() {
 	m := r.Membership()
 	if r.role == Leader && m.Joint() {
 		r.appendMembership(Membership{Epoch: m.Epoch + 1, Cluster: m.Cluster, Voters: m.Next})
--- a/internal/control/consensus/membership.go
+++ b/internal/control/consensus/membership.go
@@ -6,41 +6,41 @@
 	"time"
 )
 
-// Membership says which replicas vote. While a change is under way it is joint: Next holds the voters after the change,
-// and every decision needs a majority of Voters and a majority of Next.
+// Membership is the set of replicas that vote. While a change is in progress it is joint: Next holds the voters after the
+// change, and every decision needs a majority of Voters and a majority of Next.
 type Membership struct {
-	Epoch   uint64   `cbor:"1,keyasint"`           // rises by one with each membership entry; 0: none is known
-	Cluster uint64   `cbor:"2,keyasint,omitempty"` // names the cluster, chosen by its first leader; 0: not chosen yet
+	Epoch   uint64   `cbor:"1,keyasint"`           // incremented by each membership entry; 0: unknown
+	Cluster uint64   `cbor:"2,keyasint,omitempty"` // cluster ID, chosen by the first leader; 0: not chosen yet
 	Voters  []string `cbor:"3,keyasint"`
 	Next    []string `cbor:"4,keyasint,omitempty"`
 }
 
-// Joint reports whether a change is under way.
+// Joint reports whether a change is in progress.
 func (m Membership) Joint() bool { return len(m.Next) > 0 }
 
-// Contains reports whether a replica votes, before or after the change under way.
+// Contains reports whether a replica is a voter, before or after the change in progress.
 func (m Membership) Contains(id string) bool {
 	return slices.Contains(m.Voters, id) || slices.Contains(m.Next, id)
 }
 
-// All lists every replica that votes before or after the change under way, sorted.
+// All returns all voters before and after the change in progress, sorted.
 func (m Membership) All() []string {
 	all := slices.Concat(m.Voters, m.Next)
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
-// HasQuorum reports whether the replicas for which has is true decide: a majority of Voters and, in a joint membership, of Next.
+// HasQuorum reports whether has returns true for a majority of Voters and, in a joint membership, also for a majority of Next.
 func (m Membership) HasQuorum(has func(id string) bool) bool {
 	return len(m.Voters) > 0 && majority(m.Voters, has) && (!m.Joint() || majority(m.Next, has))
 }
 
-// Equal reports whether two memberships are the same, epoch included.
+// Equal reports whether two memberships are equal, including their epoch and cluster.
 func (m Membership) Equal(o Membership) bool {
 	return m.Epoch == o.Epoch && m.Cluster == o.Cluster && slices.Equal(m.Voters, o.Voters) && slices.Equal(m.Next, o.Next)
 }
 
-// Validate says what is wrong with a membership that was read or received.
+// Validate returns an error if a membership has duplicate or empty voter names, or an epoch without voters.
 func (m Membership) Validate() error {
 	for _, set := range [][]string{m.Voters, m.Next} {
 		sorted := slices.Sorted(slices.Values(set))
@@ -64,13 +64,13 @@
 	return count > len(ids)/2
 }
 
-// membershipEntry is a membership and the log entry that brought it; index 0 is the membership that the cluster started with.
+// membershipEntry is a membership and the index of its log entry. Index 0 is the membership with which the cluster started.
 type membershipEntry struct {
 	index      uint64
 	membership Membership
 }
 
-// Membership is the newest in the log, committed or not.
+// Membership returns the newest membership in the log, committed or not.
 func (r *Replica) Membership() Membership { return r.memberships[len(r.memberships)-1].membership }
 
 // MembershipCommitted reports whether the newest membership in the log is committed.
@@ -78,7 +78,7 @@
 	return r.memberships[len(r.memberships)-1].index <= r.commit
 }
 
-// membershipAt is the membership that was in force after an entry.
+// membershipAt returns the membership in effect at an index of the log.
 func (r *Replica) membershipAt(index uint64) Membership {
 	for _, l := range slices.Backward(r.memberships) {
 		if l.index <= index {
@@ -88,22 +88,22 @@
 	return Membership{}
 }
 
-// applyMembershipEntry puts an entry's membership into force as soon as it is in the log.
+// applyMembershipEntry makes an entry's membership take effect. It is called as soon as the entry is in the log.
 func (r *Replica) applyMembershipEntry(e Entry) {
 	if e.Membership != nil {
 		r.memberships = append(r.memberships, membershipEntry{e.Index, *e.Membership})
 	}
 }
 
-// revertMembership goes back to the membership before an entry that is truncated.
+// revertMembership restores the membership in effect before a truncated index.
 func (r *Replica) revertMembership(from uint64) {
 	for len(r.memberships) > 1 && r.memberships[len(r.memberships)-1].index >= from {
 		r.memberships = r.memberships[:len(r.memberships)-1]
 	}
 }
 
-// Bootstrap sets the voters of a cluster that starts for the first time, and reports whether it did. It changes nothing on a
-// replica that has a membership or a log.
+// Bootstrap sets the voters of a cluster that starts for the first time. It does nothing and returns false on a replica that
+// already has a membership or a log.
 func (r *Replica) Bootstrap(voters []string) bool {
 	if r.Membership().Epoch > 0 || r.lastIndex() > 0 {
 		return false
@@ -112,13 +112,13 @@
 	return true
 }
 
-// SetLearners names the replicas that a leader sends the log to although they don't vote.
+// SetLearners sets the replicas that receive the log from a leader without being voters.
 func (r *Replica) SetLearners(ids []string) {
 	r.learners = slices.Clone(ids)
 	r.syncPeers()
 }
 
-// syncPeers keeps a leader's record of progress to the replicas that it sends the log to.
+// syncPeers adds missing replication targets to a leader's peers and removes other replicas from them.
 func (r *Replica) syncPeers() {
 	if r.role != Leader {
 		return
@@ -136,7 +136,7 @@
 	}
 }
 
-// replicationTargets are the other replicas that a leader sends the log to: voters, then learners.
+// replicationTargets returns the other replicas to which a leader sends the log: voters, then learners.
 func (r *Replica) replicationTargets() []string {
 	membership := r.Membership()
 	targets := slices.DeleteFunc(membership.All(), func(id string) bool { return id == r.id })
@@ -148,24 +148,24 @@
 	return targets
 }
 
-// ChangeError says why a membership can't be changed now.
+// ChangeError is the reason for which a membership change is rejected.
 type ChangeError string
 
-// Error implements error.
+// Error returns the reason.
 func (e ChangeError) Error() string { return string(e) }
 
-// The reasons for which a membership can't be changed now.
+// The reasons for which a membership change is rejected.
 const (
-	ErrNotLeader          ChangeError = "this replica does not lead"
-	ErrTermNotCommitted   ChangeError = "no entry of the leader's own term is committed yet"
-	ErrChangeInProgress   ChangeError = "another change of the membership is under way"
-	ErrNoChangeInProgress ChangeError = "no change of the membership is under way"
-	ErrSameVoters         ChangeError = "the change leads to no other voters"
-	ErrLeaderRemoved      ChangeError = "the leader itself would lose its vote: leadership is transferred first"
+	ErrNotLeader          ChangeError = "this replica is not the leader"
+	ErrTermNotCommitted   ChangeError = "the leader has not committed an entry of its own term yet"
+	ErrChangeInProgress   ChangeError = "another membership change is in progress"
+	ErrNoChangeInProgress ChangeError = "no membership change is in progress"
+	ErrSameVoters         ChangeError = "the change leaves the voters as they are"
+	ErrLeaderRemoved      ChangeError = "the leader would lose its vote: leadership has to be transferred first"
 )
 
-// BeginChange appends a joint membership that leads to the voters next. It takes effect at once and has to be finished
-// by FinishChange once it is committed and the new voters are ready.
+// BeginChange appends a joint membership for a change to the voters next. It takes effect at once. Once it is committed, the
+// caller must end the change with AdoptChange, when the new voters are ready, or with AbandonChange.
 func (r *Replica) BeginChange(next []string, now time.Duration) error {
 	r.now = now
 	if err := r.checkChangeAllowed(); err != nil {
@@ -189,13 +189,13 @@
 	return nil
 }
 
-// AdoptChange ends the change under way: the next voters remain.
+// AdoptChange ends the change in progress with the new voters.
 func (r *Replica) AdoptChange(now time.Duration) error {
 	r.now = now
 	return r.finishChange(r.Membership().Next)
 }
 
-// AbandonChange ends the change under way: the voters from before it remain.
+// AbandonChange ends the change in progress with the voters from before it.
 func (r *Replica) AbandonChange(now time.Duration) error {
 	r.now = now
 	return r.finishChange(r.Membership().Voters)
@@ -216,8 +216,9 @@
 	return nil
 }
 
-// checkChangeAllowed guards every membership entry: the one before it is committed, and so is an entry of the leader's own term.
-// Without the latter a change that an earlier leader left uncommitted could overlap with this one.
+// checkChangeAllowed returns an error unless the replica is leader, the newest membership entry is committed, and so is an
+// entry of the leader's own term. Without the last condition an uncommitted change of an earlier leader could overlap with a
+// new one.
 func (r *Replica) checkChangeAllowed() error {
 	if r.role != Leader {
 		return ErrNotLeader
--- a/internal/control/consensus/replica.go
+++ b/internal/control/consensus/replica.go
@@ -5,72 +5,72 @@
 	"time"
 )
 
-// Config is what a replica starts with: what its disk held, and its timing.
+// Config is the initial state of a replica, as read from its disk, and its settings.
 type Config struct {
 	ID         string // identity of the replica
 	Timing     Timing
-	Seed       uint64     // of its random election timeouts
-	Membership Membership // that the cluster started with; empty: the replica learns it from the log
+	Seed       uint64     // seed of the random election timeouts
+	Membership Membership // with which the cluster started; empty: received with the log
 	HardState  HardState
 	Snapshot   Snapshot
-	Log        []Entry // after the snapshot
+	Log        []Entry // entries after the snapshot
 	Now        time.Duration
 }
 
-// Replica is one controller's part in the consensus. It is not safe for concurrent use.
+// Replica is one controller's replica of the log. It is not safe for concurrent use.
 type Replica struct {
 	id     string
 	timing Timing
 	rng    *rand.Rand
-	now    time.Duration // of the last event
+	now    time.Duration // time of the last event
 
 	logState
 	role Role
 	electionState
 	leaderState
-	incoming *snapshotAssembly // of a follower that receives a snapshot; nil: none
-	output   Output
+	incomingSnapshot *snapshotAssembly // snapshot that a follower is receiving; nil: none
+	output           Output
 }
 
-// logState is what the replica knows of the log. applied <= commit <= last index, and durable <= last index.
+// logState is the replica's log and its progress. applied <= commit <= last index, and durable <= last index.
 type logState struct {
 	hard        HardState
 	snapshot    Snapshot
-	log         []Entry           // after snapshot, without a gap
-	memberships []membershipEntry // that of snapshot first, then those of log
-	durable     uint64            // last entry that is durable here
-	commit      uint64            // last entry that is known to be committed
-	applied     uint64            // last entry that was handed out to be applied
+	log         []Entry           // entries after snapshot, without gaps
+	memberships []membershipEntry // the membership of snapshot, then those in log
+	durable     uint64            // index of the last durable entry
+	commit      uint64            // index of the last entry known to be committed
+	applied     uint64            // index of the last entry returned by DrainOutput to be applied
 }
 
-// electionState is what a follower or candidate knows of leaders and votes.
+// electionState is the state of a follower or candidate about leaders and votes.
 type electionState struct {
-	leader           string          // identity, in the own term; empty: not known
-	leaderHeardAt    time.Duration   // of a leader: when its term began
-	leaderHasQuorum  bool            // as the leader last said: it was in contact with this replica
-	electionDeadline time.Duration   // when the replica campaigns
-	votes            map[string]bool // for a candidate, by voter
-	preVote          bool            // a candidate asks for pre-votes
+	leader           string          // identity of the leader of the current term; empty: unknown
+	leaderHeardAt    time.Duration   // last message of the leader; on the leader itself: start of its leadership
+	leaderHasQuorum  bool            // the leader's last message reported contact with this replica
+	electionDeadline time.Duration   // time at which the replica campaigns
+	votes            map[string]bool // votes or pre-votes received by a candidate, by voter
+	preVote          bool            // the candidate is collecting pre-votes
 }
 
-// leaderState is what a leader knows of its peers. The learners are set on every replica, for when it leads.
+// leaderState is a leader's state about the other replicas. The learners are set on every replica, since any may be elected.
 type leaderState struct {
 	learners  []string
-	peers     map[string]*progress // nil: the replica doesn't lead
-	readRound uint64               // of the newest read
+	peers     map[string]*progress // by identity; nil: the replica is not the leader
+	readRound uint64               // number of the newest read round
 }
 
-// progress is what a leader knows of a peer.
+// progress is the replication progress of another replica, as known to the leader.
 type progress struct {
-	match     uint64 // last entry that is durable there and agrees with the own log
-	next      uint64 // first entry to be sent
+	match     uint64 // last entry that is durable on the peer and matches the leader's log
+	next      uint64 // next entry to send
 	heardAt   time.Duration
-	readRound uint64 // the newest that was answered
+	readRound uint64 // newest read round that the peer replied to
 	sentAt    time.Duration
-	transfer  *transfer // of a snapshot; nil: none
+	transfer  *transfer // snapshot transfer; nil: none
 }
 
-// New makes a replica from what its disk held.
+// New returns a replica that starts as a follower with the state read from its disk.
 func New(c Config) *Replica {
 	r := &Replica{id: c.ID, timing: c.Timing, rng: rand.New(rand.NewPCG(c.Seed, 2)), now: c.Now}
 	r.hard, r.snapshot, r.log = c.HardState, c.Snapshot, c.Log
@@ -90,53 +90,53 @@
 	return r
 }
 
-// ID is the identity of the replica.
+// ID returns the identity of the replica.
 func (r *Replica) ID() string { return r.id }
 
-// SetID gives a replica that has no vote another identity, under which it may become a voter. It changes nothing on one that
-// votes or leads.
+// SetID sets the identity under which a replica that is not a voter may become one. It does nothing on a voter, candidate or
+// leader.
 func (r *Replica) SetID(id string) {
 	if !r.IsVoter() && r.role == Follower {
 		r.id = id
 	}
 }
 
-// Role is the replica's role.
+// Role returns the replica's role.
 func (r *Replica) Role() Role { return r.role }
 
-// Leader is the identity of the leader of the own term; empty: it is not known.
+// Leader returns the identity of the leader of the current term, or an empty string if it is unknown.
 func (r *Replica) Leader() string { return r.leader }
 
-// Term is the newest term that the replica has seen.
+// Term returns the newest term that the replica has seen.
 func (r *Replica) Term() uint64 { return r.hard.Term }
 
-// CommitIndex is the index of the last entry that is known to be committed.
+// CommitIndex returns the index of the last entry known to be committed.
 func (r *Replica) CommitIndex() uint64 { return r.commit }
 
-// LastTerm is the term of the last entry of the log.
+// LastTerm returns the term of the last entry of the log.
 func (r *Replica) LastTerm() uint64 {
 	term, _ := r.termAt(r.lastIndex())
 	return term
 }
 
-// HardState is the newest term and vote.
+// HardState returns the current hard state, which may not be durable yet.
 func (r *Replica) HardState() HardState { return r.hard }
 
-// CommittedInTerm reports whether the replica leads and has committed an entry of its own term, and so knows all that
-// earlier leaders committed.
+// CommittedInTerm reports whether the replica is the leader and has committed an entry of its own term. Its commit index then
+// covers all entries that earlier leaders committed.
 func (r *Replica) CommittedInTerm() bool {
 	term, known := r.termAt(r.commit)
 	return r.role == Leader && known && term == r.hard.Term
 }
 
-// LastIndex is the index of the last entry of the log.
+// LastIndex returns the index of the last entry of the log.
 func (r *Replica) LastIndex() uint64 { return r.lastIndex() }
 
-// IsVoter reports whether the replica has a vote.
+// IsVoter reports whether the replica is a voter of the newest membership.
 func (r *Replica) IsVoter() bool { return r.Membership().Contains(r.id) }
 
-// Match is how far a peer's durable log is known to agree with the leader's, and when the peer was last heard. It is known
-// on a leader only, but for the replica itself.
+// Match returns the index up to which a replica's durable log is known to match the leader's, and the time of its last
+// message. It is ok for the replica itself and, on a leader, for its peers.
 func (r *Replica) Match(id string) (index uint64, heardAt time.Duration, ok bool) {
 	if id == r.id {
 		return r.durable, r.now, true
@@ -155,7 +155,7 @@
 	return r.snapshot.Index
 }
 
-// termAt gives the term of an entry; false: it is before the snapshot or after the log.
+// termAt returns the term of an entry. It returns false if the entry is before the snapshot or after the log.
 func (r *Replica) termAt(index uint64) (uint64, bool) {
 	if index == r.snapshot.Index {
 		return r.snapshot.Term, true
@@ -166,7 +166,7 @@
 	return r.log[index-r.snapshot.Index-1].Term, true
 }
 
-// entriesFrom is the part of the log from an index on.
+// entriesFrom returns the entries of the log from an index on.
 func (r *Replica) entriesFrom(index uint64) []Entry { return r.log[index-r.snapshot.Index-1:] }
 
 func (r *Replica) persistHardState() {
@@ -178,7 +178,7 @@
 	r.output.Immediate = append(r.output.Immediate, r.withSender(msg))
 }
 
-// sendAfterSync sends a message once all that was changed before is durable.
+// sendAfterSync queues a message to be sent once all earlier changes are durable.
 func (r *Replica) sendAfterSync(msg Message) {
 	r.output.AfterSync = append(r.output.AfterSync, r.withSender(msg))
 }
@@ -191,7 +191,7 @@
 	return msg
 }
 
-// DrainOutput hands out what has to be done since the last call, with the entries that were committed since then.
+// DrainOutput returns and resets the output that accumulated since the last call, with the entries committed since then.
 func (r *Replica) DrainOutput() Output {
 	if r.applied < r.commit {
 		for i := r.applied + 1; i <= r.commit; i++ {
@@ -205,20 +205,20 @@
 	return out
 }
 
-// MarkDurable tells that an output is durable, by the index and term of its last entry (see Output.LastEntry). A write whose
-// entries were truncated or replaced by a snapshot while it was under way counts for nothing: what took their place has a
-// write of its own.
+// MarkDurable reports to the replica that an output is durable, by the index and term of its last entry (see
+// Output.LastEntry). It ignores a write whose entries were truncated or replaced by a snapshot in the meantime, because the
+// replacement has a write of its own.
 func (r *Replica) MarkDurable(index, term uint64, now time.Duration) {
 	r.now = now
 	if current, known := r.termAt(index); known && current == term {
 		r.durable = max(r.durable, index)
 	}
 	if r.role == Leader {
-		r.advance()
+		r.advanceCommit()
 	}
 }
 
-// Tick lets time pass. It is called several times in a heartbeat interval.
+// Tick advances the time and handles timeouts. It must be called several times per heartbeat interval.
 func (r *Replica) Tick(now time.Duration) {
 	r.now = now
 	if r.role == Leader {
@@ -230,7 +230,7 @@
 	}
 }
 
-// tickLeader sends heartbeats, and steps down when no majority was heard for long, so that callers go to another replica.
+// tickLeader sends heartbeats. It steps down without contact to a majority, so that callers switch to another replica.
 func (r *Replica) tickLeader() {
 	for _, id := range r.replicationTargets() {
 		if r.now-r.peers[id].sentAt >= r.timing.Heartbeat {
@@ -242,8 +242,8 @@
 	}
 }
 
-// HasQuorumContact reports whether the replica was lately in contact with a majority: a leader heard one, any other replica
-// heard a leader that had heard it, too.
+// HasQuorumContact reports whether the replica was recently in contact with a majority: a leader received messages from a
+// majority; any other replica received a message of the leader that reported contact with it.
 func (r *Replica) HasQuorumContact(now time.Duration) bool {
 	span := r.timing.contactTimeout()
 	if r.role != Leader {
@@ -252,8 +252,8 @@
 	return r.Membership().HasQuorum(func(id string) bool { return id == r.id || now-r.peers[id].heardAt < span })
 }
 
-// Propose appends an entry with data to the log of a leader, and gives the entry's index and term. It is not ok on a replica
-// that doesn't lead.
+// Propose appends an entry with data to the log of a leader, and returns the entry's index and term. On a replica that is not
+// the leader it does nothing and returns false.
 func (r *Replica) Propose(data []byte, now time.Duration) (index, term uint64, ok bool) {
 	r.now = now
 	if r.role != Leader {
@@ -263,7 +263,7 @@
 	return r.lastIndex(), r.hard.Term, true
 }
 
-// append adds an entry to a leader's log and sends it.
+// append appends an entry to a leader's log and sends it to the other replicas.
 func (r *Replica) append(e Entry) {
 	e.Term, e.Index = r.hard.Term, r.lastIndex()+1
 	r.log = append(r.log, e)
@@ -271,12 +271,12 @@
 	r.applyMembershipEntry(e)
 	r.syncPeers()
 	r.broadcastAppend()
-	r.advance()
+	r.advanceCommit()
 }
 
-// advance commits what is durable on a majority. Only entries of the own term are committed by counting: an earlier one may
-// still be replaced.
-func (r *Replica) advance() {
+// advanceCommit advances the commit index to the last entry that is durable on a majority. Only an entry of the leader's own
+// term is committed by counting replicas, since an earlier one may still be overwritten.
+func (r *Replica) advanceCommit() {
 	index := r.lastIndex()
 	for ; index > r.commit; index-- {
 		if term, _ := r.termAt(index); term != r.hard.Term {
@@ -301,7 +301,8 @@
 	})
 }
 
-// ReadIndex starts a round of messages that shows whether the replica still leads, and gives its number for ReadConfirmed.
+// ReadIndex starts a round of messages that confirms whether the replica is still the leader. It returns the number of the
+// round for ReadConfirmed.
 func (r *Replica) ReadIndex(now time.Duration) uint64 {
 	r.now = now
 	r.readRound++
@@ -311,7 +312,8 @@
 	return r.readRound
 }
 
-// ReadConfirmed reports whether a majority answered a round, and all that was committed when it began is known here.
+// ReadConfirmed reports whether a majority replied to a read round, and the replica's commit index covers all entries that
+// were committed when the round began.
 func (r *Replica) ReadConfirmed(round uint64) bool {
 	if !r.CommittedInTerm() {
 		return false
@@ -319,7 +321,8 @@
 	return r.Membership().HasQuorum(func(id string) bool { return id == r.id || r.peers[id].readRound >= round })
 }
 
-// Compact replaces the log up to an applied entry by a snapshot with data. It changes nothing for any other index.
+// Compact replaces the log up to an applied entry by a snapshot with data. It does nothing if the index is not applied or is
+// already covered by the snapshot.
 func (r *Replica) Compact(index uint64, data []byte) {
 	term, ok := r.termAt(index)
 	if !ok || index <= r.snapshot.Index || index > r.applied {
@@ -339,7 +342,8 @@
 	r.output.Snapshot, r.output.Truncate, r.output.Entries = &s, 0, append([]Entry(nil), r.log...)
 }
 
-// Step handles a message of another replica.
+// Step processes a message of another replica. It ignores messages to another identity and messages of older terms, but
+// replies to an Append of an older term with the newer one.
 func (r *Replica) Step(msg Message, now time.Duration) {
 	r.now = now
 	if msg.To != r.id || msg.From == r.id {
@@ -357,7 +361,7 @@
 		r.becomeFollower(msg.Term, "")
 	}
 	if msg.Term < r.hard.Term {
-		if msg.Kind == Append { // tells an earlier leader of the newer term
+		if msg.Kind == Append { // the reply carries the newer term to the former leader
 			r.sendAfterSync(Message{Kind: AppendReply, To: msg.From})
 		}
 		return
@@ -372,6 +376,6 @@
 	case AppendReply:
 		r.handleAppendReply(msg)
 	case TimeoutNow:
-		r.campaignNow(msg)
+		r.handleTimeoutNow(msg)
 	}
 }
--- a/internal/control/consensus/replica_test.go
+++ b/internal/control/consensus/replica_test.go
@@ -11,15 +11,15 @@
 	"mulleinwood/internal/control/consensus"
 )
 
-var founders = consensus.Membership{Epoch: 1, Cluster: 7, Voters: []string{"a", "b", "c"}}
+var initialMembership = consensus.Membership{Epoch: 1, Cluster: 7, Voters: []string{"a", "b", "c"}}
 
-// replica makes one of three, with what its disk held.
-func replica(id string, hard consensus.HardState, log ...consensus.Entry) *consensus.Replica {
-	return consensus.New(consensus.Config{ID: id, Membership: founders, Timing: timing, Seed: 1, HardState: hard, Log: log})
+// newReplica returns one of three voters with the given state on its disk.
+func newReplica(id string, hard consensus.HardState, log ...consensus.Entry) *consensus.Replica {
+	return consensus.New(consensus.Config{ID: id, Membership: initialMembership, Timing: timing, Seed: 1, HardState: hard, Log: log})
 }
 
-// learner makes one that knows nothing yet.
-func learner(id string) *consensus.Replica {
+// newLearner returns a replica without a membership or a log.
+func newLearner(id string) *consensus.Replica {
 	return consensus.New(consensus.Config{ID: id, Timing: timing, Seed: 1})
 }
 
@@ -41,76 +41,76 @@
 	return found
 }
 
-const began = 10 * time.Second
+const electedAt = 10 * time.Second
 
-// lead makes a leader of replica a, with its first entry stored.
-func lead(r *consensus.Replica) {
-	r.Tick(began)
+// electLeader makes replica a the leader, with a durable first entry.
+func electLeader(r *consensus.Replica) {
+	r.Tick(electedAt)
 	term := r.Term() + 1
-	r.Step(consensus.Message{Kind: consensus.PreVoteReply, From: "b", To: "a", Term: term, OK: true}, began)
-	r.Step(consensus.Message{Kind: consensus.VoteReply, From: "b", To: "a", Term: term, OK: true}, began)
+	r.Step(consensus.Message{Kind: consensus.PreVoteReply, From: "b", To: "a", Term: term, OK: true}, electedAt)
+	r.Step(consensus.Message{Kind: consensus.VoteReply, From: "b", To: "a", Term: term, OK: true}, electedAt)
 	Expect(r.Role()).To(Equal(consensus.Leader))
-	stored(r)
+	markAllDurable(r)
 }
 
-// stored tells a replica that its whole log is durable.
-func stored(r *consensus.Replica) { r.MarkDurable(r.LastIndex(), r.LastTerm(), began) }
+// markAllDurable marks the complete log of a replica as durable.
+func markAllDurable(r *consensus.Replica) { r.MarkDurable(r.LastIndex(), r.LastTerm(), electedAt) }
 
-// holds has a peer answer that it holds a leader's log up to an entry.
-func holds(leader *consensus.Replica, id string, index uint64) {
-	leader.Step(consensus.Message{Kind: consensus.AppendReply, From: id, To: leader.ID(), Term: leader.Term(), OK: true, Index: index}, began)
+// acknowledge sends a leader a peer's reply that its log matches up to an index.
+func acknowledge(leader *consensus.Replica, id string, index uint64) {
+	leader.Step(consensus.Message{Kind: consensus.AppendReply, From: id, To: leader.ID(), Term: leader.Term(), OK: true, Index: index}, electedAt)
 }
 
 var _ = Describe("a replica", func() {
-	It("commits nothing without others", func() {
-		r := replica("a", consensus.HardState{})
-		lead(r)
-		r.Propose([]byte("x"), began)
-		stored(r)
+	It("commits nothing without a majority", func() {
+		r := newReplica("a", consensus.HardState{})
+		electLeader(r)
+		r.Propose([]byte("x"), electedAt)
+		markAllDurable(r)
 		Expect(r.CommitIndex()).To(BeZero())
 	})
-	It("counts no write whose entries were cut off the log while it was under way", func() {
-		c := replica("c", consensus.HardState{Term: 1})
+	It("ignores a write whose entries were truncated in the meantime", func() {
+		c := newReplica("c", consensus.HardState{Term: 1})
 		first := []consensus.Entry{{Term: 1, Index: 1}, {Term: 1, Index: 2}}
 		c.Step(consensus.Message{Kind: consensus.Append, From: "a", To: "c", Term: 1, Entries: first}, time.Second)
-		under := c.DrainOutput()
+		firstWrite := c.DrainOutput()
 		c.Step(consensus.Message{Kind: consensus.Append, From: "b", To: "c", Term: 2, Entries: []consensus.Entry{{Term: 2, Index: 1}, {Term: 2, Index: 2}}}, time.Second)
 		c.DrainOutput()
-		index, term := under.LastEntry()
+		index, term := firstWrite.LastEntry()
 		c.MarkDurable(index, term, time.Second)
 		c.Step(consensus.Message{Kind: consensus.Append, From: "b", To: "c", Term: 2, Index: 2, LogTerm: 2}, time.Second)
-		Expect(ofKind(c.DrainOutput().Immediate, consensus.AppendReply)[0].Index).To(BeZero(), "what b sent is not on the disk yet")
+		Expect(ofKind(c.DrainOutput().Immediate, consensus.AppendReply)[0].Index).To(BeZero(), "the entries of b are not durable yet")
 	})
-	It("takes nothing of a message with a membership that can't be", func() {
-		c := replica("c", consensus.HardState{Term: 1})
-		twice := consensus.Membership{Epoch: 2, Voters: []string{"a", "a"}}
-		c.Step(consensus.Message{Kind: consensus.Append, From: "a", To: "c", Term: 1, Entries: []consensus.Entry{{Term: 1, Index: 1, Membership: &twice}}}, time.Second)
+	It("ignores a message with an invalid membership", func() {
+		c := newReplica("c", consensus.HardState{Term: 1})
+		invalid := consensus.Membership{Epoch: 2, Voters: []string{"a", "a"}}
+		c.Step(consensus.Message{Kind: consensus.Append, From: "a", To: "c", Term: 1, Entries: []consensus.Entry{{Term: 1, Index: 1, Membership: &invalid}}}, time.Second)
 		Expect(c.LastIndex()).To(BeZero())
-		Expect(c.Membership()).To(Equal(founders))
+		Expect(c.Membership()).To(Equal(initialMembership))
 	})
-	It("tells nobody of a vote that is not stored", func() {
-		r := replica("a", consensus.HardState{})
+	It("sends no vote before it is durable", func() {
+		r := newReplica("a", consensus.HardState{})
 		r.Step(consensus.Message{Kind: consensus.VoteRequest, From: "b", To: "a", Term: 3}, time.Second)
 		out := r.DrainOutput()
 		Expect(ofKind(out.Immediate, consensus.VoteReply)).To(BeEmpty())
 		Expect(ofKind(out.AfterSync, consensus.VoteReply)).To(HaveLen(1))
 		Expect(out.HardState.Vote).To(Equal("b"))
 	})
-	It("goes by what was committed as soon as it starts again", func() {
-		r := replica("a", consensus.HardState{Term: 3, Commit: 1}, consensus.Entry{Term: 2, Index: 1, Data: []byte("x")}, consensus.Entry{Term: 3, Index: 2})
+	It("applies committed entries immediately after a restart", func() {
+		r := newReplica("a", consensus.HardState{Term: 3, Commit: 1}, consensus.Entry{Term: 2, Index: 1, Data: []byte("x")}, consensus.Entry{Term: 3, Index: 2})
 		Expect(r.DrainOutput().Committed).To(HaveLen(1))
 	})
-	It("votes once a term", func() {
-		r := replica("a", consensus.HardState{})
+	It("votes once per term", func() {
+		r := newReplica("a", consensus.HardState{})
 		r.Step(consensus.Message{Kind: consensus.VoteRequest, From: "b", To: "a", Term: 3}, time.Second)
 		r.Step(consensus.Message{Kind: consensus.VoteRequest, From: "c", To: "a", Term: 3}, time.Second)
 		votes := ofKind(r.DrainOutput().AfterSync, consensus.VoteReply)
 		Expect(votes).To(HaveLen(2))
 		Expect(votes[1].OK).To(BeFalse())
 	})
-	It("steps down when it hears of a later term, and answers a former leader", func() {
-		r := replica("a", consensus.HardState{})
-		lead(r)
+	It("steps down for a newer term, and replies to a former leader", func() {
+		r := newReplica("a", consensus.HardState{})
+		electLeader(r)
 		r.DrainOutput()
 		r.Step(consensus.Message{Kind: consensus.Append, From: "c", To: "a", Term: 9}, 11*time.Second)
 		Expect(r.Leader()).To(Equal("c"))
@@ -118,18 +118,18 @@
 		replies := ofKind(r.DrainOutput().AfterSync, consensus.AppendReply)
 		Expect(replies[len(replies)-1].Term).To(Equal(uint64(9)))
 	})
-	It("doesn't depose a leader that others hear, after it was cut off", func() {
-		r := replica("a", consensus.HardState{Term: 4})
+	It("rejects the pre-vote of a partitioned replica while it is in contact with the leader", func() {
+		r := newReplica("a", consensus.HardState{Term: 4})
 		r.Step(consensus.Message{Kind: consensus.Append, From: "b", To: "a", Term: 4}, time.Second)
 		r.DrainOutput()
 		r.Step(consensus.Message{Kind: consensus.PreVoteRequest, From: "c", To: "a", Term: 5, Index: 9, LogTerm: 4}, time.Second+timing.Heartbeat)
 		Expect(ofKind(r.DrainOutput().AfterSync, consensus.PreVoteReply)[0].OK).To(BeFalse())
 	})
-	It("is elected for the better log although another voted in a later term that nobody led", func() {
-		b := replica("b", consensus.HardState{Term: 6}, consensus.Entry{Term: 6, Index: 1}, consensus.Entry{Term: 6, Index: 2})
-		c := replica("c", consensus.HardState{Term: 8, Vote: "a"}, consensus.Entry{Term: 6, Index: 1})
+	It("is elected with the more up-to-date log although another replica voted in a later term without a leader", func() {
+		b := newReplica("b", consensus.HardState{Term: 6}, consensus.Entry{Term: 6, Index: 1}, consensus.Entry{Term: 6, Index: 2})
+		c := newReplica("c", consensus.HardState{Term: 8, Vote: "a"}, consensus.Entry{Term: 6, Index: 1})
 		now := time.Second
-		for range 5 { // a is gone
+		for range 5 { // a is unreachable
 			b.Tick(now)
 			for _, m := range sentTo(b.DrainOutput().Immediate, "c") {
 				c.Step(m, now)
@@ -141,102 +141,102 @@
 		}
 		Expect(b.Term()).To(BeNumerically(">", 8))
 	})
-	It("confirms that it leads only by answers to that very round", func() {
-		r := replica("a", consensus.HardState{})
-		lead(r)
-		holds(r, "b", 1)
-		round := r.ReadIndex(began)
+	It("confirms a read only by replies to its own round", func() {
+		r := newReplica("a", consensus.HardState{})
+		electLeader(r)
+		acknowledge(r, "b", 1)
+		round := r.ReadIndex(electedAt)
 		Expect(r.ReadConfirmed(round)).To(BeFalse())
-		r.Step(consensus.Message{Kind: consensus.AppendReply, From: "c", To: "a", Term: 1, OK: true, Index: 1, ReadRound: round}, began)
+		r.Step(consensus.Message{Kind: consensus.AppendReply, From: "c", To: "a", Term: 1, OK: true, Index: 1, ReadRound: round}, electedAt)
 		Expect(r.ReadConfirmed(round)).To(BeTrue())
 	})
-	It("that follows is not in contact with a majority while its leader doesn't hear it", func() {
-		r := replica("b", consensus.HardState{})
+	It("is not in contact with a majority as a follower whose messages don't reach the leader", func() {
+		r := newReplica("b", consensus.HardState{})
 		r.Step(consensus.Message{Kind: consensus.Append, From: "a", To: "b", Term: 1, LeaderInContact: true}, time.Second)
 		Expect(r.HasQuorumContact(time.Second)).To(BeTrue())
 		r.Step(consensus.Message{Kind: consensus.Append, From: "a", To: "b", Term: 1}, time.Second)
-		Expect(r.HasQuorumContact(time.Second)).To(BeFalse(), "what it sends is lost: a cut one way")
+		Expect(r.HasQuorumContact(time.Second)).To(BeFalse(), "its messages are lost: a partition in one direction")
 	})
-	It("that stood still as leader is in contact with nobody when it wakes", func() {
-		r := replica("a", consensus.HardState{})
-		lead(r)
-		holds(r, "b", 1)
-		Expect(r.HasQuorumContact(began)).To(BeTrue())
-		Expect(r.HasQuorumContact(began + 5*time.Second)).To(BeFalse())
+	It("is not in contact with a majority as a leader that was frozen", func() {
+		r := newReplica("a", consensus.HardState{})
+		electLeader(r)
+		acknowledge(r, "b", 1)
+		Expect(r.HasQuorumContact(electedAt)).To(BeTrue())
+		Expect(r.HasQuorumContact(electedAt + 5*time.Second)).To(BeFalse())
 	})
 })
 
-var _ = Describe("a replica that is behind", func() {
-	It("is sent a long log in messages of bounded size, and not more than it answers", func() {
-		a, c := replica("a", consensus.HardState{}), replica("c", consensus.HardState{})
-		lead(a)
+var _ = Describe("a lagging replica", func() {
+	It("receives a long log in messages of bounded size, with a limit in flight", func() {
+		a, c := newReplica("a", consensus.HardState{}), newReplica("c", consensus.HardState{})
+		electLeader(a)
 		for range 200 {
-			a.Propose(make([]byte, 50<<10), began)
-			stored(a)
-			holds(a, "b", a.LastIndex())
+			a.Propose(make([]byte, 50<<10), electedAt)
+			markAllDurable(a)
+			acknowledge(a, "b", a.LastIndex())
 		}
 		a.DrainOutput()
-		a.Step(consensus.Message{Kind: consensus.AppendReply, From: "c", To: "a", Term: 1}, began) // it holds nothing
-		messages, most := 0, 0
+		a.Step(consensus.Message{Kind: consensus.AppendReply, From: "c", To: "a", Term: 1}, electedAt) // its log is empty
+		messages, largest := 0, 0
 		for range 400 {
-			ahead := 0
+			inFlight := 0
 			for _, m := range sentTo(a.DrainOutput().Immediate, "c") {
 				bytes := 0
 				for _, e := range m.Entries {
 					bytes += len(e.Data)
 				}
-				messages, most, ahead = messages+1, max(most, bytes), ahead+bytes
-				c.Step(m, began)
+				messages, largest, inFlight = messages+1, max(largest, bytes), inFlight+bytes
+				c.Step(m, electedAt)
 			}
-			Expect(ahead).To(BeNumerically("<=", 2<<20))
+			Expect(inFlight).To(BeNumerically("<=", 2<<20))
 			out := c.DrainOutput()
-			stored(c)
+			markAllDurable(c)
 			for _, m := range append(out.Immediate, out.AfterSync...) {
-				a.Step(m, began)
+				a.Step(m, electedAt)
 			}
 			if c.LastIndex() == a.LastIndex() {
 				break
 			}
 		}
 		Expect(c.LastIndex()).To(Equal(a.LastIndex()))
-		Expect(most).To(BeNumerically("<=", 300<<10))
+		Expect(largest).To(BeNumerically("<=", 300<<10))
 		Expect(messages).To(BeNumerically(">", 20))
 	})
 
 	state := bytes.Repeat([]byte("0123456789abcdef"), 100<<10) // 1.6 MB
-	// leading makes a leader whose log begins with a snapshot.
+	// leading returns a leader whose log begins with a snapshot.
 	leading := func() *consensus.Replica {
-		a := replica("a", consensus.HardState{})
-		lead(a)
+		a := newReplica("a", consensus.HardState{})
+		electLeader(a)
 		for i := range 5 {
-			a.Propose([]byte{byte(i)}, began)
+			a.Propose([]byte{byte(i)}, electedAt)
 		}
-		stored(a)
-		holds(a, "b", 6)
+		markAllDurable(a)
+		acknowledge(a, "b", 6)
 		a.DrainOutput()
 		a.Compact(5, state)
 		a.DrainOutput()
-		a.Step(consensus.Message{Kind: consensus.AppendReply, From: "c", To: "a", Term: 1, Index: 0}, began)
+		a.Step(consensus.Message{Kind: consensus.AppendReply, From: "c", To: "a", Term: 1, Index: 0}, electedAt)
 		return a
 	}
-	// exchange passes messages both ways until nothing more comes; it counts the chunks.
-	exchange := func(a, c *consensus.Replica, most int) (chunks int, installed *consensus.Snapshot) {
-		for range most {
+	// exchange delivers messages in both directions until a sends none, in at most maxRounds rounds, and counts the chunks.
+	exchange := func(a, c *consensus.Replica, maxRounds int) (chunks int, installed *consensus.Snapshot) {
+		for range maxRounds {
 			sent := sentTo(a.DrainOutput().Immediate, "c")
 			for _, m := range sent {
 				if m.Chunk != nil {
 					chunks++
 					Expect(len(m.Chunk.Data)).To(BeNumerically("<=", 256<<10))
 				}
-				c.Step(m, began)
+				c.Step(m, electedAt)
 			}
 			out := c.DrainOutput()
 			if out.Install != nil {
 				installed = out.Install
 			}
-			stored(c)
+			markAllDurable(c)
 			for _, m := range append(out.Immediate, out.AfterSync...) {
-				a.Step(m, began)
+				a.Step(m, electedAt)
 			}
 			if len(sent) == 0 {
 				break
@@ -244,74 +244,74 @@
 		}
 		return chunks, installed
 	}
-	It("takes a snapshot in chunks, then the changes after it", func() {
-		a, c := leading(), replica("c", consensus.HardState{})
+	It("receives a snapshot in chunks, then the entries after it", func() {
+		a, c := leading(), newReplica("c", consensus.HardState{})
 		chunks, installed := exchange(a, c, 50)
 		Expect(chunks).To(Equal(7))
 		Expect(installed.Data).To(Equal(state))
-		Expect(installed.Membership).To(Equal(founders))
+		Expect(installed.Membership).To(Equal(initialMembership))
 		Expect(c.LastIndex()).To(Equal(uint64(6)))
 	})
-	It("takes a snapshot up where it was broken off, from another leader too", func() {
-		a, c := leading(), replica("c", consensus.HardState{})
+	It("resumes an interrupted snapshot transfer, also from another leader", func() {
+		a, c := leading(), newReplica("c", consensus.HardState{})
 		before, _ := exchange(a, c, 4)
 		Expect(before).To(Equal(4))
 		b := consensus.New(consensus.Config{ID: "b", Timing: timing, Seed: 1, HardState: consensus.HardState{Term: 1},
-			Snapshot: consensus.Snapshot{Term: 1, Index: 5, Data: state, Membership: founders}, Log: []consensus.Entry{{Term: 1, Index: 6}}})
-		b.Tick(began)
+			Snapshot: consensus.Snapshot{Term: 1, Index: 5, Data: state, Membership: initialMembership}, Log: []consensus.Entry{{Term: 1, Index: 6}}})
+		b.Tick(electedAt)
 		for _, kind := range []consensus.Kind{consensus.PreVoteReply, consensus.VoteReply} {
-			b.Step(consensus.Message{Kind: kind, From: "a", To: "b", Term: 2, OK: true}, began)
+			b.Step(consensus.Message{Kind: kind, From: "a", To: "b", Term: 2, OK: true}, electedAt)
 		}
-		b.Step(consensus.Message{Kind: consensus.AppendReply, From: "c", To: "b", Term: 2, Index: 0}, began)
+		b.Step(consensus.Message{Kind: consensus.AppendReply, From: "c", To: "b", Term: 2, Index: 0}, electedAt)
 		after, installed := exchange(b, c, 50)
 		Expect(installed.Data).To(Equal(state))
-		Expect(after).To(Equal(4), "the first finds that four are here")
+		Expect(after).To(Equal(4), "the first chunk finds that four were received")
 	})
-	It("goes on with the snapshot that is under way when newer ones are made", func() {
-		a, c := leading(), replica("c", consensus.HardState{})
+	It("continues a snapshot transfer when newer snapshots are created", func() {
+		a, c := leading(), newReplica("c", consensus.HardState{})
 		exchange(a, c, 3)
-		a.Propose([]byte("more"), began)
-		stored(a)
-		holds(a, "b", 7)
+		a.Propose([]byte("more"), electedAt)
+		markAllDurable(a)
+		acknowledge(a, "b", 7)
 		a.DrainOutput()
 		a.Compact(7, append([]byte("newer"), state...))
-		a.Tick(began + 5*timing.Heartbeat) // what was on its way is lost with what was taken above
+		a.Tick(electedAt + 5*timing.Heartbeat) // the chunk in flight is lost with the drained output above
 		chunks, _ := exchange(a, c, 80)
 		Expect(c.CommitIndex()).To(BeNumerically(">=", 7))
 		Expect(chunks).To(BeNumerically("<=", 4+8))
 	})
-	It("begins a snapshot anew that fails its sum", func() {
-		a, c := leading(), replica("c", consensus.HardState{})
+	It("restarts a snapshot transfer with a wrong checksum", func() {
+		a, c := leading(), newReplica("c", consensus.HardState{})
 		exchange(a, c, 2)
 		for _, m := range sentTo(a.DrainOutput().Immediate, "c") {
 			if m.Chunk != nil {
-				spoilt := *m.Chunk
-				spoilt.Data = bytes.ToUpper(spoilt.Data)
-				m.Chunk = &spoilt
+				corrupt := *m.Chunk
+				corrupt.Data = bytes.ToUpper(corrupt.Data)
+				m.Chunk = &corrupt
 			}
-			c.Step(m, began)
+			c.Step(m, electedAt)
 		}
 		for _, m := range c.DrainOutput().Immediate {
-			a.Step(m, began)
+			a.Step(m, electedAt)
 		}
 		_, installed := exchange(a, c, 50)
 		Expect(installed.Data).To(Equal(state))
 	})
-	It("costs as much to bring back after a thousand changes as after a hundred", func() {
+	It("needs as many bytes to catch up after a thousand changes as after a hundred", func() {
 		cost := func(changes int) (bytes int) {
-			a, c := replica("a", consensus.HardState{}), replica("c", consensus.HardState{})
-			lead(a)
+			a, c := newReplica("a", consensus.HardState{}), newReplica("c", consensus.HardState{})
+			electLeader(a)
 			for i := range changes {
-				a.Propose(fmt.Appendf(nil, "change %d", i), began)
-				stored(a)
-				holds(a, "b", a.LastIndex())
+				a.Propose(fmt.Appendf(nil, "change %d", i), electedAt)
+				markAllDurable(a)
+				acknowledge(a, "b", a.LastIndex())
 				a.DrainOutput()
 				if i%64 == 63 {
 					a.Compact(a.CommitIndex(), state)
 					a.DrainOutput()
 				}
 			}
-			a.Step(consensus.Message{Kind: consensus.AppendReply, From: "c", To: "a", Term: 1, Index: 0}, began)
+			a.Step(consensus.Message{Kind: consensus.AppendReply, From: "c", To: "a", Term: 1, Index: 0}, electedAt)
 			for range 100 {
 				for _, m := range sentTo(a.DrainOutput().Immediate, "c") {
 					if m.Chunk != nil {
@@ -320,12 +320,12 @@
 					for _, e := range m.Entries {
 						bytes += len(e.Data)
 					}
-					c.Step(m, began)
+					c.Step(m, electedAt)
 				}
 				out := c.DrainOutput()
-				stored(c)
+				markAllDurable(c)
 				for _, m := range append(out.Immediate, out.AfterSync...) {
-					a.Step(m, began)
+					a.Step(m, electedAt)
 				}
 			}
 			Expect(c.LastIndex()).To(Equal(a.LastIndex()))
@@ -337,104 +337,104 @@
 
 var _ = Describe("the membership", func() {
 	It("is not changed before an entry of the leader's own term is committed", func() {
-		r := replica("a", consensus.HardState{})
-		lead(r)
-		Expect(r.BeginChange([]string{"a", "b", "d"}, began)).To(MatchError(consensus.ErrTermNotCommitted))
-		holds(r, "b", 1)
-		Expect(r.BeginChange([]string{"a", "b", "d"}, began)).To(Succeed())
+		r := newReplica("a", consensus.HardState{})
+		electLeader(r)
+		Expect(r.BeginChange([]string{"a", "b", "d"}, electedAt)).To(MatchError(consensus.ErrTermNotCommitted))
+		acknowledge(r, "b", 1)
+		Expect(r.BeginChange([]string{"a", "b", "d"}, electedAt)).To(Succeed())
 	})
-	It("is changed once at a time", func() {
-		r := replica("a", consensus.HardState{})
-		lead(r)
-		holds(r, "b", 1)
-		Expect(r.BeginChange([]string{"a", "b", "d"}, began)).To(Succeed())
-		Expect(r.BeginChange([]string{"a", "b", "e"}, began)).To(MatchError(consensus.ErrChangeInProgress))
-		Expect(r.AdoptChange(began)).To(MatchError(consensus.ErrChangeInProgress), "it is not committed")
-		stored(r)
-		holds(r, "b", 2)
-		Expect(r.BeginChange([]string{"a", "b", "e"}, began)).To(MatchError(consensus.ErrChangeInProgress))
-		Expect(r.AdoptChange(began)).To(Succeed())
+	It("has one change at a time", func() {
+		r := newReplica("a", consensus.HardState{})
+		electLeader(r)
+		acknowledge(r, "b", 1)
+		Expect(r.BeginChange([]string{"a", "b", "d"}, electedAt)).To(Succeed())
+		Expect(r.BeginChange([]string{"a", "b", "e"}, electedAt)).To(MatchError(consensus.ErrChangeInProgress))
+		Expect(r.AdoptChange(electedAt)).To(MatchError(consensus.ErrChangeInProgress), "it is not committed")
+		markAllDurable(r)
+		acknowledge(r, "b", 2)
+		Expect(r.BeginChange([]string{"a", "b", "e"}, electedAt)).To(MatchError(consensus.ErrChangeInProgress))
+		Expect(r.AdoptChange(electedAt)).To(Succeed())
 		Expect(r.Membership()).To(Equal(consensus.Membership{Epoch: 3, Cluster: 7, Voters: []string{"a", "b", "d"}}))
 	})
-	It("is not finished by a leader that would not vote afterwards", func() {
-		joint := consensus.Membership{Epoch: 2, Cluster: 7, Voters: founders.Voters, Next: []string{"b", "c", "d"}}
-		r := replica("a", consensus.HardState{Term: 1}, consensus.Entry{Term: 1, Index: 1, Membership: &joint})
-		r.Tick(began)
+	It("is not finished by a leader that would be no voter afterwards", func() {
+		joint := consensus.Membership{Epoch: 2, Cluster: 7, Voters: initialMembership.Voters, Next: []string{"b", "c", "d"}}
+		r := newReplica("a", consensus.HardState{Term: 1}, consensus.Entry{Term: 1, Index: 1, Membership: &joint})
+		r.Tick(electedAt)
 		for _, kind := range []consensus.Kind{consensus.PreVoteReply, consensus.VoteReply} {
 			for _, from := range []string{"b", "c"} {
-				r.Step(consensus.Message{Kind: kind, From: from, To: "a", Term: 2, OK: true}, began)
+				r.Step(consensus.Message{Kind: kind, From: from, To: "a", Term: 2, OK: true}, electedAt)
 			}
 		}
-		stored(r)
-		holds(r, "b", 2)
-		holds(r, "c", 2)
-		Expect(r.AdoptChange(began)).To(MatchError(consensus.ErrLeaderRemoved))
-		Expect(r.AbandonChange(began)).To(Succeed())
+		markAllDurable(r)
+		acknowledge(r, "b", 2)
+		acknowledge(r, "c", 2)
+		Expect(r.AdoptChange(electedAt)).To(MatchError(consensus.ErrLeaderRemoved))
+		Expect(r.AbandonChange(electedAt)).To(Succeed())
 	})
 	It("needs a majority before and after while it is joint", func() {
-		r := replica("a", consensus.HardState{})
-		lead(r)
-		holds(r, "b", 1)
-		Expect(r.BeginChange([]string{"a", "d", "e"}, began)).To(Succeed())
-		stored(r)
-		holds(r, "b", 2)
-		Expect(r.CommitIndex()).To(Equal(uint64(1)), "of the next voters only a holds it")
-		holds(r, "d", 2)
+		r := newReplica("a", consensus.HardState{})
+		electLeader(r)
+		acknowledge(r, "b", 1)
+		Expect(r.BeginChange([]string{"a", "d", "e"}, electedAt)).To(Succeed())
+		markAllDurable(r)
+		acknowledge(r, "b", 2)
+		Expect(r.CommitIndex()).To(Equal(uint64(1)), "only a of the next voters holds the entry")
+		acknowledge(r, "d", 2)
 		Expect(r.CommitIndex()).To(Equal(uint64(2)))
 	})
-	It("counts no learner", func() {
-		r := replica("a", consensus.HardState{})
-		lead(r)
+	It("counts no learners toward a quorum", func() {
+		r := newReplica("a", consensus.HardState{})
+		electLeader(r)
 		r.SetLearners([]string{"x", "y"})
-		holds(r, "x", 1)
-		holds(r, "y", 1)
+		acknowledge(r, "x", 1)
+		acknowledge(r, "y", 1)
 		Expect(r.CommitIndex()).To(BeZero())
 	})
-	It("is learnt by a replica that knew nothing, which then votes", func() {
-		d := learner("d")
+	It("is received by a replica without a membership, which then votes", func() {
+		d := newLearner("d")
 		d.Tick(time.Hour)
-		Expect(d.Role()).To(Equal(consensus.Follower), "one that knows no voters doesn't stand")
-		joint := consensus.Membership{Epoch: 2, Cluster: 7, Voters: founders.Voters, Next: []string{"a", "b", "d"}}
+		Expect(d.Role()).To(Equal(consensus.Follower), "a replica without a membership doesn't campaign")
+		joint := consensus.Membership{Epoch: 2, Cluster: 7, Voters: initialMembership.Voters, Next: []string{"a", "b", "d"}}
 		d.Step(consensus.Message{Kind: consensus.Append, From: "a", To: "d", Term: 3, Entries: []consensus.Entry{{Term: 3, Index: 1, Membership: &joint}}}, time.Hour)
 		Expect(d.IsVoter()).To(BeTrue())
 		d.Tick(2 * time.Hour)
 		Expect(d.Role()).To(Equal(consensus.Candidate))
 	})
-	It("goes back with an entry that is cut off the log", func() {
-		joint := consensus.Membership{Epoch: 2, Cluster: 7, Voters: founders.Voters, Next: []string{"a", "b", "d"}}
-		c := replica("c", consensus.HardState{Term: 1}, consensus.Entry{Term: 1, Index: 1}, consensus.Entry{Term: 1, Index: 2, Membership: &joint})
+	It("is reverted when its entry is truncated", func() {
+		joint := consensus.Membership{Epoch: 2, Cluster: 7, Voters: initialMembership.Voters, Next: []string{"a", "b", "d"}}
+		c := newReplica("c", consensus.HardState{Term: 1}, consensus.Entry{Term: 1, Index: 1}, consensus.Entry{Term: 1, Index: 2, Membership: &joint})
 		Expect(c.Membership()).To(Equal(joint))
 		c.Step(consensus.Message{Kind: consensus.Append, From: "b", To: "c", Term: 2, Index: 1, LogTerm: 1, Entries: []consensus.Entry{{Term: 2, Index: 2}}}, time.Second)
-		Expect(c.Membership()).To(Equal(founders))
+		Expect(c.Membership()).To(Equal(initialMembership))
 	})
-	It("travels with a snapshot", func() {
+	It("is part of a snapshot", func() {
 		now := consensus.Membership{Epoch: 5, Cluster: 7, Voters: []string{"a", "d", "e"}}
-		c := consensus.New(consensus.Config{ID: "c", Membership: founders, Timing: timing, Snapshot: consensus.Snapshot{Term: 2, Index: 9, Membership: now}})
+		c := consensus.New(consensus.Config{ID: "c", Membership: initialMembership, Timing: timing, Snapshot: consensus.Snapshot{Term: 2, Index: 9, Membership: now}})
 		Expect(c.Membership()).To(Equal(now))
 		c.Tick(time.Hour)
-		Expect(c.Role()).To(Equal(consensus.Follower), "it is no voter any more")
+		Expect(c.Role()).To(Equal(consensus.Follower), "it is no longer a voter")
 	})
-	It("of a new cluster gets its name from the first leader", func() {
-		r := consensus.New(consensus.Config{ID: "a", Membership: consensus.Membership{Epoch: 1, Voters: founders.Voters}, Timing: timing, Seed: 1})
-		lead(r)
+	It("gets a cluster ID from the first leader", func() {
+		r := consensus.New(consensus.Config{ID: "a", Membership: consensus.Membership{Epoch: 1, Voters: initialMembership.Voters}, Timing: timing, Seed: 1})
+		electLeader(r)
 		Expect(r.Membership().Cluster).NotTo(BeZero())
 		Expect(r.Membership().Epoch).To(Equal(uint64(2)))
 	})
-	It("that can't be is said to be wrong", func() {
+	It("is validated", func() {
 		Expect(consensus.Membership{Epoch: 3}.Validate()).To(HaveOccurred())
 		Expect(consensus.Membership{Epoch: 3, Voters: []string{"a", "a"}}.Validate()).To(HaveOccurred())
-		Expect(founders.Validate()).To(Succeed())
+		Expect(initialMembership.Validate()).To(Succeed())
 	})
-	It("passes leadership only to a voter that holds the whole log", func() {
-		r := replica("a", consensus.HardState{})
-		lead(r)
-		Expect(r.TransferLeadership("b", began)).To(BeFalse())
-		holds(r, "b", 1)
+	It("transfers leadership only to a voter with the complete log", func() {
+		r := newReplica("a", consensus.HardState{})
+		electLeader(r)
+		Expect(r.TransferLeadership("b", electedAt)).To(BeFalse())
+		acknowledge(r, "b", 1)
 		r.DrainOutput()
-		Expect(r.TransferLeadership("b", began)).To(BeTrue())
-		b := replica("b", consensus.HardState{Term: 1}, consensus.Entry{Term: 1, Index: 1})
-		b.Step(consensus.Message{Kind: consensus.Append, From: "a", To: "b", Term: 1, Index: 1, LogTerm: 1}, began)
-		b.Step(ofKind(r.DrainOutput().Immediate, consensus.TimeoutNow)[0], began)
+		Expect(r.TransferLeadership("b", electedAt)).To(BeTrue())
+		b := newReplica("b", consensus.HardState{Term: 1}, consensus.Entry{Term: 1, Index: 1})
+		b.Step(consensus.Message{Kind: consensus.Append, From: "a", To: "b", Term: 1, Index: 1, LogTerm: 1}, electedAt)
+		b.Step(ofKind(r.DrainOutput().Immediate, consensus.TimeoutNow)[0], electedAt)
 		Expect(ofKind(b.DrainOutput().AfterSync, consensus.VoteRequest)).To(HaveLen(2))
 	})
 })
--- a/internal/control/consensus/replication.go
+++ b/internal/control/consensus/replication.go
@@ -3,18 +3,18 @@
 import "slices"
 
 const (
-	batchBytes    = 256 << 10 // of entries in one message, unless a single entry is larger
-	inFlightBytes = 1 << 20   // of entries that are sent ahead of a peer's replies
+	batchBytes    = 256 << 10 // maximum data of the entries in one message, unless a single entry is larger
+	inFlightBytes = 1 << 20   // maximum data of the entries sent to a peer without a reply
 )
 
-// broadcastAppend sends all other replicas what they lack.
+// broadcastAppend sends an Append message to all other replicas.
 func (r *Replica) broadcastAppend() {
 	for _, id := range r.replicationTargets() {
 		r.sendAppend(id)
 	}
 }
 
-// sendAppend sends a peer what it lacks, or a heartbeat.
+// sendAppend sends a peer its next entries, the next chunk of a snapshot, or a heartbeat.
 func (r *Replica) sendAppend(id string) {
 	p := r.peers[id]
 	p.sentAt = r.now
@@ -28,17 +28,17 @@
 	p.transfer = nil
 	msg.Index, msg.LogTerm = p.next-1, term
 	msg.Entries = r.nextBatch(p)
-	p.next += uint64(len(msg.Entries)) // a refusal sets it back
+	p.next += uint64(len(msg.Entries)) // a rejection resets it
 	r.sendImmediately(msg)
 }
 
-// nextBatch is what may be sent to a peer now, within the bounds of a message and of what is in flight.
+// nextBatch returns the entries to send to a peer now, within the limits of batchBytes and inFlightBytes.
 func (r *Replica) nextBatch(p *progress) []Entry {
 	if p.next > r.lastIndex() || p.next <= r.snapshot.Index {
 		return nil
 	}
 	if from := max(p.match, r.snapshot.Index) + 1; from < p.next {
-		if size(r.entriesFrom(from)[:p.next-from]) >= inFlightBytes {
+		if dataSize(r.entriesFrom(from)[:p.next-from]) >= inFlightBytes {
 			return nil
 		}
 	}
@@ -53,14 +53,14 @@
 	return slices.Clone(entries)
 }
 
-func size(entries []Entry) (bytes int) {
+func dataSize(entries []Entry) (bytes int) {
 	for _, e := range entries {
 		bytes += len(e.Data)
 	}
 	return bytes
 }
 
-// handleAppend follows a leader: it appends the entries if the log matches before them, and replies.
+// handleAppend processes a message of the leader. It appends the entries if the log matches at the entry before them.
 func (r *Replica) handleAppend(msg Message) {
 	if r.role != Follower || r.leader != msg.From {
 		r.becomeFollower(r.hard.Term, msg.From)
@@ -68,7 +68,7 @@
 	r.leaderHeardAt, r.leaderHasQuorum = r.now, msg.LeaderInContact
 	r.resetElectionTimer()
 	if slices.ContainsFunc(msg.Entries, Entry.invalid) {
-		return // nothing of a message with an impossible entry is used
+		return // a message with an invalid entry is ignored
 	}
 	reply := Message{Kind: AppendReply, To: msg.From, ReadRound: msg.ReadRound}
 	if msg.Chunk != nil {
@@ -77,7 +77,7 @@
 	}
 	term, known := r.termAt(msg.Index)
 	switch {
-	case msg.Index < r.snapshot.Index: // it may all be older than the snapshot: what is committed here matches
+	case msg.Index < r.snapshot.Index: // all entries may be older than the snapshot; committed entries always match
 		reply.OK, reply.Index = true, r.commit
 	case !known || term != msg.LogTerm:
 		reply.Index = min(r.lastIndex(), max(r.commit, msg.Index-min(msg.Index, 1)))
@@ -89,7 +89,8 @@
 	}
 	r.commit = max(r.commit, min(msg.Commit, reply.Index))
 	if len(msg.Entries) == 0 {
-		// A heartbeat is answered at once, for what is durable: a slow disk must not make its leader seem alone.
+		// The reply to a heartbeat is sent at once, up to the durable entries: a slow disk must not cost the leader its
+		// contact to a majority.
 		reply.Index = min(reply.Index, r.durable)
 		r.sendImmediately(reply)
 		return
@@ -97,7 +98,7 @@
 	r.sendAfterSync(reply)
 }
 
-// appendEntries appends entries of the leader, dropping what conflicts with them.
+// appendEntries appends entries of the leader and truncates conflicting ones.
 func (r *Replica) appendEntries(entries []Entry) {
 	for i, e := range entries {
 		if e.Index <= r.snapshot.Index {
@@ -118,7 +119,7 @@
 	}
 }
 
-// truncate drops the log from an entry on, with the memberships in it.
+// truncate removes the entries from an index on, with the memberships in them.
 func (r *Replica) truncate(from uint64) {
 	r.log = r.log[:from-r.snapshot.Index-1]
 	r.durable = min(r.durable, from-1)
@@ -129,7 +130,7 @@
 	}
 }
 
-// handleAppendReply notes how far a follower's log matches, commits what a majority holds, and sends what is lacking.
+// handleAppendReply updates the progress of a peer, advances the commit index, and sends further entries.
 func (r *Replica) handleAppendReply(msg Message) {
 	p := r.peers[msg.From]
 	if r.role != Leader || p == nil {
@@ -148,13 +149,13 @@
 		}
 		if msg.Index > p.match {
 			p.match = msg.Index
-			r.advance()
+			r.advanceCommit()
 		}
 	}
 	r.sendMore(msg.From)
 }
 
-// sendMore sends what a peer still lacks, unless it is on its way.
+// sendMore sends a peer its next entries or snapshot chunk, unless none is left or the limit in flight is reached.
 func (r *Replica) sendMore(id string) {
 	p := r.peers[id]
 	if p == nil {
--- a/internal/control/consensus/snapshot.go
+++ b/internal/control/consensus/snapshot.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	chunkBytes     = 256 << 10
-	chunkHeartbeat = 4 // heartbeats after which a chunk without a reply is sent again
+	chunkBytes     = 256 << 10 // maximum data of a chunk
+	chunkHeartbeat = 4         // heartbeat intervals after which a chunk without a reply is sent again
 )
 
-// transfer is a snapshot that a leader sends to one peer. It stays the same when newer snapshots are made meanwhile.
+// transfer is the transfer of a snapshot to one peer. It continues with the same snapshot when newer ones are created.
 type transfer struct {
 	snapshot      Snapshot
 	checksum      uint64
-	offset        int // bytes that the peer has
+	offset        int // bytes that the peer has received
 	awaitingReply bool
 	sentAt        time.Duration
 }
 
-// snapshotAssembly is a snapshot that a follower receives.
+// snapshotAssembly is a partially received snapshot.
 type snapshotAssembly struct {
 	header Chunk
 	data   []byte
 }
 
-// sendSnapshot sends a peer the next chunk of a snapshot, or a heartbeat that matches anything while one is on its way.
+// sendSnapshot sends a peer the next chunk of a snapshot. While a chunk is in flight it sends a heartbeat without an entry
+// index, which matches any log.
 func (r *Replica) sendSnapshot(p *progress, msg Message) {
 	t := p.transfer
 	if t == nil {
@@ -44,7 +45,7 @@
 	r.sendImmediately(msg)
 }
 
-// handleChunkReply notes how much of a snapshot a peer has.
+// handleChunkReply updates the number of snapshot bytes that a peer has received.
 func (r *Replica) handleChunkReply(p *progress, c Chunk) {
 	t := p.transfer
 	if t == nil || c.Index != t.snapshot.Index || c.Checksum != t.checksum {
@@ -54,33 +55,33 @@
 	t.offset = min(max(0, c.Offset), len(t.snapshot.Data))
 }
 
-// handleChunk adds a chunk to what is here already. A snapshot that is complete and matches its checksum is installed.
+// handleChunk adds a chunk to the snapshot being received. A complete snapshot that matches its checksum is installed.
 func (r *Replica) handleChunk(msg, reply Message) {
 	c := *msg.Chunk
-	if c.Index <= r.commit { // nothing of it is new
-		r.incoming = nil
+	if c.Index <= r.commit { // the snapshot is older than the committed log
+		r.incomingSnapshot = nil
 		reply.OK, reply.Index = true, min(r.commit, r.durable)
 		r.sendAfterSync(reply)
 		return
 	}
-	in := r.incoming
-	if in == nil || in.header.Index != c.Index || in.header.Checksum != c.Checksum || in.header.Size != c.Size {
-		in = &snapshotAssembly{header: c}
-		r.incoming = in
+	draft := r.incomingSnapshot
+	if draft == nil || draft.header.Index != c.Index || draft.header.Checksum != c.Checksum || draft.header.Size != c.Size {
+		draft = &snapshotAssembly{header: c}
+		r.incomingSnapshot = draft
 	}
-	if c.Offset == len(in.data) {
-		in.data = append(in.data, c.Data...)
+	if c.Offset == len(draft.data) {
+		draft.data = append(draft.data, c.Data...)
 	}
-	if len(in.data) < c.Size {
-		r.replyChunk(reply, c, len(in.data))
+	if len(draft.data) < c.Size {
+		r.replyChunk(reply, c, len(draft.data))
 		return
 	}
-	r.incoming = nil
-	if len(in.data) != c.Size || xxh3.Hash(in.data) != c.Checksum || c.Membership.Validate() != nil {
-		r.replyChunk(reply, c, 0) // from the beginning
+	r.incomingSnapshot = nil
+	if len(draft.data) != c.Size || xxh3.Hash(draft.data) != c.Checksum || c.Membership.Validate() != nil {
+		r.replyChunk(reply, c, 0) // restart the transfer
 		return
 	}
-	r.install(Snapshot{Term: c.Term, Index: c.Index, Data: in.data, Membership: c.Membership})
+	r.installSnapshot(Snapshot{Term: c.Term, Index: c.Index, Data: draft.data, Membership: c.Membership})
 	reply.OK, reply.Index = true, c.Index
 	r.sendAfterSync(reply)
 }
@@ -90,8 +91,8 @@
 	r.sendImmediately(reply)
 }
 
-// install replaces log and state by a snapshot.
-func (r *Replica) install(s Snapshot) {
+// installSnapshot replaces the log and the state by a snapshot.
+func (r *Replica) installSnapshot(s Snapshot) {
 	r.snapshot, r.log, r.memberships = s, nil, []membershipEntry{{s.Index, s.Membership}}
 	r.commit, r.applied, r.durable = s.Index, s.Index, 0
 	r.output.Snapshot, r.output.Truncate, r.output.Entries = &s, 0, nil
--- a/internal/control/membership/identity.go
+++ b/internal/control/membership/identity.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// separator stands between the address and the number of the disk in an identity.
+// separator separates the address from the number of the disk in an identity.
 const separator = "#"
 
-// Identity names a replica: its machine's IP address and a number drawn for its disk. The voters of a cluster's first start
-// are named by their address alone (disk 0), since that is all they know of each other.
+// Identity returns the identity of a replica: its machine's IP address and the random number of its disk. The identities of the
+// voters at a cluster's first start are their addresses alone (disk 0), since they have no other data about each other.
 func Identity(ip string, disk uint64) string {
 	if disk == 0 {
 		return ip
@@ -17,13 +17,13 @@
 	return fmt.Sprintf("%s%s%x", ip, separator, disk)
 }
 
-// Address is the IP address in an identity.
+// Address returns the IP address in an identity.
 func Address(id string) string {
 	ip, _, _ := strings.Cut(id, separator)
 	return ip
 }
 
-// Addresses are the IP addresses of several identities, each once.
+// Addresses returns the IP addresses of several identities without duplicates, in the order of their first occurrence.
 func Addresses(ids []string) []string {
 	var ips []string
 	seen := map[string]bool{}
--- a/internal/control/membership/manager.go
+++ b/internal/control/membership/manager.go
@@ -8,56 +8,56 @@
 	"mulleinwood/internal/control/consensus"
 )
 
-// Times after which the leader acts on silence. A voter is replaced only where another controller is on standby: a network
-// partition, a frozen process or a restart of all controllers without a standby changes nothing. ReplaceAfter is above three
-// election timeouts, so that a leader that was just elected has heard everybody.
+// Timeouts after which the leader acts on unreachable or late controllers. A voter is replaced only if a standby is available:
+// without one, a network partition, a frozen process or a restart of all controllers changes nothing. ReplaceAfter is more
+// than three election timeouts, so that a newly elected leader has had contact with all reachable controllers.
 const (
-	ReplaceAfter  = 1500 * time.Millisecond // that a voter is unreachable
-	AbandonAfter  = 2 * time.Second         // that a new voter is unreachable
-	ReadyTimeout  = 10 * time.Second        // for new voters to become ready, before the change is abandoned
-	transferRetry = 200 * time.Millisecond  // between two attempts to transfer leadership
+	ReplaceAfter  = 1500 * time.Millisecond // time for which a voter may be unreachable
+	AbandonAfter  = 2 * time.Second         // time for which a new voter may be unreachable
+	ReadyTimeout  = 10 * time.Second        // time for new voters to become ready before the change is abandoned
+	transferRetry = 200 * time.Millisecond  // interval of attempts to transfer leadership
 )
 
-// Controller is one controller as the leader sees it.
+// Controller is the leader's view of one controller.
 type Controller struct {
 	ID           string
 	Zone         string
-	MayVote      bool // the platform counts its loss: it has a disk and may vote
-	Connected    bool // in contact now
-	CaughtUp     bool // its durable log is nearly level with what the leader has committed
+	MayVote      bool // it has a persistent disk, and the platform counts its loss
+	Connected    bool // currently in contact with the leader
+	CaughtUp     bool // its durable log is close to the leader's commit index
 	ShuttingDown bool
-	Epoch        uint64 // of the membership that it has applied durably
+	Epoch        uint64 // epoch of the newest membership that it has applied durably
 	Ready        bool   // its claim store may grant
 }
 
-// View is what the leader sees.
+// View is the leader's view of the cluster.
 type View struct {
 	Self         string
 	Term         uint64
-	Membership   consensus.Membership // the newest in its log
-	Committed    bool                 // and whether that is committed
-	Controllers  []Controller         // all that are known, the leader included
-	WantedVoters int                  // voters, so that a majority remains when as many as are tolerated are lost
+	Membership   consensus.Membership // newest membership in the leader's log
+	Committed    bool                 // Membership is committed
+	Controllers  []Controller         // all known controllers, including the leader
+	WantedVoters int                  // so that a majority remains after the loss of as many voters as are tolerated
 }
 
-// Action is what the leader is to do.
+// Action is an action for the leader to execute.
 type Action uint8
 
 // The actions.
 const (
 	ActionNone               Action = iota
-	ActionBegin                     // a change that leads to the voters Next
-	ActionAdopt                     // finish the change under way: the next voters remain
-	ActionAbandon                   // end the change under way: the voters from before it remain
-	ActionTransferLeadership        // to the voter To
+	ActionBegin                     // begin a change to the voters Next
+	ActionAdopt                     // end the change in progress with the new voters
+	ActionAbandon                   // end the change in progress with the voters from before it
+	ActionTransferLeadership        // transfer leadership to the voter To
 )
 
-// String is the action's name in logs.
+// String returns the action's name in logs.
 func (a Action) String() string {
 	return [...]string{"none", "begin", "adopt", "abandon", "transfer leadership"}[min(a, ActionTransferLeadership)]
 }
 
-// Decision is an action with its cause, in a few words for the log.
+// Decision is an action with its arguments, and its cause for the log.
 type Decision struct {
 	Action Action
 	Next   []string
@@ -65,18 +65,18 @@
 	Cause  string
 }
 
-// Manager decides for a leader. Its zero value is ready.
+// Manager makes the decisions of a leader. Its zero value is ready to use. It is not safe for concurrent use.
 type Manager struct {
 	term         uint64
-	unreachable  map[string]time.Duration // voters and new voters, and since when
-	nextTransfer time.Duration            // leadership is not transferred again before
-	epoch        uint64                   // of the change under way
-	changeSeenAt time.Duration            // when it was first seen
+	unreachable  map[string]time.Duration // unreachable voters and new voters, and since when
+	nextTransfer time.Duration            // earliest time of the next attempt to transfer leadership
+	epoch        uint64                   // epoch of the change in progress
+	changeSeenAt time.Duration            // time at which the change in progress was first seen
 }
 
-// Decide says what to do now. It is called at every tick while the replica leads.
+// Decide returns the next action. It is called at every tick while the replica is the leader.
 func (m *Manager) Decide(v View, now time.Duration) Decision {
-	if m.term != v.Term || m.unreachable == nil { // what was seen under an earlier term doesn't count
+	if m.term != v.Term || m.unreachable == nil { // observations of an earlier term are discarded
 		m.term, m.unreachable, m.nextTransfer = v.Term, map[string]time.Duration{}, 0
 	}
 	known := byID(v.Controllers)
@@ -101,7 +101,7 @@
 	return known
 }
 
-// trackReachability notes since when voters and new voters have been unreachable.
+// trackReachability records since when voters and new voters have been unreachable.
 func (m *Manager) trackReachability(v View, known map[string]Controller, now time.Duration) {
 	all := v.Membership.All()
 	for _, id := range all {
@@ -126,7 +126,7 @@
 	return now - since
 }
 
-// transfer hands leadership to another voter, before the own replica is replaced under that one.
+// transfer transfers leadership to another voter before this replica is replaced.
 func (m *Manager) transfer(v View, known map[string]Controller, now time.Duration) Decision {
 	to := v.Membership.Voters
 	if v.Membership.Joint() {
@@ -135,7 +135,7 @@
 	return m.transferTo(to, "the leader is shutting down", v, known, now)
 }
 
-// transferTo hands leadership to one of these voters, again and again until one leads.
+// transferTo transfers leadership to one of the given voters. It is repeated every transferRetry until one is elected.
 func (m *Manager) transferTo(ids []string, cause string, v View, known map[string]Controller, now time.Duration) Decision {
 	if now < m.nextTransfer {
 		return Decision{}
@@ -149,7 +149,8 @@
 	return Decision{}
 }
 
-// finishChange adopts the change under way once all new voters are ready, or abandons it when one is lost.
+// finishChange adopts the change in progress once all new voters are ready. It abandons the change if a new voter is lost or
+// not ready in time.
 func (m *Manager) finishChange(v View, known map[string]Controller, now time.Duration) Decision {
 	if m.epoch != v.Membership.Epoch {
 		m.epoch, m.changeSeenAt = v.Membership.Epoch, now
@@ -174,7 +175,8 @@
 	return Decision{}
 }
 
-// endChange ends a change, unless the leader would be no voter afterwards: then one that remains has to do it.
+// endChange ends a change. If the leader would be no voter afterwards, it transfers leadership to a remaining voter, which
+// then ends the change.
 func (m *Manager) endChange(action Action, cause string, v View, known map[string]Controller, now time.Duration) Decision {
 	after := v.Membership.Next
 	if action == ActionAbandon {
@@ -186,7 +188,7 @@
 	return Decision{Action: action, Cause: cause}
 }
 
-// planChange looks for voters that have to be replaced, and for standbys that can take their place.
+// planChange begins a change if voters have to be replaced, added or balanced over the zones, and a standby is available.
 func (m *Manager) planChange(v View, known map[string]Controller, now time.Duration) Decision {
 	standby := standbys(v)
 	if len(standby) == 0 {
@@ -194,15 +196,15 @@
 	}
 	next, cause := slices.Clone(v.Membership.Voters), ""
 	for i, id := range next {
-		why := m.replacementCause(id, v, known, now)
-		if why == "" {
+		reason := m.replacementCause(id, v, known, now)
+		if reason == "" {
 			continue
 		}
 		by := chooseReplacement(id, known, standby, next)
 		if by < 0 {
 			continue
 		}
-		next[i], cause = standby[by].ID, id+" "+why
+		next[i], cause = standby[by].ID, id+" "+reason
 		if standby = slices.Delete(standby, by, by+1); len(standby) == 0 {
 			break
 		}
@@ -220,11 +222,11 @@
 	return Decision{Action: ActionBegin, Next: next, Cause: cause}
 }
 
-// standbys are the controllers that could become voters now, in a fixed order.
+// standbys returns the controllers that may become voters now, sorted by identity.
 func standbys(v View) []Controller {
 	var standby []Controller
 	for _, c := range v.Controllers {
-		applied := c.Epoch == v.Membership.Epoch // one that may not have heard of its own removal is no candidate
+		applied := c.Epoch == v.Membership.Epoch // a controller may not know yet that it was removed
 		if c.MayVote && c.Connected && c.CaughtUp && applied && !c.ShuttingDown && !v.Membership.Contains(c.ID) {
 			standby = append(standby, c)
 		}
@@ -233,7 +235,7 @@
 	return standby
 }
 
-// replacementCause says why a voter should be replaced; empty: it should not be.
+// replacementCause returns the reason to replace a voter, or an empty string if there is none.
 func (m *Manager) replacementCause(id string, v View, known map[string]Controller, now time.Duration) string {
 	switch c := known[id]; {
 	case id == v.Self:
@@ -250,15 +252,15 @@
 	return ""
 }
 
-// diskReplaced reports whether another replica runs at the voter's address.
+// diskReplaced reports whether a replica with another identity runs at the voter's address.
 func diskReplaced(id string, controllers []Controller) bool {
 	return slices.ContainsFunc(controllers, func(c Controller) bool {
 		return c.Connected && c.ID != id && Address(c.ID) == Address(id)
 	})
 }
 
-// chooseReplacement chooses the standby that takes a voter's place, by its index: the replica at its own address, one of its
-// zone, or one of the zone with the fewest voters; below 0: there is none.
+// chooseReplacement returns the index of the standby that replaces a voter: the one at the voter's address, else one in the
+// voter's zone, else one in the zone with the fewest voters. It returns -1 if there is no standby.
 func chooseReplacement(id string, known map[string]Controller, standby []Controller, voters []string) int {
 	for i, c := range standby {
 		if Address(c.ID) == Address(id) {
@@ -286,7 +288,7 @@
 	return count
 }
 
-// addVoters adds standbys until there are as many voters as wanted, those of the zones with the fewest voters first.
+// addVoters adds standbys up to the wanted number of voters, from the zones with the fewest voters first.
 func addVoters(voters []string, known map[string]Controller, standby []Controller, wanted int) []string {
 	for len(voters) < wanted && len(standby) > 0 {
 		best := 0
@@ -301,8 +303,8 @@
 	return voters
 }
 
-// balanceZones moves a vote from a zone with two more voters to a zone with a standby, while all voters are reachable: the
-// loss of a zone should cost as few voters as possible.
+// balanceZones replaces a voter by a standby in a zone with at least two voters less, so that the loss of a zone costs as few
+// voters as possible. It changes nothing while a voter is unreachable.
 func balanceZones(v View, known map[string]Controller, standby []Controller) (next []string, cause string) {
 	voters := v.Membership.Voters
 	for _, id := range voters {
@@ -322,22 +324,22 @@
 	return nil, ""
 }
 
-// ReplaceError says why a replacement that an operator asks for can't be made now.
+// ReplaceError is the reason for which a replacement requested by an operator is rejected.
 type ReplaceError string
 
-// Error implements error.
+// Error returns the reason.
 func (r ReplaceError) Error() string { return string(r) }
 
-// The reasons for which a replacement can't be made now.
+// The reasons for which a replacement is rejected.
 const (
-	ErrChangeInProgress ReplaceError = "another change of the membership is under way"
-	ErrVoterIsLeader    ReplaceError = "the voter leads: leadership is transferred first"
+	ErrChangeInProgress ReplaceError = "another membership change is in progress"
+	ErrVoterIsLeader    ReplaceError = "the voter is the leader: leadership is transferred first"
 	ErrUnknownVoter     ReplaceError = "no such voter"
 	ErrNoStandby        ReplaceError = "there is no standby that could take the vote"
 )
 
-// Replace gives the voters after a replacement that an operator asks for, by any standby if by is empty. They are the
-// present ones if the replacement was made before.
+// Replace returns the voters after a replacement requested by an operator. If by is empty, any standby may replace the voter.
+// If the replacement was already made, Replace returns the current voters.
 func Replace(v View, voter, by string) (next []string, err error) {
 	voters := v.Membership.Voters
 	at := slices.Index(voters, voter)
--- a/internal/control/statemachine/statemachine.go
+++ b/internal/control/statemachine/statemachine.go
@@ -1,6 +1,6 @@
-// Package statemachine is the replicated state that the entries of the consensus log lead to: the configuration, the calls
-// that changed it lately, and the ledger of bookings. It is a value fed with entries. Apply is deterministic: every
-// controller that applies the same entries has the same state, and refuses the same changes.
+// Package statemachine holds the replicated state built from the entries of the consensus log: the configuration, the recently
+// accepted calls that changed it, and the ledger of bookings. Apply is deterministic: every controller that applies the same
+// entries has the same state, and rejects the same changes.
 package statemachine
 
 import (
@@ -15,16 +15,16 @@
 	"mulleinwood/internal/platform/apierror"
 )
 
-// Change is a call of an operator, as an entry of the consensus log holds it.
+// Change is an operator's call to change the state, as encoded in an entry of the consensus log.
 type Change struct {
-	Base  uint64 `cbor:"1,keyasint"`           // version of the configuration that it is built on
-	Patch bool   `cbor:"2,keyasint,omitempty"` // Body is a change of the configuration, not a complete one
+	Base  uint64 `cbor:"1,keyasint"`           // version of the configuration on which the change is based
+	Patch bool   `cbor:"2,keyasint,omitempty"` // Body is a patch of the configuration, not a complete one
 	Body  []byte `cbor:"3,keyasint"`           // JSON, as the operator sent it
 
-	Bookings *reservation.Op `cbor:"4,keyasint,omitempty"` // instead: a change of the ledger of bookings
+	Bookings *reservation.Op `cbor:"4,keyasint,omitempty"` // set: a change of the ledger instead
 }
 
-// digest names a call: the same call again has the same digest.
+// digest identifies a call: a repeated call has the same digest.
 func (c Change) digest() [32]byte {
 	h := sha256.New()
 	base, _ := cbor.Marshal(c.Base) // a number can always be encoded
@@ -36,33 +36,33 @@
 	return [32]byte(h.Sum(nil))
 }
 
-// AcceptedChange is a version of the configuration, and the digest of the call that brought it.
+// AcceptedChange is a version of the configuration and the digest of the call that created it.
 type AcceptedChange struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint64
 	Digest  [32]byte
 }
 
-// maxAccepted bounds how late the same call may come again and be known: after changes of the leader, snapshots and replaced
-// voters, for as long as a caller retries. A call takes 36 to 44 bytes of a snapshot.
+// maxAccepted is the number of accepted calls that are remembered to recognize repeated ones. It covers a caller that retries
+// across leader changes, snapshots and replaced voters. A call takes 36 to 44 bytes of a snapshot.
 const maxAccepted = 1024
 
-// StateMachine is the state after some entries. Others may read its fields; only EntriesSinceSnapshot is set from outside,
-// to 0 when a snapshot is made.
+// StateMachine is the state after an entry of the log. Other packages may read its fields, but set only EntriesSinceSnapshot,
+// to 0 when a snapshot is created. It is not safe for concurrent use.
 type StateMachine struct {
-	Config               *config.Config // nil before the first
+	Config               *config.Config // nil before the first configuration
 	Bookings             *reservation.Ledger
-	AcceptedChanges      []AcceptedChange // the last ones, oldest first
-	Index                uint64           // of the last entry
+	AcceptedChanges      []AcceptedChange // the newest maxAccepted ones, oldest first
+	Index                uint64           // index of the last applied entry
 	EntriesSinceSnapshot int
 
-	acceptedDigests map[[32]byte]struct{} // of Accepted
+	acceptedDigests map[[32]byte]struct{} // digests of AcceptedChanges; nil after Restore
 }
 
-// New makes the state before the first entry.
+// New returns the state before the first entry.
 func New() *StateMachine { return &StateMachine{Bookings: reservation.NewLedger()} }
 
-// Version is that of the configuration; 0: there is none yet.
+// Version returns the version of the configuration, or 0 before the first one.
 func (m *StateMachine) Version() uint64 {
 	if m.Config == nil {
 		return 0
@@ -70,13 +70,13 @@
 	return uint64(m.Config.Version)
 }
 
-// HasAccepted reports whether a call was accepted lately.
+// HasAccepted reports whether a call is among the remembered accepted ones.
 func (m *StateMachine) HasAccepted(c Change) bool {
 	return m.knows(c.digest())
 }
 
 func (m *StateMachine) knows(digest [32]byte) bool {
-	if m.acceptedDigests == nil || len(m.acceptedDigests) != len(m.AcceptedChanges) { // it was restored
+	if m.acceptedDigests == nil || len(m.acceptedDigests) != len(m.AcceptedChanges) { // not built yet, or restored
 		m.acceptedDigests = make(map[[32]byte]struct{}, len(m.AcceptedChanges))
 		for _, t := range m.AcceptedChanges {
 			m.acceptedDigests[t.Digest] = struct{}{}
@@ -86,7 +86,7 @@
 	return ok
 }
 
-// recordAccepted notes a call that was accepted, and forgets the oldest ones.
+// recordAccepted remembers an accepted call and drops the oldest ones beyond maxAccepted.
 func (m *StateMachine) recordAccepted(t AcceptedChange) {
 	m.AcceptedChanges = append(m.AcceptedChanges, t)
 	m.acceptedDigests[t.Digest] = struct{}{}
@@ -96,8 +96,8 @@
 	}
 }
 
-// Apply applies the next entry. It gives the change of the configuration, if the entry was one and was accepted; an error
-// says why a change was refused. A call that is known already changes nothing and is no error.
+// Apply applies the next entry. It returns the change if the entry changed the configuration, and an error if a change was
+// rejected. A repeated call changes nothing and is no error.
 func (m *StateMachine) Apply(e consensus.Entry) (applied *Change, err error) {
 	m.Index = e.Index
 	m.EntriesSinceSnapshot++
@@ -113,7 +113,7 @@
 	}
 	digest := c.digest()
 	if m.knows(digest) {
-		return nil, nil // the same call again, after a response that was lost
+		return nil, nil // repeated call after a lost response
 	}
 	if c.Base != m.Version() {
 		return nil, apierror.Stale.New("built on %s, current is %s", config.Version(c.Base), config.Version(m.Version()))
@@ -127,7 +127,7 @@
 	return &c, nil
 }
 
-// Check gives the configuration that a change would lead to, without applying it.
+// Check returns the configuration after a change, without applying it, or the reason for which the change is rejected.
 func (m *StateMachine) Check(c Change) (*config.Config, error) {
 	if c.Patch {
 		if m.Config == nil {
@@ -142,6 +142,7 @@
 	return next, err
 }
 
+// savedState is the encoded form of the state in a snapshot.
 type savedState struct {
 	Config   []byte           `cbor:"1,keyasint,omitempty"`
 	Accepted []AcceptedChange `cbor:"2,keyasint,omitempty"`
@@ -149,7 +150,7 @@
 	Bookings *reservation.Ledger `cbor:"3,keyasint,omitempty"`
 }
 
-// sortedEncoding writes maps in the order of their keys, so that the same state is the same bytes at every replica.
+// sortedEncoding encodes maps in the order of their keys, so that equal states have the same encoding at every replica.
 var sortedEncoding = func() cbor.EncMode {
 	mode, err := cbor.EncOptions{Sort: cbor.SortBytewiseLexical}.EncMode()
 	if err != nil {
@@ -158,7 +159,7 @@
 	return mode
 }()
 
-// Save gives the data of a snapshot of the state.
+// Save returns the data of a snapshot of the state.
 func (m *StateMachine) Save() ([]byte, error) {
 	s := savedState{Accepted: m.AcceptedChanges}
 	if m.Bookings.Version > 0 {
@@ -173,7 +174,7 @@
 	return sortedEncoding.Marshal(s)
 }
 
-// Restore replaces the state by that of a snapshot. After an error the state is unchanged.
+// Restore replaces the state by the one in a snapshot. After an error the state is unchanged.
 func (m *StateMachine) Restore(s consensus.Snapshot) error {
 	var saved savedState
 	if err := cbor.Unmarshal(s.Data, &saved); err != nil {
