--- a/internal/control/consensus/snapshot.go
+++ b/internal/control/consensus/snapshot.go
@@ -64,24 +64,24 @@
 		r.sendAfterSync(reply)
 		return
 	}
-	draft := r.incomingSnapshot
-	if draft == nil || draft.header.Index != c.Index || draft.header.Checksum != c.Checksum || draft.header.Size != c.Size {
-		draft = &snapshotAssembly{header: c}
-		r.incomingSnapshot = draft
+	buffer := r.incomingSnapshot
+	if buffer == nil || buffer.header.Index != c.Index || buffer.header.Checksum != c.Checksum || buffer.header.Size != c.Size {
+		buffer = &snapshotAssembly{header: c}
+		r.incomingSnapshot = buffer
 	}
-	if c.Offset == len(draft.data) {
-		draft.data = append(draft.data, c.Data...)
+	if c.Offset == len(buffer.data) {
+		buffer.data = append(buffer.data, c.Data...)
 	}
-	if len(draft.data) < c.Size {
-		r.replyChunk(reply, c, len(draft.data))
+	if len(buffer.data) < c.Size {
+		r.replyChunk(reply, c, len(buffer.data))
 		return
 	}
 	r.incomingSnapshot = nil
-	if len(draft.data) != c.Size || xxh3.Hash(draft.data) != c.Checksum || c.Membership.Validate() != nil {
+	if len(buffer.data) != c.Size || xxh3.Hash(buffer.data) != c.Checksum || c.Membership.Validate() != nil {
 		r.replyChunk(reply, c, 0) // restart the transfer
 		return
 	}
-	r.installSnapshot(Snapshot{Term: c.Term, Index: c.Index, Data: draft.data, Membership: c.Membership})
+	r.installSnapshot(Snapshot{Term: c.Term, Index: c.Index, Data: buffer.data, Membership: c.Membership})
 	reply.OK, reply.Index = true, c.Index
 	r.sendAfterSync(reply)
 }
