--- a/internal/planner/dialect/dialect.go
+++ b/internal/planner/dialect/dialect.go
@@ -29,39 +29,39 @@
 	NoAnswer                    // nothing came that tells: refused, reset, silent
 )
 
-// maxKept bounds the addresses that are remembered.
-const maxKept = 4096
+// maxAddresses bounds the addresses that are remembered.
+const maxAddresses = 4096
 
 // ProtocolCache remembers by address what a server spoke last. An address that is new, or taken by another server, is asked by
 // HTTP first.
-type ProtocolCache struct{ last map[string]Protocol }
+type ProtocolCache struct{ protocols map[string]Protocol }
 
 // Preferred is the protocol of the first attempt.
-func (b *ProtocolCache) Preferred(address string) Protocol { return b.last[address] }
+func (c *ProtocolCache) Preferred(address string) Protocol { return c.protocols[address] }
 
 // Next says what to do after an attempt: try the other protocol, which happens once a question at most, or be content. A
 // server that nothing came from is not tried by the other: guards against twice the connections to one that is down, and
 // against a sick server that is asked until it has no time left to be found well.
-func (b *ProtocolCache) Next(address string, tried Protocol, attempt int, v Result) (other Protocol, again bool) {
+func (c *ProtocolCache) Next(address string, tried Protocol, attempt int, v Result) (other Protocol, again bool) {
 	switch {
 	case v == Answered:
-		b.learn(address, tried)
+		c.store(address, tried)
 	case v == WrongProtocol && attempt == 1:
 		return HTTP + GRPC - tried, true
 	}
 	return tried, false
 }
 
-func (b *ProtocolCache) learn(address string, p Protocol) {
+func (c *ProtocolCache) store(address string, p Protocol) {
 	if p == HTTP {
-		delete(b.last, address) // as one not met
+		delete(c.protocols, address) // as one not met
 		return
 	}
-	if b.last == nil || len(b.last) >= maxKept {
-		b.last = map[string]Protocol{}
+	if c.protocols == nil || len(c.protocols) >= maxAddresses {
+		c.protocols = map[string]Protocol{}
 	}
-	b.last[address] = p
+	c.protocols[address] = p
 }
 
 // Len is how many addresses are remembered to speak gRPC.
-func (b *ProtocolCache) Len() int { return len(b.last) }
+func (c *ProtocolCache) Len() int { return len(c.protocols) }
--- a/internal/planner/record/record.go
+++ b/internal/planner/record/record.go
@@ -39,19 +39,19 @@
 )
 
 var (
-	entries  = []byte("entries")
-	meta     = []byte("meta")
-	headKey  = []byte("head")
-	formKey  = []byte("form")
-	form     = []byte("mulleinwood record 1")
-	lockWait = 200 * time.Millisecond
+	entriesBucket = []byte("entries")
+	metaBucket    = []byte("meta")
+	headKey       = []byte("head")
+	formatKey     = []byte("form")
+	formatVersion = []byte("mulleinwood record 1")
+	lockTimeout   = 200 * time.Millisecond
 )
 
 // chain is the digest of an entry and all before it.
 type chain [16]byte
 
-// head says where a record begins and ends. It is sealed, so that entries can't be cut off at either end.
-type head struct {
+// bounds says where a record begins and ends. It is sealed, so that entries can't be cut off at either end.
+type bounds struct {
 	first  uint64 // sequence number of the first entry kept
 	before chain  // of the entry before the first
 	last   uint64 // sequence number of the last; first-1: there is none
@@ -60,9 +60,9 @@
 
 // Record is an open record. It is for one goroutine.
 type Record struct {
-	db   *bolt.DB
-	key  []byte
-	head head
+	db     *bolt.DB
+	key    []byte
+	bounds bounds
 }
 
 // digest is keyed where there is a key.
@@ -84,7 +84,7 @@
 	return h.Sum128().Bytes()
 }
 
-func (h head) text(key []byte) []byte {
+func (h bounds) encode(key []byte) []byte {
 	out := binary.BigEndian.AppendUint64(nil, h.first)
 	out = append(out, h.before[:]...)
 	out = binary.BigEndian.AppendUint64(out, h.last)
@@ -93,15 +93,15 @@
 	return append(out, seal[:]...)
 }
 
-func readHead(text, key []byte) (h head, err error) {
+func decodeBounds(text, key []byte) (h bounds, err error) {
 	const size = 8 + 16 + 8 + 16
 	if len(text) != size+16 {
-		return head{}, ErrNotRecord
+		return bounds{}, ErrNotRecord
 	}
 	if digest(key, text[:size]) != chain(text[size:]) {
-		return head{}, fmt.Errorf("%w: its head's seal doesn't hold (or the key is another)", ErrCorrupt)
+		return bounds{}, fmt.Errorf("%w: its head's seal doesn't hold (or the key is another)", ErrCorrupt)
 	}
-	return head{binary.BigEndian.Uint64(text), chain(text[8:24]), binary.BigEndian.Uint64(text[24:]), chain(text[32:48])}, nil
+	return bounds{binary.BigEndian.Uint64(text), chain(text[8:24]), binary.BigEndian.Uint64(text[24:]), chain(text[32:48])}, nil
 }
 
 // Fields of an entry on disk, in the protocol buffers' encoding.
@@ -112,14 +112,14 @@
 	fieldGap
 )
 
-func (e Entry) text() []byte {
+func (e Entry) encode() []byte {
 	out := protowire.AppendVarint(protowire.AppendTag(nil, fieldAt, protowire.VarintType), uint64(e.At.UnixMilli()))
 	out = protowire.AppendString(protowire.AppendTag(out, fieldCause, protowire.BytesType), e.Cause)
 	out = protowire.AppendBytes(protowire.AppendTag(out, fieldUpdate, protowire.BytesType), e.Update)
 	return protowire.AppendVarint(protowire.AppendTag(out, fieldGap, protowire.VarintType), e.Gap)
 }
 
-func readEntry(seq uint64, text []byte) (Entry, error) {
+func decodeEntry(seq uint64, text []byte) (Entry, error) {
 	e := Entry{Seq: seq}
 	for len(text) > 0 {
 		n, kind, size := protowire.ConsumeTag(text)
@@ -169,7 +169,7 @@
 			closeDamaged(db)
 		}
 	}()
-	db, err = bolt.Open(file, 0o600, &bolt.Options{Timeout: lockWait, ReadOnly: readOnly, FreelistType: bolt.FreelistMapType})
+	db, err = bolt.Open(file, 0o600, &bolt.Options{Timeout: lockTimeout, ReadOnly: readOnly, FreelistType: bolt.FreelistMapType})
 	switch {
 	case errors.Is(err, bolterrors.ErrTimeout):
 		return nil, ErrLocked
@@ -181,7 +181,7 @@
 	}
 	r = &Record{db: db, key: key}
 	if !readOnly {
-		if err := r.begin(); err != nil {
+		if err := r.initialize(); err != nil {
 			return nil, err
 		}
 	}
@@ -196,37 +196,37 @@
 	_ = db.Close()                   // the damage is what is reported
 }
 
-// begin makes the buckets of a new record.
-func (r *Record) begin() error {
+// initialize makes the buckets of a new record.
+func (r *Record) initialize() error {
 	return r.db.Update(func(tx *bolt.Tx) error {
-		if tx.Bucket(meta) != nil || tx.Bucket(entries) != nil {
+		if tx.Bucket(metaBucket) != nil || tx.Bucket(entriesBucket) != nil {
 			return nil
 		}
 		if name, _ := tx.Cursor().First(); name != nil {
 			return ErrNotRecord
 		}
-		b, err := tx.CreateBucket(meta)
+		b, err := tx.CreateBucket(metaBucket)
 		if err != nil {
 			return err
 		}
-		if _, err := tx.CreateBucket(entries); err != nil {
+		if _, err := tx.CreateBucket(entriesBucket); err != nil {
 			return err
 		}
-		if err := b.Put(formKey, form); err != nil {
+		if err := b.Put(formatKey, formatVersion); err != nil {
 			return err
 		}
-		return b.Put(headKey, head{first: 1}.text(r.key))
+		return b.Put(headKey, bounds{first: 1}.encode(r.key))
 	})
 }
 
 // verify goes through the whole chain.
 func (r *Record) verify() error {
 	return r.db.View(func(tx *bolt.Tx) error {
-		b, list := tx.Bucket(meta), tx.Bucket(entries)
-		if b == nil || list == nil || string(b.Get(formKey)) != string(form) {
+		b, list := tx.Bucket(metaBucket), tx.Bucket(entriesBucket)
+		if b == nil || list == nil || string(b.Get(formatKey)) != string(formatVersion) {
 			return ErrNotRecord
 		}
-		h, err := readHead(b.Get(headKey), r.key)
+		h, err := decodeBounds(b.Get(headKey), r.key)
 		if err != nil {
 			return err
 		}
@@ -247,18 +247,18 @@
 		if seq != h.last+1 || link != h.end {
 			return fmt.Errorf("%w: it ends at entry %d and should at %d", ErrCorrupt, seq-1, h.last)
 		}
-		r.head = h
+		r.bounds = h
 		return nil
 	})
 }
 
 // Append writes entries in one transaction, all or none, and lets go of those over the bounds.
-func (r *Record) Append(now time.Time, within Retention, list ...Entry) error {
-	h := r.head
+func (r *Record) Append(now time.Time, retention Retention, list ...Entry) error {
+	h := r.bounds
 	err := r.db.Update(func(tx *bolt.Tx) error {
-		b := tx.Bucket(entries)
+		b := tx.Bucket(entriesBucket)
 		for _, e := range list {
-			text := e.text()
+			text := e.encode()
 			h.end = digest(r.key, h.end[:], text)
 			h.last++
 			if err := b.Put(seqKey(h.last), append(h.end[:], text...)); err != nil {
@@ -267,11 +267,11 @@
 		}
 		c := b.Cursor()
 		for k, v := c.First(); k != nil; k, v = c.First() {
-			e, err := readEntry(h.first, v[len(h.before):])
+			e, err := decodeEntry(h.first, v[len(h.before):])
 			if err != nil {
 				return err
 			}
-			if !within.over(e, h.last, now) {
+			if !retention.exceeded(e, h.last, now) {
 				break
 			}
 			h.before = chain(v[:len(h.before)])
@@ -280,25 +280,25 @@
 				return err
 			}
 		}
-		return tx.Bucket(meta).Put(headKey, h.text(r.key))
+		return tx.Bucket(metaBucket).Put(headKey, h.encode(r.key))
 	})
 	if err == nil {
-		r.head = h
+		r.bounds = h
 	}
 	return err
 }
 
-// over says whether an entry is over the bounds of a record that ends with the given one.
-func (b Retention) over(e Entry, last uint64, now time.Time) bool {
+// exceeded says whether an entry is over the bounds of a record that ends with the given one.
+func (b Retention) exceeded(e Entry, last uint64, now time.Time) bool {
 	return b.MaxEntries > 0 && last-e.Seq >= b.MaxEntries || b.MaxAge > 0 && now.Sub(e.At) > b.MaxAge
 }
 
 // Each goes through the entries from the first to the last until the function says no.
 func (r *Record) Each(f func(Entry) bool) error {
 	return r.db.View(func(tx *bolt.Tx) error {
-		c := tx.Bucket(entries).Cursor()
+		c := tx.Bucket(entriesBucket).Cursor()
 		for k, v := c.First(); k != nil; k, v = c.Next() {
-			e, err := readEntry(binary.BigEndian.Uint64(k), v[len(chain{}):])
+			e, err := decodeEntry(binary.BigEndian.Uint64(k), v[len(chain{}):])
 			if err != nil || !f(e) {
 				return err
 			}
@@ -308,7 +308,7 @@
 }
 
 // Len is how many entries there are.
-func (r *Record) Len() uint64 { return r.head.last + 1 - r.head.first }
+func (r *Record) Len() uint64 { return r.bounds.last + 1 - r.bounds.first }
 
 // Close closes the store.
 func (r *Record) Close() error { return r.db.Close() }
--- a/internal/planner/record/record_test.go
+++ b/internal/planner/record/record_test.go
@@ -16,12 +16,12 @@
 // TestMain lets the test binary stand in for a writer that is killed.
 func TestMain(m *testing.M) {
 	if file := os.Getenv("RECORD_FILE"); file != "" {
-		r, err := Open(file, secret, false)
+		r, err := Open(file, testKey, false)
 		if err != nil {
 			panic(err)
 		}
-		for n := r.head.last; ; n++ {
-			if err := r.Append(time.Now(), Retention{MaxEntries: 50}, entry(n+1)); err != nil {
+		for n := r.bounds.last; ; n++ {
+			if err := r.Append(time.Now(), Retention{MaxEntries: 50}, testEntry(n+1)); err != nil {
 				panic(err)
 			}
 			fmt.Println(n + 1) // written
@@ -30,22 +30,22 @@
 	os.Exit(m.Run())
 }
 
-var secret = []byte("a key of the group")
+var testKey = []byte("a key of the group")
 
-func entry(n uint64) Entry {
+func testEntry(n uint64) Entry {
 	return Entry{At: time.UnixMilli(int64(n) * 1000), Cause: "weights", Update: []byte("update " + strconv.FormatUint(n, 10))}
 }
 
-// filled makes a record of so many entries.
-func filled(t *testing.T, n int) string {
+// writeRecord makes a record of so many entries.
+func writeRecord(t *testing.T, n int) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "record.db")
-	r, err := Open(file, secret, false)
+	r, err := Open(file, testKey, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range n {
-		if err := r.Append(time.UnixMilli(0), Retention{}, entry(uint64(i+1))); err != nil {
+		if err := r.Append(time.UnixMilli(0), Retention{}, testEntry(uint64(i+1))); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -55,16 +55,16 @@
 	return file
 }
 
-// whole opens a record and checks that it holds a run of entries as they were written.
-func whole(t *testing.T, file string) (first, last uint64) {
+// checkContents opens a record and checks that it holds a run of entries as they were written.
+func checkContents(t *testing.T, file string) (first, last uint64) {
 	t.Helper()
-	r, err := Open(file, secret, true)
+	r, err := Open(file, testKey, true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
 	err = r.Each(func(e Entry) bool {
-		if want := entry(e.Seq); string(e.Update) != string(want.Update) || e.Cause != want.Cause || !e.At.Equal(want.At) {
+		if want := testEntry(e.Seq); string(e.Update) != string(want.Update) || e.Cause != want.Cause || !e.At.Equal(want.At) {
 			t.Fatalf("entry %d is %+v", e.Seq, e)
 		}
 		if first == 0 {
@@ -108,17 +108,17 @@
 			written = n
 		}
 		cmd.Wait()
-		first, last := whole(t, file)
+		first, last := checkContents(t, file)
 		if last < written || last > written+1 || last-first >= 50 {
 			t.Fatalf("round %d: %d to %d are kept, %d was written", round, first, last, written)
 		}
 	}
 }
 
-// TestSpoiltFiles: a record that was cut at any page, or of which any page was changed, is noticed or is as it was; it is
+// TestDamagedFiles: a record that was cut at any page, or of which any page was changed, is noticed or is as it was; it is
 // never read as something else, never written over, and never ends the process.
-func TestSpoiltFiles(t *testing.T) {
-	good, err := os.ReadFile(filled(t, 40))
+func TestDamagedFiles(t *testing.T) {
+	good, err := os.ReadFile(writeRecord(t, 40))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,7 +130,7 @@
 		if err := os.WriteFile(file, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		r, err := Open(file, secret, true)
+		r, err := Open(file, testKey, true)
 		if err != nil {
 			noticed++
 			return
@@ -138,7 +138,7 @@
 		defer r.Close()
 		n := uint64(0)
 		r.Each(func(e Entry) bool {
-			if n++; e.Seq != n || string(e.Update) != string(entry(n).Update) {
+			if n++; e.Seq != n || string(e.Update) != string(testEntry(n).Update) {
 				t.Fatalf("%s: entry %d is read as %+v", what, n, e)
 			}
 			return true
@@ -164,20 +164,22 @@
 func TestTampering(t *testing.T) {
 	for what, change := range map[string]func(tx *bolt.Tx) error{
 		"an entry changed": func(tx *bolt.Tx) error {
-			v := append([]byte{}, tx.Bucket(entries).Get(seqKey(7))...)
+			v := append([]byte{}, tx.Bucket(entriesBucket).Get(seqKey(7))...)
 			v[len(v)-1] ^= 1
-			return tx.Bucket(entries).Put(seqKey(7), v)
+			return tx.Bucket(entriesBucket).Put(seqKey(7), v)
+		},
+		"an entry taken out":  func(tx *bolt.Tx) error { return tx.Bucket(entriesBucket).Delete(seqKey(7)) },
+		"the first taken out": func(tx *bolt.Tx) error { return tx.Bucket(entriesBucket).Delete(seqKey(1)) },
+		"the last taken out":  func(tx *bolt.Tx) error { return tx.Bucket(entriesBucket).Delete(seqKey(20)) },
+		"one added": func(tx *bolt.Tx) error {
+			return tx.Bucket(entriesBucket).Put(seqKey(21), tx.Bucket(entriesBucket).Get(seqKey(20)))
 		},
-		"an entry taken out":  func(tx *bolt.Tx) error { return tx.Bucket(entries).Delete(seqKey(7)) },
-		"the first taken out": func(tx *bolt.Tx) error { return tx.Bucket(entries).Delete(seqKey(1)) },
-		"the last taken out":  func(tx *bolt.Tx) error { return tx.Bucket(entries).Delete(seqKey(20)) },
-		"one added":           func(tx *bolt.Tx) error { return tx.Bucket(entries).Put(seqKey(21), tx.Bucket(entries).Get(seqKey(20))) },
 		"another head": func(tx *bolt.Tx) error {
-			return tx.Bucket(meta).Put(headKey, head{first: 1, last: 0}.text([]byte("guess")))
+			return tx.Bucket(metaBucket).Put(headKey, bounds{first: 1, last: 0}.encode([]byte("guess")))
 		},
-		"another form": func(tx *bolt.Tx) error { return tx.Bucket(meta).Put(formKey, []byte("x")) },
+		"another form": func(tx *bolt.Tx) error { return tx.Bucket(metaBucket).Put(formatKey, []byte("x")) },
 	} {
-		file := filled(t, 20)
+		file := writeRecord(t, 20)
 		db, err := bolt.Open(file, 0o600, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -186,44 +188,44 @@
 			t.Fatal(err)
 		}
 		db.Close()
-		if _, err := Open(file, secret, false); !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrNotRecord) {
+		if _, err := Open(file, testKey, false); !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrNotRecord) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	if _, err := Open(filled(t, 3), []byte("another key"), false); !errors.Is(err, ErrCorrupt) {
+	if _, err := Open(writeRecord(t, 3), []byte("another key"), false); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("another key: %v", err)
 	}
 	foreign := filepath.Join(t.TempDir(), "f")
 	os.WriteFile(foreign, make([]byte, 64<<10), 0o600)
-	if _, err := Open(foreign, secret, false); !errors.Is(err, ErrNotRecord) {
+	if _, err := Open(foreign, testKey, false); !errors.Is(err, ErrNotRecord) {
 		t.Errorf("a foreign file: %v", err)
 	}
-	file := filled(t, 3)
-	r, err := Open(file, secret, false)
+	file := writeRecord(t, 3)
+	r, err := Open(file, testKey, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
-	if _, err := Open(file, secret, false); !errors.Is(err, ErrLocked) {
+	if _, err := Open(file, testKey, false); !errors.Is(err, ErrLocked) {
 		t.Errorf("a locked file: %v", err)
 	}
 }
 
-// TestBounds: old entries go, by number and by age, and what is left still proves itself.
-func TestBounds(t *testing.T) {
-	file := filled(t, 30)
-	r, err := Open(file, secret, false)
+// TestRetention: old entries go, by number and by age, and what is left still proves itself.
+func TestRetention(t *testing.T) {
+	file := writeRecord(t, 30)
+	r, err := Open(file, testKey, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := r.Append(time.UnixMilli(31000), Retention{MaxEntries: 10}, entry(31)); err != nil || r.Len() != 10 {
+	if err := r.Append(time.UnixMilli(31000), Retention{MaxEntries: 10}, testEntry(31)); err != nil || r.Len() != 10 {
 		t.Errorf("%d entries, %v", r.Len(), err)
 	}
-	if err := r.Append(time.UnixMilli(32000), Retention{MaxAge: 4 * time.Second}, entry(32)); err != nil || r.Len() != 5 {
+	if err := r.Append(time.UnixMilli(32000), Retention{MaxAge: 4 * time.Second}, testEntry(32)); err != nil || r.Len() != 5 {
 		t.Errorf("%d entries, %v", r.Len(), err)
 	}
 	r.Close()
-	if first, last := whole(t, file); first != 28 || last != 32 {
+	if first, last := checkContents(t, file); first != 28 || last != 32 {
 		t.Errorf("%d to %d are kept", first, last)
 	}
 }
@@ -231,29 +233,29 @@
 // TestFullDisk: a disk that takes nothing for a while is told of once, holds nobody up, and leaves a gap that says how much is
 // missing.
 func TestFullDisk(t *testing.T) {
-	var got []Entry
-	full, told := true, 0
+	var written []Entry
+	diskFull, failures := true, 0
 	w := newWriter(func(_ time.Time, list ...Entry) error {
-		if full {
+		if diskFull {
 			return errors.New("no space left")
 		}
-		got = append(got, list...)
+		written = append(written, list...)
 		return nil
-	}, func(error) { told++ })
-	for n := range uint64(maxQueue + 100) { // 100 don't even fit the queue
-		w.Add(entry(n + 1))
+	}, func(error) { failures++ })
+	for n := range uint64(maxQueuedEntries + 100) { // 100 don't even fit the queue
+		w.Add(testEntry(n + 1))
 	}
 	for range 3 {
 		w.write([]Entry{<-w.queue})
 	}
-	full = false
-	w.write([]Entry{entry(9)})
-	if told != 1 || len(got) != 2 || got[0].Gap != 103 || got[0].Cause != "gap" || string(got[1].Update) != "update 9" {
-		t.Errorf("told %d times, written %+v", told, got)
+	diskFull = false
+	w.write([]Entry{testEntry(9)})
+	if failures != 1 || len(written) != 2 || written[0].Gap != 103 || written[0].Cause != "gap" || string(written[1].Update) != "update 9" {
+		t.Errorf("told %d times, written %+v", failures, written)
 	}
-	full = true
-	w.write([]Entry{entry(10)})
-	if told != 2 {
-		t.Errorf("a second series is told %d times in all", told)
+	diskFull = true
+	w.write([]Entry{testEntry(10)})
+	if failures != 2 {
+		t.Errorf("a second series is told %d times in all", failures)
 	}
 }
--- a/internal/planner/record/writer.go
+++ b/internal/planner/record/writer.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	maxQueue = 4096 // entries that may wait for the disk
-	maxBatch = 512  // entries of one transaction
+	maxQueuedEntries = 4096 // entries that may wait for the disk
+	maxBatchEntries  = 512  // entries of one transaction
 )
 
 // Writer writes entries in a goroutine of its own. It never holds its user up: what the disk doesn't take in time, or not at
 // all, is counted, and the next entry that can be written is preceded by a gap that tells how many are missing.
 type Writer struct {
-	append func(now time.Time, list ...Entry) error
-	now    func() time.Time
-	failed func(error) // told of the first failure of a series
-	queue  chan Entry
-	done   chan struct{}
+	append    func(now time.Time, list ...Entry) error
+	now       func() time.Time
+	onFailure func(error) // told of the first failure of a series
+	queue     chan Entry
+	done      chan struct{}
 
 	mu      sync.Mutex
 	lost    uint64
@@ -26,8 +26,8 @@
 }
 
 // NewWriter returns a writer on a record, which it closes in the end.
-func NewWriter(r *Record, within Retention, failed func(error)) *Writer {
-	w := newWriter(func(now time.Time, list ...Entry) error { return r.Append(now, within, list...) }, failed)
+func NewWriter(r *Record, retention Retention, onFailure func(error)) *Writer {
+	w := newWriter(func(now time.Time, list ...Entry) error { return r.Append(now, retention, list...) }, onFailure)
 	go func() {
 		w.run()
 		_ = r.Close() // each batch was a transaction: nothing is lost with a close that fails
@@ -36,8 +36,9 @@
 	return w
 }
 
-func newWriter(append func(time.Time, ...Entry) error, failed func(error)) *Writer {
-	return &Writer{append: append, now: time.Now, failed: failed, queue: make(chan Entry, maxQueue), done: make(chan struct{})}
+func newWriter(append func(time.Time, ...Entry) error, onFailure func(error)) *Writer {
+	return &Writer{append: append, now: time.Now, onFailure: onFailure,
+		queue: make(chan Entry, maxQueuedEntries), done: make(chan struct{})}
 }
 
 // Add takes an entry, or counts it as lost.
@@ -70,7 +71,7 @@
 	for e := range w.queue {
 		list := []Entry{e}
 	more:
-		for len(list) < maxBatch {
+		for len(list) < maxBatchEntries {
 			select {
 			case e, open := <-w.queue:
 				if !open {
@@ -112,6 +113,6 @@
 	w.mu.Unlock()
 	if !w.failing {
 		w.failing = true
-		w.failed(err)
+		w.onFailure(err)
 	}
 }
--- a/internal/planner/transport/conn.go
+++ b/internal/planner/transport/conn.go
@@ -16,10 +16,10 @@
 
 // Sizes of the buffers of a connection.
 const (
-	startSize        = 1 << 10 // of either buffer
-	unidentifiedSize = 4 << 10 // most that a connection may hold before it has said who it is
-	inSize           = 2 << 20 // most that a known connection may hold: a line of 1 MiB and what follows it
-	outSize          = 2 << 20 // most that may wait for a peer that doesn't read
+	initialBufferSize     = 1 << 10 // of either buffer
+	maxUnidentifiedBuffer = 4 << 10 // most that a connection may hold before it has said who it is
+	maxInputBuffer        = 2 << 20 // most that a known connection may hold: a line of 1 MiB and what follows it
+	maxOutputBuffer       = 2 << 20 // most that may wait for a peer that doesn't read
 )
 
 var (
@@ -52,27 +52,27 @@
 
 // Conn is one accepted connection: a reader that feeds a machine and a writer that empties a buffer.
 type Conn struct {
-	id       uint64
-	nc       net.Conn
-	in       *ring.Buffer // the reader's own
-	standing atomic.Int32
-	asked    atomic.Bool // something that the planner owes an answer, which it can't give yet
-	joinBy   time.Time   // the reader's own, as the next two
-	late     bool        // joinBy has passed
-	owed     bool        // it was owed an answer when it was last read
-	free     bool        // it has joined, and its reads end at no time
-	foreign  func(*Conn, net.Conn)
-	begun    bool // its first bytes have come
-
-	mu     sync.Mutex
-	out    *ring.Buffer
-	closed error
-	wake   chan struct{}
+	id              uint64
+	nc              net.Conn
+	in              *ring.Buffer // the reader's own
+	state           atomic.Int32
+	replyPending    atomic.Bool // something that the planner owes an answer, which it can't give yet
+	joinDeadline    time.Time   // the reader's own, as the next two
+	pastDeadline    bool        // joinBy has passed
+	wasReplyPending bool        // it was owed an answer when it was last read
+	deadlineCleared bool        // it has joined, and its reads end at no time
+	handoff         func(*Conn, net.Conn)
+	sawFirstByte    bool // its first bytes have come
+
+	mu          sync.Mutex
+	out         *ring.Buffer
+	closeReason error
+	writeSignal chan struct{}
 }
 
-func newConn(nc net.Conn, memory *ring.Budget) *Conn {
-	return &Conn{id: NextID(), nc: nc, in: ring.New(startSize, unidentifiedSize, memory),
-		out: ring.New(startSize, outSize, memory), wake: make(chan struct{}, 1)}
+func newConn(nc net.Conn, budget *ring.Budget) *Conn {
+	return &Conn{id: NextID(), nc: nc, in: ring.New(initialBufferSize, maxUnidentifiedBuffer, budget),
+		out: ring.New(initialBufferSize, maxOutputBuffer, budget), writeSignal: make(chan struct{}, 1)}
 }
 
 // ID is larger for connections accepted later.
@@ -83,37 +83,37 @@
 
 // SetReplyPending notes whether the peer has asked something that is not yet answered. While that is so, the time in which it
 // must join does not end: a planner that can't make orders yet answers whoever asked before.
-func (c *Conn) SetReplyPending(owed bool) { c.asked.Store(owed) }
+func (c *Conn) SetReplyPending(pending bool) { c.replyPending.Store(pending) }
 
 // MarkSuperseded notes that another connection has come in place of this one. It rises again if its peer still speaks.
-func (c *Conn) MarkSuperseded() { c.standing.Store(int32(Superseded)) }
+func (c *Conn) MarkSuperseded() { c.state.Store(int32(Superseded)) }
 
 // Promote notes what the peer has shown of itself. Called by the connection's machine.
 func (c *Conn) Promote(s ConnState) {
-	if ConnState(c.standing.Load()) < s {
-		c.standing.Store(int32(s))
+	if ConnState(c.state.Load()) < s {
+		c.state.Store(int32(s))
 	}
 	if s == Identified {
-		c.in.SetLimit(inSize)
+		c.in.SetLimit(maxInputBuffer)
 	}
 }
 
 // Joined says whether the peer has shown who it is, now or before another came in its place.
-func (c *Conn) Joined() bool { return ConnState(c.standing.Load()) >= Superseded }
+func (c *Conn) Joined() bool { return ConnState(c.state.Load()) >= Superseded }
 
 // Send queues bytes for the peer. It never waits: a peer that leaves too much unread loses this connection.
 func (c *Conn) Send(p []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed != nil {
-		return c.closed
+	if c.closeReason != nil {
+		return c.closeReason
 	}
 	if _, err := c.out.Write(p); err != nil {
-		c.end(ErrOverflow)
+		c.closeLocked(ErrOverflow)
 		return ErrOverflow
 	}
 	select {
-	case c.wake <- struct{}{}:
+	case c.writeSignal <- struct{}{}:
 	default:
 	}
 	return nil
@@ -123,14 +123,14 @@
 func (c *Conn) Close(reason error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.end(reason)
+	c.closeLocked(reason)
 }
 
-func (c *Conn) end(reason error) {
-	if c.closed == nil {
-		c.closed = reason
+func (c *Conn) closeLocked(reason error) {
+	if c.closeReason == nil {
+		c.closeReason = reason
 		closeConn(c.nc)
-		close(c.wake)
+		close(c.writeSignal)
 	}
 }
 
@@ -138,45 +138,45 @@
 func (c *Conn) reason() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.closed
+	return c.closeReason
 }
 
 // read reads once. As long as the peer is not known it must become so within the given time, whatever it sends
 // or doesn't: guards against peers that hold descriptors and memory and are nobody. A deadline that passed while
 // this process stood still is given one more read, and no second one: the peer may send without an end.
-func (c *Conn) read(space []byte, within time.Duration) (int, error) {
-	if c.Joined() || within <= 0 {
-		if within > 0 && !c.free {
-			c.free = true
+func (c *Conn) read(buf []byte, joinTimeout time.Duration) (int, error) {
+	if c.Joined() || joinTimeout <= 0 {
+		if joinTimeout > 0 && !c.deadlineCleared {
+			c.deadlineCleared = true
 			_ = c.nc.SetReadDeadline(time.Time{}) // it fails on a closed connection only, which Read tells
 		}
-		return c.nc.Read(space)
+		return c.nc.Read(buf)
 	}
 	for {
-		asked := c.asked.Load()
-		if c.owed && !asked { // its answer must reach it: the time begins anew
-			c.joinBy, c.late = time.Now().Add(within), false
+		asked := c.replyPending.Load()
+		if c.wasReplyPending && !asked { // its answer must reach it: the time begins anew
+			c.joinDeadline, c.pastDeadline = time.Now().Add(joinTimeout), false
 		}
-		c.owed = asked
-		if c.late {
+		c.wasReplyPending = asked
+		if c.pastDeadline {
 			if !asked {
 				return 0, ErrJoinTimeout
 			}
-			c.joinBy = time.Now().Add(within)
+			c.joinDeadline = time.Now().Add(joinTimeout)
 		}
-		c.late = time.Now().After(c.joinBy)
-		n, err := read(c.nc, space, c.joinBy)
+		c.pastDeadline = time.Now().After(c.joinDeadline)
+		n, err := read(c.nc, buf, c.joinDeadline)
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return n, err
 		}
-		c.late = true
+		c.pastDeadline = true
 	}
 }
 
 // serve runs the connection until it ends and returns why. A panic of the machine ends this connection alone.
-func (c *Conn) serve(m Machine, joinWithin time.Duration) (reason error) {
-	if c.joinBy = time.Now().Add(joinWithin); joinWithin <= 0 {
-		c.joinBy = time.Time{}
+func (c *Conn) serve(machine Machine, joinTimeout time.Duration) (reason error) {
+	if c.joinDeadline = time.Now().Add(joinTimeout); joinTimeout <= 0 {
+		c.joinDeadline = time.Time{}
 	}
 	var writer sync.WaitGroup
 	writer.Go(c.write)
@@ -195,17 +195,17 @@
 			c.Close(fmt.Errorf("line too long: %w", err))
 			return
 		}
-		n, err := c.read(space, joinWithin)
+		n, err := c.read(space, joinTimeout)
 		c.in.Commit(n)
-		if n > 0 && !c.begun && c.foreign != nil {
-			if c.begun = true; foreign(c.in) {
-				c.handOver()
+		if n > 0 && !c.sawFirstByte && c.handoff != nil {
+			if c.sawFirstByte = true; isForeign(c.in) {
+				c.handOff()
 				return
 			}
 		}
 		if n > 0 {
-			if fed := m.Feed(c.in); fed != nil {
-				c.Close(fed)
+			if feedErr := machine.Feed(c.in); feedErr != nil {
+				c.Close(feedErr)
 				return
 			}
 		}
@@ -218,7 +218,7 @@
 
 // write sends what waits until the connection ends.
 func (c *Conn) write() {
-	for range c.wake {
+	for range c.writeSignal {
 		for {
 			c.mu.Lock()
 			first, _ := c.out.Peek() // stays as it is while more is appended behind it
--- a/internal/planner/transport/dial.go
+++ b/internal/planner/transport/dial.go
@@ -59,7 +59,8 @@
 
 // Do makes the call and feeds the response to machine until it is complete. A panic of the machine ends this call alone.
 func (call Call) Do(ctx context.Context, machine ResponseMachine) (err error) {
-	run := &callRun{call: call, machine: machine, began: time.Now(), failure: CallError{Address: call.Address, Stage: Connecting}}
+	run := &activeCall{call: call, machine: machine, startedAt: time.Now(),
+		failure: CallError{Address: call.Address, Stage: Connecting}}
 	defer func() {
 		if p := recover(); p != nil {
 			err = run.fail(fmt.Errorf("panic: %v\n%s", p, debug.Stack()))
@@ -80,7 +81,7 @@
 		return run.fail(err)
 	}
 	run.failure.Stage = Receiving
-	in := ring.New(startSize, call.MaxBuffered, nil)
+	in := ring.New(initialBufferSize, call.MaxBuffered, nil)
 	for !machine.Done() {
 		if over, err := run.receive(nc, in); over || err != nil {
 			return err
@@ -89,31 +90,31 @@
 	return nil
 }
 
-// callRun is a call under way.
-type callRun struct {
-	call    Call
-	machine ResponseMachine
-	began   time.Time
-	failure CallError
+// activeCall is a call under way.
+type activeCall struct {
+	call      Call
+	machine   ResponseMachine
+	startedAt time.Time
+	failure   CallError
 }
 
 // fail returns the failure with its cause.
-func (r *callRun) fail(cause error) error {
+func (r *activeCall) fail(cause error) error {
 	r.failure.Err = cause
 	return &r.failure
 }
 
 // deadline is the time by which the next bytes have to come.
-func (r *callRun) deadline() time.Time {
+func (r *activeCall) deadline() time.Time {
 	silence := time.Now().Add(r.call.IdleTimeout)
-	if last := r.began.Add(r.call.TotalTimeout); r.call.TotalTimeout > 0 && last.Before(silence) {
+	if last := r.startedAt.Add(r.call.TotalTimeout); r.call.TotalTimeout > 0 && last.Before(silence) {
 		return last
 	}
 	return silence
 }
 
 // receive reads once and feeds the machine. Over means that the peer ended the connection after a complete response.
-func (r *callRun) receive(nc net.Conn, in *ring.Buffer) (over bool, err error) {
+func (r *activeCall) receive(nc net.Conn, in *ring.Buffer) (ended bool, err error) {
 	space, err := in.Space()
 	if err != nil {
 		return false, r.fail(err)
@@ -143,8 +144,8 @@
 // closeConn closes a connection that nothing is expected from any more.
 func closeConn(nc net.Conn) { _ = nc.Close() }
 
-// lastPoll is how long bytes that have already come may take to be read.
-const lastPoll = 5 * time.Millisecond
+// drainReadTimeout is how long bytes that have already come may take to be read.
+const drainReadTimeout = 5 * time.Millisecond
 
 // read reads until deadline. One that passed may be the fault of this process, which stood still while the bytes came; so
 // what is already there is still read.
@@ -156,7 +157,7 @@
 	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 		return n, err
 	}
-	if err := nc.SetReadDeadline(time.Now().Add(lastPoll)); err != nil {
+	if err := nc.SetReadDeadline(time.Now().Add(drainReadTimeout)); err != nil {
 		return 0, err
 	}
 	return nc.Read(space)
--- a/internal/planner/transport/dial_test.go
+++ b/internal/planner/transport/dial_test.go
@@ -14,26 +14,26 @@
 	"mulleinwood/internal/planner/transport/ring"
 )
 
-// text is an answer that is complete at its first full stop.
-type text struct {
-	got   bytes.Buffer
-	panic bool
+// textResponse is an answer that is complete at its first full stop.
+type textResponse struct {
+	received bytes.Buffer
+	panic    bool
 }
 
-func (x *text) Feed(in *ring.Buffer) error {
+func (x *textResponse) Feed(in *ring.Buffer) error {
 	if x.panic {
 		panic("told to")
 	}
-	x.got.Write(in.Front(in.Len()))
+	x.received.Write(in.Front(in.Len()))
 	in.Discard(in.Len())
-	if strings.Contains(x.got.String(), "!") {
+	if strings.Contains(x.received.String(), "!") {
 		return errors.New("not understood")
 	}
 	return nil
 }
-func (x *text) Done() bool { return strings.Contains(x.got.String(), ".") }
-func (x *text) Close() error {
-	if !x.Done() && x.got.String() != "to the end" {
+func (x *textResponse) Done() bool { return strings.Contains(x.received.String(), ".") }
+func (x *textResponse) Close() error {
+	if !x.Done() && x.received.String() != "to the end" {
 		return io.ErrUnexpectedEOF
 	}
 	return nil
@@ -93,15 +93,15 @@
 		if tc.answer == "refused" {
 			call.Address = closed
 		}
-		x := &text{panic: tc.panic}
+		x := &textResponse{panic: tc.panic}
 		err = call.Do(context.Background(), x)
 		close(release)
 		ln.Close()
 		<-over
 		var failed *CallError
 		switch {
-		case tc.stage == "" && (err != nil || x.got.String() != tc.answer):
-			t.Errorf("%q: %v, read %q", tc.answer, err, x.got.String())
+		case tc.stage == "" && (err != nil || x.received.String() != tc.answer):
+			t.Errorf("%q: %v, read %q", tc.answer, err, x.received.String())
 		case tc.stage == "":
 		case !errors.As(err, &failed) || failed.Stage != tc.stage || failed.Received != tc.received ||
 			tc.want != nil && !errors.Is(err, tc.want):
@@ -110,15 +110,15 @@
 	}
 }
 
-// late is a connection whose bytes came while nobody could read: a read whose deadline has passed fails first.
-type late struct {
+// lateConn is a connection whose bytes came while nobody could read: a read whose deadline has passed fails first.
+type lateConn struct {
 	net.Conn
 	failed   bool
 	deadline time.Time
 }
 
-func (l *late) SetReadDeadline(at time.Time) error { l.deadline = at; return nil }
-func (l *late) Read(p []byte) (int, error) {
+func (l *lateConn) SetReadDeadline(at time.Time) error { l.deadline = at; return nil }
+func (l *lateConn) Read(p []byte) (int, error) {
 	if !l.failed {
 		l.failed = true
 		return 0, os.ErrDeadlineExceeded
@@ -129,10 +129,10 @@
 	return copy(p, "here"), nil
 }
 
-// TestLateRead guards against a watch held to be silent because this process stood still.
-func TestLateRead(t *testing.T) {
+// TestReadAfterDeadline guards against a watch held to be silent because this process stood still.
+func TestReadAfterDeadline(t *testing.T) {
 	p := make([]byte, 10)
-	if n, err := read(&late{}, p, time.Now().Add(-time.Second)); n != 4 || err != nil {
+	if n, err := read(&lateConn{}, p, time.Now().Add(-time.Second)); n != 4 || err != nil {
 		t.Errorf("read %d bytes, %v", n, err)
 	}
 }
@@ -153,7 +153,7 @@
 		}
 	}()
 	err = Call{Address: ln.Addr().String(), ConnectTimeout: time.Second, IdleTimeout: 20 * time.Second,
-		MaxBuffered: 1 << 10}.Do(ctx, &text{})
+		MaxBuffered: 1 << 10}.Do(ctx, &textResponse{})
 	if err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a cancelled call ended with %v", err)
 	}
--- a/internal/planner/transport/listener.go
+++ b/internal/planner/transport/listener.go
@@ -26,7 +26,7 @@
 }
 
 // NewBufferBudget returns a budget for what connections hold beyond the little that each may hold in any case.
-func NewBufferBudget(most int64) *ring.Budget { return ring.NewBudget(most, unidentifiedSize) }
+func NewBufferBudget(limit int64) *ring.Budget { return ring.NewBudget(limit, maxUnidentifiedBuffer) }
 
 // Listener accepts connections, no more than Most at a time. All their buffers together stay within Memory. A
 // connection that is not known within Join of its accepting is closed; 0: it may stay.
@@ -37,32 +37,32 @@
 	Handoff func(c *Conn, nc net.Conn)
 	Memory  *ring.Budget
 
-	most  atomic.Int64
-	ln    net.Listener
-	mu    sync.Mutex
-	conns map[uint64]*Conn
-	group sync.WaitGroup
+	maxConns atomic.Int64
+	ln       net.Listener
+	mu       sync.Mutex
+	conns    map[uint64]*Conn
+	serving  sync.WaitGroup
 }
 
 // Listen opens the address.
-func Listen(address string, most int, memory *ring.Budget) (*Listener, error) {
+func Listen(address string, maxConns int, budget *ring.Budget) (*Listener, error) {
 	ln, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	l := &Listener{Memory: memory, ln: ln, conns: map[uint64]*Conn{}}
-	l.SetMaxConns(most)
+	l := &Listener{Memory: budget, ln: ln, conns: map[uint64]*Conn{}}
+	l.SetMaxConns(maxConns)
 	return l, nil
 }
 
 // SetMaxConns changes how many connections may be open from the next one on.
-func (l *Listener) SetMaxConns(most int) { l.most.Store(int64(most)) }
+func (l *Listener) SetMaxConns(limit int) { l.maxConns.Store(int64(limit)) }
 
 // full says whether no more connections may be open.
 func (l *Listener) full() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return int64(len(l.conns)) >= l.most.Load()
+	return int64(len(l.conns)) >= l.maxConns.Load()
 }
 
 // Addr is the address that it listens on.
@@ -85,14 +85,14 @@
 			return err
 		}
 		if err != nil { // mostly: out of descriptors
-			if !l.shed() {
+			if !l.shedOne() {
 				time.Sleep(acceptBackoff)
 			}
 			continue
 		}
 		c := newConn(nc, l.Memory)
-		c.foreign = l.Handoff
-		for l.full() && l.shed() {
+		c.handoff = l.Handoff
+		for l.full() && l.shedOne() {
 		}
 		if l.full() {
 			h.Rejected(nc.RemoteAddr().String())
@@ -102,7 +102,7 @@
 		l.mu.Lock()
 		l.conns[c.id] = c
 		l.mu.Unlock()
-		l.group.Go(func() {
+		l.serving.Go(func() {
 			reason := c.serve(h.Accepted(c), l.JoinTimeout)
 			l.mu.Lock()
 			delete(l.conns, c.id)
@@ -112,26 +112,26 @@
 	}
 }
 
-// shed closes the connection that has shown least of itself, the oldest of those; never a known one. Guards
+// shedOne closes the connection that has shown least of itself, the oldest of those; never a known one. Guards
 // against strangers that connect and say nothing until no descriptor is left for a proxy.
-func (l *Listener) shed() bool {
+func (l *Listener) shedOne() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var first *Conn
+	var victim *Conn
 	for _, c := range l.conns {
-		if ConnState(c.standing.Load()) == Identified {
+		if ConnState(c.state.Load()) == Identified {
 			continue
 		}
-		if first == nil || c.standing.Load() < first.standing.Load() ||
-			c.standing.Load() == first.standing.Load() && c.id < first.id {
-			first = c
+		if victim == nil || c.state.Load() < victim.state.Load() ||
+			c.state.Load() == victim.state.Load() && c.id < victim.id {
+			victim = c
 		}
 	}
-	if first == nil {
+	if victim == nil {
 		return false
 	}
-	delete(l.conns, first.id)
-	first.Close(ErrLoadShed)
+	delete(l.conns, victim.id)
+	victim.Close(ErrLoadShed)
 	return true
 }
 
@@ -141,5 +141,5 @@
 		c.Close(reason)
 	}
 	l.mu.Unlock()
-	l.group.Wait()
+	l.serving.Wait()
 }
--- a/internal/planner/transport/ring/ring.go
+++ b/internal/planner/transport/ring/ring.go
@@ -13,28 +13,28 @@
 // Budget bounds the memory of many buffers together. Buffers of several goroutines may share one. The first
 // bytes of each buffer are free, so that a few large buffers can't keep out the others.
 type Budget struct {
-	most atomic.Int64
-	free int
-	used atomic.Int64
+	limit         atomic.Int64
+	freePerBuffer int
+	used          atomic.Int64
 }
 
 // NewBudget returns a budget of most bytes beyond the free ones of each buffer.
-func NewBudget(most int64, free int) *Budget {
-	b := &Budget{free: free}
-	b.SetLimit(most)
+func NewBudget(limit int64, freePerBuffer int) *Budget {
+	b := &Budget{freePerBuffer: freePerBuffer}
+	b.SetLimit(limit)
 	return b
 }
 
 // SetLimit changes the bound. What is already held stays.
-func (b *Budget) SetLimit(most int64) { b.most.Store(most) }
+func (b *Budget) SetLimit(limit int64) { b.limit.Store(limit) }
 
-// take books a buffer's change from one size to another; it says whether there was room for it.
-func (b *Budget) take(from, to int) bool {
+// reserve books a buffer's change from one size to another; it says whether there was room for it.
+func (b *Budget) reserve(from, to int) bool {
 	if b == nil {
 		return true
 	}
-	bytes := max(0, to-b.free) - max(0, from-b.free)
-	if b.used.Add(int64(bytes)) > b.most.Load() && bytes > 0 {
+	bytes := max(0, to-b.freePerBuffer) - max(0, from-b.freePerBuffer)
+	if b.used.Add(int64(bytes)) > b.limit.Load() && bytes > 0 {
 		b.used.Add(int64(-bytes))
 		return false
 	}
@@ -44,30 +44,30 @@
 // Buffer is a ring of bytes. It starts small, doubles when it must, never beyond its cap, and gives the memory
 // back once it is empty again.
 type Buffer struct {
-	data        []byte
-	head, n     int
-	start, most int
-	budget      *Budget
+	data           []byte
+	head, length   int
+	initial, limit int
+	budget         *Budget
 }
 
 // New returns an empty buffer. It allocates nothing until bytes come. The budget may be nil.
-func New(start, most int, budget *Budget) *Buffer {
-	return &Buffer{start: min(start, most), most: most, budget: budget}
+func New(initial, limit int, budget *Budget) *Buffer {
+	return &Buffer{initial: min(initial, limit), limit: limit, budget: budget}
 }
 
 // Len is the number of bytes held.
-func (b *Buffer) Len() int { return b.n }
+func (b *Buffer) Len() int { return b.length }
 
 // SetLimit changes the cap. Bytes already held stay.
-func (b *Buffer) SetLimit(most int) { b.most = most }
+func (b *Buffer) SetLimit(limit int) { b.limit = limit }
 
 // grow makes room for at least one more byte, or for want more where the cap allows.
-func (b *Buffer) grow(want int) {
-	size := max(len(b.data), b.start, 1)
-	for size < b.n+want {
+func (b *Buffer) grow(needed int) {
+	size := max(len(b.data), b.initial, 1)
+	for size < b.length+needed {
 		size *= 2
 	}
-	if size = min(size, b.most); size <= len(b.data) || !b.budget.take(len(b.data), size) {
+	if size = min(size, b.limit); size <= len(b.data) || !b.budget.reserve(len(b.data), size) {
 		return
 	}
 	data := make([]byte, size)
@@ -78,13 +78,13 @@
 
 // Space returns a piece of free memory to read into, growing the buffer when it is full.
 func (b *Buffer) Space() ([]byte, error) {
-	if b.n == len(b.data) {
+	if b.length == len(b.data) {
 		b.grow(1)
 	}
-	if b.n == len(b.data) {
+	if b.length == len(b.data) {
 		return nil, ErrFull
 	}
-	tail := (b.head + b.n) % len(b.data)
+	tail := (b.head + b.length) % len(b.data)
 	if tail < b.head {
 		return b.data[tail:b.head], nil
 	}
@@ -92,17 +92,17 @@
 }
 
 // Commit says that the first n bytes of Space have been filled.
-func (b *Buffer) Commit(n int) { b.n += n }
+func (b *Buffer) Commit(n int) { b.length += n }
 
 // Write appends all of p, or nothing of it if it would not fit under the cap.
 func (b *Buffer) Write(p []byte) (int, error) {
-	if b.n+len(p) > max(b.most, len(b.data)) {
+	if b.length+len(p) > max(b.limit, len(b.data)) {
 		return 0, ErrFull
 	}
-	if b.n+len(p) > len(b.data) {
+	if b.length+len(p) > len(b.data) {
 		b.grow(len(p))
 	}
-	if b.n+len(p) > len(b.data) { // over the budget
+	if b.length+len(p) > len(b.data) { // over the budget
 		return 0, ErrFull
 	}
 	for rest := p; len(rest) > 0; {
@@ -120,10 +120,10 @@
 // Peek returns the bytes held, oldest first, in two pieces; the second is empty unless they wrap. The pieces
 // are valid until the next call that changes the buffer.
 func (b *Buffer) Peek() (first, second []byte) {
-	if end := b.head + b.n; end > len(b.data) {
+	if end := b.head + b.length; end > len(b.data) {
 		return b.data[b.head:], b.data[:end-len(b.data)]
 	}
-	return b.data[b.head : b.head+b.n], nil
+	return b.data[b.head : b.head+b.length], nil
 }
 
 // Index returns the position of the first c at or after from, or -1.
@@ -152,19 +152,19 @@
 
 // Discard drops the first n bytes.
 func (b *Buffer) Discard(n int) {
-	n = min(n, b.n)
-	if b.n -= n; b.n > 0 {
+	n = min(n, b.length)
+	if b.length -= n; b.length > 0 {
 		b.head = (b.head + n) % len(b.data)
 		return
 	}
 	b.head = 0
-	if len(b.data) > b.start {
+	if len(b.data) > b.initial {
 		b.Free()
 	}
 }
 
 // Free gives up the memory and all that is held. The buffer may be used again.
 func (b *Buffer) Free() {
-	b.budget.take(len(b.data), 0)
-	b.data, b.head, b.n = nil, 0, 0
+	b.budget.reserve(len(b.data), 0)
+	b.data, b.head, b.length = nil, 0, 0
 }
--- a/internal/planner/transport/ring/ring_test.go
+++ b/internal/planner/transport/ring/ring_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// held returns what a buffer holds, by Peek.
-func held(b *Buffer) []byte {
+// contents returns what a buffer holds, by Peek.
+func contents(b *Buffer) []byte {
 	first, second := b.Peek()
 	return append(append([]byte{}, first...), second...)
 }
@@ -18,8 +18,8 @@
 func TestAgainstSlice(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		start, most := 1+rng.IntN(8), 1+rng.IntN(64)
-		b, model, next := New(start, most, nil), []byte{}, byte(0)
+		initial, limit := 1+rng.IntN(8), 1+rng.IntN(64)
+		b, model, next := New(initial, limit, nil), []byte{}, byte(0)
 		for step := range 2000 {
 			switch n := rng.IntN(12); rng.IntN(4) {
 			case 0:
@@ -28,16 +28,16 @@
 					p[i] = next + byte(i)
 				}
 				wrote, err := b.Write(p)
-				if fits := len(model)+n <= most; fits != (err == nil) || fits && wrote != n || !fits && wrote != 0 {
-					t.Fatalf("seed %d step %d: write of %d at %d of %d: %d, %v", seed, step, n, len(model), most, wrote, err)
+				if fits := len(model)+n <= limit; fits != (err == nil) || fits && wrote != n || !fits && wrote != 0 {
+					t.Fatalf("seed %d step %d: write of %d at %d of %d: %d, %v", seed, step, n, len(model), limit, wrote, err)
 				}
 				if err == nil {
 					model, next = append(model, p...), next+byte(n)
 				}
 			case 1:
 				space, err := b.Space()
-				if (err == nil) != (len(model) < most) {
-					t.Fatalf("seed %d step %d: space at %d of %d: %v", seed, step, len(model), most, err)
+				if (err == nil) != (len(model) < limit) {
+					t.Fatalf("seed %d step %d: space at %d of %d: %v", seed, step, len(model), limit, err)
 				}
 				for i := range min(n, len(space)) {
 					space[i] = next
@@ -61,7 +61,7 @@
 					t.Fatalf("seed %d step %d: index %d, want %d", seed, step, got, want)
 				}
 			}
-			if got := held(b); !bytes.Equal(got, model) || b.Len() != len(model) {
+			if got := contents(b); !bytes.Equal(got, model) || b.Len() != len(model) {
 				t.Fatalf("seed %d step %d: holds %v (%d), want %v", seed, step, got, b.Len(), model)
 			}
 		}
@@ -86,7 +86,7 @@
 	if b.Discard(1); b.data != nil {
 		t.Errorf("%d bytes of memory kept by an empty buffer", len(b.data))
 	}
-	if b.SetLimit(4096); len(held(b)) != 0 {
+	if b.SetLimit(4096); len(contents(b)) != 0 {
 		t.Error("an empty buffer holds bytes")
 	}
 	if _, err := b.Write(make([]byte, 4000)); err != nil {
--- a/tables/model_test.go
+++ b/tables/model_test.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// packet is an update in the channel.
-type packet struct {
-	u       Update
-	touched bool
+// message is an update in the channel.
+type message struct {
+	update    Update
+	corrupted bool
 }
 
-// model is one world: a planner in one of its lives, a channel that loses, doubles, reorders and corrupts, and a receiver.
-type model struct {
-	life     uint64
-	sender   *Sender
-	channel  []packet
-	receiver Receiver
-	budget   int // of troubles that may still happen
-	sent     map[Version]Table
-	newest   uint64 // the receiver's, in this life
-	now      float64
+// world is one world: a planner in one of its lives, a channel that loses, doubles, reorders and corrupts, and a receiver.
+type world struct {
+	incarnation uint64
+	sender      *Sender
+	channel     []message
+	receiver    Receiver
+	faultsLeft  int // of troubles that may still happen
+	sent        map[Version]Table
+	newestHeld  uint64 // the receiver's, in this life
+	now         float64
 }
 
-const modelProxy = 1
+const testProxy = 1
 
-// lives are the tables that each life sends, in order.
-var lives = [][]map[string]float32{
+// tablesByIncarnation are the tables that each life sends, in order.
+var tablesByIncarnation = [][]map[string]float32{
 	{{"a": 1}, {"a": 1, "b": 1}, {"b": 2}},
 	{{"c": 1}, {"a": 1, "c": 1}, {"a": 1}},
 }
 
-func origin(life uint64) Origin { return Origin{Instance: "n0", Incarnation: life + 1} }
+func originOf(life uint64) Origin { return Origin{Instance: "n0", Incarnation: life + 1} }
 
 func tableOf(weights map[string]float32) Table {
 	t := New()
@@ -43,14 +43,15 @@
 	return t
 }
 
-func newModel(f faults) *model {
-	m := &model{sender: NewSender(origin(0), modelProxy, nil), receiver: *NewReceiver(modelProxy, nil), budget: 3, sent: map[Version]Table{}}
-	m.receiver.faults = f
-	m.receiver.StreamStarted(0, origin(0))
+func newWorld(f disabledChecks) *world {
+	m := &world{sender: NewSender(originOf(0), testProxy, nil), receiver: *NewReceiver(testProxy, nil), faultsLeft: 3,
+		sent: map[Version]Table{}}
+	m.receiver.disabled = f
+	m.receiver.StreamStarted(0, originOf(0))
 	return m
 }
 
-func (m *model) clone() *model {
+func (m *world) clone() *world {
 	c := *m
 	s := *m.sender
 	s.history = slices.Clone(s.history)
@@ -64,26 +65,26 @@
 	return &c
 }
 
-func (m *model) key() string {
-	out := fmt.Sprint(m.life, m.sender.at.Number, m.budget, m.receiver.at, m.receiver.digest, m.receiver.table.Weights, m.receiver.behind, m.receiver.whole,
-		m.receiver.asked, m.receiver.next-m.now)
+func (m *world) key() string {
+	out := fmt.Sprint(m.incarnation, m.sender.version.Number, m.faultsLeft, m.receiver.version, m.receiver.digest,
+		m.receiver.table.Weights, m.receiver.missing, m.receiver.needSnapshot, m.receiver.attempts, m.receiver.nextAttempt-m.now)
 	for _, p := range m.channel {
-		out += fmt.Sprint(p.u.Version, p.u.Snapshot, p.touched)
+		out += fmt.Sprint(p.update.Version, p.update.Snapshot, p.corrupted)
 	}
 	return out
 }
 
-// broken says what is wrong with the world.
-func (m *model) broken() string {
+// violation says what is wrong with the world.
+func (m *world) violation() string {
 	held, at := m.receiver.Table()
 	switch {
 	case at.Number == 0:
 		return ""
-	case at.Proxy != modelProxy:
+	case at.Proxy != testProxy:
 		return "holds another proxy's table"
-	case at.Origin != origin(m.life):
+	case at.Origin != originOf(m.incarnation):
 		return "holds another origin's version as the present one's"
-	case at.Number < m.newest:
+	case at.Number < m.newestHeld:
 		return "went back to an earlier version"
 	case !held.Equal(m.sent[at]):
 		return fmt.Sprintf("holds %v as version %d, which was %v", held.Weights, at.Number, m.sent[at].Weights)
@@ -91,93 +92,95 @@
 	return ""
 }
 
-// put lets updates into the channel, which holds four at most.
-func (m *model) put(updates ...Update) {
+// enqueue lets updates into the channel, which holds four at most.
+func (m *world) enqueue(updates ...Update) {
 	for _, u := range updates {
 		if len(m.channel) < 4 {
-			m.channel = append(m.channel, packet{u: u})
+			m.channel = append(m.channel, message{update: u})
 		}
 	}
 }
 
-func (m *model) deliver(p packet) {
-	m.receiver.Apply(m.now, p.u)
-	if m.receiver.at.Origin == origin(m.life) {
-		m.newest = max(m.newest, m.receiver.at.Number)
+func (m *world) deliver(p message) {
+	m.receiver.Apply(m.now, p.update)
+	if m.receiver.version.Origin == originOf(m.incarnation) {
+		m.newestHeld = max(m.newestHeld, m.receiver.version.Number)
 	}
 }
 
-// steps are the worlds that may follow, by what happens.
-func (m *model) steps() map[string]*model {
-	out := map[string]*model{}
-	step := func(name string, change func(*model)) {
+// successors are the worlds that may follow, by what happens.
+func (m *world) successors() map[string]*world {
+	out := map[string]*world{}
+	step := func(name string, change func(*world)) {
 		c := m.clone()
 		change(c)
 		out[name] = c
 	}
-	trouble := func(name string, change func(*model)) {
-		if m.budget > 0 {
-			step(name, func(c *model) { c.budget--; change(c) })
+	trouble := func(name string, change func(*world)) {
+		if m.faultsLeft > 0 {
+			step(name, func(c *world) { c.faultsLeft--; change(c) })
 		}
 	}
-	if n := m.sender.at.Number; n < uint64(len(lives[m.life])) {
-		step("the planner sends", func(c *model) {
-			u, err := c.sender.Next(tableOf(lives[c.life][n]), false)
+	if n := m.sender.version.Number; n < uint64(len(tablesByIncarnation[m.incarnation])) {
+		step("the planner sends", func(c *world) {
+			u, err := c.sender.Next(tableOf(tablesByIncarnation[c.incarnation][n]), false)
 			if err != nil {
 				panic(err)
 			}
 			c.sent[u.Version] = c.sender.table
-			c.put(u)
+			c.enqueue(u)
 		})
 	}
 	for i := range m.channel {
-		remove := func(c *model) { c.channel = slices.Delete(c.channel, i, i+1) }
-		step(fmt.Sprint("delivery of ", i), func(c *model) { p := c.channel[i]; remove(c); c.deliver(p) }) // any one: reordered
+		remove := func(c *world) { c.channel = slices.Delete(c.channel, i, i+1) }
+		step(fmt.Sprint("delivery of ", i), func(c *world) { p := c.channel[i]; remove(c); c.deliver(p) }) // any one: reordered
 		trouble(fmt.Sprint("loss of ", i), remove)
-		trouble(fmt.Sprint("doubling of ", i), func(c *model) { c.deliver(c.channel[i]) })
-		if !m.channel[i].touched {
-			trouble(fmt.Sprint("corruption of ", i), func(c *model) {
+		trouble(fmt.Sprint("doubling of ", i), func(c *world) { c.deliver(c.channel[i]) })
+		if !m.channel[i].corrupted {
+			trouble(fmt.Sprint("corruption of ", i), func(c *world) {
 				p := c.channel[i]
-				p.touched, p.u.Weights = true, map[string]float32{"a": 7}
+				p.corrupted, p.update.Weights = true, map[string]float32{"a": 7}
 				c.channel[i] = p
 			})
 		}
 	}
-	if m.life == 0 {
-		trouble("the planner's next life", func(c *model) {
-			c.life, c.newest = 1, 0
-			c.sender = NewSender(origin(1), modelProxy, nil)
-			c.receiver.StreamStarted(c.now, origin(1))
+	if m.incarnation == 0 {
+		trouble("the planner's next life", func(c *world) {
+			c.incarnation, c.newestHeld = 1, 0
+			c.sender = NewSender(originOf(1), testProxy, nil)
+			c.receiver.StreamStarted(c.now, originOf(1))
 		})
 	}
-	trouble("a receiver that starts anew", func(c *model) {
-		f := c.receiver.faults
-		c.receiver, c.newest = *NewReceiver(modelProxy, nil), 0
-		c.receiver.faults = f
-		c.receiver.StreamStarted(c.now, origin(c.life))
+	trouble("a receiver that starts anew", func(c *world) {
+		f := c.receiver.disabled
+		c.receiver, c.newestHeld = *NewReceiver(testProxy, nil), 0
+		c.receiver.disabled = f
+		c.receiver.StreamStarted(c.now, originOf(c.incarnation))
 	})
-	trouble("an update for another proxy", func(c *model) {
-		c.put(Snapshot(tableOf(map[string]float32{"z": 1}), Version{Origin: origin(c.life), Proxy: 2, Number: c.receiver.at.Number + 1}, nil))
+	trouble("an update for another proxy", func(c *world) {
+		c.enqueue(Snapshot(tableOf(map[string]float32{"z": 1}),
+			Version{Origin: originOf(c.incarnation), Proxy: 2, Number: c.receiver.version.Number + 1}, nil))
 	})
-	trouble("an update of another planner", func(c *model) {
-		c.put(Snapshot(tableOf(map[string]float32{"y": 1}), Version{Origin: Origin{Instance: "n9", Incarnation: 4}, Proxy: modelProxy, Number: c.receiver.at.Number + 1}, nil))
+	trouble("an update of another planner", func(c *world) {
+		c.enqueue(Snapshot(tableOf(map[string]float32{"y": 1}),
+			Version{Origin: Origin{Instance: "n9", Incarnation: 4}, Proxy: testProxy, Number: c.receiver.version.Number + 1}, nil))
 	})
-	if due := m.receiver.NextResendAt(); due > 0 && m.sender.at.Number > 0 && m.receiver.asked < 4 {
-		step("a question", func(c *model) {
+	if due := m.receiver.NextResendAt(); due > 0 && m.sender.version.Number > 0 && m.receiver.attempts < 4 {
+		step("a question", func(c *world) {
 			c.now = max(c.now, due)
 			if a, asks := c.receiver.NextResendRequest(c.now); asks {
-				c.put(c.sender.Resend(a)...)
+				c.enqueue(c.sender.Resend(a)...)
 			}
 		})
 	}
 	return out
 }
 
-// repaired says whether a good channel brings the receiver into step: what is under way arrives in order, and two questions
+// recovers says whether a good channel brings the receiver into step: what is under way arrives in order, and two questions
 // are answered.
-func (m *model) repaired() bool {
+func (m *world) recovers() bool {
 	c := m.clone()
-	if c.sender.at.Number == 0 {
+	if c.sender.version.Number == 0 {
 		return true
 	}
 	for round := 0; ; round++ {
@@ -186,8 +189,8 @@
 			c.channel = c.channel[1:]
 			c.deliver(p)
 		}
-		c.receiver.HandleNotice(c.now, c.sender.at, c.sender.Digest())
-		if c.receiver.UpToDate() && c.receiver.at == c.sender.at {
+		c.receiver.HandleNotice(c.now, c.sender.version, c.sender.Digest())
+		if c.receiver.UpToDate() && c.receiver.version == c.sender.version {
 			return true
 		}
 		if round == 2 {
@@ -195,31 +198,31 @@
 		}
 		c.now = max(c.now, c.receiver.NextResendAt())
 		if a, asks := c.receiver.NextResendRequest(c.now); asks {
-			c.put(c.sender.Resend(a)...)
+			c.enqueue(c.sender.Resend(a)...)
 		}
 	}
 }
 
 // explore goes through every world that can follow, breadth first, up to a depth. It returns the first way to a broken one.
-func explore(f faults, depth int) (worlds int, way []string, why string) {
+func explore(f disabledChecks, depth int) (worlds int, way []string, why string) {
 	type node struct {
-		m   *model
+		m   *world
 		way []string
 	}
-	seen, level := map[string]bool{}, []node{{m: newModel(f)}}
+	seen, level := map[string]bool{}, []node{{m: newWorld(f)}}
 	for d := 0; d <= depth && len(level) > 0; d++ {
 		var next []node
 		for _, n := range level {
-			if why := n.m.broken(); why != "" {
+			if why := n.m.violation(); why != "" {
 				return worlds, n.way, why
 			}
-			if f == (faults{}) && !n.m.repaired() {
+			if f == (disabledChecks{}) && !n.m.recovers() {
 				return worlds, n.way, "a good channel does not bring it into step within two questions"
 			}
 			if d == depth {
 				continue
 			}
-			for name, m := range n.m.steps() {
+			for name, m := range n.m.successors() {
 				if key := m.key(); !seen[key] {
 					seen[key] = true
 					worlds++
@@ -241,7 +244,7 @@
 		depth = 5
 	}
 	begun := time.Now()
-	worlds, way, why := explore(faults{}, depth)
+	worlds, way, why := explore(disabledChecks{}, depth)
 	if why != "" {
 		t.Fatalf("after %v: %s", way, why)
 	}
@@ -250,7 +253,8 @@
 
 // TestPlantedFaultsAreFound guards against a model that can't find anything: each receiver lacks one check.
 func TestPlantedFaultsAreFound(t *testing.T) {
-	for name, f := range map[string]faults{"digest": {digest: true}, "proxy": {proxy: true}, "origin": {origin: true}, "old": {old: true},
+	for name, f := range map[string]disabledChecks{"digest": {digest: true}, "proxy": {proxy: true},
+		"origin": {origin: true}, "old": {stale: true},
 		"base, and digest": {base: true, digest: true}} {
 		worlds, way, why := explore(f, 6)
 		if why == "" {
--- a/tables/table.go
+++ b/tables/table.go
@@ -59,35 +59,35 @@
 
 // canonical is the one form of a table: every part sorted, every text with its length, so that no two tables share it.
 func (t Table) canonical(v Version) []byte {
-	out := text(nil, v.Instance)
+	out := appendString(nil, v.Instance)
 	out = binary.BigEndian.AppendUint64(out, v.Incarnation)
 	out = binary.BigEndian.AppendUint32(out, v.Proxy)
 	out = binary.BigEndian.AppendUint64(out, v.Number)
 	out = binary.BigEndian.AppendUint32(out, uint32(len(t.Weights)))
 	for _, name := range slices.Sorted(maps.Keys(t.Weights)) {
-		out = binary.BigEndian.AppendUint32(text(out, name), math.Float32bits(t.Weights[name]))
+		out = binary.BigEndian.AppendUint32(appendString(out, name), math.Float32bits(t.Weights[name]))
 	}
 	out = binary.BigEndian.AppendUint32(out, uint32(len(t.Excluded)))
 	for _, name := range slices.Sorted(maps.Keys(t.Excluded)) {
-		out = text(out, name)
+		out = appendString(out, name)
 	}
 	out = binary.BigEndian.AppendUint32(out, uint32(len(t.Gates)))
 	for _, class := range slices.Sorted(maps.Keys(t.Gates)) {
 		g := t.Gates[class]
-		out = append(binary.BigEndian.AppendUint32(text(out, class), math.Float32bits(g.Level)), g.Again)
+		out = append(binary.BigEndian.AppendUint32(appendString(out, class), math.Float32bits(g.Level)), g.Again)
 	}
 	return out
 }
 
-func text(out []byte, s string) []byte {
+func appendString(out []byte, s string) []byte {
 	return append(binary.BigEndian.AppendUint32(out, uint32(len(s))), s...)
 }
 
 // Digest is that of the table as a version.
-func (t Table) Digest(v Version, key Key) Digest { return sum(t.canonical(v), key) }
+func (t Table) Digest(v Version, key Key) Digest { return digestOf(t.canonical(v), key) }
 
-// sum is the keyed or the plain digest of bytes.
-func sum(text []byte, key Key) (d Digest) {
+// digestOf is the keyed or the plain digest of bytes.
+func digestOf(text []byte, key Key) (d Digest) {
 	if len(key) > 0 {
 		h := blake3.New(len(d), deriveKey(key))
 		_, _ = h.Write(text) // a hash takes all bytes
@@ -105,6 +105,6 @@
 }
 
 // Equal says whether two tables are the same.
-func (t Table) Equal(o Table) bool {
-	return maps.Equal(t.Weights, o.Weights) && maps.Equal(t.Excluded, o.Excluded) && maps.Equal(t.Gates, o.Gates)
+func (t Table) Equal(other Table) bool {
+	return maps.Equal(t.Weights, other.Weights) && maps.Equal(t.Excluded, other.Excluded) && maps.Equal(t.Gates, other.Gates)
 }
--- a/tables/wire.go
+++ b/tables/wire.go
@@ -23,11 +23,11 @@
 	fieldFrom
 	fieldTo
 	fieldWeight // name, float
-	fieldShut
-	fieldOpen
+	fieldExcluded
+	fieldReadmitted
 	fieldGate // class, float, again
-	fieldNoGate
-	fieldSeal // of all bytes before it; always last
+	fieldRemovedGate
+	fieldChecksum // of all bytes before it; always last
 )
 
 // MaxUpdateBytes is the most bytes that an update may have.
@@ -64,7 +64,7 @@
 	for _, list := range []struct {
 		n     protowire.Number
 		names []string
-	}{{fieldShut, u.Excluded}, {fieldOpen, u.Readmitted}, {fieldNoGate, u.RemovedGates}} {
+	}{{fieldExcluded, u.Excluded}, {fieldReadmitted, u.Readmitted}, {fieldRemovedGate, u.RemovedGates}} {
 		for _, name := range slices.Sorted(slices.Values(list.names)) {
 			bytes(list.n, []byte(name))
 		}
@@ -74,8 +74,8 @@
 		bytes(fieldGate, append(protowire.AppendFixed32(protowire.AppendBytes(nil, []byte(class)), math.Float32bits(g.Level)),
 			g.Again))
 	}
-	seal := sum(out[begin:], key)
-	bytes(fieldSeal, seal[:])
+	seal := digestOf(out[begin:], key)
+	bytes(fieldChecksum, seal[:])
 	return out
 }
 
@@ -91,10 +91,10 @@
 	body, tail := text[:len(text)-sealSize], text[len(text)-sealSize:]
 	n, kind, size := protowire.ConsumeTag(tail)
 	seal, rest := protowire.ConsumeBytes(tail[max(0, size):])
-	if n != fieldSeal || kind != protowire.BytesType || rest < 0 || len(seal) != len(Digest{}) {
+	if n != fieldChecksum || kind != protowire.BytesType || rest < 0 || len(seal) != len(Digest{}) {
 		return Update{}, ErrMalformed
 	}
-	if want := sum(body, key); subtle.ConstantTimeCompare(seal, want[:]) == 0 {
+	if want := digestOf(body, key); subtle.ConstantTimeCompare(seal, want[:]) == 0 {
 		return Update{}, ErrChecksum
 	}
 	u = Update{Weights: map[string]float32{}, Gates: map[string]Gate{}}
@@ -111,14 +111,14 @@
 				return Update{}, ErrMalformed
 			}
 			body = body[size:]
-			err = u.number(n, x)
+			err = u.setVarint(n, x)
 		case protowire.BytesType:
 			b, size := protowire.ConsumeBytes(body)
 			if size < 0 {
 				return Update{}, ErrMalformed
 			}
 			body = body[size:]
-			err = u.bytes(n, b)
+			err = u.setBytes(n, b)
 		default:
 			err = ErrMalformed
 		}
@@ -129,7 +129,7 @@
 	return u, nil
 }
 
-func (u *Update) number(n protowire.Number, x uint64) error {
+func (u *Update) setVarint(n protowire.Number, x uint64) error {
 	switch n {
 	case fieldIncarnation:
 		u.Incarnation = x
@@ -149,7 +149,7 @@
 	return nil
 }
 
-func (u *Update) bytes(n protowire.Number, b []byte) error {
+func (u *Update) setBytes(n protowire.Number, b []byte) error {
 	switch n {
 	case fieldInstance:
 		u.Instance = string(b)
@@ -167,11 +167,11 @@
 		if size < 0 {
 			return ErrMalformed
 		}
-		bits, more := protowire.ConsumeFixed32(b[size:])
-		if more < 0 {
+		bits, fixed32Size := protowire.ConsumeFixed32(b[size:])
+		if fixed32Size < 0 {
 			return ErrMalformed
 		}
-		switch rest := b[size+more:]; {
+		switch rest := b[size+fixed32Size:]; {
 		case n == fieldWeight && len(rest) == 0:
 			u.Weights[string(name)] = math.Float32frombits(bits)
 		case n == fieldGate && len(rest) == 1:
@@ -179,11 +179,11 @@
 		default:
 			return ErrMalformed
 		}
-	case fieldShut:
+	case fieldExcluded:
 		u.Excluded = append(u.Excluded, string(b))
-	case fieldOpen:
+	case fieldReadmitted:
 		u.Readmitted = append(u.Readmitted, string(b))
-	case fieldNoGate:
+	case fieldRemovedGate:
 		u.RemovedGates = append(u.RemovedGates, string(b))
 	default:
 		return fmt.Errorf("%w: field %d", ErrMalformed, n)
--- a/tables/wire_test.go
+++ b/tables/wire_test.go
@@ -10,10 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-var someVersion = Version{Origin: Origin{"n3", 77}, Proxy: 9, Number: 5}
+var testVersion = Version{Origin: Origin{"n3", 77}, Proxy: 9, Number: 5}
 
-// large is a table of so many servers.
-func large(n int) Table {
+// tableOfSize is a table of so many servers.
+func tableOfSize(n int) Table {
 	t := New()
 	for i := range n {
 		t.Weights[fmt.Sprintf("s-%06d", i)] = 1 + float32(i%7)/10
@@ -27,7 +27,7 @@
 func TestFlippedBits(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 18))
 	for _, key := range []Key{nil, Key("a group's key")} {
-		small := Delta(large(3), large(4), someVersion, key).Append(nil, key)
+		small := Delta(tableOfSize(3), tableOfSize(4), testVersion, key).Append(nil, key)
 		for bit := range 8 * len(small) {
 			small[bit/8] ^= 1 << (bit % 8)
 			if u, err := Decode(small, key); err == nil {
@@ -40,7 +40,7 @@
 				t.Fatalf("cut at %d of %d: read", cut, len(small))
 			}
 		}
-		big := Snapshot(large(2000), someVersion, key).Append(nil, key)
+		big := Snapshot(tableOfSize(2000), testVersion, key).Append(nil, key)
 		for range 300 {
 			bit := rng.IntN(8 * len(big))
 			big[bit/8] ^= 1 << (bit % 8)
@@ -58,11 +58,12 @@
 // TestForgedUpdates: who can compute the plain digest can make an update that passes for an accident's absence; with a key
 // it is refused, and so is one made with another key, or a plain one where a key is wanted.
 func TestForgedUpdates(t *testing.T) {
-	forged := Snapshot(tableOf(map[string]float32{"evil": 1}), someVersion, nil).Append(nil, nil)
+	forged := Snapshot(tableOf(map[string]float32{"evil": 1}), testVersion, nil).Append(nil, nil)
 	if _, err := Decode(forged, nil); err != nil {
 		t.Errorf("a plain digest is no proof of who made it, and yet: %v", err)
 	}
-	for _, text := range [][]byte{forged, Snapshot(tableOf(map[string]float32{"evil": 1}), someVersion, Key("guess")).Append(nil, Key("guess"))} {
+	for _, text := range [][]byte{forged,
+		Snapshot(tableOf(map[string]float32{"evil": 1}), testVersion, Key("guess")).Append(nil, Key("guess"))} {
 		if _, err := Decode(text, Key("secret")); !errors.Is(err, ErrChecksum) {
 			t.Errorf("%v; want ErrSealed", err)
 		}
@@ -112,7 +113,7 @@
 				}
 			}
 		}
-		r.HandleNotice(now, s.at, s.Digest())
+		r.HandleNotice(now, s.version, s.Digest())
 		for range 4 {
 			now = max(now, r.NextResendAt())
 			if a, asks := r.NextResendRequest(now); asks {
@@ -121,8 +122,8 @@
 				}
 			}
 		}
-		if held, at := r.Table(); at != s.at || !held.Equal(s.table) || !r.UpToDate() {
-			t.Fatalf("holds %+v as %v, sent %+v as %v", held, at, s.table, s.at)
+		if held, at := r.Table(); at != s.version || !held.Equal(s.table) || !r.UpToDate() {
+			t.Fatalf("holds %+v as %v, sent %+v as %v", held, at, s.table, s.version)
 		}
 	})
 }
@@ -130,9 +131,9 @@
 // TestQuestionsGrowApart guards against a receiver that floods a planner which can't answer, and one that gives up.
 func TestQuestionsGrowApart(t *testing.T) {
 	r := NewReceiver(1, nil)
-	r.StreamStarted(0, origin(0))
-	r.at.Number, r.behind, r.whole = 4, false, false
-	r.lost(0, false)
+	r.StreamStarted(0, originOf(0))
+	r.version.Number, r.missing, r.needSnapshot = 4, false, false
+	r.requestResend(0, false)
 	var at []float64
 	wholes := 0
 	for now := 0.0; now < 600000; now += 50 {
@@ -145,14 +146,14 @@
 	if len(at) < 15 || len(at) > 40 || wholes != len(at)-maxDeltaAttempts {
 		t.Errorf("%d questions in ten minutes, %d for the whole table", len(at), wholes)
 	}
-	if gap := at[len(at)-1] - at[len(at)-2]; gap < maxResend || gap > 2*maxResend {
+	if gap := at[len(at)-1] - at[len(at)-2]; gap < maxResendDelayMS || gap > 2*maxResendDelayMS {
 		t.Errorf("the last two are %v ms apart", gap)
 	}
 }
 
 func TestNumbersEnd(t *testing.T) {
-	s := NewSender(origin(0), 1, nil)
-	s.at.Number = math.MaxUint64 - 1
+	s := NewSender(originOf(0), 1, nil)
+	s.version.Number = math.MaxUint64 - 1
 	if _, err := s.Next(New(), true); err != nil {
 		t.Error(err)
 	}
@@ -163,12 +164,12 @@
 
 // TestAnswers: missing updates while they are kept and smaller than the table, else the whole; nothing to another proxy.
 func TestAnswers(t *testing.T) {
-	s := NewSender(origin(0), 1, nil)
-	if got := s.Resend(ResendRequest{Origin: origin(0), Proxy: 1}); got != nil {
+	s := NewSender(originOf(0), 1, nil)
+	if got := s.Resend(ResendRequest{Origin: originOf(0), Proxy: 1}); got != nil {
 		t.Errorf("before any version: %v", got)
 	}
 	for i := range 40 {
-		table := large(50)
+		table := tableOfSize(50)
 		table.Weights["s-000000"] = float32(i + 1)
 		s.Next(table, false)
 	}
@@ -177,14 +178,14 @@
 		n     int
 		whole bool
 	}{
-		"three missing":      {ResendRequest{Origin: origin(0), Proxy: 1, After: 37}, 3, false},
-		"older than is kept": {ResendRequest{Origin: origin(0), Proxy: 1, After: 3}, 1, true},
-		"none missing":       {ResendRequest{Origin: origin(0), Proxy: 1, After: 40}, 0, false},
-		"never sent":         {ResendRequest{Origin: origin(0), Proxy: 1, After: 99}, 1, true},
-		"of another life":    {ResendRequest{Origin: origin(1), Proxy: 1, After: 39}, 1, true},
-		"wants all":          {ResendRequest{Origin: origin(0), Proxy: 1, After: 39, Snapshot: true}, 1, true},
-		"dearer than all":    {ResendRequest{Origin: origin(0), Proxy: 1, After: 10}, 1, true},
-		"of another proxy":   {ResendRequest{Origin: origin(0), Proxy: 2, After: 39}, 0, false},
+		"three missing":      {ResendRequest{Origin: originOf(0), Proxy: 1, After: 37}, 3, false},
+		"older than is kept": {ResendRequest{Origin: originOf(0), Proxy: 1, After: 3}, 1, true},
+		"none missing":       {ResendRequest{Origin: originOf(0), Proxy: 1, After: 40}, 0, false},
+		"never sent":         {ResendRequest{Origin: originOf(0), Proxy: 1, After: 99}, 1, true},
+		"of another life":    {ResendRequest{Origin: originOf(1), Proxy: 1, After: 39}, 1, true},
+		"wants all":          {ResendRequest{Origin: originOf(0), Proxy: 1, After: 39, Snapshot: true}, 1, true},
+		"dearer than all":    {ResendRequest{Origin: originOf(0), Proxy: 1, After: 10}, 1, true},
+		"of another proxy":   {ResendRequest{Origin: originOf(0), Proxy: 2, After: 39}, 0, false},
 	} {
 		got := s.Resend(tc.ask)
 		if len(got) != tc.n || len(got) > 0 && got[0].Snapshot != tc.whole {
@@ -194,8 +195,8 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(Snapshot(large(3), someVersion, nil).Append(nil, nil))
-	f.Add(Delta(large(3), large(5), someVersion, nil).Append(nil, nil))
+	f.Add(Snapshot(tableOfSize(3), testVersion, nil).Append(nil, nil))
+	f.Add(Delta(tableOfSize(3), tableOfSize(5), testVersion, nil).Append(nil, nil))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		u, err := Decode(text, nil)
 		if err != nil {
@@ -211,9 +212,9 @@
 func BenchmarkChange(b *testing.B) {
 	for _, key := range []Key{nil, Key("a group's key")} {
 		b.Run(map[bool]string{true: "keyed", false: "plain"}[len(key) > 0], func(b *testing.B) {
-			s, r := NewSender(origin(0), 1, key), NewReceiver(1, key)
-			r.StreamStarted(0, origin(0))
-			table, bytes := large(30), 0
+			s, r := NewSender(originOf(0), 1, key), NewReceiver(1, key)
+			r.StreamStarted(0, originOf(0))
+			table, bytes := tableOfSize(30), 0
 			for i := 0; b.Loop(); i++ {
 				table.Weights["s-000003"] = float32(i%100 + 1)
 				u, err := s.Next(table, false)
@@ -226,7 +227,7 @@
 				}
 			}
 			b.ReportMetric(float64(bytes)/float64(b.N), "bytes/change")
-			b.ReportMetric(float64(len(Snapshot(table, s.at, key).Append(nil, key))), "bytes/whole")
+			b.ReportMetric(float64(len(Snapshot(table, s.version, key).Append(nil, key))), "bytes/whole")
 		})
 	}
 }
