--- a/tables/delta.go
+++ b/tables/delta.go
@@ -6,31 +6,31 @@
 	"math"
 )
 
-// Update carries a version to a receiver: whole, or as what differs from the version before.
+// Update carries a version to a receiver, as a snapshot or as a delta to the version before.
 type Update struct {
 	Version
 	Snapshot     bool
-	Base         uint64             // the number that it builds on; 0 if whole
-	BaseDigest   Digest             // of the base; empty if whole
-	ResultDigest Digest             // of the table that results
-	Weights      map[string]float32 // 0 removes
+	Base         uint64             // number of the version that a delta builds on; 0 in a snapshot
+	BaseDigest   Digest             // of the base; zero in a snapshot
+	ResultDigest Digest             // of the resulting table
+	Weights      map[string]float32 // by server; 0 removes the server
 	Excluded     []string
-	Readmitted   []string // shut out no more
+	Readmitted   []string // servers that are no longer excluded
 	Gates        map[string]Gate
-	RemovedGates []string // gates that are gone
+	RemovedGates []string // classes whose gates are removed
 }
 
-// The reasons for which an update isn't applied.
+// The reasons for which Receiver.Apply rejects an update.
 var (
-	ErrOriginMismatch = errors.New("of another origin")
-	ErrProxyMismatch  = errors.New("for another proxy")
-	ErrStale          = errors.New("of a version that was overtaken")
-	ErrMissingBase    = errors.New("builds on a version that is not held")
-	ErrDigestMismatch = errors.New("does not come to the digest that it states")
-	ErrInvalidValue   = errors.New("a value that no table has")
+	ErrOriginMismatch = errors.New("update is of another origin")
+	ErrProxyMismatch  = errors.New("update is for another proxy")
+	ErrStale          = errors.New("update is older than the table held")
+	ErrMissingBase    = errors.New("base of the update is not held")
+	ErrDigestMismatch = errors.New("resulting table does not match the digest of the update")
+	ErrInvalidValue   = errors.New("update contains an invalid value")
 )
 
-// Snapshot is the update that carries a table as it is.
+// Snapshot returns the update that carries a complete table.
 func Snapshot(t Table, v Version, key Key) Update {
 	u := Update{Version: v, Snapshot: true, ResultDigest: t.Digest(v, key), Weights: t.Clone().Weights, Gates: t.Clone().Gates}
 	for name := range t.Excluded {
@@ -39,19 +39,19 @@
 	return u
 }
 
-// Delta is the update that takes a receiver from a table to the one that follows it.
+// Delta returns the update that changes a receiver's table from one version to the next. Version v is that of the table to.
 func Delta(from, to Table, v Version, key Key) Update {
 	base := v
 	base.Number--
 	u := Update{Version: v, Base: base.Number, BaseDigest: from.Digest(base, key), ResultDigest: to.Digest(v, key),
 		Weights: map[string]float32{}, Gates: map[string]Gate{}}
 	for name, weight := range to.Weights {
-		if was, held := from.Weights[name]; !held || was != weight {
+		if previous, held := from.Weights[name]; !held || previous != weight {
 			u.Weights[name] = weight
 		}
 	}
 	for name := range from.Weights {
-		if _, still := to.Weights[name]; !still {
+		if _, kept := to.Weights[name]; !kept {
 			u.Weights[name] = 0
 		}
 	}
@@ -66,20 +66,20 @@
 		}
 	}
 	for class, g := range to.Gates {
-		if was, held := from.Gates[class]; !held || was != g {
+		if previous, held := from.Gates[class]; !held || previous != g {
 			u.Gates[class] = g
 		}
 	}
 	for class := range from.Gates {
-		if _, still := to.Gates[class]; !still {
+		if _, kept := to.Gates[class]; !kept {
 			u.RemovedGates = append(u.RemovedGates, class)
 		}
 	}
 	return u
 }
 
-// apply returns the table that an update makes of the one given. It checks values and the digest that results, not whether
-// the update's base is the table given: that is the receiver's to know.
+// apply returns the result of applying the update to t, which isn't changed. It checks the values and the resulting digest.
+// It doesn't check that t is the update's base: the receiver does.
 func (u Update) apply(t Table, key Key) (Table, error) {
 	if next := New(); u.Snapshot {
 		t = next
--- a/tables/model_test.go
+++ b/tables/model_test.go
@@ -7,33 +7,34 @@
 	"time"
 )
 
-// message is an update in the channel.
+// message is an update in transit.
 type message struct {
 	update    Update
 	corrupted bool
 }
 
-// world is one world: a planner in one of its lives, a channel that loses, doubles, reorders and corrupts, and a receiver.
+// world is a state of the model: a planner in one of its incarnations, a channel that loses, duplicates, reorders and corrupts
+// messages, and a receiver.
 type world struct {
 	incarnation uint64
 	sender      *Sender
 	channel     []message
 	receiver    Receiver
-	faultsLeft  int // of troubles that may still happen
+	faultsLeft  int // faults that may still be injected
 	sent        map[Version]Table
-	newestHeld  uint64 // the receiver's, in this life
+	newestHeld  uint64 // newest version number that the receiver held in this incarnation
 	now         float64
 }
 
 const testProxy = 1
 
-// tablesByIncarnation are the tables that each life sends, in order.
+// tablesByIncarnation contains the tables that each incarnation sends, in order.
 var tablesByIncarnation = [][]map[string]float32{
 	{{"a": 1}, {"a": 1, "b": 1}, {"b": 2}},
 	{{"c": 1}, {"a": 1, "c": 1}, {"a": 1}},
 }
 
-func originOf(life uint64) Origin { return Origin{Instance: "n0", Incarnation: life + 1} }
+func originOf(incarnation uint64) Origin { return Origin{Instance: "n0", Incarnation: incarnation + 1} }
 
 func tableOf(weights map[string]float32) Table {
 	t := New()
@@ -74,7 +75,7 @@
 	return out
 }
 
-// violation says what is wrong with the world.
+// violation describes the invariant that the state violates, or returns an empty string.
 func (m *world) violation() string {
 	held, at := m.receiver.Table()
 	switch {
@@ -85,14 +86,14 @@
 	case at.Origin != originOf(m.incarnation):
 		return "holds another origin's version as the present one's"
 	case at.Number < m.newestHeld:
-		return "went back to an earlier version"
+		return "reverted to an earlier version"
 	case !held.Equal(m.sent[at]):
 		return fmt.Sprintf("holds %v as version %d, which was %v", held.Weights, at.Number, m.sent[at].Weights)
 	}
 	return ""
 }
 
-// enqueue lets updates into the channel, which holds four at most.
+// enqueue puts updates into the channel and drops those beyond its capacity of four.
 func (m *world) enqueue(updates ...Update) {
 	for _, u := range updates {
 		if len(m.channel) < 4 {
@@ -108,21 +109,21 @@
 	}
 }
 
-// successors are the worlds that may follow, by what happens.
+// successors returns the possible next states, by the event that leads to each.
 func (m *world) successors() map[string]*world {
 	out := map[string]*world{}
-	step := func(name string, change func(*world)) {
+	add := func(name string, change func(*world)) {
 		c := m.clone()
 		change(c)
 		out[name] = c
 	}
-	trouble := func(name string, change func(*world)) {
+	injectFault := func(name string, change func(*world)) {
 		if m.faultsLeft > 0 {
-			step(name, func(c *world) { c.faultsLeft--; change(c) })
+			add(name, func(c *world) { c.faultsLeft--; change(c) })
 		}
 	}
 	if n := m.sender.version.Number; n < uint64(len(tablesByIncarnation[m.incarnation])) {
-		step("the planner sends", func(c *world) {
+		add("planner sends", func(c *world) {
 			u, err := c.sender.Next(tableOf(tablesByIncarnation[c.incarnation][n]), false)
 			if err != nil {
 				panic(err)
@@ -133,11 +134,12 @@
 	}
 	for i := range m.channel {
 		remove := func(c *world) { c.channel = slices.Delete(c.channel, i, i+1) }
-		step(fmt.Sprint("delivery of ", i), func(c *world) { p := c.channel[i]; remove(c); c.deliver(p) }) // any one: reordered
-		trouble(fmt.Sprint("loss of ", i), remove)
-		trouble(fmt.Sprint("doubling of ", i), func(c *world) { c.deliver(c.channel[i]) })
+		// of any message: reordering
+		add(fmt.Sprint("deliver message ", i), func(c *world) { p := c.channel[i]; remove(c); c.deliver(p) })
+		injectFault(fmt.Sprint("lose message ", i), remove)
+		injectFault(fmt.Sprint("duplicate message ", i), func(c *world) { c.deliver(c.channel[i]) })
 		if !m.channel[i].corrupted {
-			trouble(fmt.Sprint("corruption of ", i), func(c *world) {
+			injectFault(fmt.Sprint("corrupt message ", i), func(c *world) {
 				p := c.channel[i]
 				p.corrupted, p.update.Weights = true, map[string]float32{"a": 7}
 				c.channel[i] = p
@@ -145,28 +147,29 @@
 		}
 	}
 	if m.incarnation == 0 {
-		trouble("the planner's next life", func(c *world) {
+		injectFault("planner restarts", func(c *world) {
 			c.incarnation, c.newestHeld = 1, 0
 			c.sender = NewSender(originOf(1), testProxy, nil)
 			c.receiver.StreamStarted(c.now, originOf(1))
 		})
 	}
-	trouble("a receiver that starts anew", func(c *world) {
+	injectFault("receiver restarts", func(c *world) {
 		f := c.receiver.disabled
 		c.receiver, c.newestHeld = *NewReceiver(testProxy, nil), 0
 		c.receiver.disabled = f
 		c.receiver.StreamStarted(c.now, originOf(c.incarnation))
 	})
-	trouble("an update for another proxy", func(c *world) {
+	injectFault("update for another proxy", func(c *world) {
 		c.enqueue(Snapshot(tableOf(map[string]float32{"z": 1}),
 			Version{Origin: originOf(c.incarnation), Proxy: 2, Number: c.receiver.version.Number + 1}, nil))
 	})
-	trouble("an update of another planner", func(c *world) {
+	injectFault("update of another planner", func(c *world) {
 		c.enqueue(Snapshot(tableOf(map[string]float32{"y": 1}),
-			Version{Origin: Origin{Instance: "n9", Incarnation: 4}, Proxy: testProxy, Number: c.receiver.version.Number + 1}, nil))
+			Version{Origin: Origin{Instance: "n9", Incarnation: 4}, Proxy: testProxy,
+				Number: c.receiver.version.Number + 1}, nil))
 	})
 	if due := m.receiver.NextResendAt(); due > 0 && m.sender.version.Number > 0 && m.receiver.attempts < 4 {
-		step("a question", func(c *world) {
+		add("resend request", func(c *world) {
 			c.now = max(c.now, due)
 			if a, asks := c.receiver.NextResendRequest(c.now); asks {
 				c.enqueue(c.sender.Resend(a)...)
@@ -176,8 +179,8 @@
 	return out
 }
 
-// recovers says whether a good channel brings the receiver into step: what is under way arrives in order, and two questions
-// are answered.
+// recovers reports whether the receiver reaches the planner's version over a faultless channel: the messages in transit
+// arrive in order and at most two resend requests are answered.
 func (m *world) recovers() bool {
 	c := m.clone()
 	if c.sender.version.Number == 0 {
@@ -203,21 +206,22 @@
 	}
 }
 
-// explore goes through every world that can follow, breadth first, up to a depth. It returns the first way to a broken one.
-func explore(f disabledChecks, depth int) (worlds int, way []string, why string) {
+// explore visits every reachable state up to a depth, breadth first. It returns the events that lead to the first violation,
+// and its description.
+func explore(f disabledChecks, depth int) (states int, path []string, violation string) {
 	type node struct {
-		m   *world
-		way []string
+		m    *world
+		path []string
 	}
 	seen, level := map[string]bool{}, []node{{m: newWorld(f)}}
 	for d := 0; d <= depth && len(level) > 0; d++ {
 		var next []node
 		for _, n := range level {
-			if why := n.m.violation(); why != "" {
-				return worlds, n.way, why
+			if violation := n.m.violation(); violation != "" {
+				return states, n.path, violation
 			}
 			if f == (disabledChecks{}) && !n.m.recovers() {
-				return worlds, n.way, "a good channel does not bring it into step within two questions"
+				return states, n.path, "receiver does not catch up within two resend requests"
 			}
 			if d == depth {
 				continue
@@ -225,42 +229,42 @@
 			for name, m := range n.m.successors() {
 				if key := m.key(); !seen[key] {
 					seen[key] = true
-					worlds++
-					next = append(next, node{m, append(slices.Clone(n.way), name)})
+					states++
+					next = append(next, node{m, append(slices.Clone(n.path), name)})
 				}
 			}
 		}
 		level = next
 	}
-	return worlds, nil, ""
+	return states, nil, ""
 }
 
-// TestReceiverHoldsOnlyWhatWasSent explores every world of a planner with two lives of three versions, a channel of four, and
-// three troubles, to a depth of seven steps: no receiver holds a table that no planner sent under that version, and a good channel
-// brings every one of them into step within two questions.
+// TestReceiverHoldsOnlyWhatWasSent explores every state of a planner with two incarnations of three versions, a channel of
+// four messages and three injected faults, to a depth of seven steps. No receiver may hold a table that wasn't sent as its
+// version, and each must catch up over a faultless channel within two resend requests.
 func TestReceiverHoldsOnlyWhatWasSent(t *testing.T) {
 	depth := 7
 	if testing.Short() {
 		depth = 5
 	}
-	begun := time.Now()
-	worlds, way, why := explore(disabledChecks{}, depth)
-	if why != "" {
-		t.Fatalf("after %v: %s", way, why)
+	start := time.Now()
+	states, path, violation := explore(disabledChecks{}, depth)
+	if violation != "" {
+		t.Fatalf("after %v: %s", path, violation)
 	}
-	t.Logf("%d worlds in %v", worlds, time.Since(begun))
+	t.Logf("%d states in %v", states, time.Since(start))
 }
 
-// TestPlantedFaultsAreFound guards against a model that can't find anything: each receiver lacks one check.
+// TestPlantedFaultsAreFound guards against a model check that can't detect faults: in each run the receiver lacks one check.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	for name, f := range map[string]disabledChecks{"digest": {digest: true}, "proxy": {proxy: true},
-		"origin": {origin: true}, "old": {stale: true},
-		"base, and digest": {base: true, digest: true}} {
-		worlds, way, why := explore(f, 6)
-		if why == "" {
-			t.Errorf("a receiver without the check of %s: not found among %d worlds", name, worlds)
+		"origin": {origin: true}, "stale": {stale: true},
+		"base and digest": {base: true, digest: true}} {
+		states, path, violation := explore(f, 6)
+		if violation == "" {
+			t.Errorf("receiver without the check of %s: no violation in %d states", name, states)
 			continue
 		}
-		t.Logf("without the check of %s, found after %d worlds: %s, by %v", name, worlds, why, way)
+		t.Logf("receiver without the check of %s: violation after %d states: %s, by %v", name, states, violation, path)
 	}
 }
--- a/tables/receiver.go
+++ b/tables/receiver.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// ResendRequest is what a receiver wants sent again: the updates after a number, or the whole table.
+// ResendRequest asks a sender to resend the updates that follow version number After, or a snapshot of the table.
 type ResendRequest struct {
 	Origin
 	Proxy    uint32
@@ -10,59 +10,60 @@
 	After    uint64
 }
 
-// Waits of a receiver between two asks for the same, in milliseconds. They grow, since a planner that can't answer now won't
-// be helped by more questions; and the questions never end, since a proxy without its table has nothing better to do.
+// Backoff between resend requests for the same loss, in milliseconds. The delay doubles with every attempt, so that requests
+// don't add to the load of a planner that can't answer. Attempts are unlimited, because a proxy can't work without its table.
 const (
 	firstResendDelayMS = 250.0
 	maxResendDelayMS   = 30000.0
-	// maxDeltaAttempts is how often missing updates are asked for until the whole table is.
+	// maxDeltaAttempts is the number of requests for the missing updates before a snapshot is requested instead.
 	maxDeltaAttempts = 2
 )
 
-// Receiver is a proxy's end: it holds a table that a planner has sent, and knows when another should have come.
+// Receiver is the proxy's side: it holds the table received from a planner and detects missing updates. It isn't safe for
+// concurrent use.
 type Receiver struct {
 	proxy   uint32
 	key     Key
-	origin  Origin // whose stream this is
+	origin  Origin // of the present stream
 	table   Table
-	version Version // of the table; number 0: none of this origin
+	version Version // of the table; Number is 0 if the table isn't of the present origin
 	digest  Digest
 
-	missing      bool // an update was lost, or spoilt
-	needSnapshot bool // only a whole table helps
-	attempts     int  // in this series
-	nextAttempt  float64
+	missing      bool    // an update was lost or corrupted
+	needSnapshot bool    // deltas can't restore the table
+	attempts     int     // resend requests for the present loss
+	nextAttempt  float64 // time of the next resend request, in milliseconds
 	disabled     disabledChecks
 }
 
-// disabledChecks switches checks off, one by one, for the model check to show that it finds what they are for.
+// disabledChecks turns single checks off, so that tests can show that the model check detects their absence.
 type disabledChecks struct{ base, origin, proxy, digest, stale bool }
 
-// NewReceiver returns a receiver that holds nothing.
+// NewReceiver returns a receiver with an empty table.
 func NewReceiver(proxy uint32, key Key) *Receiver {
 	return &Receiver{proxy: proxy, key: key, table: New()}
 }
 
-// StreamStarted says that a stream to a planner's life has begun. What is held of another origin is kept in use and builds nothing:
-// the first update must be whole.
+// StreamStarted is called when a stream to a planner of the given origin has started. A table of another origin stays in
+// use but can't be the base of a delta: the first update must be a snapshot.
 func (r *Receiver) StreamStarted(now float64, o Origin) {
 	if r.origin != o {
 		r.origin, r.digest = o, Digest{}
 		r.version = Version{Origin: o, Proxy: r.proxy}
 	}
-	// a stream that begins brings an update by itself
+	// The planner sends an update at the start of a stream without a request.
 	r.missing, r.needSnapshot, r.attempts, r.nextAttempt = true, r.version.Number == 0, 0, now+firstResendDelayMS
 }
 
-// Table is what is held, and the version that it is of; number 0: of no version of the present origin.
+// Table returns the table and its version. The version's Number is 0 if the table isn't of the present origin.
 func (r *Receiver) Table() (Table, Version) { return r.table, r.version }
 
-// UpToDate says whether nothing is known to be missing.
+// UpToDate reports whether the receiver holds a version of the present origin and knows of no missing update.
 func (r *Receiver) UpToDate() bool { return !r.missing && r.version.Number > 0 }
 
-// ApplyEncoded takes an update as it came. One that can't be read counts as lost.
-func (r *Receiver) ApplyEncoded(now float64, text []byte) error {
-	u, err := Decode(text, r.key)
+// ApplyEncoded decodes and applies an update. An update that can't be decoded counts as lost.
+func (r *Receiver) ApplyEncoded(now float64, data []byte) error {
+	u, err := Decode(data, r.key)
 	if err != nil {
 		r.requestResend(now, false)
 		return err
@@ -70,21 +71,22 @@
 	return r.Apply(now, u)
 }
 
-// Apply takes an update. It is applied whole or not at all; an error says why not, and Ask what that calls for.
+// Apply applies an update completely or not at all. After an error, NextResendRequest returns the request, if any, that
+// recovers from it.
 func (r *Receiver) Apply(now float64, u Update) error {
 	switch {
 	case u.Proxy != r.proxy && !r.disabled.proxy:
 		return ErrProxyMismatch
 	case u.Origin != r.origin && !r.disabled.origin:
 		return ErrOriginMismatch
-	case u.Number == r.version.Number && r.version.Number > 0 && u.ResultDigest == r.digest: // what is held is the newest
+	case u.Number == r.version.Number && r.version.Number > 0 && u.ResultDigest == r.digest: // already holds the newest version
 		r.missing, r.needSnapshot, r.attempts = false, false, 0
 		return nil
 	case u.Number <= r.version.Number && !r.disabled.stale:
 		return ErrStale
 	case !u.Snapshot && !r.disabled.base && (u.Base != r.version.Number || u.BaseDigest != r.digest || r.version.Number == 0 ||
 		u.Number != u.Base+1):
-		r.requestResend(now, u.Base == r.version.Number) // the same number and another table: nothing can build on that
+		r.requestResend(now, u.Base == r.version.Number) // same number, other table: no base for a delta
 		return ErrMissingBase
 	}
 	next, err := u.apply(r.table, r.key)
@@ -102,7 +104,7 @@
 	return nil
 }
 
-// applyUnchecked applies an update without a look at its digest, for the model check.
+// applyUnchecked applies an update's weights without a check of the digest, for the model check.
 func (u Update) applyUnchecked(t Table) Table {
 	t = t.Clone()
 	for name, weight := range u.Weights {
@@ -113,8 +115,8 @@
 	return t
 }
 
-// HandleNotice is a planner's word, without an update, on which version it has sent last. It tells a receiver of a loss that no later
-// update would, or that nothing is missing.
+// HandleNotice handles a planner's notice of the version that it sent last. The notice carries no update. It reveals the
+// loss of an update that no later update follows, or confirms that nothing is missing.
 func (r *Receiver) HandleNotice(now float64, v Version, d Digest) {
 	switch {
 	case v.Origin != r.origin || v.Proxy != r.proxy || v.Number < r.version.Number || v.Number == 0:
@@ -125,7 +127,7 @@
 	}
 }
 
-// requestResend notes that something must be asked for.
+// requestResend schedules a resend request, for a snapshot if deltas can't restore the table.
 func (r *Receiver) requestResend(now float64, snapshot bool) {
 	if !r.missing {
 		r.missing, r.attempts, r.nextAttempt = true, 0, now
@@ -133,7 +135,8 @@
 	r.needSnapshot = r.needSnapshot || snapshot || r.version.Number == 0
 }
 
-// NextResendRequest is what to ask for now, if anything: missing updates first, the whole table if those don't help.
+// NextResendRequest returns the resend request that is due now, if any: for the missing updates at first, and for a snapshot
+// after maxDeltaAttempts.
 func (r *Receiver) NextResendRequest(now float64) (ResendRequest, bool) {
 	if !r.missing || now < r.nextAttempt || r.origin == (Origin{}) {
 		return ResendRequest{}, false
@@ -148,7 +151,7 @@
 		After: r.version.Number}, true
 }
 
-// NextResendAt is when Ask is worth a call next; 0: not before something comes.
+// NextResendAt returns the time of the next resend request, in milliseconds, or 0 if none is scheduled.
 func (r *Receiver) NextResendAt() float64 {
 	if !r.missing {
 		return 0
--- a/tables/sender.go
+++ b/tables/sender.go
@@ -5,33 +5,34 @@
 	"math"
 )
 
-// maxRetainedUpdates bounds the updates that a sender keeps for those who miss some.
+// maxRetainedUpdates limits the updates that a sender retains to resend them.
 const maxRetainedUpdates = 32
 
-// ErrExhausted says that an origin has no numbers left for a proxy. The planner must go on as another life.
+// ErrExhausted is returned if an origin has used all version numbers of a proxy. The planner must continue with another
+// incarnation.
 var ErrExhausted = errors.New("no version numbers left")
 
-// Sender is a planner's end for one proxy.
+// Sender is the planner's side for one proxy. It isn't safe for concurrent use.
 type Sender struct {
 	key     Key
 	table   Table
 	version Version
-	history []Update // the latest, each the one after its neighbour's
+	history []Update // the latest deltas, with consecutive version numbers
 }
 
-// NewSender returns the sender of a proxy's tables in one life of a planner.
+// NewSender returns the sender of a proxy's tables in one incarnation of a planner.
 func NewSender(o Origin, proxy uint32, key Key) *Sender {
 	return &Sender{key: key, table: New(), version: Version{Origin: o, Proxy: proxy}}
 }
 
-// Table is the table last sent, and its version.
+// Table returns the table that was sent last, and its version.
 func (s *Sender) Table() (Table, Version) { return s.table, s.version }
 
-// Digest is that of the table last sent.
+// Digest returns the digest of the table that was sent last.
 func (s *Sender) Digest() Digest { return s.table.Digest(s.version, s.key) }
 
-// Next makes a table the next version and returns the update that carries it: whole if the proxy must not build on what it
-// holds, as at its joining.
+// Next makes t the next version and returns the update that carries it. The update is a snapshot if it is requested, as when
+// a proxy joins and can't use its present table as a base.
 func (s *Sender) Next(t Table, snapshot bool) (Update, error) {
 	if s.version.Number == math.MaxUint64 {
 		return Update{}, ErrExhausted
@@ -50,13 +51,14 @@
 	return u, nil
 }
 
-// NoticeDelayMS is how long after its last update a receiver should be told which version that was, in milliseconds: a loss that
-// no later update shows is noticed by that. Once is enough for a quiet while; a notice that is lost waits for the next update.
+// NoticeDelayMS is the time between the last update and the notice of its version to the receiver, in milliseconds. The
+// notice reveals the loss of an update that no later update follows. One notice per idle period is enough: if it is lost,
+// the next update reveals the loss.
 const NoticeDelayMS = 1000.0
 
-// Resend is what an ask calls for: the updates after a number if they are still kept, and otherwise, or if they would be
-// larger, the whole table. One of another origin or proxy, or of a number that was never sent, gets the whole table if it is
-// this proxy's, and nothing if it isn't, or if nothing is missing.
+// Resend returns the updates that answer a request: the deltas after its number, or a snapshot if they are no longer
+// retained or larger than the snapshot. A request with another origin, or with a number that was never sent, is answered by
+// a snapshot. The result is empty if the request is of another proxy, nothing was sent yet or nothing is missing.
 func (s *Sender) Resend(request ResendRequest) []Update {
 	if request.Proxy != s.version.Proxy || s.version.Number == 0 {
 		return nil
@@ -65,24 +67,24 @@
 	if request.Snapshot || request.Origin != s.version.Origin || request.After > s.version.Number {
 		return snapshot
 	}
-	lines, missing := 0, s.version.Number-request.After
+	deltaLines, missing := 0, s.version.Number-request.After
 	if missing == 0 {
-		return nil // a word says so: Told
+		return nil // the caller may send a notice, see Receiver.HandleNotice
 	}
 	if missing > uint64(len(s.history)) {
 		return snapshot
 	}
 	updates := s.history[uint64(len(s.history))-missing:]
 	for _, u := range updates {
-		lines += u.Lines()
+		deltaLines += u.Lines()
 	}
-	if lines > snapshot[0].Lines() {
+	if deltaLines > snapshot[0].Lines() {
 		return snapshot
 	}
 	return append([]Update(nil), updates...)
 }
 
-// Lines is what an update counts in the planner's channel, its head left aside, as orders do.
+// Lines returns the cost of an update in lines of the planner's channel, without its header, as for orders.
 func (u Update) Lines() int {
 	n := len(u.Weights) + len(u.Excluded) + len(u.Readmitted) + len(u.Gates) + len(u.RemovedGates) + 1 // its acknowledgement
 	if u.Snapshot {
--- a/tables/table.go
+++ b/tables/table.go
@@ -1,6 +1,6 @@
-// Package tables gives tables versions and lets them travel as deltas that can't be misassembled: a receiver holds a table
-// that a planner has sent, or knows that it doesn't. It is free of I/O and clocks: its machines are fed messages and times, in
-// milliseconds, and return what to send.
+// Package tables versions routing tables and transfers them as snapshots and deltas. A receiver holds exactly a table that a
+// planner has sent, or detects that it doesn't. The package does no I/O and reads no clock: its state machines take messages
+// and times, in milliseconds, and return the messages to send.
 package tables
 
 import (
@@ -13,51 +13,52 @@
 	"lukechampine.com/blake3"
 )
 
-// Origin says whose versions they are: those of one life of one planner. Versions of different origins are never mixed.
+// Origin identifies one incarnation of one planner. Versions of different origins are never mixed.
 type Origin struct {
 	Instance    string
-	Incarnation uint64 // drawn at each start
+	Incarnation uint64 // random, drawn at each start of the planner
 }
 
-// Version names a table: the nth that an origin has sent to a proxy. Numbers begin with 1; 0 is no table.
+// Version identifies a table by its origin, its proxy and its number among the tables that the origin has sent to the proxy.
+// Numbers begin with 1; 0 means that there is no table.
 type Version struct {
 	Origin
 	Proxy  uint32
 	Number uint64
 }
 
-// Gate is a class's level and manner of trying again.
+// Gate is a request class's admission level and retry mode.
 type Gate struct {
 	Level float32
 	Again uint8
 }
 
-// Table is what a proxy holds.
+// Table is the routing table of a proxy.
 type Table struct {
-	Weights  map[string]float32 // by server; none is 0
-	Excluded map[string]bool
-	Gates    map[string]Gate // by class
+	Weights  map[string]float32 // by server, never 0
+	Excluded map[string]bool    // servers that get no requests
+	Gates    map[string]Gate    // by class
 }
 
-// New returns a table that holds nothing.
+// New returns an empty table.
 func New() Table {
 	return Table{Weights: map[string]float32{}, Excluded: map[string]bool{}, Gates: map[string]Gate{}}
 }
 
-// Clone is a copy that shares nothing.
+// Clone returns a deep copy.
 func (t Table) Clone() Table {
 	return Table{Weights: maps.Clone(t.Weights), Excluded: maps.Clone(t.Excluded), Gates: maps.Clone(t.Gates)}
 }
 
-// Digest tells tables of versions apart. It covers the version, so that the same table under another number, of another
-// proxy or origin, has another digest.
+// Digest is a hash of a table and its version. The same table with another number, proxy or origin has another digest.
 type Digest [16]byte
 
-// Key makes digests authentic: who doesn't have it can't make one. The empty key stands for plain digests, which notice
-// accidents and no more.
+// Key authenticates digests: only holders of the key can compute them. With an empty key, digests are plain hashes that
+// detect accidental corruption but not forgery.
 type Key []byte
 
-// canonical is the one form of a table: every part sorted, every text with its length, so that no two tables share it.
+// canonical returns the canonical encoding of a table and its version. Map keys are sorted and strings are prefixed with
+// their length, so that no two tables have the same encoding.
 func (t Table) canonical(v Version) []byte {
 	out := appendString(nil, v.Instance)
 	out = binary.BigEndian.AppendUint64(out, v.Incarnation)
@@ -83,28 +84,28 @@
 	return append(binary.BigEndian.AppendUint32(out, uint32(len(s))), s...)
 }
 
-// Digest is that of the table as a version.
+// Digest returns the digest of the table as version v.
 func (t Table) Digest(v Version, key Key) Digest { return digestOf(t.canonical(v), key) }
 
-// digestOf is the keyed or the plain digest of bytes.
-func digestOf(text []byte, key Key) (d Digest) {
+// digestOf returns the digest of text: a keyed BLAKE3 hash, or a plain XXH3 hash if the key is empty.
+func digestOf(data []byte, key Key) (d Digest) {
 	if len(key) > 0 {
 		h := blake3.New(len(d), deriveKey(key))
-		_, _ = h.Write(text) // a hash takes all bytes
+		_, _ = h.Write(data) // a hash never returns an error
 		copy(d[:], h.Sum(nil))
 		return d
 	}
-	return xxh3.Hash128(text).Bytes()
+	return xxh3.Hash128(data).Bytes()
 }
 
-// deriveKey is a key of the length that the hash wants.
+// deriveKey derives a key of the 32 bytes that BLAKE3 requires.
 func deriveKey(key Key) []byte {
 	out := make([]byte, 32)
 	blake3.DeriveKey(out, "mulleinwood tables digest v1", key)
 	return out
 }
 
-// Equal says whether two tables are the same.
+// Equal reports whether two tables have the same contents.
 func (t Table) Equal(other Table) bool {
 	return maps.Equal(t.Weights, other.Weights) && maps.Equal(t.Excluded, other.Excluded) && maps.Equal(t.Gates, other.Gates)
 }
--- a/tables/wire.go
+++ b/tables/wire.go
@@ -11,8 +11,8 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Fields of an update on the wire, in the protocol buffers' encoding. A field that isn't known is an error: what a later
-// form says that this one doesn't know would make another table.
+// Field numbers of an update in the Protocol Buffers wire format. An unknown field is an error: ignoring a field of a later
+// format would result in a different table.
 const (
 	fieldInstance protowire.Number = iota + 1
 	fieldIncarnation
@@ -22,26 +22,26 @@
 	fieldBase
 	fieldFrom
 	fieldTo
-	fieldWeight // name, float
+	fieldWeight // server, float32
 	fieldExcluded
 	fieldReadmitted
-	fieldGate // class, float, again
+	fieldGate // class, float32 level, byte retry mode
 	fieldRemovedGate
-	fieldChecksum // of all bytes before it; always last
+	fieldChecksum // over all preceding bytes; always the last field
 )
 
-// MaxUpdateBytes is the most bytes that an update may have.
+// MaxUpdateBytes is the maximum length of an encoded update, in bytes.
 const MaxUpdateBytes = 1 << 20
 
-// The errors of an update that can't be read.
+// The errors of Decode.
 var (
-	ErrTooLarge  = errors.New("an update over 1 MiB")
-	ErrMalformed = errors.New("bytes that are no update")
-	ErrChecksum  = errors.New("bytes that differ from those sent")
+	ErrTooLarge  = errors.New("update is larger than 1 MiB")
+	ErrMalformed = errors.New("malformed update")
+	ErrChecksum  = errors.New("update checksum mismatch")
 )
 
-// Append writes an update, sealed by a digest over its bytes: so a flipped bit is noticed before anything is believed,
-// names of versions included.
+// Append appends the encoded update to out. The encoding ends with a checksum over all its bytes, so that a flipped bit is
+// detected before any field is used, those of the version included.
 func (u Update) Append(out []byte, key Key) []byte {
 	begin := len(out)
 	bytes := func(n protowire.Number, b []byte) {
@@ -74,27 +74,27 @@
 		bytes(fieldGate, append(protowire.AppendFixed32(protowire.AppendBytes(nil, []byte(class)), math.Float32bits(g.Level)),
 			g.Again))
 	}
-	seal := digestOf(out[begin:], key)
-	bytes(fieldChecksum, seal[:])
+	checksum := digestOf(out[begin:], key)
+	bytes(fieldChecksum, checksum[:])
 	return out
 }
 
-// Decode reads an update. Nothing of it is believed unless its seal holds.
-func Decode(text []byte, key Key) (u Update, err error) {
-	if len(text) > MaxUpdateBytes {
+// Decode decodes an update. It verifies the checksum before it uses any field.
+func Decode(data []byte, key Key) (u Update, err error) {
+	if len(data) > MaxUpdateBytes {
 		return Update{}, ErrTooLarge
 	}
-	const sealSize = 2 + len(Digest{}) // tag and length take a byte each
-	if len(text) < sealSize {
+	const checksumSize = 2 + len(Digest{}) // tag and length take a byte each
+	if len(data) < checksumSize {
 		return Update{}, ErrMalformed
 	}
-	body, tail := text[:len(text)-sealSize], text[len(text)-sealSize:]
+	body, tail := data[:len(data)-checksumSize], data[len(data)-checksumSize:]
 	n, kind, size := protowire.ConsumeTag(tail)
-	seal, rest := protowire.ConsumeBytes(tail[max(0, size):])
-	if n != fieldChecksum || kind != protowire.BytesType || rest < 0 || len(seal) != len(Digest{}) {
+	checksum, rest := protowire.ConsumeBytes(tail[max(0, size):])
+	if n != fieldChecksum || kind != protowire.BytesType || rest < 0 || len(checksum) != len(Digest{}) {
 		return Update{}, ErrMalformed
 	}
-	if want := digestOf(body, key); subtle.ConstantTimeCompare(seal, want[:]) == 0 {
+	if want := digestOf(body, key); subtle.ConstantTimeCompare(checksum, want[:]) == 0 {
 		return Update{}, ErrChecksum
 	}
 	u = Update{Weights: map[string]float32{}, Gates: map[string]Gate{}}
--- a/tables/wire_test.go
+++ b/tables/wire_test.go
@@ -12,7 +12,7 @@
 
 var testVersion = Version{Origin: Origin{"n3", 77}, Proxy: 9, Number: 5}
 
-// tableOfSize is a table of so many servers.
+// tableOfSize returns a table of n servers.
 func tableOfSize(n int) Table {
 	t := New()
 	for i := range n {
@@ -22,8 +22,8 @@
 	return t
 }
 
-// TestFlippedBits: every bit of a small update, and random ones of a large, is noticed before anything is believed, with a key
-// and without; and so is a cut at every place.
+// TestFlippedBits checks that Decode rejects a small update with any one bit flipped or truncated at any byte, and a large
+// update with random bits flipped, with a key and without.
 func TestFlippedBits(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 18))
 	for _, key := range []Key{nil, Key("a group's key")} {
@@ -31,13 +31,13 @@
 		for bit := range 8 * len(small) {
 			small[bit/8] ^= 1 << (bit % 8)
 			if u, err := Decode(small, key); err == nil {
-				t.Fatalf("bit %d of %d: read as %+v", bit, 8*len(small), u)
+				t.Fatalf("bit %d of %d flipped: decoded as %+v", bit, 8*len(small), u)
 			}
 			small[bit/8] ^= 1 << (bit % 8)
 		}
 		for cut := range small {
 			if _, err := Decode(small[:cut], key); err == nil {
-				t.Fatalf("cut at %d of %d: read", cut, len(small))
+				t.Fatalf("truncated at %d of %d: decoded", cut, len(small))
 			}
 		}
 		big := Snapshot(tableOfSize(2000), testVersion, key).Append(nil, key)
@@ -45,7 +45,7 @@
 			bit := rng.IntN(8 * len(big))
 			big[bit/8] ^= 1 << (bit % 8)
 			if _, err := Decode(big, key); err == nil {
-				t.Fatalf("bit %d of a large update: read", bit)
+				t.Fatalf("bit %d of a large update flipped: decoded", bit)
 			}
 			big[bit/8] ^= 1 << (bit % 8)
 		}
@@ -55,28 +55,29 @@
 	}
 }
 
-// TestForgedUpdates: who can compute the plain digest can make an update that passes for an accident's absence; with a key
-// it is refused, and so is one made with another key, or a plain one where a key is wanted.
+// TestForgedUpdates checks that a receiver with a key rejects updates with a plain checksum or another key. Without a key,
+// anyone can compute a valid checksum.
 func TestForgedUpdates(t *testing.T) {
 	forged := Snapshot(tableOf(map[string]float32{"evil": 1}), testVersion, nil).Append(nil, nil)
 	if _, err := Decode(forged, nil); err != nil {
-		t.Errorf("a plain digest is no proof of who made it, and yet: %v", err)
+		t.Errorf("update with a valid plain checksum: %v", err)
 	}
-	for _, text := range [][]byte{forged,
+	for _, encoded := range [][]byte{forged,
 		Snapshot(tableOf(map[string]float32{"evil": 1}), testVersion, Key("guess")).Append(nil, Key("guess"))} {
-		if _, err := Decode(text, Key("secret")); !errors.Is(err, ErrChecksum) {
+		if _, err := Decode(encoded, Key("secret")); !errors.Is(err, ErrChecksum) {
 			t.Errorf("%v; want ErrSealed", err)
 		}
 	}
 }
 
-// TestUpdatesSurviveTheWire: what is written is read, and takes a receiver from each table to the next.
+// TestUpdatesSurviveTheWire checks that a receiver follows random tables over a channel that loses and corrupts encoded
+// updates, and catches up in the end.
 func TestUpdatesSurviveTheWire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key := Key(rapid.SampledFrom([]string{"", "k"}).Draw(t, "key"))
 		o := Origin{rapid.String().Draw(t, "instance"), rapid.Uint64().Draw(t, "life")}
 		if o == (Origin{}) {
-			return // nobody's
+			return // the zero origin is no planner's
 		}
 		s, r, now := NewSender(o, 3, key), NewReceiver(3, key), 0.0
 		r.StreamStarted(now, o)
@@ -95,21 +96,21 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			text := u.Append(nil, key)
+			encoded := u.Append(nil, key)
 			switch rapid.IntRange(0, 3).Draw(t, "channel") {
 			case 0: // lost
 				continue
-			case 1: // spoilt
-				text[rapid.IntRange(0, len(text)-1).Draw(t, "at")] ^= 0x40
-				if r.ApplyEncoded(now, text) == nil {
-					t.Fatal("a spoilt update is taken")
+			case 1: // corrupted
+				encoded[rapid.IntRange(0, len(encoded)-1).Draw(t, "at")] ^= 0x40
+				if r.ApplyEncoded(now, encoded) == nil {
+					t.Fatal("a corrupted update was applied")
 				}
 				continue
 			}
 			before, at := r.Table()
-			if err := r.ApplyEncoded(now, text); err != nil {
+			if err := r.ApplyEncoded(now, encoded); err != nil {
 				if after, still := r.Table(); still != at || !after.Equal(before) {
-					t.Fatalf("an update that was refused (%v) changed the table", err)
+					t.Fatalf("a rejected update (%v) changed the table", err)
 				}
 			}
 		}
@@ -128,30 +129,30 @@
 	})
 }
 
-// TestQuestionsGrowApart guards against a receiver that floods a planner which can't answer, and one that gives up.
-func TestQuestionsGrowApart(t *testing.T) {
+// TestResendBackoff guards against a receiver that floods a planner which can't answer, and against one that stops asking.
+func TestResendBackoff(t *testing.T) {
 	r := NewReceiver(1, nil)
 	r.StreamStarted(0, originOf(0))
 	r.version.Number, r.missing, r.needSnapshot = 4, false, false
 	r.requestResend(0, false)
 	var at []float64
-	wholes := 0
+	snapshots := 0
 	for now := 0.0; now < 600000; now += 50 {
 		if a, asks := r.NextResendRequest(now); asks {
 			if at = append(at, now); a.Snapshot {
-				wholes++
+				snapshots++
 			}
 		}
 	}
-	if len(at) < 15 || len(at) > 40 || wholes != len(at)-maxDeltaAttempts {
-		t.Errorf("%d questions in ten minutes, %d for the whole table", len(at), wholes)
+	if len(at) < 15 || len(at) > 40 || snapshots != len(at)-maxDeltaAttempts {
+		t.Errorf("%d resend requests in ten minutes, %d for a snapshot", len(at), snapshots)
 	}
 	if gap := at[len(at)-1] - at[len(at)-2]; gap < maxResendDelayMS || gap > 2*maxResendDelayMS {
-		t.Errorf("the last two are %v ms apart", gap)
+		t.Errorf("the last two requests are %v ms apart", gap)
 	}
 }
 
-func TestNumbersEnd(t *testing.T) {
+func TestVersionNumbersExhausted(t *testing.T) {
 	s := NewSender(originOf(0), 1, nil)
 	s.version.Number = math.MaxUint64 - 1
 	if _, err := s.Next(New(), true); err != nil {
@@ -162,8 +163,9 @@
 	}
 }
 
-// TestAnswers: missing updates while they are kept and smaller than the table, else the whole; nothing to another proxy.
-func TestAnswers(t *testing.T) {
+// TestResend checks that a sender resends missing updates if they are retained and smaller than a snapshot, else a snapshot,
+// and nothing to another proxy.
+func TestResend(t *testing.T) {
 	s := NewSender(originOf(0), 1, nil)
 	if got := s.Resend(ResendRequest{Origin: originOf(0), Proxy: 1}); got != nil {
 		t.Errorf("before any version: %v", got)
@@ -173,23 +175,23 @@
 		table.Weights["s-000000"] = float32(i + 1)
 		s.Next(table, false)
 	}
-	for what, tc := range map[string]struct {
-		ask   ResendRequest
-		n     int
-		whole bool
+	for name, tc := range map[string]struct {
+		request  ResendRequest
+		n        int
+		snapshot bool
 	}{
-		"three missing":      {ResendRequest{Origin: originOf(0), Proxy: 1, After: 37}, 3, false},
-		"older than is kept": {ResendRequest{Origin: originOf(0), Proxy: 1, After: 3}, 1, true},
-		"none missing":       {ResendRequest{Origin: originOf(0), Proxy: 1, After: 40}, 0, false},
-		"never sent":         {ResendRequest{Origin: originOf(0), Proxy: 1, After: 99}, 1, true},
-		"of another life":    {ResendRequest{Origin: originOf(1), Proxy: 1, After: 39}, 1, true},
-		"wants all":          {ResendRequest{Origin: originOf(0), Proxy: 1, After: 39, Snapshot: true}, 1, true},
-		"dearer than all":    {ResendRequest{Origin: originOf(0), Proxy: 1, After: 10}, 1, true},
-		"of another proxy":   {ResendRequest{Origin: originOf(0), Proxy: 2, After: 39}, 0, false},
+		"three missing":          {ResendRequest{Origin: originOf(0), Proxy: 1, After: 37}, 3, false},
+		"no longer retained":     {ResendRequest{Origin: originOf(0), Proxy: 1, After: 3}, 1, true},
+		"none missing":           {ResendRequest{Origin: originOf(0), Proxy: 1, After: 40}, 0, false},
+		"never sent":             {ResendRequest{Origin: originOf(0), Proxy: 1, After: 99}, 1, true},
+		"of another incarnation": {ResendRequest{Origin: originOf(1), Proxy: 1, After: 39}, 1, true},
+		"snapshot requested":     {ResendRequest{Origin: originOf(0), Proxy: 1, After: 39, Snapshot: true}, 1, true},
+		"larger than a snapshot": {ResendRequest{Origin: originOf(0), Proxy: 1, After: 10}, 1, true},
+		"of another proxy":       {ResendRequest{Origin: originOf(0), Proxy: 2, After: 39}, 0, false},
 	} {
-		got := s.Resend(tc.ask)
-		if len(got) != tc.n || len(got) > 0 && got[0].Snapshot != tc.whole {
-			t.Errorf("%s: %d updates, want %d, whole %t", what, len(got), tc.n, tc.whole)
+		got := s.Resend(tc.request)
+		if len(got) != tc.n || len(got) > 0 && got[0].Snapshot != tc.snapshot {
+			t.Errorf("%s: %d updates, want %d, snapshot %t", name, len(got), tc.n, tc.snapshot)
 		}
 	}
 }
@@ -197,8 +199,8 @@
 func FuzzDecode(f *testing.F) {
 	f.Add(Snapshot(tableOfSize(3), testVersion, nil).Append(nil, nil))
 	f.Add(Delta(tableOfSize(3), tableOfSize(5), testVersion, nil).Append(nil, nil))
-	f.Fuzz(func(t *testing.T, text []byte) {
-		u, err := Decode(text, nil)
+	f.Fuzz(func(t *testing.T, data []byte) {
+		u, err := Decode(data, nil)
 		if err != nil {
 			return
 		}
@@ -208,7 +210,7 @@
 	})
 }
 
-// BenchmarkChange is one weight of a table of 30 servers: made, written, read and applied.
+// BenchmarkChange measures a change of one weight in a table of 30 servers: building, encoding, decoding and applying it.
 func BenchmarkChange(b *testing.B) {
 	for _, key := range []Key{nil, Key("a group's key")} {
 		b.Run(map[bool]string{true: "keyed", false: "plain"}[len(key) > 0], func(b *testing.B) {
@@ -221,9 +223,9 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				text := u.Append(nil, key)
-				if bytes += len(text); r.ApplyEncoded(0, text) != nil {
-					b.Fatal("refused")
+				encoded := u.Append(nil, key)
+				if bytes += len(encoded); r.ApplyEncoded(0, encoded) != nil {
+					b.Fatal("update rejected")
 				}
 			}
 			b.ReportMetric(float64(bytes)/float64(b.N), "bytes/change")
