--- a/internal/planner/dialect/dialect.go
+++ b/internal/planner/dialect/dialect.go
@@ -1,8 +1,8 @@
-// Package dialect decides by which protocol a server is asked for its health and load. Servers may change theirs between
-// one question and the next. It is a value that is told how asking went and knows no socket and no clock.
+// Package dialect selects the protocol by which a server is probed for its health and load. A server may change its protocol
+// between two probes. The package does no I/O and reads no clock: it is given the result of each attempt.
 package dialect
 
-// Protocol is a way to ask.
+// Protocol is a protocol for probes.
 type Protocol int
 
 // The protocols.
@@ -19,29 +19,29 @@
 	return "http"
 }
 
-// Result is what an attempt says about the protocol.
+// Result is the result of an attempt, as far as it concerns the protocol.
 type Result int
 
-// The verdicts.
+// The results.
 const (
-	Answered      Result = iota // the server answered in the protocol, whatever it said
-	WrongProtocol               // what came was of another protocol
-	NoAnswer                    // nothing came that tells: refused, reset, silent
+	Answered      Result = iota // the server responded in the protocol, with any status
+	WrongProtocol               // the response was of another protocol
+	NoAnswer                    // no response: connection refused or reset, or timeout
 )
 
-// maxAddresses bounds the addresses that are remembered.
+// maxAddresses limits the number of cached addresses.
 const maxAddresses = 4096
 
-// ProtocolCache remembers by address what a server spoke last. An address that is new, or taken by another server, is asked by
-// HTTP first.
+// ProtocolCache caches by address the protocol that a server last responded in. An address that isn't cached is probed by HTTP
+// first. The zero value is an empty cache.
 type ProtocolCache struct{ protocols map[string]Protocol }
 
-// Preferred is the protocol of the first attempt.
+// Preferred returns the protocol of the first attempt.
 func (c *ProtocolCache) Preferred(address string) Protocol { return c.protocols[address] }
 
-// Next says what to do after an attempt: try the other protocol, which happens once a question at most, or be content. A
-// server that nothing came from is not tried by the other: guards against twice the connections to one that is down, and
-// against a sick server that is asked until it has no time left to be found well.
+// Next records the result of an attempt and reports whether to retry the probe, at most once, by the other protocol. A server
+// that gave no response isn't probed by the other protocol: that would double the connections to a server that is down, and
+// would leave a slow server no time to be found healthy.
 func (c *ProtocolCache) Next(address string, tried Protocol, attempt int, v Result) (other Protocol, again bool) {
 	switch {
 	case v == Answered:
@@ -54,7 +54,7 @@
 
 func (c *ProtocolCache) store(address string, p Protocol) {
 	if p == HTTP {
-		delete(c.protocols, address) // as one not met
+		delete(c.protocols, address) // HTTP is the default
 		return
 	}
 	if c.protocols == nil || len(c.protocols) >= maxAddresses {
@@ -63,5 +63,5 @@
 	c.protocols[address] = p
 }
 
-// Len is how many addresses are remembered to speak gRPC.
+// Len returns the number of cached addresses, all of servers that use gRPC.
 func (c *ProtocolCache) Len() int { return len(c.protocols) }
--- a/internal/planner/dialect/dialect_test.go
+++ b/internal/planner/dialect/dialect_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestChangeOfProtocol goes through what a server may do between two questions. It guards against more than one change a
-// question, against a silent server that is asked twice, and against a protocol remembered for another address.
+// TestChangeOfProtocol covers the changes of servers between two probes. It guards against more than one change of protocol
+// per probe, a second attempt at a server that doesn't respond, and a protocol cached for the wrong address.
 func TestChangeOfProtocol(t *testing.T) {
 	var cache ProtocolCache
 	probe := func(address string, server func(Protocol) Result) (tried []Protocol) {
@@ -29,7 +29,7 @@
 		}
 	}
 	silent := func(Protocol) Result { return NoAnswer }
-	unknown := func(Protocol) Result { return WrongProtocol } // speaks neither
+	unknown := func(Protocol) Result { return WrongProtocol } // uses neither protocol
 	for i, step := range []struct {
 		address string
 		server  func(Protocol) Result
@@ -38,7 +38,7 @@
 		{"a", speaks(HTTP), "[http]"},
 		{"a", speaks(GRPC), "[http grpc]"},
 		{"a", speaks(GRPC), "[grpc]"},
-		{"a", silent, "[grpc]"}, // it may be down, and is remembered
+		{"a", silent, "[grpc]"}, // it may be down; its protocol stays cached
 		{"b", speaks(HTTP), "[http]"},
 		{"b", silent, "[http]"},
 		{"a", unknown, "[grpc http]"},
@@ -47,13 +47,13 @@
 		{"a", speaks(HTTP), "[http]"},
 	} {
 		if got := fmt.Sprint(probe(step.address, step.server)); got != step.want {
-			t.Errorf("question %d to %s: asked by %s, want %s", i, step.address, got, step.want)
+			t.Errorf("probe %d of %s: attempts by %s, want %s", i, step.address, got, step.want)
 		}
 	}
 	for i := range 3 * maxAddresses {
 		probe(fmt.Sprint(i), speaks(GRPC))
 	}
 	if cache.Len() > maxAddresses {
-		t.Errorf("%d addresses are remembered", cache.Len())
+		t.Errorf("%d addresses are cached", cache.Len())
 	}
 }
--- a/internal/planner/transport/conn.go
+++ b/internal/planner/transport/conn.go
@@ -1,4 +1,4 @@
-// Package transport moves bytes between sockets and protocol machines. It knows no message.
+// Package transport moves bytes between sockets and protocol state machines. It doesn't interpret messages.
 package transport
 
 import (
@@ -14,55 +14,55 @@
 	"mulleinwood/internal/planner/transport/ring"
 )
 
-// Sizes of the buffers of a connection.
+// Sizes of a connection's buffers, in bytes.
 const (
-	initialBufferSize     = 1 << 10 // of either buffer
-	maxUnidentifiedBuffer = 4 << 10 // most that a connection may hold before it has said who it is
-	maxInputBuffer        = 2 << 20 // most that a known connection may hold: a line of 1 MiB and what follows it
-	maxOutputBuffer       = 2 << 20 // most that may wait for a peer that doesn't read
+	initialBufferSize     = 1 << 10 // initial size of the input and the output buffer
+	maxUnidentifiedBuffer = 4 << 10 // limit of the input buffer until the peer is identified
+	maxInputBuffer        = 2 << 20 // limit of the input buffer afterwards: a line of 1 MiB and the data that follows it
+	maxOutputBuffer       = 2 << 20 // limit of the output buffered for a peer that doesn't read
 )
 
 var (
-	// ErrOverflow says that a peer left too much unread.
+	// ErrOverflow closes a connection whose output buffer is full because its peer doesn't read.
 	ErrOverflow = errors.New("peer leaves its messages unread")
-	// ErrJoinTimeout says that a peer has not said in time who it is.
+	// ErrJoinTimeout closes a connection whose peer has not identified itself in time.
 	ErrJoinTimeout = errors.New("has not joined in time")
 )
 
-// Machine is a protocol fed with bytes. It takes from the buffer what is complete and leaves the rest.
+// Machine is the state machine of a protocol. Feed consumes the complete messages in the buffer and leaves the rest.
 type Machine interface {
 	Feed(in *ring.Buffer) error
 }
 
-// ConnState says how much a connection has shown of itself. It decides who goes first when descriptors run out.
+// ConnState is the state of a connection's identification. Load shedding closes connections of the lowest state first.
 type ConnState int32
 
-// The standings, those that go first first.
+// The states of a connection, in the order in which connections are shed.
 const (
-	Silent       ConnState = iota // has sent no whole message
-	Unidentified                  // has sent some, and has not said who it is
-	Superseded                    // was known, and another has come in its place; it may be gone without a sign
-	Identified                    // a stream or a collector, which are never shed
+	Silent       ConnState = iota // has sent no complete message
+	Unidentified                  // has sent messages but hasn't identified itself
+	Superseded                    // was identified and replaced by another connection; its peer may be gone without a FIN
+	Identified                    // a proxy's stream or a collector; never shed
 )
 
 var lastID atomic.Uint64
 
-// NextID is the number of a connection, or of a stream within one, that begins now: larger than all before.
+// NextID returns an ID for a new connection, or for a new stream within one. It is larger than all earlier IDs.
 func NextID() uint64 { return lastID.Add(1) }
 
-// Conn is one accepted connection: a reader that feeds a machine and a writer that empties a buffer.
+// Conn is one accepted connection. A reader goroutine feeds a machine, and a writer goroutine sends the output buffer.
 type Conn struct {
 	id              uint64
 	nc              net.Conn
-	in              *ring.Buffer // the reader's own
+	in              *ring.Buffer // accessed by the reader only
 	state           atomic.Int32
-	replyPending    atomic.Bool // something that the planner owes an answer, which it can't give yet
-	joinDeadline    time.Time   // the reader's own, as the next two
-	pastDeadline    bool        // joinBy has passed
-	wasReplyPending bool        // it was owed an answer when it was last read
-	deadlineCleared bool        // it has joined, and its reads end at no time
+	replyPending    atomic.Bool // the peer waits for a reply that the planner can't give yet
+	joinDeadline    time.Time   // accessed by the reader only, as all fields up to mu
+	pastDeadline    bool        // joinDeadline has passed
+	wasReplyPending bool        // value of replyPending at the last read
+	deadlineCleared bool        // the peer has joined, and reads have no deadline
 	handoff         func(*Conn, net.Conn)
-	sawFirstByte    bool // its first bytes have come
+	sawFirstByte    bool // the first bytes were received
 
 	mu          sync.Mutex
 	out         *ring.Buffer
@@ -75,20 +75,21 @@
 		out: ring.New(initialBufferSize, maxOutputBuffer, budget), writeSignal: make(chan struct{}, 1)}
 }
 
-// ID is larger for connections accepted later.
+// ID returns the connection's ID. Connections accepted later have larger IDs.
 func (c *Conn) ID() uint64 { return c.id }
 
-// Remote is the peer's address, for the log.
+// Remote returns the peer's address, for the log.
 func (c *Conn) Remote() string { return c.nc.RemoteAddr().String() }
 
-// SetReplyPending notes whether the peer has asked something that is not yet answered. While that is so, the time in which it
-// must join does not end: a planner that can't make orders yet answers whoever asked before.
+// SetReplyPending sets whether the peer has sent a request that isn't answered yet. Until it is answered, the join timeout
+// is suspended, because a planner that can't compute orders yet delays its replies.
 func (c *Conn) SetReplyPending(pending bool) { c.replyPending.Store(pending) }
 
-// MarkSuperseded notes that another connection has come in place of this one. It rises again if its peer still speaks.
+// MarkSuperseded is called when another connection of the same peer replaces this one. Promote makes it Identified again if
+// it still receives messages.
 func (c *Conn) MarkSuperseded() { c.state.Store(int32(Superseded)) }
 
-// Promote notes what the peer has shown of itself. Called by the connection's machine.
+// Promote raises the connection's state; it never lowers it. It is called by the connection's machine.
 func (c *Conn) Promote(s ConnState) {
 	if ConnState(c.state.Load()) < s {
 		c.state.Store(int32(s))
@@ -98,10 +99,11 @@
 	}
 }
 
-// Joined says whether the peer has shown who it is, now or before another came in its place.
+// Joined reports whether the peer has identified itself, even if the connection is superseded.
 func (c *Conn) Joined() bool { return ConnState(c.state.Load()) >= Superseded }
 
-// Send queues bytes for the peer. It never waits: a peer that leaves too much unread loses this connection.
+// Send queues bytes for the peer without blocking. If the output buffer is full, it closes the connection and returns
+// ErrOverflow.
 func (c *Conn) Send(p []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,13 +121,14 @@
 	return nil
 }
 
-// Close ends the connection for the given reason; the first reason counts.
+// Close closes the connection. Only the reason of the first call is kept.
 func (c *Conn) Close(reason error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closeLocked(reason)
 }
 
+// closeLocked closes the connection. The caller must hold mu.
 func (c *Conn) closeLocked(reason error) {
 	if c.closeReason == nil {
 		c.closeReason = reason
@@ -134,27 +137,27 @@
 	}
 }
 
-// reason is why the connection ended, or nil.
+// reason returns the reason for which the connection was closed, or nil.
 func (c *Conn) reason() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closeReason
 }
 
-// read reads once. As long as the peer is not known it must become so within the given time, whatever it sends
-// or doesn't: guards against peers that hold descriptors and memory and are nobody. A deadline that passed while
-// this process stood still is given one more read, and no second one: the peer may send without an end.
+// read reads once. It enforces the join timeout on a peer that isn't identified, whether or not the peer sends data, so that
+// unidentified peers can't hold descriptors and memory. If the deadline passed while this process was paused, one more read
+// is allowed. A second one is not, since the peer may send without end.
 func (c *Conn) read(buf []byte, joinTimeout time.Duration) (int, error) {
 	if c.Joined() || joinTimeout <= 0 {
 		if joinTimeout > 0 && !c.deadlineCleared {
 			c.deadlineCleared = true
-			_ = c.nc.SetReadDeadline(time.Time{}) // it fails on a closed connection only, which Read tells
+			_ = c.nc.SetReadDeadline(time.Time{}) // fails only on a closed connection, which Read reports
 		}
 		return c.nc.Read(buf)
 	}
 	for {
 		asked := c.replyPending.Load()
-		if c.wasReplyPending && !asked { // its answer must reach it: the time begins anew
+		if c.wasReplyPending && !asked { // restart the timeout, so that the reply can reach the peer
 			c.joinDeadline, c.pastDeadline = time.Now().Add(joinTimeout), false
 		}
 		c.wasReplyPending = asked
@@ -173,7 +176,7 @@
 	}
 }
 
-// serve runs the connection until it ends and returns why. A panic of the machine ends this connection alone.
+// serve runs the connection until it is closed and returns the reason. A panic of the machine closes only this connection.
 func (c *Conn) serve(machine Machine, joinTimeout time.Duration) (reason error) {
 	if c.joinDeadline = time.Now().Add(joinTimeout); joinTimeout <= 0 {
 		c.joinDeadline = time.Time{}
@@ -216,12 +219,12 @@
 	}
 }
 
-// write sends what waits until the connection ends.
+// write sends the buffered output until the connection is closed.
 func (c *Conn) write() {
 	for range c.writeSignal {
 		for {
 			c.mu.Lock()
-			first, _ := c.out.Peek() // stays as it is while more is appended behind it
+			first, _ := c.out.Peek() // stays valid while Send appends to the buffer
 			c.mu.Unlock()
 			if len(first) == 0 {
 				break
--- a/internal/planner/transport/conn_test.go
+++ b/internal/planner/transport/conn_test.go
@@ -15,30 +15,30 @@
 	"mulleinwood/internal/planner/transport/ring"
 )
 
-// echoMachine is a machine that answers each line with itself. Some lines are words to it.
+// echoMachine echoes each line. Some lines are commands to it.
 type echoMachine struct{ c *Conn }
 
 func (e *echoMachine) Feed(in *ring.Buffer) error {
 	for end := in.Index('\n', 0); end >= 0; end = in.Index('\n', 0) {
 		switch text := string(in.Front(end)); text {
 		case "panic":
-			panic("told to")
+			panic("requested panic")
 		case "end":
-			return errors.New("told to end")
-		case "hello":
+			return errors.New("requested end")
+		case "identify":
 			e.c.Promote(Identified)
-		case "stale":
+		case "supersede":
 			e.c.MarkSuperseded()
-		case "word":
+		case "message":
 			e.c.Promote(Unidentified)
-		case "owe":
+		case "reply pending":
 			e.c.SetReplyPending(true)
-		case "paid":
+		case "reply sent":
 			e.c.SetReplyPending(false)
 		case "flood":
 			for e.c.Send(make([]byte, 64<<10)) == nil {
 			}
-			return nil // as for a sender that is not the connection's own reader
+			return nil // like a sender other than the connection's reader
 		}
 		if err := e.c.Send(in.Front(end + 1)); err != nil {
 			return err
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// testHandler is a handler that keeps the reasons of the connections that ended, by the order of their accepting.
+// testHandler records the reasons of closed connections by connection ID.
 type testHandler struct {
 	mu      sync.Mutex
 	reasons map[uint64]error
@@ -68,7 +68,7 @@
 	h.closed <- struct{}{}
 }
 
-// startListener starts a listener that takes most connections, and stops it at the end of the test.
+// startListener starts a listener with a limit of connections and stops it at the end of the test.
 func startListener(t *testing.T, maxConns int) (*testHandler, string) {
 	t.Helper()
 	l, err := Listen("127.0.0.1:0", maxConns, nil)
@@ -94,7 +94,7 @@
 	return l.Addr().String()
 }
 
-// waitClosed waits for a connection to end and returns why.
+// waitClosed waits until a connection is closed and returns the reason.
 func (h *testHandler) waitClosed() error {
 	<-h.closed
 	h.mu.Lock()
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// client is the far end of a connection.
+// client is the client side of a connection.
 type client struct {
 	t  *testing.T
 	nc net.Conn
@@ -122,7 +122,7 @@
 	return &client{t, nc}
 }
 
-// roundTrip writes a line and reads it back.
+// roundTrip writes a line and reads its echo.
 func (g *client) roundTrip(line string) {
 	g.t.Helper()
 	if _, err := io.WriteString(g.nc, line+"\n"); err != nil {
@@ -134,7 +134,7 @@
 	}
 }
 
-// closed says whether the other side has ended the connection; it waits for that or for a byte.
+// closed waits for a byte or the end of the connection and reports whether it ended.
 func (g *client) closed() bool {
 	_, err := g.nc.Read(make([]byte, 1))
 	return err != nil
@@ -143,23 +143,23 @@
 func TestErrorClosesOnlyItsConnection(t *testing.T) {
 	h, address := startListener(t, 10)
 	healthy := dial(t, address)
-	healthy.roundTrip("hello")
-	for line, want := range map[string]string{"panic": "told to", "end": "told to end",
+	healthy.roundTrip("identify")
+	for line, want := range map[string]string{"panic": "requested panic", "end": "requested end",
 		strings.Repeat("x", maxUnidentifiedBuffer+1): "too long"} {
 		g := dial(t, address)
 		io.WriteString(g.nc, line+"\n")
 		if !g.closed() {
-			t.Errorf("%.20q: the connection stays", line)
+			t.Errorf("%.20q: the connection wasn't closed", line)
 		}
 		if err := h.waitClosed(); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%.20q: ended by %v", line, err)
+			t.Errorf("%.20q: closed with %v", line, err)
 		}
 	}
-	healthy.roundTrip("still here")
-	healthy.roundTrip(strings.Repeat("y", 10*maxUnidentifiedBuffer)) // one that is known may say more
+	healthy.roundTrip("ping")
+	healthy.roundTrip(strings.Repeat("y", 10*maxUnidentifiedBuffer)) // an identified peer may send longer lines
 }
 
-// exhaustedListener is a listener to which the system refuses descriptors now and then.
+// exhaustedListener is a listener whose Accept fails for lack of descriptors, once for each value in failures.
 type exhaustedListener struct {
 	net.Listener
 	failures chan struct{}
@@ -174,8 +174,8 @@
 	}
 }
 
-// TestOutOfDescriptors guards against accepting that ends, or spins, once the system has no descriptor left: the
-// strangers go, and accepting goes on.
+// TestOutOfDescriptors guards against a listener that stops accepting, or spins, when no descriptor is left. Unidentified
+// connections are shed, and the listener continues to accept.
 func TestOutOfDescriptors(t *testing.T) {
 	l, err := Listen("127.0.0.1:0", 10, nil)
 	if err != nil {
@@ -186,26 +186,26 @@
 	h := &testHandler{reasons: map[uint64]error{}, closed: make(chan struct{}, 1000)}
 	address := serve(t, l, h)
 	identified, unidentified := dial(t, address), dial(t, address)
-	identified.roundTrip("hello")
-	unidentified.roundTrip("word")
-	for range 3 { // two strangers to shed, then nothing
+	identified.roundTrip("identify")
+	unidentified.roundTrip("message")
+	for range 3 { // two connections can be shed, then none
 		d.failures <- struct{}{}
 	}
-	silent := dial(t, address) // the listener waits for it already; the refusals come after it
-	for name, g := range map[string]*client{"silent": silent, "one that spoke": unidentified} {
+	silent := dial(t, address) // the listener already waits in Accept; the failures come after it
+	for name, g := range map[string]*client{"silent": silent, "unidentified": unidentified} {
 		if !g.closed() {
-			t.Errorf("the stranger stays: %s", name)
+			t.Errorf("the %s connection wasn't shed", name)
 		}
 	}
-	dial(t, address).roundTrip("hello")
-	identified.roundTrip("still here")
+	dial(t, address).roundTrip("identify")
+	identified.roundTrip("ping")
 }
 
-// TestOverflow guards against memory and waiting for a peer that doesn't read: it loses its connection alone.
+// TestOverflow guards against unbounded memory and blocking for a peer that doesn't read. Only its connection is closed.
 func TestOverflow(t *testing.T) {
 	h, address := startListener(t, 10)
 	healthy, stalled := dial(t, address), dial(t, address)
-	healthy.roundTrip("hello")
+	healthy.roundTrip("identify")
 	stalled.nc.(*net.TCPConn).SetReadBuffer(4 << 10)
 	io.WriteString(stalled.nc, "flood\n")
 	reason := make(chan error, 1)
@@ -213,62 +213,63 @@
 	select {
 	case err := <-reason:
 		if !errors.Is(err, ErrOverflow) {
-			t.Errorf("ended by %v", err)
+			t.Errorf("closed with %v", err)
 		}
 	case <-time.After(30 * time.Second):
-		t.Fatal("the connection stays")
+		t.Fatal("the connection wasn't closed")
 	}
-	healthy.roundTrip("still here")
+	healthy.roundTrip("ping")
 }
 
-// TestLoadShedding guards against strangers that use up descriptors: those that have said nothing go first, the oldest
-// of them, then those that have said something; proxies and collectors never do.
+// TestLoadShedding guards against peers that use up descriptors without identifying themselves. Silent connections are shed
+// first, the oldest first, then unidentified ones that sent messages. Those of proxies and collectors are never shed.
 func TestLoadShedding(t *testing.T) {
 	h, address := startListener(t, 4)
 	identified, unidentified := dial(t, address), dial(t, address)
-	identified.roundTrip("hello")
-	unidentified.roundTrip("word")
+	identified.roundTrip("identify")
+	unidentified.roundTrip("message")
 	silent := []*client{}
 	for range 20 {
 		silent = append(silent, dial(t, address))
 	}
-	for i := range 18 { // two of them fit
+	for i := range 18 { // the limit leaves room for two
 		if !silent[i].closed() {
-			t.Fatalf("stranger %d stays", i)
+			t.Fatalf("silent connection %d wasn't shed", i)
 		}
 		if err := h.waitClosed(); !errors.Is(err, ErrLoadShed) {
-			t.Fatalf("stranger %d ended by %v", i, err)
+			t.Fatalf("silent connection %d closed with %v", i, err)
 		}
 	}
-	silent[18].roundTrip("hello")
-	silent[19].roundTrip("hello")
+	silent[18].roundTrip("identify")
+	silent[19].roundTrip("identify")
 	late := dial(t, address)
-	late.roundTrip("hello")
+	late.roundTrip("identify")
 	if !unidentified.closed() {
-		t.Error("the stranger that spoke stays")
+		t.Error("the unidentified connection wasn't shed")
 	}
 	if !dial(t, address).closed() {
-		t.Error("a fifth connection was taken beside four known ones")
+		t.Error("a fifth connection was accepted beside four identified ones")
 	}
 	if n := h.rejected.Load(); n != 1 {
-		t.Errorf("%d connections refused", n)
+		t.Errorf("%d connections rejected", n)
 	}
 	for _, g := range []*client{identified, silent[18], silent[19], late} {
-		g.roundTrip("still here")
+		g.roundTrip("ping")
 	}
-	silent[18].roundTrip("stale") // another has come in its place
+	silent[18].roundTrip("supersede") // replaced by another connection
 	last := dial(t, address)
-	last.roundTrip("hello")
+	last.roundTrip("identify")
 	if !silent[18].closed() {
-		t.Error("a stale connection stays")
+		t.Error("a superseded connection wasn't shed")
 	}
 	for _, g := range []*client{identified, silent[19], late, last} {
-		g.roundTrip("still here")
+		g.roundTrip("ping")
 	}
 }
 
-// TestJoinTimeout guards against peers that hold a descriptor and are nobody: silent, talking or never ending, each is closed
-// when its time is over. Who has joined stays, and so does who is owed an answer, until it has it.
+// TestJoinTimeout guards against peers that hold a descriptor without identifying themselves, whether they are silent, send
+// one message or send without end: each is closed after the timeout. Peers that have joined stay connected, and peers that
+// wait for a reply stay until they have it.
 func TestJoinTimeout(t *testing.T) {
 	l, err := Listen("127.0.0.1:0", 20, nil)
 	if err != nil {
@@ -278,35 +279,35 @@
 	h := &testHandler{reasons: map[uint64]error{}, closed: make(chan struct{}, 1000)}
 	address := serve(t, l, h)
 	identified, awaitingReply := dial(t, address), dial(t, address)
-	identified.roundTrip("hello")
-	awaitingReply.roundTrip("owe")
+	identified.roundTrip("identify")
+	awaitingReply.roundTrip("reply pending")
 	silent, unidentified, endless := dial(t, address), dial(t, address), dial(t, address)
-	unidentified.roundTrip("word")
+	unidentified.roundTrip("message")
 	go func() {
-		for err := error(nil); err == nil; _, err = io.WriteString(endless.nc, "word\n") {
+		for err := error(nil); err == nil; _, err = io.WriteString(endless.nc, "message\n") {
 		}
 	}()
 	go io.Copy(io.Discard, endless.nc)
 	for range 3 {
 		if err := h.waitClosed(); !errors.Is(err, ErrJoinTimeout) {
-			t.Errorf("ended by %v", err)
+			t.Errorf("closed with %v", err)
 		}
 	}
-	for name, g := range map[string]*client{"silent": silent, "talker": unidentified} {
+	for name, g := range map[string]*client{"silent": silent, "unidentified": unidentified} {
 		if !g.closed() {
-			t.Errorf("the %s one stays", name)
+			t.Errorf("the %s connection wasn't closed", name)
 		}
 	}
-	identified.roundTrip("still here")
-	awaitingReply.roundTrip("still here")
-	time.Sleep(l.JoinTimeout * 6 / 10) // into the time that began anew while it was owed the answer
+	identified.roundTrip("ping")
+	awaitingReply.roundTrip("ping")
+	time.Sleep(l.JoinTimeout * 6 / 10) // into the timeout that was restarted while the reply was pending
 	repliedAt := time.Now()
-	awaitingReply.roundTrip("paid")
+	awaitingReply.roundTrip("reply sent")
 	if !awaitingReply.closed() {
-		t.Error("one that has its answer and has not joined stays")
+		t.Error("a connection that got its reply and hasn't joined wasn't closed")
 	}
-	if elapsed := time.Since(repliedAt); elapsed < l.JoinTimeout { // it may else be closed before the answer is written
-		t.Errorf("one that got its answer is closed %v later, before its time", elapsed)
+	if elapsed := time.Since(repliedAt); elapsed < l.JoinTimeout { // otherwise it may be closed before the reply is written
+		t.Errorf("a connection was closed %v after its reply, before the timeout", elapsed)
 	}
-	identified.roundTrip("still here")
+	identified.roundTrip("ping")
 }
--- a/internal/planner/transport/dial.go
+++ b/internal/planner/transport/dial.go
@@ -13,7 +13,7 @@
 	"mulleinwood/internal/planner/transport/ring"
 )
 
-// Stage says how far a call came.
+// Stage is the stage of a call, for error messages.
 type Stage string
 
 // The stages of a call.
@@ -24,11 +24,11 @@
 	Parsing    Stage = "reading the answer"
 )
 
-// CallError says how far a call to another party came before it failed.
+// CallError describes the stage at which a call failed.
 type CallError struct {
 	Address  string
 	Stage    Stage
-	Received int // bytes of the answer
+	Received int // bytes of the response
 	Err      error
 }
 
@@ -40,24 +40,24 @@
 // Unwrap returns the cause, for errors.Is and errors.As.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// ResponseMachine is a machine that reads one answer.
+// ResponseMachine is a Machine that parses one response.
 type ResponseMachine interface {
 	Machine
-	Done() bool   // the answer is complete
-	Close() error // the peer has ended the connection: was the answer complete?
+	Done() bool   // reports whether the response is complete
+	Close() error // is called when the peer closes the connection; an error if the response is incomplete
 }
 
-// Call is a request to another party.
+// Call is a request to another process.
 type Call struct {
 	Address        string
-	ConnectTimeout time.Duration // for the connection to come up
-	IdleTimeout    time.Duration // longest time without a byte of the answer
-	TotalTimeout   time.Duration // for the whole call; 0: without end
+	ConnectTimeout time.Duration // to establish the connection
+	IdleTimeout    time.Duration // longest time without a byte of the response
+	TotalTimeout   time.Duration // for the whole call; 0 is no limit
 	Request        []byte
-	MaxBuffered    int // most bytes that may wait to be understood
+	MaxBuffered    int // limit of received bytes that aren't parsed yet
 }
 
-// Do makes the call and feeds the response to machine until it is complete. A panic of the machine ends this call alone.
+// Do makes the call and feeds the response to machine until it is complete. A panic of the machine fails only this call.
 func (call Call) Do(ctx context.Context, machine ResponseMachine) (err error) {
 	run := &activeCall{call: call, machine: machine, startedAt: time.Now(),
 		failure: CallError{Address: call.Address, Stage: Connecting}}
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// activeCall is a call under way.
+// activeCall is the state of a call in progress.
 type activeCall struct {
 	call      Call
 	machine   ResponseMachine
@@ -98,13 +98,13 @@
 	failure   CallError
 }
 
-// fail returns the failure with its cause.
+// fail returns the call's error with the given cause.
 func (r *activeCall) fail(cause error) error {
 	r.failure.Err = cause
 	return &r.failure
 }
 
-// deadline is the time by which the next bytes have to come.
+// deadline returns the deadline of the next read.
 func (r *activeCall) deadline() time.Time {
 	silence := time.Now().Add(r.call.IdleTimeout)
 	if last := r.startedAt.Add(r.call.TotalTimeout); r.call.TotalTimeout > 0 && last.Before(silence) {
@@ -113,7 +113,7 @@
 	return silence
 }
 
-// receive reads once and feeds the machine. Over means that the peer ended the connection after a complete response.
+// receive reads once and feeds the machine. It reports whether the peer closed the connection after a complete response.
 func (r *activeCall) receive(nc net.Conn, in *ring.Buffer) (ended bool, err error) {
 	space, err := in.Space()
 	if err != nil {
@@ -141,14 +141,14 @@
 	return true, nil
 }
 
-// closeConn closes a connection that nothing is expected from any more.
+// closeConn closes a connection and ignores the error, since nothing more is expected from it.
 func closeConn(nc net.Conn) { _ = nc.Close() }
 
-// drainReadTimeout is how long bytes that have already come may take to be read.
+// drainReadTimeout limits the read of bytes that were received before the deadline.
 const drainReadTimeout = 5 * time.Millisecond
 
-// read reads until deadline. One that passed may be the fault of this process, which stood still while the bytes came; so
-// what is already there is still read.
+// read reads once, until deadline. After the deadline it still reads the bytes that have already arrived, because the
+// deadline may have passed while this process was paused.
 func read(nc net.Conn, space []byte, deadline time.Time) (int, error) {
 	if err := nc.SetReadDeadline(deadline); err != nil {
 		return 0, err
--- a/internal/planner/transport/dial_test.go
+++ b/internal/planner/transport/dial_test.go
@@ -14,7 +14,7 @@
 	"mulleinwood/internal/planner/transport/ring"
 )
 
-// textResponse is an answer that is complete at its first full stop.
+// textResponse is a response that is complete at its first full stop.
 type textResponse struct {
 	received bytes.Buffer
 	panic    bool
@@ -22,12 +22,12 @@
 
 func (x *textResponse) Feed(in *ring.Buffer) error {
 	if x.panic {
-		panic("told to")
+		panic("requested panic")
 	}
 	x.received.Write(in.Front(in.Len()))
 	in.Discard(in.Len())
 	if strings.Contains(x.received.String(), "!") {
-		return errors.New("not understood")
+		return errors.New("parse error")
 	}
 	return nil
 }
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// TestCall checks how far each kind of failure is said to have come.
+// TestCall checks the stage that is reported for each kind of failure.
 func TestCall(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,7 +47,7 @@
 	}
 	closed := ln.Addr().String()
 	ln.Close()
-	// Each answer is what the party writes before it closes; it stays silent after one that ends with ",,,".
+	// The server writes the answer and closes the connection. After an answer that ends with ",,," it stays silent instead.
 	for _, tc := range []struct {
 		answer   string
 		panic    bool
@@ -110,7 +110,7 @@
 	}
 }
 
-// lateConn is a connection whose bytes came while nobody could read: a read whose deadline has passed fails first.
+// lateConn is a connection whose bytes arrived while the process was paused: its first read fails with an exceeded deadline.
 type lateConn struct {
 	net.Conn
 	failed   bool
@@ -129,7 +129,7 @@
 	return copy(p, "here"), nil
 }
 
-// TestReadAfterDeadline guards against a watch held to be silent because this process stood still.
+// TestReadAfterDeadline guards against a watch that is considered silent because this process was paused.
 func TestReadAfterDeadline(t *testing.T) {
 	p := make([]byte, 10)
 	if n, err := read(&lateConn{}, p, time.Now().Add(-time.Second)); n != 4 || err != nil {
@@ -137,7 +137,7 @@
 	}
 }
 
-// TestCallCancelled guards against calls that outlive the program.
+// TestCallCancelled guards against calls that outlive their context.
 func TestCallCancelled(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/planner/transport/handover.go
+++ b/internal/planner/transport/handover.go
@@ -9,22 +9,22 @@
 	"mulleinwood/internal/planner/transport/ring"
 )
 
-// The first bytes of what is no line of JSON: HTTP/2's preface begins with the one, a TLS handshake with the other.
+// The first bytes of protocols other than lines of JSON: the HTTP/2 connection preface and the TLS handshake.
 const (
 	http2PrefaceByte = 'P'
 	tlsHandshakeByte = 0x16
 )
 
-// isForeign says whether the first byte of a connection is of another protocol.
+// isForeign reports whether the first byte of a connection belongs to another protocol.
 func isForeign(in *ring.Buffer) bool {
 	first, _ := in.Peek()
 	return len(first) > 0 && (first[0] == http2PrefaceByte || first[0] == tlsHandshakeByte)
 }
 
-// handedOffConn is a connection that another protocol's driver has taken over, with the bytes that had been read.
+// handedOffConn is a connection handed off to another protocol's handler. It returns the bytes that were already read first.
 type handedOffConn struct {
 	net.Conn
-	buffered  []byte // the reader's own
+	buffered  []byte // accessed by the reader only
 	closeOnce sync.Once
 	closed    chan struct{}
 }
@@ -46,12 +46,12 @@
 	return err
 }
 
-// handOff gives the connection to the other protocol's driver and waits until that has closed it. The connection counts
-// as all others do, and must show who it is in the same time.
+// handOff passes the connection to the other protocol's handler and waits until the handler has closed it. The connection
+// still counts towards the listener's limit and is subject to the same join timeout.
 func (c *Conn) handOff() {
 	first, second := c.in.Peek()
 	h := &handedOffConn{Conn: c.nc, buffered: append(append([]byte{}, first...), second...), closed: make(chan struct{})}
-	_ = c.nc.SetReadDeadline(time.Time{}) // it fails on a closed connection only, which the other driver notices
+	_ = c.nc.SetReadDeadline(time.Time{}) // fails only on a closed connection, which the handler detects
 	if !c.joinDeadline.IsZero() {
 		timer := time.AfterFunc(time.Until(c.joinDeadline), func() {
 			if !c.Joined() {
--- a/internal/planner/transport/listener.go
+++ b/internal/planner/transport/listener.go
@@ -11,29 +11,30 @@
 	"mulleinwood/internal/planner/transport/ring"
 )
 
-// acceptBackoff is how long accepting rests after the system refused a descriptor and nothing could be shed.
+// acceptBackoff is the pause of Accept after it failed for lack of descriptors and no connection could be shed.
 const acceptBackoff = 10 * time.Millisecond
 
-// ErrLoadShed ends a connection that had to make room for another.
+// ErrLoadShed closes a connection to make room for another.
 var ErrLoadShed = errors.New("shed to make room")
 
-// Handler makes the machine of an accepted connection, and hears of its end. It hears too of connections that were
-// refused since all others are known.
+// Handler provides the machine of an accepted connection and is notified when the connection is closed. Rejected is called
+// for a connection that is rejected because all others are identified.
 type Handler interface {
 	Accepted(c *Conn) Machine
 	Closed(c *Conn, reason error)
 	Rejected(peer string)
 }
 
-// NewBufferBudget returns a budget for what connections hold beyond the little that each may hold in any case.
+// NewBufferBudget returns a budget of limit bytes for the buffers of connections. The first bytes of each buffer, as many as
+// an unidentified connection may use, don't count.
 func NewBufferBudget(limit int64) *ring.Budget { return ring.NewBudget(limit, maxUnidentifiedBuffer) }
 
-// Listener accepts connections, no more than Most at a time. All their buffers together stay within Memory. A
-// connection that is not known within Join of its accepting is closed; 0: it may stay.
+// Listener accepts a limited number of concurrent connections, see SetMaxConns. Their buffers share the budget Memory. A
+// connection that isn't identified within JoinTimeout is closed; 0 disables the timeout.
 type Listener struct {
 	JoinTimeout time.Duration
-	// Foreign takes over connections whose first byte is of HTTP/2 or TLS; nil: they are fed to the machine as any. It must
-	// see to it that the connection is closed in the end.
+	// Handoff takes over connections that begin with HTTP/2 or TLS, and must make sure that they are closed in the end. If it
+	// is nil, they are fed to the machine like all others.
 	Handoff func(c *Conn, nc net.Conn)
 	Memory  *ring.Budget
 
@@ -44,7 +45,7 @@
 	serving  sync.WaitGroup
 }
 
-// Listen opens the address.
+// Listen listens on a TCP address.
 func Listen(address string, maxConns int, budget *ring.Budget) (*Listener, error) {
 	ln, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", address)
 	if err != nil {
@@ -55,22 +56,22 @@
 	return l, nil
 }
 
-// SetMaxConns changes how many connections may be open from the next one on.
+// SetMaxConns changes the limit of open connections. It applies from the next connection on.
 func (l *Listener) SetMaxConns(limit int) { l.maxConns.Store(int64(limit)) }
 
-// full says whether no more connections may be open.
+// full reports whether the limit of open connections is reached.
 func (l *Listener) full() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return int64(len(l.conns)) >= l.maxConns.Load()
 }
 
-// Addr is the address that it listens on.
+// Addr returns the address that the listener is bound to.
 func (l *Listener) Addr() net.Addr { return l.ln.Addr() }
 
-// Serve accepts until ctx ends, then closes every connection and waits for them.
+// Serve accepts connections until ctx is done, then closes all connections and waits for their goroutines.
 func (l *Listener) Serve(ctx context.Context, h Handler) error {
-	stop := context.AfterFunc(ctx, func() { _ = l.ln.Close() }) // its end is what Accept tells
+	stop := context.AfterFunc(ctx, func() { _ = l.ln.Close() }) // Accept reports the closing
 	defer stop()
 	defer l.closeAll(net.ErrClosed)
 	for {
@@ -84,7 +85,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return err
 		}
-		if err != nil { // mostly: out of descriptors
+		if err != nil { // usually out of descriptors
 			if !l.shedOne() {
 				time.Sleep(acceptBackoff)
 			}
@@ -112,8 +113,8 @@
 	}
 }
 
-// shedOne closes the connection that has shown least of itself, the oldest of those; never a known one. Guards
-// against strangers that connect and say nothing until no descriptor is left for a proxy.
+// shedOne closes the oldest connection of the lowest state and reports whether there was one; identified connections are
+// never closed. It keeps silent, unidentified peers from using up the descriptors that proxies need.
 func (l *Listener) shedOne() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/planner/transport/ring/ring.go
+++ b/internal/planner/transport/ring/ring.go
@@ -1,4 +1,4 @@
-// Package ring holds the byte buffer that stands between a socket and a protocol machine, one a direction.
+// Package ring provides the byte buffer between a socket and a protocol machine, one for each direction.
 package ring
 
 import (
@@ -7,28 +7,28 @@
 	"sync/atomic"
 )
 
-// ErrFull says that a buffer has reached its cap, or all together their budget.
+// ErrFull is returned if a buffer has reached its limit, or all buffers together their budget.
 var ErrFull = errors.New("buffer is full")
 
-// Budget bounds the memory of many buffers together. Buffers of several goroutines may share one. The first
-// bytes of each buffer are free, so that a few large buffers can't keep out the others.
+// Budget limits the total memory of many buffers. It is safe for concurrent use. The first bytes of each buffer don't count,
+// so that a few large buffers can't starve the others.
 type Budget struct {
 	limit         atomic.Int64
 	freePerBuffer int
 	used          atomic.Int64
 }
 
-// NewBudget returns a budget of most bytes beyond the free ones of each buffer.
+// NewBudget returns a budget of limit bytes in all, to which the first freePerBuffer bytes of each buffer don't count.
 func NewBudget(limit int64, freePerBuffer int) *Budget {
 	b := &Budget{freePerBuffer: freePerBuffer}
 	b.SetLimit(limit)
 	return b
 }
 
-// SetLimit changes the bound. What is already held stays.
+// SetLimit changes the limit. Memory that is already reserved stays reserved.
 func (b *Budget) SetLimit(limit int64) { b.limit.Store(limit) }
 
-// reserve books a buffer's change from one size to another; it says whether there was room for it.
+// reserve accounts for a buffer's change from one size to another and reports whether the budget allows it.
 func (b *Budget) reserve(from, to int) bool {
 	if b == nil {
 		return true
@@ -41,8 +41,8 @@
 	return true
 }
 
-// Buffer is a ring of bytes. It starts small, doubles when it must, never beyond its cap, and gives the memory
-// back once it is empty again.
+// Buffer is a ring buffer of bytes. It doubles its size as needed, up to its limit, and frees its memory when it is empty
+// again and has grown.
 type Buffer struct {
 	data           []byte
 	head, length   int
@@ -50,18 +50,18 @@
 	budget         *Budget
 }
 
-// New returns an empty buffer. It allocates nothing until bytes come. The budget may be nil.
+// New returns an empty buffer. It allocates no memory until it is written to. The budget may be nil.
 func New(initial, limit int, budget *Budget) *Buffer {
 	return &Buffer{initial: min(initial, limit), limit: limit, budget: budget}
 }
 
-// Len is the number of bytes held.
+// Len returns the number of buffered bytes.
 func (b *Buffer) Len() int { return b.length }
 
-// SetLimit changes the cap. Bytes already held stay.
+// SetLimit changes the limit. Bytes that are already buffered stay.
 func (b *Buffer) SetLimit(limit int) { b.limit = limit }
 
-// grow makes room for at least one more byte, or for want more where the cap allows.
+// grow makes room for the needed bytes as far as the limit and the budget allow.
 func (b *Buffer) grow(needed int) {
 	size := max(len(b.data), b.initial, 1)
 	for size < b.length+needed {
@@ -76,7 +76,7 @@
 	b.data, b.head = data, 0
 }
 
-// Space returns a piece of free memory to read into, growing the buffer when it is full.
+// Space returns free memory to read into. It grows the buffer if it is full.
 func (b *Buffer) Space() ([]byte, error) {
 	if b.length == len(b.data) {
 		b.grow(1)
@@ -91,10 +91,10 @@
 	return b.data[tail:], nil
 }
 
-// Commit says that the first n bytes of Space have been filled.
+// Commit appends the first n bytes of the memory that Space returned.
 func (b *Buffer) Commit(n int) { b.length += n }
 
-// Write appends all of p, or nothing of it if it would not fit under the cap.
+// Write appends all of p. If p doesn't fit within the limit and the budget, it appends nothing and returns ErrFull.
 func (b *Buffer) Write(p []byte) (int, error) {
 	if b.length+len(p) > max(b.limit, len(b.data)) {
 		return 0, ErrFull
@@ -102,7 +102,7 @@
 	if b.length+len(p) > len(b.data) {
 		b.grow(len(p))
 	}
-	if b.length+len(p) > len(b.data) { // over the budget
+	if b.length+len(p) > len(b.data) { // the budget is exhausted
 		return 0, ErrFull
 	}
 	for rest := p; len(rest) > 0; {
@@ -117,7 +117,7 @@
 	return len(p), nil
 }
 
-// Peek returns the bytes held, oldest first, in two pieces; the second is empty unless they wrap. The pieces
+// Peek returns the buffered bytes, oldest first, in two slices. The second is empty unless the bytes wrap around. The slices
 // are valid until the next call that changes the buffer.
 func (b *Buffer) Peek() (first, second []byte) {
 	if end := b.head + b.length; end > len(b.data) {
@@ -126,7 +126,7 @@
 	return b.data[b.head : b.head+b.length], nil
 }
 
-// Index returns the position of the first c at or after from, or -1.
+// Index returns the index of the first c at or after from, or -1.
 func (b *Buffer) Index(c byte, from int) int {
 	first, second := b.Peek()
 	if from < len(first) {
@@ -141,7 +141,7 @@
 	return -1
 }
 
-// Front returns the first n bytes as one piece; it copies only where they wrap.
+// Front returns the first n bytes as one slice. It copies them only if they wrap around.
 func (b *Buffer) Front(n int) []byte {
 	first, second := b.Peek()
 	if n <= len(first) {
@@ -150,7 +150,7 @@
 	return append(append(make([]byte, 0, n), first...), second[:n-len(first)]...)
 }
 
-// Discard drops the first n bytes.
+// Discard removes the first n bytes.
 func (b *Buffer) Discard(n int) {
 	n = min(n, b.length)
 	if b.length -= n; b.length > 0 {
@@ -163,7 +163,7 @@
 	}
 }
 
-// Free gives up the memory and all that is held. The buffer may be used again.
+// Free discards all bytes and releases the memory. The buffer may be used again.
 func (b *Buffer) Free() {
 	b.budget.reserve(len(b.data), 0)
 	b.data, b.head, b.length = nil, 0, 0
--- a/internal/planner/transport/ring/ring_test.go
+++ b/internal/planner/transport/ring/ring_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// contents returns what a buffer holds, by Peek.
+// contents returns a copy of the buffered bytes.
 func contents(b *Buffer) []byte {
 	first, second := b.Peek()
 	return append(append([]byte{}, first...), second...)
 }
 
-// TestAgainstSlice plays random reads and writes on buffers of several sizes and on a slice. Guards against
-// bytes lost or moved where the ring wraps, grows or gives its memory back.
+// TestAgainstSlice applies random reads and writes to buffers of several sizes and to a slice. It guards against bytes that
+// are lost or moved when the ring wraps around, grows or frees its memory.
 func TestAgainstSlice(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -68,7 +68,8 @@
 	}
 }
 
-// TestMemory guards against strangers that cost memory: nothing before bytes come, nothing large afterwards.
+// TestMemory guards against idle connections that cost memory: a buffer allocates none before its first bytes and frees it
+// when it is empty again.
 func TestMemory(t *testing.T) {
 	b := New(16, 1024, nil)
 	if b.data != nil {
@@ -78,10 +79,10 @@
 		t.Fatal(err)
 	}
 	if _, err := b.Write([]byte{1}); !errors.Is(err, ErrFull) {
-		t.Errorf("write over the cap: %v", err)
+		t.Errorf("write over the limit: %v", err)
 	}
 	if b.Discard(1023); len(b.data) != 1024 {
-		t.Errorf("%d bytes of memory while one byte is held", len(b.data))
+		t.Errorf("%d bytes of memory while one byte is buffered", len(b.data))
 	}
 	if b.Discard(1); b.data != nil {
 		t.Errorf("%d bytes of memory kept by an empty buffer", len(b.data))
@@ -90,11 +91,11 @@
 		t.Error("an empty buffer holds bytes")
 	}
 	if _, err := b.Write(make([]byte, 4000)); err != nil {
-		t.Errorf("write under a raised cap: %v", err)
+		t.Errorf("write under a raised limit: %v", err)
 	}
 }
 
-// TestBudget guards against many buffers that are each within their cap and together beyond the memory.
+// TestBudget guards against buffers that are each within their limit and together exceed the memory.
 func TestBudget(t *testing.T) {
 	budget := NewBudget(3000, 0)
 	one, two := New(16, 4096, budget), New(16, 4096, budget)
@@ -109,10 +110,10 @@
 	}
 	one.Discard(2000)
 	if _, err := two.Write(make([]byte, 1500)); err != nil || two.Len() != 2000 {
-		t.Errorf("a write after memory was given back: %v, %d bytes held", err, two.Len())
+		t.Errorf("a write after memory was freed: %v, %d bytes held", err, two.Len())
 	}
 	if two.Free(); budget.used.Load() != 0 {
-		t.Errorf("%d bytes are still booked", budget.used.Load())
+		t.Errorf("%d bytes are still reserved", budget.used.Load())
 	}
 	budget = NewBudget(3000, 512)
 	one, two = New(16, 4096, budget), New(16, 4096, budget)
@@ -121,9 +122,9 @@
 	}
 	budget.used.Store(3000)
 	if _, err := two.Write(make([]byte, 500)); err != nil {
-		t.Errorf("a small write while the budget is used up: %v", err)
+		t.Errorf("a small write while the budget is exhausted: %v", err)
 	}
 	if _, err := two.Write(make([]byte, 500)); !errors.Is(err, ErrFull) {
-		t.Errorf("a larger one: %v", err)
+		t.Errorf("a larger write: %v", err)
 	}
 }
