--- a/internal/planner/dialect/dialect_test.go
+++ b/internal/planner/dialect/dialect_test.go
@@ -20,7 +20,7 @@
 			protocol = other
 		}
 	}
-	speaks := func(p Protocol) func(Protocol) Result {
+	responder := func(p Protocol) func(Protocol) Result {
 		return func(protocol Protocol) Result {
 			if protocol == p {
 				return Answered
@@ -35,23 +35,23 @@
 		server  func(Protocol) Result
 		want    string
 	}{
-		{"a", speaks(HTTP), "[http]"},
-		{"a", speaks(GRPC), "[http grpc]"},
-		{"a", speaks(GRPC), "[grpc]"},
+		{"a", responder(HTTP), "[http]"},
+		{"a", responder(GRPC), "[http grpc]"},
+		{"a", responder(GRPC), "[grpc]"},
 		{"a", silent, "[grpc]"}, // it may be down; its protocol stays cached
-		{"b", speaks(HTTP), "[http]"},
+		{"b", responder(HTTP), "[http]"},
 		{"b", silent, "[http]"},
 		{"a", unknown, "[grpc http]"},
-		{"a", speaks(GRPC), "[grpc]"},
-		{"a", speaks(HTTP), "[grpc http]"},
-		{"a", speaks(HTTP), "[http]"},
+		{"a", responder(GRPC), "[grpc]"},
+		{"a", responder(HTTP), "[grpc http]"},
+		{"a", responder(HTTP), "[http]"},
 	} {
 		if got := fmt.Sprint(probe(step.address, step.server)); got != step.want {
 			t.Errorf("probe %d of %s: attempts by %s, want %s", i, step.address, got, step.want)
 		}
 	}
 	for i := range 3 * maxAddresses {
-		probe(fmt.Sprint(i), speaks(GRPC))
+		probe(fmt.Sprint(i), responder(GRPC))
 	}
 	if cache.Len() > maxAddresses {
 		t.Errorf("%d addresses are cached", cache.Len())
--- a/internal/planner/record/record.go
+++ b/internal/planner/record/record.go
@@ -1,5 +1,5 @@
-// Package record keeps what was sent to proxies, in an embedded store: bounded in size and age, each entry chained to the one
-// before by a digest, so that a changed or cut record is noticed when it is opened.
+// Package record stores the updates that were sent to proxies in an embedded database, limited in number and age. Each entry
+// is linked to the one before by a digest, so that a modified or truncated record is detected when it is opened.
 package record
 
 import (
@@ -16,26 +16,26 @@
 	"lukechampine.com/blake3"
 )
 
-// Entry is one update that was sent, or a gap: so many that could not be written.
+// Entry is one update that was sent, or a gap that stands for entries that couldn't be written.
 type Entry struct {
 	Seq    uint64
 	At     time.Time
 	Cause  string
-	Update []byte // sealed, as tables.Decode reads it
-	Gap    uint64
+	Update []byte // encoded with its checksum, for tables.Decode
+	Gap    uint64 // number of missing entries; 0 if the entry is an update
 }
 
-// Retention of a record. 0: none.
+// Retention limits the entries of a record. 0 is no limit.
 type Retention struct {
 	MaxEntries uint64
 	MaxAge     time.Duration
 }
 
-// The errors of a record that can't be used. None of them is repaired by writing over it.
+// The errors of a record that can't be used. Such a file is never overwritten or repaired.
 var (
 	ErrLocked    = errors.New("the record is in use by another process")
-	ErrNotRecord = errors.New("the file is no record")
-	ErrCorrupt   = errors.New("the record was changed or cut")
+	ErrNotRecord = errors.New("the file is not a record")
+	ErrCorrupt   = errors.New("the record was modified or truncated")
 )
 
 var (
@@ -47,32 +47,33 @@
 	lockTimeout   = 200 * time.Millisecond
 )
 
-// chain is the digest of an entry and all before it.
-type chain [16]byte
+// chainDigest is the digest of an entry and all entries before it.
+type chainDigest [16]byte
 
-// bounds says where a record begins and ends. It is sealed, so that entries can't be cut off at either end.
+// bounds contains the first and the last entry of a record. It is stored with a checksum, so that removed entries are detected
+// at either end.
 type bounds struct {
-	first  uint64 // sequence number of the first entry kept
-	before chain  // of the entry before the first
-	last   uint64 // sequence number of the last; first-1: there is none
-	end    chain
+	first       uint64      // sequence number of the first retained entry
+	beforeFirst chainDigest // digest of the entry before the first
+	last        uint64      // sequence number of the last entry; first-1 if there is none
+	lastLink    chainDigest
 }
 
-// Record is an open record. It is for one goroutine.
+// Record is an open record. It isn't safe for concurrent use.
 type Record struct {
 	db     *bolt.DB
 	key    []byte
 	bounds bounds
 }
 
-// digest is keyed where there is a key.
-func digest(key []byte, parts ...[]byte) (c chain) {
+// digest returns a keyed BLAKE3 hash of the parts, or a plain XXH3 hash if the key is empty.
+func digest(key []byte, parts ...[]byte) (c chainDigest) {
 	if len(key) > 0 {
 		derived := make([]byte, 32)
 		blake3.DeriveKey(derived, "mulleinwood record chain v1", key)
 		h := blake3.New(len(c), derived)
 		for _, p := range parts {
-			_, _ = h.Write(p) // a hash takes all bytes
+			_, _ = h.Write(p) // a hash never returns an error
 		}
 		copy(c[:], h.Sum(nil))
 		return c
@@ -86,25 +87,26 @@
 
 func (h bounds) encode(key []byte) []byte {
 	out := binary.BigEndian.AppendUint64(nil, h.first)
-	out = append(out, h.before[:]...)
+	out = append(out, h.beforeFirst[:]...)
 	out = binary.BigEndian.AppendUint64(out, h.last)
-	out = append(out, h.end[:]...)
-	seal := digest(key, out)
-	return append(out, seal[:]...)
+	out = append(out, h.lastLink[:]...)
+	checksum := digest(key, out)
+	return append(out, checksum[:]...)
 }
 
-func decodeBounds(text, key []byte) (h bounds, err error) {
+func decodeBounds(data, key []byte) (h bounds, err error) {
 	const size = 8 + 16 + 8 + 16
-	if len(text) != size+16 {
+	if len(data) != size+16 {
 		return bounds{}, ErrNotRecord
 	}
-	if digest(key, text[:size]) != chain(text[size:]) {
-		return bounds{}, fmt.Errorf("%w: its head's seal doesn't hold (or the key is another)", ErrCorrupt)
+	if digest(key, data[:size]) != chainDigest(data[size:]) {
+		return bounds{}, fmt.Errorf("%w: checksum mismatch of its bounds, or wrong key", ErrCorrupt)
 	}
-	return bounds{binary.BigEndian.Uint64(text), chain(text[8:24]), binary.BigEndian.Uint64(text[24:]), chain(text[32:48])}, nil
+	return bounds{binary.BigEndian.Uint64(data), chainDigest(data[8:24]),
+		binary.BigEndian.Uint64(data[24:]), chainDigest(data[32:48])}, nil
 }
 
-// Fields of an entry on disk, in the protocol buffers' encoding.
+// Field numbers of an entry on disk, in the Protocol Buffers wire format.
 const (
 	fieldAt protowire.Number = iota + 1
 	fieldCause
@@ -119,31 +121,31 @@
 	return protowire.AppendVarint(protowire.AppendTag(out, fieldGap, protowire.VarintType), e.Gap)
 }
 
-func decodeEntry(seq uint64, text []byte) (Entry, error) {
+func decodeEntry(seq uint64, data []byte) (Entry, error) {
 	e := Entry{Seq: seq}
-	for len(text) > 0 {
-		n, kind, size := protowire.ConsumeTag(text)
+	for len(data) > 0 {
+		n, kind, size := protowire.ConsumeTag(data)
 		if size < 0 {
 			return Entry{}, ErrCorrupt
 		}
-		text = text[size:]
+		data = data[size:]
 		switch kind {
 		case protowire.VarintType:
-			x, size := protowire.ConsumeVarint(text)
+			x, size := protowire.ConsumeVarint(data)
 			if size < 0 {
 				return Entry{}, ErrCorrupt
 			}
-			if text = text[size:]; n == fieldAt {
+			if data = data[size:]; n == fieldAt {
 				e.At = time.UnixMilli(int64(x))
 			} else if n == fieldGap {
 				e.Gap = x
 			}
 		case protowire.BytesType:
-			b, size := protowire.ConsumeBytes(text)
+			b, size := protowire.ConsumeBytes(data)
 			if size < 0 {
 				return Entry{}, ErrCorrupt
 			}
-			if text = text[size:]; n == fieldCause {
+			if data = data[size:]; n == fieldCause {
 				e.Cause = string(b)
 			} else if n == fieldUpdate {
 				e.Update = append([]byte(nil), b...)
@@ -157,9 +159,10 @@
 
 func seqKey(seq uint64) []byte { return binary.BigEndian.AppendUint64(nil, seq) }
 
-// Open opens or makes a record and looks through all of it. A file that can't be used is left as it is.
+// Open opens a record, or creates it unless readOnly is set, and verifies all its entries. A file that can't be used isn't
+// changed.
 func Open(file string, key []byte, readOnly bool) (r *Record, err error) {
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // pages that a cut file lacks
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a truncated file lacks mapped pages
 	var db *bolt.DB
 	defer func() {
 		if p := recover(); p != nil {
@@ -191,12 +194,13 @@
 	return r, nil
 }
 
+// closeDamaged closes the database of a record that Open rejects.
 func closeDamaged(db *bolt.DB) {
-	defer func() { _ = recover() }() // of a file whose pages can't be trusted
-	_ = db.Close()                   // the damage is what is reported
+	defer func() { _ = recover() }() // bbolt may panic on corrupt pages
+	_ = db.Close()                   // Open reports the corruption instead
 }
 
-// initialize makes the buckets of a new record.
+// initialize creates the buckets of a new record. It returns ErrNotRecord if the database contains other buckets.
 func (r *Record) initialize() error {
 	return r.db.Update(func(tx *bolt.Tx) error {
 		if tx.Bucket(metaBucket) != nil || tx.Bucket(entriesBucket) != nil {
@@ -219,62 +223,62 @@
 	})
 }
 
-// verify goes through the whole chain.
+// verify checks the digests and sequence numbers of all entries, and loads the bounds.
 func (r *Record) verify() error {
 	return r.db.View(func(tx *bolt.Tx) error {
-		b, list := tx.Bucket(metaBucket), tx.Bucket(entriesBucket)
-		if b == nil || list == nil || string(b.Get(formatKey)) != string(formatVersion) {
+		b, entries := tx.Bucket(metaBucket), tx.Bucket(entriesBucket)
+		if b == nil || entries == nil || string(b.Get(formatKey)) != string(formatVersion) {
 			return ErrNotRecord
 		}
-		h, err := decodeBounds(b.Get(headKey), r.key)
+		stored, err := decodeBounds(b.Get(headKey), r.key)
 		if err != nil {
 			return err
 		}
-		seq, link := h.first, h.before
-		err = list.ForEach(func(k, v []byte) error {
-			if len(k) != 8 || binary.BigEndian.Uint64(k) != seq || seq > h.last {
-				return fmt.Errorf("%w: entry %d is missing or another stands there", ErrCorrupt, seq)
+		seq, previous := stored.first, stored.beforeFirst
+		err = entries.ForEach(func(k, v []byte) error {
+			if len(k) != 8 || binary.BigEndian.Uint64(k) != seq || seq > stored.last {
+				return fmt.Errorf("%w: entry %d is missing or out of sequence", ErrCorrupt, seq)
 			}
-			if len(v) < len(link) || digest(r.key, link[:], v[len(link):]) != chain(v[:len(link)]) {
+			if len(v) < len(previous) || digest(r.key, previous[:], v[len(previous):]) != chainDigest(v[:len(previous)]) {
 				return fmt.Errorf("%w: entry %d", ErrCorrupt, seq)
 			}
-			link, seq = chain(v[:len(link)]), seq+1
+			previous, seq = chainDigest(v[:len(previous)]), seq+1
 			return nil
 		})
 		if err != nil {
 			return err
 		}
-		if seq != h.last+1 || link != h.end {
-			return fmt.Errorf("%w: it ends at entry %d and should at %d", ErrCorrupt, seq-1, h.last)
+		if seq != stored.last+1 || previous != stored.lastLink {
+			return fmt.Errorf("%w: it ends at entry %d instead of %d", ErrCorrupt, seq-1, stored.last)
 		}
-		r.bounds = h
+		r.bounds = stored
 		return nil
 	})
 }
 
-// Append writes entries in one transaction, all or none, and lets go of those over the bounds.
-func (r *Record) Append(now time.Time, retention Retention, list ...Entry) error {
+// Append writes entries in one transaction, all or none, and deletes the entries that exceed the retention limits.
+func (r *Record) Append(now time.Time, retention Retention, entries ...Entry) error {
 	h := r.bounds
 	err := r.db.Update(func(tx *bolt.Tx) error {
 		b := tx.Bucket(entriesBucket)
-		for _, e := range list {
-			text := e.encode()
-			h.end = digest(r.key, h.end[:], text)
+		for _, e := range entries {
+			encoded := e.encode()
+			h.lastLink = digest(r.key, h.lastLink[:], encoded)
 			h.last++
-			if err := b.Put(seqKey(h.last), append(h.end[:], text...)); err != nil {
+			if err := b.Put(seqKey(h.last), append(h.lastLink[:], encoded...)); err != nil {
 				return err
 			}
 		}
 		c := b.Cursor()
 		for k, v := c.First(); k != nil; k, v = c.First() {
-			e, err := decodeEntry(h.first, v[len(h.before):])
+			e, err := decodeEntry(h.first, v[len(h.beforeFirst):])
 			if err != nil {
 				return err
 			}
 			if !retention.exceeded(e, h.last, now) {
 				break
 			}
-			h.before = chain(v[:len(h.before)])
+			h.beforeFirst = chainDigest(v[:len(h.beforeFirst)])
 			h.first++
 			if err := c.Delete(); err != nil {
 				return err
@@ -288,18 +292,18 @@
 	return err
 }
 
-// exceeded says whether an entry is over the bounds of a record that ends with the given one.
+// exceeded reports whether an entry exceeds the limits in a record that ends with sequence number last.
 func (b Retention) exceeded(e Entry, last uint64, now time.Time) bool {
 	return b.MaxEntries > 0 && last-e.Seq >= b.MaxEntries || b.MaxAge > 0 && now.Sub(e.At) > b.MaxAge
 }
 
-// Each goes through the entries from the first to the last until the function says no.
-func (r *Record) Each(f func(Entry) bool) error {
+// Each calls visit for the entries in order until it returns false.
+func (r *Record) Each(visit func(Entry) bool) error {
 	return r.db.View(func(tx *bolt.Tx) error {
 		c := tx.Bucket(entriesBucket).Cursor()
 		for k, v := c.First(); k != nil; k, v = c.Next() {
-			e, err := decodeEntry(binary.BigEndian.Uint64(k), v[len(chain{}):])
-			if err != nil || !f(e) {
+			e, err := decodeEntry(binary.BigEndian.Uint64(k), v[len(chainDigest{}):])
+			if err != nil || !visit(e) {
 				return err
 			}
 		}
@@ -307,8 +311,8 @@
 	})
 }
 
-// Len is how many entries there are.
+// Len returns the number of entries.
 func (r *Record) Len() uint64 { return r.bounds.last + 1 - r.bounds.first }
 
-// Close closes the store.
+// Close closes the database.
 func (r *Record) Close() error { return r.db.Close() }
--- a/internal/planner/record/record_test.go
+++ b/internal/planner/record/record_test.go
@@ -13,7 +13,7 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// TestMain lets the test binary stand in for a writer that is killed.
+// TestMain runs the test binary as a writer process for TestKilledWriter if RECORD_FILE is set.
 func TestMain(m *testing.M) {
 	if file := os.Getenv("RECORD_FILE"); file != "" {
 		r, err := Open(file, testKey, false)
@@ -36,7 +36,7 @@
 	return Entry{At: time.UnixMilli(int64(n) * 1000), Cause: "weights", Update: []byte("update " + strconv.FormatUint(n, 10))}
 }
 
-// writeRecord makes a record of so many entries.
+// writeRecord creates a record of n entries and returns its file.
 func writeRecord(t *testing.T, n int) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "record.db")
@@ -55,7 +55,8 @@
 	return file
 }
 
-// checkContents opens a record and checks that it holds a run of entries as they were written.
+// checkContents opens a record and checks that its entries are as they were written. It returns the first and last sequence
+// numbers.
 func checkContents(t *testing.T, file string) (first, last uint64) {
 	t.Helper()
 	r, err := Open(file, testKey, true)
@@ -79,8 +80,8 @@
 	return first, last
 }
 
-// TestKilledWriter: a writer is killed again and again in the midst of its writing. The record opens each time and ends with
-// what was written, or the one entry more that was under way.
+// TestKilledWriter kills a writer process repeatedly while it writes. The record must open each time and end with the last
+// entry that was reported as written, or with one more that was being written.
 func TestKilledWriter(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "record.db")
 	for round := range 12 {
@@ -99,7 +100,7 @@
 				t.Fatal(err)
 			}
 		}
-		cmd.Process.Kill() // wherever it is
+		cmd.Process.Kill() // at any point
 		for {
 			var n uint64
 			if _, err := fmt.Fscan(out, &n); err != nil {
@@ -110,74 +111,74 @@
 		cmd.Wait()
 		first, last := checkContents(t, file)
 		if last < written || last > written+1 || last-first >= 50 {
-			t.Fatalf("round %d: %d to %d are kept, %d was written", round, first, last, written)
+			t.Fatalf("round %d: entries %d to %d are retained, %d was written", round, first, last, written)
 		}
 	}
 }
 
-// TestDamagedFiles: a record that was cut at any page, or of which any page was changed, is noticed or is as it was; it is
-// never read as something else, never written over, and never ends the process.
+// TestDamagedFiles truncates a record at each page and modifies bytes of each page. Open must detect the damage or the
+// entries must be unaffected; a damaged file must not return other entries, be overwritten or crash the process.
 func TestDamagedFiles(t *testing.T) {
-	good, err := os.ReadFile(writeRecord(t, 40))
+	intact, err := os.ReadFile(writeRecord(t, 40))
 	if err != nil {
 		t.Fatal(err)
 	}
 	page := os.Getpagesize()
-	noticed, fine := 0, 0
-	try := func(what string, text []byte) {
+	detected, unaffected := 0, 0
+	try := func(name string, data []byte) {
 		t.Helper()
 		file := filepath.Join(t.TempDir(), "record.db")
-		if err := os.WriteFile(file, text, 0o600); err != nil {
+		if err := os.WriteFile(file, data, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		r, err := Open(file, testKey, true)
 		if err != nil {
-			noticed++
+			detected++
 			return
 		}
 		defer r.Close()
 		n := uint64(0)
 		r.Each(func(e Entry) bool {
 			if n++; e.Seq != n || string(e.Update) != string(testEntry(n).Update) {
-				t.Fatalf("%s: entry %d is read as %+v", what, n, e)
+				t.Fatalf("%s: entry %d is read as %+v", name, n, e)
 			}
 			return true
 		})
-		fine++ // in a page that isn't in use, or by the other of the store's two heads
+		unaffected++ // the page is unused, or the database has fallen back to its other meta page
 	}
-	for at := 0; at < len(good); at += page {
-		try(fmt.Sprint("cut at ", at), good[:at])
+	for at := 0; at < len(intact); at += page {
+		try(fmt.Sprint("truncated at ", at), intact[:at])
 		for _, offset := range []int{3, 20, 100, 700, page - 5} {
-			text := append([]byte{}, good...)
-			text[at+offset] ^= 0x10
-			try(fmt.Sprint("changed at ", at+offset), text)
+			data := append([]byte{}, intact...)
+			data[at+offset] ^= 0x10
+			try(fmt.Sprint("modified at ", at+offset), data)
 		}
 	}
-	if noticed < 10 {
-		t.Errorf("%d noticed, %d fine", noticed, fine)
+	if detected < 10 {
+		t.Errorf("%d detected, %d unaffected", detected, unaffected)
 	}
-	t.Logf("%d noticed, %d as they were", noticed, fine)
+	t.Logf("%d detected, %d unaffected", detected, unaffected)
 }
 
-// TestTampering: whoever changes entries, cuts them off at either end or takes another key is found out, although the store
-// itself is sound.
+// TestTampering checks that Open detects modified, removed and added entries and a wrong key in a file that is valid for the
+// database. It also checks the errors of a file that isn't a record and of a locked one.
 func TestTampering(t *testing.T) {
-	for what, change := range map[string]func(tx *bolt.Tx) error{
-		"an entry changed": func(tx *bolt.Tx) error {
+	for name, change := range map[string]func(tx *bolt.Tx) error{
+		"entry modified": func(tx *bolt.Tx) error {
 			v := append([]byte{}, tx.Bucket(entriesBucket).Get(seqKey(7))...)
 			v[len(v)-1] ^= 1
 			return tx.Bucket(entriesBucket).Put(seqKey(7), v)
 		},
-		"an entry taken out":  func(tx *bolt.Tx) error { return tx.Bucket(entriesBucket).Delete(seqKey(7)) },
-		"the first taken out": func(tx *bolt.Tx) error { return tx.Bucket(entriesBucket).Delete(seqKey(1)) },
-		"the last taken out":  func(tx *bolt.Tx) error { return tx.Bucket(entriesBucket).Delete(seqKey(20)) },
-		"one added": func(tx *bolt.Tx) error {
+		"entry removed":       func(tx *bolt.Tx) error { return tx.Bucket(entriesBucket).Delete(seqKey(7)) },
+		"first entry removed": func(tx *bolt.Tx) error { return tx.Bucket(entriesBucket).Delete(seqKey(1)) },
+		"last entry removed":  func(tx *bolt.Tx) error { return tx.Bucket(entriesBucket).Delete(seqKey(20)) },
+		"entry added": func(tx *bolt.Tx) error {
 			return tx.Bucket(entriesBucket).Put(seqKey(21), tx.Bucket(entriesBucket).Get(seqKey(20)))
 		},
-		"another head": func(tx *bolt.Tx) error {
+		"bounds with another key": func(tx *bolt.Tx) error {
 			return tx.Bucket(metaBucket).Put(headKey, bounds{first: 1, last: 0}.encode([]byte("guess")))
 		},
-		"another form": func(tx *bolt.Tx) error { return tx.Bucket(metaBucket).Put(formatKey, []byte("x")) },
+		"other format": func(tx *bolt.Tx) error { return tx.Bucket(metaBucket).Put(formatKey, []byte("x")) },
 	} {
 		file := writeRecord(t, 20)
 		db, err := bolt.Open(file, 0o600, nil)
@@ -189,16 +190,16 @@
 		}
 		db.Close()
 		if _, err := Open(file, testKey, false); !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrNotRecord) {
-			t.Errorf("%s: %v", what, err)
+			t.Errorf("%s: %v", name, err)
 		}
 	}
 	if _, err := Open(writeRecord(t, 3), []byte("another key"), false); !errors.Is(err, ErrCorrupt) {
-		t.Errorf("another key: %v", err)
+		t.Errorf("wrong key: %v", err)
 	}
 	foreign := filepath.Join(t.TempDir(), "f")
 	os.WriteFile(foreign, make([]byte, 64<<10), 0o600)
 	if _, err := Open(foreign, testKey, false); !errors.Is(err, ErrNotRecord) {
-		t.Errorf("a foreign file: %v", err)
+		t.Errorf("not a record: %v", err)
 	}
 	file := writeRecord(t, 3)
 	r, err := Open(file, testKey, false)
@@ -207,11 +208,11 @@
 	}
 	defer r.Close()
 	if _, err := Open(file, testKey, false); !errors.Is(err, ErrLocked) {
-		t.Errorf("a locked file: %v", err)
+		t.Errorf("locked record: %v", err)
 	}
 }
 
-// TestRetention: old entries go, by number and by age, and what is left still proves itself.
+// TestRetention checks that old entries are deleted by number and by age, and that the remaining record verifies.
 func TestRetention(t *testing.T) {
 	file := writeRecord(t, 30)
 	r, err := Open(file, testKey, false)
@@ -226,12 +227,12 @@
 	}
 	r.Close()
 	if first, last := checkContents(t, file); first != 28 || last != 32 {
-		t.Errorf("%d to %d are kept", first, last)
+		t.Errorf("entries %d to %d are retained", first, last)
 	}
 }
 
-// TestFullDisk: a disk that takes nothing for a while is told of once, holds nobody up, and leaves a gap that says how much is
-// missing.
+// TestFullDisk checks that a writer whose disk is full reports it once, doesn't block Add, and records a gap with the number
+// of missing entries afterwards.
 func TestFullDisk(t *testing.T) {
 	var written []Entry
 	diskFull, failures := true, 0
@@ -242,7 +243,7 @@
 		written = append(written, list...)
 		return nil
 	}, func(error) { failures++ })
-	for n := range uint64(maxQueuedEntries + 100) { // 100 don't even fit the queue
+	for n := range uint64(maxQueuedEntries + 100) { // 100 exceed the queue
 		w.Add(testEntry(n + 1))
 	}
 	for range 3 {
@@ -250,12 +251,13 @@
 	}
 	diskFull = false
 	w.write([]Entry{testEntry(9)})
-	if failures != 1 || len(written) != 2 || written[0].Gap != 103 || written[0].Cause != "gap" || string(written[1].Update) != "update 9" {
-		t.Errorf("told %d times, written %+v", failures, written)
+	if failures != 1 || len(written) != 2 ||
+		written[0].Gap != 103 || written[0].Cause != "gap" || string(written[1].Update) != "update 9" {
+		t.Errorf("%d failures reported, written %+v", failures, written)
 	}
 	diskFull = true
 	w.write([]Entry{testEntry(10)})
 	if failures != 2 {
-		t.Errorf("a second series is told %d times in all", failures)
+		t.Errorf("%d failures reported in all after the second series, want 2", failures)
 	}
 }
--- a/internal/planner/record/writer.go
+++ b/internal/planner/record/writer.go
@@ -6,42 +6,43 @@
 )
 
 const (
-	maxQueuedEntries = 4096 // entries that may wait for the disk
-	maxBatchEntries  = 512  // entries of one transaction
+	maxQueuedEntries = 4096 // entries that may wait to be written
+	maxBatchEntries  = 512  // entries in one transaction
 )
 
-// Writer writes entries in a goroutine of its own. It never holds its user up: what the disk doesn't take in time, or not at
-// all, is counted, and the next entry that can be written is preceded by a gap that tells how many are missing.
+// Writer writes entries in a separate goroutine. Add never blocks: entries that can't be written, or that exceed the queue,
+// are counted, and a gap with their number is written before the next entry that can be written.
 type Writer struct {
-	append    func(now time.Time, list ...Entry) error
-	now       func() time.Time
-	onFailure func(error) // told of the first failure of a series
-	queue     chan Entry
-	done      chan struct{}
+	appendEntries func(now time.Time, list ...Entry) error
+	now           func() time.Time
+	onFailure     func(error) // is called with the first error of consecutive failures
+	queue         chan Entry
+	done          chan struct{}
 
 	mu      sync.Mutex
 	lost    uint64
 	closed  bool
-	failing bool // the goroutine's own
+	failing bool // accessed by the goroutine only
 }
 
-// NewWriter returns a writer on a record, which it closes in the end.
+// NewWriter starts a writer to a record. The writer closes the record after Close is called. It calls onFailure in its
+// goroutine with the first error of consecutive failures.
 func NewWriter(r *Record, retention Retention, onFailure func(error)) *Writer {
 	w := newWriter(func(now time.Time, list ...Entry) error { return r.Append(now, retention, list...) }, onFailure)
 	go func() {
 		w.run()
-		_ = r.Close() // each batch was a transaction: nothing is lost with a close that fails
+		_ = r.Close() // each batch is committed: a failed close loses nothing
 		close(w.done)
 	}()
 	return w
 }
 
-func newWriter(append func(time.Time, ...Entry) error, onFailure func(error)) *Writer {
-	return &Writer{append: append, now: time.Now, onFailure: onFailure,
+func newWriter(appendEntries func(time.Time, ...Entry) error, onFailure func(error)) *Writer {
+	return &Writer{appendEntries: appendEntries, now: time.Now, onFailure: onFailure,
 		queue: make(chan Entry, maxQueuedEntries), done: make(chan struct{})}
 }
 
-// Add takes an entry, or counts it as lost.
+// Add queues an entry, or counts it as lost if the queue is full. After Close it does nothing.
 func (w *Writer) Add(e Entry) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -55,7 +56,7 @@
 	}
 }
 
-// Close writes what waits and ends the goroutine.
+// Close writes the queued entries and waits for the goroutine to end.
 func (w *Writer) Close() {
 	w.mu.Lock()
 	if !w.closed {
@@ -66,48 +67,48 @@
 	<-w.done
 }
 
-// run writes what waits, as much as there is at a time.
+// run writes the queued entries in batches until the queue is closed.
 func (w *Writer) run() {
 	for e := range w.queue {
-		list := []Entry{e}
+		batch := []Entry{e}
 	more:
-		for len(list) < maxBatchEntries {
+		for len(batch) < maxBatchEntries {
 			select {
 			case e, open := <-w.queue:
 				if !open {
 					break more
 				}
-				list = append(list, e)
+				batch = append(batch, e)
 			default:
 				break more
 			}
 		}
-		w.write(list)
+		w.write(batch)
 	}
-	w.write(nil) // a gap at the very end
+	w.write(nil) // writes a gap if the last entries were lost
 }
 
-// write writes a batch, with a gap before it if entries were lost. Entries lost while others waited came after those, so the
-// gap may stand a batch too early; it is never left out.
-func (w *Writer) write(list []Entry) {
+// write writes a batch, preceded by a gap if entries were lost. Entries are lost after those that were queued at that time,
+// so that the gap may come one batch too early. It is never omitted.
+func (w *Writer) write(batch []Entry) {
 	w.mu.Lock()
 	lost := w.lost
 	w.lost = 0
 	w.mu.Unlock()
 	now := w.now()
 	if lost > 0 {
-		list = append([]Entry{{At: now, Cause: "gap", Gap: lost}}, list...)
+		batch = append([]Entry{{At: now, Cause: "gap", Gap: lost}}, batch...)
 	}
-	if len(list) == 0 {
+	if len(batch) == 0 {
 		return
 	}
-	err := w.append(now, list...)
+	err := w.appendEntries(now, batch...)
 	if err == nil {
 		w.failing = false
 		return
 	}
 	w.mu.Lock()
-	for _, e := range list {
+	for _, e := range batch {
 		w.lost += max(1, e.Gap)
 	}
 	w.mu.Unlock()
--- a/internal/planner/transport/conn.go
+++ b/internal/planner/transport/conn.go
@@ -156,13 +156,13 @@
 		return c.nc.Read(buf)
 	}
 	for {
-		asked := c.replyPending.Load()
-		if c.wasReplyPending && !asked { // restart the timeout, so that the reply can reach the peer
+		pending := c.replyPending.Load()
+		if c.wasReplyPending && !pending { // restart the timeout, so that the reply can reach the peer
 			c.joinDeadline, c.pastDeadline = time.Now().Add(joinTimeout), false
 		}
-		c.wasReplyPending = asked
+		c.wasReplyPending = pending
 		if c.pastDeadline {
-			if !asked {
+			if !pending {
 				return 0, ErrJoinTimeout
 			}
 			c.joinDeadline = time.Now().Add(joinTimeout)
--- a/internal/planner/transport/conn_test.go
+++ b/internal/planner/transport/conn_test.go
@@ -242,8 +242,8 @@
 	}
 	silent[18].roundTrip("identify")
 	silent[19].roundTrip("identify")
-	late := dial(t, address)
-	late.roundTrip("identify")
+	newcomer := dial(t, address)
+	newcomer.roundTrip("identify")
 	if !unidentified.closed() {
 		t.Error("the unidentified connection wasn't shed")
 	}
@@ -253,7 +253,7 @@
 	if n := h.rejected.Load(); n != 1 {
 		t.Errorf("%d connections rejected", n)
 	}
-	for _, g := range []*client{identified, silent[18], silent[19], late} {
+	for _, g := range []*client{identified, silent[18], silent[19], newcomer} {
 		g.roundTrip("ping")
 	}
 	silent[18].roundTrip("supersede") // replaced by another connection
@@ -262,7 +262,7 @@
 	if !silent[18].closed() {
 		t.Error("a superseded connection wasn't shed")
 	}
-	for _, g := range []*client{identified, silent[19], late, last} {
+	for _, g := range []*client{identified, silent[19], newcomer, last} {
 		g.roundTrip("ping")
 	}
 }
