--- a/internal/planner/transport/conn.go
+++ b/internal/planner/transport/conn.go
@@ -1,4 +1,4 @@
-// Package transport moves bytes between sockets and protocol machines. It knows no message.
+// Package transport moves bytes between sockets and protocol state machines. It doesn't interpret messages.
 package transport
 
 import (
@@ -14,169 +14,172 @@
 	"mulleinwood/internal/planner/transport/ring"
 )
 
-// Sizes of the buffers of a connection.
+// Sizes of a connection's buffers, in bytes.
 const (
-	startSize        = 1 << 10 // of either buffer
-	unidentifiedSize = 4 << 10 // most that a connection may hold before it has said who it is
-	inSize           = 2 << 20 // most that a known connection may hold: a line of 1 MiB and what follows it
-	outSize          = 2 << 20 // most that may wait for a peer that doesn't read
+	initialBufferSize     = 1 << 10 // initial size of the input and the output buffer
+	maxUnidentifiedBuffer = 4 << 10 // limit of the input buffer until the peer is identified
+	maxInputBuffer        = 2 << 20 // limit of the input buffer afterwards: a line of 1 MiB and the data that follows it
+	maxOutputBuffer       = 2 << 20 // limit of the output buffered for a peer that doesn't read
 )
 
 var (
-	// ErrOverflow says that a peer left too much unread.
+	// ErrOverflow closes a connection whose output buffer is full because its peer doesn't read.
 	ErrOverflow = errors.New("peer leaves its messages unread")
-	// ErrJoinTimeout says that a peer has not said in time who it is.
+	// ErrJoinTimeout closes a connection whose peer has not identified itself in time.
 	ErrJoinTimeout = errors.New("has not joined in time")
 )
 
-// Machine is a protocol fed with bytes. It takes from the buffer what is complete and leaves the rest.
+// Machine is the state machine of a protocol. Feed consumes the complete messages in the buffer and leaves the rest.
 type Machine interface {
 	Feed(in *ring.Buffer) error
 }
 
-// ConnState says how much a connection has shown of itself. It decides who goes first when descriptors run out.
+// ConnState is the state of a connection's identification. Load shedding closes connections of the lowest state first.
 type ConnState int32
 
-// The standings, those that go first first.
+// The states of a connection, in the order in which connections are shed.
 const (
-	Silent       ConnState = iota // has sent no whole message
-	Unidentified                  // has sent some, and has not said who it is
-	Superseded                    // was known, and another has come in its place; it may be gone without a sign
-	Identified                    // a stream or a collector, which are never shed
+	Silent       ConnState = iota // has sent no complete message
+	Unidentified                  // has sent messages but hasn't identified itself
+	Superseded                    // was identified and replaced by another connection; its peer may be gone without a FIN
+	Identified                    // a proxy's stream or a collector; never shed
 )
 
 var lastID atomic.Uint64
 
-// NextID is the number of a connection, or of a stream within one, that begins now: larger than all before.
+// NextID returns an ID for a new connection, or for a new stream within one. It is larger than all earlier IDs.
 func NextID() uint64 { return lastID.Add(1) }
 
-// Conn is one accepted connection: a reader that feeds a machine and a writer that empties a buffer.
+// Conn is one accepted connection. A reader goroutine feeds a machine, and a writer goroutine sends the output buffer.
 type Conn struct {
-	id       uint64
-	nc       net.Conn
-	in       *ring.Buffer // the reader's own
-	standing atomic.Int32
-	asked    atomic.Bool // something that the planner owes an answer, which it can't give yet
-	joinBy   time.Time   // the reader's own, as the next two
-	late     bool        // joinBy has passed
-	owed     bool        // it was owed an answer when it was last read
-	free     bool        // it has joined, and its reads end at no time
-	foreign  func(*Conn, net.Conn)
-	begun    bool // its first bytes have come
-
-	mu     sync.Mutex
-	out    *ring.Buffer
-	closed error
-	wake   chan struct{}
+	id              uint64
+	nc              net.Conn
+	in              *ring.Buffer // accessed by the reader only
+	state           atomic.Int32
+	replyPending    atomic.Bool // the peer waits for a reply that the planner can't give yet
+	joinDeadline    time.Time   // accessed by the reader only, as all fields up to mu
+	pastDeadline    bool        // joinDeadline has passed
+	wasReplyPending bool        // value of replyPending at the last read
+	deadlineCleared bool        // the peer has joined, and reads have no deadline
+	handoff         func(*Conn, net.Conn)
+	sawFirstByte    bool // the first bytes were received
+
+	mu          sync.Mutex
+	out         *ring.Buffer
+	closeReason error
+	writeSignal chan struct{}
 }
 
-func newConn(nc net.Conn, memory *ring.Budget) *Conn {
-	return &Conn{id: NextID(), nc: nc, in: ring.New(startSize, unidentifiedSize, memory),
-		out: ring.New(startSize, outSize, memory), wake: make(chan struct{}, 1)}
+func newConn(nc net.Conn, budget *ring.Budget) *Conn {
+	return &Conn{id: NextID(), nc: nc, in: ring.New(initialBufferSize, maxUnidentifiedBuffer, budget),
+		out: ring.New(initialBufferSize, maxOutputBuffer, budget), writeSignal: make(chan struct{}, 1)}
 }
 
-// ID is larger for connections accepted later.
+// ID returns the connection's ID. Connections accepted later have larger IDs.
 func (c *Conn) ID() uint64 { return c.id }
 
-// Remote is the peer's address, for the log.
+// Remote returns the peer's address, for the log.
 func (c *Conn) Remote() string { return c.nc.RemoteAddr().String() }
 
-// SetReplyPending notes whether the peer has asked something that is not yet answered. While that is so, the time in which it
-// must join does not end: a planner that can't make orders yet answers whoever asked before.
-func (c *Conn) SetReplyPending(owed bool) { c.asked.Store(owed) }
+// SetReplyPending sets whether the peer has sent a request that isn't answered yet. Until it is answered, the join timeout
+// is suspended, because a planner that can't compute orders yet delays its replies.
+func (c *Conn) SetReplyPending(pending bool) { c.replyPending.Store(pending) }
 
-// MarkSuperseded notes that another connection has come in place of this one. It rises again if its peer still speaks.
-func (c *Conn) MarkSuperseded() { c.standing.Store(int32(Superseded)) }
+// MarkSuperseded is called when another connection of the same peer replaces this one. Promote makes it Identified again if
+// it still receives messages.
+func (c *Conn) MarkSuperseded() { c.state.Store(int32(Superseded)) }
 
-// Promote notes what the peer has shown of itself. Called by the connection's machine.
+// Promote raises the connection's state; it never lowers it. It is called by the connection's machine.
 func (c *Conn) Promote(s ConnState) {
-	if ConnState(c.standing.Load()) < s {
-		c.standing.Store(int32(s))
+	if ConnState(c.state.Load()) < s {
+		c.state.Store(int32(s))
 	}
 	if s == Identified {
-		c.in.SetLimit(inSize)
+		c.in.SetLimit(maxInputBuffer)
 	}
 }
 
-// Joined says whether the peer has shown who it is, now or before another came in its place.
-func (c *Conn) Joined() bool { return ConnState(c.standing.Load()) >= Superseded }
+// Joined reports whether the peer has identified itself, even if the connection is superseded.
+func (c *Conn) Joined() bool { return ConnState(c.state.Load()) >= Superseded }
 
-// Send queues bytes for the peer. It never waits: a peer that leaves too much unread loses this connection.
+// Send queues bytes for the peer without blocking. If the output buffer is full, it closes the connection and returns
+// ErrOverflow.
 func (c *Conn) Send(p []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed != nil {
-		return c.closed
+	if c.closeReason != nil {
+		return c.closeReason
 	}
 	if _, err := c.out.Write(p); err != nil {
-		c.end(ErrOverflow)
+		c.closeLocked(ErrOverflow)
 		return ErrOverflow
 	}
 	select {
-	case c.wake <- struct{}{}:
+	case c.writeSignal <- struct{}{}:
 	default:
 	}
 	return nil
 }
 
-// Close ends the connection for the given reason; the first reason counts.
+// Close closes the connection. Only the reason of the first call is kept.
 func (c *Conn) Close(reason error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.end(reason)
+	c.closeLocked(reason)
 }
 
-func (c *Conn) end(reason error) {
-	if c.closed == nil {
-		c.closed = reason
+// closeLocked closes the connection. The caller must hold mu.
+func (c *Conn) closeLocked(reason error) {
+	if c.closeReason == nil {
+		c.closeReason = reason
 		closeConn(c.nc)
-		close(c.wake)
+		close(c.writeSignal)
 	}
 }
 
-// reason is why the connection ended, or nil.
+// reason returns the reason for which the connection was closed, or nil.
 func (c *Conn) reason() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.closed
+	return c.closeReason
 }
 
-// read reads once. As long as the peer is not known it must become so within the given time, whatever it sends
-// or doesn't: guards against peers that hold descriptors and memory and are nobody. A deadline that passed while
-// this process stood still is given one more read, and no second one: the peer may send without an end.
-func (c *Conn) read(space []byte, within time.Duration) (int, error) {
-	if c.Joined() || within <= 0 {
-		if within > 0 && !c.free {
-			c.free = true
-			_ = c.nc.SetReadDeadline(time.Time{}) // it fails on a closed connection only, which Read tells
+// read reads once. It enforces the join timeout on a peer that isn't identified, whether or not the peer sends data, so that
+// unidentified peers can't hold descriptors and memory. If the deadline passed while this process was paused, one more read
+// is allowed. A second one is not, since the peer may send without end.
+func (c *Conn) read(buf []byte, joinTimeout time.Duration) (int, error) {
+	if c.Joined() || joinTimeout <= 0 {
+		if joinTimeout > 0 && !c.deadlineCleared {
+			c.deadlineCleared = true
+			_ = c.nc.SetReadDeadline(time.Time{}) // fails only on a closed connection, which Read reports
 		}
-		return c.nc.Read(space)
+		return c.nc.Read(buf)
 	}
 	for {
-		asked := c.asked.Load()
-		if c.owed && !asked { // its answer must reach it: the time begins anew
-			c.joinBy, c.late = time.Now().Add(within), false
+		pending := c.replyPending.Load()
+		if c.wasReplyPending && !pending { // restart the timeout, so that the reply can reach the peer
+			c.joinDeadline, c.pastDeadline = time.Now().Add(joinTimeout), false
 		}
-		c.owed = asked
-		if c.late {
-			if !asked {
+		c.wasReplyPending = pending
+		if c.pastDeadline {
+			if !pending {
 				return 0, ErrJoinTimeout
 			}
-			c.joinBy = time.Now().Add(within)
+			c.joinDeadline = time.Now().Add(joinTimeout)
 		}
-		c.late = time.Now().After(c.joinBy)
-		n, err := read(c.nc, space, c.joinBy)
+		c.pastDeadline = time.Now().After(c.joinDeadline)
+		n, err := read(c.nc, buf, c.joinDeadline)
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return n, err
 		}
-		c.late = true
+		c.pastDeadline = true
 	}
 }
 
-// serve runs the connection until it ends and returns why. A panic of the machine ends this connection alone.
-func (c *Conn) serve(m Machine, joinWithin time.Duration) (reason error) {
-	if c.joinBy = time.Now().Add(joinWithin); joinWithin <= 0 {
-		c.joinBy = time.Time{}
+// serve runs the connection until it is closed and returns the reason. A panic of the machine closes only this connection.
+func (c *Conn) serve(machine Machine, joinTimeout time.Duration) (reason error) {
+	if c.joinDeadline = time.Now().Add(joinTimeout); joinTimeout <= 0 {
+		c.joinDeadline = time.Time{}
 	}
 	var writer sync.WaitGroup
 	writer.Go(c.write)
@@ -195,17 +198,17 @@
 			c.Close(fmt.Errorf("line too long: %w", err))
 			return
 		}
-		n, err := c.read(space, joinWithin)
+		n, err := c.read(space, joinTimeout)
 		c.in.Commit(n)
-		if n > 0 && !c.begun && c.foreign != nil {
-			if c.begun = true; foreign(c.in) {
-				c.handOver()
+		if n > 0 && !c.sawFirstByte && c.handoff != nil {
+			if c.sawFirstByte = true; isForeign(c.in) {
+				c.handOff()
 				return
 			}
 		}
 		if n > 0 {
-			if fed := m.Feed(c.in); fed != nil {
-				c.Close(fed)
+			if feedErr := machine.Feed(c.in); feedErr != nil {
+				c.Close(feedErr)
 				return
 			}
 		}
@@ -216,12 +219,12 @@
 	}
 }
 
-// write sends what waits until the connection ends.
+// write sends the buffered output until the connection is closed.
 func (c *Conn) write() {
-	for range c.wake {
+	for range c.writeSignal {
 		for {
 			c.mu.Lock()
-			first, _ := c.out.Peek() // stays as it is while more is appended behind it
+			first, _ := c.out.Peek() // stays valid while Send appends to the buffer
 			c.mu.Unlock()
 			if len(first) == 0 {
 				break
--- a/internal/planner/transport/ring/ring.go
+++ b/internal/planner/transport/ring/ring.go
@@ -1,4 +1,4 @@
-// Package ring holds the byte buffer that stands between a socket and a protocol machine, one a direction.
+// Package ring provides the byte buffer between a socket and a protocol machine, one for each direction.
 package ring
 
 import (
@@ -7,67 +7,67 @@
 	"sync/atomic"
 )
 
-// ErrFull says that a buffer has reached its cap, or all together their budget.
+// ErrFull is returned if a buffer has reached its limit, or all buffers together their budget.
 var ErrFull = errors.New("buffer is full")
 
-// Budget bounds the memory of many buffers together. Buffers of several goroutines may share one. The first
-// bytes of each buffer are free, so that a few large buffers can't keep out the others.
+// Budget limits the total memory of many buffers. It is safe for concurrent use. The first bytes of each buffer don't count,
+// so that a few large buffers can't starve the others.
 type Budget struct {
-	most atomic.Int64
-	free int
-	used atomic.Int64
+	limit         atomic.Int64
+	freePerBuffer int
+	used          atomic.Int64
 }
 
-// NewBudget returns a budget of most bytes beyond the free ones of each buffer.
-func NewBudget(most int64, free int) *Budget {
-	b := &Budget{free: free}
-	b.SetLimit(most)
+// NewBudget returns a budget of limit bytes in all, to which the first freePerBuffer bytes of each buffer don't count.
+func NewBudget(limit int64, freePerBuffer int) *Budget {
+	b := &Budget{freePerBuffer: freePerBuffer}
+	b.SetLimit(limit)
 	return b
 }
 
-// SetLimit changes the bound. What is already held stays.
-func (b *Budget) SetLimit(most int64) { b.most.Store(most) }
+// SetLimit changes the limit. Memory that is already reserved stays reserved.
+func (b *Budget) SetLimit(limit int64) { b.limit.Store(limit) }
 
-// take books a buffer's change from one size to another; it says whether there was room for it.
-func (b *Budget) take(from, to int) bool {
+// reserve accounts for a buffer's change from one size to another and reports whether the budget allows it.
+func (b *Budget) reserve(from, to int) bool {
 	if b == nil {
 		return true
 	}
-	bytes := max(0, to-b.free) - max(0, from-b.free)
-	if b.used.Add(int64(bytes)) > b.most.Load() && bytes > 0 {
+	bytes := max(0, to-b.freePerBuffer) - max(0, from-b.freePerBuffer)
+	if b.used.Add(int64(bytes)) > b.limit.Load() && bytes > 0 {
 		b.used.Add(int64(-bytes))
 		return false
 	}
 	return true
 }
 
-// Buffer is a ring of bytes. It starts small, doubles when it must, never beyond its cap, and gives the memory
-// back once it is empty again.
+// Buffer is a ring buffer of bytes. It doubles its size as needed, up to its limit, and frees its memory when it is empty
+// again and has grown.
 type Buffer struct {
-	data        []byte
-	head, n     int
-	start, most int
-	budget      *Budget
+	data           []byte
+	head, length   int
+	initial, limit int
+	budget         *Budget
 }
 
-// New returns an empty buffer. It allocates nothing until bytes come. The budget may be nil.
-func New(start, most int, budget *Budget) *Buffer {
-	return &Buffer{start: min(start, most), most: most, budget: budget}
+// New returns an empty buffer. It allocates no memory until it is written to. The budget may be nil.
+func New(initial, limit int, budget *Budget) *Buffer {
+	return &Buffer{initial: min(initial, limit), limit: limit, budget: budget}
 }
 
-// Len is the number of bytes held.
-func (b *Buffer) Len() int { return b.n }
+// Len returns the number of buffered bytes.
+func (b *Buffer) Len() int { return b.length }
 
-// SetLimit changes the cap. Bytes already held stay.
-func (b *Buffer) SetLimit(most int) { b.most = most }
+// SetLimit changes the limit. Bytes that are already buffered stay.
+func (b *Buffer) SetLimit(limit int) { b.limit = limit }
 
-// grow makes room for at least one more byte, or for want more where the cap allows.
-func (b *Buffer) grow(want int) {
-	size := max(len(b.data), b.start, 1)
-	for size < b.n+want {
+// grow makes room for the needed bytes as far as the limit and the budget allow.
+func (b *Buffer) grow(needed int) {
+	size := max(len(b.data), b.initial, 1)
+	for size < b.length+needed {
 		size *= 2
 	}
-	if size = min(size, b.most); size <= len(b.data) || !b.budget.take(len(b.data), size) {
+	if size = min(size, b.limit); size <= len(b.data) || !b.budget.reserve(len(b.data), size) {
 		return
 	}
 	data := make([]byte, size)
@@ -76,33 +76,33 @@
 	b.data, b.head = data, 0
 }
 
-// Space returns a piece of free memory to read into, growing the buffer when it is full.
+// Space returns free memory to read into. It grows the buffer if it is full.
 func (b *Buffer) Space() ([]byte, error) {
-	if b.n == len(b.data) {
+	if b.length == len(b.data) {
 		b.grow(1)
 	}
-	if b.n == len(b.data) {
+	if b.length == len(b.data) {
 		return nil, ErrFull
 	}
-	tail := (b.head + b.n) % len(b.data)
+	tail := (b.head + b.length) % len(b.data)
 	if tail < b.head {
 		return b.data[tail:b.head], nil
 	}
 	return b.data[tail:], nil
 }
 
-// Commit says that the first n bytes of Space have been filled.
-func (b *Buffer) Commit(n int) { b.n += n }
+// Commit appends the first n bytes of the memory that Space returned.
+func (b *Buffer) Commit(n int) { b.length += n }
 
-// Write appends all of p, or nothing of it if it would not fit under the cap.
+// Write appends all of p. If p doesn't fit within the limit and the budget, it appends nothing and returns ErrFull.
 func (b *Buffer) Write(p []byte) (int, error) {
-	if b.n+len(p) > max(b.most, len(b.data)) {
+	if b.length+len(p) > max(b.limit, len(b.data)) {
 		return 0, ErrFull
 	}
-	if b.n+len(p) > len(b.data) {
+	if b.length+len(p) > len(b.data) {
 		b.grow(len(p))
 	}
-	if b.n+len(p) > len(b.data) { // over the budget
+	if b.length+len(p) > len(b.data) { // the budget is exhausted
 		return 0, ErrFull
 	}
 	for rest := p; len(rest) > 0; {
@@ -117,16 +117,16 @@
 	return len(p), nil
 }
 
-// Peek returns the bytes held, oldest first, in two pieces; the second is empty unless they wrap. The pieces
+// Peek returns the buffered bytes, oldest first, in two slices. The second is empty unless the bytes wrap around. The slices
 // are valid until the next call that changes the buffer.
 func (b *Buffer) Peek() (first, second []byte) {
-	if end := b.head + b.n; end > len(b.data) {
+	if end := b.head + b.length; end > len(b.data) {
 		return b.data[b.head:], b.data[:end-len(b.data)]
 	}
-	return b.data[b.head : b.head+b.n], nil
+	return b.data[b.head : b.head+b.length], nil
 }
 
-// Index returns the position of the first c at or after from, or -1.
+// Index returns the index of the first c at or after from, or -1.
 func (b *Buffer) Index(c byte, from int) int {
 	first, second := b.Peek()
 	if from < len(first) {
@@ -141,7 +141,7 @@
 	return -1
 }
 
-// Front returns the first n bytes as one piece; it copies only where they wrap.
+// Front returns the first n bytes as one slice. It copies them only if they wrap around.
 func (b *Buffer) Front(n int) []byte {
 	first, second := b.Peek()
 	if n <= len(first) {
@@ -150,21 +150,21 @@
 	return append(append(make([]byte, 0, n), first...), second[:n-len(first)]...)
 }
 
-// Discard drops the first n bytes.
+// Discard removes the first n bytes.
 func (b *Buffer) Discard(n int) {
-	n = min(n, b.n)
-	if b.n -= n; b.n > 0 {
+	n = min(n, b.length)
+	if b.length -= n; b.length > 0 {
 		b.head = (b.head + n) % len(b.data)
 		return
 	}
 	b.head = 0
-	if len(b.data) > b.start {
+	if len(b.data) > b.initial {
 		b.Free()
 	}
 }
 
-// Free gives up the memory and all that is held. The buffer may be used again.
+// Free discards all bytes and releases the memory. The buffer may be used again.
 func (b *Buffer) Free() {
-	b.budget.take(len(b.data), 0)
-	b.data, b.head, b.n = nil, 0, 0
+	b.budget.reserve(len(b.data), 0)
+	b.data, b.head, b.length = nil, 0, 0
 }
--- a/tables/wire.go
+++ b/tables/wire.go
@@ -11,8 +11,8 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Fields of an update on the wire, in the protocol buffers' encoding. A field that isn't known is an error: what a later
-// form says that this one doesn't know would make another table.
+// Field numbers of an update in the Protocol Buffers wire format. An unknown field is an error: ignoring a field of a later
+// format would result in a different table.
 const (
 	fieldInstance protowire.Number = iota + 1
 	fieldIncarnation
@@ -22,26 +22,26 @@
 	fieldBase
 	fieldFrom
 	fieldTo
-	fieldWeight // name, float
-	fieldShut
-	fieldOpen
-	fieldGate // class, float, again
-	fieldNoGate
-	fieldSeal // of all bytes before it; always last
+	fieldWeight // server, float32
+	fieldExcluded
+	fieldReadmitted
+	fieldGate // class, float32 level, byte retry mode
+	fieldRemovedGate
+	fieldChecksum // over all preceding bytes; always the last field
 )
 
-// MaxUpdateBytes is the most bytes that an update may have.
+// MaxUpdateBytes is the maximum length of an encoded update, in bytes.
 const MaxUpdateBytes = 1 << 20
 
-// The errors of an update that can't be read.
+// The errors of Decode.
 var (
-	ErrTooLarge  = errors.New("an update over 1 MiB")
-	ErrMalformed = errors.New("bytes that are no update")
-	ErrChecksum  = errors.New("bytes that differ from those sent")
+	ErrTooLarge  = errors.New("update is larger than 1 MiB")
+	ErrMalformed = errors.New("malformed update")
+	ErrChecksum  = errors.New("update checksum mismatch")
 )
 
-// Append writes an update, sealed by a digest over its bytes: so a flipped bit is noticed before anything is believed,
-// names of versions included.
+// Append appends the encoded update to out. The encoding ends with a checksum over all its bytes, so that a flipped bit is
+// detected before any field is used, those of the version included.
 func (u Update) Append(out []byte, key Key) []byte {
 	begin := len(out)
 	bytes := func(n protowire.Number, b []byte) {
@@ -64,7 +64,7 @@
 	for _, list := range []struct {
 		n     protowire.Number
 		names []string
-	}{{fieldShut, u.Excluded}, {fieldOpen, u.Readmitted}, {fieldNoGate, u.RemovedGates}} {
+	}{{fieldExcluded, u.Excluded}, {fieldReadmitted, u.Readmitted}, {fieldRemovedGate, u.RemovedGates}} {
 		for _, name := range slices.Sorted(slices.Values(list.names)) {
 			bytes(list.n, []byte(name))
 		}
@@ -74,27 +74,27 @@
 		bytes(fieldGate, append(protowire.AppendFixed32(protowire.AppendBytes(nil, []byte(class)), math.Float32bits(g.Level)),
 			g.Again))
 	}
-	seal := sum(out[begin:], key)
-	bytes(fieldSeal, seal[:])
+	checksum := digestOf(out[begin:], key)
+	bytes(fieldChecksum, checksum[:])
 	return out
 }
 
-// Decode reads an update. Nothing of it is believed unless its seal holds.
-func Decode(text []byte, key Key) (u Update, err error) {
-	if len(text) > MaxUpdateBytes {
+// Decode decodes an update. It verifies the checksum before it uses any field.
+func Decode(data []byte, key Key) (u Update, err error) {
+	if len(data) > MaxUpdateBytes {
 		return Update{}, ErrTooLarge
 	}
-	const sealSize = 2 + len(Digest{}) // tag and length take a byte each
-	if len(text) < sealSize {
+	const checksumSize = 2 + len(Digest{}) // tag and length take a byte each
+	if len(data) < checksumSize {
 		return Update{}, ErrMalformed
 	}
-	body, tail := text[:len(text)-sealSize], text[len(text)-sealSize:]
+	body, tail := data[:len(data)-checksumSize], data[len(data)-checksumSize:]
 	n, kind, size := protowire.ConsumeTag(tail)
-	seal, rest := protowire.ConsumeBytes(tail[max(0, size):])
-	if n != fieldSeal || kind != protowire.BytesType || rest < 0 || len(seal) != len(Digest{}) {
+	checksum, rest := protowire.ConsumeBytes(tail[max(0, size):])
+	if n != fieldChecksum || kind != protowire.BytesType || rest < 0 || len(checksum) != len(Digest{}) {
 		return Update{}, ErrMalformed
 	}
-	if want := sum(body, key); subtle.ConstantTimeCompare(seal, want[:]) == 0 {
+	if want := digestOf(body, key); subtle.ConstantTimeCompare(checksum, want[:]) == 0 {
 		return Update{}, ErrChecksum
 	}
 	u = Update{Weights: map[string]float32{}, Gates: map[string]Gate{}}
@@ -111,14 +111,14 @@
 				return Update{}, ErrMalformed
 			}
 			body = body[size:]
-			err = u.number(n, x)
+			err = u.setVarint(n, x)
 		case protowire.BytesType:
 			b, size := protowire.ConsumeBytes(body)
 			if size < 0 {
 				return Update{}, ErrMalformed
 			}
 			body = body[size:]
-			err = u.bytes(n, b)
+			err = u.setBytes(n, b)
 		default:
 			err = ErrMalformed
 		}
@@ -129,7 +129,7 @@
 	return u, nil
 }
 
-func (u *Update) number(n protowire.Number, x uint64) error {
+func (u *Update) setVarint(n protowire.Number, x uint64) error {
 	switch n {
 	case fieldIncarnation:
 		u.Incarnation = x
@@ -149,7 +149,7 @@
 	return nil
 }
 
-func (u *Update) bytes(n protowire.Number, b []byte) error {
+func (u *Update) setBytes(n protowire.Number, b []byte) error {
 	switch n {
 	case fieldInstance:
 		u.Instance = string(b)
@@ -167,11 +167,11 @@
 		if size < 0 {
 			return ErrMalformed
 		}
-		bits, more := protowire.ConsumeFixed32(b[size:])
-		if more < 0 {
+		bits, fixed32Size := protowire.ConsumeFixed32(b[size:])
+		if fixed32Size < 0 {
 			return ErrMalformed
 		}
-		switch rest := b[size+more:]; {
+		switch rest := b[size+fixed32Size:]; {
 		case n == fieldWeight && len(rest) == 0:
 			u.Weights[string(name)] = math.Float32frombits(bits)
 		case n == fieldGate && len(rest) == 1:
@@ -179,11 +179,11 @@
 		default:
 			return ErrMalformed
 		}
-	case fieldShut:
+	case fieldExcluded:
 		u.Excluded = append(u.Excluded, string(b))
-	case fieldOpen:
+	case fieldReadmitted:
 		u.Readmitted = append(u.Readmitted, string(b))
-	case fieldNoGate:
+	case fieldRemovedGate:
 		u.RemovedGates = append(u.RemovedGates, string(b))
 	default:
 		return fmt.Errorf("%w: field %d", ErrMalformed, n)
