--- a/internal/control/reservation/ledger.go
+++ b/internal/control/reservation/ledger.go
@@ -221,16 +221,16 @@
 
 // AvailableFor returns the largest number of slots that a booking could hold from its start to its end, ramps included, in
 // addition to the other active bookings of its service. An active booking with the same id counts as replaced.
-func (l *Ledger) AvailableFor(wanted Booking, capacity Capacity) float64 {
-	others := l.byRank(func(b *Booking) bool { return b.ID != wanted.ID && b.Service == wanted.Service })
-	breakpoints := wanted.breakpoints()
+func (l *Ledger) AvailableFor(requested Booking, capacity Capacity) float64 {
+	others := l.byRank(func(b *Booking) bool { return b.ID != requested.ID && b.Service == requested.Service })
+	breakpoints := requested.breakpoints()
 	for _, b := range others {
 		breakpoints = append(breakpoints, b.breakpoints()...)
 	}
 	available := math.Inf(1)
 	for _, point := range breakpoints { // the slots of all bookings are linear between these
 		for _, at := range []float64{point, math.Nextafter(point, math.Inf(-1)), math.Nextafter(point, math.Inf(1))} {
-			share := wanted.SlotsAt(at) / wanted.Slots
+			share := requested.SlotsAt(at) / requested.Slots
 			if share <= 0 {
 				continue
 			}
@@ -271,10 +271,10 @@
 func (l *Ledger) Shortfalls(service string, capacity Capacity, at float64) map[string]float64 {
 	shortfalls, remaining := map[string]float64{}, capacity.AfterZoneLoss()
 	for _, b := range l.byRank(func(b *Booking) bool { return b.Service == service && b.SlotsAt(at) > 0 }) {
-		wanted := b.SlotsAt(at)
-		kept := max(0, min(wanted, remaining))
-		if remaining -= kept; kept < wanted {
-			shortfalls[b.ID] = wanted - kept
+		requested := b.SlotsAt(at)
+		granted := max(0, min(requested, remaining))
+		if remaining -= granted; granted < requested {
+			shortfalls[b.ID] = requested - granted
 		}
 	}
 	return shortfalls
