--- a/internal/config/former_test.go
+++ b/internal/config/former_test.go
@@ -20,13 +20,13 @@
 	other    map[string]json.RawMessage
 	services []namedItem
 	limits   json.RawMessage
-	plants   []string
+	hosts    []string
 	routes   []namedItem
 }
 
 type namedItem struct {
-	name, plant string
-	raw         json.RawMessage
+	name, host string
+	raw        json.RawMessage
 }
 
 type referenceItems struct {
@@ -40,15 +40,15 @@
 	Channels []json.RawMessage `json:"channels"`
 }
 
-func upsertItem(list []namedItem, raw json.RawMessage, plant string) []namedItem {
+func upsertItem(list []namedItem, raw json.RawMessage, host string) []namedItem {
 	var named struct{ Name string }
 	Expect(json.Unmarshal(raw, &named)).To(Succeed())
-	one := namedItem{named.Name, plant, raw}
-	if i := slices.IndexFunc(list, func(o namedItem) bool { return o.name == one.name }); i >= 0 {
-		list[i] = one
+	added := namedItem{named.Name, host, raw}
+	if i := slices.IndexFunc(list, func(o namedItem) bool { return o.name == added.name }); i >= 0 {
+		list[i] = added
 		return list
 	}
-	return append(list, one)
+	return append(list, added)
 }
 
 func (f *reference) upsert(items referenceItems) {
@@ -59,8 +59,8 @@
 		f.services = upsertItem(f.services, raw, "")
 	}
 	for _, p := range items.Plants {
-		if !slices.Contains(f.plants, p.Plant) {
-			f.plants = append(f.plants, p.Plant)
+		if !slices.Contains(f.hosts, p.Plant) {
+			f.hosts = append(f.hosts, p.Plant)
 		}
 		for _, raw := range p.Channels {
 			f.routes = upsertItem(f.routes, raw, p.Plant)
@@ -90,13 +90,13 @@
 	Expect(json.Unmarshal(text, &change)).To(Succeed())
 	f.version = change.Version
 	f.routes = slices.DeleteFunc(f.routes, func(r namedItem) bool {
-		return slices.Contains(change.Remove.Routes, r.name) || slices.Contains(change.Remove.Plants, r.plant)
+		return slices.Contains(change.Remove.Routes, r.name) || slices.Contains(change.Remove.Plants, r.host)
 	})
 	f.services = slices.DeleteFunc(f.services, func(s namedItem) bool { return slices.Contains(change.Remove.Services, s.name) })
 	f.upsert(change.Upsert)
 }
 
-func (f *reference) write() []byte {
+func (f *reference) encode() []byte {
 	out := map[string]any{"version": f.version}
 	for name, raw := range f.other {
 		out[name] = raw
@@ -105,10 +105,10 @@
 	for _, s := range f.services {
 		services = append(services, s.raw)
 	}
-	for _, name := range f.plants {
+	for _, name := range f.hosts {
 		p := referenceHost{Plant: name}
 		for _, r := range f.routes {
-			if r.plant == name {
+			if r.host == name {
 				p.Channels = append(p.Channels, r.raw)
 			}
 		}
@@ -127,7 +127,7 @@
 // and share a prefix.
 type generator struct{ *rand.Rand }
 
-func (d generator) plants(hosts, channels int) string {
+func (d generator) hosts(hosts, channels int) string {
 	var all []string
 	for range d.IntN(hosts + 1) {
 		var routes []string
@@ -153,26 +153,26 @@
 	return []string{``, `"limits":{},`, fmt.Sprintf(`"limits":{"idle_s":%d},`, 1+d.IntN(9)), fmt.Sprintf(`"limits":{"max_body_bytes":%d},`, 1+d.IntN(9))}[d.IntN(4)]
 }
 
-func (d generator) whole() []byte {
-	return fmt.Appendf(nil, `{"version":"r1","note":{"kept":%d},%s"services":[%s],"plants":[%s]}`, d.IntN(9), d.limits(), d.services(), d.plants(8, 4))
+func (d generator) configuration() []byte {
+	return fmt.Appendf(nil, `{"version":"r1","note":{"kept":%d},%s"services":[%s],"plants":[%s]}`, d.IntN(9), d.limits(), d.services(), d.hosts(8, 4))
 }
 
 func (d generator) change(version int) []byte {
 	return fmt.Appendf(nil, `{"version":"r%d","upsert":{%s"services":[%s],"plants":[%s]},"remove":{"routes":["r-%d","r-%d"],"plants":["%s.example"],"services":["s-%d"]}}`,
-		version, d.limits(), d.services(), d.plants(2, 3), d.IntN(20), d.IntN(20), []string{"a", "b", "c", "x", "y", "z"}[d.IntN(6)], d.IntN(9))
+		version, d.limits(), d.services(), d.hosts(2, 3), d.IntN(20), d.IntN(20), []string{"a", "b", "c", "x", "y", "z"}[d.IntN(6)], d.IntN(9))
 }
 
 var _ = Describe("random configurations and changes", func() {
 	It("are encoded byte for byte as by the reference algorithm", func() {
 		d := generator{rand.New(rand.NewPCG(1, 2))}
 		for range 300 {
-			text := d.whole()
+			text := d.configuration()
 			c, f := parse(string(text)), parseReference(text)
 			for version := 2; version < 8; version++ {
-				Expect(string(must(json.Marshal(c)))).To(Equal(string(f.write())), "from %s", text)
+				Expect(string(must(json.Marshal(c)))).To(Equal(string(f.encode())), "from %s", text)
 				change := d.change(version)
 				c = must(c.Patch(change))
-				f = parseReference(f.write()) // as read back after a restart: the order of routes that all controllers can reproduce
+				f = parseReference(f.encode()) // as read back after a restart: the order of routes that all controllers can reproduce
 				f.patch(change)
 			}
 		}
@@ -180,7 +180,7 @@
 	It("are identical whether or not they are encoded and parsed again between changes", func() {
 		d := generator{rand.New(rand.NewPCG(3, 4))}
 		for range 100 {
-			c := parse(string(d.whole()))
+			c := parse(string(d.configuration()))
 			read := c
 			for version := 2; version < 8; version++ {
 				if d.IntN(2) == 0 {
