--- a/internal/planner/record/record.go
+++ b/internal/planner/record/record.go
@@ -53,10 +53,10 @@
 // bounds contains the first and the last entry of a record. It is stored with a checksum, so that removed entries are detected
 // at either end.
 type bounds struct {
-	first       uint64      // sequence number of the first retained entry
-	beforeFirst chainDigest // digest of the entry before the first
-	last        uint64      // sequence number of the last entry; first-1 if there is none
-	lastLink    chainDigest
+	first      uint64      // sequence number of the first retained entry
+	baseDigest chainDigest // digest of the entry before the first
+	last       uint64      // sequence number of the last entry; first-1 if there is none
+	lastDigest chainDigest // digest of the last entry
 }
 
 // Record is an open record. It isn't safe for concurrent use.
@@ -85,16 +85,16 @@
 	return h.Sum128().Bytes()
 }
 
-func (h bounds) encode(key []byte) []byte {
-	out := binary.BigEndian.AppendUint64(nil, h.first)
-	out = append(out, h.beforeFirst[:]...)
-	out = binary.BigEndian.AppendUint64(out, h.last)
-	out = append(out, h.lastLink[:]...)
+func (b bounds) encode(key []byte) []byte {
+	out := binary.BigEndian.AppendUint64(nil, b.first)
+	out = append(out, b.baseDigest[:]...)
+	out = binary.BigEndian.AppendUint64(out, b.last)
+	out = append(out, b.lastDigest[:]...)
 	checksum := digest(key, out)
 	return append(out, checksum[:]...)
 }
 
-func decodeBounds(data, key []byte) (h bounds, err error) {
+func decodeBounds(data, key []byte) (b bounds, err error) {
 	const size = 8 + 16 + 8 + 16
 	if len(data) != size+16 {
 		return bounds{}, ErrNotRecord
@@ -234,7 +234,7 @@
 		if err != nil {
 			return err
 		}
-		seq, previous := stored.first, stored.beforeFirst
+		seq, previous := stored.first, stored.baseDigest
 		err = entries.ForEach(func(k, v []byte) error {
 			if len(k) != 8 || binary.BigEndian.Uint64(k) != seq || seq > stored.last {
 				return fmt.Errorf("%w: entry %d is missing or out of sequence", ErrCorrupt, seq)
@@ -248,7 +248,7 @@
 		if err != nil {
 			return err
 		}
-		if seq != stored.last+1 || previous != stored.lastLink {
+		if seq != stored.last+1 || previous != stored.lastDigest {
 			return fmt.Errorf("%w: it ends at entry %d instead of %d", ErrCorrupt, seq-1, stored.last)
 		}
 		r.bounds = stored
@@ -258,43 +258,43 @@
 
 // Append writes entries in one transaction, all or none, and deletes the entries that exceed the retention limits.
 func (r *Record) Append(now time.Time, retention Retention, entries ...Entry) error {
-	h := r.bounds
+	bounds := r.bounds
 	err := r.db.Update(func(tx *bolt.Tx) error {
 		b := tx.Bucket(entriesBucket)
 		for _, e := range entries {
 			encoded := e.encode()
-			h.lastLink = digest(r.key, h.lastLink[:], encoded)
-			h.last++
-			if err := b.Put(seqKey(h.last), append(h.lastLink[:], encoded...)); err != nil {
+			bounds.lastDigest = digest(r.key, bounds.lastDigest[:], encoded)
+			bounds.last++
+			if err := b.Put(seqKey(bounds.last), append(bounds.lastDigest[:], encoded...)); err != nil {
 				return err
 			}
 		}
 		c := b.Cursor()
 		for k, v := c.First(); k != nil; k, v = c.First() {
-			e, err := decodeEntry(h.first, v[len(h.beforeFirst):])
+			e, err := decodeEntry(bounds.first, v[len(bounds.baseDigest):])
 			if err != nil {
 				return err
 			}
-			if !retention.exceeded(e, h.last, now) {
+			if !retention.exceeded(e, bounds.last, now) {
 				break
 			}
-			h.beforeFirst = chainDigest(v[:len(h.beforeFirst)])
-			h.first++
+			bounds.baseDigest = chainDigest(v[:len(bounds.baseDigest)])
+			bounds.first++
 			if err := c.Delete(); err != nil {
 				return err
 			}
 		}
-		return tx.Bucket(metaBucket).Put(headKey, h.encode(r.key))
+		return tx.Bucket(metaBucket).Put(headKey, bounds.encode(r.key))
 	})
 	if err == nil {
-		r.bounds = h
+		r.bounds = bounds
 	}
 	return err
 }
 
 // exceeded reports whether an entry exceeds the limits in a record that ends with sequence number last.
-func (b Retention) exceeded(e Entry, last uint64, now time.Time) bool {
-	return b.MaxEntries > 0 && last-e.Seq >= b.MaxEntries || b.MaxAge > 0 && now.Sub(e.At) > b.MaxAge
+func (r Retention) exceeded(e Entry, last uint64, now time.Time) bool {
+	return r.MaxEntries > 0 && last-e.Seq >= r.MaxEntries || r.MaxAge > 0 && now.Sub(e.At) > r.MaxAge
 }
 
 // Each calls visit for the entries in order until it returns false.
--- a/internal/planner/record/record_test.go
+++ b/internal/planner/record/record_test.go
@@ -37,14 +37,14 @@
 }
 
 // writeRecord creates a record of n entries and returns its file.
-func writeRecord(t *testing.T, n int) string {
+func writeRecord(t *testing.T, count int) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "record.db")
 	r, err := Open(file, testKey, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range n {
+	for i := range count {
 		if err := r.Append(time.UnixMilli(0), Retention{}, testEntry(uint64(i+1))); err != nil {
 			t.Fatal(err)
 		}
