--- a/internal/control/weights/weights.go
+++ b/internal/control/weights/weights.go
@@ -120,8 +120,8 @@
 		return latencyTarget, deadline
 	}
 	for _, r := range t.config.Routes {
-		for _, share := range r.Shares() {
-			if share.Service == service && r.LatencyTarget > 0 {
+		for _, target := range r.Shares() {
+			if target.Service == service && r.LatencyTarget > 0 {
 				latencyTarget, deadline = r.LatencyTarget*1000, r.Deadline*1000
 			}
 		}
--- a/internal/control/weights/weights_test.go
+++ b/internal/control/weights/weights_test.go
@@ -36,8 +36,8 @@
 }
 
 // run advances the time by span; every second each edge reports attempts with the latency, in seconds, of each server.
-func (h *harness) run(span time.Duration, latency func(server string) float64) {
-	for end := h.now + span; h.now < end; h.now += step {
+func (h *harness) run(duration time.Duration, latency func(server string) float64) {
+	for end := h.now + duration; h.now < end; h.now += step {
 		if h.now%time.Second == 0 {
 			for edge := range h.sent {
 				r := &peer.Report{Period: 1, Services: []peer.ServiceStats{{Service: "tags", Requests: 40}}}
@@ -57,8 +57,8 @@
 					}
 				}
 			}
-			for _, l := range w.Changed {
-				h.sent[edge][l.Server] = l.Weight
+			for _, weight := range w.Changed {
+				h.sent[edge][weight.Server] = weight.Weight
 			}
 			h.HandleReport(edge, &peer.Report{Applied: w.Tokens}, func(string) (string, bool) { return "", false })
 		}
--- a/rules/admission.go
+++ b/rules/admission.go
@@ -41,7 +41,7 @@
 // It is an absolute rate of work: a share would admit all the repeated requests of refused clients at once.
 func (c *Controller) updateAdmission(elapsed float64) {
 	sum := c.classTotals()
-	if c.fleet.tries < 1 || sum.requests < 1e-9 {
+	if c.fleet.attempts < 1 || sum.requests < 1e-9 {
 		return
 	}
 	work := sum.admitted / sum.requests // of an admitted request
@@ -68,7 +68,7 @@
 		c.idleLatency = min(c.idleLatency, slices.Max(c.idleLatencies))
 	}
 	idle := min(c.idleLatency*work, maxIdleShare*target)
-	c.pressure = c.fleet.failed/c.fleet.tries + latency/(idleLatencyFactor*idle+queueingShare*target)
+	c.pressure = c.fleet.failed/c.fleet.attempts + latency/(idleLatencyFactor*idle+queueingShare*target)
 }
 
 // updateWorkLimit grows the work limit, and under pressure bounds it by the fleet's recent throughput.
--- a/rules/booking_test.go
+++ b/rules/booking_test.go
@@ -106,9 +106,9 @@
 		}
 		module := rules.New(set.Rules, seed)
 		r := routing.New(set, module, noCalls{}, known, zerolog.Nop())
-		lines, now, last, bound := 0.0, 50000.0, uint64(0), false
+		lines, now, lastID, bound := 0.0, 50000.0, uint64(0), false
 		collector := &proxy{t: t, lines: &lines, bound: &bound}
-		joined, before, again := make([]*proxy, set.Rules.Proxies), make([]bool, set.Rules.Proxies), 0
+		joined, hadJoined, rejoins := make([]*proxy, set.Rules.Proxies), make([]bool, set.Rules.Proxies), 0
 		for range 600 {
 			now += 40
 			bound = false
@@ -117,10 +117,10 @@
 			switch p := joined[n]; rng.IntN(12) {
 			case 0:
 				if p == nil {
-					last++
-					joined[n] = &proxy{t: t, id: last, messageCost: set.Rules.MessageCost, lines: &lines, messageStarts: true,
-						rejoined: before[n], bound: &bound}
-					before[n] = true
+					lastID++
+					joined[n] = &proxy{t: t, id: lastID, messageCost: set.Rules.MessageCost, lines: &lines, messageStarts: true,
+						rejoined: hadJoined[n], bound: &bound}
+					hadJoined[n] = true
 					r.Handle(routing.Reported{Peer: joined[n],
 						Message: protocol.Attach{Proxy: n, Zone: set.ZoneNames[n%2], Weight: float64(n)}})
 				}
@@ -143,7 +143,7 @@
 				t.Fatal(err)
 			}
 			if bound {
-				again++
+				rejoins++
 			}
 			sent, booked := lines-linesBefore, module.QueuedLines()-bookedBefore
 			if sent > booked || sent < booked && !bound {
@@ -151,8 +151,8 @@
 					booked)
 			}
 		}
-		if lines == 0 || again == 0 {
-			t.Errorf("seed %d: %v lines ordered, %d proxies rejoined", seed, lines, again)
+		if lines == 0 || rejoins == 0 {
+			t.Errorf("seed %d: %v lines ordered, %d proxies rejoined", seed, lines, rejoins)
 		}
 	}
 }
--- a/rules/churn_test.go
+++ b/rules/churn_test.go
@@ -53,16 +53,16 @@
 		r.Handle(routing.Reported{Peer: &proxy{t: t, lines: &lines, bound: &bound},
 			Message: protocol.Heartbeat{}})
 		now, id := 50000.0, uint64(100)
-		turn := func(span float64) {
-			for end := now + span; now < end; now += 100 {
+		run := func(duration float64) {
+			for end := now + duration; now < end; now += 100 {
 				if _, _, err := r.Turn(now); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
-		turn(1000)
+		run(1000)
 		var watch uint64 = 1
-		most, mostLines := 0, 0
+		mostServers, mostLines := 0, 0
 		for n := live; n < 3000; n++ {
 			if at := n % proxies; n%3 == 0 { // the stream breaks; a new one is established at once or later
 				if old := streams[at]; old != nil {
@@ -78,16 +78,16 @@
 			r.Handle(routing.Listed{Call: watch,
 				List: protocol.List{Revision: int64(n), Members: []protocol.Member{entry(n, "up"),
 					entry(n-live, "draining")}}})
-			turn(300)
+			run(300)
 			gone := entry(n-live, "removed")
 			r.Handle(routing.Listed{Call: watch,
 				List: protocol.List{Revision: int64(n), Members: []protocol.Member{gone}}})
-			turn(300)
+			run(300)
 			servers, held := module.TrackedCounts()
-			most, mostLines = max(most, servers), max(mostLines, held)
+			mostServers, mostLines = max(mostServers, servers), max(mostLines, held)
 		}
-		if most > 3*live || int(module.highestID) > 3*live {
-			t.Errorf("drain only %t: with %d current servers, %d were kept and numbers went up to %d", drainOnly, live, most, module.highestID)
+		if mostServers > 3*live || int(module.highestID) > 3*live {
+			t.Errorf("drain only %t: with %d current servers, %d were kept and numbers went up to %d", drainOnly, live, mostServers, module.highestID)
 		}
 		if mostLines > proxies*3*live || lines == 0 {
 			t.Errorf("drain only %t: %d table lines were kept, %v were ordered", drainOnly, mostLines,
--- a/rules/dealing.go
+++ b/rules/dealing.go
@@ -72,7 +72,7 @@
 
 // computeZoneShares compares each zone's traffic with the capacity of its servers, and returns the sum of the
 // spare capacity.
-func (c *Controller) computeZoneShares() (spare float64) {
+func (c *Controller) computeZoneShares() (spareSum float64) {
 	unseenRate, unseenCapacity := 0.0, 0.0 // of other controllers' proxies; of zones without our proxies
 	if c.settings.LocalFirst && c.joinedProxies > 0 {
 		unseenRate = max(0, float64(c.settings.Proxies)-c.joinedProxies) * c.typicalRate / c.joinedProxies
@@ -83,7 +83,7 @@
 			unseenCapacity += s.share
 		}
 	}
-	spare = tinyShare
+	spareSum = tinyShare
 	for i := range c.zones {
 		z := &c.zones[i]
 		z.trafficShare = z.totalRate / (c.typicalRate + unseenRate)
@@ -92,9 +92,9 @@
 		}
 		z.spillShare = max(0, 1-z.capacityShare*(1+zoneHeadroom)/max(tinyShare, z.trafficShare))
 		z.spareShare = max(0, z.capacityShare-z.trafficShare) + tinyShare*z.capacityShare
-		spare += z.spareShare
+		spareSum += z.spareShare
 	}
-	return spare
+	return spareSum
 }
 
 // distributeTraffic adds each zone's traffic to its own servers, and what spills to all zones by their spare
@@ -210,21 +210,21 @@
 		if s.assignedRate >= underassignedShare*s.targetRate {
 			continue
 		}
-		r := byZone[s.Zone]
-		if r == nil {
-			r = &priorityQueue[*proxy]{less: moreTrafficPerLine}
+		ranking := byZone[s.Zone]
+		if ranking == nil {
+			ranking = &priorityQueue[*proxy]{less: moreTrafficPerLine}
 			for _, p := range c.proxies {
 				if p.joined && p.zone == s.Zone {
-					r.add(p)
+					ranking.add(p)
 				}
 			}
-			byZone[s.Zone] = r
+			byZone[s.Zone] = ranking
 		}
-		if best, found := r.first(func(p *proxy) bool { return p.hasLine(s) }); found {
+		if best, found := ranking.first(func(p *proxy) bool { return p.hasLine(s) }); found {
 			best.addLine(s)
-			r.fixFirst()
+			ranking.fixFirst()
 		}
-		r.restore()
+		ranking.restore()
 	}
 }
 
--- a/rules/dealing_test.go
+++ b/rules/dealing_test.go
@@ -395,12 +395,12 @@
 func TestDecisionsAreSpacedRegardlessOfEvents(t *testing.T) {
 	c := New(largeSettings(30), 1)
 	c.Step(1000, []Event{List{Kind: ListCached, Servers: manyServers(30, 3)}})
-	looks := 0
+	decisions := 0
 	for i := range 1000 {
-		looks += count[Timer](c.Step(1000+float64(i), []Event{heard(3, 0, 1, 0, 100)}))
+		decisions += count[Timer](c.Step(1000+float64(i), []Event{heard(3, 0, 1, 0, 100)}))
 	}
-	if most := int(1000 / decisionInterval); looks > most || looks < most-1 {
-		t.Fatalf("%d decisions in a second of events each millisecond, want about %d", looks, most)
+	if most := int(1000 / decisionInterval); decisions > most || decisions < most-1 {
+		t.Fatalf("%d decisions in a second of events each millisecond, want about %d", decisions, most)
 	}
 }
 
--- a/rules/estimates.go
+++ b/rules/estimates.go
@@ -18,12 +18,12 @@
 		answered = 0
 	}
 	for _, sum := range []*reportTotals{&s.thisRound, &s.roundByZone[e.Zone], &s.recentTotals, &c.fleet} {
-		sum.tries += e.Attempts
+		sum.attempts += e.Attempts
 		sum.failed += e.Failed
 		sum.answered += answered
 		sum.totalLatency += answered * e.Latency
 	}
-	s.lastHeard = c.now
+	s.lastReport = c.now
 	if answered > 0 {
 		s.unanswered = 0
 		return
--- a/rules/mass_test.go
+++ b/rules/mass_test.go
@@ -17,7 +17,7 @@
 		joins = append(joins, Joined{Proxy: ProxyID(i), Zone: i % set.Zones, Rate: rate, Fresh: true})
 	}
 	f.advance(100, joins...)
-	meets := func(failed, latency float64) {
+	report := func(failed, latency float64) {
 		events := f.acks()
 		for _, s := range servers {
 			events = append(events, heard(s.ID, s.Zone, 10, failed, latency))
@@ -28,14 +28,14 @@
 		f.advance(1000, events...)
 	}
 	for range 8 {
-		meets(0, 100)
+		report(0, 100)
 	}
 	for i := range servers[:36] {
 		servers[i].StartedAt = f.now
 	}
 	f.step(List{Kind: ListFull, Servers: servers})
 	for range 4 {
-		meets(5, 900)
+		report(5, 900)
 	}
 	if f.c.pressure <= collapsePressure {
 		t.Fatalf("pressure %v is below a collapse", f.c.pressure)
@@ -48,10 +48,10 @@
 // enough failures at one server to avoid it, so cold servers get only the traffic that the tables send them.
 func TestReplacedFleetIsNotExcluded(t *testing.T) {
 	f := newReplacedFleet(t, 0.4)
-	kept, cold := 0, 0.0
+	excluded, cold := 0, 0.0
 	for _, s := range f.c.servers {
 		if s.coldExcluded {
-			kept++
+			excluded++
 		}
 		if f.c.warmCapacity(s) < 1 {
 			cold += s.share
@@ -60,8 +60,8 @@
 			}
 		}
 	}
-	if kept > 0 || cold < 0.1 {
-		t.Errorf("%d servers are excluded, and the cold ones get %.2f of the traffic", kept, cold)
+	if excluded > 0 || cold < 0.1 {
+		t.Errorf("%d servers are excluded, and the cold ones get %.2f of the traffic", excluded, cold)
 	}
 	f = newReplacedFleet(t, 40) // here a proxy sees enough failures at a server to avoid it
 	for _, s := range f.c.servers {
@@ -73,9 +73,9 @@
 
 // channel delivers a planner's messages in order at its own pace. Each is acknowledged 400 ms after its delivery.
 type channel struct {
-	f     *fleet
-	pace  float64 // lines a second
-	lines []struct {
+	f           *fleet
+	linesPerSec float64 // lines a second
+	messages    []struct {
 		ack    Ack
 		n      float64
 		drains bool
@@ -88,16 +88,16 @@
 // returns the number of lines that wait.
 func (ch *channel) decide(events ...Event) (waiting float64) {
 	f := ch.f
-	ch.room = min(ch.room+ch.pace*decisionInterval/1000, ch.pace)
-	for i := range ch.lines {
-		if m := &ch.lines[i]; m.left == 0 && ch.room >= m.n {
+	ch.room = min(ch.room+ch.linesPerSec*decisionInterval/1000, ch.linesPerSec)
+	for i := range ch.messages {
+		if m := &ch.messages[i]; m.left == 0 && ch.room >= m.n {
 			m.left, ch.room = f.now, ch.room-m.n
 		} else if m.left == 0 {
 			break
 		}
 	}
-	for len(ch.lines) > 0 && ch.lines[0].left > 0 && f.now-ch.lines[0].left >= 400 {
-		events, ch.lines = append(events, ch.lines[0].ack), ch.lines[1:]
+	for len(ch.messages) > 0 && ch.messages[0].left > 0 && f.now-ch.messages[0].left >= 400 {
+		events, ch.messages = append(events, ch.messages[0].ack), ch.messages[1:]
 	}
 	messages, order := map[TableID]int{}, []TableID(nil)
 	for _, a := range f.advance(decisionInterval, events...) {
@@ -118,14 +118,14 @@
 	}
 	for _, id := range order {
 		n := float64(messages[id]) + f.c.settings.MessageCost + 1
-		ch.lines = append(ch.lines, struct {
+		ch.messages = append(ch.messages, struct {
 			ack    Ack
 			n      float64
 			drains bool
 			left   float64
 		}{ack: Ack{Proxy: ProxyID(id), Token: f.c.token}, n: n})
 	}
-	for _, m := range ch.lines {
+	for _, m := range ch.messages {
 		if m.left == 0 {
 			waiting += m.n
 		}
@@ -137,7 +137,7 @@
 // clock takes it for empty, and urgent orders waited five seconds behind ordinary ones.
 func TestOrdinaryOrdersDontFillASlowChannel(t *testing.T) {
 	f := largeFleet(t, 60, 240)
-	ch := &channel{f: f, pace: f.c.settings.LinesPerSec / 10}
+	ch := &channel{f: f, linesPerSec: f.c.settings.LinesPerSec / 10}
 	most, least := 0.0, math.Inf(1)
 	for look := range 100 {
 		if look%10 == 0 { // lasting changes of weights and levels
@@ -157,8 +157,8 @@
 	if window := f.c.settings.LinesPerSec * maxLag / 1000; most > window {
 		t.Errorf("up to %v lines wait in the channel, want at most %v", most, window)
 	}
-	if least > ch.pace*maxLag/1000*2 {
-		t.Errorf("never less than %v lines wait in a channel that delivers %v a second", least, ch.pace)
+	if least > ch.linesPerSec*maxLag/1000*2 {
+		t.Errorf("never less than %v lines wait in a channel that delivers %v a second", least, ch.linesPerSec)
 	}
 }
 
@@ -170,24 +170,24 @@
 	servers := manyServers(120, set.Zones)
 	f := newFleet(t, set, servers...)
 	f.advance(100, manyProxies(240, set.Zones)...)
-	ch := &channel{f: f, pace: set.LinesPerSec}
-	looks := func(n int, events ...Event) {
+	ch := &channel{f: f, linesPerSec: set.LinesPerSec}
+	decide := func(n int, events ...Event) {
 		for ; n > 0; n-- {
 			ch.decide(events...)
 			events = nil
 		}
 	}
-	looks(50)
+	decide(50)
 	for wave := range 3 {
-		gone, come := servers[24*wave:24*wave+24], []Server(nil)
-		for i := range gone {
-			gone[i].State = Draining
-			come = append(come, ready(ServerID(5000+100*wave+i), gone[i].Zone))
+		drained, added := servers[24*wave:24*wave+24], []Server(nil)
+		for i := range drained {
+			drained[i].State = Draining
+			added = append(added, ready(ServerID(5000+100*wave+i), drained[i].Zone))
 		}
-		looks(10, List{Kind: ListChanges, Servers: gone})
-		looks(1, List{Kind: ListChanges, Servers: come})
+		decide(10, List{Kind: ListChanges, Servers: drained})
+		decide(1, List{Kind: ListChanges, Servers: added})
 	}
-	looks(70)
+	decide(70)
 	idle := 0
 	for _, s := range f.c.servers {
 		if s.State == Ready && f.hasNoLines(s.ID) {
--- a/rules/ranked_test.go
+++ b/rules/ranked_test.go
@@ -56,12 +56,12 @@
 	for _, n := range []int{1, 2, 4, 8, 16} {
 		servers, set := manyServers(100*n, 3), largeSettings(240*n)
 		set.QueueLines, set.LinesPerSec = 28*float64(set.Proxies), 6*float64(set.Proxies)
-		gone, come := []Event(nil), List{Kind: ListChanges}
+		removed, added := []Event(nil), List{Kind: ListChanges}
 		for i, s := range servers[:60*n] {
-			come.Servers = append(come.Servers, ready(ServerID(100000+i), s.Zone))
+			added.Servers = append(added.Servers, ready(ServerID(100000+i), s.Zone))
 		}
-		gone = append(gone, List{Kind: ListFull, Servers: servers[60*n:]})
-		runLook := func(name string, joined bool, prepare, measured []Event) {
+		removed = append(removed, List{Kind: ListFull, Servers: servers[60*n:]})
+		runDecision := func(name string, joined bool, prepare, measured []Event) {
 			b.Run(fmt.Sprintf("%s/%dx%d", name, set.Proxies, len(servers)), func(b *testing.B) {
 				for b.Loop() {
 					b.StopTimer()
@@ -76,8 +76,8 @@
 				}
 			})
 		}
-		runLook("join", false, nil, manyProxies(set.Proxies, 3))
-		runLook("leave", true, nil, gone)
-		runLook("come", true, gone, []Event{come})
+		runDecision("join", false, nil, manyProxies(set.Proxies, 3))
+		runDecision("leave", true, nil, removed)
+		runDecision("come", true, removed, []Event{added})
 	}
 }
--- a/rules/round.go
+++ b/rules/round.go
@@ -10,7 +10,7 @@
 // fleetMeans holds the sums over the usable servers, and the number of summands, from which a round computes
 // the means that it compares a server with.
 type fleetMeans struct {
-	assigned, heard         float64 // servers in our tables, and those of them with a recent report
+	assigned, reported      float64 // servers in our tables, and those of them with a recent report
 	speedSum, speedCount    float64
 	successes, successCount float64 // success rates
 }
@@ -18,14 +18,14 @@
 // runRound runs one step of the feedback loop if enough servers have a recent report.
 func (c *Controller) runRound() {
 	c.nextRound = c.now + roundInterval
-	fleet := c.fleetMeans()
-	if fleet.heard == 0 || fleet.heard < minCoverage*fleet.assigned {
-		c.log("round waits: %v of %v servers heard", fleet.heard, fleet.assigned)
+	means := c.fleetMeans()
+	if means.reported == 0 || means.reported < minCoverage*means.assigned {
+		c.log("round waits: %v of %v servers heard", means.reported, means.assigned)
 		return
 	}
 	for _, s := range c.servers {
 		if s.usable() {
-			s.updateFactor(fleet.errorOf(s))
+			s.updateFactor(means.errorOf(s))
 		}
 		s.thisRound = reportTotals{}
 		clear(s.roundByZone)
@@ -34,27 +34,27 @@
 
 // fleetMeans sums up the reports of the round. Coverage counts only servers in our tables, as no others are
 // reported: if all servers counted, no round would run where a planner serves a single zone.
-func (c *Controller) fleetMeans() (fleet fleetMeans) {
+func (c *Controller) fleetMeans() (means fleetMeans) {
 	for _, s := range c.servers {
 		if !s.usable() {
 			continue
 		}
 		if s.assignedRate > 0 {
-			fleet.assigned++
-			if s.lastHeard > 0 && c.now-s.lastHeard <= reportLifetime {
-				fleet.heard++
+			means.assigned++
+			if s.lastReport > 0 && c.now-s.lastReport <= reportLifetime {
+				means.reported++
 			}
 		}
-		if s.thisRound.tries > 0 {
-			fleet.successes += s.thisRound.successRate()
-			fleet.successCount++
+		if s.thisRound.attempts > 0 {
+			means.successes += s.thisRound.successRate()
+			means.successCount++
 		}
 		if speed := s.speed(); speed > 0 {
-			fleet.speedSum += speed
-			fleet.speedCount++
+			means.speedSum += speed
+			means.speedCount++
 		}
 	}
-	return fleet
+	return means
 }
 
 // errorOf returns the relative deviation of a server's speed from the mean; servers without reports count as
@@ -65,7 +65,7 @@
 	if speed := s.speed(); speed > 0 {
 		e = speed*f.speedCount/f.speedSum - 1
 	}
-	if s.thisRound.tries > 0 && f.successes > 0 && s.thisRound.successRate()*f.successCount < f.successes {
+	if s.thisRound.attempts > 0 && f.successes > 0 && s.thisRound.successRate()*f.successCount < f.successes {
 		e = min(e, s.thisRound.successRate()*f.successCount/f.successes-1)
 	}
 	return e
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -331,10 +331,10 @@
 	f.feedIdleReports()
 	f.advance(3000, f.ack(1), f.ack(2))
 	for id := ServerID(1); id <= 3; id++ {
-		now := f.c.warmCapacity(f.c.serverByID[id])
+		capacity := f.c.warmCapacity(f.c.serverByID[id])
 		share := 0.6*f.share(1, id) + 0.4*f.share(2, id)
 		// The multiple of its present capacity that the server gets if the whole fleet runs at full load.
-		if multiple := share * 4 / now; multiple > f.c.settings.OverloadFactor {
+		if multiple := share * 4 / capacity; multiple > f.c.settings.OverloadFactor {
 			t.Errorf("server %d would get %.2f times its capacity, the limit is %.2f", id, multiple,
 				f.c.settings.OverloadFactor)
 		}
@@ -541,12 +541,12 @@
 	for range 8 {
 		f.overload(800, 600) // repeated requests increase the demand
 	}
-	let := f.c.admissionLevels()[0] * f.c.demands[0]
+	admitted := f.c.admissionLevels()[0] * f.c.demands[0]
 	f.overload(100, 600)
 	f.overload(100, 600)
 	f.overload(100, 600)
-	if now := f.c.admissionLevels()[0] * f.c.demands[0]; now > 1.6*let {
-		t.Fatalf("%v requests a second admitted, %v three seconds before", now, let)
+	if now := f.c.admissionLevels()[0] * f.c.demands[0]; now > 1.6*admitted {
+		t.Fatalf("%v requests a second admitted, %v three seconds before", now, admitted)
 	}
 	for range 60 {
 		f.overload(100, 200)
--- a/rules/state.go
+++ b/rules/state.go
@@ -11,14 +11,14 @@
 )
 
 // reportTotals sums up reports. The total latency is that of all answers, in milliseconds.
-type reportTotals struct{ tries, failed, answered, totalLatency float64 }
+type reportTotals struct{ attempts, failed, answered, totalLatency float64 }
 
 // successRate returns the share of successful attempts. There must be at least one attempt.
-func (t reportTotals) successRate() float64 { return 1 - t.failed/t.tries }
+func (t reportTotals) successRate() float64 { return 1 - t.failed/t.attempts }
 
 // decay multiplies all totals by a factor.
 func (t *reportTotals) decay(by float64) {
-	*t = reportTotals{t.tries * by, t.failed * by, t.answered * by, t.totalLatency * by}
+	*t = reportTotals{t.attempts * by, t.failed * by, t.answered * by, t.totalLatency * by}
 }
 
 // server is the state of one server. Times are in milliseconds.
@@ -29,7 +29,7 @@
 	thisRound    reportTotals   // of the current round
 	roundByZone  []reportTotals // of the current round, by zone of the proxies
 	recentTotals reportTotals   // decayed by updateAdmission
-	lastHeard    float64        // time of the last report
+	lastReport   float64        // time of the last report
 	recentErrors []float64      // of the last errorWindow rounds
 	errorSum     float64        // decayed and bounded sum of the mean errors
 	factor       float64        // multiplies the listed weight
