--- a/internal/control/consensus/membership.go
+++ b/internal/control/consensus/membership.go
@@ -158,8 +158,8 @@
 const (
 	ErrNotLeader          ChangeError = "this replica is not the leader"
 	ErrTermNotCommitted   ChangeError = "the leader has not committed an entry of its own term yet"
-	ErrChangeInProgress   ChangeError = "another membership change is in progress"
-	ErrNoChangeInProgress ChangeError = "no membership change is in progress"
+	ErrChangeInProgress   ChangeError = "another change of the membership is under way"
+	ErrNoChangeInProgress ChangeError = "no change of the membership is under way"
 	ErrSameVoters         ChangeError = "the change leaves the voters as they are"
 	ErrLeaderRemoved      ChangeError = "the leader would lose its vote: leadership has to be transferred first"
 )
