--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -54,7 +54,7 @@
 		}
 		defer server.Close()
 		members = append(members, protocol.Member{ID: fmt.Sprintf("s-%d", i+1), Address: server.Addr(),
-			Zone: zones[i%2], Kind: "m1", Cell: i % 2, Phase: protocol.PhaseUp, Size: 1})
+			Zone: zones[i%2], Kind: "m1", Cell: i % 2, Phase: protocol.PhaseUp, Weight: 1})
 	}
 	list.Change(members...)
 
--- a/internal/planner/bench/decisions.go
+++ b/internal/planner/bench/decisions.go
@@ -126,10 +126,10 @@
 }
 
 // ordered is a message that a proxy has read.
-func (d *scenarioRun) ordered(proxy int, o protocol.Orders) {
-	sent := audit.Order{Replace: o.Replace, Rows: map[string]float64{}, Retries: map[int]rules.Retry{}, Drop: o.Drop,
-		Undrop: o.Undrop,
-		Lines:  float64(o.Lines()) + headOfMessage}
+func (d *scenarioRun) ordered(proxy int, o protocol.Assignment) {
+	sent := audit.Order{Replace: o.Replace, Rows: map[string]float64{}, Retries: map[int]rules.Retry{}, Drop: o.Exclude,
+		Undrop: o.Include,
+		Lines:  float64(o.LineCount()) + headOfMessage}
 	if o.Replace {
 		clear(d.tables[proxy])
 	}
@@ -143,7 +143,7 @@
 	for _, gate := range o.Gates {
 		for k, class := range classes {
 			if slices.Contains(gate.Classes, class) {
-				d.levels[proxy][k], sent.Retries[k] = gate.Level, rules.Retry(gate.Again)
+				d.levels[proxy][k], sent.Retries[k] = gate.Level, rules.Retry(gate.Retry)
 			}
 		}
 	}
@@ -187,7 +187,7 @@
 	}
 	for _, e := range d.ends {
 		for _, mark := range e.marks {
-			g.said(e, protocol.Done{Proxy: e.proxy, Mark: mark, Took: 20})
+			g.said(e, protocol.Ack{Proxy: e.proxy, Token: mark, Elapsed: 20})
 		}
 		e.marks = nil
 	}
@@ -195,7 +195,7 @@
 		d.report(asked, second, draw)
 	}
 	for _, c := range g.each {
-		if _, _, err := c.router.Turn(g.now); err != nil {
+		if _, _, err := c.router.Advance(g.now); err != nil {
 			return err
 		}
 	}
@@ -232,7 +232,7 @@
 			least[k], most[k] = min(least[k], level), max(most[k], level)
 			noise := 1 + 0.1*draw.NormFloat64()
 			d.group.said(d.ends[p], protocol.UsageReport{Proxy: p, Class: classes[k],
-				Tries: math.Round(max(0, d.rates[p]*asked*part*noise)), Span: reportEvery})
+				Requests: math.Round(max(0, d.rates[p]*asked*part*noise)), Period: reportEvery})
 		}
 		for name, weight := range table {
 			var i int
@@ -267,8 +267,8 @@
 				if use[i] > 1.2 {
 					failed = math.Round(tries * min(0.8, (use[i]-1.2)/2))
 				}
-				d.group.said(nil, protocol.ServerReport{Zone: zones[z], Server: fmt.Sprint("s-", i), Tries: tries,
-					Failed: failed, Mean: mean, Span: reportEvery})
+				d.group.said(nil, protocol.ServerReport{Zone: zones[z], Server: fmt.Sprint("s-", i), Attempts: tries,
+					Failed: failed, Latency: mean, Period: reportEvery})
 			}
 		}
 	}
--- a/internal/planner/bench/fleet.go
+++ b/internal/planner/bench/fleet.go
@@ -66,7 +66,7 @@
 // member is a server as discovery lists it. Nothing listens at its address: nothing is sent there but probes.
 func member(i int, phase string, since float64) protocol.Member {
 	return protocol.Member{ID: fmt.Sprintf("s-%d", i), Address: "127.0.0.1:9", Zone: zones[i%len(zones)], Kind: "m1",
-		Phase: phase, Size: 1, UpSince: since}
+		Phase: phase, Weight: 1, StartedAt: since}
 }
 
 // members is the whole fleet, up.
--- a/internal/planner/bench/group.go
+++ b/internal/planner/bench/group.go
@@ -19,7 +19,7 @@
 	now   float64
 	desk  *cores.Assigner
 	each  []*share
-	order func(proxy int, o protocol.Orders)
+	order func(proxy int, o protocol.Assignment)
 	known protocol.List
 }
 
@@ -38,16 +38,16 @@
 }
 
 func (e *end) ID() uint64 { return uint64(e.proxy) + 1 }
-func (e *end) Order(o protocol.Orders) error {
-	if o.Stamp != nil {
-		e.marks = append(e.marks, *o.Stamp)
+func (e *end) Assign(o protocol.Assignment) error {
+	if o.Token != nil {
+		e.marks = append(e.marks, *o.Token)
 	}
 	e.group.order(e.proxy, o)
 	return nil
 }
-func (e *end) Beat() error { return nil }
-func (e *end) Await()      {}
-func (e *end) Close(error) {}
+func (e *end) AnswerHeartbeat() error { return nil }
+func (e *end) DeferHeartbeat()        {}
+func (e *end) Close(error)            {}
 
 // noCalls asks nobody anything.
 type noCalls struct{}
@@ -55,10 +55,10 @@
 func (noCalls) Watch(uint64, int64)                {}
 func (noCalls) Fetch(uint64)                       {}
 func (noCalls) Cancel(uint64)                      {}
-func (noCalls) Move(string)                        {}
+func (noCalls) SetDiscovery(string)                {}
 func (noCalls) Probe(rules.ServerID, string, bool) {}
 
-func newGroup(f Fleet, n int, order func(proxy int, o protocol.Orders)) (*group, error) {
+func newGroup(f Fleet, n int, order func(proxy int, o protocol.Assignment)) (*group, error) {
 	set, err := f.parsed()
 	if err != nil {
 		return nil, err
@@ -71,7 +71,7 @@
 		Confirm:     set.Rules.DrainGrace / 4, MovesPerS: 8, Rest: 10000}, g.now)
 	for i := range n {
 		module := rules.New(set.Rules, f.Seed+uint64(i))
-		g.each[i] = &share{router: routing.NewFed(set, module, noCalls{}, g.known, 0, zerolog.Nop()), module: module}
+		g.each[i] = &share{router: routing.NewHosted(set, module, noCalls{}, g.known, 0, zerolog.Nop()), module: module}
 	}
 	return g, g.carryOut()
 }
@@ -82,8 +82,8 @@
 	g.desk.HandleJoined(g.now, uint64(proxy)+1, proxy, proxy%len(zones), rate)
 	for _, c := range g.desk.DrainCommands() {
 		if c, ok := c.(cores.Assignment); ok {
-			g.each[c.Core].router.Handle(routing.Handed{Peer: ends[proxy],
-				Attach: protocol.Attach{Proxy: proxy, Zone: zoneOf(proxy), Weight: rate, Fresh: true}})
+			g.each[c.Core].router.Handle(routing.ProxyHandedOver{Peer: ends[proxy],
+				Attach: protocol.Attach{Proxy: proxy, Zone: zoneOf(proxy), Rate: rate, Fresh: true}})
 		}
 	}
 	return nil
@@ -93,22 +93,22 @@
 func (g *group) said(from *end, m protocol.Message) {
 	if _, all := m.(protocol.ServerReport); all {
 		for _, c := range g.each {
-			c.router.Handle(routing.Reported{Peer: &end{proxy: -2}, Message: m})
+			c.router.Handle(routing.MessageReceived{Peer: &end{proxy: -2}, Message: m})
 		}
 		return
 	}
 	if at, joined := g.desk.CoreOf(from.proxy); joined {
-		g.each[at].router.Handle(routing.Reported{Peer: from, Message: m})
+		g.each[at].router.Handle(routing.MessageReceived{Peer: from, Message: m})
 	}
 }
 
 // words tells the desk how far each core has come, and lets it look.
 func (g *group) words() error {
 	for i, c := range g.each {
-		if p := c.router.Progress(); p.Looks != c.looks {
-			c.looks = p.Looks
+		if p := c.router.Progress(); p.Rounds != c.looks {
+			c.looks = p.Rounds
 			own, waiting := c.module.OwnLoad()
-			g.desk.HandleReport(g.now, i, 1, cores.CoreReport{Seen: p.Seen, Done: p.Done, ShareNumber: p.Deal, Waiting: waiting,
+			g.desk.HandleReport(g.now, i, 1, cores.CoreReport{Seen: p.SeenEpoch, Done: p.AppliedEpoch, ShareNumber: p.ShareNumber, Waiting: waiting,
 				Joined:       own.JoinedProxies,
 				TypicalRates: own.TypicalRates, Demands: own.Demands})
 		}
@@ -122,7 +122,7 @@
 	for _, c := range g.desk.DrainCommands() {
 		switch c := c.(type) {
 		case cores.Share:
-			g.each[c.Core].router.Handle(routing.Allocated{Number: c.Number,
+			g.each[c.Core].router.Handle(routing.ShareAllocated{Number: c.Number,
 				Part: rules.Part{ChannelShare: c.Channel, JoinedProxies: c.Joined, TypicalRates: c.TypicalRates,
 					Demands: c.Demands}})
 		case cores.Isolate, cores.Abort:
@@ -137,6 +137,6 @@
 	epoch := g.desk.ChangeList(g.now)
 	g.desk.DrainCommands()
 	for _, c := range g.each {
-		c.router.Handle(routing.Notified{List: protocol.List{Members: []protocol.Member{m}}, Epoch: epoch})
+		c.router.Handle(routing.ListUpdated{List: protocol.List{Members: []protocol.Member{m}}, Epoch: epoch})
 	}
 }
--- a/internal/planner/bench/look.go
+++ b/internal/planner/bench/look.go
@@ -62,7 +62,7 @@
 	defer runtime.GOMAXPROCS(before)
 	var mu sync.Mutex
 	messages := 0
-	g, err := newGroup(f, n, func(_ int, o protocol.Orders) {
+	g, err := newGroup(f, n, func(_ int, o protocol.Assignment) {
 		text, _ := o.Append(nil) // encoding is part of a turn
 		mu.Lock()
 		messages += min(1, len(text))
@@ -86,17 +86,17 @@
 		}
 		for p := look % 10; p < f.Proxies; p += 10 { // each proxy once a second
 			for k, class := range classes {
-				g.said(ends[p], protocol.UsageReport{Proxy: p, Class: class, Tries: float64(3 + (p+k)%9), Span: reportEvery})
+				g.said(ends[p], protocol.UsageReport{Proxy: p, Class: class, Requests: float64(3 + (p+k)%9), Period: reportEvery})
 			}
 			for _, mark := range ends[p].marks {
-				g.said(ends[p], protocol.Done{Proxy: p, Mark: mark, Took: 5})
+				g.said(ends[p], protocol.Ack{Proxy: p, Token: mark, Elapsed: 5})
 			}
 			ends[p].marks = nil
 		}
 		for i := look % 10; i < f.Servers; i += 10 {
 			for _, zone := range zones {
-				g.said(nil, protocol.ServerReport{Zone: zone, Server: fmt.Sprint("s-", i), Tries: 20, Mean: 100 +
-					float64(i*7%40), Span: reportEvery})
+				g.said(nil, protocol.ServerReport{Zone: zone, Server: fmt.Sprint("s-", i), Attempts: 20, Latency: 100 +
+					float64(i*7%40), Period: reportEvery})
 			}
 		}
 		runtime.GC() // so that each look meets the same heap; a collection in the middle of one is measured all the same
@@ -104,7 +104,7 @@
 		var group sync.WaitGroup
 		errs := make([]error, n)
 		for i, c := range g.each {
-			group.Go(func() { _, _, errs[i] = c.router.Turn(g.now) })
+			group.Go(func() { _, _, errs[i] = c.router.Advance(g.now) })
 		}
 		group.Wait()
 		took := float64(time.Since(begun)) / float64(time.Millisecond)
--- a/internal/planner/bench/peers.go
+++ b/internal/planner/bench/peers.go
@@ -175,7 +175,7 @@
 		if gate != nil {
 			for k, class := range classes {
 				if class == a.GetClusterName() {
-					o.Retries[k] = rules.Retry(gate.Again)
+					o.Retries[k] = rules.Retry(gate.Retry)
 				}
 			}
 		}
--- a/internal/planner/bench/versions.go
+++ b/internal/planner/bench/versions.go
@@ -103,7 +103,7 @@
 			v.Wrong++
 		}
 	}
-	order := func(proxy int, o protocol.Orders) {
+	order := func(proxy int, o protocol.Assignment) {
 		d.ordered(proxy, o)
 		begun := time.Now()
 		if senders[proxy] == nil {
@@ -113,7 +113,7 @@
 		}
 		s, l := senders[proxy], receivers[proxy]
 		table, _ := s.Table()
-		u, err := s.Next(o.Onto(table), o.Replace)
+		u, err := s.Next(o.ApplyTo(table), o.Replace)
 		if err != nil {
 			return
 		}
--- a/internal/planner/program/ask.go
+++ b/internal/planner/program/ask.go
@@ -88,10 +88,10 @@
 
 func (a *asker) http(ctx context.Context, address string, load bool) (routing.Probed, dialect.Result) {
 	var answer protocol.ProbeResponse
-	request, machine := protocol.Probe(address, load, &answer)
+	request, machine := protocol.ProbeRequest(address, load, &answer)
 	p := &peeked{HTTPExchange: machine}
 	err := transport.Call{Address: address, ConnectTimeout: a.connect, IdleTimeout: a.connect, TotalTimeout: 2 * a.connect,
-		Request: request, MaxBuffered: protocol.MaxHead}.Do(ctx, p)
+		Request: request, MaxBuffered: protocol.MaxHeadBytes}.Do(ctx, p)
 	verdict := dialect.Answered
 	switch {
 	case settingsFrame(p.head):
@@ -192,7 +192,7 @@
 	}
 	load := map[string]float64{}
 	take := func(name string, value float64) {
-		if value >= 0 && value <= protocol.MaxFigure { // NaN is neither
+		if value >= 0 && value <= protocol.MaxValue { // NaN is neither
 			load[name] = value
 		}
 	}
--- a/internal/planner/program/calls.go
+++ b/internal/planner/program/calls.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// Move implements routing.Calls.
-func (c *calls) Move(discovery string) { c.discovery = discovery }
+// SetDiscovery implements routing.Calls.
+func (c *calls) SetDiscovery(discovery string) { c.discovery = discovery }
 
 // take returns what reads one list and posts it.
 func (c *calls) take(call uint64) func([]byte) error {
@@ -81,19 +81,19 @@
 		if odd > 0 {
 			c.log.Warn().Int("entries", odd).Int64("revision", list.Revision).Msg("odd entries in the list")
 		}
-		c.post(routing.Listed{Call: call, List: list})
+		c.post(routing.ListReceived{Call: call, List: list})
 		return nil
 	}
 }
 
 func (c *calls) Watch(call uint64, from int64) {
-	request, answer := protocol.Watch(c.discovery, from,
+	request, answer := protocol.WatchRequest(c.discovery, from,
 		func() { c.post(routing.WatchStarted{Call: call}) }, c.take(call))
 	c.ask(call, request, answer)
 }
 
 func (c *calls) Fetch(call uint64) {
-	request, answer := protocol.Fetch(c.discovery, c.take(call))
+	request, answer := protocol.FetchRequest(c.discovery, c.take(call))
 	c.ask(call, request, answer)
 }
 
--- a/internal/planner/program/core.go
+++ b/internal/planner/program/core.go
@@ -37,7 +37,7 @@
 	known protocol.List, epoch uint64, now func() float64, log zerolog.Logger, died func(error)) *coreRun {
 	ctx, end := context.WithCancel(ctx)
 	c := &coreRun{index: index, incarnation: incarnation, in: newInbox(), cancel: end, ended: make(chan struct{})}
-	router := routing.NewFed(set, module, calls, known, epoch, log)
+	router := routing.NewHosted(set, module, calls, known, epoch, log)
 	go func() {
 		defer close(c.ended)
 		defer end()
@@ -72,15 +72,15 @@
 		for _, e := range reports {
 			router.Handle(e)
 		}
-		next, wants, err := router.Turn(onGrid(now(), granularity))
+		next, wants, err := router.Advance(onGrid(now(), granularity))
 		if err != nil {
 			return err
 		}
-		if p := router.Progress(); p.Looks != looks {
-			looks = p.Looks
+		if p := router.Progress(); p.Rounds != looks {
+			looks = p.Rounds
 			own, waiting := module.OwnLoad()
-			c.report.Store(&cores.CoreReport{Seen: p.Seen, Done: p.Done, ShareNumber: p.Deal, Waiting: waiting,
-				Joined: own.JoinedProxies, TypicalRates: own.TypicalRates, Demands: own.Demands})
+			c.report.Store(&cores.CoreReport{Seen: p.SeenEpoch, Done: p.AppliedEpoch, ShareNumber: p.ShareNumber,
+				Waiting: waiting, Joined: own.JoinedProxies, TypicalRates: own.TypicalRates, Demands: own.Demands})
 		}
 		if wants {
 			alarm.Reset(time.Duration((next - now()) * float64(time.Millisecond)))
@@ -99,7 +99,7 @@
 func (coreCalls) Watch(uint64, int64) {}
 func (coreCalls) Fetch(uint64)        {}
 func (coreCalls) Cancel(uint64)       {}
-func (coreCalls) Move(string)         {}
+func (coreCalls) SetDiscovery(string) {}
 
 // Probe implements routing.Calls.
 func (c coreCalls) Probe(server rules.ServerID, address string, load bool) {
--- a/internal/planner/program/day_test.go
+++ b/internal/planner/program/day_test.go
@@ -79,16 +79,16 @@
 	if m.Phase != protocol.PhaseUp {
 		state = rules.Draining
 	}
-	entry := audit.Server{Name: m.ID, State: state, Size: m.Size}
-	if m.UpSince > 0 {
-		entry.StartedAt = m.UpSince - float64(w.begun.UnixMicro())/1000
+	entry := audit.Server{Name: m.ID, State: state, Size: m.Weight}
+	if m.StartedAt > 0 {
+		entry.StartedAt = m.StartedAt - float64(w.begun.UnixMicro())/1000
 	}
 	w.books.Told(w.now(), entry)
 }
 
 func (w *watched) change(id, phase string, since float64) {
 	m := w.members[id]
-	m.Phase, m.UpSince = phase, since
+	m.Phase, m.StartedAt = phase, since
 	w.tell(m)
 	w.discovery.Change(m)
 }
@@ -221,7 +221,7 @@
 				}
 				rows, shut, gate := xds.Read(&a, false)
 				if gate != nil {
-					o.Retries[slices.Index(classNames, a.GetClusterName())] = rules.Retry(gate.Again)
+					o.Retries[slices.Index(classNames, a.GetClusterName())] = rules.Retry(gate.Retry)
 				}
 				if i == 0 {
 					for _, row := range rows {
--- a/internal/planner/program/fleet_test.go
+++ b/internal/planner/program/fleet_test.go
@@ -48,7 +48,7 @@
 			t.Fatal(err)
 		}
 		m := protocol.Member{ID: fmt.Sprint("s-", i), Address: s.Addr(), Zone: []string{"north", "south"}[i%2], Kind: "m1",
-			Phase: protocol.PhaseUp, Size: 1}
+			Phase: protocol.PhaseUp, Weight: 1}
 		f.servers[m.ID], f.members[m.ID] = s, m
 		list = append(list, m)
 	}
--- a/internal/planner/program/front.go
+++ b/internal/planner/program/front.go
@@ -58,7 +58,7 @@
 		holds:  map[held]int{},
 		facts:  xdsFacts(set),
 		handed: handedConns{addr: addr, conns: make(chan net.Conn), ctx: ctx}}
-	opts := []grpc.ServerOption{grpc.MaxRecvMsgSize(protocol.MaxLine), grpc.MaxConcurrentStreams(maxStreams),
+	opts := []grpc.ServerOption{grpc.MaxRecvMsgSize(protocol.MaxLineBytes), grpc.MaxConcurrentStreams(maxStreams),
 		grpc.MaxHeaderListSize(maxHeaders),
 		grpc.ConnectionTimeout(joinWithin), grpc.StaticStreamWindowSize(windowSize), grpc.ReadBufferSize(readBuffer),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: pingsApart, PermitWithoutStream: true}),
@@ -75,7 +75,7 @@
 
 // xdsFacts are the facts that the machines of the gRPC front are given.
 func xdsFacts(set settings.Settings) xds.Facts {
-	f := xds.Facts{Zones: set.ZoneNames, Rates: set.Rates(), Period: set.Rules.ReportPeriod, Within: bounds(set)}
+	f := xds.Facts{Zones: set.ZoneNames, Rates: set.AdmitsByRate(), Period: set.Rules.ReportPeriod, Within: bounds(set)}
 	for _, class := range set.Rules.Classes {
 		f.Classes = append(f.Classes, class.Name)
 	}
--- a/internal/planner/program/front_health.go
+++ b/internal/planner/program/front_health.go
@@ -14,8 +14,8 @@
 // Check implements the health service: the planner serves once it can make orders, as a heartbeat is answered then.
 func (f *frontend) Check(ctx context.Context, _ *healthpb.HealthCheckRequest) (*healthpb.HealthCheckResponse, error) {
 	p := &heartbeatPeer{mutePeer: mutePeer{id: transport.NextID()}, said: make(chan bool, 1)}
-	f.post(routing.Reported{Peer: p, Message: protocol.Heartbeat{}})
-	defer f.post(routing.Ended{Peer: p})
+	f.post(routing.MessageReceived{Peer: p, Message: protocol.Heartbeat{}})
+	defer f.post(routing.Disconnected{Peer: p})
 	select {
 	case serving := <-p.said:
 		if serving {
@@ -33,14 +33,14 @@
 	said chan bool
 }
 
-// Beat implements routing.Peer.
-func (p *heartbeatPeer) Beat() error {
+// AnswerHeartbeat implements routing.Peer.
+func (p *heartbeatPeer) AnswerHeartbeat() error {
 	p.answer(true)
 	return nil
 }
 
-// Await implements routing.Peer.
-func (p *heartbeatPeer) Await() { p.answer(false) }
+// DeferHeartbeat implements routing.Peer.
+func (p *heartbeatPeer) DeferHeartbeat() { p.answer(false) }
 
 // answer hands on the first answer; later ones are dropped.
 func (p *heartbeatPeer) answer(serving bool) {
--- a/internal/planner/program/front_limits_test.go
+++ b/internal/planner/program/front_limits_test.go
@@ -47,13 +47,13 @@
 	}
 	peer := &xdsPeer{cancel: func() {}, wake: make(chan struct{}, 1), now: clock(), machine: newJoinedMachine(t)}
 	for i := 0; peer.reason() == nil; i++ {
-		peer.Order(protocol.Orders{Rows: []protocol.Row{{Server: strings.Repeat("s", 1000) + string(rune('a'+i%26)),
+		peer.Assign(protocol.Assignment{Rows: []protocol.Row{{Server: strings.Repeat("s", 1000) + string(rune('a'+i%26)),
 			Weight: 1, Zone: "north"}}})
 		if i > 10000 {
 			t.Fatal("what is unread has no end")
 		}
 	}
-	if err := peer.Order(protocol.Orders{Replace: true}); err == nil {
+	if err := peer.Assign(protocol.Assignment{Replace: true}); err == nil {
 		t.Error("an ended stream takes orders")
 	}
 	f.phase("s-1", "draining")
@@ -132,7 +132,7 @@
 		t.Fatal(err)
 	}
 	if _, err := open(context.Background(), 2, strings.Repeat("x",
-		protocol.MaxLine)); status.Code(err) != codes.ResourceExhausted {
+		protocol.MaxLineBytes)); status.Code(err) != codes.ResourceExhausted {
 		t.Errorf("a message over 1 MiB: %v", err)
 	}
 	if _, err := open(metadata.AppendToOutgoingContext(context.Background(), "a", strings.Repeat("x", 2*maxHeaders)),
--- a/internal/planner/program/front_loads.go
+++ b/internal/planner/program/front_loads.go
@@ -63,7 +63,7 @@
 // end tells the router that the peer is gone.
 func (s *loadStream) end() {
 	if s.known {
-		s.frontend.post(routing.Ended{Peer: s.peer})
+		s.frontend.post(routing.Disconnected{Peer: s.peer})
 	}
 }
 
@@ -97,7 +97,7 @@
 		return
 	}
 	for _, message := range update.Messages {
-		f.post(routing.Reported{Peer: s.peer, Message: message})
+		f.post(routing.MessageReceived{Peer: s.peer, Message: message})
 	}
 }
 
@@ -107,14 +107,14 @@
 // ID implements routing.Peer.
 func (p *mutePeer) ID() uint64 { return p.id }
 
-// Order implements routing.Peer.
-func (p *mutePeer) Order(protocol.Orders) error { return errRole }
+// Assign implements routing.Peer.
+func (p *mutePeer) Assign(protocol.Assignment) error { return errRole }
 
-// Beat implements routing.Peer.
-func (p *mutePeer) Beat() error { return nil }
+// AnswerHeartbeat implements routing.Peer.
+func (p *mutePeer) AnswerHeartbeat() error { return nil }
 
-// Await implements routing.Peer.
-func (p *mutePeer) Await() {}
+// DeferHeartbeat implements routing.Peer.
+func (p *mutePeer) DeferHeartbeat() {}
 
 // Close implements routing.Peer.
 func (p *mutePeer) Close(error) {}
--- a/internal/planner/program/front_streams.go
+++ b/internal/planner/program/front_streams.go
@@ -68,7 +68,7 @@
 	own := p.reason()
 	p.Close(io.EOF) // orders that come now reach nobody
 	if who, joined := p.joined(); joined {
-		f.post(routing.Ended{Peer: p})
+		f.post(routing.Disconnected{Peer: p})
 		f.hold(conn, who.Proxy, -1)
 	}
 	switch {
@@ -85,7 +85,7 @@
 // say tells routing what a peer says.
 func (f *frontend) say(p routing.Peer, said []protocol.Message) {
 	for _, m := range said {
-		f.post(routing.Reported{Peer: p, Message: m})
+		f.post(routing.MessageReceived{Peer: p, Message: m})
 	}
 }
 
--- a/internal/planner/program/host.go
+++ b/internal/planner/program/host.go
@@ -41,7 +41,7 @@
 	in      chan routing.Event // for the host alone
 	runs    []*coreRun         // by core, the present incarnation
 	all     []*coreRun         // every incarnation started whose goroutine may go on
-	streams map[uint64]routing.Reported
+	streams map[uint64]routing.MessageReceived
 	leases  map[int]*lease // by proxy: the present one, or the last
 	waiting []routing.Peer // heartbeats
 	members map[string]protocol.Member
@@ -59,7 +59,7 @@
 
 // joining is an Attach whose reader waits until the stream has its core.
 type joining struct {
-	routing.Reported
+	routing.MessageReceived
 	placed chan struct{}
 }
 
@@ -87,7 +87,7 @@
 	h := &supervisor{settings: c.Settings, log: log, now: clock(), module: module, ctx: ctx,
 		in: make(chan routing.Event, maxEvents),
 		runs: make([]*coreRun,
-			n), streams: map[uint64]routing.Reported{}, leases: map[int]*lease{}, members: map[string]protocol.Member{},
+			n), streams: map[uint64]routing.MessageReceived{}, leases: map[int]*lease{}, members: map[string]protocol.Member{},
 		owners: make([]atomic.Pointer[lease], r.Proxies), follower: routing.NewFollower(asks, c.Known.Revision)}
 	h.probes = &sharedProbes{now: h.now, probe: asks.probe, waiting: map[string]map[int]probeRequest{},
 		last: map[string]routing.Probed{}}
@@ -103,7 +103,7 @@
 // post takes an event from any goroutine. What a proxy or collector reports goes straight to the cores; the rest is the
 // host's.
 func (h *supervisor) post(e routing.Event) {
-	said, ok := e.(routing.Reported)
+	said, ok := e.(routing.MessageReceived)
 	if !ok {
 		h.send(e)
 		return
@@ -111,34 +111,34 @@
 	switch m := said.Message.(type) {
 	case protocol.Heartbeat:
 		if h.listed.Load() {
-			said.Peer.Beat() // one that fails is seen by the connection's reader
+			said.Peer.AnswerHeartbeat() // one that fails is seen by the connection's reader
 			return
 		}
 		h.send(e)
 	case protocol.Collector:
 	case protocol.Attach:
-		j := &joining{Reported: said, placed: make(chan struct{})}
+		j := &joining{MessageReceived: said, placed: make(chan struct{})}
 		h.send(supervisorEvent{Event: e, joining: j})
 		select { // what follows on the stream must find its core
 		case <-j.placed:
 		case <-h.ctx.Done():
 		}
-	case protocol.Done:
+	case protocol.Ack:
 		l := h.owner(said.Peer, m.Proxy)
 		if l == nil {
 			return
 		}
-		if mark, own := l.own(m.Mark); own {
-			m.Mark = mark
-			l.core.in.report(routing.Reported{Peer: l, Message: m})
+		if mark, own := l.own(m.Token); own {
+			m.Token = mark
+			l.core.in.report(routing.MessageReceived{Peer: l, Message: m})
 		}
 	case protocol.UsageReport:
 		if l := h.owner(said.Peer, m.Proxy); l != nil {
-			l.core.in.report(routing.Reported{Peer: l, Message: m})
+			l.core.in.report(routing.MessageReceived{Peer: l, Message: m})
 		}
-	case protocol.Refused:
+	case protocol.Nack:
 		if l := h.owner(said.Peer, m.Proxy); l != nil && l.ID() == said.Peer.ID() {
-			l.core.in.report(routing.Reported{Peer: l, Message: m})
+			l.core.in.report(routing.MessageReceived{Peer: l, Message: m})
 		}
 	case protocol.ServerReport:
 		if _, former := h.superseded.Load(said.Peer.ID()); former {
@@ -165,7 +165,7 @@
 		return l
 	}
 	if _, former := h.superseded.Load(from.ID()); l == nil || former {
-		if n := int(h.dropped.Add(1)); routing.Telling(n) {
+		if n := int(h.dropped.Add(1)); routing.ShouldLog(n) {
 			h.log.Warn().Str("reason", "about a proxy that is not here, or from a stream that was replaced").Int("proxy", proxy).
 				Int("count", n).Msg("message not used")
 		}
@@ -220,14 +220,14 @@
 		} else {
 			h.died(*e.over)
 		}
-	case routing.Reported: // a heartbeat that comes before any list
+	case routing.MessageReceived: // a heartbeat that comes before any list
 		if h.listed.Load() {
-			e.Peer.Beat()
+			e.Peer.AnswerHeartbeat()
 			return
 		}
-		e.Peer.Await()
+		e.Peer.DeferHeartbeat()
 		h.waiting = append(h.waiting, e.Peer)
-	case routing.Ended:
+	case routing.Disconnected:
 		id := e.Peer.ID()
 		h.superseded.Delete(id)
 		h.waiting = slices.DeleteFunc(h.waiting, func(p routing.Peer) bool { return p.ID() == id })
@@ -235,22 +235,22 @@
 			delete(h.streams, id)
 			h.assigner.HandleLeft(id, s.Message.(protocol.Attach).Proxy)
 		}
-	case routing.Listed:
-		if h.follower.Listed(e) {
+	case routing.ListReceived:
+		if h.follower.HandleList(e) {
 			h.change(e.List)
 		}
 	case routing.WatchStarted:
-		h.follower.Begun(e)
+		h.follower.HandleWatchStarted(e)
 	case routing.CallFailed:
-		if counts, watched := h.follower.Failed(e); counts {
+		if counts, watched := h.follower.HandleFailure(e); counts {
 			h.log.Warn().Err(e.Err).Int64("revision", h.follower.Revision()).Msg("discovery call ended")
 			if watched {
 				h.watchAt = h.now() + routing.WatchBackoff*(0.5+rand.Float64()) // spread by chance, as planners are many
 			}
 		}
-	case routing.Moved:
+	case routing.DiscoveryMoved:
 		h.watchAt = 0
-		h.follower.Moved(e)
+		h.follower.HandleMove(e)
 	}
 }
 
@@ -262,8 +262,8 @@
 	if _, twice := h.streams[j.Peer.ID()]; twice || zone < 0 || m.Proxy >= len(h.owners) {
 		return // its role has been checked, so this can't be; a second joining is void
 	}
-	h.streams[j.Peer.ID()] = j.Reported
-	h.assigner.HandleJoined(h.now(), j.Peer.ID(), m.Proxy, zone, m.Weight)
+	h.streams[j.Peer.ID()] = j.MessageReceived
+	h.assigner.HandleJoined(h.now(), j.Peer.ID(), m.Proxy, zone, m.Rate)
 	if err := h.carryOut(); err != nil {
 		h.failed = err
 	}
@@ -300,7 +300,7 @@
 	h.assigner.ChangeList(h.now())
 	if h.listed.Store(true); len(h.waiting) > 0 {
 		for _, peer := range h.waiting {
-			peer.Beat()
+			peer.AnswerHeartbeat()
 		}
 		h.waiting = nil
 	}
@@ -323,9 +323,9 @@
 		case cores.StartCore:
 			h.begin(c)
 		case cores.UpdateList:
-			h.runs[c.Core].in.order(routing.Notified{List: h.list, Epoch: c.Epoch})
+			h.runs[c.Core].in.order(routing.ListUpdated{List: h.list, Epoch: c.Epoch})
 		case cores.Share:
-			h.runs[c.Core].in.order(routing.Allocated{Number: c.Number,
+			h.runs[c.Core].in.order(routing.ShareAllocated{Number: c.Number,
 				Part: rules.Part{ChannelShare: c.Channel, JoinedProxies: c.Joined, TypicalRates: c.TypicalRates,
 					Demands: c.Demands}})
 		case cores.Assignment:
@@ -333,7 +333,7 @@
 		case cores.Leave:
 			if l := h.owners[c.Proxy].Swap(nil); l != nil {
 				l.revoke()
-				l.core.in.order(routing.Ended{Peer: l})
+				l.core.in.order(routing.Disconnected{Peer: l})
 			}
 		case cores.Supersede:
 			if s, known := h.streams[c.Stream]; known {
@@ -414,7 +414,7 @@
 		shut = append(shut, name)
 	}
 	slices.Sort(shut)
-	l.core.in.order(routing.Handed{Peer: l, Attach: s.Message.(protocol.Attach), Shut: shut})
+	l.core.in.order(routing.ProxyHandedOver{Peer: l, Attach: s.Message.(protocol.Attach), Excluded: shut})
 }
 
 // stop lets every core end. One that is stuck is left behind: the program is about to end, and its streams are closed.
--- a/internal/planner/program/lease.go
+++ b/internal/planner/program/lease.go
@@ -27,24 +27,24 @@
 	shut    map[string]bool // servers that the proxy was told to shut out
 }
 
-// Order implements routing.Peer. The mark carries the tag.
-func (l *lease) Order(o protocol.Orders) error {
+// Assign implements routing.Peer. The mark carries the tag.
+func (l *lease) Assign(o protocol.Assignment) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.revoked {
 		return errRevoked
 	}
-	for _, name := range o.Drop {
+	for _, name := range o.Exclude {
 		l.shut[name] = true
 	}
-	for _, name := range o.Undrop {
+	for _, name := range o.Include {
 		delete(l.shut, name)
 	}
-	if o.Stamp != nil {
-		stamp := *o.Stamp | uint32(l.tag)<<tagShift
-		o.Stamp = &stamp
+	if o.Token != nil {
+		stamp := *o.Token | uint32(l.tag)<<tagShift
+		o.Token = &stamp
 	}
-	return l.Peer.Order(o)
+	return l.Peer.Assign(o)
 }
 
 // revoke ends the lease.
--- a/internal/planner/program/peers.go
+++ b/internal/planner/program/peers.go
@@ -41,8 +41,8 @@
 	asked     bool       // it asked for versions
 }
 
-// Order implements routing.Peer.
-func (p linePeer) Order(o protocol.Orders) error {
+// Assign implements routing.Peer.
+func (p linePeer) Assign(o protocol.Assignment) error {
 	if p.versioned != nil {
 		return p.versioned.order(p.Conn, o, p.asked)
 	}
@@ -53,14 +53,14 @@
 	return p.Send(text)
 }
 
-// Beat implements routing.Peer.
-func (p linePeer) Beat() error {
+// AnswerHeartbeat implements routing.Peer.
+func (p linePeer) AnswerHeartbeat() error {
 	defer p.SetReplyPending(false)
 	return p.Send(protocol.HeartbeatReply())
 }
 
-// Await implements routing.Peer.
-func (p linePeer) Await() { p.SetReplyPending(true) }
+// DeferHeartbeat implements routing.Peer.
+func (p linePeer) DeferHeartbeat() { p.SetReplyPending(true) }
 
 // role is what a connection has shown itself to be.
 type role int
@@ -94,9 +94,9 @@
 		return s.role == collector && m.Zone == s.zone
 	case protocol.UsageReport:
 		return s.role == collector || s.role == proxy && m.Proxy == s.proxy
-	case protocol.Again:
+	case protocol.ResyncRequest:
 		return s.role == proxy && m.Proxy == s.proxy
-	case protocol.Done:
+	case protocol.Ack:
 		return s.role == proxy && m.Proxy == s.proxy
 	}
 	return false
@@ -104,8 +104,8 @@
 
 // bounds are what the figures of this deployment's messages keep within.
 func bounds(set settings.Settings) protocol.Bounds {
-	return protocol.Bounds{Proxies: set.Rules.Proxies, MeanMost: set.LongestDeadline(),
-		SpanMost: spanPeriods * set.Rules.ReportPeriod}
+	return protocol.Bounds{Proxies: set.Rules.Proxies, MaxLatency: set.LongestDeadline(),
+		MaxPeriod: spanPeriods * set.Rules.ReportPeriod}
 }
 
 // Accepted implements transport.Handler.
@@ -119,9 +119,9 @@
 		p.count("line not used", c.Remote(), err)
 		return nil
 	}
-	return &protocol.Lines{
-		Within: bounds(p.set),
-		Take: func(m protocol.Message) error {
+	return &protocol.LineDecoder{
+		Bounds: bounds(p.set),
+		HandleMessage: func(m protocol.Message) error {
 			if !s.may(m) {
 				return bad(fmt.Errorf("%T: %w", m, errRole))
 			}
@@ -135,20 +135,20 @@
 				if p.versions != nil && (m.Versions || p.versions.recorded) {
 					self.versioned, self.asked = p.versions.of(m.Proxy), m.Versions
 				}
-			case protocol.Again:
+			case protocol.ResyncRequest:
 				if !self.asked {
 					return bad(fmt.Errorf("%T without versions: %w", m, errRole))
 				}
 				if self.versioned.again(c, m) {
 					return nil
 				}
-				p.post(routing.Reported{Peer: self, Message: protocol.Refused{Proxy: m.Proxy}})
+				p.post(routing.MessageReceived{Peer: self, Message: protocol.Nack{Proxy: m.Proxy}})
 				return nil
 			}
-			p.post(routing.Reported{Peer: self, Message: m})
+			p.post(routing.MessageReceived{Peer: self, Message: m})
 			return nil
 		},
-		Bad: bad,
+		HandleInvalid: bad,
 	}
 }
 
@@ -191,7 +191,7 @@
 	p.counts[what]++
 	n := p.counts[what]
 	p.mu.Unlock()
-	if routing.Telling(n) {
+	if routing.ShouldLog(n) {
 		p.log.Warn().Err(err).Str("peer", peer).Int("count", n).Msg(what)
 	}
 }
@@ -206,7 +206,7 @@
 	p.mu.Lock()
 	maps.DeleteFunc(p.collectors, func(_ string, newest *transport.Conn) bool { return newest == c })
 	p.mu.Unlock()
-	p.post(routing.Ended{Peer: linePeer{Conn: c}})
+	p.post(routing.Disconnected{Peer: linePeer{Conn: c}})
 	if p.front != nil {
 		p.front.gone(c)
 	}
--- a/internal/planner/program/program.go
+++ b/internal/planner/program/program.go
@@ -138,7 +138,7 @@
 				router.Handle(<-events)
 			}
 		}
-		next, wants, err := router.Turn(onGrid(now(), granularity))
+		next, wants, err := router.Advance(onGrid(now(), granularity))
 		if err != nil {
 			return err
 		}
--- a/internal/planner/program/reload.go
+++ b/internal/planner/program/reload.go
@@ -51,7 +51,7 @@
 		r.listener.Memory.SetLimit(buffers(next.Limits.MemoryMB))
 	}
 	if next.Discovery != r.config.Discovery {
-		r.post(routing.Moved{Discovery: next.Discovery})
+		r.post(routing.DiscoveryMoved{Discovery: next.Discovery})
 	}
 	r.log.Info().Str("discovery", next.Discovery).Strs("needs a new start", fixed).Msg("configuration taken over")
 	r.config.Limits, r.config.Discovery, r.config.stated.discovery = next.Limits, next.Discovery, next.stated.discovery
--- a/internal/planner/program/roles_test.go
+++ b/internal/planner/program/roles_test.go
@@ -18,7 +18,7 @@
 func TestRoles(t *testing.T) {
 	messages := []protocol.Message{protocol.Heartbeat{}, protocol.Collector{Zone: "north"}, protocol.Attach{Proxy: 2},
 		protocol.ServerReport{Zone: "north"}, protocol.ServerReport{Zone: "south"}, protocol.UsageReport{Proxy: 2},
-		protocol.UsageReport{Proxy: 3}, protocol.Done{Proxy: 2}, protocol.Done{Proxy: 3}}
+		protocol.UsageReport{Proxy: 3}, protocol.Ack{Proxy: 2}, protocol.Ack{Proxy: 3}}
 	for _, tc := range []struct {
 		speaker speaker
 		may     []int
--- a/internal/planner/program/versions.go
+++ b/internal/planner/program/versions.go
@@ -120,11 +120,11 @@
 }
 
 // cause is why a version came to be, as far as its order shows.
-func cause(o protocol.Orders) string {
+func cause(o protocol.Assignment) string {
 	switch {
 	case o.Replace:
 		return "join"
-	case len(o.Drop)+len(o.Undrop) > 0:
+	case len(o.Exclude)+len(o.Include) > 0:
 		return "shut out"
 	case slices.ContainsFunc(o.Rows, func(r protocol.Row) bool { return r.Weight == 0 }):
 		return "removal"
@@ -136,11 +136,11 @@
 
 // order takes an order into the proxy's table, notes the version that results, and sends it: as an update if the proxy asked
 // for versions, else as ever.
-func (v *versioned) order(to *transport.Conn, o protocol.Orders, asked bool) error {
+func (v *versioned) order(to *transport.Conn, o protocol.Assignment, asked bool) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	table, _ := v.sender.Table()
-	u, err := v.sender.Next(o.Onto(table), o.Replace)
+	u, err := v.sender.Next(o.ApplyTo(table), o.Replace)
 	if err != nil {
 		return err
 	}
@@ -152,7 +152,7 @@
 			v.notice.Stop()
 		}
 		v.notice = time.AfterFunc(time.Duration(tables.NoticeDelayMS*float64(time.Millisecond)), func() { v.tell(to, u.Version) })
-		return v.send(to, u, o.Stamp)
+		return v.send(to, u, o.Token)
 	}
 	text, err := o.Append(nil)
 	if err != nil {
@@ -184,7 +184,7 @@
 	if err != nil {
 		return err
 	}
-	if len(text) >= protocol.MaxLine {
+	if len(text) >= protocol.MaxLineBytes {
 		return errLine
 	}
 	return to.Send(append(text, '\n'))
@@ -192,7 +192,7 @@
 
 // again answers a question for missed updates, if they are still kept: they were counted in the channel when they were first
 // sent. What needs a whole table is the module's affair, and so is a proxy that asks too often: false.
-func (v *versioned) again(to *transport.Conn, m protocol.Again) bool {
+func (v *versioned) again(to *transport.Conn, m protocol.ResyncRequest) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if now := time.Now(); now.Sub(v.since) >= time.Second {
@@ -202,7 +202,7 @@
 		return true // it asks again, ever farther apart
 	}
 	_, at := v.sender.Table()
-	answer := v.sender.Resend(tables.ResendRequest{Origin: at.Origin, Proxy: at.Proxy, Snapshot: m.Whole, After: m.After})
+	answer := v.sender.Resend(tables.ResendRequest{Origin: at.Origin, Proxy: at.Proxy, Snapshot: m.Full, After: m.After})
 	if len(answer) == 0 { // nothing is missing, or nothing was sent yet: then a whole table comes with the first order
 		if at.Number > 0 {
 			d := v.sender.Digest()
--- a/internal/planner/program/xdspeer.go
+++ b/internal/planner/program/xdspeer.go
@@ -31,14 +31,14 @@
 // ID implements routing.Peer.
 func (p *xdsPeer) ID() uint64 { return p.id }
 
-// Beat implements routing.Peer: this protocol has no heartbeat on a stream.
-func (p *xdsPeer) Beat() error { return nil }
+// AnswerHeartbeat implements routing.Peer: this protocol has no heartbeat on a stream.
+func (p *xdsPeer) AnswerHeartbeat() error { return nil }
 
-// Await implements routing.Peer.
-func (p *xdsPeer) Await() {}
+// DeferHeartbeat implements routing.Peer.
+func (p *xdsPeer) DeferHeartbeat() {}
 
-// Order implements routing.Peer. It never waits: a stream that leaves too much unread ends, and it alone.
-func (p *xdsPeer) Order(o protocol.Orders) error {
+// Assign implements routing.Peer. It never waits: a stream that leaves too much unread ends, and it alone.
+func (p *xdsPeer) Assign(o protocol.Assignment) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.ended != nil {
--- a/internal/planner/protocol/exchange.go
+++ b/internal/planner/protocol/exchange.go
@@ -14,8 +14,8 @@
 
 // Bounds of what another party may answer.
 const (
-	MaxHead   = 16 << 10 // of a head
-	chunkLine = 256      // of the line before a chunk, and of a trailer
+	MaxHeadBytes = 16 << 10 // of a head
+	chunkLine    = 256      // of the line before a chunk, and of a trailer
 )
 
 var (
@@ -43,11 +43,11 @@
 type HTTPExchange struct {
 	Method string // of the request; GET if empty
 	// Head is given the head of the answer, without a body. An error ends the exchange.
-	Head func(*http.Response) error
+	HandleHead func(*http.Response) error
 	// Body is given the body as it comes. An error ends the exchange.
-	Body func([]byte) error
+	HandleBody func([]byte) error
 	// BodyMost bounds the body; 0: no bound, for answers that go on as long as their connection.
-	BodyMost int64
+	MaxBodyBytes int64
 
 	whole    func() error // called once the answer is complete
 	stage    stage
@@ -101,8 +101,8 @@
 func (x *HTTPExchange) head(in *ring.Buffer) (bool, error) {
 	for {
 		end := in.Index('\n', x.searched)
-		if end < 0 || end >= MaxHead {
-			if in.Len() >= MaxHead {
+		if end < 0 || end >= MaxHeadBytes {
+			if in.Len() >= MaxHeadBytes {
 				return false, errHeadLong
 			}
 			x.searched = in.Len()
@@ -136,14 +136,14 @@
 		x.stage = inChunkSize
 	case answer.ContentLength >= 0:
 		x.stage, x.left = inLength, answer.ContentLength
-		if x.BodyMost > 0 && x.left > x.BodyMost {
+		if x.MaxBodyBytes > 0 && x.left > x.MaxBodyBytes {
 			return false, errBodyLong
 		}
 	default:
 		x.stage = inRest
 	}
 	answer.Body = http.NoBody
-	if err := x.Head(answer); err != nil {
+	if err := x.HandleHead(answer); err != nil {
 		return false, err
 	}
 	if x.stage == inLength && x.left == 0 {
@@ -161,10 +161,10 @@
 	if len(piece) == 0 {
 		return false, nil
 	}
-	if x.got += int64(len(piece)); x.BodyMost > 0 && x.got > x.BodyMost {
+	if x.got += int64(len(piece)); x.MaxBodyBytes > 0 && x.got > x.MaxBodyBytes {
 		return false, errBodyLong
 	}
-	if err := x.Body(piece); err != nil {
+	if err := x.HandleBody(piece); err != nil {
 		return false, err
 	}
 	in.Discard(len(piece))
--- a/internal/planner/protocol/exchange_test.go
+++ b/internal/planner/protocol/exchange_test.go
@@ -22,15 +22,15 @@
 // converse feeds pieces to a machine until it fails or is done, then closes the connection.
 func converse(x *HTTPExchange, pieces ...string) heard {
 	var h heard
-	head, body := x.Head, x.Body
-	x.Head = func(r *http.Response) error {
+	head, body := x.HandleHead, x.HandleBody
+	x.HandleHead = func(r *http.Response) error {
 		h.status = r.StatusCode
 		if head == nil {
 			return nil
 		}
 		return head(r)
 	}
-	x.Body = func(p []byte) error {
+	x.HandleBody = func(p []byte) error {
 		h.body += string(p)
 		if body == nil {
 			return nil
@@ -80,7 +80,7 @@
 			heard{status: 200, body: "x", err: errChunk}},
 		"endless chunk size": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("0", 400),
 			heard{status: 200, err: errChunk}},
-		"endless head": {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", MaxHead), heard{err: errHeadLong}},
+		"endless head": {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", MaxHeadBytes), heard{err: errHeadLong}},
 		"long body":    {"HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n", heard{status: 0, err: errBodyLong}},
 		"long chunks": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n7d0\r\n" + strings.Repeat("x", 2000),
 			heard{status: 200, err: errBodyLong}},
@@ -92,10 +92,10 @@
 				t.Errorf("%s, %s: %+v, want %+v", name, how, got, tc.want)
 			}
 		}
-		check("whole", converse(&HTTPExchange{BodyMost: 1000}, tc.text))
-		check("byte by byte", converse(&HTTPExchange{BodyMost: 1000}, strings.Split(tc.text, "")...))
+		check("whole", converse(&HTTPExchange{MaxBodyBytes: 1000}, tc.text))
+		check("byte by byte", converse(&HTTPExchange{MaxBodyBytes: 1000}, strings.Split(tc.text, "")...))
 		for at := 0; at < len(tc.text) && at < 500; at++ {
-			check("split", converse(&HTTPExchange{BodyMost: 1000}, tc.text[:at], tc.text[at:]))
+			check("split", converse(&HTTPExchange{MaxBodyBytes: 1000}, tc.text[:at], tc.text[at:]))
 		}
 	}
 	for _, garbage := range []string{"\r\n\r\n", "SSH-2.0-x\r\n\r\n", "HTTP/1.1 abc\r\n\r\n", "HTTP/1.1 200 OK\r\nno colon\r\n\r\n"} {
@@ -111,11 +111,11 @@
  {"id":"s-5","phase":"removed"}]}`
 
 var listed = List{Revision: 43, Members: []Member{
-	{ID: "s-1", Address: "10.1.0.18:8080", Zone: "a", Kind: "m2", Cell: 3, Phase: PhaseDraining, Size: 1.5, UpSince: 12},
-	{ID: "s-2", Phase: PhaseUp, Size: 1},
-	{ID: "s-3", Phase: PhaseDraining, Size: 1},
-	{ID: "s-4", Phase: PhaseUp, Size: 1},
-	{ID: "s-5", Phase: PhaseRemoved, Size: 1}}}
+	{ID: "s-1", Address: "10.1.0.18:8080", Zone: "a", Kind: "m2", Cell: 3, Phase: PhaseDraining, Weight: 1.5, StartedAt: 12},
+	{ID: "s-2", Phase: PhaseUp, Weight: 1},
+	{ID: "s-3", Phase: PhaseDraining, Weight: 1},
+	{ID: "s-4", Phase: PhaseUp, Weight: 1},
+	{ID: "s-5", Phase: PhaseRemoved, Weight: 1}}}
 
 func TestList(t *testing.T) {
 	got, bad, err := DecodeList([]byte(listText))
@@ -131,14 +131,14 @@
 
 func TestFetch(t *testing.T) {
 	var got string
-	request, x := Fetch("h:1", func(text []byte) error { got = string(text); return nil })
+	request, x := FetchRequest("h:1", func(text []byte) error { got = string(text); return nil })
 	if want := "GET /v1/endpoints HTTP/1.1\r\nHost: h:1\r\n"; !strings.HasPrefix(string(request), want) {
 		t.Errorf("request %q", request)
 	}
 	if h := converse(x, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabcd"); h.err != nil || got != "abcd" {
 		t.Errorf("%+v, took %q", h, got)
 	}
-	_, x = Fetch("h:1", func([]byte) error { t.Error("an answer of status 503 was taken"); return nil })
+	_, x = FetchRequest("h:1", func([]byte) error { t.Error("an answer of status 503 was taken"); return nil })
 	if h := converse(x, "HTTP/1.1 503 No\r\nContent-Length: 4\r\n\r\nabcd"); h.err != StatusError(503) {
 		t.Errorf("status 503: %+v", h)
 	}
@@ -152,7 +152,7 @@
 	want := []string{"begun", `{"x":1}`, `{"y":2}`, `{}`}
 	for at := range watchText {
 		var got []string
-		request, x := Watch("h:1", 41, func() { got = append(got, "begun") },
+		request, x := WatchRequest("h:1", 41, func() { got = append(got, "begun") },
 			func(text []byte) error { got = append(got, string(text)); return nil })
 		if !strings.HasPrefix(string(request), "GET /v1/endpoints?watch=1&from=41 HTTP/1.1\r\n") {
 			t.Fatalf("request %q", request)
@@ -161,11 +161,11 @@
 			t.Fatalf("split at %d: %v, %+v", at, got, h)
 		}
 	}
-	_, x := Watch("h:1", 0, func() { t.Error("a refused watch has begun") }, nil)
+	_, x := WatchRequest("h:1", 0, func() { t.Error("a refused watch has begun") }, nil)
 	if h := converse(x, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"); h.err != StatusError(503) {
 		t.Errorf("status 503: %+v", h)
 	}
-	_, x = Watch("h:1", 0, func() {}, func([]byte) error { return errMissing })
+	_, x = WatchRequest("h:1", 0, func() {}, func([]byte) error { return errMissing })
 	if h := converse(x, watchText); h.err != errMissing {
 		t.Errorf("a list that can't be read: %+v", h)
 	}
@@ -185,7 +185,7 @@
 		{true, "HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\na=NaN,b=Inf,=,,", "/status/load", ProbeResponse{Status: 200}},
 	} {
 		var answer ProbeResponse
-		request, x := Probe("h:1", tc.load, &answer)
+		request, x := ProbeRequest("h:1", tc.load, &answer)
 		if h := converse(x, tc.text); h.err != nil || !h.done || !reflect.DeepEqual(answer, tc.answer) {
 			t.Errorf("%q: %+v, %+v", tc.text, answer, h)
 		}
@@ -201,8 +201,8 @@
 	f.Add([]byte("HTTP/1.0 200 OK\r\n\r\nrest"), 2)
 	f.Fuzz(func(t *testing.T, text []byte, at int) {
 		at = max(0, min(at, len(text)))
-		whole := converse(&HTTPExchange{BodyMost: 1000}, string(text))
-		split := converse(&HTTPExchange{BodyMost: 1000}, string(text[:at]), string(text[at:]))
+		whole := converse(&HTTPExchange{MaxBodyBytes: 1000}, string(text))
+		split := converse(&HTTPExchange{MaxBodyBytes: 1000}, string(text[:at]), string(text[at:]))
 		if whole.status != split.status || whole.done != split.done || (whole.err == nil) != (split.err == nil) ||
 			whole.err == nil && whole.body != split.body {
 			t.Fatalf("whole %+v, split at %d %+v", whole, at, split)
@@ -217,7 +217,7 @@
 	f.Fuzz(func(t *testing.T, text []byte, at int) {
 		at = max(0, min(at, len(text)))
 		run := func(pieces ...string) (got []List, h heard) {
-			_, x := Watch("h", 0, func() {}, func(text []byte) error {
+			_, x := WatchRequest("h", 0, func() {}, func(text []byte) error {
 				list, _, err := DecodeList(text)
 				got = append(got, list)
 				return err
--- a/internal/planner/protocol/lines.go
+++ b/internal/planner/protocol/lines.go
@@ -9,25 +9,25 @@
 	"mulleinwood/internal/planner/transport/ring"
 )
 
-// MaxLine is the most that one line may hold, its LF included.
-const MaxLine = 1 << 20
+// MaxLineBytes is the most that one line may hold, its LF included.
+const MaxLineBytes = 1 << 20
 
-// Lines is the machine of a connection at the planner's address: one JSON object a line.
+// LineDecoder is the machine of a connection at the planner's address: one JSON object a line.
 //
 // Take is given each message. Bad is given each line that is JSON but can't be used. An error that either returns
 // ends the connection; nil goes on. What is no JSON line ends it in any case: where one line ends and the next
 // begins can't be known any more.
-type Lines struct {
-	Within Bounds
-	Take   func(Message) error
-	Bad    func(error) error
+type LineDecoder struct {
+	Bounds        Bounds
+	HandleMessage func(Message) error
+	HandleInvalid func(error) error
 
 	searched int // bytes of the buffer that hold no LF
 	decoder  decoder
 }
 
 // Feed takes all complete lines from the buffer.
-func (l *Lines) Feed(in *ring.Buffer) error {
+func (l *LineDecoder) Feed(in *ring.Buffer) error {
 	for {
 		end := in.Index('\n', l.searched)
 		if end < 0 {
@@ -35,7 +35,7 @@
 			l.searched = in.Len()
 			return err
 		}
-		if end >= MaxLine {
+		if end >= MaxLineBytes {
 			return &LineError{Fault: Unreadable, Err: errTooLong}
 		}
 		if err := l.line(in.Front(end)); err != nil {
@@ -49,7 +49,7 @@
 // hopeless says whether the beginning of a line can become no JSON object however it goes on. It guards against
 // a peer that sends without an end what holds no line: bytes up to from have been looked at before.
 func hopeless(in *ring.Buffer, from int) error {
-	if in.Len() > MaxLine {
+	if in.Len() > MaxLineBytes {
 		return &LineError{Fault: Unreadable, Err: errTooLong}
 	}
 	first, second := in.Peek()
@@ -69,16 +69,16 @@
 // opening holds the bytes that a JSON value begins with.
 var opening = []byte(`{["-0123456789tfn`)
 
-func (l *Lines) line(text []byte) error {
-	m, err := l.decoder.decode(text, l.Within)
+func (l *LineDecoder) line(text []byte) error {
+	m, err := l.decoder.decode(text, l.Bounds)
 	var bad *LineError
 	switch {
 	case err == nil:
-		return l.Take(m)
+		return l.HandleMessage(m)
 	case errors.As(err, &bad) && bad.Fault == Unreadable:
 		return err
 	default:
-		return l.Bad(err)
+		return l.HandleInvalid(err)
 	}
 }
 
@@ -87,7 +87,7 @@
 
 // The faults.
 const (
-	Spoilt     Fault = iota // JSON; the lines after it may be good
+	Invalid    Fault = iota // JSON; the lines after it may be good
 	Unreadable              // no JSON line; neither is what follows
 )
 
--- a/internal/planner/protocol/lines_test.go
+++ b/internal/planner/protocol/lines_test.go
@@ -20,22 +20,22 @@
 var spoken = []Message{
 	Heartbeat{},
 	Collector{Zone: "a"},
-	ServerReport{Zone: "a", Server: "s-5b", Tries: 212, Failed: 3, Mean: 41.7, Span: 1000,
+	ServerReport{Zone: "a", Server: "s-5b", Attempts: 212, Failed: 3, Latency: 41.7, Period: 1000,
 		Load: map[string]float64{"inflight": 7, "util": 0.61}},
-	Attach{Proxy: 17, Zone: "a", Weight: 21.5, Fresh: true},
-	Done{Proxy: 17, Mark: 905, Took: 310.4},
-	UsageReport{Proxy: 17, Class: "lookup", Tries: 19, Span: 1000},
+	Attach{Proxy: 17, Zone: "a", Rate: 21.5, Fresh: true},
+	Ack{Proxy: 17, Token: 905, Elapsed: 310.4},
+	UsageReport{Proxy: 17, Class: "lookup", Requests: 19, Period: 1000},
 }
 
 // within are the bounds of a deployment of 20 proxies whose clients wait 5 s at most.
-var within = Bounds{Proxies: 20, MeanMost: 5000, SpanMost: 60e3}
+var within = Bounds{Proxies: 20, MaxLatency: 5000, MaxPeriod: 60e3}
 
 // read feeds pieces to a new machine and returns its messages, the lines it could not use and why it ended, if so.
 func read(t testing.TB, pieces ...string) (got []Message, bad []error, end error) {
 	t.Helper()
-	in := ring.New(16, 2*MaxLine, nil)
-	m := &Lines{Within: within, Take: func(m Message) error { got = append(got, m); return nil },
-		Bad: func(err error) error { bad = append(bad, err); return nil }}
+	in := ring.New(16, 2*MaxLineBytes, nil)
+	m := &LineDecoder{Bounds: within, HandleMessage: func(m Message) error { got = append(got, m); return nil },
+		HandleInvalid: func(err error) error { bad = append(bad, err); return nil }}
 	for _, piece := range pieces {
 		if _, err := in.Write([]byte(piece)); err != nil {
 			t.Fatalf("no room for %d bytes beside %d: %v", len(piece), in.Len(), err)
@@ -112,7 +112,7 @@
 	} {
 		got, bad, end := read(t, tc.line+"\n"+stream)
 		var line *LineError
-		if len(bad) != 1 || !errors.As(bad[0], &line) || line.Fault != Spoilt || tc.want != nil && !errors.Is(bad[0], tc.want) {
+		if len(bad) != 1 || !errors.As(bad[0], &line) || line.Fault != Invalid || tc.want != nil && !errors.Is(bad[0], tc.want) {
 			t.Errorf("%.80q: errors %v, want one that is %v", tc.line, bad, tc.want)
 		}
 		if !reflect.DeepEqual(got, spoken) || end != nil {
@@ -123,7 +123,7 @@
 		t.Error("a usage report with failures of an earlier span is not taken")
 	}
 	none := report(`"tries":3,"failed":3,"span_ms":1000`) + "\n" // no answer has no mean
-	if got, _, _ := read(t, none); len(got) != 1 || got[0].(ServerReport).Mean != 0 {
+	if got, _, _ := read(t, none); len(got) != 1 || got[0].(ServerReport).Latency != 0 {
 		t.Errorf("a report without an answer was read as %+v", got)
 	}
 }
@@ -132,7 +132,7 @@
 // that is certain, whether or not a line end comes, and what was good before it counts.
 func TestUnreadable(t *testing.T) {
 	for _, text := range []string{"not JSON\n", "\n", "{\"t\":\n", "GET / HTTP/1.1\r\n", "GET /", "\x00\x01\x02", "{\"t\":\"hb\x00",
-		"  x", strings.Repeat(" ", MaxLine+1), `{"t":"` + strings.Repeat("x", MaxLine), "\xff\xfe"} {
+		"  x", strings.Repeat(" ", MaxLineBytes+1), `{"t":"` + strings.Repeat("x", MaxLineBytes), "\xff\xfe"} {
 		for _, pieces := range [][]string{{stream + text}, {stream, text}, append([]string{stream}, strings.SplitAfter(text[:min(9, len(text))], "")...)} {
 			if len(text) > 9 && len(pieces) > 2 {
 				continue
@@ -147,8 +147,8 @@
 			}
 		}
 	}
-	whole := `{"t":"hb","pad":"` + strings.Repeat("z", MaxLine-20) + `"}` + "\n"
-	if got, _, end := read(t, whole); len(whole) != MaxLine || len(got) != 1 || end != nil {
+	whole := `{"t":"hb","pad":"` + strings.Repeat("z", MaxLineBytes-20) + `"}` + "\n"
+	if got, _, end := read(t, whole); len(whole) != MaxLineBytes || len(got) != 1 || end != nil {
 		t.Errorf("a line of %d bytes: %+v, %v", len(whole), got, end)
 	}
 }
@@ -159,7 +159,7 @@
 	for _, text := range []string{"{}\n", "{\"t\":\"hb\"}\n"} {
 		in := ring.New(16, 1<<10, nil)
 		in.Write([]byte(text))
-		m := &Lines{Take: func(Message) error { return told }, Bad: func(error) error { return told }}
+		m := &LineDecoder{HandleMessage: func(Message) error { return told }, HandleInvalid: func(error) error { return told }}
 		if err := m.Feed(in); !errors.Is(err, told) {
 			t.Errorf("%q: error %v", text, err)
 		}
@@ -172,7 +172,7 @@
 	f.Add([]byte(`{"t":"attach","proxy":65536,"zone":null,"weight":1e308}`+"\n"), 7)
 	f.Add([]byte(`{"t":"upstream_stats","zone":"a","server":"s","tries":3,"failed":4,"span_ms":0,"load":{"x":null}}`+"\n"), 30)
 	f.Fuzz(func(t *testing.T, text []byte, at int) {
-		if len(text) > MaxLine {
+		if len(text) > MaxLineBytes {
 			return
 		}
 		whole, badWhole, endWhole := read(t, string(text))
@@ -184,11 +184,11 @@
 		for _, m := range whole {
 			switch m := m.(type) {
 			case ServerReport:
-				if m.Failed > m.Tries || m.Span <= 0 || m.Tries > m.Failed && (m.Mean <= 0 || m.Mean > within.MeanMost) {
+				if m.Failed > m.Attempts || m.Period <= 0 || m.Attempts > m.Failed && (m.Latency <= 0 || m.Latency > within.MaxLatency) {
 					t.Fatalf("taken: %+v", m)
 				}
 			case UsageReport:
-				if m.Span <= 0 || m.Proxy >= within.Proxies {
+				if m.Period <= 0 || m.Proxy >= within.Proxies {
 					t.Fatalf("taken: %+v", m)
 				}
 			}
--- a/internal/planner/protocol/list.go
+++ b/internal/planner/protocol/list.go
@@ -9,19 +9,19 @@
 	"strconv"
 )
 
-// MaxList bounds one list, and one line of a watch.
-const MaxList = 8 << 20
+// MaxListBytes bounds one list, and one line of a watch.
+const MaxListBytes = 8 << 20
 
 // Member is an entry of discovery's list.
 type Member struct {
-	ID      string  `json:"id"`
-	Address string  `json:"host_port"`
-	Zone    string  `json:"locality"`
-	Kind    string  `json:"flavor"`
-	Cell    int     `json:"cell"`
-	Phase   string  `json:"phase"`
-	Size    float64 `json:"size"`        // 1 where the list doesn't say
-	UpSince float64 `json:"up_since_ms"` // Unix time in milliseconds; 0: long ago
+	ID        string  `json:"id"`
+	Address   string  `json:"host_port"`
+	Zone      string  `json:"locality"`
+	Kind      string  `json:"flavor"`
+	Cell      int     `json:"cell"`
+	Phase     string  `json:"phase"`
+	Weight    float64 `json:"size"`        // 1 where the list doesn't say
+	StartedAt float64 `json:"up_since_ms"` // Unix time in milliseconds; 0: long ago
 }
 
 // The phases of a Member.
@@ -47,7 +47,7 @@
 // UnmarshalJSON reads a member; a size that is left out is 1, as for servers that all count the same.
 func (m *Member) UnmarshalJSON(text []byte) error {
 	type plain Member
-	read := plain{Size: 1}
+	read := plain{Weight: 1}
 	if err := json.Unmarshal(text, &read); err != nil {
 		return err
 	}
@@ -82,11 +82,11 @@
 // mend replaces what can't be and says whether there was any of it.
 func (m *Member) mend() bool {
 	before := *m
-	if m.Size < 0 || m.Size > MaxFigure {
-		m.Size = 1
+	if m.Weight < 0 || m.Weight > MaxValue {
+		m.Weight = 1
 	}
-	if m.UpSince < 0 {
-		m.UpSince = 0
+	if m.StartedAt < 0 {
+		m.StartedAt = 0
 	}
 	m.Cell = max(0, m.Cell)
 	if m.Phase != PhaseUp && m.Phase != PhaseRemoved {
@@ -102,11 +102,11 @@
 	return nil
 }
 
-// Fetch returns the request for the whole list and the machine of its answer, whose text goes to take.
-func Fetch(host string, take func(text []byte) error) ([]byte, *HTTPExchange) {
+// FetchRequest returns the request for the whole list and the machine of its answer, whose text goes to take.
+func FetchRequest(host string, take func(text []byte) error) ([]byte, *HTTPExchange) {
 	var text []byte
-	x := &HTTPExchange{Head: onlyOK, BodyMost: MaxList}
-	x.Body = func(p []byte) error {
+	x := &HTTPExchange{HandleHead: onlyOK, MaxBodyBytes: MaxListBytes}
+	x.HandleBody = func(p []byte) error {
 		text = append(text, p...)
 		return nil
 	}
@@ -114,23 +114,23 @@
 	return Request(host, "/v1/endpoints"), x
 }
 
-// Watch returns the request for the changes after a revision and the machine of its answer, which goes on as
+// WatchRequest returns the request for the changes after a revision and the machine of its answer, which goes on as
 // long as the connection. Begun is called once the call is answered, take is given each object's text.
-func Watch(host string, from int64, begun func(), take func(text []byte) error) ([]byte, *HTTPExchange) {
+func WatchRequest(host string, from int64, begun func(), take func(text []byte) error) ([]byte, *HTTPExchange) {
 	var text []byte // of a line whose end has not come
 	x := &HTTPExchange{}
-	x.Head = func(r *http.Response) error {
+	x.HandleHead = func(r *http.Response) error {
 		if err := onlyOK(r); err != nil {
 			return err
 		}
 		begun()
 		return nil
 	}
-	x.Body = func(p []byte) error {
+	x.HandleBody = func(p []byte) error {
 		for {
 			end := bytes.IndexByte(p, '\n')
 			if end < 0 {
-				if text = append(text, p...); len(text) > MaxList {
+				if text = append(text, p...); len(text) > MaxListBytes {
 					return errListLong
 				}
 				return nil
--- a/internal/planner/protocol/messages.go
+++ b/internal/planner/protocol/messages.go
@@ -18,58 +18,58 @@
 	Collector struct{ Zone string }
 	// Attach is the first message on a proxy's stream.
 	Attach struct {
-		Proxy  int
-		Zone   string
-		Weight float64
-		Fresh  bool
+		Proxy int
+		Zone  string
+		Rate  float64
+		Fresh bool
 
 		Versions bool // it asks for versioned updates
 	}
-	// Done says that a proxy applied all up to a mark.
-	Done struct {
-		Proxy int
-		Mark  uint32
-		Took  float64
+	// Ack says that a proxy applied all up to a mark.
+	Ack struct {
+		Proxy   int
+		Token   uint32
+		Elapsed float64
 	}
-	// Again asks for versioned updates that a proxy has missed: those after a number, or the whole table.
-	Again struct {
+	// ResyncRequest asks for versioned updates that a proxy has missed: those after a number, or the whole table.
+	ResyncRequest struct {
 		Proxy int
-		Whole bool
+		Full  bool
 		After uint64
 	}
-	// Refused says that a proxy could not use what it was sent: what it holds isn't known.
-	Refused struct{ Proxy int }
+	// Nack says that a proxy could not use what it was sent: what it holds isn't known.
+	Nack struct{ Proxy int }
 	// ServerReport is what the proxies of a zone met at a server. One without a name is known by its address.
 	ServerReport struct {
-		Zone, Server, Address     string
-		Tries, Failed, Mean, Span float64
-		Load                      map[string]float64
+		Zone, Server, Address             string
+		Attempts, Failed, Latency, Period float64
+		Load                              map[string]float64
 	}
 	// UsageReport counts the requests of a class that came to a proxy.
 	UsageReport struct {
-		Proxy               int
-		Class               string
-		Tries, Failed, Span float64
+		Proxy                        int
+		Class                        string
+		Requests, Unanswered, Period float64
 	}
 )
 
-func (Heartbeat) message()    {}
-func (Collector) message()    {}
-func (Attach) message()       {}
-func (Done) message()         {}
-func (Refused) message()      {}
-func (Again) message()        {}
-func (ServerReport) message() {}
-func (UsageReport) message()  {}
+func (Heartbeat) message()     {}
+func (Collector) message()     {}
+func (Attach) message()        {}
+func (Ack) message()           {}
+func (Nack) message()          {}
+func (ResyncRequest) message() {}
+func (ServerReport) message()  {}
+func (UsageReport) message()   {}
 
-// MaxFigure bounds every figure that is taken, so that sums of them stay finite.
-const MaxFigure = 1e12
+// MaxValue bounds every figure that is taken, so that sums of them stay finite.
+const MaxValue = 1e12
 
 // Bounds are what the figures of one deployment's messages keep within. 0 stands for not known.
 type Bounds struct {
-	Proxies  int     // their numbers are below it
-	MeanMost float64 // milliseconds; an answer that came later than any deadline is no answer
-	SpanMost float64 // milliseconds; a report that covers more tells nothing of now
+	Proxies    int     // their numbers are below it
+	MaxLatency float64 // milliseconds; an answer that came later than any deadline is no answer
+	MaxPeriod  float64 // milliseconds; a report that covers more tells nothing of now
 }
 
 // MaxRate is the most requests a second that a report or a joining may tell of: far more than a proxy forwards, or a
@@ -199,7 +199,7 @@
 		if l.Proxy == nil {
 			return nil, errMissing
 		}
-		return Again{Proxy: *l.Proxy, Whole: l.Whole, After: l.After}, nil
+		return ResyncRequest{Proxy: *l.Proxy, Full: l.Whole, After: l.After}, nil
 	case "done":
 		return l.done()
 	case "upstream_stats":
@@ -217,7 +217,7 @@
 		case figure == nil:
 		case *figure < 0:
 			return errNegative
-		case *figure > MaxFigure:
+		case *figure > MaxValue:
 			return errHuge
 		}
 	}
@@ -235,7 +235,7 @@
 	if *l.Weight > MaxRate {
 		return nil, errRate
 	}
-	return Attach{Proxy: *l.Proxy, Zone: *l.Zone, Weight: *l.Weight, Fresh: l.Fresh, Versions: l.Versions}, nil
+	return Attach{Proxy: *l.Proxy, Zone: *l.Zone, Rate: *l.Weight, Fresh: l.Fresh, Versions: l.Versions}, nil
 }
 
 // done reads the answer to a mark.
@@ -246,7 +246,7 @@
 	if *l.Mark < 0 || *l.Mark > math.MaxUint32 {
 		return nil, errMark
 	}
-	return Done{Proxy: *l.Proxy, Mark: uint32(*l.Mark), Took: *l.Took}, nil
+	return Ack{Proxy: *l.Proxy, Token: uint32(*l.Mark), Elapsed: *l.Took}, nil
 }
 
 // usageReport reads what came to a proxy of a class.
@@ -254,7 +254,7 @@
 	if l.Proxy == nil || l.Class == nil || l.Tries == nil || l.Failed == nil || l.Span == nil {
 		return nil, errMissing
 	}
-	m := UsageReport{Proxy: *l.Proxy, Class: *l.Class, Tries: *l.Tries, Failed: *l.Failed, Span: *l.Span}
+	m := UsageReport{Proxy: *l.Proxy, Class: *l.Class, Requests: *l.Tries, Unanswered: *l.Failed, Period: *l.Span}
 	return m, m.Check(within)
 }
 
@@ -263,9 +263,9 @@
 	switch {
 	case !(tries >= 0 && failed >= 0 && span >= 0):
 		return errNegative
-	case max(tries, failed, span) > MaxFigure:
+	case max(tries, failed, span) > MaxValue:
 		return errHuge
-	case span == 0 || within.SpanMost > 0 && span > within.SpanMost:
+	case span == 0 || within.MaxPeriod > 0 && span > within.MaxPeriod:
 		return errSpan
 	case max(tries, failed) > MaxRate*max(1, span/1000):
 		return errRate
@@ -275,22 +275,25 @@
 
 // Check says whether a report can be true. It may count more requests as not served than came in: they came before its
 // span.
-func (m UsageReport) Check(within Bounds) error { return counts(m.Tries, m.Failed, m.Span, within) }
+func (m UsageReport) Check(within Bounds) error {
+	return counts(m.Requests, m.Unanswered, m.Period, within)
+}
 
 // Check says whether a report can be true. It guards against a server that looks like the fastest of all, or the slowest,
 // by a spoilt report: a mean is needed where there were answers, and no answer takes no time or longer than anybody waits.
 func (m ServerReport) Check(within Bounds) error {
-	if err := counts(m.Tries, m.Failed, m.Span, within); err != nil {
+	if err := counts(m.Attempts, m.Failed, m.Period, within); err != nil {
 		return err
 	}
-	if m.Failed > m.Tries {
+	if m.Failed > m.Attempts {
 		return errMoreFailed
 	}
-	if m.Tries > m.Failed && (!(m.Mean > 0) || m.Mean > MaxFigure || within.MeanMost > 0 && m.Mean > within.MeanMost) {
+	if m.Attempts > m.Failed && (!(m.Latency > 0) || m.Latency > MaxValue ||
+		within.MaxLatency > 0 && m.Latency > within.MaxLatency) {
 		return errMean
 	}
 	for _, value := range m.Load {
-		if !(value >= 0 && value <= MaxFigure) {
+		if !(value >= 0 && value <= MaxValue) {
 			return errLoad
 		}
 	}
@@ -302,12 +305,12 @@
 	if l.Zone == nil || l.Server == nil || l.Tries == nil || l.Failed == nil || l.Span == nil {
 		return nil, errMissing
 	}
-	r := ServerReport{Zone: *l.Zone, Server: *l.Server, Tries: *l.Tries, Failed: *l.Failed, Span: *l.Span}
-	if r.Tries > r.Failed {
+	r := ServerReport{Zone: *l.Zone, Server: *l.Server, Attempts: *l.Tries, Failed: *l.Failed, Period: *l.Span}
+	if r.Attempts > r.Failed {
 		if l.Mean == nil {
 			return nil, errMissing
 		}
-		r.Mean = *l.Mean
+		r.Latency = *l.Mean
 	}
 	for name, value := range l.Load {
 		if value == nil {
--- a/internal/planner/protocol/orders.go
+++ b/internal/planner/protocol/orders.go
@@ -21,33 +21,33 @@
 type Gate struct {
 	Classes []string
 	Level   float64
-	Again   int
+	Retry   int
 }
 
-// Orders is one message to one proxy.
-type Orders struct {
+// Assignment is one message to one proxy.
+type Assignment struct {
 	Replace bool // the rows form the whole table, levels are forgotten
 	Rows    []Row
 	Gates   []Gate
-	Drop    []string // servers to shut out
-	Undrop  []string // servers to let in again
-	Stamp   *uint32  // to be answered
+	Exclude []string // servers to shut out
+	Include []string // servers to let in again
+	Token   *uint32  // to be answered
 }
 
-// Lines is what the message counts in the channel, its head left aside.
-func (o *Orders) Lines() int {
-	n := len(o.Rows) + len(o.Gates) + len(o.Drop) + len(o.Undrop)
+// LineCount is what the message counts in the channel, its head left aside.
+func (o *Assignment) LineCount() int {
+	n := len(o.Rows) + len(o.Gates) + len(o.Exclude) + len(o.Include)
 	if o.Replace {
 		n++
 	}
-	if o.Stamp != nil {
+	if o.Token != nil {
 		n++
 	}
 	return n
 }
 
-// Onto is the table that a proxy holds once it has applied the message to the one given.
-func (o *Orders) Onto(t tables.Table) tables.Table {
+// ApplyTo is the table that a proxy holds once it has applied the message to the one given.
+func (o *Assignment) ApplyTo(t tables.Table) tables.Table {
 	next := t.Clone()
 	if o.Replace {
 		clear(next.Weights)
@@ -60,15 +60,15 @@
 			delete(next.Weights, r.Server)
 		}
 	}
-	for _, name := range o.Drop {
+	for _, name := range o.Exclude {
 		next.Excluded[name] = true
 	}
-	for _, name := range o.Undrop {
+	for _, name := range o.Include {
 		delete(next.Excluded, name)
 	}
 	for _, g := range o.Gates {
 		for _, class := range g.Classes {
-			next.Gates[class] = tables.Gate{Level: float32(g.Level), Again: uint8(g.Again)}
+			next.Gates[class] = tables.Gate{Level: float32(g.Level), Again: uint8(g.Retry)}
 		}
 	}
 	return next
@@ -83,7 +83,7 @@
 var ErrTooLarge = errors.New("orders need over 64 parts")
 
 // Append writes the message in as many parts as it needs. An empty message writes nothing.
-func (o *Orders) Append(out []byte) ([]byte, error) {
+func (o *Assignment) Append(out []byte) ([]byte, error) {
 	e := encoder{out: out}
 	if o.Replace {
 		e.field("replace")
@@ -97,11 +97,11 @@
 		e.number(r.Weight)
 		e.out = append(e.out, ']')
 	}
-	for _, s := range o.Drop {
+	for _, s := range o.Exclude {
 		e.item("drop")
 		e.quote(s)
 	}
-	for _, s := range o.Undrop {
+	for _, s := range o.Include {
 		e.item("undrop")
 		e.quote(s)
 	}
@@ -114,11 +114,11 @@
 		e.field("gate")
 		e.number(g.Level)
 		e.field("again")
-		e.number(float64(g.Again))
+		e.number(float64(g.Retry))
 	}
-	if o.Stamp != nil {
+	if o.Token != nil {
 		e.field("stamp")
-		e.number(float64(*o.Stamp))
+		e.number(float64(*o.Token))
 	}
 	if e.parts == 0 {
 		return out, nil
--- a/internal/planner/protocol/orders_test.go
+++ b/internal/planner/protocol/orders_test.go
@@ -38,7 +38,7 @@
 		if err := json.Unmarshal([]byte(line), &p); err != nil {
 			t.Fatalf("part %d: %v in %.80q", i, err, line)
 		}
-		if p.Kind != "assign" || p.Part != (i < len(lines)-1) || len(line) > MaxLine || (p.Gate == nil) != (p.Again == nil) {
+		if p.Kind != "assign" || p.Part != (i < len(lines)-1) || len(line) > MaxLineBytes || (p.Gate == nil) != (p.Again == nil) {
 			t.Fatalf("part %d of %d: %.120q", i, len(lines), line)
 		}
 		list = append(list, p)
@@ -49,8 +49,8 @@
 func stamp(n uint32) *uint32 { return &n }
 
 func TestOrders(t *testing.T) {
-	o := Orders{Replace: true, Rows: []Row{{Server: "s-1", Weight: 1.5}, {Server: `s-"2`, Weight: 0.25}}, Drop: []string{"s-3"}, Undrop: []string{"s-4"},
-		Gates: []Gate{{[]string{"lookup"}, 0.5, 1}, {[]string{"order", "pay"}, 1, 0}}, Stamp: stamp(905)}
+	o := Assignment{Replace: true, Rows: []Row{{Server: "s-1", Weight: 1.5}, {Server: `s-"2`, Weight: 0.25}}, Exclude: []string{"s-3"}, Include: []string{"s-4"},
+		Gates: []Gate{{[]string{"lookup"}, 0.5, 1}, {[]string{"order", "pay"}, 1, 0}}, Token: stamp(905)}
 	text, err := o.Append([]byte("before\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -63,19 +63,19 @@
 	if string(text) != want {
 		t.Errorf("orders\n%swant\n%s", text, want)
 	}
-	if o.Lines() != 8 {
-		t.Errorf("%d lines counted, want 8: replace, 2 rows, 2 servers, 2 levels, a mark", o.Lines())
+	if o.LineCount() != 8 {
+		t.Errorf("%d lines counted, want 8: replace, 2 rows, 2 servers, 2 levels, a mark", o.LineCount())
 	}
 	for name, tc := range map[string]struct {
-		orders Orders
+		orders Assignment
 		want   string
 	}{
-		"nothing":         {Orders{}, ""},
-		"a mark":          {Orders{Stamp: stamp(0)}, `{"t":"assign","stamp":0}` + "\n"},
-		"an empty table":  {Orders{Replace: true}, `{"t":"assign","replace":true}` + "\n"},
-		"a level":         {Orders{Gates: []Gate{{[]string{"a"}, 0, 3}}}, `{"t":"assign","for":["a"],"gate":0,"again":3}` + "\n"},
-		"a line removed":  {Orders{Rows: []Row{{Server: "s"}}}, `{"t":"assign","rows":[["s",0]]}` + "\n"},
-		"a server let in": {Orders{Undrop: []string{"s"}}, `{"t":"assign","undrop":["s"]}` + "\n"},
+		"nothing":         {Assignment{}, ""},
+		"a mark":          {Assignment{Token: stamp(0)}, `{"t":"assign","stamp":0}` + "\n"},
+		"an empty table":  {Assignment{Replace: true}, `{"t":"assign","replace":true}` + "\n"},
+		"a level":         {Assignment{Gates: []Gate{{[]string{"a"}, 0, 3}}}, `{"t":"assign","for":["a"],"gate":0,"again":3}` + "\n"},
+		"a line removed":  {Assignment{Rows: []Row{{Server: "s"}}}, `{"t":"assign","rows":[["s",0]]}` + "\n"},
+		"a server let in": {Assignment{Include: []string{"s"}}, `{"t":"assign","undrop":["s"]}` + "\n"},
 	} {
 		if text, err := tc.orders.Append(nil); err != nil || string(text) != tc.want {
 			t.Errorf("%s: %s, %v; want %s", name, text, err, tc.want)
@@ -85,7 +85,7 @@
 
 // TestManyParts guards against messages over 1 MiB: large ones are split, and only the first part replaces.
 func TestManyParts(t *testing.T) {
-	o := Orders{Replace: true, Gates: []Gate{{[]string{"a"}, 1, 1}}, Stamp: stamp(7)}
+	o := Assignment{Replace: true, Gates: []Gate{{[]string{"a"}, 1, 1}}, Token: stamp(7)}
 	for i := range 30000 {
 		o.Rows = append(o.Rows, Row{Server: fmt.Sprintf("server-%08d", i), Weight: float64(i) + 0.5})
 	}
@@ -116,7 +116,7 @@
 // TestFigures guards against figures that a proxy would read as another, or as none.
 func TestFigures(t *testing.T) {
 	for _, x := range []float64{0, 1e-9, 0.1, 1.0 / 3, 1, 1e6, 123456.789} {
-		o := Orders{Rows: []Row{{Server: "s", Weight: x}}}
+		o := Assignment{Rows: []Row{{Server: "s", Weight: x}}}
 		text, _ := o.Append(nil)
 		if got := parts(t, text)[0].Rows[0][1].(float64); float32(got) != float32(x) || math.IsNaN(got) {
 			t.Errorf("%v read as %v", x, got)
--- a/internal/planner/protocol/probe.go
+++ b/internal/planner/protocol/probe.go
@@ -13,19 +13,19 @@
 	Load   map[string]float64 // its load report, if it sent one
 }
 
-// Probe returns the request of a probe and the machine of its answer, which goes to answer.
-func Probe(host string, load bool, answer *ProbeResponse) ([]byte, *HTTPExchange) {
+// ProbeRequest returns the request of a probe and the machine of its answer, which goes to answer.
+func ProbeRequest(host string, load bool, answer *ProbeResponse) ([]byte, *HTTPExchange) {
 	path := "/health"
 	if load {
 		path = "/status/load"
 	}
 	var text []byte
-	x := &HTTPExchange{BodyMost: MaxHead}
-	x.Head = func(r *http.Response) error {
+	x := &HTTPExchange{MaxBodyBytes: MaxHeadBytes}
+	x.HandleHead = func(r *http.Response) error {
 		answer.Status = r.StatusCode
 		return nil
 	}
-	x.Body = func(p []byte) error {
+	x.HandleBody = func(p []byte) error {
 		text = append(text, p...)
 		return nil
 	}
--- a/internal/planner/routing/bench_test.go
+++ b/internal/planner/routing/bench_test.go
@@ -13,11 +13,11 @@
 // sink is a peer that takes everything.
 type sink struct{ id uint64 }
 
-func (s sink) ID() uint64                    { return s.id }
-func (s sink) Order(o protocol.Orders) error { _, err := o.Append(nil); return err }
-func (s sink) Beat() error                   { return nil }
-func (s sink) Await()                        {}
-func (s sink) Close(error)                   {}
+func (s sink) ID() uint64                         { return s.id }
+func (s sink) Assign(o protocol.Assignment) error { _, err := o.Append(nil); return err }
+func (s sink) AnswerHeartbeat() error             { return nil }
+func (s sink) DeferHeartbeat()                    {}
+func (s sink) Close(error)                        {}
 
 // BenchmarkWholeTables is the dearest step of a grown deployment: 600 proxies get tables of 30 servers at once.
 func BenchmarkWholeTables(b *testing.B) {
@@ -31,7 +31,7 @@
 	r := New(set, module, calls, known, zerolog.Nop())
 	var orders []rules.Action
 	for p := range proxies {
-		r.Handle(Reported{Peer: sink{uint64(p + 1)}, Message: attach(p)})
+		r.Handle(MessageReceived{Peer: sink{uint64(p + 1)}, Message: attach(p)})
 		for i := range lines {
 			orders = append(orders, rules.SetWeight{Table: rules.TableID(p), Server: rules.ServerID((p + i) % servers), Weight: 1})
 		}
@@ -41,7 +41,7 @@
 	for b.Loop() {
 		module.orders = orders
 		r.pending = append(r.pending, rules.Tick{})
-		if _, _, err := r.Turn(1); err != nil {
+		if _, _, err := r.Advance(1); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/planner/routing/events.go
+++ b/internal/planner/routing/events.go
@@ -16,9 +16,9 @@
 // peer's affair, so that peers of another protocol can stand beside those of this one.
 type Peer interface {
 	ID() uint64 // larger for connections accepted later
-	Order(protocol.Orders) error
-	Beat() error // answers a heartbeat
-	Await()      // its heartbeat will be answered later
+	Assign(protocol.Assignment) error
+	AnswerHeartbeat() error // answers a heartbeat
+	DeferHeartbeat()        // its heartbeat will be answered later
 	Close(reason error)
 }
 
@@ -27,7 +27,7 @@
 	Watch(call uint64, from int64) // answers: WatchBegun, Listed, CallFailed
 	Fetch(call uint64)             // answers: Listed, CallFailed
 	Cancel(call uint64)            // its answers are of no use any more
-	Move(discovery string)         // the address of all calls to discovery from now on
+	SetDiscovery(discovery string) // the address of all calls to discovery from now on
 	Probe(server rules.ServerID, address string, load bool)
 }
 
@@ -36,17 +36,17 @@
 
 // The events.
 type (
-	// Reported is a message of a peer.
-	Reported struct {
+	// MessageReceived is a message of a peer.
+	MessageReceived struct {
 		Peer    Peer
 		Message protocol.Message
 	}
-	// Ended says that a peer's connection has ended.
-	Ended struct{ Peer Peer }
+	// Disconnected says that a peer's connection has ended.
+	Disconnected struct{ Peer Peer }
 	// WatchStarted says that discovery has taken a watch on.
 	WatchStarted struct{ Call uint64 }
-	// Listed is a list, or changes of it.
-	Listed struct {
+	// ListReceived is a list, or changes of it.
+	ListReceived struct {
 		Call uint64
 		List protocol.List
 	}
@@ -55,21 +55,21 @@
 		Call uint64
 		Err  error
 	}
-	// Moved says that discovery has another address.
-	Moved struct{ Discovery string }
-	// Notified is a list, or changes of it, from the host that follows discovery for several routers. Epochs count them.
-	Notified struct {
+	// DiscoveryMoved says that discovery has another address.
+	DiscoveryMoved struct{ Discovery string }
+	// ListUpdated is a list, or changes of it, from the host that follows discovery for several routers. Epochs count them.
+	ListUpdated struct {
 		List  protocol.List
 		Epoch uint64
 	}
-	// Handed is a joined proxy whose stream another router had. Shut are the servers that it was told to shut out.
-	Handed struct {
-		Peer   Peer
-		Attach protocol.Attach
-		Shut   []string
+	// ProxyHandedOver is a joined proxy whose stream another router had. Shut are the servers that it was told to shut out.
+	ProxyHandedOver struct {
+		Peer     Peer
+		Attach   protocol.Attach
+		Excluded []string
 	}
-	// Allocated says what of the planner is this router's, where several share one.
-	Allocated struct {
+	// ShareAllocated says what of the planner is this router's, where several share one.
+	ShareAllocated struct {
 		Part   rules.Part
 		Number uint64 // of its share of the channel
 	}
@@ -83,13 +83,13 @@
 	}
 )
 
-func (Reported) event()     {}
-func (Ended) event()        {}
-func (WatchStarted) event() {}
-func (Listed) event()       {}
-func (CallFailed) event()   {}
-func (Moved) event()        {}
-func (Probed) event()       {}
-func (Notified) event()     {}
-func (Handed) event()       {}
-func (Allocated) event()    {}
+func (MessageReceived) event() {}
+func (Disconnected) event()    {}
+func (WatchStarted) event()    {}
+func (ListReceived) event()    {}
+func (CallFailed) event()      {}
+func (DiscoveryMoved) event()  {}
+func (Probed) event()          {}
+func (ListUpdated) event()     {}
+func (ProxyHandedOver) event() {}
+func (ShareAllocated) event()  {}
--- a/internal/planner/routing/fed.go
+++ b/internal/planner/routing/fed.go
@@ -21,15 +21,16 @@
 
 // Progress is how far a router that is fed has come.
 type Progress struct {
-	Looks uint64 // of its module, so far
-	Seen  uint64 // the newest epoch of the list that its module has looked at
-	Done  uint64 // the newest epoch that no table of its joined proxies contradicts
-	Deal  uint64 // the number of the share of the channel that its module worked with in its last look
+	Rounds       uint64 // of its module, so far
+	SeenEpoch    uint64 // the newest epoch of the list that its module has looked at
+	AppliedEpoch uint64 // the newest epoch that no table of its joined proxies contradicts
+	ShareNumber  uint64 // the number of the share of the channel that its module worked with in its last look
 }
 
-// NewFed returns a router that asks discovery nothing: the host tells it the list, of which known is the whole as of the
+// NewHosted returns a router that asks discovery nothing: the host tells it the list, of which known is the whole as of the
 // epoch, and which proxies it has.
-func NewFed(set settings.Settings, module Stepper, calls Calls, known protocol.List, epoch uint64, log zerolog.Logger) *Router {
+func NewHosted(set settings.Settings, module Stepper, calls Calls, known protocol.List, epoch uint64,
+	log zerolog.Logger) *Router {
 	set.Rules.QueryDiscovery = false // the module need not ask
 	r := New(set, module, calls, known, log)
 	r.timers = nil // nor the router
@@ -39,10 +40,10 @@
 
 // Progress is how far the router has come. Tables are looked through for it, so it is for once a look.
 func (r *Router) Progress() Progress {
-	return Progress{Looks: r.fed.looks, Seen: r.fed.seen, Done: r.fed.done, Deal: r.fed.deal}
+	return Progress{Rounds: r.fed.looks, SeenEpoch: r.fed.seen, AppliedEpoch: r.fed.done, ShareNumber: r.fed.deal}
 }
 
-func (r *Router) told(e Notified) {
+func (r *Router) told(e ListUpdated) {
 	r.take(e.List)
 	r.fed.told = e.Epoch
 	for _, m := range e.List.Members {
@@ -60,14 +61,14 @@
 }
 
 // handed takes in a proxy whose stream another router had. It may hold that one's table and what that one shut out.
-func (r *Router) handed(e Handed) {
+func (r *Router) handed(e ProxyHandedOver) {
 	r.attach(e.Peer, e.Attach)
 	s := r.streams[e.Peer.ID()]
 	if s == nil {
 		return
 	}
 	delete(r.tables.shut, s.proxy) // of an earlier stay here
-	for _, name := range e.Shut {
+	for _, name := range e.Excluded {
 		if r.tables.shut[s.proxy] == nil {
 			r.tables.shut[s.proxy] = map[rules.ServerID]bool{}
 		}
--- a/internal/planner/routing/follower.go
+++ b/internal/planner/routing/follower.go
@@ -18,8 +18,8 @@
 	return &Follower{calls: calls, revision: revision}
 }
 
-// Listed says whether an answer of discovery counts.
-func (f *Follower) Listed(e Listed) bool {
+// HandleList says whether an answer of discovery counts.
+func (f *Follower) HandleList(e ListReceived) bool {
 	switch e.Call {
 	case f.older:
 	case f.watch:
@@ -39,8 +39,8 @@
 	return true
 }
 
-// Failed notes that a call has ended. It says whether that was a call which counted, and whether it was the watch.
-func (f *Follower) Failed(e CallFailed) (counts, watched bool) {
+// HandleFailure notes that a call has ended. It says whether that was a call which counted, and whether it was the watch.
+func (f *Follower) HandleFailure(e CallFailed) (counts, watched bool) {
 	switch e.Call {
 	case f.watch:
 		f.watch = 0
@@ -55,9 +55,9 @@
 	return false, false
 }
 
-// Begun notes that discovery has taken a watch on. What is still open at discovery's former address ends only now, so
-// that no change is missed. It says whether the watch counts.
-func (f *Follower) Begun(e WatchStarted) bool {
+// HandleWatchStarted notes that discovery has accepted a watch and reports whether it is the current one. A watch at
+// discovery's previous address is cancelled only now, so that no change is missed.
+func (f *Follower) HandleWatchStarted(e WatchStarted) bool {
 	if e.Call != f.watch {
 		return false
 	}
@@ -69,10 +69,10 @@
 	return true
 }
 
-// Moved asks at discovery's new address at once. A watch that stands at the former one is believed until the new one
+// HandleMove asks at discovery's new address at once. A watch that stands at the former one is believed until the new one
 // is answered, or the former one ends: guards against drains that are missed in between.
-func (f *Follower) Moved(e Moved) {
-	f.calls.Move(e.Discovery)
+func (f *Follower) HandleMove(e DiscoveryMoved) {
+	f.calls.SetDiscovery(e.Discovery)
 	switch {
 	case f.watch != 0 && f.begun:
 		if f.older != 0 {
--- a/internal/planner/routing/lists.go
+++ b/internal/planner/routing/lists.go
@@ -14,8 +14,8 @@
 const WatchBackoff = 1000.0
 
 // listed takes an answer of discovery, unless its call no longer counts.
-func (r *Router) listed(e Listed) {
-	if r.follower.Listed(e) {
+func (r *Router) listed(e ListReceived) {
+	if r.follower.HandleList(e) {
 		r.take(e.List)
 	}
 }
@@ -67,7 +67,7 @@
 
 // callFailed tells the module that its call has ended, so that it asks again.
 func (r *Router) callFailed(e CallFailed) {
-	counts, watched := r.follower.Failed(e)
+	counts, watched := r.follower.HandleFailure(e)
 	if !counts {
 		return
 	}
@@ -81,13 +81,13 @@
 
 // watchStarted tells the module that its call was answered, even if nothing has changed.
 func (r *Router) watchStarted(e WatchStarted) {
-	if r.follower.Begun(e) {
+	if r.follower.HandleWatchStarted(e) {
 		r.pending = append(r.pending, rules.List{Kind: rules.ListChanges})
 	}
 }
 
 // moved asks at discovery's new address.
-func (r *Router) moved(e Moved) {
+func (r *Router) moved(e DiscoveryMoved) {
 	r.rewatch = false
-	r.follower.Moved(e)
+	r.follower.HandleMove(e)
 }
--- a/internal/planner/routing/names.go
+++ b/internal/planner/routing/names.go
@@ -110,7 +110,7 @@
 // entry translates an entry of the list. A zone or kind that the settings don't name gets the number after the
 // last, which the module is free to fold.
 func (n *names) entry(m protocol.Member) rules.Server {
-	s := rules.Server{ID: n.server(m.ID), Weight: m.Size, Cell: m.Cell, StartedAt: m.UpSince}
+	s := rules.Server{ID: n.server(m.ID), Weight: m.Weight, Cell: m.Cell, StartedAt: m.StartedAt}
 	if info := &n.servers[s.ID]; m.Address != "" && m.Address != info.address {
 		n.leaveAddress(s.ID)
 		info.address, n.at[m.Address] = m.Address, s.ID
--- a/internal/planner/routing/recorded_test.go
+++ b/internal/planner/routing/recorded_test.go
@@ -26,11 +26,11 @@
 	marks []uint32
 }
 
-func (d *digester) Order(o protocol.Orders) error {
+func (d *digester) Assign(o protocol.Assignment) error {
 	text, err := o.Append(nil)
 	fmt.Fprintf(d.into, "%d:%s", d.id, text)
-	if o.Stamp != nil {
-		d.marks = append(d.marks, *o.Stamp)
+	if o.Token != nil {
+		d.marks = append(d.marks, *o.Token)
 	}
 	return err
 }
@@ -50,7 +50,7 @@
 		MaxMessages: 20, MessageWindow: 10000, DrainGrace: 2000, MaxTimeWithoutServer: 2500, WarmupTime: 10000, StartCapacity: 0.2, OverloadFactor: 2.5,
 		OverloadTime: 3000, MinConnections: 200, LocalFirst: true, RetryDefault: rules.RetryIfNotRun}}
 	entry := func(i int, phase string, since float64) protocol.Member {
-		return protocol.Member{ID: fmt.Sprint("s-", i), Address: "h", Zone: set.ZoneNames[i%3], Kind: "m", Phase: phase, Size: 1, UpSince: since}
+		return protocol.Member{ID: fmt.Sprint("s-", i), Address: "h", Zone: set.ZoneNames[i%3], Kind: "m", Phase: phase, Weight: 1, StartedAt: since}
 	}
 	known := protocol.List{Revision: 1, Complete: true}
 	for i := range servers {
@@ -62,7 +62,7 @@
 	revision := int64(1)
 	change := func(m protocol.Member) {
 		revision++
-		r.Handle(Listed{Call: 1, List: protocol.List{Revision: revision, Members: []protocol.Member{m}}})
+		r.Handle(ListReceived{Call: 1, List: protocol.List{Revision: revision, Members: []protocol.Member{m}}})
 	}
 	for look := range looks {
 		now += 100
@@ -70,14 +70,14 @@
 			if peers[p] == nil && look >= p || peers[p] != nil && rng.IntN(900) == 0 { // joins, or comes back by a newer stream
 				id++
 				peers[p] = &digester{peer: peer{id: id}, into: sum}
-				r.Handle(Reported{peers[p], protocol.Attach{Proxy: p, Zone: set.ZoneNames[p%3], Weight: 1 + float64(p*p%17)}})
+				r.Handle(MessageReceived{peers[p], protocol.Attach{Proxy: p, Zone: set.ZoneNames[p%3], Rate: 1 + float64(p*p%17)}})
 			}
 			for d := peers[p]; d != nil && len(d.marks) > 0 && rng.IntN(3) > 0; d.marks = d.marks[1:] {
-				r.Handle(Reported{d, protocol.Done{Proxy: p, Mark: d.marks[0], Took: 50}})
+				r.Handle(MessageReceived{d, protocol.Ack{Proxy: p, Token: d.marks[0], Elapsed: 50}})
 			}
 			if peers[p] != nil && (look+p)%10 == 0 {
 				for _, c := range classes {
-					r.Handle(Reported{peers[p], protocol.UsageReport{Proxy: p, Class: c.Name, Tries: float64(rng.IntN(30)), Span: 1000}})
+					r.Handle(MessageReceived{peers[p], protocol.UsageReport{Proxy: p, Class: c.Name, Requests: float64(rng.IntN(30)), Period: 1000}})
 				}
 			}
 		}
@@ -91,8 +91,8 @@
 				if look > 400 && look < 460 { // all slow
 					mean *= 12
 				}
-				r.Handle(Reported{&peer{}, protocol.ServerReport{Zone: set.ZoneNames[rng.IntN(3)], Server: fmt.Sprint("s-", i), Tries: tries,
-					Failed: failed, Mean: mean, Span: 1000}})
+				r.Handle(MessageReceived{&peer{}, protocol.ServerReport{Zone: set.ZoneNames[rng.IntN(3)], Server: fmt.Sprint("s-", i), Attempts: tries,
+					Failed: failed, Latency: mean, Period: 1000}})
 			}
 		}
 		switch i := look / 10 % servers; {
@@ -108,7 +108,7 @@
 				r.Handle(Probed{Server: r.names.ids[s.name], OK: look%3 > 0})
 			}
 		}
-		if _, _, err := r.Turn(now); err != nil {
+		if _, _, err := r.Advance(now); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/planner/routing/retire_test.go
+++ b/internal/planner/routing/retire_test.go
@@ -31,7 +31,7 @@
 		return g.forgotten()
 	}
 	g.expect("all are listed", turns(), []rules.ServerID(nil))
-	g.r.Handle(Listed{Call: 1, List: protocol.List{Revision: 50, Complete: true}})
+	g.r.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 50, Complete: true}})
 	g.expect("the one that nothing refers to", turns(), []rules.ServerID{2})
 	g.r.Handle(Probed{Server: 1})
 	g.expect("the probe has ended", turns(), []rules.ServerID{1})
@@ -43,7 +43,7 @@
 	g.expect("let in", turns(), []rules.ServerID{3})
 	g.expect("kept of the table not in use", len(g.r.tables.of[2].weights), 0)
 
-	g.r.Handle(Listed{Call: 1, List: protocol.List{Revision: 51, Complete: true, Members: []protocol.Member{
+	g.r.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 51, Complete: true, Members: []protocol.Member{
 		member("s-9", "up"), member("s-2", "up"), member("s-8", "draining"), member("s-7", "up")}}})
 	g.turn()
 	g.expect("numbers in use", len(g.r.names.servers), 4)
@@ -60,11 +60,11 @@
 	}
 	g.turn()
 	g.told()
-	g.says(&peer{id: 9}, protocol.ServerReport{Zone: "south", Server: "s-0", Tries: 1, Span: 1000})
+	g.says(&peer{id: 9}, protocol.ServerReport{Zone: "south", Server: "s-0", Attempts: 1, Period: 1000})
 	g.turn()
 	g.expect("a late report of a server that is gone", g.told(), []rules.Event(nil))
-	g.r.Handle(Listed{Call: 1, List: protocol.List{Revision: 52, Members: []protocol.Member{member("s-7", "removed")}}})
-	g.r.Handle(Listed{Call: 1, List: protocol.List{Revision: 53, Members: []protocol.Member{member("s-7", "up")}}})
+	g.r.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 52, Members: []protocol.Member{member("s-7", "removed")}}})
+	g.r.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 53, Members: []protocol.Member{member("s-7", "up")}}})
 	g.expect("back before it was forgotten", turns(), []rules.ServerID(nil))
 }
 
@@ -74,7 +74,7 @@
 	g := newRig(t, member("s-0", "up"))
 	g.r.set.Rules.DrainOnly = true
 	g.turn(rules.Watch{})
-	g.r.Handle(Listed{Call: 1, List: protocol.List{Revision: 50, Complete: true}})
+	g.r.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 50, Complete: true}})
 	g.turn()
 	g.turn(rules.Timer{Delay: 100})
 	g.expect("nobody is here", g.forgotten(), []rules.ServerID(nil))
--- a/internal/planner/routing/router.go
+++ b/internal/planner/routing/router.go
@@ -62,29 +62,29 @@
 		if p := recover(); p != nil {
 			r.log.Error().Str("event", fmt.Sprintf("%T", e)).Str("panic", fmt.Sprint(p)).Bytes("stack", debug.Stack()).
 				Msg("event not handled")
-			if said, ok := e.(Reported); ok {
+			if said, ok := e.(MessageReceived); ok {
 				said.Peer.Close(fmt.Errorf("panic: %v", p))
 			}
 		}
 	}()
 	switch e := e.(type) {
-	case Reported:
+	case MessageReceived:
 		r.said(e.Peer, e.Message)
-	case Ended:
+	case Disconnected:
 		r.ended(e.Peer)
 	case WatchStarted:
 		r.watchStarted(e)
-	case Listed:
+	case ListReceived:
 		r.listed(e)
 	case CallFailed:
 		r.callFailed(e)
-	case Moved:
+	case DiscoveryMoved:
 		r.moved(e)
-	case Notified:
+	case ListUpdated:
 		r.told(e)
-	case Handed:
+	case ProxyHandedOver:
 		r.handed(e)
-	case Allocated:
+	case ShareAllocated:
 		r.fed.dealt = e.Number
 		r.pending = append(r.pending, e.Part)
 	case Probed:
@@ -107,7 +107,7 @@
 	case protocol.Heartbeat:
 		if !r.hasList {
 			r.waiting[from.ID()] = from
-			from.Await()
+			from.DeferHeartbeat()
 			return
 		}
 		r.answer(from)
@@ -117,13 +117,13 @@
 		}
 	case protocol.Attach:
 		r.attach(from, m)
-	case protocol.Done:
+	case protocol.Ack:
 		if s := r.streams[from.ID()]; s == nil || int(s.proxy) != m.Proxy {
 			r.drop("answer that is not from the proxy's stream", strconv.Itoa(m.Proxy))
 			return
 		}
-		r.pending = append(r.pending, rules.Ack{Proxy: rules.ProxyID(m.Proxy), Token: m.Mark, Elapsed: m.Took})
-	case protocol.Refused: // to the module it has left and joined again: it gets a whole table, which counts as any
+		r.pending = append(r.pending, rules.Ack{Proxy: rules.ProxyID(m.Proxy), Token: m.Token, Elapsed: m.Elapsed})
+	case protocol.Nack: // to the module it has left and joined again: it gets a whole table, which counts as any
 		s := r.streams[from.ID()]
 		if s == nil || int(s.proxy) != m.Proxy {
 			r.drop("refusal that is not from the proxy's stream", strconv.Itoa(m.Proxy))
@@ -139,8 +139,8 @@
 			r.drop("report of an unknown zone or server", m.Zone+" "+m.Server+m.Address)
 			return
 		}
-		r.pending = append(r.pending, rules.Heard{Zone: zone, Server: server, Attempts: m.Tries,
-			Failed: m.Failed, Latency: m.Mean, Period: m.Span, Load: r.names.load(m.Load)})
+		r.pending = append(r.pending, rules.Heard{Zone: zone, Server: server, Attempts: m.Attempts,
+			Failed: m.Failed, Latency: m.Latency, Period: m.Period, Load: r.names.load(m.Load)})
 	case protocol.UsageReport:
 		class, known := r.names.classes[m.Class]
 		if !known || m.Proxy >= r.set.Rules.Proxies {
@@ -148,7 +148,7 @@
 			return
 		}
 		r.pending = append(r.pending, rules.Demand{Proxy: rules.ProxyID(m.Proxy), Class: class,
-			Requests: m.Tries, Unanswered: m.Failed, Period: m.Span})
+			Requests: m.Requests, Unanswered: m.Unanswered, Period: m.Period})
 	}
 }
 
@@ -173,11 +173,11 @@
 		r.leave(old)
 		r.supersede(old.peer)
 	}
-	s := &stream{peer: from, proxy: proxy, joined: rules.Joined{Proxy: proxy, Zone: zone, Rate: m.Weight, Fresh: m.Fresh}}
+	s := &stream{peer: from, proxy: proxy, joined: rules.Joined{Proxy: proxy, Zone: zone, Rate: m.Rate, Fresh: m.Fresh}}
 	r.streams[from.ID()] = s
 	r.tables.join(s)
 	r.pending = append(r.pending, s.joined)
-	r.log.Info().Int("proxy", m.Proxy).Str("zone", m.Zone).Float64("rate", m.Weight).Bool("fresh", m.Fresh).
+	r.log.Info().Int("proxy", m.Proxy).Str("zone", m.Zone).Float64("rate", m.Rate).Bool("fresh", m.Fresh).
 		Msg("proxy joined")
 }
 
@@ -203,30 +203,30 @@
 }
 
 func (r *Router) answer(to Peer) {
-	if err := to.Beat(); err != nil {
+	if err := to.AnswerHeartbeat(); err != nil {
 		r.drop("heartbeat of a peer that is gone", err.Error())
 	}
 }
 
 // drop counts a message that can't be used, and tells of the first, the tenth, the hundredth and so on.
 func (r *Router) drop(reason, what string) {
-	if r.dropped[reason]++; Telling(r.dropped[reason]) {
+	if r.dropped[reason]++; ShouldLog(r.dropped[reason]) {
 		r.log.Warn().Str("reason", reason).Str("last", what[:min(len(what), maxShown)]).Int("count",
 			r.dropped[reason]).Msg("message not used")
 	}
 }
 
-// Telling says whether the nth of a kind is worth a line of log: the first, the tenth, the hundredth and so on.
-func Telling(n int) bool {
+// ShouldLog says whether the nth of a kind is worth a line of log: the first, the tenth, the hundredth and so on.
+func ShouldLog(n int) bool {
 	for n > 1 && n%10 == 0 {
 		n /= 10
 	}
 	return n == 1
 }
 
-// Turn tells the module what has happened up to now and carries out what it orders. The result is when it
+// Advance tells the module what has happened up to now and carries out what it orders. The result is when it
 // wants to be called again at the latest, if it wants to. An error says that the module can't go on.
-func (r *Router) Turn(now float64) (next float64, wants bool, err error) {
+func (r *Router) Advance(now float64) (next float64, wants bool, err error) {
 	for len(r.timers) > 0 && r.timers[0].due <= now {
 		if due := heap.Pop(&r.timers).(timer); due.watch {
 			r.follower.StartWatch()
--- a/internal/planner/routing/router_test.go
+++ b/internal/planner/routing/router_test.go
@@ -53,11 +53,11 @@
 	awaits bool
 }
 
-func (p *peer) ID() uint64         { return p.id }
-func (p *peer) Close(reason error) { p.closed = reason }
-func (p *peer) Await()             { p.awaits = true }
-func (p *peer) Beat() error        { return p.send(protocol.HeartbeatReply(), nil) }
-func (p *peer) Order(o protocol.Orders) error {
+func (p *peer) ID() uint64             { return p.id }
+func (p *peer) Close(reason error)     { p.closed = reason }
+func (p *peer) DeferHeartbeat()        { p.awaits = true }
+func (p *peer) AnswerHeartbeat() error { return p.send(protocol.HeartbeatReply(), nil) }
+func (p *peer) Assign(o protocol.Assignment) error {
 	return p.send(o.Append(nil))
 }
 
@@ -75,9 +75,9 @@
 func (b *book) Watch(call uint64, from int64) {
 	*b = append(*b, fmt.Sprintf("watch %d from %d", call, from))
 }
-func (b *book) Cancel(call uint64)    { *b = append(*b, fmt.Sprintf("cancel %d", call)) }
-func (b *book) Move(discovery string) { *b = append(*b, "move to "+discovery) }
-func (b *book) Fetch(call uint64)     { *b = append(*b, fmt.Sprintf("fetch %d", call)) }
+func (b *book) Cancel(call uint64)            { *b = append(*b, fmt.Sprintf("cancel %d", call)) }
+func (b *book) SetDiscovery(discovery string) { *b = append(*b, "move to "+discovery) }
+func (b *book) Fetch(call uint64)             { *b = append(*b, fmt.Sprintf("fetch %d", call)) }
 func (b *book) Probe(server rules.ServerID, address string, load bool) {
 	*b = append(*b, fmt.Sprintf("probe %d at %s, load %t", server, address, load))
 }
@@ -92,7 +92,7 @@
 }
 
 func member(id, phase string) protocol.Member {
-	return protocol.Member{ID: id, Address: id + ":80", Zone: "south", Kind: "m2", Cell: 3, Phase: phase, Size: 1}
+	return protocol.Member{ID: id, Address: id + ":80", Zone: "south", Kind: "m2", Cell: 3, Phase: phase, Weight: 1}
 }
 
 func newRig(t *testing.T, members ...protocol.Member) *rig {
@@ -110,14 +110,14 @@
 	if len(orders) > 0 && len(g.r.pending) == 0 {
 		g.r.pending = append(g.r.pending, rules.Tick{}) // something must have happened
 	}
-	if _, _, err := g.r.Turn(g.now); err != nil {
+	if _, _, err := g.r.Advance(g.now); err != nil {
 		g.t.Fatal(err)
 	}
 }
 
 func (g *rig) says(p *peer, m ...protocol.Message) {
 	for _, m := range m {
-		g.r.Handle(Reported{Peer: p, Message: m})
+		g.r.Handle(MessageReceived{Peer: p, Message: m})
 	}
 }
 
@@ -129,7 +129,7 @@
 }
 
 func attach(proxy int) protocol.Attach {
-	return protocol.Attach{Proxy: proxy, Zone: "south", Weight: 2.5}
+	return protocol.Attach{Proxy: proxy, Zone: "south", Rate: 2.5}
 }
 
 func (g *rig) join(id uint64, proxy int) *peer {
@@ -163,19 +163,19 @@
 	g.expect("start", g.told(), []rules.Event{rules.List{Kind: rules.ListCached, Servers: []rules.Server{row, second}}})
 
 	p, c := &peer{id: 1}, &peer{id: 2}
-	g.says(p, protocol.Attach{Proxy: 3, Zone: "south", Weight: 2.5, Fresh: true}, protocol.Done{Proxy: 3, Mark: 9, Took: 310})
+	g.says(p, protocol.Attach{Proxy: 3, Zone: "south", Rate: 2.5, Fresh: true}, protocol.Ack{Proxy: 3, Token: 9, Elapsed: 310})
 	g.says(c, protocol.Collector{Zone: "north"},
-		protocol.ServerReport{Zone: "north", Server: "s-2", Tries: 9, Failed: 1, Mean: 40, Span: 1000,
+		protocol.ServerReport{Zone: "north", Server: "s-2", Attempts: 9, Failed: 1, Latency: 40, Period: 1000,
 			Load: map[string]float64{"inflight": 7, "util": 0.5, "other": 3}},
-		protocol.UsageReport{Proxy: 3, Class: "post", Tries: 5, Failed: 1, Span: 2000})
+		protocol.UsageReport{Proxy: 3, Class: "post", Requests: 5, Unanswered: 1, Period: 2000})
 	g.turn()
 	g.expect("reports", g.told(), []rules.Event{
 		rules.Joined{Proxy: 3, Zone: 1, Rate: 2.5, Fresh: true},
 		rules.Ack{Proxy: 3, Token: 9, Elapsed: 310},
 		rules.Heard{Zone: 0, Server: 1, Attempts: 9, Failed: 1, Latency: 40, Period: 1000, Load: []float64{0.5, 7}},
 		rules.Demand{Proxy: 3, Class: 1, Requests: 5, Unanswered: 1, Period: 2000}})
-	g.r.Handle(Ended{Peer: c})
-	g.r.Handle(Ended{Peer: p})
+	g.r.Handle(Disconnected{Peer: c})
+	g.r.Handle(Disconnected{Peer: p})
 	g.turn()
 	g.expect("end of the stream", g.told(), []rules.Event{rules.Left{Proxy: 3}})
 }
@@ -187,8 +187,8 @@
 	g.told()
 	p := &peer{id: 1}
 	g.says(p, protocol.Collector{Zone: "west"}, protocol.Attach{Proxy: 4, Zone: "south"}, protocol.Attach{Proxy: 1, Zone: "west"},
-		protocol.ServerReport{Zone: "west", Server: "s-1", Tries: 1}, protocol.ServerReport{Zone: "north", Server: "s-9", Tries: 1},
-		protocol.UsageReport{Proxy: 1, Class: "odd"}, protocol.UsageReport{Proxy: 70000, Class: "view"}, protocol.Done{Proxy: 1, Mark: 1})
+		protocol.ServerReport{Zone: "west", Server: "s-1", Attempts: 1}, protocol.ServerReport{Zone: "north", Server: "s-9", Attempts: 1},
+		protocol.UsageReport{Proxy: 1, Class: "odd"}, protocol.UsageReport{Proxy: 70000, Class: "view"}, protocol.Ack{Proxy: 1, Token: 1})
 	g.turn()
 	if got := g.told(); len(got) != 0 {
 		t.Errorf("the module was told %+v", got)
@@ -196,7 +196,7 @@
 	g.expect("the peer stays", p.closed, error(nil))
 	odd := member("s-8", "up")
 	odd.Zone, odd.Kind = "west", "m9"
-	g.r.listed(Listed{Call: 0, List: protocol.List{Members: []protocol.Member{odd}}})
+	g.r.listed(ListReceived{Call: 0, List: protocol.List{Members: []protocol.Member{odd}}})
 	g.turn()
 	g.expect("an entry of an unknown zone", g.told(), []rules.Event{rules.List{Servers: []rules.Server{
 		{ID: 1, Weight: 1, Kind: 2, Zone: 2, Cell: 3, State: rules.Ready}}}})
@@ -217,17 +217,17 @@
 	g.expect("events", g.told(), []rules.Event{rules.Left{Proxy: 2}, rules.Joined{Proxy: 2, Zone: 1, Rate: 2.5}})
 	g.expect("the old connection", old.closed, ErrSuperseded)
 
-	g.says(old, protocol.Done{Proxy: 2, Mark: 7}, attach(2), attach(3),
-		protocol.UsageReport{Proxy: 2, Class: "view", Tries: 9, Span: 1000})
-	g.r.Handle(Ended{Peer: old})
+	g.says(old, protocol.Ack{Proxy: 2, Token: 7}, attach(2), attach(3),
+		protocol.UsageReport{Proxy: 2, Class: "view", Requests: 9, Period: 1000})
+	g.r.Handle(Disconnected{Peer: old})
 	g.turn()
 	if got := g.told(); len(got) != 0 {
 		t.Errorf("the old stream was heard: %+v", got)
 	}
 	older := &peer{id: 3} // accepted between the two, its bytes come late
-	g.says(older, attach(2), protocol.Done{Proxy: 2, Mark: 7})
+	g.says(older, attach(2), protocol.Ack{Proxy: 2, Token: 7})
 	g.expect("a connection older than the stream", older.closed, ErrSuperseded)
-	g.says(now, protocol.Done{Proxy: 2, Mark: 7, Took: 1})
+	g.says(now, protocol.Ack{Proxy: 2, Token: 7, Elapsed: 1})
 	g.turn(rules.SetWeight{Table: 2, Server: 0, Weight: 2})
 	g.expect("the new stream's answer", g.told(), []rules.Event{rules.Ack{Proxy: 2, Token: 7, Elapsed: 1}})
 	g.expect("changes before the table is bound", now.received()+old.received(), "")
@@ -260,7 +260,7 @@
 	g.expect("changes", one.received(), `{"t":"assign","rows":[["s-2",3],["s-1",0]],"stamp":9}`+"\n")
 	g.expect("a proxy without a table", two.received(), "")
 
-	g.r.Handle(Ended{Peer: one})
+	g.r.Handle(Disconnected{Peer: one})
 	g.turn(rules.SetWeight{Table: 0, Server: 2, Weight: 0})
 	again := g.join(3, 0)
 	g.turn(rules.Bind{Proxy: 0, Table: 0}, rules.SetWeight{Table: 0, Server: 0, Weight: 4}, rules.Mark{Token: 10})
@@ -289,12 +289,12 @@
 	g.expect("shut out", one.received(), `{"t":"assign","drop":["s-1"]}`+"\n")
 	g.expect("a table without it", two.received(), "")
 
-	g.r.Handle(Ended{Peer: one})
+	g.r.Handle(Disconnected{Peer: one})
 	one = g.join(6, 0)
 	g.turn(rules.Bind{Proxy: 0, Table: 0})
 	g.expect("shut out again after a rejoining", one.received(),
 		`{"t":"assign","replace":true,"rows":[["s-1",1]],"drop":["s-1"]}`+"\n")
-	g.r.Handle(Ended{Peer: one})
+	g.r.Handle(Disconnected{Peer: one})
 	g.turn(rules.Withdraw{Server: 0, Excluded: false})
 	one = g.join(7, 0)
 	g.turn(rules.Bind{Proxy: 0, Table: 0})
@@ -310,7 +310,7 @@
 	g.expect("all tables", one.received(), `{"t":"assign","for":["view"],"gate":0.2,"again":0}`+"\n")
 	g.expect("all tables, with the table's own way of trying again", two.received(),
 		`{"t":"assign","for":["view"],"gate":0.2,"again":2}`+"\n")
-	g.r.Handle(Ended{Peer: two})
+	g.r.Handle(Disconnected{Peer: two})
 	two = g.join(4, 1)
 	g.turn(rules.Bind{Proxy: 1, Table: 1})
 	g.expect("levels after a rejoining", two.received(),
@@ -331,10 +331,10 @@
 	g.expect("a watch without changes", g.told(), []rules.Event{rules.List{Kind: rules.ListChanges}})
 	changed := member("s-1", "draining")
 	changed.Address = "s-1:81"
-	g.r.Handle(Listed{Call: 1, List: protocol.List{Revision: 45, Members: []protocol.Member{changed}}})
+	g.r.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 45, Members: []protocol.Member{changed}}})
 	g.r.Handle(CallFailed{Call: 1, Err: errors.New("reset")})
 	g.r.Handle(CallFailed{Call: 1, Err: errors.New("again")})
-	g.r.Handle(Listed{Call: 1, List: protocol.List{Revision: 50}})
+	g.r.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 50}})
 	g.r.Handle(WatchStarted{Call: 1})
 	g.turn(rules.Watch{})
 	drains := rules.Server{Weight: 1, Kind: 1, Zone: 1, Cell: 3, State: rules.Draining}
@@ -343,10 +343,10 @@
 	g.expect("the watch goes on", (*g.calls)[1:], book{"watch 2 from 45"})
 	g.expect("the changed address", g.r.names.servers[0].address, "s-1:81")
 
-	g.r.Handle(Listed{Call: 2, List: protocol.List{Revision: 47, Complete: true, Members: []protocol.Member{member("s-2", "up")}}})
+	g.r.Handle(ListReceived{Call: 2, List: protocol.List{Revision: 47, Complete: true, Members: []protocol.Member{member("s-2", "up")}}})
 	g.turn(rules.Fetch{}, rules.Fetch{})
 	g.expect("one fetch", (*g.calls)[2:], book{"fetch 3"})
-	g.r.Handle(Listed{Call: 3, List: protocol.List{Revision: 44, Complete: true}})
+	g.r.Handle(ListReceived{Call: 3, List: protocol.List{Revision: 44, Complete: true}})
 	g.r.Handle(CallFailed{Call: 3, Err: errors.New("late")})
 	g.turn()
 	up := rules.Server{ID: 1, Weight: 1, Kind: 1, Zone: 1, Cell: 3, State: rules.Ready}
@@ -367,13 +367,13 @@
 	r := New(set, module, calls, protocol.List{Revision: 41, Members: []protocol.Member{member("s-1", "up")}}, zerolog.Nop())
 	turn := func(now, want float64) {
 		t.Helper()
-		if next, wants, err := r.Turn(now); err != nil || wants != (want > 0) || wants && next != want {
+		if next, wants, err := r.Advance(now); err != nil || wants != (want > 0) || wants && next != want {
 			t.Errorf("at %v the next turn is wanted at %v, %t, %v; want %v", now, next, wants, err, want)
 		}
 	}
 	turn(5000, 0)
 	r.Handle(WatchStarted{Call: 1})
-	r.Handle(Listed{Call: 1, List: protocol.List{Revision: 43}})
+	r.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 43}})
 	r.Handle(CallFailed{Call: 1, Err: errors.New("reset")})
 	turn(6000, 6000+WatchBackoff)
 	turn(6000+WatchBackoff/2, 6000+WatchBackoff)
@@ -411,18 +411,18 @@
 func TestTimers(t *testing.T) {
 	g := newRig(t, member("s-1", "up"))
 	g.module.orders = []rules.Action{rules.Timer{Delay: 100, Token: 1}, rules.Timer{Delay: 50, Token: 2}, rules.Timer{Delay: 90, Token: 3}}
-	if next, wants, _ := g.r.Turn(1000); next != 1050 || !wants {
+	if next, wants, _ := g.r.Advance(1000); next != 1050 || !wants {
 		t.Errorf("next turn at %v, %t", next, wants)
 	}
 	g.told()
-	if next, wants, _ := g.r.Turn(1049.9); next != 1050 || !wants || len(g.told()) > 0 {
+	if next, wants, _ := g.r.Advance(1049.9); next != 1050 || !wants || len(g.told()) > 0 {
 		t.Errorf("early: next turn at %v, %t", next, wants)
 	}
 	g.now = 1095
 	g.turn()
 	g.expect("two are due", g.told(), []rules.Event{rules.Tick{Token: 2}, rules.Tick{Token: 3}})
 	g.expect("one turn for both", len(g.module.times), 2)
-	if _, wants, _ := g.r.Turn(5000); wants {
+	if _, wants, _ := g.r.Advance(5000); wants {
 		t.Error("no timer is left")
 	}
 	g.expect("the last", g.told(), []rules.Event{rules.Tick{Token: 1}})
@@ -435,11 +435,11 @@
 	g.says(p, protocol.Heartbeat{}, protocol.Heartbeat{})
 	g.says(q, protocol.Heartbeat{})
 	g.says(r, protocol.Heartbeat{})
-	g.r.Handle(Ended{Peer: q})
+	g.r.Handle(Disconnected{Peer: q})
 	r.gone = true
 	g.expect("without a list", p.received(), "")
 	g.turn(rules.Watch{})
-	g.r.Handle(Listed{Call: 1, List: protocol.List{Revision: 1, Complete: true, Members: []protocol.Member{member("s", "up")}}})
+	g.r.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 1, Complete: true, Members: []protocol.Member{member("s", "up")}}})
 	g.expect("with one", p.received(), answer)
 	g.expect("to one that has left", q.received(), "")
 	g.says(p, protocol.Heartbeat{})
@@ -463,13 +463,13 @@
 	}
 	g.r.streams = streams
 	g.module.panics = true
-	if _, _, err := g.r.Turn(1); err == nil || !strings.Contains(err.Error(), "out of order") {
+	if _, _, err := g.r.Advance(1); err == nil || !strings.Contains(err.Error(), "out of order") {
 		t.Errorf("error %v", err)
 	}
 	for _, unheard := range []rules.Action{rules.Probe{Server: 99}, nil} {
 		g = newRig(t, member("s-1", "up"))
 		g.module.orders = []rules.Action{unheard}
-		if _, _, err := g.r.Turn(1); err == nil || !strings.Contains(err.Error(), "order") {
+		if _, _, err := g.r.Advance(1); err == nil || !strings.Contains(err.Error(), "order") {
 			t.Errorf("order %v: error %v", unheard, err)
 		}
 	}
--- a/internal/planner/routing/tables.go
+++ b/internal/planner/routing/tables.go
@@ -31,7 +31,7 @@
 	joined  rules.Joined // as the module was told
 	bound   bool
 	table   rules.TableID
-	orders  protocol.Orders // of the step that is being carried out
+	orders  protocol.Assignment // of the step that is being carried out
 	replace bool
 	touched bool
 }
@@ -169,12 +169,12 @@
 		t.shut[s.proxy] = map[rules.ServerID]bool{}
 	}
 	t.shut[s.proxy][id] = true
-	s.orders.Drop = append(s.orders.Drop, t.names.servers[id].name)
+	s.orders.Exclude = append(s.orders.Exclude, t.names.servers[id].name)
 }
 
 func (t *tables) undrop(s *stream, id rules.ServerID) {
 	delete(t.shut[s.proxy], id)
-	s.orders.Undrop = append(s.orders.Undrop, t.names.servers[id].name)
+	s.orders.Include = append(s.orders.Include, t.names.servers[id].name)
 }
 
 func (t *tables) admit(a rules.Admit) {
@@ -218,7 +218,7 @@
 		}
 		if now.set {
 			list = append(list, protocol.Gate{Classes: []string{t.names.className[k]}, Level: now.value,
-				Again: int(now.again)})
+				Retry: int(now.again)})
 		}
 	}
 	return list
@@ -230,7 +230,7 @@
 next:
 	for _, g := range list {
 		for i := range out {
-			if out[i].Level == g.Level && out[i].Again == g.Again {
+			if out[i].Level == g.Level && out[i].Retry == g.Retry {
 				out[i].Classes = append(out[i].Classes, g.Classes...)
 				continue next
 			}
@@ -245,7 +245,7 @@
 
 func (t *tables) mark(a rules.Mark) {
 	for _, s := range t.touched {
-		s.orders.Stamp = &a.Token
+		s.orders.Token = &a.Token
 	}
 }
 
@@ -256,8 +256,8 @@
 		if s.replace {
 			t.whole(s)
 		}
-		err := s.peer.Order(s.orders)
-		s.orders, s.replace, s.touched = protocol.Orders{}, false, false
+		err := s.peer.Assign(s.orders)
+		s.orders, s.replace, s.touched = protocol.Assignment{}, false, false
 		if err != nil {
 			failed(s, err)
 		}
@@ -267,7 +267,7 @@
 
 func (t *tables) whole(s *stream) {
 	tab := t.table(s.table)
-	s.orders = protocol.Orders{Replace: true, Stamp: s.orders.Stamp, Gates: t.gates(s, all)}
+	s.orders = protocol.Assignment{Replace: true, Token: s.orders.Token, Gates: t.gates(s, all)}
 	for _, id := range slices.Sorted(maps.Keys(tab.weights)) {
 		s.orders.Rows = append(s.orders.Rows, t.names.row(id, tab.weights[id]))
 		if t.out[id] {
--- a/internal/planner/settings/settings.go
+++ b/internal/planner/settings/settings.go
@@ -22,8 +22,8 @@
 	Granularity    float64       // of the clock that the module sees, in milliseconds; 0: as fine as it gets
 }
 
-// Rates says whether levels are requests a second rather than shares.
-func (s Settings) Rates() bool { return s.Rules.Admission == rules.AdmitRate }
+// AdmitsByRate says whether levels are requests a second rather than shares.
+func (s Settings) AdmitsByRate() bool { return s.Rules.Admission == rules.AdmitRate }
 
 // LongestDeadline is how long any client waits at most, in milliseconds.
 func (s Settings) LongestDeadline() float64 {
--- a/internal/planner/xds/ads.go
+++ b/internal/planner/xds/ads.go
@@ -144,7 +144,7 @@
 		a.refusals = 0
 	}
 	if m.is {
-		said = append(said, protocol.Done{Proxy: a.who.Proxy, Mark: m.value, Took: max(0, now-m.at)})
+		said = append(said, protocol.Ack{Proxy: a.who.Proxy, Token: m.value, Elapsed: max(0, now-m.at)})
 	}
 	return said, nil
 }
@@ -172,9 +172,9 @@
 	switch {
 	case !a.joined && len(wanted) > 0:
 		a.joined = true
-		said = append(said, protocol.Attach{Proxy: a.who.Proxy, Zone: a.who.Zone, Weight: a.who.Weight, Fresh: a.who.Fresh})
+		said = append(said, protocol.Attach{Proxy: a.who.Proxy, Zone: a.who.Zone, Rate: a.who.Weight, Fresh: a.who.Fresh})
 	case a.joined && more:
-		said = append(said, protocol.Refused{Proxy: a.who.Proxy})
+		said = append(said, protocol.Nack{Proxy: a.who.Proxy})
 	}
 	return said, voids, nil
 }
@@ -188,20 +188,20 @@
 		return nil
 	}
 	a.due = 0
-	return []protocol.Message{protocol.Refused{Proxy: a.who.Proxy}}
+	return []protocol.Message{protocol.Nack{Proxy: a.who.Proxy}}
 }
 
 // Order takes an order in and returns the message that carries it, of the stream's form; nil where nothing that the proxy
 // has subscribed to changes and no answer is asked for.
-func (a *Assignments) Order(now float64, o protocol.Orders) (proto.Message, error) {
+func (a *Assignments) Order(now float64, o protocol.Assignment) (proto.Message, error) {
 	changed := a.table.apply(o, a.facts.Classes)
 	changed = slices.DeleteFunc(slices.Clone(changed), func(class string) bool { return !slices.Contains(a.names, class) })
-	if len(changed) == 0 && o.Stamp == nil {
+	if len(changed) == 0 && o.Token == nil {
 		return nil, nil
 	}
 	m := mark{at: now}
-	if o.Stamp != nil {
-		m.value, m.is, m.nonce = *o.Stamp, true, strconv.FormatUint(uint64(*o.Stamp), 10)
+	if o.Token != nil {
+		m.value, m.is, m.nonce = *o.Token, true, strconv.FormatUint(uint64(*o.Token), 10)
 	} else {
 		a.unmarked++
 		m.nonce = "u" + strconv.Itoa(a.unmarked)
--- a/internal/planner/xds/load.go
+++ b/internal/planner/xds/load.go
@@ -103,10 +103,11 @@
 // usage is what came to a proxy of a class: what it issued and what it refused. What it let in and could not serve is
 // its errors.
 func usage(proxy int, c *endpoint.ClusterStats, span float64) protocol.UsageReport {
-	m := protocol.UsageReport{Proxy: proxy, Class: c.GetClusterName(), Tries: float64(c.GetTotalDroppedRequests()), Span: span}
+	m := protocol.UsageReport{Proxy: proxy, Class: c.GetClusterName(),
+		Requests: float64(c.GetTotalDroppedRequests()), Period: span}
 	for _, locality := range c.GetUpstreamLocalityStats() {
-		m.Tries += float64(locality.GetTotalIssuedRequests())
-		m.Failed += float64(locality.GetTotalErrorRequests())
+		m.Requests += float64(locality.GetTotalIssuedRequests())
+		m.Unanswered += float64(locality.GetTotalErrorRequests())
 	}
 	return m
 }
@@ -114,8 +115,8 @@
 // met is what a zone's proxies met at a server.
 func (l *Loads) met(e *endpoint.UpstreamEndpointStats, span float64) (protocol.ServerReport, error) {
 	m := protocol.ServerReport{Zone: l.who.Zone, Server: e.GetMetadata().GetFields()[idKey].GetStringValue(),
-		Address: hostPort(e.GetAddress()),
-		Tries:   float64(e.GetTotalIssuedRequests()), Failed: float64(e.GetTotalErrorRequests()), Span: span}
+		Address:  hostPort(e.GetAddress()),
+		Attempts: float64(e.GetTotalIssuedRequests()), Failed: float64(e.GetTotalErrorRequests()), Period: span}
 	if m.Server == "" && m.Address == "" {
 		return m, errNoEndpoint
 	}
@@ -127,7 +128,7 @@
 		switch {
 		case n == 0:
 		case metric.GetMetricName() == LatencyMetric:
-			m.Mean = total / n
+			m.Latency = total / n
 		default:
 			if m.Load == nil {
 				m.Load = map[string]float64{}
--- a/internal/planner/xds/mixed_test.go
+++ b/internal/planner/xds/mixed_test.go
@@ -48,12 +48,12 @@
 	marks   []uint32
 }
 
-func (p *party) ID() uint64  { return p.id }
-func (p *party) Beat() error { return nil }
-func (p *party) Await()      {}
-func (p *party) Close(error) {}
+func (p *party) ID() uint64             { return p.id }
+func (p *party) AnswerHeartbeat() error { return nil }
+func (p *party) DeferHeartbeat()        {}
+func (p *party) Close(error)            {}
 
-func (p *party) Order(o protocol.Orders) error {
+func (p *party) Assign(o protocol.Assignment) error {
 	if p.speaks == lines {
 		text, err := o.Append(nil)
 		if err != nil {
@@ -150,7 +150,7 @@
 func (noCalls) Watch(uint64, int64)                {}
 func (noCalls) Fetch(uint64)                       {}
 func (noCalls) Cancel(uint64)                      {}
-func (noCalls) Move(string)                        {}
+func (noCalls) SetDiscovery(string)                {}
 func (noCalls) Probe(rules.ServerID, string, bool) {}
 
 var mixedSettings = settings.Settings{ZoneNames: []string{"n", "s"}, KindNames: []string{"m"}, Rules: rules.Settings{Instances: 1, Zones: 2, Proxies: 10,
@@ -163,11 +163,11 @@
 	const servers, looks = 12, 250
 	set := mixedSettings
 	facts := xds.Facts{Zones: set.ZoneNames, Classes: []string{"view", "pay"}, Period: 1000,
-		Within: protocol.Bounds{Proxies: set.Rules.Proxies, MeanMost: 4000, SpanMost: 60000}}
+		Within: protocol.Bounds{Proxies: set.Rules.Proxies, MaxLatency: 4000, MaxPeriod: 60000}}
 	rng, now := rand.New(rand.NewPCG(seed, 17)), 1e6
 	known := protocol.List{Revision: 1, Complete: true}
 	entry := func(i int, phase string, since float64) protocol.Member {
-		return protocol.Member{ID: fmt.Sprint("s-", i), Address: fmt.Sprint("127.0.0.1:", 8000+i), Zone: set.ZoneNames[i%2], Kind: "m", Phase: phase, Size: 1, UpSince: since}
+		return protocol.Member{ID: fmt.Sprint("s-", i), Address: fmt.Sprint("127.0.0.1:", 8000+i), Zone: set.ZoneNames[i%2], Kind: "m", Phase: phase, Weight: 1, StartedAt: since}
 	}
 	for i := range servers {
 		known.Members = append(known.Members, entry(i, protocol.PhaseUp, 0))
@@ -177,7 +177,7 @@
 	streams, id := 0, uint64(0)
 	say := func(p *party, said []protocol.Message) {
 		for _, m := range said {
-			router.Handle(routing.Reported{Peer: p, Message: m})
+			router.Handle(routing.MessageReceived{Peer: p, Message: m})
 		}
 	}
 	line := func(p *party, text string) {
@@ -239,7 +239,7 @@
 			if proxies[i] == nil || rng.IntN(300) == 0 { // joins, or comes back by a new stream, the old one not yet seen to end
 				old := proxies[i]
 				if proxies[i] = join(i); old != nil {
-					router.Handle(routing.Ended{Peer: old})
+					router.Handle(routing.Disconnected{Peer: old})
 				}
 			}
 			p := proxies[i]
@@ -300,11 +300,11 @@
 		}
 		switch i := look / 40 % servers; look % 40 {
 		case 10:
-			router.Handle(routing.Notified{List: protocol.List{Revision: int64(look), Members: []protocol.Member{entry(i, protocol.PhaseDraining, 0)}}})
+			router.Handle(routing.ListUpdated{List: protocol.List{Revision: int64(look), Members: []protocol.Member{entry(i, protocol.PhaseDraining, 0)}}})
 		case 30:
-			router.Handle(routing.Notified{List: protocol.List{Revision: int64(look), Members: []protocol.Member{entry(i, protocol.PhaseUp, now)}}})
+			router.Handle(routing.ListUpdated{List: protocol.List{Revision: int64(look), Members: []protocol.Member{entry(i, protocol.PhaseUp, now)}}})
 		}
-		if _, _, err := router.Turn(now); err != nil {
+		if _, _, err := router.Advance(now); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/planner/xds/table.go
+++ b/internal/planner/xds/table.go
@@ -42,7 +42,7 @@
 }
 
 // apply takes an order in, and says which classes it changes.
-func (t *table) apply(o protocol.Orders, classes []string) (changed []string) {
+func (t *table) apply(o protocol.Assignment, classes []string) (changed []string) {
 	if o.Replace {
 		clear(t.rows)
 		clear(t.gates)
@@ -54,10 +54,10 @@
 			delete(t.rows, r.Server)
 		}
 	}
-	for _, name := range o.Drop {
+	for _, name := range o.Exclude {
 		t.shut[name] = true
 	}
-	for _, name := range o.Undrop {
+	for _, name := range o.Include {
 		delete(t.shut, name)
 	}
 	touched := map[string]bool{}
@@ -70,7 +70,7 @@
 			t.gates[class], touched[class] = g, true
 		}
 	}
-	if o.Replace || len(o.Rows)+len(o.Drop)+len(o.Undrop) > 0 {
+	if o.Replace || len(o.Rows)+len(o.Exclude)+len(o.Include) > 0 {
 		return classes
 	}
 	for _, class := range classes {
@@ -134,7 +134,7 @@
 
 // gateMetadata carries the manner of trying again, and a level that is a rate: the published message has no field for them.
 func gateMetadata(g protocol.Gate, rates bool) *core.Metadata {
-	fields := map[string]*structpb.Value{resendKey: structpb.NewNumberValue(float64(g.Again))}
+	fields := map[string]*structpb.Value{resendKey: structpb.NewNumberValue(float64(g.Retry))}
 	if rates {
 		fields[levelKey] = structpb.NewNumberValue(g.Level)
 	}
@@ -171,7 +171,7 @@
 			}
 		}
 		if fields := group.GetMetadata().GetFilterMetadata()[MetadataName].GetFields(); fields[resendKey] != nil {
-			gate = &protocol.Gate{Classes: []string{a.GetClusterName()}, Level: 1, Again: int(fields[resendKey].GetNumberValue())}
+			gate = &protocol.Gate{Classes: []string{a.GetClusterName()}, Level: 1, Retry: int(fields[resendKey].GetNumberValue())}
 			if rates {
 				gate.Level = fields[levelKey].GetNumberValue()
 			}
--- a/internal/planner/xds/xds_test.go
+++ b/internal/planner/xds/xds_test.go
@@ -20,7 +20,7 @@
 )
 
 var facts = Facts{Classes: []string{"view", "pay"}, Zones: []string{"n", "s"}, Period: 1000,
-	Within: protocol.Bounds{Proxies: 8, MeanMost: 4000, SpanMost: 60000}}
+	Within: protocol.Bounds{Proxies: 8, MaxLatency: 4000, MaxPeriod: 60000}}
 
 func node(id, zone string) *core.Node {
 	return &core.Node{Id: id, Locality: &core.Locality{Zone: zone}}
@@ -91,12 +91,12 @@
 func TestAnswersAreDone(t *testing.T) {
 	a := joined(t, false, "view", "pay", "unheard-of")
 	for mark := range uint32(3) {
-		if _, err := a.Order(float64(mark*100), protocol.Orders{Stamp: stamp(mark), Rows: []protocol.Row{{Server: "s-0", Weight: 1, Zone: "n"}}}); err != nil {
+		if _, err := a.Order(float64(mark*100), protocol.Assignment{Token: stamp(mark), Rows: []protocol.Row{{Server: "s-0", Weight: 1, Zone: "n"}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	said, _, _ := a.Request(150, request(nil, "1", "view", "pay"))
-	if len(said) != 1 || said[0] != (protocol.Done{Proxy: 3, Mark: 1, Took: 50}) {
+	if len(said) != 1 || said[0] != (protocol.Ack{Proxy: 3, Token: 1, Elapsed: 50}) {
 		t.Errorf("answer to an older message: %v", said)
 	}
 	for _, nonce := range []string{"0", "1", "77"} { // overtaken, answered before, never sent
@@ -104,7 +104,7 @@
 			t.Errorf("nonce %s: %v %v %v; want one void", nonce, said, voids, err)
 		}
 	}
-	if said, _, _ := a.Request(500, request(nil, "2", "view", "pay")); len(said) != 1 || said[0] != (protocol.Done{Proxy: 3, Mark: 2, Took: 300}) {
+	if said, _, _ := a.Request(500, request(nil, "2", "view", "pay")); len(said) != 1 || said[0] != (protocol.Ack{Proxy: 3, Token: 2, Elapsed: 300}) {
 		t.Errorf("answer to the newest: %v", said)
 	}
 }
@@ -116,10 +116,10 @@
 		for range a.Wake(now) {
 			asked = append(asked, now)
 			mark := uint32(len(asked))
-			a.Order(now, protocol.Orders{Replace: true, Stamp: stamp(mark), Rows: []protocol.Row{{Server: "s-0", Weight: 1}}})
+			a.Order(now, protocol.Assignment{Replace: true, Token: stamp(mark), Rows: []protocol.Row{{Server: "s-0", Weight: 1}}})
 		}
 		if len(a.sent) == 0 && a.Due() == 0 {
-			a.Order(now, protocol.Orders{Stamp: stamp(uint32(now) % 60000)})
+			a.Order(now, protocol.Assignment{Token: stamp(uint32(now) % 60000)})
 		}
 		for _, m := range a.sent {
 			r := request(nil, m.nonce)
@@ -138,7 +138,7 @@
 			t.Errorf("waits that shrink: %v after %v", gap, before)
 		}
 	}
-	a.Order(now, protocol.Orders{Stamp: stamp(9)})
+	a.Order(now, protocol.Assignment{Token: stamp(9)})
 	if a.Wake(now + 100000); a.due != 0 {
 		t.Error("a whole table is due still")
 	}
@@ -151,21 +151,21 @@
 func TestNewNamesGetAWholeTable(t *testing.T) {
 	a := joined(t, false, "view")
 	said, _, _ := a.Request(0, request(nil, "", "view", "pay"))
-	if len(said) != 1 || said[0] != (protocol.Refused{Proxy: 3}) {
+	if len(said) != 1 || said[0] != (protocol.Nack{Proxy: 3}) {
 		t.Errorf("sow: %v", said)
 	}
 	d := joined(t, true, "view")
 	said, _, _ = d.DeltaRequest(0, &discovery.DeltaDiscoveryRequest{TypeUrl: TypeEndpoints, ResourceNamesSubscribe: []string{"pay"}})
-	if len(said) != 1 || said[0] != (protocol.Refused{Proxy: 3}) {
+	if len(said) != 1 || said[0] != (protocol.Nack{Proxy: 3}) {
 		t.Errorf("incremental: %v", said)
 	}
-	if m, err := d.Order(0, protocol.Orders{Replace: true, Rows: []protocol.Row{{Server: "s-0", Weight: 1}}, Stamp: stamp(1)}); err != nil || len(m.(*discovery.DeltaDiscoveryResponse).Resources) != 2 {
+	if m, err := d.Order(0, protocol.Assignment{Replace: true, Rows: []protocol.Row{{Server: "s-0", Weight: 1}}, Token: stamp(1)}); err != nil || len(m.(*discovery.DeltaDiscoveryResponse).Resources) != 2 {
 		t.Errorf("%v, %v; want both classes", m, err)
 	}
 	if _, _, err := d.DeltaRequest(0, &discovery.DeltaDiscoveryRequest{TypeUrl: TypeEndpoints, ResourceNamesUnsubscribe: []string{"pay"}}); err != nil {
 		t.Fatal(err)
 	}
-	if m, _ := d.Order(0, protocol.Orders{Rows: []protocol.Row{{Server: "s-1", Weight: 1}}, Stamp: stamp(2)}); len(m.(*discovery.DeltaDiscoveryResponse).Resources) != 1 {
+	if m, _ := d.Order(0, protocol.Assignment{Rows: []protocol.Row{{Server: "s-1", Weight: 1}}, Token: stamp(2)}); len(m.(*discovery.DeltaDiscoveryResponse).Resources) != 1 {
 		t.Errorf("%v; want only the class that is left", m)
 	}
 }
@@ -180,7 +180,7 @@
 		held, levels, shut := map[string]protocol.Row{}, map[string]protocol.Gate{}, map[string]bool{}
 		got := [2]map[string]*endpoint.ClusterLoadAssignment{{}, {}}
 		for mark := range uint32(rapid.IntRange(1, 12).Draw(t, "orders")) {
-			o := protocol.Orders{Replace: mark == 0 || rapid.IntRange(0, 5).Draw(t, "replace") == 0, Stamp: stamp(mark)}
+			o := protocol.Assignment{Replace: mark == 0 || rapid.IntRange(0, 5).Draw(t, "replace") == 0, Token: stamp(mark)}
 			if o.Replace {
 				clear(held)
 				clear(levels)
@@ -195,16 +195,16 @@
 				}
 			}
 			if rapid.Bool().Draw(t, "gate") {
-				g := protocol.Gate{Classes: []string{rapid.SampledFrom(facts.Classes).Draw(t, "class")}, Level: rapid.Float64Range(0, 1).Draw(t, "level"), Again: rapid.IntRange(0, 1).Draw(t, "again")}
+				g := protocol.Gate{Classes: []string{rapid.SampledFrom(facts.Classes).Draw(t, "class")}, Level: rapid.Float64Range(0, 1).Draw(t, "level"), Retry: rapid.IntRange(0, 1).Draw(t, "again")}
 				o.Gates = append(o.Gates, g)
 				levels[g.Classes[0]] = g
 			}
 			if name := "s-" + string(rune('0'+rapid.IntRange(0, 9).Draw(t, "shut"))); rapid.Bool().Draw(t, "shuts") {
 				if shut[name] {
-					o.Undrop = append(o.Undrop, name)
+					o.Include = append(o.Include, name)
 					delete(shut, name)
 				} else {
-					o.Drop = append(o.Drop, name)
+					o.Exclude = append(o.Exclude, name)
 					shut[name] = true
 				}
 			}
@@ -262,7 +262,7 @@
 					}
 				}
 				want, gated := levels[class]
-				if gated && len(held) > 0 && (gate == nil || gate.Again != want.Again || math.Abs(gate.Level-want.Level) > 1e-6) {
+				if gated && len(held) > 0 && (gate == nil || gate.Retry != want.Retry || math.Abs(gate.Level-want.Level) > 1e-6) {
 					t.Fatalf("gate %+v, want %+v", gate, want)
 				}
 			}
@@ -327,7 +327,7 @@
 	address.Address = &core.Address{Address: &core.Address_SocketAddress{SocketAddress: &core.SocketAddress{Address: "::1", PortSpecifier: &core.SocketAddress_PortValue{PortValue: 80}}}}
 	update, _ := NewLoads(facts).Request(stats(time.Second, address))
 	said := update.Messages
-	if len(said) != 2 || said[1].(protocol.ServerReport).Address != "[::1]:80" || said[1].(protocol.ServerReport).Mean != 40 {
+	if len(said) != 2 || said[1].(protocol.ServerReport).Address != "[::1]:80" || said[1].(protocol.ServerReport).Latency != 40 {
 		t.Errorf("known by its address: %v", said)
 	}
 }
--- a/rules/booking_test.go
+++ b/rules/booking_test.go
@@ -26,11 +26,11 @@
 	bound *bool
 }
 
-func (p *proxy) ID() uint64  { return p.id }
-func (p *proxy) Close(error) {}
-func (p *proxy) Beat() error { return nil }
-func (p *proxy) Await()      {}
-func (p *proxy) Order(o protocol.Orders) error {
+func (p *proxy) ID() uint64             { return p.id }
+func (p *proxy) Close(error)            {}
+func (p *proxy) AnswerHeartbeat() error { return nil }
+func (p *proxy) DeferHeartbeat()        {}
+func (p *proxy) Assign(o protocol.Assignment) error {
 	text, err := o.Append(nil)
 	for len(text) > 0 {
 		end := 0
@@ -82,7 +82,7 @@
 func (noCalls) Watch(uint64, int64)                {}
 func (noCalls) Fetch(uint64)                       {}
 func (noCalls) Cancel(uint64)                      {}
-func (noCalls) Move(string)                        {}
+func (noCalls) SetDiscovery(string)                {}
 func (noCalls) Probe(rules.ServerID, string, bool) {}
 
 // TestBookedLines plays joins, departures, reports and changes of the list, and compares what the module booked
@@ -102,7 +102,7 @@
 		known := protocol.List{Revision: 1, Complete: true}
 		for i := range 12 {
 			known.Members = append(known.Members,
-				protocol.Member{ID: fmt.Sprint("s", i), Zone: set.ZoneNames[i%2], Phase: "up", Size: 1})
+				protocol.Member{ID: fmt.Sprint("s", i), Zone: set.ZoneNames[i%2], Phase: "up", Weight: 1})
 		}
 		module := rules.New(set.Rules, seed)
 		r := routing.New(set, module, noCalls{}, known, zerolog.Nop())
@@ -121,25 +121,25 @@
 					joined[n] = &proxy{t: t, id: last, head: set.Rules.MessageCost, lines: &lines, fresh: true,
 						again: before[n], bound: &bound}
 					before[n] = true
-					r.Handle(routing.Reported{Peer: joined[n],
-						Message: protocol.Attach{Proxy: n, Zone: set.ZoneNames[n%2], Weight: float64(n)}})
+					r.Handle(routing.MessageReceived{Peer: joined[n],
+						Message: protocol.Attach{Proxy: n, Zone: set.ZoneNames[n%2], Rate: float64(n)}})
 				}
 			case 1:
 				if p != nil && rng.IntN(4) == 0 {
-					r.Handle(routing.Ended{Peer: p})
+					r.Handle(routing.Disconnected{Peer: p})
 					joined[n] = nil
 				}
 			case 2, 3, 4, 5:
-				r.Handle(routing.Reported{Peer: collector,
+				r.Handle(routing.MessageReceived{Peer: collector,
 					Message: protocol.ServerReport{Zone: set.ZoneNames[rng.IntN(2)],
 						Server: fmt.Sprint("s",
-							rng.IntN(12)), Tries: 5, Failed: float64(rng.IntN(2)), Mean: 200 +
-							2000*rng.Float64(), Span: 1000}})
+							rng.IntN(12)), Attempts: 5, Failed: float64(rng.IntN(2)), Latency: 200 +
+							2000*rng.Float64(), Period: 1000}})
 			case 6, 7:
-				r.Handle(routing.Reported{Peer: collector,
-					Message: protocol.UsageReport{Proxy: n, Class: "view", Tries: 40, Span: 1000}})
+				r.Handle(routing.MessageReceived{Peer: collector,
+					Message: protocol.UsageReport{Proxy: n, Class: "view", Requests: 40, Period: 1000}})
 			}
-			if _, _, err := r.Turn(now); err != nil {
+			if _, _, err := r.Advance(now); err != nil {
 				t.Fatal(err)
 			}
 			if bound {
--- a/rules/churn_test.go
+++ b/rules/churn_test.go
@@ -40,7 +40,7 @@
 				DrainGrace: 1500, MaxTimeWithoutServer: 2500, WarmupTime: 1000, StartCapacity: 0.2, OverloadFactor: 2.5, OverloadTime: 3000, DrainOnly: drainOnly,
 				Classes: []rules.Class{{Name: "view", LatencyTarget: 1000, Deadline: 4000, Value: 1}}}}
 		entry := func(n int, phase string) protocol.Member {
-			return protocol.Member{ID: fmt.Sprint("s", n), Zone: set.ZoneNames[n%2], Phase: phase, Size: 1}
+			return protocol.Member{ID: fmt.Sprint("s", n), Zone: set.ZoneNames[n%2], Phase: phase, Weight: 1}
 		}
 		known := protocol.List{Revision: 1, Complete: true}
 		for n := range live {
@@ -50,12 +50,12 @@
 		r := routing.New(set, module, noCalls{}, known, zerolog.Nop())
 		lines, bound := 0.0, false
 		streams := map[int]*proxy{}
-		r.Handle(routing.Reported{Peer: &proxy{t: t, lines: &lines, bound: &bound},
+		r.Handle(routing.MessageReceived{Peer: &proxy{t: t, lines: &lines, bound: &bound},
 			Message: protocol.Heartbeat{}})
 		now, id := 50000.0, uint64(100)
 		turn := func(span float64) {
 			for end := now + span; now < end; now += 100 {
-				if _, _, err := r.Turn(now); err != nil {
+				if _, _, err := r.Advance(now); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -66,21 +66,21 @@
 		for n := live; n < 3000; n++ {
 			if at := n % proxies; n%3 == 0 { // its stream breaks, and another comes at once or later
 				if old := streams[at]; old != nil {
-					r.Handle(routing.Ended{Peer: old})
+					r.Handle(routing.Disconnected{Peer: old})
 					delete(streams, at)
 				} else {
 					id++
 					streams[at] = &proxy{t: t, id: id, lines: &lines, fresh: true, again: true, bound: &bound}
-					r.Handle(routing.Reported{Peer: streams[at],
-						Message: protocol.Attach{Proxy: at, Zone: set.ZoneNames[at%2], Weight: 3}})
+					r.Handle(routing.MessageReceived{Peer: streams[at],
+						Message: protocol.Attach{Proxy: at, Zone: set.ZoneNames[at%2], Rate: 3}})
 				}
 			}
-			r.Handle(routing.Listed{Call: watch,
+			r.Handle(routing.ListReceived{Call: watch,
 				List: protocol.List{Revision: int64(n), Members: []protocol.Member{entry(n, "up"),
 					entry(n-live, "draining")}}})
 			turn(300)
 			gone := entry(n-live, "removed")
-			r.Handle(routing.Listed{Call: watch,
+			r.Handle(routing.ListReceived{Call: watch,
 				List: protocol.List{Revision: int64(n), Members: []protocol.Member{gone}}})
 			turn(300)
 			servers, held := module.TrackedCounts()
