--- a/internal/planner/audit/audit.go
+++ b/internal/planner/audit/audit.go
@@ -13,8 +13,8 @@
 // Slack is what the protocol adds to every time limit on sockets, and Start the time from the planner's first answer in
 // which none counts, both in milliseconds.
 const (
-	Slack = 300.0
-	Start = 1000.0
+	Slack        = 300.0
+	StartupGrace = 1000.0
 )
 
 // Rule names one of the five.
@@ -22,18 +22,18 @@
 
 // The rules.
 const (
-	Bare    Rule = "a joined proxy without a server"
-	Repeat  Rule = "an effect that may happen twice"
-	Drain   Rule = "a drained server in a table"
-	Cold    Rule = "a cold server pushed over"
-	Channel Rule = "a channel over its limit"
+	NoServer       Rule = "a joined proxy without a server"
+	UnsafeRetry    Rule = "an effect that may happen twice"
+	DrainedServer  Rule = "a drained server in a table"
+	WarmupOverload Rule = "a cold server pushed over"
+	ChannelLimit   Rule = "a channel over its limit"
 )
 
-// Break is one broken rule.
-type Break struct {
-	Rule Rule    `json:"rule"`
-	At   float64 `json:"at_ms"`
-	What string  `json:"what"`
+// Violation is one broken rule.
+type Violation struct {
+	Rule   Rule    `json:"rule"`
+	At     float64 `json:"at_ms"`
+	Detail string  `json:"what"`
 }
 
 // Server is an entry of the list as discovery told it.
@@ -79,12 +79,12 @@
 	begun   float64 // the planner's first answer
 	queue   float64 // lines in the channel, which sends at its usual pace
 	drained float64
-	breaks  []Break
-	// Most is the most that was seen of what has a limit.
-	Most struct {
-		Queue float64 `json:"queue_lines"`
-		Drain float64 `json:"drain_ms"`
-		Bare  float64 `json:"bare_ms"`
+	breaks  []Violation
+	// Peak holds the largest observed value of each limited quantity: lines, then times in milliseconds.
+	Peak struct {
+		QueueLines     float64 `json:"queue_lines"`
+		DrainMillis    float64 `json:"drain_ms"`
+		NoServerMillis float64 `json:"bare_ms"`
 	}
 }
 
@@ -93,15 +93,15 @@
 	return &Auditor{set: set, servers: map[string]*entry{}, proxies: map[int]*proxy{}, begun: now, drained: now}
 }
 
-// Breaks are the rules broken so far.
-func (a *Auditor) Breaks() []Break { return a.breaks }
+// Violations are the rules broken so far.
+func (a *Auditor) Violations() []Violation { return a.breaks }
 
 func (a *Auditor) broken(now float64, rule Rule, format string, args ...any) {
-	a.breaks = append(a.breaks, Break{rule, now, fmt.Sprintf(format, args...)})
+	a.breaks = append(a.breaks, Violation{rule, now, fmt.Sprintf(format, args...)})
 }
 
-// Told is a change of the list that has reached the planner, or must be taken to have.
-func (a *Auditor) Told(now float64, s Server) {
+// ServerChanged is a change of the list that has reached the planner, or must be taken to have.
+func (a *Auditor) ServerChanged(now float64, s Server) {
 	e := a.servers[s.Name]
 	if e == nil {
 		e = &entry{}
@@ -114,8 +114,8 @@
 	a.updateBarenessOfAll(now)
 }
 
-// Joined is a proxy whose stream the planner has taken. What it holds of an earlier stream it keeps.
-func (a *Auditor) Joined(now float64, number int, rate float64) {
+// ProxyJoined is a proxy whose stream the planner has taken. What it holds of an earlier stream it keeps.
+func (a *Auditor) ProxyJoined(now float64, number int, rate float64) {
 	p := a.proxies[number]
 	if p == nil {
 		p = &proxy{table: map[string]float64{}, shut: map[string]bool{}}
@@ -127,30 +127,30 @@
 	}
 }
 
-// Left is a proxy whose stream has ended. Time limits stop for it.
-func (a *Auditor) Left(number int) {
+// ProxyLeft is a proxy whose stream has ended. Time limits stop for it.
+func (a *Auditor) ProxyLeft(number int) {
 	if p := a.proxies[number]; p != nil {
 		p.joinedAt = 0
 	}
 }
 
-// Sent is a message that a proxy has read.
-func (a *Auditor) Sent(now float64, number int, o Order) {
+// OrderReceived is a message that a proxy has read.
+func (a *Auditor) OrderReceived(now float64, number int, o Order) {
 	p := a.proxies[number]
 	if p == nil {
 		return
 	}
 	a.pass(now)
-	if a.queue += o.Lines; a.queue > a.Most.Queue {
-		a.Most.Queue = a.queue
+	if a.queue += o.Lines; a.queue > a.Peak.QueueLines {
+		a.Peak.QueueLines = a.queue
 	}
 	if a.set.QueueLines > 0 && a.queue > a.set.QueueLines {
-		a.broken(now, Channel, "%.0f lines wait, %.0f may", a.queue, a.set.QueueLines)
+		a.broken(now, ChannelLimit, "%.0f lines wait, %.0f may", a.queue, a.set.QueueLines)
 	}
 	if a.set.MaxMessages > 0 {
 		p.writes = slices.DeleteFunc(append(p.writes, now), func(at float64) bool { return now-at > a.set.MessageWindow })
 		if len(p.writes) > a.set.MaxMessages {
-			a.broken(now, Channel, "%d messages to proxy %d within %.0f ms, %d may be", len(p.writes), number,
+			a.broken(now, ChannelLimit, "%d messages to proxy %d within %.0f ms, %d may be", len(p.writes), number,
 				a.set.MessageWindow, a.set.MaxMessages)
 		}
 	}
@@ -174,7 +174,7 @@
 		// Proof that a try never ran makes any repeat safe. After any failure only a safe class may run again; a keyed one's
 		// repeat is dropped only by servers that share the key, which a proxy doesn't choose by.
 		if class := a.set.Classes[k]; class.Effect != rules.Safe && retry > rules.RetryIfNotRun {
-			a.broken(now, Repeat, "class %s may be tried again by method %d", class.Name, retry)
+			a.broken(now, UnsafeRetry, "class %s may be tried again by method %d", class.Name, retry)
 		}
 	}
 	a.updateBareness(now, p)
@@ -269,11 +269,11 @@
 		if e == nil || p.joinedAt == 0 || e.State == rules.Ready || e.State == rules.Removed && a.set.DrainOnly {
 			continue
 		}
-		since := now - max(e.toldAt, a.begun+Start, p.joinedAt)
-		a.Most.Drain = max(a.Most.Drain, since)
+		since := now - max(e.toldAt, a.begun+StartupGrace, p.joinedAt)
+		a.Peak.DrainMillis = max(a.Peak.DrainMillis, since)
 		if since > a.set.DrainGrace+Slack && !e.told {
 			e.told = true
-			a.broken(now, Drain, "proxy %d holds %s, told %.0f ms ago", number, name, since)
+			a.broken(now, DrainedServer, "proxy %d holds %s, told %.0f ms ago", number, name, since)
 		}
 	}
 }
@@ -284,11 +284,11 @@
 	if p.joinedAt <= 0 {
 		return
 	}
-	since := now - max(p.bare, a.begun+Start)
-	a.Most.Bare = max(a.Most.Bare, since)
+	since := now - max(p.bare, a.begun+StartupGrace)
+	a.Peak.NoServerMillis = max(a.Peak.NoServerMillis, since)
 	if since > a.set.MaxTimeWithoutServer+Slack && !p.told {
 		p.told = true
-		a.broken(now, Bare, "proxy %d for %.0f ms", number, since)
+		a.broken(now, NoServer, "proxy %d for %.0f ms", number, since)
 	}
 }
 
@@ -306,7 +306,7 @@
 		}
 		if now-e.hotSince > a.set.OverloadTime && !e.told {
 			e.told = true
-			a.broken(now, Cold, "%s is sent %.1f requests a second, it can do %.1f", name, load[name], canDo)
+			a.broken(now, WarmupOverload, "%s is sent %.1f requests a second, it can do %.1f", name, load[name], canDo)
 		}
 	}
 }
--- a/internal/planner/audit/audit_test.go
+++ b/internal/planner/audit/audit_test.go
@@ -15,48 +15,50 @@
 	setup := func() *Auditor {
 		a := New(set, 0)
 		for _, name := range []string{"s-0", "s-1", "s-2", "s-3"} {
-			a.Told(1, Server{Name: name, State: rules.Ready, Size: 1})
+			a.ServerChanged(1, Server{Name: name, State: rules.Ready, Size: 1})
 		}
-		a.Joined(2000, 0, 10)
-		a.Sent(2001, 0, Order{Replace: true, Rows: map[string]float64{"s-0": 1, "s-1": 1}, Lines: 4})
+		a.ProxyJoined(2000, 0, 10)
+		a.OrderReceived(2001, 0, Order{Replace: true, Rows: map[string]float64{"s-0": 1, "s-1": 1}, Lines: 4})
 		return a
 	}
 	for _, tc := range []struct {
 		rule       Rule
 		fine, over func(*Auditor)
 	}{
-		{Drain, func(a *Auditor) {
-			a.Told(5000, Server{Name: "s-0", State: rules.Draining, Size: 1})
+		{DrainedServer, func(a *Auditor) {
+			a.ServerChanged(5000, Server{Name: "s-0", State: rules.Draining, Size: 1})
 			a.Tick(7300)
 		}, func(a *Auditor) { a.Tick(7301) }},
-		{Bare, func(a *Auditor) {
-			a.Sent(5000, 0, Order{Rows: map[string]float64{"s-0": 0, "s-1": 0}, Lines: 5})
+		{NoServer, func(a *Auditor) {
+			a.OrderReceived(5000, 0, Order{Rows: map[string]float64{"s-0": 0, "s-1": 0}, Lines: 5})
 			a.Tick(7800)
 		}, func(a *Auditor) { a.Tick(7801) }},
-		{Bare, func(a *Auditor) { // shut out is no line to pick
-			a.Sent(5000, 0, Order{Drop: []string{"s-0", "s-1"}, Lines: 5})
+		{NoServer, func(a *Auditor) { // shut out is no line to pick
+			a.OrderReceived(5000, 0, Order{Drop: []string{"s-0", "s-1"}, Lines: 5})
 			a.Tick(7800)
 		}, func(a *Auditor) { a.Tick(7801) }},
-		{Repeat, func(a *Auditor) {
-			a.Sent(5000, 0, Order{Retries: map[int]rules.Retry{0: rules.RetryTwice, 1: rules.RetryIfNotRun, 2: rules.RetryIfNotRun}, Lines: 5})
-		}, func(a *Auditor) { a.Sent(6000, 0, Order{Retries: map[int]rules.Retry{2: rules.RetryOnce}, Lines: 5}) }},
-		{Channel, func(a *Auditor) { a.Sent(9000, 0, Order{Lines: 100}) }, func(a *Auditor) { a.Sent(9001, 0, Order{Lines: 1}) }},
-		{Channel, func(a *Auditor) {
-			a.Sent(9000, 0, Order{Lines: 1})
-			a.Sent(9000, 0, Order{Lines: 1})
-		}, func(a *Auditor) { a.Sent(12000, 0, Order{Lines: 1}) }},
-		{Cold, func(a *Auditor) { // half of the traffic, of which a whole server is to have a fourth
-			a.Told(5000, Server{Name: "s-1", State: rules.Ready, Size: 1, StartedAt: 5000})
+		{UnsafeRetry, func(a *Auditor) {
+			a.OrderReceived(5000, 0, Order{Retries: map[int]rules.Retry{0: rules.RetryTwice, 1: rules.RetryIfNotRun, 2: rules.RetryIfNotRun}, Lines: 5})
+		}, func(a *Auditor) {
+			a.OrderReceived(6000, 0, Order{Retries: map[int]rules.Retry{2: rules.RetryOnce}, Lines: 5})
+		}},
+		{ChannelLimit, func(a *Auditor) { a.OrderReceived(9000, 0, Order{Lines: 100}) }, func(a *Auditor) { a.OrderReceived(9001, 0, Order{Lines: 1}) }},
+		{ChannelLimit, func(a *Auditor) {
+			a.OrderReceived(9000, 0, Order{Lines: 1})
+			a.OrderReceived(9000, 0, Order{Lines: 1})
+		}, func(a *Auditor) { a.OrderReceived(12000, 0, Order{Lines: 1}) }},
+		{WarmupOverload, func(a *Auditor) { // half of the traffic, of which a whole server is to have a fourth
+			a.ServerChanged(5000, Server{Name: "s-1", State: rules.Ready, Size: 1, StartedAt: 5000})
 			a.Tick(5000)
 			a.Tick(8000) // 0.44 of a server: 1.1 of them may come, two do
 		}, func(a *Auditor) { a.Tick(8001) }},
 	} {
 		a := setup()
-		if tc.fine(a); len(a.Breaks()) > 0 {
-			t.Errorf("%s: found before it is broken: %v", tc.rule, a.Breaks())
+		if tc.fine(a); len(a.Violations()) > 0 {
+			t.Errorf("%s: found before it is broken: %v", tc.rule, a.Violations())
 		}
-		if tc.over(a); len(a.Breaks()) != 1 || a.Breaks()[0].Rule != tc.rule {
-			t.Errorf("%s: found %v", tc.rule, a.Breaks())
+		if tc.over(a); len(a.Violations()) != 1 || a.Violations()[0].Rule != tc.rule {
+			t.Errorf("%s: found %v", tc.rule, a.Violations())
 		}
 	}
 }
--- a/internal/planner/bench/cores.go
+++ b/internal/planner/bench/cores.go
@@ -40,25 +40,25 @@
 
 // Run is what was measured at one number of cores.
 type Run struct {
-	Cores        int           `json:"cores"`
-	Front        Front         `json:"front"`
-	OverMachine  bool          `json:"over_machine"` // more than the machine has
-	JoinMS       float64       `json:"join_ms"`      // until every proxy has its whole table
-	EventsPerS   float64       `json:"events_per_s"`
-	OrdersPerS   float64       `json:"orders_per_s"` // messages to proxies, while events saturate
-	CPUAtFull    float64       `json:"cpu_at_full"`  // processors
-	CPUPerEvent  float64       `json:"cpu_us_per_event"`
-	HalfRate     float64       `json:"half_events_per_s"` // half of what one core handles: the load of what follows
-	CPUAtHalf    float64       `json:"cpu_at_half"`
-	Drain        Quantiles     `json:"drain_ms"` // from a drain told to the last proxy's order read
-	Order        Quantiles     `json:"order_ms"` // to each proxy's
-	KiBPerStream float64       `json:"kib_per_stream"`
-	MemoryMB     float64       `json:"memory_mb"`
-	QueueMost    float64       `json:"queue_lines_most"`
-	QueueLimit   float64       `json:"queue_lines_limit"`
-	DrainMost    float64       `json:"audit_drain_ms_most"`
-	Breaks       int           `json:"breaks"`
-	Broken       []audit.Break `json:"broken,omitempty"`
+	Cores        int               `json:"cores"`
+	Front        Front             `json:"front"`
+	OverMachine  bool              `json:"over_machine"` // more than the machine has
+	JoinMS       float64           `json:"join_ms"`      // until every proxy has its whole table
+	EventsPerS   float64           `json:"events_per_s"`
+	OrdersPerS   float64           `json:"orders_per_s"` // messages to proxies, while events saturate
+	CPUAtFull    float64           `json:"cpu_at_full"`  // processors
+	CPUPerEvent  float64           `json:"cpu_us_per_event"`
+	HalfRate     float64           `json:"half_events_per_s"` // half of what one core handles: the load of what follows
+	CPUAtHalf    float64           `json:"cpu_at_half"`
+	Drain        Quantiles         `json:"drain_ms"` // from a drain told to the last proxy's order read
+	Order        Quantiles         `json:"order_ms"` // to each proxy's
+	KiBPerStream float64           `json:"kib_per_stream"`
+	MemoryMB     float64           `json:"memory_mb"`
+	QueueMost    float64           `json:"queue_lines_most"`
+	QueueLimit   float64           `json:"queue_lines_limit"`
+	DrainMost    float64           `json:"audit_drain_ms_most"`
+	Breaks       int               `json:"breaks"`
+	Broken       []audit.Violation `json:"broken,omitempty"`
 }
 
 // Result is all that was measured.
@@ -195,7 +195,7 @@
 	swarm.mu.Lock()
 	defer swarm.mu.Unlock()
 	run.Drain, run.Order = quantiles(swarm.whole), quantiles(swarm.each)
-	run.Broken, run.QueueMost, run.DrainMost = swarm.auditor.Breaks(), swarm.auditor.Most.Queue, swarm.auditor.Most.Drain
+	run.Broken, run.QueueMost, run.DrainMost = swarm.auditor.Violations(), swarm.auditor.Peak.QueueLines, swarm.auditor.Peak.DrainMillis
 	run.Breaks = len(run.Broken)
 	run.Broken = run.Broken[:min(len(run.Broken), 10)]
 	return run, nil
--- a/internal/planner/bench/decisions.go
+++ b/internal/planner/bench/decisions.go
@@ -98,7 +98,7 @@
 		d.result.Refused /= d.samples.loaded
 		d.result.Level /= d.samples.loaded
 	}
-	d.result.QueueMost, d.result.DrainMost, d.result.Breaks = d.audit.Most.Queue, d.audit.Most.Drain, len(d.audit.Breaks())
+	d.result.QueueMost, d.result.DrainMost, d.result.Breaks = d.audit.Peak.QueueLines, d.audit.Peak.DrainMillis, len(d.audit.Violations())
 	return d.result, nil
 }
 
@@ -107,7 +107,7 @@
 	f := d.fleet
 	d.audit = audit.New(d.group.set.Rules, d.group.now)
 	for _, m := range d.group.known.Members {
-		d.audit.Told(d.group.now, audit.Server{Name: m.ID, State: rules.Ready, Size: 1})
+		d.audit.ServerChanged(d.group.now, audit.Server{Name: m.ID, State: rules.Ready, Size: 1})
 	}
 	draw := rand.New(rand.NewPCG(f.Seed, 11))
 	for p := range f.Proxies { // a few carry most
@@ -117,7 +117,7 @@
 		}
 		d.rates = append(d.rates, rate*(0.8+0.4*draw.Float64()))
 		d.tables, d.levels = append(d.tables, map[string]float64{}), append(d.levels, []float64{1, 1, 1})
-		d.audit.Joined(d.group.now, p, d.rates[p])
+		d.audit.ProxyJoined(d.group.now, p, d.rates[p])
 		if err := d.group.join(d.ends, p, d.rates[p]); err != nil {
 			return err
 		}
@@ -149,7 +149,7 @@
 	}
 	d.result.Messages++
 	d.result.Lines += int(sent.Lines)
-	d.audit.Sent(d.group.now, proxy, sent)
+	d.audit.OrderReceived(d.group.now, proxy, sent)
 }
 
 // capacity of a server in requests a second: with the whole fleet, half of the day's traffic over what is needed.
@@ -209,7 +209,7 @@
 	if phase != protocol.PhaseUp {
 		state = rules.Draining
 	}
-	d.audit.Told(d.group.now, audit.Server{Name: fmt.Sprint("s-", i), State: state, Size: 1, StartedAt: since})
+	d.audit.ServerChanged(d.group.now, audit.Server{Name: fmt.Sprint("s-", i), State: state, Size: 1, StartedAt: since})
 }
 
 // report works out what the last second brought each server, and tells what was met.
--- a/internal/planner/bench/group.go
+++ b/internal/planner/bench/group.go
@@ -67,8 +67,8 @@
 	g := &group{set: set, now: 1e6, order: order, each: make([]*share, n),
 		known: protocol.List{Revision: 1, Complete: true, Members: f.members()}}
 	g.desk = cores.NewAssigner(cores.Settings{Cores: n, Zones: len(zones), QueueLines: set.Rules.QueueLines,
-		LinesPerSec: set.Rules.LinesPerSec,
-		Confirm:     set.Rules.DrainGrace / 4, MovesPerS: 8, Rest: 10000}, g.now)
+		LinesPerSec:    set.Rules.LinesPerSec,
+		ConfirmTimeout: set.Rules.DrainGrace / 4, MovesPerSecond: 8, RestartDelay: 10000}, g.now)
 	for i := range n {
 		module := rules.New(set.Rules, f.Seed+uint64(i))
 		g.each[i] = &share{router: routing.NewFed(set, module, noCalls{}, g.known, 0, zerolog.Nop()), module: module}
@@ -81,7 +81,7 @@
 	ends[proxy] = &end{group: g, proxy: proxy}
 	g.desk.HandleJoined(g.now, uint64(proxy)+1, proxy, proxy%len(zones), rate)
 	for _, c := range g.desk.DrainCommands() {
-		if c, ok := c.(cores.Assignment); ok {
+		if c, ok := c.(cores.Assign); ok {
 			g.each[c.Core].router.Handle(routing.Handed{Peer: ends[proxy],
 				Attach: protocol.Attach{Proxy: proxy, Zone: zoneOf(proxy), Weight: rate, Fresh: true}})
 		}
@@ -108,9 +108,9 @@
 		if p := c.router.Progress(); p.Looks != c.looks {
 			c.looks = p.Looks
 			own, waiting := c.module.OwnLoad()
-			g.desk.HandleReport(g.now, i, 1, cores.CoreReport{Seen: p.Seen, Done: p.Done, ShareNumber: p.Deal, Waiting: waiting,
-				Joined:       own.JoinedProxies,
-				TypicalRates: own.TypicalRates, Demands: own.Demands})
+			g.desk.HandleReport(g.now, i, 1, cores.CoreReport{SeenEpoch: p.Seen, AppliedEpoch: p.Done, ShareNumber: p.Deal, QueuedLines: waiting,
+				JoinedProxies: own.JoinedProxies,
+				TypicalRates:  own.TypicalRates, Demands: own.Demands})
 		}
 	}
 	g.desk.Tick(g.now)
@@ -123,7 +123,7 @@
 		switch c := c.(type) {
 		case cores.Share:
 			g.each[c.Core].router.Handle(routing.Allocated{Number: c.Number,
-				Part: rules.Part{ChannelShare: c.Channel, JoinedProxies: c.Joined, TypicalRates: c.TypicalRates,
+				Part: rules.Part{ChannelShare: c.ChannelShare, JoinedProxies: c.JoinedProxies, TypicalRates: c.TypicalRates,
 					Demands: c.Demands}})
 		case cores.Isolate, cores.Abort:
 			return errors.New("a core was cut off on a clock that nothing holds up")
@@ -134,7 +134,7 @@
 
 // change tells every core of a change of the list.
 func (g *group) change(m protocol.Member) {
-	epoch := g.desk.ChangeList(g.now)
+	epoch := g.desk.HandleListChange(g.now)
 	g.desk.DrainCommands()
 	for _, c := range g.each {
 		c.router.Handle(routing.Notified{List: protocol.List{Members: []protocol.Member{m}}, Epoch: epoch})
--- a/internal/planner/bench/peers.go
+++ b/internal/planner/bench/peers.go
@@ -171,7 +171,7 @@
 		if packed.UnmarshalTo(&a) != nil {
 			return
 		}
-		rows, _, gate := xds.Read(&a, false)
+		rows, _, gate := xds.ParseAssignment(&a, false)
 		if gate != nil {
 			for k, class := range classes {
 				if class == a.GetClusterName() {
--- a/internal/planner/bench/swarm.go
+++ b/internal/planner/bench/swarm.go
@@ -60,7 +60,7 @@
 	s.auditor = audit.New(set.Rules, 0)
 	s.reset()
 	for _, m := range f.members() {
-		s.auditor.Told(0, audit.Server{Name: m.ID, State: rules.Ready, Size: 1})
+		s.auditor.ServerChanged(0, audit.Server{Name: m.ID, State: rules.Ready, Size: 1})
 	}
 	return s, nil
 }
@@ -78,7 +78,7 @@
 	rng := rand.New(rand.NewPCG(s.fleet.Seed, 3))
 	for i := range s.fleet.Proxies {
 		s.mu.Lock()
-		s.auditor.Joined(s.now(), i, proxyRate)
+		s.auditor.ProxyJoined(s.now(), i, proxyRate)
 		s.mu.Unlock()
 		p, err := s.proxy(planner, i, rng)
 		if err != nil {
@@ -148,7 +148,7 @@
 	s.messages.Add(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.auditor.Sent(s.now(), proxy, o)
+	s.auditor.OrderReceived(s.now(), proxy, o)
 	if o.Replace {
 		for _, holders := range s.holders {
 			delete(holders, proxy)
@@ -187,7 +187,7 @@
 		entry.StartedAt = float64(since.Sub(s.begun)) / float64(time.Millisecond)
 	}
 	s.mu.Lock()
-	s.auditor.Told(s.now(), entry)
+	s.auditor.ServerChanged(s.now(), entry)
 	s.mu.Unlock()
 	s.discovery.Change(member(i, phase, at))
 }
--- a/internal/planner/cores/assigner.go
+++ b/internal/planner/cores/assigner.go
@@ -10,13 +10,13 @@
 
 // Settings are the facts that an assigner is given.
 type Settings struct {
-	Cores       int
-	Zones       int
-	QueueLines  float64 // lines that may wait in the planner's channel
-	LinesPerSec float64 // its usual pace
-	Confirm     float64 // a core that hasn't taken up a change, or reported, within this is late
-	MovesPerS   int     // proxies that may be moved a second
-	Rest        float64 // a core that was cut off stays out this long; doubled each time
+	Cores          int
+	Zones          int
+	QueueLines     float64 // lines that may wait in the planner's channel
+	LinesPerSec    float64 // its usual pace
+	ConfirmTimeout float64 // a core that hasn't taken up a change, or reported, within this is late
+	MovesPerSecond int     // proxies that may be moved a second
+	RestartDelay   float64 // a core that was cut off stays out this long; doubled each time
 }
 
 const (
@@ -26,20 +26,20 @@
 	maxRest = 64
 	// healthyRests is how many rests without a fault make a core's earlier ones forgotten.
 	healthyRests = 30
-	// stalledShare is the share of Confirm after which an assigner that was not ticked takes it that the whole process stood
+	// stalledShare is the share of ConfirmTimeout after which an assigner that was not ticked takes it that the whole process stood
 	// still: what its cores did not report meanwhile says nothing about them.
 	stalledShare = 0.5
 )
 
 // CoreReport is what a core reports after each look.
 type CoreReport struct {
-	Seen         uint64    // changes of the list that its module has looked at
-	Done         uint64    // changes that no table of its proxies contradicts any more
-	ShareNumber  uint64    // the number of the share that it works with
-	Waiting      float64   // lines that wait for its proxies
-	Joined       float64   // proxies
-	TypicalRates []float64 // their requests a second, by zone
-	Demands      []float64 // by class
+	SeenEpoch     uint64    // changes of the list that its module has looked at
+	AppliedEpoch  uint64    // changes that no table of its proxies contradicts any more
+	ShareNumber   uint64    // the number of the share that it works with
+	QueuedLines   float64   // lines that wait for its proxies
+	JoinedProxies float64   // proxies
+	TypicalRates  []float64 // their requests a second, by zone
+	Demands       []float64 // by class
 }
 
 // Command is what an assigner has its host do.
@@ -47,14 +47,14 @@
 
 // The commands, to be carried out in their order.
 type (
-	// Assignment gives a proxy's stream to a core, which sends it its whole table. Whoever had it can't order on it any more.
-	Assignment struct {
+	// Assign gives a proxy's stream to a core, which sends it its whole table. Whoever had it can't order on it any more.
+	Assign struct {
 		Stream            uint64
 		Proxy             int
 		Core, Incarnation int
 	}
-	// Leave tells a core that a proxy is not its any more.
-	Leave struct {
+	// Unassign tells a core that a proxy is not its any more.
+	Unassign struct {
 		Stream            uint64
 		Proxy             int
 		Core, Incarnation int
@@ -69,7 +69,7 @@
 	// Isolate takes from a core every stream that it has. Nothing that it still says or orders counts.
 	Isolate struct {
 		Core, Incarnation int
-		Why               string
+		Reason            string
 	}
 	// StartCore starts a core's next incarnation, with the whole list as of the epoch.
 	StartCore struct {
@@ -80,8 +80,8 @@
 	Share struct {
 		Core, Incarnation     int
 		Number                uint64 // changes with Channel
-		Channel               float64
-		Joined                float64
+		ChannelShare          float64
+		JoinedProxies         float64
 		TypicalRates, Demands []float64
 	}
 	// LogLine is a line for the log.
@@ -90,11 +90,11 @@
 		Text string
 	}
 	// Abort says that no core is left: the program can't go on.
-	Abort struct{ Why string }
+	Abort struct{ Reason string }
 )
 
-func (Assignment) command() {}
-func (Leave) command()      {}
+func (Assign) command()     {}
+func (Unassign) command()   {}
 func (Supersede) command()  {}
 func (UpdateList) command() {}
 func (Isolate) command()    {}
@@ -210,7 +210,7 @@
 			a.commands = append(a.commands, Supersede{Stream: stream})
 			return
 		}
-		a.commands = append(a.commands, Leave{Stream: old.stream, Proxy: proxy, Core: old.core,
+		a.commands = append(a.commands, Unassign{Stream: old.stream, Proxy: proxy, Core: old.core,
 			Incarnation: a.cores[old.core].incarnation},
 			Supersede{Stream: old.stream})
 		core, known = old.core, true
@@ -232,12 +232,12 @@
 	if h.core = core; !known {
 		var found bool
 		if h.core, found = pick(loads, zoneLoads, a.settings.Zones, open); !found {
-			return // no core is left, which End has told
+			return // no core is left, which Abort has reported
 		}
 	}
 	a.placements[proxy] = h
 	a.count(h, 1)
-	a.commands = append(a.commands, Assignment{Stream: stream, Proxy: proxy, Core: h.core,
+	a.commands = append(a.commands, Assign{Stream: stream, Proxy: proxy, Core: h.core,
 		Incarnation: a.cores[h.core].incarnation})
 }
 
@@ -250,14 +250,14 @@
 	a.count(h, -1)
 	delete(a.placements, proxy)
 	a.lastCores[proxy] = h.core
-	a.commands = append(a.commands, Leave{Stream: stream, Proxy: proxy, Core: h.core, Incarnation: a.cores[h.core].incarnation})
+	a.commands = append(a.commands, Unassign{Stream: stream, Proxy: proxy, Core: h.core, Incarnation: a.cores[h.core].incarnation})
 }
 
-// ChangeList says that the list has changed. Every core is told; it takes it up with its next look.
-func (a *Assigner) ChangeList(now float64) (epoch uint64) {
+// HandleListChange says that the list has changed. Every core is told; it takes it up with its next look.
+func (a *Assigner) HandleListChange(now float64) (epoch uint64) {
 	for i := range a.cores {
 		if c := &a.cores[i]; c.live {
-			if c.report.Seen >= a.epoch {
+			if c.report.SeenEpoch >= a.epoch {
 				c.listChangedAt = now
 			}
 			a.commands = append(a.commands, UpdateList{Core: i, Incarnation: c.incarnation, Epoch: a.epoch + 1})
@@ -273,21 +273,21 @@
 	if !c.live || c.incarnation != incarnation {
 		return
 	}
-	if c.lastReportAt, c.hasReported = now, true; report.Seen > c.report.Seen {
+	if c.lastReportAt, c.hasReported = now, true; report.SeenEpoch > c.report.SeenEpoch {
 		c.listChangedAt = now // what is still behind has waited at most since then
 	}
 	c.report = report
-	if report.Done >= a.epoch {
+	if report.AppliedEpoch >= a.epoch {
 		c.slowLogged = false
 	}
-	a.budget.confirm(core, report.ShareNumber, report.Waiting)
-	if now-c.healthySince > healthyRests*a.settings.Rest {
+	a.budget.confirm(core, report.ShareNumber, report.QueuedLines)
+	if now-c.healthySince > healthyRests*a.settings.RestartDelay {
 		c.nextRests = 1
 	}
 }
 
-// HandleEnd says that what ran a core has ended, by a panic or since it was cut off.
-func (a *Assigner) HandleEnd(now float64, core, incarnation int, why string) {
+// HandleEnded says that what ran a core has ended, by a panic or since it was cut off.
+func (a *Assigner) HandleEnded(now float64, core, incarnation int, why string) {
 	c := &a.cores[core]
 	if c.incarnation != incarnation {
 		return
@@ -298,9 +298,9 @@
 	}
 }
 
-// Tick looks at the cores. It is to be called several times within Confirm.
+// Tick looks at the cores. It is to be called several times within ConfirmTimeout.
 func (a *Assigner) Tick(now float64) {
-	if late := now - a.lastTick; late > stalledShare*a.settings.Confirm {
+	if late := now - a.lastTick; late > stalledShare*a.settings.ConfirmTimeout {
 		for i := range a.cores {
 			a.cores[i].lastReportAt += late
 			a.cores[i].listChangedAt += late
@@ -323,7 +323,7 @@
 
 // late says whether a core holds its proxies up: no report, or a change of the list that its module has not looked at.
 func (a *Assigner) late(now float64, c *core) bool {
-	return now-c.lastReportAt > a.settings.Confirm || c.report.Seen < a.epoch && now-c.listChangedAt > a.settings.Confirm
+	return now-c.lastReportAt > a.settings.ConfirmTimeout || c.report.SeenEpoch < a.epoch && now-c.listChangedAt > a.settings.ConfirmTimeout
 }
 
 // isolateLate cuts off cores that are late, if another is in time: where all are late it is the machine, and moving every proxy
@@ -339,14 +339,14 @@
 		switch {
 		case !c.live:
 		case a.late(now, c) && healthy:
-			a.isolate(now, i, fmt.Sprintf("no word for %.0f ms, list %d of %d", now-c.lastReportAt, c.report.Seen, a.epoch))
+			a.isolate(now, i, fmt.Sprintf("no word for %.0f ms, list %d of %d", now-c.lastReportAt, c.report.SeenEpoch, a.epoch))
 		case a.late(now, c) && !a.warned:
 			a.warned = true
 			a.log(i, "late, as are all others: none can take over")
 		case !a.late(now, c):
 			a.warned = false
-			if !c.slowLogged && c.report.Done < a.epoch && c.report.Seen >= a.epoch &&
-				now-c.listChangedAt > 2*a.settings.Confirm {
+			if !c.slowLogged && c.report.AppliedEpoch < a.epoch && c.report.SeenEpoch >= a.epoch &&
+				now-c.listChangedAt > 2*a.settings.ConfirmTimeout {
 				c.slowLogged = true
 				a.log(i, "list %d looked at, tables that contradict it still wait for the channel", a.epoch)
 			}
@@ -357,10 +357,10 @@
 // isolate takes a core out and gives its proxies to the others, those of the most traffic first.
 func (a *Assigner) isolate(now float64, index int, why string) {
 	c := &a.cores[index]
-	c.live, c.restartAt, c.healthySince = false, now+c.nextRests*a.settings.Rest, now+c.nextRests*a.settings.Rest
+	c.live, c.restartAt, c.healthySince = false, now+c.nextRests*a.settings.RestartDelay, now+c.nextRests*a.settings.RestartDelay
 	c.nextRests = min(maxRest, 2*c.nextRests)
 	a.budget.remove(index)
-	a.commands = append(a.commands, Isolate{Core: index, Incarnation: c.incarnation, Why: why})
+	a.commands = append(a.commands, Isolate{Core: index, Incarnation: c.incarnation, Reason: why})
 	var displaced []int
 	for proxy, h := range a.placements {
 		if h.core == index {
@@ -383,11 +383,11 @@
 			break
 		}
 		a.move(now, h, to)
-		a.commands = append(a.commands, Assignment{Stream: h.stream, Proxy: proxy, Core: to,
+		a.commands = append(a.commands, Assign{Stream: h.stream, Proxy: proxy, Core: to,
 			Incarnation: a.cores[to].incarnation})
 	}
 	if !slices.ContainsFunc(a.cores, func(c core) bool { return c.live }) {
-		a.commands = append(a.commands, Abort{Why: why})
+		a.commands = append(a.commands, Abort{Reason: why})
 	}
 }
 
@@ -396,7 +396,7 @@
 	c := &a.cores[index]
 	*c = core{live: true, incarnation: c.incarnation + 1, lastReportAt: now, listChangedAt: now, nextRests: c.nextRests,
 		healthySince: now,
-		report:       CoreReport{Seen: a.epoch, Done: a.epoch}}
+		report:       CoreReport{SeenEpoch: a.epoch, AppliedEpoch: a.epoch}}
 	a.budget.add(index)
 	a.commands = append(a.commands, StartCore{Core: index, Incarnation: c.incarnation, Epoch: a.epoch})
 }
@@ -438,7 +438,7 @@
 // balance moves proxies from full cores to empty ones, unless a core has something to take up first.
 func (a *Assigner) balance(now float64) {
 	for i := range a.cores {
-		if c := &a.cores[i]; c.live && (c.report.Done < a.epoch || a.late(now, c)) {
+		if c := &a.cores[i]; c.live && (c.report.AppliedEpoch < a.epoch || a.late(now, c)) {
 			return
 		}
 	}
@@ -449,7 +449,7 @@
 			lowest, highest = min(lowest, load), max(highest, load)
 		}
 	}
-	if a.settings.MovesPerS == 0 || (highest-lowest)*float64(len(a.cores)) <= unevenFrom*float64(len(a.placements)) {
+	if a.settings.MovesPerSecond == 0 || (highest-lowest)*float64(len(a.cores)) <= unevenFrom*float64(len(a.placements)) {
 		return // a quick look; moves goes by the cores that are open
 	}
 	var list []movableProxy
@@ -457,13 +457,13 @@
 		list = append(list, movableProxy{proxy: proxy, core: h.core, zone: h.zone, cost: cost(h.rate, mean),
 			rested: now-h.movedAt >= moveRest})
 	}
-	for _, m := range planMoves(list, open, a.settings.MovesPerS) {
+	for _, m := range planMoves(list, open, a.settings.MovesPerSecond) {
 		h := a.placements[m.proxy]
 		from := h.core
 		a.move(now, h, m.to)
-		a.commands = append(a.commands, Leave{Stream: h.stream, Proxy: m.proxy, Core: from,
+		a.commands = append(a.commands, Unassign{Stream: h.stream, Proxy: m.proxy, Core: from,
 			Incarnation: a.cores[from].incarnation},
-			Assignment{Stream: h.stream, Proxy: m.proxy, Core: m.to, Incarnation: a.cores[m.to].incarnation})
+			Assign{Stream: h.stream, Proxy: m.proxy, Core: m.to, Incarnation: a.cores[m.to].incarnation})
 	}
 }
 
@@ -480,10 +480,10 @@
 			continue
 		}
 		s := Share{Core: i, Incarnation: a.cores[i].incarnation, Number: a.budget.holders[i].number,
-			Channel: a.budget.holders[i].share}
+			ChannelShare: a.budget.holders[i].share}
 		for j := range a.cores {
 			if c := &a.cores[j]; j != i && c.live {
-				s.Joined += c.report.Joined
+				s.JoinedProxies += c.report.JoinedProxies
 				s.TypicalRates = addLists(s.TypicalRates, c.report.TypicalRates)
 				s.Demands = addLists(s.Demands, c.report.Demands)
 			}
--- a/internal/planner/cores/assigner_test.go
+++ b/internal/planner/cores/assigner_test.go
@@ -12,7 +12,7 @@
 const confirm = 400.0
 
 func deskSettings(n int) Settings {
-	return Settings{Cores: n, Zones: 2, QueueLines: 3600, LinesPerSec: 2400, Confirm: confirm, MovesPerS: 4, Rest: 1000}
+	return Settings{Cores: n, Zones: 2, QueueLines: 3600, LinesPerSec: 2400, ConfirmTimeout: confirm, MovesPerSecond: 4, RestartDelay: 1000}
 }
 
 // world is a desk and a host that carries its commands out, with books of its own.
@@ -28,7 +28,7 @@
 	word   []float64 // time of its last word
 	spoken []bool    // it has said one in this life
 	behind []float64 // since when the first change that it has not looked at waits
-	ended  bool      // End was said
+	ended  bool      // Abort was returned
 	broken string
 }
 
@@ -57,7 +57,7 @@
 			w.word[c.Core], w.behind[c.Core], w.spoken[c.Core] = w.now, w.now, false
 		case Isolate:
 			w.life[c.Core] = 0
-		case Assignment:
+		case Assign:
 			if w.life[c.Core] != c.Incarnation {
 				w.fail("proxy %d is given to core %d, which is in life %d and not %d", c.Proxy, c.Core, w.life[c.Core],
 					c.Incarnation)
@@ -66,7 +66,7 @@
 				w.fail("proxy %d is given to core %d while core %d has it", c.Proxy, c.Core, at)
 			}
 			w.owner[c.Proxy], w.stream[c.Proxy] = c.Core, c.Stream
-		case Leave:
+		case Unassign:
 			if at, owned := w.owner[c.Proxy]; !owned || at != c.Core || w.stream[c.Proxy] != c.Stream {
 				w.fail("proxy %d is taken from core %d, which doesn't have it", c.Proxy, c.Core)
 			}
@@ -106,25 +106,25 @@
 	case "leave":
 		w.desk.HandleLeft(w.stream[i], i)
 	case "change":
-		w.desk.ChangeList(w.now)
+		w.desk.HandleListChange(w.now)
 	case "word":
 		if w.life[i] > 0 {
 			w.seen[i], w.word[i], w.behind[i], w.spoken[i] = w.told[i], w.now, w.now, true
-			w.desk.HandleReport(w.now, i, w.life[i], CoreReport{Seen: w.seen[i], Done: w.seen[i],
-				ShareNumber: w.desk.budget.holders[i].number, Joined: 1})
+			w.desk.HandleReport(w.now, i, w.life[i], CoreReport{SeenEpoch: w.seen[i], AppliedEpoch: w.seen[i],
+				ShareNumber: w.desk.budget.holders[i].number, JoinedProxies: 1})
 		}
 	case "old word": // it looks, and doesn't see what it was told
 		if w.life[i] > 0 {
 			w.word[i], w.spoken[i] = w.now, true
-			w.desk.HandleReport(w.now, i, w.life[i], CoreReport{Seen: w.seen[i], Done: w.seen[i],
+			w.desk.HandleReport(w.now, i, w.life[i], CoreReport{SeenEpoch: w.seen[i], AppliedEpoch: w.seen[i],
 				ShareNumber: w.desk.budget.holders[i].number})
 		}
 	case "late word": // of a life that is over
 		if w.life[i] == 0 {
-			w.desk.HandleReport(w.now, i, w.desk.cores[i].incarnation, CoreReport{Seen: 1 << 40, ShareNumber: 1})
+			w.desk.HandleReport(w.now, i, w.desk.cores[i].incarnation, CoreReport{SeenEpoch: 1 << 40, ShareNumber: 1})
 		}
 	case "die":
-		w.desk.HandleEnd(w.now, i, w.desk.cores[i].incarnation, "panic")
+		w.desk.HandleEnded(w.now, i, w.desk.cores[i].incarnation, "panic")
 	case "tick":
 		w.now += confirm / 2
 		w.desk.Tick(w.now)
@@ -312,13 +312,13 @@
 func TestHeldUpProcessCutsNobody(t *testing.T) {
 	d := NewAssigner(deskSettings(4), 0)
 	d.Tick(100)
-	d.ChangeList(150)
+	d.HandleListChange(150)
 	d.Tick(9000)
-	d.HandleReport(9001, 0, 1, CoreReport{Seen: 1, Done: 1})
+	d.HandleReport(9001, 0, 1, CoreReport{SeenEpoch: 1, AppliedEpoch: 1})
 	d.Tick(9020)
 	for _, c := range d.DrainCommands() {
 		if cut, ok := c.(Isolate); ok {
-			t.Errorf("core %d was cut off: %s", cut.Core, cut.Why)
+			t.Errorf("core %d was cut off: %s", cut.Core, cut.Reason)
 		}
 	}
 }
--- a/internal/planner/program/core.go
+++ b/internal/planner/program/core.go
@@ -79,8 +79,8 @@
 		if p := router.Progress(); p.Looks != looks {
 			looks = p.Looks
 			own, waiting := module.OwnLoad()
-			c.report.Store(&cores.CoreReport{Seen: p.Seen, Done: p.Done, ShareNumber: p.Deal, Waiting: waiting,
-				Joined: own.JoinedProxies, TypicalRates: own.TypicalRates, Demands: own.Demands})
+			c.report.Store(&cores.CoreReport{SeenEpoch: p.Seen, AppliedEpoch: p.Done, ShareNumber: p.Deal, QueuedLines: waiting,
+				JoinedProxies: own.JoinedProxies, TypicalRates: own.TypicalRates, Demands: own.Demands})
 		}
 		if wants {
 			alarm.Reset(time.Duration((next - now()) * float64(time.Millisecond)))
--- a/internal/planner/program/day_test.go
+++ b/internal/planner/program/day_test.go
@@ -66,10 +66,10 @@
 	w.t.Helper()
 	close(w.end)
 	w.group.Wait()
-	for _, b := range w.books.Breaks() {
-		w.t.Errorf("%s: %s, at %.0f ms", b.Rule, b.What, b.At)
+	for _, b := range w.books.Violations() {
+		w.t.Errorf("%s: %s, at %.0f ms", b.Rule, b.Detail, b.At)
 	}
-	w.t.Logf("most seen: %+v", w.books.Most)
+	w.t.Logf("most seen: %+v", w.books.Peak)
 }
 
 func (w *watched) tell(m protocol.Member) {
@@ -83,7 +83,7 @@
 	if m.UpSince > 0 {
 		entry.StartedAt = m.UpSince - float64(w.begun.UnixMicro())/1000
 	}
-	w.books.Told(w.now(), entry)
+	w.books.ServerChanged(w.now(), entry)
 }
 
 func (w *watched) change(id, phase string, since float64) {
@@ -96,7 +96,7 @@
 func (w *watched) joins(number int) *standin.Proxy {
 	w.t.Helper()
 	w.mu.Lock()
-	w.books.Joined(w.now(), number, 20)
+	w.books.ProxyJoined(w.now(), number, 20)
 	w.mu.Unlock()
 	p, err := standin.Join(w.planner, number, []string{"north", "south"}[number%2], 20, func(parts []standin.Order) {
 		o := audit.Order{Rows: map[string]float64{}, Retries: map[int]rules.Retry{}, Lines: 3}
@@ -112,7 +112,7 @@
 		}
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.books.Sent(w.now(), number, o)
+		w.books.OrderReceived(w.now(), number, o)
 	})
 	if err != nil {
 		w.t.Fatal(err)
@@ -161,7 +161,7 @@
 			for i := 0; i < proxies; i += 2 { // half leave
 				list[i].Close()
 				w.mu.Lock()
-				w.books.Left(i)
+				w.books.ProxyLeft(i)
 				w.mu.Unlock()
 			}
 		case 44:
@@ -209,7 +209,7 @@
 func (w *watched) joinsGRPC(number int) *standin.GRPCProxy {
 	w.t.Helper()
 	w.mu.Lock()
-	w.books.Joined(w.now(), number, 20)
+	w.books.ProxyJoined(w.now(), number, 20)
 	w.mu.Unlock()
 	p, err := standin.JoinGRPC(w.planner, number, []string{"north", "south"}[number%2], 20, classNames, nil,
 		func(r *discovery.DiscoveryResponse) {
@@ -219,7 +219,7 @@
 				if packed.UnmarshalTo(&a) != nil {
 					return
 				}
-				rows, shut, gate := xds.Read(&a, false)
+				rows, shut, gate := xds.ParseAssignment(&a, false)
 				if gate != nil {
 					o.Retries[slices.Index(classNames, a.GetClusterName())] = rules.Retry(gate.Again)
 				}
@@ -233,7 +233,7 @@
 			o.Lines = float64(len(o.Rows) + 4)
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			w.books.Sent(w.now(), number, o)
+			w.books.OrderReceived(w.now(), number, o)
 		})
 	if err != nil {
 		w.t.Fatal(err)
--- a/internal/planner/program/front.go
+++ b/internal/planner/program/front.go
@@ -39,7 +39,7 @@
 	load.UnimplementedLoadReportingServiceServer
 	healthpb.UnimplementedHealthServer
 
-	facts  xds.Facts
+	facts  xds.Config
 	roles  []options.Role
 	peers  *peers
 	post   func(routing.Event)
@@ -74,8 +74,8 @@
 }
 
 // xdsFacts are the facts that the machines of the gRPC front are given.
-func xdsFacts(set settings.Settings) xds.Facts {
-	f := xds.Facts{Zones: set.ZoneNames, Rates: set.Rates(), Period: set.Rules.ReportPeriod, Within: bounds(set)}
+func xdsFacts(set settings.Settings) xds.Config {
+	f := xds.Config{Zones: set.ZoneNames, RateLevels: set.Rates(), ReportPeriod: set.Rules.ReportPeriod, Bounds: bounds(set)}
 	for _, class := range set.Rules.Classes {
 		f.Classes = append(f.Classes, class.Name)
 	}
--- a/internal/planner/program/front_limits_test.go
+++ b/internal/planner/program/front_limits_test.go
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 		if err := s.Send(&discovery.DiscoveryRequest{Node: standin.ProxyNode(number, "north", 20),
-			TypeUrl: xds.TypeEndpoints}); err != nil {
+			TypeUrl: xds.EndpointsTypeURL}); err != nil {
 			t.Fatal(err)
 		}
 		return s
@@ -73,10 +73,10 @@
 	}
 }
 
-func newJoinedMachine(t *testing.T) *xds.Assignments {
-	m := xds.NewAssignments(xds.Facts{Classes: classNames, Zones: []string{"north"}, Within: protocol.Bounds{Proxies: 4}}, false)
-	if _, _, err := m.Request(0, &discovery.DiscoveryRequest{Node: standin.ProxyNode(0, "north", 1),
-		TypeUrl: xds.TypeEndpoints}); err != nil {
+func newJoinedMachine(t *testing.T) *xds.AssignmentStream {
+	m := xds.NewAssignmentStream(xds.Config{Classes: classNames, Zones: []string{"north"}, Bounds: protocol.Bounds{Proxies: 4}}, false)
+	if _, _, err := m.HandleRequest(0, &discovery.DiscoveryRequest{Node: standin.ProxyNode(0, "north", 1),
+		TypeUrl: xds.EndpointsTypeURL}); err != nil {
 		t.Fatal(err)
 	}
 	return m
@@ -120,7 +120,7 @@
 		if err != nil {
 			return nil, err
 		}
-		err = s.Send(&discovery.DiscoveryRequest{Node: standin.ProxyNode(number, "north", 1), TypeUrl: xds.TypeEndpoints,
+		err = s.Send(&discovery.DiscoveryRequest{Node: standin.ProxyNode(number, "north", 1), TypeUrl: xds.EndpointsTypeURL,
 			ResourceNames: names})
 		if err == nil {
 			_, err = s.Recv()
@@ -154,7 +154,7 @@
 	if _, err := open(context.Background(), 4); err != nil {
 		t.Errorf("after the others have ended: %v", err)
 	}
-	if err := stays.Send(&discovery.DiscoveryRequest{TypeUrl: xds.TypeEndpoints}); err != nil {
+	if err := stays.Send(&discovery.DiscoveryRequest{TypeUrl: xds.EndpointsTypeURL}); err != nil {
 		t.Errorf("the stream that stayed: %v", err)
 	}
 
--- a/internal/planner/program/front_loads.go
+++ b/internal/planner/program/front_loads.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return err
 	}
-	stream := &loadStream{frontend: f, conn: conn, from: from, machine: xds.NewLoads(f.facts),
+	stream := &loadStream{frontend: f, conn: conn, from: from, machine: xds.NewLoadStream(f.facts),
 		peer: &mutePeer{id: transport.NextID()}}
 	defer stream.end()
 	for {
@@ -33,7 +33,7 @@
 		if err != nil {
 			return err
 		}
-		update, err := stream.machine.Request(request)
+		update, err := stream.machine.HandleRequest(request)
 		if err != nil {
 			f.peers.count("gRPC stream ended", conn.Remote(), err)
 			return status.Error(codes.InvalidArgument, err.Error())
@@ -55,7 +55,7 @@
 	frontend *frontend
 	conn     *transport.Conn
 	from     *peer.Peer
-	machine  *xds.Loads
+	machine  *xds.LoadStream
 	peer     *mutePeer
 	known    bool // the peer has named itself and is admitted
 }
@@ -72,7 +72,7 @@
 	if s.known {
 		return nil
 	}
-	who, _ := s.machine.Who()
+	who, _ := s.machine.Identity()
 	if err := s.frontend.may(s.from, who); err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 	for _, invalid := range update.Invalid {
 		f.peers.count("line not used", s.conn.Remote(), invalid)
 	}
-	who, _ := s.machine.Who()
+	who, _ := s.machine.Identity()
 	if who.Role == xds.Proxy && len(update.Messages) > 0 && !f.holding(s.conn, who.Proxy) {
 		// Guards against the load of a stream that has been replaced, and of one proxy in another's name.
 		f.peers.count("line not used", s.conn.Remote(),
--- a/internal/planner/program/front_streams.go
+++ b/internal/planner/program/front_streams.go
@@ -23,25 +23,27 @@
 
 // StreamAggregatedResources implements the discovery service: state of the world.
 func (f *frontend) StreamAggregatedResources(s discovery.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
-	machine := xds.NewAssignments(f.facts, false)
+	machine := xds.NewAssignmentStream(f.facts, false)
 	return f.assign(s, machine, func() (fed, error) {
 		r, err := s.Recv()
-		return func() ([]protocol.Message, []xds.InvalidPartError, error) { return machine.Request(f.now(), r) }, err
+		return func() ([]protocol.Message, []xds.InvalidPartError, error) { return machine.HandleRequest(f.now(), r) }, err
 	})
 }
 
 // DeltaAggregatedResources implements the discovery service: incremental.
 func (f *frontend) DeltaAggregatedResources(s discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesServer) error {
-	machine := xds.NewAssignments(f.facts, true)
+	machine := xds.NewAssignmentStream(f.facts, true)
 	return f.assign(s, machine, func() (fed, error) {
 		r, err := s.Recv()
-		return func() ([]protocol.Message, []xds.InvalidPartError, error) { return machine.DeltaRequest(f.now(), r) }, err
+		return func() ([]protocol.Message, []xds.InvalidPartError, error) {
+			return machine.HandleDeltaRequest(f.now(), r)
+		}, err
 	})
 }
 
 // assign serves a stream of assignments. Beside it run one goroutine that receives and one that sends; both end with the
 // stream, which the handler's return closes.
-func (f *frontend) assign(s grpc.ServerStream, machine *xds.Assignments, receive func() (fed, error)) error {
+func (f *frontend) assign(s grpc.ServerStream, machine *xds.AssignmentStream, receive func() (fed, error)) error {
 	conn, from, err := f.caller(s.Context())
 	if err != nil {
 		return err
@@ -107,7 +109,7 @@
 			return status.Error(codes.InvalidArgument, bad.Error())
 		}
 		if _, joins := first[protocol.Attach](said); joins {
-			who, _ := p.machine.Who()
+			who, _ := p.machine.Identity()
 			if err := f.may(from, who); err != nil {
 				return err
 			}
--- a/internal/planner/program/host.go
+++ b/internal/planner/program/host.go
@@ -95,8 +95,8 @@
 	h.merge(c.Known)
 	h.listed.Store(len(c.Known.Members) > 0)
 	h.assigner = cores.NewAssigner(cores.Settings{Cores: n, Zones: len(c.Settings.ZoneNames), QueueLines: r.QueueLines,
-		LinesPerSec: r.LinesPerSec,
-		Confirm:     confirm, MovesPerS: c.Own.Cores.MovesPerS, Rest: c.Own.Cores.RestMS}, h.now())
+		LinesPerSec:    r.LinesPerSec,
+		ConfirmTimeout: confirm, MovesPerSecond: c.Own.Cores.MovesPerS, RestartDelay: c.Own.Cores.RestMS}, h.now())
 	return h
 }
 
@@ -276,7 +276,7 @@
 		h.log.Error().Int("core", e.core).Int("life", e.incarnation).Str("error", why).Msg("core failed")
 	}
 	h.all = slices.DeleteFunc(h.all, func(c *coreRun) bool { return c.index == e.core && c.incarnation == e.incarnation })
-	h.assigner.HandleEnd(h.now(), e.core, e.incarnation, why)
+	h.assigner.HandleEnded(h.now(), e.core, e.incarnation, why)
 }
 
 // merge takes a list into the whole one.
@@ -297,7 +297,7 @@
 func (h *supervisor) change(l protocol.List) {
 	h.merge(l)
 	h.list = l
-	h.assigner.ChangeList(h.now())
+	h.assigner.HandleListChange(h.now())
 	if h.listed.Store(true); len(h.waiting) > 0 {
 		for _, peer := range h.waiting {
 			peer.Beat()
@@ -326,11 +326,11 @@
 			h.runs[c.Core].in.order(routing.Notified{List: h.list, Epoch: c.Epoch})
 		case cores.Share:
 			h.runs[c.Core].in.order(routing.Allocated{Number: c.Number,
-				Part: rules.Part{ChannelShare: c.Channel, JoinedProxies: c.Joined, TypicalRates: c.TypicalRates,
+				Part: rules.Part{ChannelShare: c.ChannelShare, JoinedProxies: c.JoinedProxies, TypicalRates: c.TypicalRates,
 					Demands: c.Demands}})
-		case cores.Assignment:
+		case cores.Assign:
 			h.place(c)
-		case cores.Leave:
+		case cores.Unassign:
 			if l := h.owners[c.Proxy].Swap(nil); l != nil {
 				l.revoke()
 				l.core.in.order(routing.Ended{Peer: l})
@@ -346,7 +346,7 @@
 		case cores.LogLine:
 			h.log.Warn().Int("core", c.Core).Msg("core: " + c.Text)
 		case cores.Abort:
-			return errors.New("no core is left: " + c.Why)
+			return errors.New("no core is left: " + c.Reason)
 		}
 	}
 	return nil
@@ -396,11 +396,11 @@
 	run.in.close()
 	h.publish()
 	h.log.Error().Int("core", c.Core).Int("life", c.Incarnation).Int("proxies", taken).Str("cause",
-		firstLine(c.Why)).Msg("core cut off: others take its proxies")
+		firstLine(c.Reason)).Msg("core cut off: others take its proxies")
 }
 
 // place gives a stream to a core. Who had the proxy before can't order on it any more.
-func (h *supervisor) place(c cores.Assignment) {
+func (h *supervisor) place(c cores.Assign) {
 	s := h.streams[c.Stream]
 	old := h.leases[c.Proxy]
 	if old != nil {
--- a/internal/planner/program/xdspeer.go
+++ b/internal/planner/program/xdspeer.go
@@ -21,7 +21,7 @@
 	wake   chan struct{}
 
 	mu      sync.Mutex
-	machine *xds.Assignments
+	machine *xds.AssignmentStream
 	queue   []proto.Message
 	unread  int // bytes in the queue
 	ended   error
@@ -44,7 +44,7 @@
 	if p.ended != nil {
 		return p.ended
 	}
-	m, err := p.machine.Order(p.now(), o)
+	m, err := p.machine.Encode(p.now(), o)
 	if err != nil || m == nil {
 		return err
 	}
@@ -107,7 +107,7 @@
 func (p *xdsPeer) joined() (xds.Identity, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	who, _ := p.machine.Who()
+	who, _ := p.machine.Identity()
 	return who, p.in
 }
 
--- a/internal/planner/simhost/simhost.go
+++ b/internal/planner/simhost/simhost.go
@@ -67,11 +67,11 @@
 			order = append(order, r.Instance)
 		}
 		switch {
-		case r.Halt:
+		case r.Stop:
 			delete(h.instances, r.Instance)
 			events[r.Instance] = events[r.Instance][:0]
-		case r.Born != nil:
-			h.instances[r.Instance] = h.start(r.Born.Settings, r.Born.Seed)
+		case r.Start != nil:
+			h.instances[r.Instance] = h.start(r.Start.Settings, r.Start.Seed)
 			events[r.Instance] = events[r.Instance][:0]
 		case r.Event != nil:
 			events[r.Instance] = append(events[r.Instance], r.Event)
@@ -86,9 +86,9 @@
 		if len(actions) == 0 && failure == "" {
 			continue
 		}
-		reply.For(id)
+		reply.SelectInstance(id)
 		if failure != "" {
-			reply.BailOut(failure)
+			reply.AddFailure(failure)
 			continue
 		}
 		for _, a := range actions {
--- a/internal/planner/simhost/simhost_test.go
+++ b/internal/planner/simhost/simhost_test.go
@@ -36,7 +36,7 @@
 	}), &all
 }
 
-func born(i uint16) wire.Record { return wire.Record{Instance: i, Born: &wire.Born{}} }
+func born(i uint16) wire.Record { return wire.Record{Instance: i, Start: &wire.Start{}} }
 func tick(i uint16, token uint32) wire.Record {
 	return wire.Record{Instance: i, Event: rules.Tick{Token: token}}
 }
@@ -62,7 +62,7 @@
 func TestStopAndStartInOneBatch(t *testing.T) {
 	h, all := host()
 	answer(t, h, born(1), tick(1, 1))
-	answer(t, h, tick(1, 2), wire.Record{Instance: 1, Halt: true}, born(1), tick(1, 3))
+	answer(t, h, tick(1, 2), wire.Record{Instance: 1, Stop: true}, born(1), tick(1, 3))
 	if len(*all) != 2 {
 		t.Fatalf("%d instances were started, want 2", len(*all))
 	}
@@ -72,7 +72,7 @@
 	if got := len((*all)[0].turns); got != 1 {
 		t.Fatalf("the stopped instance had %d turns, want 1", got)
 	}
-	answer(t, h, wire.Record{Instance: 1, Halt: true})
+	answer(t, h, wire.Record{Instance: 1, Stop: true})
 	if frame := answer(t, h, tick(1, 4)); !bytes.Equal(frame, make([]byte, 8)) {
 		t.Fatalf("a stopped instance acted: %x", frame)
 	}
--- a/internal/planner/standin/grpc.go
+++ b/internal/planner/standin/grpc.go
@@ -72,7 +72,7 @@
 		node: ProxyNode(number, zone, rate), classes: classes,
 		heed: heed, done: make(chan struct{})}
 	if p.stream, err = discovery.NewAggregatedDiscoveryServiceClient(client).StreamAggregatedResources(ctx); err == nil {
-		err = p.stream.Send(&discovery.DiscoveryRequest{Node: p.node, TypeUrl: xds.TypeEndpoints, ResourceNames: classes})
+		err = p.stream.Send(&discovery.DiscoveryRequest{Node: p.node, TypeUrl: xds.EndpointsTypeURL, ResourceNames: classes})
 	}
 	if err != nil {
 		cancel()
@@ -148,11 +148,11 @@
 		if err := packed.UnmarshalTo(&a); err != nil {
 			return err
 		}
-		rows, shut, gate := xds.Read(&a, false)
+		rows, shut, gate := xds.ParseAssignment(&a, false)
 		if i == 0 {
 			s.Table, s.Shut = map[string]float64{}, map[string]bool{}
 			for _, row := range rows {
-				s.Table[row.Server] = row.Weight / xds.WeightOfLargest
+				s.Table[row.Server] = row.Weight / xds.MaxWeight
 			}
 			for _, name := range shut {
 				s.Shut[name] = true
--- a/internal/planner/wire/wire.go
+++ b/internal/planner/wire/wire.go
@@ -57,17 +57,17 @@
 	acFor         = 14
 )
 
-// Record is one event record for one instance. Exactly one of Born, Halt and Event is set; none of
+// Record is one event record for one instance. Exactly one of Start, Stop and Event is set; none of
 // them is set for a record that the module has no use for (peer data and slice records).
 type Record struct {
 	Instance uint16
-	Born     *Born
-	Halt     bool
+	Start    *Start
+	Stop     bool
 	Event    rules.Event
 }
 
-// Born starts an instance.
-type Born struct {
+// Start starts an instance.
+type Start struct {
 	Seed     uint64
 	Settings rules.Settings
 }
@@ -191,7 +191,7 @@
 		if err != nil {
 			return Record{}, err
 		}
-		return Record{Born: &Born{Seed: rec.u64(1), Settings: set.Rules}}, nil
+		return Record{Start: &Start{Seed: rec.u64(1), Settings: set.Rules}}, nil
 	case evEndpoints:
 		return decodeList(rec, tail)
 	case evTickDue:
@@ -205,7 +205,7 @@
 		_, err := tailBytes(tail, rec, 5, 1)
 		return Record{}, err
 	case evHalt:
-		return Record{Halt: true}, nil
+		return Record{Stop: true}, nil
 	case evStreamUp:
 		return Record{Event: rules.Joined{Proxy: rules.ProxyID(rec.u16(1)), Zone: rec.u8(3), Rate: rec.f32(4),
 			Fresh: rec.u8(8) != 0}}, nil
@@ -282,11 +282,11 @@
 	}
 }
 
-// For selects the instance of the actions that follow.
-func (r *Reply) For(instance uint16) { r.record(acFor).putU16(1, instance) }
+// SelectInstance selects the instance of the actions that follow.
+func (r *Reply) SelectInstance(instance uint16) { r.record(acFor).putU16(1, instance) }
 
-// BailOut says that the decision code of the selected instance failed.
-func (r *Reply) BailOut(text string) { r.text(acBailOut, text) }
+// AddFailure says that the decision code of the selected instance failed.
+func (r *Reply) AddFailure(text string) { r.text(acBailOut, text) }
 
 func (r *Reply) text(code byte, text string) {
 	rec := r.record(code)
--- a/internal/planner/wire/wire_test.go
+++ b/internal/planner/wire/wire_test.go
@@ -114,14 +114,14 @@
 
 func TestReplyOfTheWirePage(t *testing.T) {
 	var r Reply
-	r.For(3)
+	r.SelectInstance(3)
 	for _, a := range []rules.Action{rules.SetWeight{Table: 117, Server: 0x2c9011f2, Weight: 0.5},
 		rules.Timer{Delay: 500, Token: 77}} {
 		if err := r.Add(a); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r.For(5)
+	r.SelectInstance(5)
 	if err := r.Add(rules.Log{Text: "two servers known"}); err != nil {
 		t.Fatal(err)
 	}
@@ -161,7 +161,7 @@
 		}
 	}
 	var r Reply
-	r.BailOut("index out of range")
+	r.AddFailure("index out of range")
 	want := unhex(t, "05 00000000 12000000", zeros(7), hex.EncodeToString([]byte("index out of range")))
 	if got := r.Frame()[8:]; !bytes.Equal(got, want) {
 		t.Errorf("failure record %x, want %x", got, want)
@@ -209,7 +209,7 @@
 		{ID: 0x2c9011f2, Weight: 1.5, Kind: 2, Zone: 1, State: rules.Draining, StartedAt: 5332, Cell: 9},
 		{ID: 7, State: rules.Removed}}}
 	want := []Record{
-		{Instance: 3, Born: &Born{Seed: 99, Settings: set.Rules}},
+		{Instance: 3, Start: &Start{Seed: 99, Settings: set.Rules}},
 		{Instance: 3, Event: list},
 		{Instance: 3, Event: rules.List{Kind: rules.ListFailed}},
 		{Instance: 3, Event: rules.Tick{Token: 77}},
@@ -217,7 +217,7 @@
 		{Instance: 3, Event: rules.Probed{Server: 8, Refused: true, Elapsed: 1}},
 		{Instance: 3, Event: rules.Probed{Server: 8, Elapsed: 250}},
 		{Instance: 3},
-		{Instance: 3, Halt: true},
+		{Instance: 3, Stop: true},
 		{Instance: 3, Event: rules.Joined{Proxy: 41, Zone: 1, Rate: 6.5, Fresh: true}},
 		{Instance: 3, Event: rules.Left{Proxy: 41}},
 		{Instance: 3, Event: rules.Ack{Proxy: 12, Token: 41, Elapsed: 404.5}},
@@ -322,7 +322,7 @@
 			t.Fatalf("%d records from %d bytes", len(b.Records), len(in))
 		}
 		for i, r := range b.Records {
-			if r.Born != nil && (r.Halt || r.Event != nil) || r.Halt && r.Event != nil {
+			if r.Start != nil && (r.Stop || r.Event != nil) || r.Stop && r.Event != nil {
 				t.Fatalf("record %d says several things: %+v", i, r)
 			}
 		}
--- a/internal/planner/xds/ads.go
+++ b/internal/planner/xds/ads.go
@@ -14,8 +14,8 @@
 	"mulleinwood/internal/planner/protocol"
 )
 
-// TypeEndpoints is the one type of resource that is served: the assignments of a class.
-const TypeEndpoints = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
+// EndpointsTypeURL is the one type of resource that is served: the assignments of a class.
+const EndpointsTypeURL = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 
 const (
 	maxPendingMarks = 64 // messages sent and not answered that are remembered; older answers are void
@@ -24,9 +24,9 @@
 	maxRefused   = 60000.0
 )
 
-// Assignments is the machine of one stream that takes assignments, of either form.
-type Assignments struct {
-	facts Facts
+// AssignmentStream is the machine of one stream that takes assignments, of either form.
+type AssignmentStream struct {
+	facts Config
 	known bool
 	who   Identity
 	table table
@@ -48,17 +48,17 @@
 	at    float64
 }
 
-// NewAssignments returns the machine of a stream. Incremental says which form its messages have.
-func NewAssignments(f Facts, incremental bool) *Assignments {
-	return &Assignments{facts: f, table: newTable(), incremental: incremental}
+// NewAssignmentStream returns the machine of a stream. Incremental says which form its messages have.
+func NewAssignmentStream(f Config, incremental bool) *AssignmentStream {
+	return &AssignmentStream{facts: f, table: newTable(), incremental: incremental}
 }
 
-// Who is the proxy, once it has named itself.
-func (a *Assignments) Who() (Identity, bool) { return a.who, a.known }
+// Identity is the proxy, once it has named itself.
+func (a *AssignmentStream) Identity() (Identity, bool) { return a.who, a.known }
 
-// Request takes a message of the state of the world. Its messages go to routing; what is of no use comes back as Voids; an
+// HandleRequest takes a message of the state of the world. Its messages go to routing; what is of no use comes back as Voids; an
 // error ends the stream.
-func (a *Assignments) Request(now float64, r *discovery.DiscoveryRequest) (said []protocol.Message,
+func (a *AssignmentStream) HandleRequest(now float64, r *discovery.DiscoveryRequest) (said []protocol.Message,
 	voids []InvalidPartError, err error) {
 	if err := a.begin(r.GetNode(), r.GetTypeUrl()); err != nil {
 		return nil, nil, err
@@ -72,15 +72,15 @@
 	return append(said, more...), append(voids, odd...), err
 }
 
-// DeltaRequest takes an incremental message.
-func (a *Assignments) DeltaRequest(now float64, r *discovery.DeltaDiscoveryRequest) (said []protocol.Message,
+// HandleDeltaRequest takes an incremental message.
+func (a *AssignmentStream) HandleDeltaRequest(now float64, r *discovery.DeltaDiscoveryRequest) (said []protocol.Message,
 	voids []InvalidPartError, err error) {
 	if err := a.begin(r.GetNode(), r.GetTypeUrl()); err != nil {
 		return nil, nil, err
 	}
 	said, voids = a.answered(now, r.GetResponseNonce(), r.GetErrorDetail())
 	if len(r.GetResourceNamesSubscribe()) > 2*len(a.facts.Classes)+1 {
-		return said, voids, ErrManyNames
+		return said, voids, ErrTooManyNames
 	}
 	names := slices.Concat(a.names, r.GetResourceNamesSubscribe())
 	if first := !a.joined && len(names) == 0; first {
@@ -99,7 +99,7 @@
 }
 
 // begin checks who speaks, and of what.
-func (a *Assignments) begin(n *core.Node, typeURL string) error {
+func (a *AssignmentStream) begin(n *core.Node, typeURL string) error {
 	if !a.known {
 		who, err := Identify(n, a.facts)
 		if err != nil {
@@ -110,17 +110,17 @@
 		}
 		a.who, a.known = who, true
 	} else if !same(n, a.who, a.facts) {
-		return ErrOtherNode
+		return ErrNodeChanged
 	}
-	if typeURL != TypeEndpoints {
-		return fmt.Errorf("%w: %.80q", ErrType, typeURL)
+	if typeURL != EndpointsTypeURL {
+		return fmt.Errorf("%w: %.80q", ErrUnsupportedType, typeURL)
 	}
 	return nil
 }
 
 // answered takes the answer to a message. An acceptance is the line protocol's done; a refusal asks for a whole table
 // later, each time after twice the wait.
-func (a *Assignments) answered(now float64, nonce string, detail *statuspb.Status) (said []protocol.Message,
+func (a *AssignmentStream) answered(now float64, nonce string, detail *statuspb.Status) (said []protocol.Message,
 	voids []InvalidPartError) {
 	if nonce == "" {
 		return nil, nil
@@ -151,9 +151,9 @@
 
 // subscribe takes the names of a stream's resources. The first make it join; others get it a whole table, since what it
 // holds of a class that it newly names isn't known.
-func (a *Assignments) subscribe(names []string) (said []protocol.Message, voids []InvalidPartError, err error) {
+func (a *AssignmentStream) subscribe(names []string) (said []protocol.Message, voids []InvalidPartError, err error) {
 	if len(names) > 2*len(a.facts.Classes)+1 { // room for some that are no class, each told of once
-		return nil, nil, ErrManyNames
+		return nil, nil, ErrTooManyNames
 	}
 	var wanted []string
 	all := len(names) == 0 || slices.Contains(names, "*")
@@ -172,18 +172,18 @@
 	switch {
 	case !a.joined && len(wanted) > 0:
 		a.joined = true
-		said = append(said, protocol.Attach{Proxy: a.who.Proxy, Zone: a.who.Zone, Weight: a.who.Weight, Fresh: a.who.Fresh})
+		said = append(said, protocol.Attach{Proxy: a.who.Proxy, Zone: a.who.Zone, Weight: a.who.Rate, Fresh: a.who.Fresh})
 	case a.joined && more:
 		said = append(said, protocol.Refused{Proxy: a.who.Proxy})
 	}
 	return said, voids, nil
 }
 
-// Due is when Wake is to be called; 0: not at all.
-func (a *Assignments) Due() float64 { return a.due }
+// WakeAt is when Wake is to be called; 0: not at all.
+func (a *AssignmentStream) WakeAt() float64 { return a.due }
 
 // Wake asks for the whole table that a refusal has earned, once its wait is over.
-func (a *Assignments) Wake(now float64) []protocol.Message {
+func (a *AssignmentStream) Wake(now float64) []protocol.Message {
 	if a.due == 0 || now < a.due {
 		return nil
 	}
@@ -191,9 +191,9 @@
 	return []protocol.Message{protocol.Refused{Proxy: a.who.Proxy}}
 }
 
-// Order takes an order in and returns the message that carries it, of the stream's form; nil where nothing that the proxy
+// Encode takes an order in and returns the message that carries it, of the stream's form; nil where nothing that the proxy
 // has subscribed to changes and no answer is asked for.
-func (a *Assignments) Order(now float64, o protocol.Orders) (proto.Message, error) {
+func (a *AssignmentStream) Encode(now float64, o protocol.Orders) (proto.Message, error) {
 	changed := a.table.apply(o, a.facts.Classes)
 	changed = slices.DeleteFunc(slices.Clone(changed), func(class string) bool { return !slices.Contains(a.names, class) })
 	if len(changed) == 0 && o.Stamp == nil {
@@ -210,9 +210,9 @@
 		a.sent = a.sent[1:]
 	}
 	if a.incremental {
-		out := &discovery.DeltaDiscoveryResponse{SystemVersionInfo: m.nonce, TypeUrl: TypeEndpoints, Nonce: m.nonce}
+		out := &discovery.DeltaDiscoveryResponse{SystemVersionInfo: m.nonce, TypeUrl: EndpointsTypeURL, Nonce: m.nonce}
 		for _, class := range changed {
-			packed, err := anypb.New(a.table.assignment(class, a.facts.Rates))
+			packed, err := anypb.New(a.table.assignment(class, a.facts.RateLevels))
 			if err != nil {
 				return nil, err
 			}
@@ -220,9 +220,9 @@
 		}
 		return out, nil
 	}
-	out := &discovery.DiscoveryResponse{VersionInfo: m.nonce, TypeUrl: TypeEndpoints, Nonce: m.nonce}
+	out := &discovery.DiscoveryResponse{VersionInfo: m.nonce, TypeUrl: EndpointsTypeURL, Nonce: m.nonce}
 	for _, class := range changed {
-		packed, err := anypb.New(a.table.assignment(class, a.facts.Rates))
+		packed, err := anypb.New(a.table.assignment(class, a.facts.RateLevels))
 		if err != nil {
 			return nil, err
 		}
--- a/internal/planner/xds/load.go
+++ b/internal/planner/xds/load.go
@@ -18,18 +18,18 @@
 // many they were. Other metrics make up its load report.
 const LatencyMetric = "latency_ms"
 
-// Loads is the machine of one stream that reports load.
-type Loads struct {
-	facts Facts
+// LoadStream is the machine of one stream that reports load.
+type LoadStream struct {
+	facts Config
 	known bool
 	who   Identity
 }
 
-// NewLoads returns the machine of a stream.
-func NewLoads(f Facts) *Loads { return &Loads{facts: f} }
+// NewLoadStream returns the machine of a stream.
+func NewLoadStream(f Config) *LoadStream { return &LoadStream{facts: f} }
 
-// Who is the peer, once it has named itself.
-func (l *Loads) Who() (Identity, bool) { return l.who, l.known }
+// Identity is the peer, once it has named itself.
+func (l *LoadStream) Identity() (Identity, bool) { return l.who, l.known }
 
 // LoadUpdate is what a message of a stream said.
 type LoadUpdate struct {
@@ -38,9 +38,9 @@
 	Response *load.LoadStatsResponse // to be sent back; nil: nothing
 }
 
-// Request takes a message. The first is answered by how often to report. A proxy reports by class what came to it, a
+// HandleRequest takes a message. The first is answered by how often to report. A proxy reports by class what came to it, a
 // collector by endpoint what its zone's proxies met there.
-func (l *Loads) Request(r *load.LoadStatsRequest) (update LoadUpdate, err error) {
+func (l *LoadStream) HandleRequest(r *load.LoadStatsRequest) (update LoadUpdate, err error) {
 	if !l.known {
 		if l.who, err = Identify(r.GetNode(), l.facts); err != nil {
 			return LoadUpdate{}, err
@@ -48,7 +48,7 @@
 		l.known = true
 		l.greet(&update)
 	} else if !same(r.GetNode(), l.who, l.facts) {
-		return LoadUpdate{}, ErrOtherNode
+		return LoadUpdate{}, ErrNodeChanged
 	}
 	for _, cluster := range r.GetClusterStats() {
 		l.takeCluster(cluster, &update)
@@ -57,9 +57,9 @@
 }
 
 // greet answers the first message.
-func (l *Loads) greet(update *LoadUpdate) {
+func (l *LoadStream) greet(update *LoadUpdate) {
 	update.Response = &load.LoadStatsResponse{SendAllClusters: true, ReportEndpointGranularity: l.who.Role == Collector,
-		LoadReportingInterval: durationpb.New(time.Duration(l.facts.Period * float64(time.Millisecond)))}
+		LoadReportingInterval: durationpb.New(time.Duration(l.facts.ReportPeriod * float64(time.Millisecond)))}
 	if l.who.Role == Collector {
 		update.Messages = append(update.Messages, protocol.Collector{Zone: l.who.Zone})
 	}
@@ -70,7 +70,7 @@
 }
 
 // takeCluster takes the report of a class.
-func (l *Loads) takeCluster(cluster *endpoint.ClusterStats, update *LoadUpdate) {
+func (l *LoadStream) takeCluster(cluster *endpoint.ClusterStats, update *LoadUpdate) {
 	span := float64(cluster.GetLoadReportInterval().AsDuration()) / float64(time.Millisecond)
 	if cluster.GetLoadReportInterval() == nil || !(span > 0) {
 		update.invalid(cluster.GetClusterName(), errBadInterval)
@@ -78,7 +78,7 @@
 	}
 	if l.who.Role == Proxy {
 		report := usage(l.who.Proxy, cluster, span)
-		if err := report.Check(l.facts.Within); err != nil {
+		if err := report.Check(l.facts.Bounds); err != nil {
 			update.invalid(cluster.GetClusterName(), err)
 			return
 		}
@@ -89,7 +89,7 @@
 		for _, stats := range locality.GetUpstreamEndpointStats() {
 			report, err := l.met(stats, span)
 			if err == nil {
-				err = report.Check(l.facts.Within)
+				err = report.Check(l.facts.Bounds)
 			}
 			if err != nil {
 				update.invalid(report.Server+report.Address, err)
@@ -112,7 +112,7 @@
 }
 
 // met is what a zone's proxies met at a server.
-func (l *Loads) met(e *endpoint.UpstreamEndpointStats, span float64) (protocol.ServerReport, error) {
+func (l *LoadStream) met(e *endpoint.UpstreamEndpointStats, span float64) (protocol.ServerReport, error) {
 	m := protocol.ServerReport{Zone: l.who.Zone, Server: e.GetMetadata().GetFields()[idKey].GetStringValue(),
 		Address: hostPort(e.GetAddress()),
 		Tries:   float64(e.GetTotalIssuedRequests()), Failed: float64(e.GetTotalErrorRequests()), Span: span}
--- a/internal/planner/xds/mixed_test.go
+++ b/internal/planner/xds/mixed_test.go
@@ -40,8 +40,8 @@
 	now     *float64
 	proxy   int
 	zone    string
-	machine *xds.Assignments
-	loads   *xds.Loads
+	machine *xds.AssignmentStream
+	loads   *xds.LoadStream
 	table   map[string]float64
 	levels  map[string]float64
 	nonces  []string // to be answered
@@ -82,7 +82,7 @@
 		}
 		return nil
 	}
-	m, err := p.machine.Order(*p.now, o)
+	m, err := p.machine.Encode(*p.now, o)
 	if err != nil {
 		return err
 	}
@@ -108,7 +108,7 @@
 		}
 	}
 	for _, a := range resources {
-		rows, _, gate := xds.Read(a, false)
+		rows, _, gate := xds.ParseAssignment(a, false)
 		clear(p.table)
 		for _, r := range rows {
 			p.table[r.Server] = r.Weight
@@ -162,8 +162,8 @@
 func play(t *testing.T, seed uint64, choose func(stream int) speech) (log []string, proxies []*party) {
 	const servers, looks = 12, 250
 	set := mixedSettings
-	facts := xds.Facts{Zones: set.ZoneNames, Classes: []string{"view", "pay"}, Period: 1000,
-		Within: protocol.Bounds{Proxies: set.Rules.Proxies, MeanMost: 4000, SpanMost: 60000}}
+	facts := xds.Config{Zones: set.ZoneNames, Classes: []string{"view", "pay"}, ReportPeriod: 1000,
+		Bounds: protocol.Bounds{Proxies: set.Rules.Proxies, MeanMost: 4000, SpanMost: 60000}}
 	rng, now := rand.New(rand.NewPCG(seed, 17)), 1e6
 	known := protocol.List{Revision: 1, Complete: true}
 	entry := func(i int, phase string, since float64) protocol.Member {
@@ -181,7 +181,7 @@
 		}
 	}
 	line := func(p *party, text string) {
-		m, err := protocol.Decode([]byte(text), facts.Within)
+		m, err := protocol.Decode([]byte(text), facts.Bounds)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -194,26 +194,26 @@
 	}
 	join := func(proxy int) *party {
 		p := begin(proxy, set.ZoneNames[proxy%2])
-		p.machine, p.loads = xds.NewAssignments(facts, p.speaks == delta), xds.NewLoads(facts)
+		p.machine, p.loads = xds.NewAssignmentStream(facts, p.speaks == delta), xds.NewLoadStream(facts)
 		node := standin.ProxyNode(proxy, p.zone, 20)
 		switch p.speaks {
 		case lines:
 			line(p, fmt.Sprintf(`{"t":"attach","proxy":%d,"zone":%q,"weight":20,"fresh":true}`, proxy, p.zone))
 		case world:
-			said, _, err := p.machine.Request(now, &discovery.DiscoveryRequest{Node: node, TypeUrl: xds.TypeEndpoints})
+			said, _, err := p.machine.HandleRequest(now, &discovery.DiscoveryRequest{Node: node, TypeUrl: xds.EndpointsTypeURL})
 			if err != nil {
 				t.Fatal(err)
 			}
 			say(p, said)
 		case delta:
-			said, _, err := p.machine.DeltaRequest(now, &discovery.DeltaDiscoveryRequest{Node: node, TypeUrl: xds.TypeEndpoints, ResourceNamesSubscribe: facts.Classes})
+			said, _, err := p.machine.HandleDeltaRequest(now, &discovery.DeltaDiscoveryRequest{Node: node, TypeUrl: xds.EndpointsTypeURL, ResourceNamesSubscribe: facts.Classes})
 			if err != nil {
 				t.Fatal(err)
 			}
 			say(p, said)
 		}
 		if p.speaks != lines {
-			p.loads.Request(&load.LoadStatsRequest{Node: node})
+			p.loads.HandleRequest(&load.LoadStatsRequest{Node: node})
 		}
 		return p
 	}
@@ -223,8 +223,8 @@
 			line(p, fmt.Sprintf(`{"t":"telemetry","zone":%q}`, zone))
 			return p
 		}
-		p.loads = xds.NewLoads(facts)
-		update, err := p.loads.Request(&load.LoadStatsRequest{Node: standin.CollectorNode(zone)})
+		p.loads = xds.NewLoadStream(facts)
+		update, err := p.loads.HandleRequest(&load.LoadStatsRequest{Node: standin.CollectorNode(zone)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -265,7 +265,7 @@
 					line(p, fmt.Sprintf(`{"t":"client_stats","proxy":%d,"class":%q,"tries":%d,"failed":0,"span_ms":1000}`, i, class, tries))
 					continue
 				}
-				update, err := p.loads.Request(&load.LoadStatsRequest{ClusterStats: []*endpoint.ClusterStats{{ClusterName: class,
+				update, err := p.loads.HandleRequest(&load.LoadStatsRequest{ClusterStats: []*endpoint.ClusterStats{{ClusterName: class,
 					LoadReportInterval: durationpb.New(time.Second), UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{{TotalIssuedRequests: uint64(tries)}}}}})
 				if err != nil || len(update.Invalid) > 0 {
 					t.Fatal(err, update.Invalid)
@@ -289,7 +289,7 @@
 					line(c, fmt.Sprintf(`{"t":"upstream_stats","zone":%q,"server":"s-%d","tries":%d,"failed":%d,"mean_ms":%d,"span_ms":1000}`, c.zone, i, tries, failed, mean))
 					continue
 				}
-				update, err := c.loads.Request(&load.LoadStatsRequest{ClusterStats: []*endpoint.ClusterStats{{LoadReportInterval: durationpb.New(time.Second),
+				update, err := c.loads.HandleRequest(&load.LoadStatsRequest{ClusterStats: []*endpoint.ClusterStats{{LoadReportInterval: durationpb.New(time.Second),
 					UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{{UpstreamEndpointStats: []*endpoint.UpstreamEndpointStats{
 						standin.Met(fmt.Sprint("s-", i), tries, failed, float64(mean))}}}}}})
 				if err != nil || len(update.Invalid) > 0 {
@@ -313,9 +313,9 @@
 
 func answer(p *party, now float64) ([]protocol.Message, []xds.InvalidPartError, error) {
 	if p.speaks == delta {
-		return p.machine.DeltaRequest(now, &discovery.DeltaDiscoveryRequest{TypeUrl: xds.TypeEndpoints, ResponseNonce: p.nonces[0]})
+		return p.machine.HandleDeltaRequest(now, &discovery.DeltaDiscoveryRequest{TypeUrl: xds.EndpointsTypeURL, ResponseNonce: p.nonces[0]})
 	}
-	return p.machine.Request(now, &discovery.DiscoveryRequest{TypeUrl: xds.TypeEndpoints, ResponseNonce: p.nonces[0]})
+	return p.machine.HandleRequest(now, &discovery.DiscoveryRequest{TypeUrl: xds.EndpointsTypeURL, ResponseNonce: p.nonces[0]})
 }
 
 // TestMixedFleetIsOneFleet guards against a decision that depends on the protocol which carried a message: the same day, all
@@ -370,7 +370,7 @@
 		t.Fatalf("%s holds %v, by lines %v", what, got.table, want.table)
 	}
 	for name := range want.table {
-		if d := math.Abs(part(got, name) - part(want, name)); d > float64(len(want.table))/xds.WeightOfLargest {
+		if d := math.Abs(part(got, name) - part(want, name)); d > float64(len(want.table))/xds.MaxWeight {
 			t.Errorf("%s: %s gets %v of the traffic, by lines %v", what, name, part(got, name), part(want, name))
 		}
 	}
--- a/internal/planner/xds/node.go
+++ b/internal/planner/xds/node.go
@@ -16,13 +16,13 @@
 	"mulleinwood/internal/planner/protocol"
 )
 
-// Facts are what the machines must know of the deployment.
-type Facts struct {
-	Classes []string
-	Zones   []string
-	Rates   bool    // levels are requests a second, not shares
-	Period  float64 // of reports, in milliseconds
-	Within  protocol.Bounds
+// Config are what the machines must know of the deployment.
+type Config struct {
+	Classes      []string
+	Zones        []string
+	RateLevels   bool    // levels are requests a second, not shares
+	ReportPeriod float64 // of reports, in milliseconds
+	Bounds       protocol.Bounds
 }
 
 // Role is what a peer is.
@@ -36,11 +36,11 @@
 
 // Identity is who a node says that it is.
 type Identity struct {
-	Role   Role
-	Proxy  int
-	Zone   string
-	Weight float64
-	Fresh  bool
+	Role  Role
+	Proxy int
+	Zone  string
+	Rate  float64
+	Fresh bool
 }
 
 // What a node's id begins with, and the keys of its metadata.
@@ -51,17 +51,17 @@
 	freshKey        = "fresh"
 )
 
-// The errors that end a stream. What is merely of no use is told by Void.
+// The errors that end a stream. A part that is merely of no use is reported as an InvalidPartError.
 var (
-	ErrNoNode      = errors.New("the first message names no node")
-	ErrOtherNode   = errors.New("another node than the stream began with")
-	ErrNode        = errors.New("a node of nobody here")
-	ErrType        = errors.New("a type that is not served")
-	ErrManyNames   = errors.New("more resources than there are classes")
-	ErrNotProxy    = errors.New("assignments are for proxies")
-	errBadInterval = errors.New("an interval that can't be")
-	errNoEndpoint  = errors.New("an endpoint without an id and an address")
-	errLatency     = errors.New("a latency that can't be")
+	ErrMissingNode     = errors.New("the first message names no node")
+	ErrNodeChanged     = errors.New("another node than the stream began with")
+	ErrUnknownNode     = errors.New("a node of nobody here")
+	ErrUnsupportedType = errors.New("a type that is not served")
+	ErrTooManyNames    = errors.New("more resources than there are classes")
+	ErrNotProxy        = errors.New("assignments are for proxies")
+	errBadInterval     = errors.New("an interval that can't be")
+	errNoEndpoint      = errors.New("an endpoint without an id and an address")
+	errLatency         = errors.New("a latency that can't be")
 )
 
 // InvalidPartError says that part of a message is of no use. The stream goes on.
@@ -78,9 +78,9 @@
 
 // Identify reads a node: its id is "proxy/" and the proxy's number, or "collector/" and its zone; locality.zone is the
 // proxy's zone; metadata may tell its usual rate and whether it holds no table that was ordered.
-func Identify(n *core.Node, f Facts) (Identity, error) {
+func Identify(n *core.Node, f Config) (Identity, error) {
 	if n == nil {
-		return Identity{}, ErrNoNode
+		return Identity{}, ErrMissingNode
 	}
 	var who Identity
 	if zone, is := strings.CutPrefix(n.GetId(), collectorPrefix); is {
@@ -92,23 +92,23 @@
 		}
 	}
 	if !slices.Contains(f.Zones, who.Zone) {
-		return Identity{}, fmt.Errorf("%w: zone %.40q", ErrNode, who.Zone)
+		return Identity{}, fmt.Errorf("%w: zone %.40q", ErrUnknownNode, who.Zone)
 	}
 	return who, nil
 }
 
 // identifyProxy reads a node whose id names a proxy.
-func identifyProxy(n *core.Node, f Facts) (Identity, error) {
+func identifyProxy(n *core.Node, f Config) (Identity, error) {
 	number, found := strings.CutPrefix(n.GetId(), proxyPrefix)
 	proxy, err := strconv.Atoi(number)
-	if !found || err != nil || proxy < 0 || proxy >= f.Within.Proxies || strconv.Itoa(proxy) != number {
-		return Identity{}, fmt.Errorf("%w: id %.40q", ErrNode, n.GetId())
+	if !found || err != nil || proxy < 0 || proxy >= f.Bounds.Proxies || strconv.Itoa(proxy) != number {
+		return Identity{}, fmt.Errorf("%w: id %.40q", ErrUnknownNode, n.GetId())
 	}
 	who := Identity{Proxy: proxy, Zone: n.GetLocality().GetZone(), Fresh: true}
 	fields := n.GetMetadata().GetFields()
 	if rate, stated := fields[rateKey]; stated {
-		if who.Weight = rate.GetNumberValue(); !(who.Weight >= 0 && who.Weight <= protocol.MaxRate) {
-			return Identity{}, fmt.Errorf("%w: %s is %v", ErrNode, rateKey, who.Weight)
+		if who.Rate = rate.GetNumberValue(); !(who.Rate >= 0 && who.Rate <= protocol.MaxRate) {
+			return Identity{}, fmt.Errorf("%w: %s is %v", ErrUnknownNode, rateKey, who.Rate)
 		}
 	}
 	if fresh, stated := fields[freshKey]; stated {
@@ -118,7 +118,7 @@
 }
 
 // same says whether a later message of a stream names the node that the first did, or none.
-func same(n *core.Node, who Identity, f Facts) bool {
+func same(n *core.Node, who Identity, f Config) bool {
 	if n == nil || n.GetId() == "" {
 		return true
 	}
--- a/internal/planner/xds/table.go
+++ b/internal/planner/xds/table.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	// WeightOfLargest is the whole number that the largest weight of a table becomes. A weight is off by half a unit at
+	// MaxWeight is the whole number that the largest weight of a table becomes. A weight is off by half a unit at
 	// most, up or down alike: a server's part of the traffic by less than a millionth of the largest one's.
-	WeightOfLargest = 1_000_000
+	MaxWeight = 1_000_000
 
-	// MetadataName is the namespace of what the published messages have no field for.
-	MetadataName = "mulleinwood"
-	idKey        = "id"
-	resendKey    = "again"
-	levelKey     = "requests_per_second"
-	dropCategory = "mulleinwood"
-	perMillion   = 1_000_000
+	// MetadataNamespace is the namespace of what the published messages have no field for.
+	MetadataNamespace = "mulleinwood"
+	idKey             = "id"
+	resendKey         = "again"
+	levelKey          = "requests_per_second"
+	dropCategory      = "mulleinwood"
+	perMillion        = 1_000_000
 )
 
 // table is what a proxy holds once it has applied all that was sent.
@@ -101,7 +101,7 @@
 			}
 			groups[r.Zone] = group
 		}
-		weight := uint32(max(1, math.Round(r.Weight/largest*WeightOfLargest)))
+		weight := uint32(max(1, math.Round(r.Weight/largest*MaxWeight)))
 		group.LoadBalancingWeight.Value += weight
 		health := core.HealthStatus_HEALTHY
 		if t.shut[name] {
@@ -129,7 +129,7 @@
 }
 
 func metadata(fields map[string]*structpb.Value) *core.Metadata {
-	return &core.Metadata{FilterMetadata: map[string]*structpb.Struct{MetadataName: {Fields: fields}}}
+	return &core.Metadata{FilterMetadata: map[string]*structpb.Struct{MetadataNamespace: {Fields: fields}}}
 }
 
 // gateMetadata carries the manner of trying again, and a level that is a rate: the published message has no field for them.
@@ -155,9 +155,9 @@
 		PortSpecifier: &core.SocketAddress_PortValue{PortValue: uint32(n)}}}}
 }
 
-// Read is the reverse of an assignment: what a proxy makes of it. Levels are shares, or rates where rates is set; a class
+// ParseAssignment is the reverse of an assignment: what a proxy makes of it. Levels are shares, or rates where rates is set; a class
 // without a level gets none.
-func Read(a *endpoint.ClusterLoadAssignment, rates bool) (rows []protocol.Row, shut []string, gate *protocol.Gate) {
+func ParseAssignment(a *endpoint.ClusterLoadAssignment, rates bool) (rows []protocol.Row, shut []string, gate *protocol.Gate) {
 	for _, group := range a.GetEndpoints() {
 		for _, e := range group.GetLbEndpoints() {
 			socket := e.GetEndpoint().GetAddress().GetSocketAddress()
@@ -170,7 +170,7 @@
 				shut = append(shut, row.Server)
 			}
 		}
-		if fields := group.GetMetadata().GetFilterMetadata()[MetadataName].GetFields(); fields[resendKey] != nil {
+		if fields := group.GetMetadata().GetFilterMetadata()[MetadataNamespace].GetFields(); fields[resendKey] != nil {
 			gate = &protocol.Gate{Classes: []string{a.GetClusterName()}, Level: 1, Again: int(fields[resendKey].GetNumberValue())}
 			if rates {
 				gate.Level = fields[levelKey].GetNumberValue()
--- a/internal/planner/xds/xds_test.go
+++ b/internal/planner/xds/xds_test.go
@@ -19,15 +19,15 @@
 	"mulleinwood/internal/planner/protocol"
 )
 
-var facts = Facts{Classes: []string{"view", "pay"}, Zones: []string{"n", "s"}, Period: 1000,
-	Within: protocol.Bounds{Proxies: 8, MeanMost: 4000, SpanMost: 60000}}
+var facts = Config{Classes: []string{"view", "pay"}, Zones: []string{"n", "s"}, ReportPeriod: 1000,
+	Bounds: protocol.Bounds{Proxies: 8, MeanMost: 4000, SpanMost: 60000}}
 
 func node(id, zone string) *core.Node {
 	return &core.Node{Id: id, Locality: &core.Locality{Zone: zone}}
 }
 
 func request(n *core.Node, nonce string, names ...string) *discovery.DiscoveryRequest {
-	return &discovery.DiscoveryRequest{Node: n, TypeUrl: TypeEndpoints, ResponseNonce: nonce, ResourceNames: names}
+	return &discovery.DiscoveryRequest{Node: n, TypeUrl: EndpointsTypeURL, ResponseNonce: nonce, ResourceNames: names}
 }
 
 func stamp(n uint32) *uint32 { return &n }
@@ -43,44 +43,44 @@
 		r    *discovery.DiscoveryRequest
 		want error
 	}{
-		"no node":                {request(nil, ""), ErrNoNode},
-		"no id":                  {request(node("", "n"), ""), ErrNode},
-		"unknown proxy":          {request(node("proxy/8", "n"), ""), ErrNode},
-		"negative proxy":         {request(node("proxy/-1", "n"), ""), ErrNode},
-		"proxy in another form":  {request(node("proxy/01", "n"), ""), ErrNode},
-		"unknown zone":           {request(node("proxy/1", "x"), ""), ErrNode},
+		"no node":                {request(nil, ""), ErrMissingNode},
+		"no id":                  {request(node("", "n"), ""), ErrUnknownNode},
+		"unknown proxy":          {request(node("proxy/8", "n"), ""), ErrUnknownNode},
+		"negative proxy":         {request(node("proxy/-1", "n"), ""), ErrUnknownNode},
+		"proxy in another form":  {request(node("proxy/01", "n"), ""), ErrUnknownNode},
+		"unknown zone":           {request(node("proxy/1", "x"), ""), ErrUnknownNode},
 		"a collector":            {request(node("collector/n", ""), ""), ErrNotProxy},
-		"a negative rate":        {request(rate(-1), ""), ErrNode},
-		"a rate that is none":    {request(rate(math.NaN()), ""), ErrNode},
-		"an endless rate":        {request(rate(math.Inf(1)), ""), ErrNode},
-		"unknown type":           {&discovery.DiscoveryRequest{Node: node("proxy/1", "n"), TypeUrl: "type.googleapis.com/what"}, ErrType},
-		"more names than can be": {request(node("proxy/1", "n"), "", "a", "b", "c", "d", "e", "f"), ErrManyNames},
+		"a negative rate":        {request(rate(-1), ""), ErrUnknownNode},
+		"a rate that is none":    {request(rate(math.NaN()), ""), ErrUnknownNode},
+		"an endless rate":        {request(rate(math.Inf(1)), ""), ErrUnknownNode},
+		"unknown type":           {&discovery.DiscoveryRequest{Node: node("proxy/1", "n"), TypeUrl: "type.googleapis.com/what"}, ErrUnsupportedType},
+		"more names than can be": {request(node("proxy/1", "n"), "", "a", "b", "c", "d", "e", "f"), ErrTooManyNames},
 	} {
-		said, _, err := NewAssignments(facts, false).Request(0, tc.r)
+		said, _, err := NewAssignmentStream(facts, false).HandleRequest(0, tc.r)
 		if !errors.Is(err, tc.want) || len(said) > 0 {
 			t.Errorf("%s: %v, %v; want %v", name, said, err, tc.want)
 		}
 	}
-	a := NewAssignments(facts, false)
-	a.Request(0, request(node("proxy/1", "n"), ""))
-	if _, _, err := a.Request(1, request(node("proxy/2", "n"), "")); !errors.Is(err, ErrOtherNode) {
+	a := NewAssignmentStream(facts, false)
+	a.HandleRequest(0, request(node("proxy/1", "n"), ""))
+	if _, _, err := a.HandleRequest(1, request(node("proxy/2", "n"), "")); !errors.Is(err, ErrNodeChanged) {
 		t.Errorf("a second node that differs: %v", err)
 	}
-	if _, _, err := a.Request(1, request(node("proxy/1", "n"), "", "view")); err != nil {
+	if _, _, err := a.HandleRequest(1, request(node("proxy/1", "n"), "", "view")); err != nil {
 		t.Errorf("the same node again: %v", err)
 	}
 }
 
 // joined is a stream whose proxy has joined for these names.
-func joined(t *testing.T, incremental bool, names ...string) *Assignments {
+func joined(t *testing.T, incremental bool, names ...string) *AssignmentStream {
 	t.Helper()
-	a := NewAssignments(facts, incremental)
+	a := NewAssignmentStream(facts, incremental)
 	var said []protocol.Message
 	var err error
 	if incremental {
-		said, _, err = a.DeltaRequest(0, &discovery.DeltaDiscoveryRequest{Node: node("proxy/3", "s"), TypeUrl: TypeEndpoints, ResourceNamesSubscribe: names})
+		said, _, err = a.HandleDeltaRequest(0, &discovery.DeltaDiscoveryRequest{Node: node("proxy/3", "s"), TypeUrl: EndpointsTypeURL, ResourceNamesSubscribe: names})
 	} else {
-		said, _, err = a.Request(0, request(node("proxy/3", "s"), "", names...))
+		said, _, err = a.HandleRequest(0, request(node("proxy/3", "s"), "", names...))
 	}
 	if err != nil || len(said) != 1 || said[0] != (protocol.Attach{Proxy: 3, Zone: "s", Fresh: true}) {
 		t.Fatalf("%v, %v", said, err)
@@ -91,20 +91,20 @@
 func TestAnswersAreDone(t *testing.T) {
 	a := joined(t, false, "view", "pay", "unheard-of")
 	for mark := range uint32(3) {
-		if _, err := a.Order(float64(mark*100), protocol.Orders{Stamp: stamp(mark), Rows: []protocol.Row{{Server: "s-0", Weight: 1, Zone: "n"}}}); err != nil {
+		if _, err := a.Encode(float64(mark*100), protocol.Orders{Stamp: stamp(mark), Rows: []protocol.Row{{Server: "s-0", Weight: 1, Zone: "n"}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	said, _, _ := a.Request(150, request(nil, "1", "view", "pay"))
+	said, _, _ := a.HandleRequest(150, request(nil, "1", "view", "pay"))
 	if len(said) != 1 || said[0] != (protocol.Done{Proxy: 3, Mark: 1, Took: 50}) {
 		t.Errorf("answer to an older message: %v", said)
 	}
 	for _, nonce := range []string{"0", "1", "77"} { // overtaken, answered before, never sent
-		if said, voids, err := a.Request(160, request(nil, nonce, "view", "pay")); len(said) > 0 || len(voids) != 1 || err != nil {
+		if said, voids, err := a.HandleRequest(160, request(nil, nonce, "view", "pay")); len(said) > 0 || len(voids) != 1 || err != nil {
 			t.Errorf("nonce %s: %v %v %v; want one void", nonce, said, voids, err)
 		}
 	}
-	if said, _, _ := a.Request(500, request(nil, "2", "view", "pay")); len(said) != 1 || said[0] != (protocol.Done{Proxy: 3, Mark: 2, Took: 300}) {
+	if said, _, _ := a.HandleRequest(500, request(nil, "2", "view", "pay")); len(said) != 1 || said[0] != (protocol.Done{Proxy: 3, Mark: 2, Took: 300}) {
 		t.Errorf("answer to the newest: %v", said)
 	}
 }
@@ -116,15 +116,15 @@
 		for range a.Wake(now) {
 			asked = append(asked, now)
 			mark := uint32(len(asked))
-			a.Order(now, protocol.Orders{Replace: true, Stamp: stamp(mark), Rows: []protocol.Row{{Server: "s-0", Weight: 1}}})
+			a.Encode(now, protocol.Orders{Replace: true, Stamp: stamp(mark), Rows: []protocol.Row{{Server: "s-0", Weight: 1}}})
 		}
-		if len(a.sent) == 0 && a.Due() == 0 {
-			a.Order(now, protocol.Orders{Stamp: stamp(uint32(now) % 60000)})
+		if len(a.sent) == 0 && a.WakeAt() == 0 {
+			a.Encode(now, protocol.Orders{Stamp: stamp(uint32(now) % 60000)})
 		}
 		for _, m := range a.sent {
 			r := request(nil, m.nonce)
 			r.ErrorDetail = &statuspb.Status{Message: strings.Repeat("no ", 1000)}
-			if _, voids, err := a.Request(now, r); err != nil || len(voids) != 1 || len(voids[0].Error()) > 300 {
+			if _, voids, err := a.HandleRequest(now, r); err != nil || len(voids) != 1 || len(voids[0].Error()) > 300 {
 				t.Fatalf("refusal: %v %v", voids, err)
 			}
 			break
@@ -138,11 +138,11 @@
 			t.Errorf("waits that shrink: %v after %v", gap, before)
 		}
 	}
-	a.Order(now, protocol.Orders{Stamp: stamp(9)})
+	a.Encode(now, protocol.Orders{Stamp: stamp(9)})
 	if a.Wake(now + 100000); a.due != 0 {
 		t.Error("a whole table is due still")
 	}
-	if a.Request(now, request(nil, "9")); a.refusals != 0 {
+	if a.HandleRequest(now, request(nil, "9")); a.refusals != 0 {
 		t.Error("a message that is accepted doesn't end the series")
 	}
 }
@@ -150,22 +150,22 @@
 // TestNewNamesGetAWholeTable: what a proxy holds of a class that it names later isn't known.
 func TestNewNamesGetAWholeTable(t *testing.T) {
 	a := joined(t, false, "view")
-	said, _, _ := a.Request(0, request(nil, "", "view", "pay"))
+	said, _, _ := a.HandleRequest(0, request(nil, "", "view", "pay"))
 	if len(said) != 1 || said[0] != (protocol.Refused{Proxy: 3}) {
 		t.Errorf("sow: %v", said)
 	}
 	d := joined(t, true, "view")
-	said, _, _ = d.DeltaRequest(0, &discovery.DeltaDiscoveryRequest{TypeUrl: TypeEndpoints, ResourceNamesSubscribe: []string{"pay"}})
+	said, _, _ = d.HandleDeltaRequest(0, &discovery.DeltaDiscoveryRequest{TypeUrl: EndpointsTypeURL, ResourceNamesSubscribe: []string{"pay"}})
 	if len(said) != 1 || said[0] != (protocol.Refused{Proxy: 3}) {
 		t.Errorf("incremental: %v", said)
 	}
-	if m, err := d.Order(0, protocol.Orders{Replace: true, Rows: []protocol.Row{{Server: "s-0", Weight: 1}}, Stamp: stamp(1)}); err != nil || len(m.(*discovery.DeltaDiscoveryResponse).Resources) != 2 {
+	if m, err := d.Encode(0, protocol.Orders{Replace: true, Rows: []protocol.Row{{Server: "s-0", Weight: 1}}, Stamp: stamp(1)}); err != nil || len(m.(*discovery.DeltaDiscoveryResponse).Resources) != 2 {
 		t.Errorf("%v, %v; want both classes", m, err)
 	}
-	if _, _, err := d.DeltaRequest(0, &discovery.DeltaDiscoveryRequest{TypeUrl: TypeEndpoints, ResourceNamesUnsubscribe: []string{"pay"}}); err != nil {
+	if _, _, err := d.HandleDeltaRequest(0, &discovery.DeltaDiscoveryRequest{TypeUrl: EndpointsTypeURL, ResourceNamesUnsubscribe: []string{"pay"}}); err != nil {
 		t.Fatal(err)
 	}
-	if m, _ := d.Order(0, protocol.Orders{Rows: []protocol.Row{{Server: "s-1", Weight: 1}}, Stamp: stamp(2)}); len(m.(*discovery.DeltaDiscoveryResponse).Resources) != 1 {
+	if m, _ := d.Encode(0, protocol.Orders{Rows: []protocol.Row{{Server: "s-1", Weight: 1}}, Stamp: stamp(2)}); len(m.(*discovery.DeltaDiscoveryResponse).Resources) != 1 {
 		t.Errorf("%v; want only the class that is left", m)
 	}
 }
@@ -174,9 +174,9 @@
 // does, within the stated rounding, in either form, and by zones first or not.
 func TestTablesSurviveTheForm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		sow, delta := NewAssignments(facts, false), NewAssignments(facts, true)
-		sow.Request(0, request(node("proxy/0", "n"), ""))
-		delta.DeltaRequest(0, &discovery.DeltaDiscoveryRequest{Node: node("proxy/0", "n"), TypeUrl: TypeEndpoints})
+		sow, delta := NewAssignmentStream(facts, false), NewAssignmentStream(facts, true)
+		sow.HandleRequest(0, request(node("proxy/0", "n"), ""))
+		delta.HandleDeltaRequest(0, &discovery.DeltaDiscoveryRequest{Node: node("proxy/0", "n"), TypeUrl: EndpointsTypeURL})
 		held, levels, shut := map[string]protocol.Row{}, map[string]protocol.Gate{}, map[string]bool{}
 		got := [2]map[string]*endpoint.ClusterLoadAssignment{{}, {}}
 		for mark := range uint32(rapid.IntRange(1, 12).Draw(t, "orders")) {
@@ -208,8 +208,8 @@
 					shut[name] = true
 				}
 			}
-			for form, a := range []*Assignments{sow, delta} {
-				m, err := a.Order(0, o)
+			for form, a := range []*AssignmentStream{sow, delta} {
+				m, err := a.Encode(0, o)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -239,7 +239,7 @@
 		}
 		for form := range got {
 			for _, class := range facts.Classes {
-				rows, out, gate := Read(got[form][class], false)
+				rows, out, gate := ParseAssignment(got[form][class], false)
 				sum, zones := 0.0, 0.0
 				for _, r := range rows {
 					sum += r.Weight
@@ -252,7 +252,7 @@
 				}
 				for _, r := range rows {
 					want := held[r.Server]
-					if part := want.Weight / total; math.Abs(r.Weight/sum-part) > float64(len(rows))/WeightOfLargest || r.Address != want.Address || r.Zone != want.Zone {
+					if part := want.Weight / total; math.Abs(r.Weight/sum-part) > float64(len(rows))/MaxWeight || r.Address != want.Address || r.Zone != want.Zone {
 						t.Fatalf("%+v, part %v; want %+v, part %v", r, r.Weight/sum, want, part)
 					}
 				}
@@ -301,31 +301,31 @@
 		"huge figures":             stats(time.Second, met("s-1", math.MaxUint64, 0, 40, 10)),
 		"no endpoint":              stats(time.Second, met("", 10, 0, 40, 10)),
 	} {
-		l := NewLoads(facts)
-		first, err := l.Request(r)
+		l := NewLoadStream(facts)
+		first, err := l.HandleRequest(r)
 		if err != nil || first.Response == nil || len(first.Invalid) != 1 || len(first.Messages) != 1 ||
 			first.Messages[0] != (protocol.Collector{Zone: "n"}) {
 			t.Errorf("%s: %+v, %v", name, first, err)
 		}
-		next, err := l.Request(stats(time.Second, met("s-2", 4, 4, 0, 0), good))
+		next, err := l.HandleRequest(stats(time.Second, met("s-2", 4, 4, 0, 0), good))
 		if err != nil || len(next.Messages) != 2 || len(next.Invalid) > 0 {
 			t.Errorf("%s: what follows: %+v %v", name, next, err)
 		}
 	}
-	l := NewLoads(facts)
-	if _, err := l.Request(&load.LoadStatsRequest{}); !errors.Is(err, ErrNoNode) {
+	l := NewLoadStream(facts)
+	if _, err := l.HandleRequest(&load.LoadStatsRequest{}); !errors.Is(err, ErrMissingNode) {
 		t.Errorf("no node: %v", err)
 	}
-	l.Request(stats(time.Second))
+	l.HandleRequest(stats(time.Second))
 	r := stats(time.Second, good)
 	if r.Node = node("collector/s", ""); true {
-		if _, err := l.Request(r); !errors.Is(err, ErrOtherNode) {
+		if _, err := l.HandleRequest(r); !errors.Is(err, ErrNodeChanged) {
 			t.Errorf("another node: %v", err)
 		}
 	}
 	address := met("", 10, 1, 40, 9)
 	address.Address = &core.Address{Address: &core.Address_SocketAddress{SocketAddress: &core.SocketAddress{Address: "::1", PortSpecifier: &core.SocketAddress_PortValue{PortValue: 80}}}}
-	update, _ := NewLoads(facts).Request(stats(time.Second, address))
+	update, _ := NewLoadStream(facts).HandleRequest(stats(time.Second, address))
 	said := update.Messages
 	if len(said) != 2 || said[1].(protocol.ServerReport).Address != "[::1]:80" || said[1].(protocol.ServerReport).Mean != 40 {
 		t.Errorf("known by its address: %v", said)
