--- a/internal/planner/program/core.go
+++ b/internal/planner/program/core.go
@@ -79,8 +79,8 @@
 		if p := router.Progress(); p.Rounds != looks {
 			looks = p.Rounds
 			own, waiting := module.OwnLoad()
-			c.report.Store(&cores.CoreReport{Seen: p.SeenEpoch, Done: p.AppliedEpoch, ShareNumber: p.ShareNumber,
-				Waiting: waiting, Joined: own.JoinedProxies, TypicalRates: own.TypicalRates, Demands: own.Demands})
+			c.report.Store(&cores.CoreReport{SeenEpoch: p.SeenEpoch, AppliedEpoch: p.AppliedEpoch, ShareNumber: p.ShareNumber,
+				QueuedLines: waiting, JoinedProxies: own.JoinedProxies, TypicalRates: own.TypicalRates, Demands: own.Demands})
 		}
 		if wants {
 			alarm.Reset(time.Duration((next - now()) * float64(time.Millisecond)))
