--- a/internal/edge/proxy/shutdown.go
+++ b/internal/edge/proxy/shutdown.go
@@ -129,7 +129,7 @@
 
 // continueShutdown does what is due by the schedule. It gives the cause if the process may end now.
 func (p *Proxy) continueShutdown(schedule *shutdownSchedule, drain *httpconn.Drain, now time.Duration) (cause string) {
-	pathClear := p.clients.conns.PathClear(p.crossingBound() + p.lateness.Worst(now))
+	pathClear := p.clients.conns.RoundTripWithin(p.crossingBound() + p.lateness.Worst(now))
 	if now > schedule.openUntil && pathClear {
 		p.closeIdleClients(idleBeforeClose)
 	}
--- a/internal/platform/httpconn/conn_test.go
+++ b/internal/platform/httpconn/conn_test.go
@@ -336,7 +336,7 @@
 		}
 		expect := func(want bool, when string) {
 			t.Helper()
-			if tracker.PathClear(bound) != want {
+			if tracker.RoundTripWithin(bound) != want {
 				t.Errorf("%s: the path is clear: %t", when, !want)
 			}
 		}
--- a/internal/platform/httpconn/doc.go
+++ b/internal/platform/httpconn/doc.go
@@ -10,9 +10,9 @@
 //     one step;
 //   - an idle connection is closed only if its kernel holds nothing unread, which is asked in the same step as the close;
 //   - a close ends the sending side first and reads on until the client has ended its own, so that no reset takes back a
-//     response, and measures by that how long news takes to the client and back (Tracker.PathClear);
+//     response, and measures by that how long news takes to the client and back (Tracker.RoundTripWithin);
 //   - a time-out that fires over bytes that have arrived counts as not fired.
 //
 // What remains is a request that crosses a close: sent before its client saw the end of the stream, which HTTP/1.1 can't
-// exclude. Who asks PathClear first keeps that span short.
+// exclude. A caller that checks RoundTripWithin first keeps that time short.
 package httpconn
--- a/internal/platform/httpconn/tracker.go
+++ b/internal/platform/httpconn/tracker.go
@@ -209,10 +209,10 @@
 	}
 }
 
-// PathClear reports whether a client learns of a close, and this process of the client's, within a bound, as far as the last
+// RoundTripWithin reports whether a client learns of a close, and this process of the client's, within a bound, as far as the last
 // closes show. Only then may a connection be closed at will: a request that crosses the close was sent no longer before its
 // client sees the end. Where nothing was closed lately and nothing waits, the way to the clients counts as free.
-func (t *Tracker) PathClear(bound time.Duration) bool {
+func (t *Tracker) RoundTripWithin(bound time.Duration) bool {
 	if t.roundTrips.last(roundTripAge) > bound {
 		return false
 	}
