--- a/internal/edge/proxy/active_requests.go
+++ b/internal/edge/proxy/active_requests.go
@@ -45,14 +45,14 @@
 // activeRequests holds all requests that are being served.
 type activeRequests struct {
 	*node.Env
-	lines *rejectionLog
+	logLimiter *logLimiter
 
 	mu  sync.Mutex
 	all map[*activeRequest]struct{}
 }
 
-func newActiveRequests(env *node.Env, lines *rejectionLog) *activeRequests {
-	return &activeRequests{Env: env, lines: lines, all: map[*activeRequest]struct{}{}}
+func newActiveRequests(env *node.Env, limiter *logLimiter) *activeRequests {
+	return &activeRequests{Env: env, logLimiter: limiter, all: map[*activeRequest]struct{}{}}
 }
 
 // begin notes a request, and watches its client until end is called.
@@ -85,7 +85,7 @@
 	}
 	now := r.Now()
 	r.Metrics.AbandonedWork.Observe((now - leftAt).Seconds())
-	if r.lines.allow("client left", now) {
+	if r.logLimiter.allow("client left", now) {
 		r.LogEvent("client left", "attempt", a.attemptID, "stage", a.currentStage(), "after", leftAt-a.startedAt,
 			"work_went_on", now-leftAt)
 	}
--- a/internal/edge/proxy/answers_test.go
+++ b/internal/edge/proxy/answers_test.go
@@ -20,8 +20,8 @@
 
 var metricValue = regexp.MustCompile(`(?m) [0-9.e+-]+$`)
 
-// text is an answer as a client sees it. Retry-After is drawn at random; of metrics the names and labels are kept.
-func text(name string, w *httptest.ResponseRecorder) string {
+// responseText is an answer as a client sees it. Retry-After is drawn at random; of metrics the names and labels are kept.
+func responseText(name string, w *httptest.ResponseRecorder) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "== %s\n%d\n", name, w.Code)
 	for _, key := range slices.Sorted(maps.Keys(w.Header())) {
@@ -44,7 +44,7 @@
 	servers := []struct {
 		name   string
 		answer func(*http.Request) string
-	}{{"good", good}, {"full", full}, {"cut", cut}, {"other", other}, {"none", nil}}
+	}{{"good", goodResponse}, {"full", rejectFull}, {"cut", truncatedResponse}, {"other", foreignResponse}, {"none", nil}}
 	requests := []struct {
 		name, method, path, body string
 		headers                  []string
@@ -64,7 +64,7 @@
 	runEdge(t, func(h *testEdge) {
 		var got strings.Builder
 		refused, repeated := idempotency.KeyOf("a.example", "key-3"), idempotency.KeyOf("a.example", "key-2")
-		h.decide = func(r idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
+		h.decideClaim = func(r idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
 			switch r.Key {
 			case refused:
 				return idempotency.OutcomeUndecided, nil
@@ -84,13 +84,13 @@
 			}
 			for _, r := range requests {
 				w := h.request(r.method, r.path, r.body, r.headers...)
-				got.WriteString(text(server.name+": "+r.name, w))
+				got.WriteString(responseText(server.name+": "+r.name, w))
 			}
 		}
 		for _, path := range []string{"/readiness", "/metrics", "/x"} {
 			w := httptest.NewRecorder()
 			h.serveReadiness(w, httptest.NewRequest(http.MethodGet, path, nil))
-			got.WriteString(text("GET "+path, w))
+			got.WriteString(responseText("GET "+path, w))
 		}
 		path := filepath.Join("testdata", "answers.txt")
 		if *update {
--- a/internal/edge/proxy/bodies_test.go
+++ b/internal/edge/proxy/bodies_test.go
@@ -22,22 +22,22 @@
 
 // setLimits puts a configuration with these limits in force.
 func (h *testEdge) setLimits(version int, limits string) {
-	next := strings.Replace(strings.Replace(plan, `"r1"`, fmt.Sprintf(`"r%d"`, version), 1), `{"max_body_bytes":100}`, limits, 1)
+	next := strings.Replace(strings.Replace(testConfig, `"r1"`, fmt.Sprintf(`"r%d"`, version), 1), `{"max_body_bytes":100}`, limits, 1)
 	h.g.Expect(h.applyConfig(&peer.Config{Version: uint64(version), Snapshot: []byte(next)})).To(BeTrue())
 }
 
-// street is a listener whose connections are pipes.
-type street struct {
+// pipeListener is a listener whose connections are pipes.
+type pipeListener struct {
 	in     chan net.Conn
 	closed chan struct{}
 	once   *sync.Once
 }
 
-func newStreet() street {
-	return street{in: make(chan net.Conn), closed: make(chan struct{}), once: &sync.Once{}}
+func newPipeListener() pipeListener {
+	return pipeListener{in: make(chan net.Conn), closed: make(chan struct{}), once: &sync.Once{}}
 }
 
-func (s street) Accept() (net.Conn, error) {
+func (s pipeListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-s.in:
 		return conn, nil
@@ -46,26 +46,26 @@
 	}
 }
 
-func (s street) Close() error {
+func (s pipeListener) Close() error {
 	s.once.Do(func() { close(s.closed) })
 	return nil
 }
-func (s street) Addr() net.Addr { return &net.TCPAddr{} }
+func (s pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// walkIn connects a client to the edge's door.
-func (h *testEdge) walkIn(s street) net.Conn {
+// connectClient connects a client to the edge's door.
+func (h *testEdge) connectClient(s pipeListener) net.Conn {
 	near, far := net.Pipe()
 	s.in <- far
 	synctest.Wait()
 	return near
 }
 
-func (h *testEdge) opened(play func(street)) {
-	s := newStreet()
+func (h *testEdge) serveClients(scenario func(pipeListener)) {
+	s := newPipeListener()
 	ended := make(chan struct{})
 	go func() { _ = h.clients.serve(s); close(ended) }()
 	synctest.Wait()
-	play(s)
+	scenario(s)
 	s.Close()
 	<-ended
 	close(h.clients.handoff.closed)
@@ -75,8 +75,8 @@
 func TestLongBodiesAreSentOnceAndWhole(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		h.setLimits(2, `{"max_body_bytes":1000000}`)
-		h.addServer("i-1", cut)
-		h.addServer("i-2", cut)
+		h.addServer("i-1", truncatedResponse)
+		h.addServer("i-2", truncatedResponse)
 		for range 4 { // fills the budget
 			h.traffic.countRequest("tags")
 		}
@@ -93,7 +93,7 @@
 func TestBodiesTogetherStayWithinTheBudget(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		h.setLimits(2, `{"max_body_bytes":1000000}`)
-		h.addServer("i-1", good)
+		h.addServer("i-1", goodResponse)
 		whole := h.bodyMemory.available.Load()
 		h.bodyMemory.available.Store(10_000)
 		long := strings.Repeat("x", 100_000)
@@ -104,18 +104,18 @@
 	})
 	g := NewWithT(t)
 	for _, left := range []int64{0, 1, 5_000, 1 << 20} {
-		for _, size := range []int{0, 1, uncountedBytes, uncountedBytes + 1, maxInitialBuffer, 100_000, maxBufferedRequest, maxBufferedRequest + 1} {
+		for _, size := range []int{0, 1, uncountedBytes, uncountedBytes + 1, maxInitialBufferBytes, 100_000, maxBufferedRequestBytes, maxBufferedRequestBytes + 1} {
 			for _, told := range []int64{-1, int64(size)} {
 				a := &memoryBudget{}
 				a.available.Store(left)
 				text := strings.Repeat("x", size)
 				src := iotest.DataErrReader(strings.NewReader(text))
-				got, err := a.buffer(src, told, maxBufferedRequest)
+				got, err := a.buffer(src, told, maxBufferedRequestBytes)
 				body, whole, booked := got.data, got.complete, got.reserved
 				g.Expect(err).NotTo(HaveOccurred())
 				more, _ := io.ReadAll(src)
 				g.Expect(string(body)+string(more) == text).To(BeTrue(), "left %d, size %d", left, size)
-				g.Expect(whole).To(Equal(len(more) == 0 && size <= maxBufferedRequest && (whole || size > 0)), "left %d, size %d, told %d", left, size, told)
+				g.Expect(whole).To(Equal(len(more) == 0 && size <= maxBufferedRequestBytes && (whole || size > 0)), "left %d, size %d, told %d", left, size, told)
 				g.Expect(a.available.Load()).To(And(BeNumerically(">=", 0), Equal(left-booked)))
 				g.Expect(int64(len(body))).To(BeNumerically("<=", uncountedBytes+booked))
 			}
@@ -130,7 +130,7 @@
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Server-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n%s",
 			r.Header.Get("X-Attempt-Id"), len(long), long, end)
 	}
-	told := func(r *http.Request) string { return reply(r, "200 OK", "X-Server-Seal: s\r\n", long) }
+	told := func(r *http.Request) string { return rawResponse(r, "200 OK", "X-Server-Seal: s\r\n", long) }
 	for name, c := range map[string]struct {
 		answer func(*http.Request) string
 		whole  bool
@@ -144,8 +144,8 @@
 			runEdge(t, func(h *testEdge) {
 				h.setLimits(2, `{}`)
 				h.addServer("i-1", c.answer)
-				h.opened(func(s street) {
-					conn := h.walkIn(s)
+				h.serveClients(func(s pipeListener) {
+					conn := h.connectClient(s)
 					defer conn.Close()
 					go func() { _, _ = io.WriteString(conn, "GET /s/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: t\r\n\r\n") }()
 					resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -178,9 +178,9 @@
 
 // What a client asks of the next hop is answered by the next hop: a server that was sent Expect and doesn't answer it
 // would wait for a body that never comes.
-func TestExpectStaysHere(t *testing.T) {
+func TestExpectHeaderIsNotForwarded(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		h.addServer("i-1", good)
+		h.addServer("i-1", goodResponse)
 		h.g.Expect(h.request("POST", "/s/x", "body", "Expect", "100-continue").Code).To(Equal(200))
 		h.g.Expect(h.received[0].Header).NotTo(HaveKey("Expect"))
 		h.g.Expect(h.bodies[0]).To(Equal("body"))
@@ -189,7 +189,7 @@
 
 func TestAbsoluteURIsFindTheirRoute(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		h.addServer("i-1", good)
+		h.addServer("i-1", goodResponse)
 		r := httptest.NewRequest("GET", "http://a.example/s/x?y=1", nil)
 		r.RequestURI = "http://a.example/s/x?y=1"
 		r.Header.Set("X-Attempt-Id", "t")
@@ -210,9 +210,9 @@
 		return time.Since(began).Round(100 * time.Millisecond)
 	}
 	runEdge(t, func(h *testEdge) {
-		h.addServer("i-1", good)
-		h.opened(func(s street) {
-			before := h.walkIn(s)
+		h.addServer("i-1", goodResponse)
+		h.serveClients(func(s pipeListener) {
+			before := h.connectClient(s)
 			h.setLimits(2, limits)
 			synctest.Wait()
 			go func() { _, _ = io.WriteString(before, head+"X-Pad: "+strings.Repeat("x", 20_000)+"\r\n\r\n") }()
@@ -220,20 +220,20 @@
 			h.g.Expect(err).NotTo(HaveOccurred())
 			h.g.Expect(resp.StatusCode).To(Equal(200), "who was in before stays under the former limits")
 
-			late := h.walkIn(s)
+			late := h.connectClient(s)
 			_, _ = io.WriteString(late, "GET /s/x HT")
 			h.g.Expect(gone(h, late)).To(Equal(3*time.Second), "a header has header_wait_s from its first byte")
 
-			silent := h.walkIn(s)
+			silent := h.connectClient(s)
 			h.g.Expect(gone(h, silent)).To(Equal(15*time.Second), "a connection without any may stay for idle_s")
 
-			large := h.walkIn(s)
+			large := h.connectClient(s)
 			go func() { _, _ = io.WriteString(large, head+"X-Pad: "+strings.Repeat("x", 20_000)+"\r\n\r\n") }()
 			resp, err = http.ReadResponse(bufio.NewReader(large), nil)
 			h.g.Expect(err).NotTo(HaveOccurred())
 			h.g.Expect(resp.StatusCode).To(Equal(431))
 
-			slow := h.walkIn(s)
+			slow := h.connectClient(s)
 			_, _ = io.WriteString(slow, "POST /s/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: t\r\nX-Deadline-Ms: 700\r\nContent-Length: 9\r\n\r\nhalf")
 			began := time.Now()
 			resp, err = http.ReadResponse(bufio.NewReader(slow), nil)
@@ -251,8 +251,8 @@
 func TestLimitsThatComeBeforeTheListenerCount(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		h.setLimits(2, `{"header_wait_s":2}`)
-		h.opened(func(s street) {
-			late := h.walkIn(s)
+		h.serveClients(func(s pipeListener) {
+			late := h.connectClient(s)
 			_, _ = io.WriteString(late, "GET")
 			began := time.Now()
 			_, _ = io.Copy(io.Discard, late)
@@ -265,16 +265,16 @@
 	runEdge(t, func(h *testEdge) {
 		h.clients.conns = httpconn.NewTracker(2)
 		h.addServer("i-1", hang)
-		h.opened(func(s street) {
-			first := h.walkIn(s)
+		h.serveClients(func(s pipeListener) {
+			first := h.connectClient(s)
 			time.Sleep(time.Second)
-			busy := h.walkIn(s)
+			busy := h.connectClient(s)
 			_, _ = io.WriteString(busy, "GET /s/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: t\r\nX-Deadline-Ms: 1900\r\n\r\n")
 			synctest.Wait()
-			third := h.walkIn(s)
+			third := h.connectClient(s)
 			_, err := first.Read(make([]byte, 1))
 			h.g.Expect(err).To(MatchError(io.EOF), "the first was idle for longest")
-			fourth := h.walkIn(s)
+			fourth := h.connectClient(s)
 			_, err = third.Read(make([]byte, 1))
 			h.g.Expect(err).To(MatchError(io.EOF), "one that works is not broken off")
 			resp, err := http.ReadResponse(bufio.NewReader(busy), nil)
--- a/internal/edge/proxy/body_buffer.go
+++ b/internal/edge/proxy/body_buffer.go
@@ -13,14 +13,14 @@
 
 // Bounds of what is buffered of a body. What is longer, or finds the budget spent, is forwarded as it comes.
 const (
-	uncountedBytes      = 4 << 10   // of each body, that the budget doesn't count: the number of connections bounds them
-	maxBufferedRequest  = 256 << 10 // bytes of a request, so that a retry can send them again
-	maxBufferedResponse = 256 << 10 // bytes of a response, so that one that breaks off early can be asked for elsewhere
-	maxKeptResponse     = 1 << 20   // bytes of a keyed operation's response: a longer one is not kept for repeats
-	bodyMemoryShare     = 0.25      // of the machine's memory, for all bodies together
-	maxInitialBuffer    = 32 << 10  // bytes that are allocated on the word of a Content-Length alone
-	defaultMaxBody      = 64 << 20  // bytes of a request, where the configuration doesn't say
-	copyChunkBytes      = 16 << 10
+	uncountedBytes           = 4 << 10   // of each body, that the budget doesn't count: the number of connections bounds them
+	maxBufferedRequestBytes  = 256 << 10 // bytes of a request, so that a retry can send them again
+	maxBufferedResponseBytes = 256 << 10 // bytes of a response, so that one that breaks off early can be asked for elsewhere
+	maxStoredResponseBytes   = 1 << 20   // bytes of a keyed operation's response: a longer one is not kept for repeats
+	bodyMemoryShare          = 0.25      // of the machine's memory, for all bodies together
+	maxInitialBufferBytes    = 32 << 10  // bytes that are allocated on the word of a Content-Length alone
+	defaultMaxBodyBytes      = 64 << 20  // bytes of a request, where the configuration doesn't say
+	copyChunkBytes           = 16 << 10
 )
 
 // memoryBudget bounds the bytes of all bodies that an edge buffers together, against many large ones at once, each of which
@@ -55,7 +55,7 @@
 func (b *memoryBudget) buffer(source io.Reader, length, limit int64) (buffered, error) {
 	var out buffered
 	capacity := int64(uncountedBytes)
-	if length >= 0 && length < maxInitialBuffer {
+	if length >= 0 && length < maxInitialBufferBytes {
 		capacity = max(length, 1)
 	}
 	if counted := capacity - uncountedBytes; counted > 0 {
@@ -94,7 +94,7 @@
 func (p *Proxy) bufferBody(w http.ResponseWriter, req *clientRequest, limit int64) error {
 	r := req.http
 	if limit <= 0 {
-		limit = defaultMaxBody
+		limit = defaultMaxBodyBytes
 	}
 	if r.ContentLength > limit {
 		return apierror.TooLarge.New("body of %d bytes", r.ContentLength)
@@ -102,7 +102,7 @@
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(time.Now().Add(req.deadline - p.Now())) // unsupported: the connection's own limits hold
 	source := http.MaxBytesReader(w, r.Body, limit)
-	body, err := p.bodyMemory.buffer(source, r.ContentLength, maxBufferedRequest)
+	body, err := p.bodyMemory.buffer(source, r.ContentLength, maxBufferedRequestBytes)
 	req.body, req.bodyBytes, req.length = body.data, req.bodyBytes+body.reserved, r.ContentLength
 	if err != nil {
 		return bodyError(err, limit)
--- a/internal/edge/proxy/claims.go
+++ b/internal/edge/proxy/claims.go
@@ -15,13 +15,13 @@
 	// claimHedgeDelay is how long the own controller may take before another one is asked, too: it may have died, and a
 	// network partition is noticed only by its silence.
 	claimHedgeDelay = 60 * time.Millisecond
-	// revocationRepeat is how long a revocation is repeated: as long as controllers that lost power take to be back.
-	revocationRepeat = 4 * time.Second
-	// maxKeptBytes bounds the memory that kept responses take: an edge has a small machine.
-	maxKeptBytes = 8 << 20
-	// maxKeptPerFrame is how many kept responses are sent in one frame.
-	maxKeptPerFrame  = 100
-	defaultKeyWindow = 60 // seconds, where the settings don't say
+	// revocationRepeatDuration is how long a revocation is repeated: as long as controllers that lost power take to be back.
+	revocationRepeatDuration = 4 * time.Second
+	// maxStoredBytes bounds the memory that kept responses take: an edge has a small machine.
+	maxStoredBytes = 8 << 20
+	// maxStoredPerFrame is how many kept responses are sent in one frame.
+	maxStoredPerFrame       = 100
+	defaultKeyWindowSeconds = 60 // seconds, where the settings don't say
 )
 
 // claimSender is what the tracker needs of the links to controllers.
@@ -45,8 +45,8 @@
 	mu          sync.Mutex
 	sequence    uint64
 	pending     map[idempotency.Token]*pendingClaim
-	kept        []timedRecord // responses of the last window, oldest first: a controller that lost its disk gets them again
-	keptBytes   int           // of their bodies
+	stored      []timedRecord // responses of the last window, oldest first: a controller that lost its disk gets them again
+	storedBytes int           // of their bodies
 	revocations []timedRecord // that are still repeated
 }
 
@@ -57,9 +57,9 @@
 
 // pendingClaim waits for its outcome.
 type pendingClaim struct {
-	record    idempotency.Record
-	requested int // controllers that were asked and have not answered
-	outcome   chan peer.ClaimOutcome
+	record     idempotency.Record
+	unanswered int // controllers that were asked and have not answered
+	outcome    chan peer.ClaimOutcome
 }
 
 func newClaimTracker(env *node.Env, controllers claimSender, abort <-chan struct{}) *claimTracker {
@@ -71,8 +71,8 @@
 // it, and nothing ever will be.
 func (t *claimTracker) acquire(ctx context.Context, key idempotency.Key, giveUpEarly, limit time.Duration) (idempotency.Record,
 	peer.ClaimOutcome) {
-	c := t.open(key)
-	defer t.closeClaim(c)
+	c := t.addClaim(key)
+	defer t.removeClaim(c)
 	hedgeDelay := claimHedgeDelay
 	if !t.requestGrant(t.controllers.send, c) {
 		hedgeDelay = 0
@@ -86,7 +86,7 @@
 	return c.record, outcome
 }
 
-func (t *claimTracker) open(key idempotency.Key) *pendingClaim {
+func (t *claimTracker) addClaim(key idempotency.Key) *pendingClaim {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sequence++
@@ -96,7 +96,7 @@
 	return c
 }
 
-func (t *claimTracker) closeClaim(c *pendingClaim) {
+func (t *claimTracker) removeClaim(c *pendingClaim) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.pending, c.record.Token)
@@ -137,7 +137,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c.requested--
+	c.unanswered--
 	return false
 }
 
@@ -148,7 +148,7 @@
 	if t.pending[c.record.Token] == nil {
 		return false
 	}
-	c.requested++
+	c.unanswered++
 	return true
 }
 
@@ -161,8 +161,8 @@
 	if c == nil {
 		return
 	}
-	c.requested--
-	if outcome.Outcome == idempotency.OutcomeUndecided && c.requested > 0 {
+	c.unanswered--
+	if outcome.Outcome == idempotency.OutcomeUndecided && c.unanswered > 0 {
 		return
 	}
 	delete(t.pending, outcome.Token)
@@ -207,7 +207,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Now()
-	t.revocations = slices.DeleteFunc(t.revocations, func(r timedRecord) bool { return now-r.at > revocationRepeat })
+	t.revocations = slices.DeleteFunc(t.revocations, func(r timedRecord) bool { return now-r.at > revocationRepeatDuration })
 	for _, r := range t.revocations {
 		recent = append(recent, r.record)
 	}
@@ -218,24 +218,24 @@
 func (t *claimTracker) complete(claim idempotency.Record, response *idempotency.Response) {
 	r := idempotency.Record{Key: claim.Key, Token: claim.Token, Response: response}
 	t.controllers.send(peer.Responses{r})
-	now, window := t.Now(), t.Settings.Seconds("key_window_s", defaultKeyWindow)
+	now, window := t.Now(), t.Settings.Seconds("key_window_s", defaultKeyWindowSeconds)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.kept, t.keptBytes = append(t.kept, timedRecord{now, r}), t.keptBytes+len(response.Body)
+	t.stored, t.storedBytes = append(t.stored, timedRecord{now, r}), t.storedBytes+len(response.Body)
 	expired := 0
-	for ; expired < len(t.kept) && (now-t.kept[expired].at > window || t.keptBytes > maxKeptBytes); expired++ {
-		t.keptBytes -= len(t.kept[expired].record.Response.Body)
+	for ; expired < len(t.stored) && (now-t.stored[expired].at > window || t.storedBytes > maxStoredBytes); expired++ {
+		t.storedBytes -= len(t.stored[expired].record.Response.Body)
 	}
 	if expired > 0 {
-		t.kept = slices.Delete(t.kept, 0, expired)
+		t.stored = slices.Delete(t.stored, 0, expired)
 	}
 }
 
-// sendKept gives a controller whose disk came back empty the responses that are still kept here.
-func (t *claimTracker) sendKept(link *peer.Link) {
+// sendStored gives a controller whose disk came back empty the responses that are still kept here.
+func (t *claimTracker) sendStored(link *peer.Link) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for chunk := range slices.Chunk(t.kept, maxKeptPerFrame) {
+	for chunk := range slices.Chunk(t.stored, maxStoredPerFrame) {
 		var responses peer.Responses
 		for _, r := range chunk {
 			responses = append(responses, r.record)
--- a/internal/edge/proxy/client_left_test.go
+++ b/internal/edge/proxy/client_left_test.go
@@ -27,15 +27,15 @@
 	closedAt []time.Time
 }
 
-// closeNotingConn notes its first close.
-type closeNotingConn struct {
+// closeObservedConn notes its first close.
+type closeObservedConn struct {
 	net.Conn
-	once sync.Once
-	note func()
+	once    sync.Once
+	onClose func()
 }
 
-func (c *closeNotingConn) Close() error {
-	c.once.Do(c.note)
+func (c *closeObservedConn) Close() error {
+	c.once.Do(c.onClose)
 	return c.Conn.Close()
 }
 
@@ -51,7 +51,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.opened++
-		return &closeNotingConn{Conn: conn, note: s.noteClose}, nil
+		return &closeObservedConn{Conn: conn, onClose: s.noteClose}, nil
 	}
 	return s
 }
@@ -69,8 +69,8 @@
 	return s.opened - len(s.closedAt)
 }
 
-// runOn has expectations that fail let the test run on, so that what is still under way ends before the fake clock does.
-func (h *testEdge) runOn(t *testing.T) {
+// continueOnFailure has expectations that fail let the test run on, so that what is still under way ends before the fake clock does.
+func (h *testEdge) continueOnFailure(t *testing.T) {
 	h.g.ConfigureWithFailHandler(func(message string, _ ...int) { t.Error(message) })
 }
 
@@ -81,16 +81,16 @@
 		"X-Deadline-Ms: %s\r\nContent-Length: 0\r\n\r\n", method, kind, deadlineMS)
 }
 
-// longBeginning is the beginning of a long response, which is never finished.
-func longBeginning() string {
+// truncatedLongResponse is the beginning of a long response, which is never finished.
+func truncatedLongResponse() string {
 	return "HTTP/1.1 200 OK\r\nX-Attempt-Id: try-1\r\nX-Server-Seal: s\r\nContent-Length: 900000\r\n\r\n" +
 		strings.Repeat("0123456789", 40_000)
 }
 
 // A client that leaves ends the work on its request, whatever the request waits for then: no server works on for it, no
 // server gets it any more, and no slot, claim or connection is kept for it.
-func TestWorkEndsWithItsClient(t *testing.T) {
-	slowly := func(h *testEdge) { h.addServer("i-1", works(h, 1800*time.Millisecond)) }
+func TestWorkIsCancelledWhenTheClientLeaves(t *testing.T) {
+	slowly := func(h *testEdge) { h.addServer("i-1", respondAfter(h, 1800*time.Millisecond)) }
 	for _, c := range []struct {
 		name, kind, deadlineMS string
 		prepare                func(h *testEdge)
@@ -110,24 +110,24 @@
 		}},
 		{name: "claiming", kind: "k", deadlineMS: "2000", prepare: func(h *testEdge) {
 			slowly(h)
-			h.decide = nil // the controller takes the claim and says nothing
+			h.decideClaim = nil // the controller takes the claim and says nothing
 		}},
 		{name: "streaming", kind: "s", deadlineMS: "2000", received: 1, prepare: func(h *testEdge) {
-			h.addServer("i-1", func(*http.Request) string { return longBeginning() + "<stall>" })
+			h.addServer("i-1", func(*http.Request) string { return truncatedLongResponse() + "<stall>" })
 		}},
 		{name: "streaming what may run once", kind: "u", deadlineMS: "2000", received: 1,
 			prepare: func(h *testEdge) {
-				h.addServer("i-1", func(*http.Request) string { return longBeginning() + "<stall>" })
+				h.addServer("i-1", func(*http.Request) string { return truncatedLongResponse() + "<stall>" })
 			}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			runEdge(t, func(h *testEdge) {
-				h.runOn(t)
+				h.continueOnFailure(t)
 				h.setLimits(2, `{}`)
 				conns := h.watchServerConns()
 				c.prepare(h)
-				h.opened(func(s street) {
-					conn := h.walkIn(s)
+				h.serveClients(func(s pipeListener) {
+					conn := h.connectClient(s)
 					go func() { _, _ = io.WriteString(conn, wireRequest(c.kind, c.deadlineMS)) }()
 					go func() { _, _ = io.Copy(io.Discard, conn) }() // up to where the server stalls
 					time.Sleep(100 * time.Millisecond)
@@ -153,8 +153,8 @@
 	}
 }
 
-// grant grants every claim.
-func grant(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
+// grantClaim grants every claim.
+func grantClaim(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
 	return idempotency.OutcomeGranted, nil
 }
 
@@ -162,20 +162,20 @@
 func TestNoRetryForAClientThatLeft(t *testing.T) {
 	for _, kind := range []string{"s", "u", "k"} {
 		runEdge(t, func(h *testEdge) {
-			h.runOn(t)
+			h.continueOnFailure(t)
 			h.setLimits(2, `{}`)
-			h.decide = grant
+			h.decideClaim = grantClaim
 			turnAway := func(r *http.Request) string {
 				time.Sleep(300 * time.Millisecond)
-				return full(r)
+				return rejectFull(r)
 			}
 			for range 4 { // fills the retry budget
 				h.traffic.countRequest("tags")
 			}
 			h.addServer("i-1", turnAway)
 			h.addServer("i-2", turnAway)
-			h.opened(func(s street) {
-				conn := h.walkIn(s)
+			h.serveClients(func(s pipeListener) {
+				conn := h.connectClient(s)
 				go func() { _, _ = io.WriteString(conn, wireRequest(kind, "2000")) }()
 				time.Sleep(100 * time.Millisecond)
 				conn.Close()
@@ -192,16 +192,16 @@
 
 // What may run only once is not broken off when its client leaves: nobody could tell how far it came. The response of a keyed
 // operation is kept for its repeats.
-func TestUnrepeatableWorkGoesOnWithoutItsClient(t *testing.T) {
+func TestUnsafeWorkContinuesAfterTheClientLeaves(t *testing.T) {
 	for _, kind := range []string{"u", "k"} {
 		runEdge(t, func(h *testEdge) {
-			h.runOn(t)
+			h.continueOnFailure(t)
 			h.setLimits(2, `{}`)
 			conns := h.watchServerConns()
-			h.decide = grant
-			h.addServer("i-1", works(h, 750*time.Millisecond))
-			h.opened(func(s street) {
-				conn := h.walkIn(s)
+			h.decideClaim = grantClaim
+			h.addServer("i-1", respondAfter(h, 750*time.Millisecond))
+			h.serveClients(func(s pipeListener) {
+				conn := h.connectClient(s)
 				go func() { _, _ = io.WriteString(conn, wireRequest(kind, "2000")) }()
 				time.Sleep(100 * time.Millisecond)
 				conn.Close()
@@ -213,7 +213,7 @@
 				h.g.Expect(h.shutdown.inFlight.Load()).To(BeZero())
 				h.g.Expect(h.received).To(HaveLen(1))
 				if kind == "k" {
-					h.g.Expect(h.kept).To(HaveLen(1), "the response is kept for repeats")
+					h.g.Expect(h.stored).To(HaveLen(1), "the response is kept for repeats")
 				}
 			})
 		})
--- a/internal/edge/proxy/connection_end_test.go
+++ b/internal/edge/proxy/connection_end_test.go
@@ -11,12 +11,12 @@
 	. "github.com/onsi/gomega"
 )
 
-// shuttingDownOn has an edge serve a listener and shut down. The scenario begins with the shutdown; when it returns, the
+// runShutdownOn has an edge serve a listener and shut down. The scenario begins with the shutdown; when it returns, the
 // edge has ended.
-func shuttingDownOn(t *testing.T, play func(h *testEdge, listener *linkedListener)) {
+func runShutdownOn(t *testing.T, play func(h *testEdge, listener *linkedListener)) {
 	runEdge(t, func(h *testEdge) {
-		h.runOn(t)
-		h.addServer("i-1", works(h, 50*time.Millisecond))
+		h.continueOnFailure(t)
+		h.addServer("i-1", respondAfter(h, 50*time.Millisecond))
 		listener := newLinkedListener()
 		served, ended := make(chan struct{}), make(chan struct{})
 		go func() {
@@ -38,8 +38,8 @@
 	})
 }
 
-// clientsThatCome has a client connect and send a request each 100 ms for a while, as long as the platform sends clients.
-func clientsThatCome(l *link, listener *linkedListener, until time.Duration) {
+// connectClients has a client connect and send a request each 100 ms for a while, as long as the platform sends clients.
+func connectClients(l *link, listener *linkedListener, until time.Duration) {
 	const gap = 100 * time.Millisecond
 	for range int(until / gap) {
 		listener.arrive(l.connect()).send(wireRequest("s", "2000"))
@@ -52,11 +52,11 @@
 func TestRequestOnAFullLinkIsNotLostToTheCloseOfIdleConnections(t *testing.T) {
 	const sentAfter = 2460 * time.Millisecond
 	for _, delay := range []time.Duration{120 * time.Millisecond, 200 * time.Millisecond, 320 * time.Millisecond} {
-		shuttingDownOn(t, func(_ *testEdge, listener *linkedListener) {
+		runShutdownOn(t, func(_ *testEdge, listener *linkedListener) {
 			startedAt := time.Now()
 			full := &link{delay: delay}
 			kept := listener.arrive(full.connect())
-			clientsThatCome(full, listener, 2400*time.Millisecond)
+			connectClients(full, listener, 2400*time.Millisecond)
 			time.Sleep(sentAfter - time.Since(startedAt))
 			kept.send(wireRequest("s", "2000"))
 			if len(kept.responses()) == 0 {
@@ -74,7 +74,7 @@
 	for _, c := range []struct{ connected, sent time.Duration }{ // after SIGTERM
 		{0, 2300 * ms}, {0, 2400 * ms}, {0, 2480 * ms}, {2120 * ms, 2600 * ms}, {2600 * ms, 3050 * ms}, {2750 * ms, 3230 * ms},
 	} {
-		shuttingDownOn(t, func(_ *testEdge, listener *linkedListener) {
+		runShutdownOn(t, func(_ *testEdge, listener *linkedListener) {
 			startedAt := time.Now()
 			at := func(after time.Duration) { time.Sleep(time.Until(startedAt.Add(after))) }
 			go func() { // another client keeps the edge up
@@ -82,7 +82,7 @@
 				listener.arrive((&link{}).connect()).send(wireRequest("s", "2000"))
 			}()
 			at(c.connected)
-			kept := listener.arrive((&link{late: 400 * ms}).connect())
+			kept := listener.arrive((&link{readDelay: 400 * ms}).connect())
 			at(c.sent)
 			kept.send(wireRequest("s", "2000"))
 			if len(kept.responses()) == 0 {
@@ -95,7 +95,7 @@
 // A client's connection is complete in the kernel, its request too, and the edge, which is late, has not accepted it when
 // it decides that no request comes any more.
 func TestConnectionThatIsNotAcceptedIsNotLostToTheEndOfTheProcess(t *testing.T) {
-	shuttingDownOn(t, func(_ *testEdge, listener *linkedListener) {
+	runShutdownOn(t, func(_ *testEdge, listener *linkedListener) {
 		time.Sleep(2 * time.Second)
 		listener.gate = make(chan struct{})
 		accepted := listener.arrive((&link{}).connect()) // by the accept that was under way
@@ -113,9 +113,9 @@
 // A server that takes clients' connections is replaced, by other limits, while one is being handed to it: the next one takes it.
 func TestConnectionIsHandedToTheServerThatReplacesItsOwn(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		h.runOn(t)
-		h.addServer("i-1", works(h, 50*time.Millisecond))
-		h.opened(func(s street) {
+		h.continueOnFailure(t)
+		h.addServer("i-1", respondAfter(h, 50*time.Millisecond))
+		h.serveClients(func(s pipeListener) {
 			stuck := &handoffListener{in: make(chan net.Conn), closed: make(chan struct{}), addr: s.Addr(), timeouts: h.clients.current().timeouts}
 			h.clients.mu.Lock()
 			serving := h.clients.handoff
@@ -154,7 +154,7 @@
 // Accepting goes on after a failure that passes.
 func TestAcceptingGoesOnAfterAFailure(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		h.addServer("i-1", good)
+		h.addServer("i-1", goodResponse)
 		listener, done := newLinkedListener(), make(chan struct{})
 		go func() {
 			_ = h.clients.serve(&flakyListener{Listener: listener})
@@ -185,8 +185,8 @@
 		if s.respondBy+flushReserve > s.exitBy || s.respondBy < grace-grace/minResponseShare {
 			t.Errorf("late by %s: what is accepted is answered by %s, of %s", late, s.respondBy, s.exitBy)
 		}
-		if s.openUntil != openAdmission {
-			t.Errorf("late by %s: open until %s", late, s.openUntil)
+		if s.admitAllUntil != admitAllDuration {
+			t.Errorf("late by %s: open until %s", late, s.admitAllUntil)
 		}
 	}
 }
--- a/internal/edge/proxy/faults_test.go
+++ b/internal/edge/proxy/faults_test.go
@@ -17,8 +17,8 @@
 	"mulleinwood/internal/control/registry"
 )
 
-// once plays a script for the first request that any server gets, and answers the others well.
-func (h *testEdge) once(first func(*http.Request) string, servers ...string) {
+// scriptFirstRequest plays a script for the first request that any server gets, and answers the others well.
+func (h *testEdge) scriptFirstRequest(first func(*http.Request) string, servers ...string) {
 	played := false
 	for _, id := range servers {
 		h.addServer(id, func(r *http.Request) string {
@@ -29,7 +29,7 @@
 			if mine {
 				return first(r)
 			}
-			return good(r)
+			return goodResponse(r)
 		})
 	}
 	for range 4 { // fills the budget
@@ -40,25 +40,29 @@
 // Answers that prove nothing: what must not run twice is sent to no other server, and nothing is promised.
 func TestResponsesThatAreNotTrusted(t *testing.T) {
 	for name, answer := range map[string]func(*http.Request) string{
-		"a 503 without the word that nothing ran": func(r *http.Request) string { return reply(r, "503 Busy", "", "") },
-		"a 429 without the word that nothing ran": func(r *http.Request) string { return reply(r, "429 Busy", "", "") },
-		"a 408 without the word that nothing ran": func(r *http.Request) string { return reply(r, "408 Late", "", "") },
-		"a success that says that nothing ran":    func(r *http.Request) string { return reply(r, "200 OK", "X-Server-Seal: s\r\nX-Not-Run: 1\r\n", "x") },
+		"a 503 without the word that nothing ran": func(r *http.Request) string { return rawResponse(r, "503 Busy", "", "") },
+		"a 429 without the word that nothing ran": func(r *http.Request) string { return rawResponse(r, "429 Busy", "", "") },
+		"a 408 without the word that nothing ran": func(r *http.Request) string { return rawResponse(r, "408 Late", "", "") },
+		"a success that says that nothing ran": func(r *http.Request) string {
+			return rawResponse(r, "200 OK", "X-Server-Seal: s\r\nX-Not-Run: 1\r\n", "x")
+		},
 		"a content coding that nobody asked for": func(r *http.Request) string {
-			return reply(r, "200 OK", "X-Server-Seal: s\r\nContent-Encoding: gzip\r\n", "x")
+			return rawResponse(r, "200 OK", "X-Server-Seal: s\r\nContent-Encoding: gzip\r\n", "x")
 		},
 		"two ids": func(r *http.Request) string {
-			return reply(r, "200 OK", "X-Server-Seal: s\r\nX-Attempt-Id: try-0\r\n", "x")
+			return rawResponse(r, "200 OK", "X-Server-Seal: s\r\nX-Attempt-Id: try-0\r\n", "x")
 		},
 		"a seal that concerns one connection only": func(r *http.Request) string {
-			return reply(r, "200 OK", "X-Server-Seal: s\r\nConnection: X-Server-Seal\r\n", "x")
+			return rawResponse(r, "200 OK", "X-Server-Seal: s\r\nConnection: X-Server-Seal\r\n", "x")
+		},
+		"another protocol": func(r *http.Request) string {
+			return rawResponse(r, "101 Switch", "X-Server-Seal: s\r\n", "x") + "<close>"
 		},
-		"another protocol": func(r *http.Request) string { return reply(r, "101 Switch", "X-Server-Seal: s\r\n", "x") + "<close>" },
 	} {
 		for path, want := range map[string]int{"/u/x": 502, "/s/x": 200} {
 			t.Run(name+path, func(t *testing.T) {
 				runEdge(t, func(h *testEdge) {
-					h.once(answer, "i-1", "i-2")
+					h.scriptFirstRequest(answer, "i-1", "i-2")
 					h.g.Expect(h.request("POST", path, "x").Code).To(Equal(want))
 					h.g.Expect(h.received).To(HaveLen(1 + want%2 + (502-want)/302))
 				})
@@ -67,10 +71,10 @@
 	}
 }
 
-func TestCodingThatWasAskedForIsPassedOn(t *testing.T) {
+func TestRequestedContentEncodingIsForwarded(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		h.addServer("i-1", func(r *http.Request) string {
-			return reply(r, "200 OK", "X-Server-Seal: s\r\nContent-Encoding: gzip\r\n", "x")
+			return rawResponse(r, "200 OK", "X-Server-Seal: s\r\nContent-Encoding: gzip\r\n", "x")
 		})
 		w := h.request("GET", "/s/x", "", "Accept-Encoding", "gzip")
 		h.g.Expect(w.Code).To(Equal(200))
@@ -84,16 +88,16 @@
 		first  func(*http.Request) string
 		status int
 	}{
-		"cut off":     {cut, 502},
-		"its own 500": {func(r *http.Request) string { return reply(r, "500 Oops", "", "why") }, 500},
+		"cut off":     {truncatedResponse, 502},
+		"its own 500": {func(r *http.Request) string { return rawResponse(r, "500 Oops", "", "why") }, 500},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runEdge(t, func(h *testEdge) {
-				h.once(c.first, "i-1", "i-2")
+				h.scriptFirstRequest(c.first, "i-1", "i-2")
 				for address, script := range h.servers {
 					h.servers[address] = func(r *http.Request) string {
 						if len(h.received) > 1 {
-							return full(r)
+							return rejectFull(r)
 						}
 						return script(r)
 					}
@@ -110,7 +114,7 @@
 // A connection that leads to another server than it should is of no use to the next request either.
 func TestConnectionToAnotherServerIsClosed(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		h.once(func(r *http.Request) string { return reply(r, "421 Other", "", "") }, "i-1")
+		h.scriptFirstRequest(func(r *http.Request) string { return rawResponse(r, "421 Other", "", "") }, "i-1")
 		h.g.Expect(h.request("POST", "/u/x", "x").Code).To(Equal(503))
 		h.g.Expect(h.request("POST", "/u/x", "x").Code).To(Equal(200))
 		h.g.Expect(h.dials).To(Equal(2))
@@ -120,7 +124,7 @@
 // A connection that ends before it takes a byte proves that nothing was sent: another may be used, whatever the kind.
 func TestNothingWrittenMayBeSentAgain(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		h.once(good, "i-1", "i-2")
+		h.scriptFirstRequest(goodResponse, "i-1", "i-2")
 		dial, ended := h.upstreams.dial, 0
 		h.upstreams.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			if ended == 0 {
@@ -135,7 +139,7 @@
 		h.g.Expect(h.received).To(HaveLen(1))
 	})
 	runEdge(t, func(h *testEdge) {
-		h.addServer("i-1", good)
+		h.addServer("i-1", goodResponse)
 		h.request("GET", "/s/x", "")
 		u := h.upstreams.picker.Get("i-1").Attachment.(*upstream)
 		idle := u.idle[0].tracked
@@ -154,7 +158,7 @@
 func TestSurplusBytesMeetNoRequest(t *testing.T) {
 	for i := range 200 {
 		runEdge(t, func(h *testEdge) {
-			h.once(func(r *http.Request) string { return good(r) + other(r) }, "i-1")
+			h.scriptFirstRequest(func(r *http.Request) string { return goodResponse(r) + foreignResponse(r) }, "i-1")
 			h.g.Expect(h.send("GET", "/s/x", "").Code).To(Equal(200))
 			h.g.Expect(h.send("POST", "/u/x", "x").Code).To(Equal(200), "round %d", i)
 			h.g.Expect(h.dials).To(Equal(2))
@@ -165,10 +169,10 @@
 // What identifies a try or an operation doesn't concern one connection only, whatever a client says.
 func TestConnectionHeaderDropsNoIdentity(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		h.decide = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
+		h.decideClaim = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
 			return idempotency.OutcomeGranted, nil
 		}
-		h.addServer("i-1", good)
+		h.addServer("i-1", goodResponse)
 		w := h.request("POST", "/k/x", "x", "X-Operation-Key", "k", "Connection", "X-Attempt-Id, X-Operation-Key")
 		h.g.Expect(w.Code).To(Equal(200))
 		h.g.Expect(h.received[0].Header.Get("X-Operation-Key")).To(Equal("k"))
@@ -178,7 +182,7 @@
 // A deadline that is longer than any duration is the route's; one that is no number is refused for good.
 func TestDeadlinesOutOfRange(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		h.addServer("i-1", good)
+		h.addServer("i-1", goodResponse)
 		for text, status := range map[string]int{"1e14": 200, "+Inf": 200, "NaN": 400, "-1": 400} {
 			h.g.Expect(h.request("GET", "/s/x", "", "X-Deadline-Ms", text).Code).To(Equal(status), text)
 		}
@@ -208,16 +212,16 @@
 				if err != nil {
 					return
 				}
-				_, _ = io.WriteString(far, strings.Replace(reply(r, "200 OK", "X-Server-Seal: s\r\n", long), "HTTP/1.1", "HTTP/1.1", 1))
+				_, _ = io.WriteString(far, strings.Replace(rawResponse(r, "200 OK", "X-Server-Seal: s\r\n", long), "HTTP/1.1", "HTTP/1.1", 1))
 				body, _ := io.ReadAll(r.Body)
 				got <- string(body)
 				far.Close()
 			}()
 			return near, nil
 		}
-		h.addServer("i-1", good)
-		h.opened(func(s street) {
-			conn := h.walkIn(s)
+		h.addServer("i-1", goodResponse)
+		h.serveClients(func(s pipeListener) {
+			conn := h.connectClient(s)
 			defer conn.Close()
 			sendRest := make(chan struct{})
 			go func() {
@@ -262,7 +266,7 @@
 
 func TestServerThatLeavesWhileItIsDialled(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		h.addServer("i-1", good)
+		h.addServer("i-1", goodResponse)
 		dial := h.upstreams.dial
 		h.upstreams.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			h.upstreams.update([]registry.Entry{{ID: "i-1", Service: "tags", Address: "i-1:80", Seq: 2, State: registry.Draining}})
@@ -273,23 +277,23 @@
 	})
 }
 
-func TestTooNearADeadlineSendsNothing(t *testing.T) {
+func TestNothingIsSentWhenTheDeadlineIsTooNear(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		h.addServer("i-1", good)
+		h.addServer("i-1", goodResponse)
 		h.g.Expect(h.request("POST", "/u/x", "x", "X-Deadline-Ms", "14").Code).To(Equal(503))
 		h.g.Expect(h.received).To(BeEmpty())
 	})
 }
 
 // A client that goes in the middle of a long answer costs its connection and the server's, and no place.
-func TestClientThatTakesNoMore(t *testing.T) {
+func TestClientThatLeavesDuringALongResponse(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		h.setLimits(2, `{}`)
 		h.addServer("i-1", func(r *http.Request) string {
-			return reply(r, "200 OK", "X-Server-Seal: s\r\n", strings.Repeat("0123456789", 60_000))
+			return rawResponse(r, "200 OK", "X-Server-Seal: s\r\n", strings.Repeat("0123456789", 60_000))
 		})
-		h.opened(func(s street) {
-			conn := h.walkIn(s)
+		h.serveClients(func(s pipeListener) {
+			conn := h.connectClient(s)
 			go func() { _, _ = io.WriteString(conn, "GET /s/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: t\r\n\r\n") }()
 			_, err := io.ReadFull(conn, make([]byte, 10_000))
 			h.g.Expect(err).NotTo(HaveOccurred())
--- a/internal/edge/proxy/fuzz_test.go
+++ b/internal/edge/proxy/fuzz_test.go
@@ -32,7 +32,7 @@
 	} {
 		f.Add([]byte(seed))
 	}
-	set, err := nodesettings.Parse("test", []byte(settings))
+	set, err := nodesettings.Parse("test", []byte(testSettings))
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -59,11 +59,11 @@
 				}
 				b, _ := io.ReadAll(q.Body)
 				got, bodies = append(got, q), append(bodies, string(b))
-				_, _ = io.WriteString(far, reply(q, "200 OK", "X-Server-Seal: s\r\nConnection: close\r\n", ""))
+				_, _ = io.WriteString(far, rawResponse(q, "200 OK", "X-Server-Seal: s\r\nConnection: close\r\n", ""))
 			}()
 			return near, nil
 		}
-		c.applyConfig(&peer.Config{Version: 1, Snapshot: []byte(plan)})
+		c.applyConfig(&peer.Config{Version: 1, Snapshot: []byte(testConfig)})
 		c.upstreams.update([]registry.Entry{{ID: "i-1", Service: "tags", Address: "i-1:80", Zone: "hall", Capacity: 2, Seq: 1}})
 		go func() {
 			defer close(done)
--- a/internal/edge/proxy/listener.go
+++ b/internal/edge/proxy/listener.go
@@ -13,16 +13,16 @@
 
 // Limits that clients are held to before a configuration says otherwise.
 const (
-	defaultHeaderBytes   = 64 << 10
-	defaultHeaderTimeout = 10 * time.Second
-	defaultIdleTimeout   = 15 * time.Second
+	defaultMaxHeaderBytes = 64 << 10
+	defaultHeaderTimeout  = 10 * time.Second
+	defaultIdleTimeout    = 15 * time.Second
 )
 
 const (
 	clientHandleShare = 0.6             // of the file handles, for clients' connections
 	reservedHandles   = 200             // that the platform keeps for files
 	minClientConns    = 16              // however few file handles there are
-	stuckAfter        = 5 * time.Second // past deadline and idle time, after which a request's connection is stuck
+	stuckTimeout      = 5 * time.Second // past deadline and idle time, after which a request's connection is stuck
 	// keepAliveTimeout is above any idle time of a configuration: the tracker closes idle connections.
 	keepAliveTimeout = time.Hour
 	// handoffGrace is how long the previous server still takes connections that were being handed to it.
@@ -143,7 +143,7 @@
 	}
 	l.handoff = next
 	l.mu.Unlock()
-	maxHeader := defaultHeaderBytes
+	maxHeader := defaultMaxHeaderBytes
 	if limits.MaxHeaderBytes > 0 {
 		maxHeader = limits.MaxHeaderBytes
 	}
--- a/internal/edge/proxy/log_test.go
+++ b/internal/edge/proxy/log_test.go
@@ -15,7 +15,7 @@
 
 // After a bad day an operator asks which requests were given up, why, and at which server. A line each tells it, until
 // there are too many of a kind; the counters go on.
-func TestLogTellsWhatFailedAndWhy(t *testing.T) {
+func TestLogContainsFailedRequestsAndCauses(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		var text bytes.Buffer
 		h.Logger = log.NewLogfmtLogger(&text)
@@ -24,7 +24,7 @@
 			text.Reset()
 			return all
 		}
-		h.addServer("i-1", cut)
+		h.addServer("i-1", truncatedResponse)
 		h.request("GET", "/u/x", "")
 		h.g.Expect(lines()).To(ConsistOf(And(ContainSubstring(`event="request failed"`), ContainSubstring("kind=mulleinwood.perhaps_run"),
 			ContainSubstring("attempt=try-1"), ContainSubstring("host=a.example"), ContainSubstring("i-1 breaks off"))))
--- a/internal/edge/proxy/matrix_test.go
+++ b/internal/edge/proxy/matrix_test.go
@@ -23,63 +23,65 @@
 	"mulleinwood/internal/peer"
 )
 
-// The boundaries of a request and its answer, at which a scripted server acts.
+// The boundaryCount of a request and its answer, at which a scripted server acts.
 const (
 	atAccept = iota // of a new connection; on a reused one: while it is free
 	atHeadPart
 	atHead
 	atBodyPart
-	atWhole
-	atAnswerHeadPart
-	atAnswerHead
-	atAnswerBodyPart
-	atAnswerWhole
-	boundaries
+	atRequestEnd
+	atResponseHeadPart
+	atResponseHead
+	atResponseBodyPart
+	atResponseEnd
+	boundaryCount
 )
 
-var boundaryNames = [boundaries]string{"accept", "part of the head", "head", "part of the body", "whole request",
+var boundaryNames = [boundaryCount]string{"accept", "part of the head", "head", "part of the body", "whole request",
 	"part of the answer's head", "answer's head", "part of the answer's body", "whole answer"}
 
-// The acts of a scripted server.
+// The actionCount of a scripted server.
 const (
-	silence = iota
-	closing
-	resetting
-	garbage
-	secondAnswer
-	foreignAnswer
-	acts
+	actSilence = iota
+	actClose
+	actReset
+	actGarbage
+	actSecondResponse
+	actForeignResponse
+	actionCount
 )
 
-var actNames = [acts]string{"silence", "close", "reset", "garbage", "a second answer", "an answer of another try"}
+var actionNames = [actionCount]string{"silence", "close", "reset", "garbage", "a second answer", "an answer of another try"}
 
-// lastWarm is the request before the probe, where the connection is a reused one.
-const lastWarm = "warm-4"
+// lastWarmUpID is the request before the probe, where the connection is a reused one.
+const lastWarmUpID = "warm-4"
 
-// play is one case of the matrix.
-type play struct {
-	at, act int
-	reused  bool
-	kind    string // the route's path segment
-	chunked bool   // the answer
-	real    bool   // sockets of the system
+// matrixCase is one case of the matrix.
+type matrixCase struct {
+	at, action  int
+	reused      bool
+	kind        string // the route's path segment
+	chunked     bool   // the answer
+	realSockets bool   // sockets of the system
 }
 
-func (p play) String() string {
-	return fmt.Sprintf("%s at %s, /%s/, reused %v, chunked %v, sockets %v", actNames[p.act], boundaryNames[p.at], p.kind, p.reused, p.chunked, p.real)
+func (p matrixCase) String() string {
+	return fmt.Sprintf("%s at %s, /%s/, reused %v, chunked %v, sockets %v", actionNames[p.action], boundaryNames[p.at], p.kind, p.reused, p.chunked, p.realSockets)
 }
 
 // auditor sees what servers receive and clients are told, and knows nothing of the edge.
 type auditor struct {
-	mu       sync.Mutex
-	whole    map[string]int // requests that servers received whole, by id
-	proved   map[string]int // of them, those that a server said it did not run
-	findings []string
+	mu               sync.Mutex
+	completeRequests map[string]int // requests that servers received whole, by id
+	provedNotRun     map[string]int // of them, those that a server said it did not run
+	findings         []string
 }
 
-func newAuditor() *auditor { return &auditor{whole: map[string]int{}, proved: map[string]int{}} }
+func newAuditor() *auditor {
+	return &auditor{completeRequests: map[string]int{}, provedNotRun: map[string]int{}}
+}
 
-func (a *auditor) find(format string, args ...any) {
+func (a *auditor) report(format string, args ...any) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.findings = append(a.findings, fmt.Sprintf(format, args...))
@@ -88,59 +90,59 @@
 func (a *auditor) received(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.whole[id]++
+	a.completeRequests[id]++
 }
 
-// told checks what a client was told. Its body names whose it is.
-func (a *auditor) told(id string, resp *http.Response, body string, err error) {
+// checkResponse checks what a client was told. Its body names whose it is.
+func (a *auditor) checkResponse(id string, resp *http.Response, body string, err error) {
 	switch {
 	case resp.Header.Get("X-Attempt-Id") != id:
-		a.find("%s was told an answer of %q", id, resp.Header.Get("X-Attempt-Id"))
-	case resp.StatusCode == 200 && err == nil && (body != bodyOf(id) || resp.Header.Get("X-Server-Seal") != "seal-"+id):
-		a.find("%s was told %q", id, body)
-	case resp.StatusCode == 200 && err != nil && !strings.HasPrefix(bodyOf(id), body):
-		a.find("%s was told a part of another's", id)
+		a.report("%s was told an answer of %q", id, resp.Header.Get("X-Attempt-Id"))
+	case resp.StatusCode == 200 && err == nil && (body != expectedBody(id) || resp.Header.Get("X-Server-Seal") != "seal-"+id):
+		a.report("%s was told %q", id, body)
+	case resp.StatusCode == 200 && err != nil && !strings.HasPrefix(expectedBody(id), body):
+		a.report("%s was told a part of another's", id)
 	}
 }
 
-// settled checks a request after all that could be sent was sent.
-func (a *auditor) settled(id string, safe bool, status int) {
+// checkRequest checks a request after all that could be sent was sent.
+func (a *auditor) checkRequest(id string, safe bool, status int) {
 	a.mu.Lock()
-	ran := a.whole[id] - a.proved[id]
+	ran := a.completeRequests[id] - a.provedNotRun[id]
 	a.mu.Unlock()
 	if !safe && ran > 1 {
-		a.find("%s was sent %d times", id, ran)
+		a.report("%s was sent %d times", id, ran)
 	}
 	if attempt.PromisesNotRun(status) && ran > 0 {
-		a.find("%s was promised by a %d and sent", id, status)
+		a.report("%s was promised by a %d and sent", id, status)
 	}
 }
 
-func bodyOf(id string) string { return strings.Repeat("the bytes of "+id+".", 3) }
+func expectedBody(id string) string { return strings.Repeat("the bytes of "+id+".", 3) }
 
-// answerTo is the head and the body of the good answer to a request.
-func answerTo(id string, chunked bool) (head, body string) {
+// expectedResponse is the head and the body of the good answer to a request.
+func expectedResponse(id string, chunked bool) (head, body string) {
 	head = "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + id + "\r\nX-Server-Seal: seal-" + id + "\r\n"
-	if body = bodyOf(id); !chunked {
+	if body = expectedBody(id); !chunked {
 		return head + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(body)), body
 	}
 	return head + "Transfer-Encoding: chunked\r\n\r\n", fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(body), body)
 }
 
-// peers are the scripted servers of one case. The first that is reached while armed plays the script; the others are good.
-type peers struct {
-	play
+// scriptedServers are the scripted servers of one case. The first that is reached while armed plays the script; the others are good.
+type scriptedServers struct {
+	matrixCase
 	*auditor
-	mu     sync.Mutex
-	armed  bool
-	served sync.WaitGroup
-	answer func(id string) string  // in the place of the good one, if set
-	sound  bool                    // and the connection may be used after it
-	spoil  func(net.Conn) net.Conn // a planted fault on the edge's connections
-	alone  bool                    // there is one server
+	mu       sync.Mutex
+	armed    bool
+	served   sync.WaitGroup
+	answer   func(id string) string  // in the place of the good one, if set
+	keepConn bool                    // and the connection may be used after it
+	wrapConn func(net.Conn) net.Conn // a planted fault on the edge's connections
+	single   bool                    // there is one server
 }
 
-func (p *peers) take() bool {
+func (p *scriptedServers) disarm() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	armed := p.armed
@@ -149,19 +151,19 @@
 }
 
 // serve is one connection at a server.
-func (p *peers) serve(conn net.Conn) {
+func (p *scriptedServers) serve(conn net.Conn) {
 	defer p.served.Done()
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for {
-		if p.at == atAccept && !p.reused && p.take() {
+		if p.at == atAccept && !p.reused && p.disarm() {
 			p.actOn(conn, in)
 			return
 		}
 		if _, err := in.Peek(1); err != nil {
 			return
 		}
-		script := p.at != atAccept && p.take()
+		script := p.at != atAccept && p.disarm()
 		if script && p.at == atHeadPart {
 			p.actOn(conn, in)
 			return
@@ -171,7 +173,7 @@
 			return
 		}
 		id := r.Header.Get("X-Attempt-Id")
-		if script && p.at < atWhole {
+		if script && p.at < atRequestEnd {
 			if p.at == atBodyPart {
 				_, _ = r.Body.Read(make([]byte, 2))
 			}
@@ -183,103 +185,103 @@
 		}
 		p.received(id)
 		if script {
-			p.script(conn, in, id)
+			p.writeScripted(conn, in, id)
 			return
 		}
-		head, body := answerTo(id, p.chunked)
+		head, body := expectedResponse(id, p.chunked)
 		if _, err := io.WriteString(conn, head+body); err != nil {
 			return
 		}
-		if p.at == atAccept && p.reused && id == lastWarm { // while the connection is free
+		if p.at == atAccept && p.reused && id == lastWarmUpID { // while the connection is free
 			p.actOn(conn, in)
 			return
 		}
 	}
 }
 
-// script writes as much of the answer as the boundary says, with what the act adds in the same segment.
-func (p *peers) script(conn net.Conn, in *bufio.Reader, id string) {
+// writeScripted writes as much of the answer as the boundary says, with what the act adds in the same segment.
+func (p *scriptedServers) writeScripted(conn net.Conn, in *bufio.Reader, id string) {
 	if p.answer != nil {
 		text := p.answer(id)
 		if strings.Contains(text, "X-Not-Run") || strings.Contains(text, " 421 ") {
 			p.auditor.mu.Lock()
-			p.proved[id]++
+			p.provedNotRun[id]++
 			p.auditor.mu.Unlock()
 		}
 		_, _ = io.WriteString(conn, text)
-		if p.sound {
+		if p.keepConn {
 			p.served.Add(1)
 			p.serve(conn)
 			return
 		}
-		p.listen(in)
+		p.readUntilClose(in)
 		return
 	}
-	head, body := answerTo(id, p.chunked)
-	text := map[int]string{atAnswerHeadPart: head[:len(head)/2], atAnswerHead: head, atAnswerBodyPart: head + body[:len(body)/2],
-		atAnswerWhole: head + body}[p.at]
-	_, _ = io.WriteString(conn, text+p.surplus(id))
-	p.end(conn, in)
+	head, body := expectedResponse(id, p.chunked)
+	text := map[int]string{atResponseHeadPart: head[:len(head)/2], atResponseHead: head, atResponseBodyPart: head + body[:len(body)/2],
+		atResponseEnd: head + body}[p.at]
+	_, _ = io.WriteString(conn, text+p.surplusBytes(id))
+	p.finishAction(conn, in)
 }
 
-// surplus are the bytes of an act.
-func (p *peers) surplus(id string) string {
-	head, body := answerTo(id, false)
-	otherHead, otherBody := answerTo("stranger", false)
-	return map[int]string{garbage: "\x00no answer\r\n\r\n", secondAnswer: head + body, foreignAnswer: otherHead + otherBody}[p.act]
+// surplusBytes are the bytes of an act.
+func (p *scriptedServers) surplusBytes(id string) string {
+	head, body := expectedResponse(id, false)
+	otherHead, otherBody := expectedResponse("stranger", false)
+	return map[int]string{actGarbage: "\x00no answer\r\n\r\n", actSecondResponse: head + body, actForeignResponse: otherHead + otherBody}[p.action]
 }
 
 // actOn acts before any answer.
-func (p *peers) actOn(conn net.Conn, in *bufio.Reader) {
-	_, _ = io.WriteString(conn, p.surplus("stranger"))
-	p.end(conn, in)
+func (p *scriptedServers) actOn(conn net.Conn, in *bufio.Reader) {
+	_, _ = io.WriteString(conn, p.surplusBytes("stranger"))
+	p.finishAction(conn, in)
 }
 
-func (p *peers) end(conn net.Conn, in *bufio.Reader) {
-	switch p.act {
-	case closing:
-	case resetting:
+func (p *scriptedServers) finishAction(conn net.Conn, in *bufio.Reader) {
+	switch p.action {
+	case actClose:
+	case actReset:
 		if tcp, ok := conn.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		} else {
 			conn.(*pipeEnd).reset.Store(true)
 		}
-	case silence:
-		if p.at == atAnswerWhole { // nothing is odd
+	case actSilence:
+		if p.at == atResponseEnd { // nothing is odd
 			p.served.Add(1)
 			p.serve(conn)
 			return
 		}
-		p.listen(in)
+		p.readUntilClose(in)
 	default:
-		p.listen(in)
+		p.readUntilClose(in)
 	}
 }
 
-// listen reads what comes after the act until the edge closes the connection: no other request may be among it.
-func (p *peers) listen(in *bufio.Reader) {
+// readUntilClose reads what comes after the act until the edge closes the connection: no other request may be among it.
+func (p *scriptedServers) readUntilClose(in *bufio.Reader) {
 	text, _ := io.ReadAll(in)
 	if strings.Contains(string(text), "X-Attempt-Id: after") {
-		p.find("a connection was kept after %s", actNames[p.act])
+		p.report("a connection was kept after %s", actionNames[p.action])
 	}
 }
 
 // run plays the case: a probe and, in the same segment behind it, another request of the same client. It gives the probe's
 // status; 0: the connection was broken off.
-func (p *peers) run(h *testEdge, through func(http.Handler) http.Handler) int {
-	h.decide = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
+func (p *scriptedServers) run(h *testEdge, through func(http.Handler) http.Handler) int {
+	h.decideClaim = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
 		return idempotency.OutcomeGranted, nil
 	}
 	if through != nil {
 		h.clients.handler = through(h.Proxy)
 	}
 	h.upstreams.dial = p.dial
-	h.addServer("i-1", good)
-	if !p.alone {
-		h.addServer("i-2", good)
+	h.addServer("i-1", goodResponse)
+	if !p.single {
+		h.addServer("i-2", goodResponse)
 	}
-	if p.real { // no time is measured
-		patient := strings.ReplaceAll(strings.Replace(plan, `"r1"`, `"r2"`, 1), `"deadline_s":2`, `"deadline_s":60`)
+	if p.realSockets { // no time is measured
+		patient := strings.ReplaceAll(strings.Replace(testConfig, `"r1"`, `"r2"`, 1), `"deadline_s":2`, `"deadline_s":60`)
 		h.g.Expect(h.applyConfig(&peer.Config{Version: 2, Snapshot: []byte(patient)})).To(BeTrue())
 	}
 	for range 8 { // fills the budget
@@ -295,47 +297,47 @@
 	defer shut()
 	in := bufio.NewReader(client)
 	if p.reused {
-		for _, id := range []string{"warm-1", "warm-2", "warm-3", lastWarm} { // both servers have a free connection, or nearly
-			go func() { _, _ = io.WriteString(client, probe("s", id)) }()
-			p.hear(in, id)
+		for _, id := range []string{"warm-1", "warm-2", "warm-3", lastWarmUpID} { // both servers have a free connection, or nearly
+			go func() { _, _ = io.WriteString(client, probeRequest("s", id)) }()
+			p.readResponse(in, id)
 		}
-		if !p.real {
+		if !p.realSockets {
 			synctest.Wait()
 		}
 	}
 	p.mu.Lock()
 	p.armed = true
 	p.mu.Unlock()
-	go func() { _, _ = io.WriteString(client, probe(p.kind, "probe")+probe("s", "after")) }()
-	status := p.hear(in, "probe")
+	go func() { _, _ = io.WriteString(client, probeRequest(p.kind, "probe")+probeRequest("s", "after")) }()
+	status := p.readResponse(in, "probe")
 	if status != 0 {
-		if after := p.hear(in, "after"); after != 200 {
-			p.find("the request behind it was told %d", after)
+		if after := p.readResponse(in, "after"); after != 200 {
+			p.report("the request behind it was told %d", after)
 		}
 	}
-	p.settled("probe", p.kind == "s", status)
+	p.checkRequest("probe", p.kind == "s", status)
 	return status
 }
 
-func probe(kind, id string) string {
+func probeRequest(kind, id string) string {
 	return "POST /" + kind + "/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: " + id + "\r\nX-Operation-Key: " + id +
 		"\r\nContent-Length: 5\r\n\r\nhello"
 }
 
-// hear reads the next answer at a client.
-func (p *peers) hear(in *bufio.Reader, id string) int {
+// readResponse reads the next answer at a client.
+func (p *scriptedServers) readResponse(in *bufio.Reader, id string) int {
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
 		return 0
 	}
 	body, err := io.ReadAll(resp.Body)
-	p.told(id, resp, string(body), err)
+	p.checkResponse(id, resp, string(body), err)
 	return resp.StatusCode
 }
 
 // client connects a client to the edge's door, by a pipe or a socket.
-func (p *peers) client(h *testEdge) (conn net.Conn, shut func()) {
-	if p.real {
+func (p *scriptedServers) client(h *testEdge) (conn net.Conn, shut func()) {
+	if p.realSockets {
 		front, err := net.Listen("tcp", "127.0.0.1:0")
 		h.g.Expect(err).NotTo(HaveOccurred())
 		go func() { _ = h.clients.serve(front) }()
@@ -343,11 +345,11 @@
 		h.g.Expect(err).NotTo(HaveOccurred())
 		return conn, func() { conn.Close(); front.Close() }
 	}
-	s := newStreet()
+	s := newPipeListener()
 	ended := make(chan struct{})
 	go func() { _ = h.clients.serve(s); close(ended) }()
 	synctest.Wait()
-	conn = h.walkIn(s)
+	conn = h.connectClient(s)
 	return conn, func() {
 		conn.Close()
 		s.Close()
@@ -358,13 +360,13 @@
 }
 
 // dial connects the edge to a server, by a pipe or a socket.
-func (p *peers) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+func (p *scriptedServers) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	p.served.Add(1)
-	if !p.real {
+	if !p.realSockets {
 		near, far := newPipe()
 		go p.serve(far)
-		if p.spoil != nil {
-			near = p.spoil(near)
+		if p.wrapConn != nil {
+			near = p.wrapConn(near)
 		}
 		return near, nil
 	}
@@ -385,14 +387,14 @@
 	return (&net.Dialer{}).DialContext(ctx, "tcp", l.Addr().String())
 }
 
-// matrix generates the cases.
-func matrix(real bool) (all []play) {
-	for at := range boundaries {
-		for act := range acts {
+// generateCases generates the cases.
+func generateCases(real bool) (all []matrixCase) {
+	for at := range boundaryCount {
+		for act := range actionCount {
 			for _, kind := range []string{"s", "u", "k"} {
 				for n := range 4 {
-					p := play{at: at, act: act, kind: kind, reused: n&1 > 0, chunked: n&2 > 0, real: real}
-					if p.possible() {
+					p := matrixCase{at: at, action: act, kind: kind, reused: n&1 > 0, chunked: n&2 > 0, realSockets: real}
+					if p.valid() {
 						all = append(all, p)
 					}
 				}
@@ -402,29 +404,29 @@
 	return all
 }
 
-// possible tells whether a case means anything.
-func (p play) possible() bool {
+// valid tells whether a case means anything.
+func (p matrixCase) valid() bool {
 	switch {
-	case p.real && p.act == silence: // it takes its time, which is a fake clock's business
+	case p.realSockets && p.action == actSilence: // it takes its time, which is a fake clock's business
 		return false
-	case p.reused && p.at == atAccept && p.act == silence: // that is a sound connection
+	case p.reused && p.at == atAccept && p.action == actSilence: // that is a sound connection
 		return false
-	case p.reused && p.at == atAccept && p.act > resetting && p.real: // such bytes and the request may cross on their way
+	case p.reused && p.at == atAccept && p.action > actReset && p.realSockets: // such bytes and the request may cross on their way
 		return false
-	case p.act == secondAnswer:
-		return p.at == atAnswerWhole
-	case p.act > resetting && (p.at == atAnswerHead || p.at == atAnswerBodyPart):
-		return p.chunked && p.at == atAnswerHead // bytes in the place of a body are the body: only the server could tell
+	case p.action == actSecondResponse:
+		return p.at == atResponseEnd
+	case p.action > actReset && (p.at == atResponseHead || p.at == atResponseBodyPart):
+		return p.chunked && p.at == atResponseHead // bytes in the place of a body are the body: only the server could tell
 	}
 	return true
 }
 
-// statuses are those that the table of endings allows.
-func (p play) statuses() []int {
+// allowedStatuses are those that the table of endings allows.
+func (p matrixCase) allowedStatuses() []int {
 	switch {
-	case p.at == atAnswerWhole:
+	case p.at == atResponseEnd:
 		return []int{200}
-	case p.act == silence: // the time is over
+	case p.action == actSilence: // the time is over
 		return []int{504}
 	case p.kind == "s":
 		return []int{200}
@@ -436,15 +438,15 @@
 }
 
 func TestEveryBoundary(t *testing.T) {
-	cases := append(matrix(false), matrix(true)...)
+	cases := append(generateCases(false), generateCases(true)...)
 	for _, c := range cases {
 		try := func(h *testEdge) {
-			p := &peers{play: c, auditor: newAuditor()}
+			p := &scriptedServers{matrixCase: c, auditor: newAuditor()}
 			status := p.run(h, nil)
 			h.g.Expect(p.findings).To(BeEmpty(), "%s", c)
-			h.g.Expect(c.statuses()).To(ContainElement(status), "%s", c)
+			h.g.Expect(c.allowedStatuses()).To(ContainElement(status), "%s", c)
 		}
-		if c.real {
+		if c.realSockets {
 			setup(t, func(h *testEdge) { defer h.close(); try(h) })
 		} else {
 			runEdge(t, try)
--- a/internal/edge/proxy/pipeline.go
+++ b/internal/edge/proxy/pipeline.go
@@ -26,8 +26,8 @@
 	minAttemptTime = 10 * time.Millisecond
 
 	// Ranks in the queue, around the routes' priorities: a lower rank goes first.
-	staleRankOffset  = 1000
-	bookedRankOffset = 1000
+	staleRankOffset    = 1000
+	reservedRankOffset = 1000
 )
 
 // ServeHTTP serves a client's request.
@@ -255,7 +255,7 @@
 		limit, rank = left/3, rank+staleRankOffset
 	}
 	if p.reservations.hasPriority(req.admission) {
-		rank -= bookedRankOffset
+		rank -= reservedRankOffset
 	}
 	return limit, rank
 }
--- a/internal/edge/proxy/proxy.go
+++ b/internal/edge/proxy/proxy.go
@@ -56,7 +56,7 @@
 	claims       *claimTracker
 	session      *controllerSession
 	shutdown     *shutdown
-	rejections   *rejectionLog
+	logLimiter   *logLimiter
 	active       *activeRequests
 	lateness     lateness.Meter
 }
@@ -74,8 +74,8 @@
 	p.shutdown = newShutdown()
 	p.claims = newClaimTracker(p.Env, p.session, p.shutdown.work.Done())
 	p.reservations = newReservationGates(p.Env, p.queue, &p.fleetEdges, p.session.send)
-	p.rejections = &rejectionLog{}
-	p.active = newActiveRequests(p.Env, p.rejections)
+	p.logLimiter = &logLimiter{}
+	p.active = newActiveRequests(p.Env, p.logLimiter)
 	return p
 }
 
@@ -170,7 +170,7 @@
 
 // sendReport tells the controller what was counted since the last report.
 func (p *Proxy) sendReport() {
-	report := &peer.Report{Period: reportInterval.Seconds(), Servers: p.upstreams.drainStats(), Services: p.traffic.drainStats()}
+	report := &peer.Report{Period: reportInterval.Seconds(), Servers: p.upstreams.takeStats(), Services: p.traffic.takeStats()}
 	if len(report.Servers)+len(report.Services) > 0 {
 		p.session.send(report)
 	}
@@ -185,7 +185,7 @@
 		for _, r := range tree.Config.Routes {
 			longest = max(longest, r.Deadline)
 		}
-		p.clients.conns.CloseStale(idle, idle+seconds(longest)+stuckAfter)
+		p.clients.conns.CloseStale(idle, idle+seconds(longest)+stuckTimeout)
 	}
 	p.upstreams.closeIdle()
 }
@@ -240,7 +240,7 @@
 		}
 	case *peer.Handshake:
 		if m.Recovering {
-			p.claims.sendKept(link)
+			p.claims.sendStored(link)
 		}
 	case *peer.Config:
 		if !p.applyConfig(m) {
--- a/internal/edge/proxy/proxy_test.go
+++ b/internal/edge/proxy/proxy_test.go
@@ -26,7 +26,7 @@
 	"mulleinwood/internal/platform/nodesettings"
 )
 
-const settings = `
+const testSettings = `
 node: "edge-1"
 ip: "10.0.0.1"
 zone: "hall"
@@ -35,7 +35,7 @@
 bounds: ["retry_ratio=0.5,retry_slack=40"]
 `
 
-const plan = `{"version":"r1","services":[{"name":"tags"}],"limits":{"max_body_bytes":100},"plants":[{"plant":"a.example","channels":[` +
+const testConfig = `{"version":"r1","services":[{"name":"tags"}],"limits":{"max_body_bytes":100},"plants":[{"plant":"a.example","channels":[` +
 	`{"name":"s","path_prefix":"/s/","kind":"safe","deadline_s":2,"setpoint_s":0.4,"service":"tags","tries":2},` +
 	`{"name":"u","path_prefix":"/u/","kind":"unsafe","deadline_s":2,"setpoint_s":0.4,"service":"tags","tries":2},` +
 	`{"name":"k","path_prefix":"/k/","kind":"keyed","deadline_s":2,"setpoint_s":0.4,"service":"tags","tries":2}]}]}`
@@ -49,30 +49,30 @@
 	received      []*http.Request                       // what servers were sent
 	bodies        []string
 	dials         int
-	decide        func(idempotency.Record) (idempotency.Outcome, *idempotency.Response)
+	decideClaim   func(idempotency.Record) (idempotency.Outcome, *idempotency.Response)
 	revoked       []idempotency.Record
-	kept          []idempotency.Record
+	stored        []idempotency.Record
 	controllerEnd *peer.Link
 }
 
-func runEdge(t *testing.T, play func(*testEdge)) {
+func runEdge(t *testing.T, scenario func(*testEdge)) {
 	synctest.Test(t, func(t *testing.T) {
 		setup(t, func(h *testEdge) {
 			defer synctest.Wait()
 			defer h.close()
-			play(h)
+			scenario(h)
 		})
 	})
 }
 
 // setup makes a hall without a clock of its own.
-func setup(t *testing.T, play func(*testEdge)) {
+func setup(t *testing.T, scenario func(*testEdge)) {
 	g := NewWithT(t)
-	set, err := nodesettings.Parse("test", []byte(settings))
+	set, err := nodesettings.Parse("test", []byte(testSettings))
 	g.Expect(err).NotTo(HaveOccurred())
 	h := &testEdge{Proxy: New(node.Config{Settings: set, Logger: log.NewNopLogger()}), g: g, servers: map[string]func(*http.Request) string{}}
 	h.upstreams.dial = h.dial
-	g.Expect(h.applyConfig(&peer.Config{Version: 1, Snapshot: []byte(plan)})).To(BeTrue())
+	g.Expect(h.applyConfig(&peer.Config{Version: 1, Snapshot: []byte(testConfig)})).To(BeTrue())
 	near, far := net.Pipe()
 	link := peer.NewLink(near)
 	h.session.link = link
@@ -85,7 +85,7 @@
 		})
 	}()
 	go func() { _ = h.controllerEnd.Read(h.handleAtController) }()
-	play(h)
+	scenario(h)
 }
 
 // close ends what runs beside the edge.
@@ -102,13 +102,13 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, r := range f.Claims {
-		if h.decide != nil {
-			ruling, answer := h.decide(r)
+		if h.decideClaim != nil {
+			ruling, answer := h.decideClaim(r)
 			h.controllerEnd.Send(peer.ClaimOutcomes{{Token: r.Token, Outcome: ruling, Response: answer}})
 		}
 	}
 	h.revoked = append(h.revoked, f.Revocations...)
-	h.kept = append(h.kept, f.Responses...)
+	h.stored = append(h.stored, f.Responses...)
 }
 
 // dial connects to a scripted server.
@@ -180,21 +180,25 @@
 	return w
 }
 
-func reply(r *http.Request, status, extra, body string) string {
+func rawResponse(r *http.Request, status, extra, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %s\r\nX-Attempt-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, r.Header.Get("X-Attempt-Id"), extra, len(body), body)
 }
 
-func good(r *http.Request) string { return reply(r, "200 OK", "X-Server-Seal: seal\r\n", "bytes") }
-func full(r *http.Request) string { return reply(r, "503 Full", "X-Not-Run: 1\r\n", "") }
-func hang(*http.Request) string   { return "" }
-func cut(r *http.Request) string  { return strings.TrimSuffix(good(r), "tes") + "<close>" }
-func other(*http.Request) string {
+func goodResponse(r *http.Request) string {
+	return rawResponse(r, "200 OK", "X-Server-Seal: seal\r\n", "bytes")
+}
+func rejectFull(r *http.Request) string { return rawResponse(r, "503 Full", "X-Not-Run: 1\r\n", "") }
+func hang(*http.Request) string         { return "" }
+func truncatedResponse(r *http.Request) string {
+	return strings.TrimSuffix(goodResponse(r), "tes") + "<close>"
+}
+func foreignResponse(*http.Request) string {
 	return "HTTP/1.1 200 OK\r\nX-Attempt-Id: try-0\r\nX-Server-Seal: seal\r\nContent-Length: 1\r\n\r\nx"
 }
 
 func TestRequestGoesUnchangedAndAnswerComesBack(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		h.addServer("i-1", good)
+		h.addServer("i-1", goodResponse)
 		w := h.request("POST", "/u/x?q=%2f", "hello", "X-Own", "kept", "Connection", "X-Hop", "X-Hop", "gone", "X-Expected-Instance", "i-9")
 		h.g.Expect(w.Code).To(Equal(200))
 		h.g.Expect(w.Body.String()).To(Equal("bytes"))
@@ -219,15 +223,15 @@
 		path         string
 		status, sent int
 	}{
-		{"an answer to another try, safe", other, "/s/x", 200, 2},
-		{"an answer to another try, unsafe", other, "/u/x", 502, 1},
-		{"a body cut short, safe", cut, "/s/x", 200, 2},
-		{"a body cut short, unsafe", cut, "/u/x", 502, 1},
+		{"an answer to another try, safe", foreignResponse, "/s/x", 200, 2},
+		{"an answer to another try, unsafe", foreignResponse, "/u/x", 502, 1},
+		{"a body cut short, safe", truncatedResponse, "/s/x", 200, 2},
+		{"a body cut short, unsafe", truncatedResponse, "/u/x", 502, 1},
 		{"a close without an answer, unsafe", func(*http.Request) string { return "<close>" }, "/u/x", 502, 1},
 		{"bytes that are no answer, unsafe", func(*http.Request) string { return "spoilt\r\n\r\n" }, "/u/x", 502, 1},
-		{"turned away, unsafe", full, "/u/x", 200, 2},
-		{"a failure of the server's own, unsafe", func(r *http.Request) string { return reply(r, "500 Oops", "", "") }, "/u/x", 500, 1},
-		{"a success without a seal, unsafe", func(r *http.Request) string { return reply(r, "200 OK", "", "x") }, "/u/x", 502, 1},
+		{"turned away, unsafe", rejectFull, "/u/x", 200, 2},
+		{"a failure of the server's own, unsafe", func(r *http.Request) string { return rawResponse(r, "500 Oops", "", "") }, "/u/x", 500, 1},
+		{"a success without a seal, unsafe", func(r *http.Request) string { return rawResponse(r, "200 OK", "", "x") }, "/u/x", 502, 1},
 		{"a success with no end of its own, unsafe", func(r *http.Request) string {
 			return "HTTP/1.1 200 OK\r\nX-Attempt-Id: try-1\r\nX-Server-Seal: seal\r\n\r\nbytes<close>"
 		}, "/u/x", 502, 1},
@@ -244,7 +248,7 @@
 					if mine {
 						return c.first(r)
 					}
-					return good(r)
+					return goodResponse(r)
 				}
 				h.addServer("i-1", script)
 				h.addServer("i-2", script)
@@ -261,8 +265,8 @@
 
 func TestNoRetryWithoutBudget(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		h.addServer("i-1", full)
-		h.addServer("i-2", full)
+		h.addServer("i-1", rejectFull)
+		h.addServer("i-2", rejectFull)
 		w := h.request("GET", "/s/x", "")
 		h.g.Expect(w.Code).To(Equal(503))
 		h.g.Expect(w.Header().Get("Retry-After")).NotTo(BeEmpty())
@@ -281,7 +285,7 @@
 
 func TestServerThatLeavesGetsNothing(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		h.addServer("i-1", good)
+		h.addServer("i-1", goodResponse)
 		h.g.Expect(h.request("GET", "/s/x", "").Code).To(Equal(200))
 		h.upstreams.update([]registry.Entry{{ID: "i-1", Service: "tags", Address: "i-1:80", Seq: 2, State: registry.Draining}})
 		h.upstreams.update([]registry.Entry{{ID: "i-1", Service: "tags", Address: "i-1:80", Seq: 1}}) // late
@@ -292,7 +296,7 @@
 
 func TestConnectionsEndWithAnIncarnationNotWithAnAddress(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		h.addServer("i-1", good)
+		h.addServer("i-1", goodResponse)
 		h.request("GET", "/s/x", "")
 		h.request("GET", "/s/x", "")
 		h.g.Expect(h.dials).To(Equal(1))
@@ -309,27 +313,27 @@
 	}
 	t.Run("run once claimed, and their answer is kept", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
-			h.decide = stands
-			h.addServer("i-1", good)
+			h.decideClaim = stands
+			h.addServer("i-1", goodResponse)
 			h.g.Expect(h.request("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(200))
-			h.g.Expect(h.kept).To(HaveLen(1))
-			h.g.Expect(string(h.kept[0].Response.Body)).To(Equal("bytes"))
-			h.g.Expect(h.kept[0].Response.Headers).To(HaveKeyWithValue("X-Server-Seal", "seal"))
+			h.g.Expect(h.stored).To(HaveLen(1))
+			h.g.Expect(string(h.stored[0].Response.Body)).To(Equal("bytes"))
+			h.g.Expect(h.stored[0].Response.Headers).To(HaveKeyWithValue("X-Server-Seal", "seal"))
 		})
 	})
 	t.Run("are 409 while another runs them", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
-			h.decide = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
+			h.decideClaim = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
 				return idempotency.OutcomeConflict, nil
 			}
-			h.addServer("i-1", good)
+			h.addServer("i-1", goodResponse)
 			h.g.Expect(h.request("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(409))
 			h.g.Expect(h.received).To(BeEmpty())
 		})
 	})
 	t.Run("repeat the first answer, for this try", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
-			h.decide = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
+			h.decideClaim = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
 				return idempotency.OutcomeConflict, &idempotency.Response{Status: 201, Headers: map[string]string{"X-Server-Seal": "first"}, Body: []byte("one")}
 			}
 			w := h.request("POST", "/k/x", "x", "X-Operation-Key", "k")
@@ -341,7 +345,7 @@
 	})
 	t.Run("send nothing without a clear claim, and withdraw it", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
-			h.addServer("i-1", good)
+			h.addServer("i-1", goodResponse)
 			w := h.request("POST", "/k/x", "x", "X-Operation-Key", "k") // the controller says nothing
 			h.g.Expect(w.Code).To(Equal(503))
 			h.g.Expect(h.received).To(BeEmpty())
@@ -350,22 +354,22 @@
 	})
 	t.Run("are withdrawn on proof that they never ran, and only then", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
-			h.decide = stands
-			h.addServer("i-1", full)
+			h.decideClaim = stands
+			h.addServer("i-1", rejectFull)
 			h.g.Expect(h.request("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(503))
 			h.g.Expect(h.revoked).To(HaveLen(1))
 		})
 		runEdge(t, func(h *testEdge) {
-			h.decide = stands
-			h.addServer("i-1", cut)
+			h.decideClaim = stands
+			h.addServer("i-1", truncatedResponse)
 			h.g.Expect(h.request("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(502))
 			h.g.Expect(h.revoked).To(BeEmpty())
-			h.g.Expect(h.kept).To(BeEmpty())
+			h.g.Expect(h.stored).To(BeEmpty())
 		})
 	})
 	t.Run("are refused early while no controller can be reached, and withdrawn once one can", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
-			h.addServer("i-1", good)
+			h.addServer("i-1", goodResponse)
 			link := h.session.link
 			h.session.link, h.session.known = nil, map[string]bool{}
 			w := h.request("POST", "/k/x", "x", "X-Operation-Key", "k")
@@ -381,7 +385,7 @@
 	})
 	t.Run("are withdrawn at the other controller, too, that they were put to: home may have died", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
-			h.addServer("i-1", good)
+			h.addServer("i-1", goodResponse)
 			near, far := net.Pipe()
 			guest, other := peer.NewLink(near), peer.NewLink(far)
 			defer guest.Close()
@@ -403,8 +407,8 @@
 	})
 	t.Run("that wait for a claim are put to a new home, unless they were decided", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
-			h.decide = stands
-			h.addServer("i-1", good)
+			h.decideClaim = stands
+			h.addServer("i-1", goodResponse)
 			h.request("POST", "/k/x", "x", "X-Operation-Key", "k")
 			h.g.Expect(h.claims.pending).To(BeEmpty())
 		})
@@ -419,9 +423,9 @@
 		h.addServer("i-1", func(r *http.Request) string {
 			if r.URL.Path == "/s/spoilt" && spoil {
 				spoil = false
-				return other(r)
+				return foreignResponse(r)
 			}
-			return good(r)
+			return goodResponse(r)
 		})
 		h.request("GET", "/s/x", "")
 		h.request("GET", "/s/spoilt", "")
@@ -438,7 +442,7 @@
 func TestFreshRequestsGoFirst(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		open := make(chan struct{})
-		h.addServer("i-1", func(r *http.Request) string { <-open; return good(r) })
+		h.addServer("i-1", func(r *http.Request) string { <-open; return goodResponse(r) })
 		var order []string
 		var mu sync.Mutex
 		var all sync.WaitGroup
@@ -467,9 +471,9 @@
 	})
 }
 
-func TestBadRequestsHarmNobody(t *testing.T) {
+func TestBadRequestsAreRejected(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		h.addServer("i-1", good)
+		h.addServer("i-1", goodResponse)
 		for _, c := range []struct {
 			path, body, header, value string
 			status                    int
@@ -486,11 +490,11 @@
 	})
 }
 
-func TestConfigurationNeverGoesBack(t *testing.T) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		newer := strings.Replace(plan, `"r1"`, `"r5"`, 1)
+		newer := strings.Replace(testConfig, `"r1"`, `"r5"`, 1)
 		h.g.Expect(h.applyConfig(&peer.Config{Version: 5, Snapshot: []byte(newer)})).To(BeTrue())
-		h.g.Expect(h.applyConfig(&peer.Config{Version: 1, Snapshot: []byte(plan)})).To(BeTrue())
+		h.g.Expect(h.applyConfig(&peer.Config{Version: 1, Snapshot: []byte(testConfig)})).To(BeTrue())
 		h.g.Expect(h.tree.Load().Config.Version).To(Equal(config.Version(5)))
 		h.g.Expect(h.applyConfig(&peer.Config{Version: 9, Base: 7, Delta: []byte(`{"version":"r9"}`)})).To(BeFalse(), "a change on another version needs the whole")
 	})
@@ -503,12 +507,12 @@
 		_, _ = io.WriteString(w, "bytes")
 	}))
 	defer server.Close()
-	set, err := nodesettings.Parse("test", []byte(settings))
+	set, err := nodesettings.Parse("test", []byte(testSettings))
 	if err != nil {
 		b.Fatal(err)
 	}
 	c := New(node.Config{Settings: set, Logger: log.NewNopLogger()})
-	c.applyConfig(&peer.Config{Version: 1, Snapshot: []byte(plan)})
+	c.applyConfig(&peer.Config{Version: 1, Snapshot: []byte(testConfig)})
 	c.upstreams.update([]registry.Entry{{ID: "i-1", Service: "tags", Address: server.Listener.Addr().String(), Zone: "hall", Capacity: 2, Seq: 1}})
 	b.ReportAllocs()
 	for b.Loop() {
@@ -532,7 +536,7 @@
 			if r.URL.Path == "/s/slow" {
 				<-running
 			}
-			return good(r)
+			return goodResponse(r)
 		})
 		front, err := net.Listen("tcp", "127.0.0.1:0")
 		h.g.Expect(err).NotTo(HaveOccurred())
@@ -563,14 +567,14 @@
 func TestOneOfManyEdgesRunsAKey(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		taken := map[idempotency.Key]idempotency.Token{}
-		h.decide = func(r idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
+		h.decideClaim = func(r idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
 			if first, ok := taken[r.Key]; ok && first != r.Token {
 				return idempotency.OutcomeConflict, nil
 			}
 			taken[r.Key] = r.Token
 			return idempotency.OutcomeGranted, nil
 		}
-		h.addServer("i-1", good)
+		h.addServer("i-1", goodResponse)
 		var all sync.WaitGroup
 		codes := make([]int, 3)
 		for i := range codes {
--- a/internal/edge/proxy/reservations.go
+++ b/internal/edge/proxy/reservations.go
@@ -28,11 +28,11 @@
 	active     atomic.Bool             // a reservation is in force, or something runs under a gate
 	wake       chan struct{}
 
-	mu        sync.Mutex
-	announced []reservation.Reservation // in force, as the controller last said
-	lease     reservation.LeaseHolder
-	gates     map[string]*reservation.AdmissionGate // by service
-	wanted    map[string]int                        // by reservation: requests that run or wait
+	mu           sync.Mutex
+	announced    []reservation.Reservation // in force, as the controller last said
+	lease        reservation.LeaseHolder
+	gates        map[string]*reservation.AdmissionGate // by service
+	demandCounts map[string]int                        // by reservation: requests that run or wait
 }
 
 // admission is what a request holds of a gate. A nil one is that of a service without reservations.
@@ -47,14 +47,14 @@
 func newReservationGates(env *node.Env, queue *requestQueue, fleetEdges *atomic.Int32,
 	send func(peer.Message) bool) *reservationGates {
 	return &reservationGates{
-		Env:        env,
-		queue:      queue,
-		fleetEdges: fleetEdges,
-		send:       send,
-		wake:       make(chan struct{}, 1),
-		lease:      reservation.LeaseHolder{Incarnation: env.Incarnation},
-		gates:      map[string]*reservation.AdmissionGate{},
-		wanted:     map[string]int{},
+		Env:          env,
+		queue:        queue,
+		fleetEdges:   fleetEdges,
+		send:         send,
+		wake:         make(chan struct{}, 1),
+		lease:        reservation.LeaseHolder{Incarnation: env.Incarnation},
+		gates:        map[string]*reservation.AdmissionGate{},
+		demandCounts: map[string]int{},
 	}
 }
 
@@ -164,7 +164,7 @@
 		return nil
 	}
 	a := &admission{gate: gate, reservation: g.reservationFor(route, service)}
-	g.wanted[a.reservation]++
+	g.demandCounts[a.reservation]++
 	return a
 }
 
@@ -203,8 +203,8 @@
 func (g *reservationGates) release(a *admission) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.wanted[a.reservation]--; g.wanted[a.reservation] == 0 {
-		delete(g.wanted, a.reservation)
+	if g.demandCounts[a.reservation]--; g.demandCounts[a.reservation] == 0 {
+		delete(g.demandCounts, a.reservation)
 	}
 	if a.admitted {
 		a.gate.Release(a.admittedAs, max(1, g.Now()-a.admittedAt)) // a release of 0 would mean that it found no server
@@ -251,7 +251,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.updateGates()
-	demand = g.lease.Demand(maps.Clone(g.wanted), g.Now())
+	demand = g.lease.Demand(maps.Clone(g.demandCounts), g.Now())
 	demand.Zone = g.Settings.Zone
 	return demand, len(g.announced) > 0
 }
--- a/internal/edge/proxy/reservations_test.go
+++ b/internal/edge/proxy/reservations_test.go
@@ -38,10 +38,10 @@
 	return func() map[int]int { all.Wait(); return got }
 }
 
-// works answers after a span.
-func works(h *testEdge, span time.Duration) func(*http.Request) string {
+// respondAfter answers after a span.
+func respondAfter(h *testEdge, delay time.Duration) func(*http.Request) string {
 	return func(r *http.Request) string {
-		time.Sleep(span)
+		time.Sleep(delay)
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Server-Seal: s\r\nContent-Length: 2\r\n\r\nok", r.Header.Get("X-Attempt-Id"))
 	}
 }
@@ -60,7 +60,7 @@
 	runEdge(t, func(h *testEdge) {
 		h.g.Expect(h.applyConfig(&peer.Config{Version: 2, Snapshot: []byte(twoTenants)})).To(BeTrue())
 		for i := range 4 { // eight slots
-			h.addServer(fmt.Sprint("i-", i), works(h, 300*time.Millisecond))
+			h.addServer(fmt.Sprint("i-", i), respondAfter(h, 300*time.Millisecond))
 		}
 		list := []reservation.Reservation{{ID: "flyer", Tenant: "A.example", Service: "tags", Slots: 6}, {ID: reservation.UnreservedID("tags"), Service: "tags", Slots: 2}}
 		h.setReservations(list, map[string]int{"flyer": 6, reservation.UnreservedID("tags"): 2}, map[string]bool{reservation.UnreservedID("tags"): true})
@@ -81,11 +81,11 @@
 }
 
 // The booking is cancelled while others run under its reservation: they run on, nobody is held any more, and every slot is given back.
-func TestABookingEndsWhileItsReservationIsLent(t *testing.T) {
+func TestReservationEndsWhileItsSlotsAreLent(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		h.g.Expect(h.applyConfig(&peer.Config{Version: 2, Snapshot: []byte(twoTenants)})).To(BeTrue())
 		for i := range 4 {
-			h.addServer(fmt.Sprint("i-", i), works(h, 300*time.Millisecond))
+			h.addServer(fmt.Sprint("i-", i), respondAfter(h, 300*time.Millisecond))
 		}
 		list := []reservation.Reservation{{ID: "flyer", Tenant: "a.example", Service: "tags", Slots: 7}, {ID: reservation.UnreservedID("tags"), Service: "tags", Slots: 1}}
 		h.setReservations(list, map[string]int{"flyer": 7, reservation.UnreservedID("tags"): 1}, map[string]bool{reservation.UnreservedID("tags"): true})
@@ -109,7 +109,7 @@
 	runEdge(t, func(h *testEdge) {
 		h.g.Expect(h.applyConfig(&peer.Config{Version: 2, Snapshot: []byte(twoTenants)})).To(BeTrue())
 		for i := range 4 {
-			h.addServer(fmt.Sprint("i-", i), works(h, 300*time.Millisecond))
+			h.addServer(fmt.Sprint("i-", i), respondAfter(h, 300*time.Millisecond))
 		}
 		list := []reservation.Reservation{{ID: "flyer", Tenant: "a.example", Service: "tags", Slots: 6}, {ID: reservation.UnreservedID("tags"), Service: "tags", Slots: 2}}
 		h.setReservations(list, map[string]int{"flyer": 1, reservation.UnreservedID("tags"): 0}, nil)
@@ -126,7 +126,7 @@
 	runEdge(t, func(h *testEdge) {
 		h.g.Expect(h.applyConfig(&peer.Config{Version: 2, Snapshot: []byte(twoTenants)})).To(BeTrue())
 		for i := range 4 {
-			h.addServer(fmt.Sprint("i-", i), works(h, 300*time.Millisecond))
+			h.addServer(fmt.Sprint("i-", i), respondAfter(h, 300*time.Millisecond))
 		}
 		h.fleetEdges.Store(2)
 		list := []reservation.Reservation{{ID: "flyer", Tenant: "a.example", Service: "tags", Slots: 4}, {ID: reservation.UnreservedID("tags"), Service: "tags", Slots: 4}}
--- a/internal/edge/proxy/respond.go
+++ b/internal/edge/proxy/respond.go
@@ -49,7 +49,7 @@
 		h["Content-Type"] = nil // none is guessed
 	}
 	switch {
-	case bodiless(req.http.Method, result.status): // the length that the server stated stands
+	case hasNoBody(req.http.Method, result.status): // the length that the server stated stands
 	case result.stream == nil:
 		h["Content-Length"] = []string{strconv.Itoa(len(result.body))}
 	case result.stream.length >= 0:
@@ -57,8 +57,8 @@
 	}
 }
 
-// bodiless reports whether a response has no body, whatever its header says.
-func bodiless(method string, status int) bool {
+// hasNoBody reports whether a response has no body, whatever its header says.
+func hasNoBody(method string, status int) bool {
 	return method == http.MethodHead || status == http.StatusNoContent || status == http.StatusNotModified
 }
 
@@ -72,7 +72,7 @@
 	if fromServer != nil && req.clientLeft() { // the attempt ended with the client
 		fromServer, toClient = nil, errClientLeft
 	}
-	cause := stream.end(fromServer, toClient)
+	cause := stream.finish(fromServer, toClient)
 	if cause.Consequence().Disposition != attempt.AbortConnection {
 		return
 	}
@@ -149,15 +149,15 @@
 	p.logRejection(err, r)
 }
 
-// rejectionLog counts the lines of the current second, by kind of error.
-type rejectionLog struct {
+// logLimiter counts the lines of the current second, by kind of error.
+type logLimiter struct {
 	mu     sync.Mutex
 	second int64
 	lines  map[string]int
 }
 
 // allow counts a line and reports whether it may be written.
-func (l *rejectionLog) allow(kind string, now time.Duration) bool {
+func (l *logLimiter) allow(kind string, now time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if second := int64(now / time.Second); l.lines == nil || l.second != second {
@@ -171,7 +171,7 @@
 // should not cost more than the requests did. The counters count all.
 func (p *Proxy) logRejection(err error, r *http.Request) {
 	kind := apierror.Kind(err)
-	if p.rejections.allow(kind, p.Now()) {
+	if p.logLimiter.allow(kind, p.Now()) {
 		p.LogEvent("request failed", "kind", kind, "attempt", r.Header.Get(headerAttemptID), "host", r.Host, "cause", err)
 	}
 }
--- a/internal/edge/proxy/roundtrip.go
+++ b/internal/edge/proxy/roundtrip.go
@@ -26,20 +26,20 @@
 type responseStream struct {
 	remaining io.Reader
 	length    int64 // of the complete response; -1: not known
-	end       func(fromServer, toClient error) attempt.Cause
+	finish    func(fromServer, toClient error) attempt.Cause
 }
 
 // roundTrip is one attempt at one server while it goes on. It belongs to the goroutine that serves the request.
 type roundTrip struct {
 	*Proxy
-	req      *clientRequest
-	upstream *upstream
-	ctx      context.Context // ends with the request's deadline, with the process, and with a client that may be given up
-	cancel   context.CancelFunc
-	unwatch  func() bool // ends the watch on the client; nil: the attempt goes on without it
-	conn     *serverConn
-	attempt  attempt.Attempt
-	sentAt   time.Duration
+	req             *clientRequest
+	upstream        *upstream
+	ctx             context.Context // ends with the request's deadline, with the process, and with a client that may be given up
+	cancel          context.CancelFunc
+	stopClientWatch func() bool // ends the watch on the client; nil: the attempt goes on without it
+	conn            *serverConn
+	attempt         attempt.Attempt
+	sentAt          time.Duration
 }
 
 // errServerDraining says that a server began to drain while a connection to it was made.
@@ -51,7 +51,7 @@
 	timeout := req.timeLeft(p.Now()) - returnMargin
 	rt.ctx, rt.cancel = context.WithTimeout(p.shutdown.work, timeout)
 	if !req.unsafe() {
-		rt.endWithClient()
+		rt.cancelOnClientLeft()
 	}
 	var result attemptResult
 	if req.bodyTail != nil || req.unsafe() && p.upstreams.distrusts(u.Service) {
@@ -60,33 +60,33 @@
 		result = rt.do()
 	}
 	if result.stream == nil {
-		rt.end()
+		rt.releaseContext()
 	}
 	return result
 }
 
-// endWithClient has the attempt end when the client leaves: nobody takes its response, and the server can use the slot.
-func (rt *roundTrip) endWithClient() {
-	if rt.unwatch == nil {
-		rt.unwatch = context.AfterFunc(rt.req.http.Context(), rt.cancel)
+// cancelOnClientLeft has the attempt end when the client leaves: nobody takes its response, and the server can use the slot.
+func (rt *roundTrip) cancelOnClientLeft() {
+	if rt.stopClientWatch == nil {
+		rt.stopClientWatch = context.AfterFunc(rt.req.http.Context(), rt.cancel)
 	}
 }
 
-// end frees what the context of the attempt holds.
-func (rt *roundTrip) end() {
-	if rt.unwatch != nil {
-		rt.unwatch()
+// releaseContext frees what the context of the attempt holds.
+func (rt *roundTrip) releaseContext() {
+	if rt.stopClientWatch != nil {
+		rt.stopClientWatch()
 	}
 	rt.cancel()
 }
 
-// abandoned reports whether the attempt ended because the client left.
-func (rt *roundTrip) abandoned() bool { return rt.unwatch != nil && rt.req.clientLeft() }
+// endedByClient reports whether the attempt ended because the client left.
+func (rt *roundTrip) endedByClient() bool { return rt.stopClientWatch != nil && rt.req.clientLeft() }
 
-// cancelled is the usage of an attempt that ended because the client left or stopped sending.
-func (rt *roundTrip) cancelled() usage {
+// cancelledUsage is the usage of an attempt that ended because the client left or stopped sending.
+func (rt *roundTrip) cancelledUsage() usage {
 	if took := rt.Now() - rt.sentAt; rt.sentAt > 0 && took > rt.req.latencyTarget {
-		return usage{cancelled: true, took: took}
+		return usage{cancelled: true, duration: took}
 	}
 	return usage{cancelled: true}
 }
@@ -94,7 +94,7 @@
 // handleInterruption takes that the context or the connection of the attempt ended before its response was read.
 func (rt *roundTrip) handleInterruption() {
 	switch {
-	case rt.abandoned():
+	case rt.endedByClient():
 		rt.attempt.Handle(attempt.ClientClosed)
 	case rt.ctx.Err() != nil:
 		rt.attempt.Handle(attempt.DeadlineExceeded)
@@ -108,7 +108,7 @@
 func (rt *roundTrip) do() attemptResult {
 	conn, err := rt.connect(rt.upstreams.connect)
 	if err != nil {
-		return rt.abandon(err)
+		return rt.failConnect(err)
 	}
 	resp, err := rt.send(conn)
 	if err == nil {
@@ -129,7 +129,7 @@
 func (rt *roundTrip) doOnNewConn() attemptResult {
 	conn, err := rt.connect(rt.upstreams.dialConn)
 	if err != nil {
-		return rt.abandon(err)
+		return rt.failConnect(err)
 	}
 	resp, err := rt.send(conn)
 	if err != nil {
@@ -138,11 +138,11 @@
 	return rt.receive(resp)
 }
 
-// abandon ends an attempt for which there was no connection.
-func (rt *roundTrip) abandon(err error) attemptResult {
+// failConnect ends an attempt for which there was no connection.
+func (rt *roundTrip) failConnect(err error) attemptResult {
 	use := usage{}
 	if rt.req.clientLeft() {
-		use = rt.cancelled()
+		use = rt.cancelledUsage()
 	}
 	rt.upstreams.release(rt.upstream, use)
 	return attemptResult{cause: rt.attempt.Cause, err: err}
@@ -150,9 +150,9 @@
 
 // fail ends an attempt that got no response. Where the client left or stopped sending, the server did nothing wrong.
 func (rt *roundTrip) fail(err error) attemptResult {
-	use := usage{arrived: true}
-	if rt.attempt.Cause == attempt.ClientAborted || rt.abandoned() {
-		use = rt.cancelled()
+	use := usage{reachedServer: true}
+	if rt.attempt.Cause == attempt.ClientAborted || rt.endedByClient() {
+		use = rt.cancelledUsage()
 	}
 	rt.upstreams.release(rt.upstream, use)
 	return attemptResult{cause: rt.attempt.Cause, err: fmt.Errorf("server %s: %w", rt.upstream.ID, err)}
@@ -224,23 +224,23 @@
 		rt.upstreams.reportLoad(rt.upstream, resp.Header)
 	}
 	if result.cause != attempt.Streaming {
-		result.err = rt.describe(resp, err)
+		result.err = rt.responseError(resp, err)
 	}
-	use := usage{took: rt.Now() - rt.sentAt, arrived: true, succeeded: outcome == attempt.Ran &&
+	use := usage{duration: rt.Now() - rt.sentAt, reachedServer: true, succeeded: outcome == attempt.Ran &&
 		result.status < http.StatusInternalServerError}
-	if rt.abandoned() {
-		use = rt.cancelled()
+	if rt.endedByClient() {
+		use = rt.cancelledUsage()
 	}
 	if rt.attempt.State == attempt.Done {
 		rt.finish(resp, use)
 		return result
 	}
-	rt.endWithClient() // what is streaming is of no use to anybody else
+	rt.cancelOnClientLeft() // what is streaming is of no use to anybody else
 	result.stream = &responseStream{remaining: resp.Body, length: resp.ContentLength,
-		end: func(fromServer, toClient error) attempt.Cause {
+		finish: func(fromServer, toClient error) attempt.Cause {
 			rt.handleStreamed(fromServer, toClient)
 			rt.finish(resp, use)
-			rt.end()
+			rt.releaseContext()
 			rt.queue.wake(rt.req.service)
 			return rt.attempt.Cause
 		}}
@@ -254,7 +254,7 @@
 		Received:  true,
 		IDMatches: len(ids) == 1 && ids[0] == rt.req.id,
 		Delimited: resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0 ||
-			bodiless(rt.req.http.Method, resp.StatusCode),
+			hasNoBody(rt.req.http.Method, resp.StatusCode),
 		NotRun:             header.Get(headerNotRun) != "" || resp.StatusCode == http.StatusMisdirectedRequest,
 		Success:            resp.StatusCode/100 == 2,
 		Sealed:             header.Get(headerServerSeal) != "",
@@ -266,9 +266,9 @@
 
 // readBody reads as much of a response's body as may be buffered.
 func (rt *roundTrip) readBody(resp *http.Response, response *attempt.Response) ([]byte, error) {
-	limit := int64(maxBufferedResponse)
+	limit := int64(maxBufferedResponseBytes)
 	if rt.req.route.Kind == config.Keyed {
-		limit = maxKeptResponse
+		limit = maxStoredResponseBytes
 	}
 	body, err := rt.bodyMemory.buffer(resp.Body, resp.ContentLength, limit)
 	rt.req.bodyBytes += body.reserved
@@ -281,8 +281,8 @@
 	return body.data, nil
 }
 
-// describe tells for the log why a response can't be forwarded.
-func (rt *roundTrip) describe(resp *http.Response, err error) error {
+// responseError tells for the log why a response can't be forwarded.
+func (rt *roundTrip) responseError(resp *http.Response, err error) error {
 	switch rt.attempt.Cause {
 	case attempt.Completed, attempt.ServerError:
 		return nil
--- a/internal/edge/proxy/scripted_link_test.go
+++ b/internal/edge/proxy/scripted_link_test.go
@@ -16,7 +16,7 @@
 type link struct {
 	delay time.Duration
 	// late is how long bytes that have arrived lie in the edge's kernel before the edge gets to read them.
-	late time.Duration
+	readDelay time.Duration
 }
 
 // packet is what arrives at one time: data, or the end of the stream.
@@ -63,7 +63,7 @@
 			return
 		}
 		c.edgeEnd.unread.Add(int64(len(p.data)))
-		time.Sleep(c.link.late)
+		time.Sleep(c.link.readDelay)
 		_, err := far.Write(p.data)
 		c.edgeEnd.unread.Add(-int64(len(p.data)))
 		if err != nil { // the edge has closed: a reset
--- a/internal/edge/proxy/session.go
+++ b/internal/edge/proxy/session.go
@@ -184,12 +184,12 @@
 // attachment is the link to the own controller while it lasts. It belongs to the goroutine that reads the link.
 type attachment struct {
 	*controllerSession
-	ctx        context.Context
-	link       *peer.Link
-	controller controllerInfo
-	digests    peer.DigestComparison
-	searchedAt time.Duration // when a better controller was last searched for
-	detachedAt time.Duration // since when the controller has been out of contact with the majority; 0: it is not
+	ctx           context.Context
+	link          *peer.Link
+	controller    controllerInfo
+	digests       peer.DigestComparison
+	searchedAt    time.Duration // when a better controller was last searched for
+	contactLostAt time.Duration // since when the controller has been out of contact with the majority; 0: it is not
 }
 
 // attach attaches this edge to a controller until the link ends. The edge closes it when the controller loses contact with
@@ -249,19 +249,19 @@
 		}
 	}
 	if summary.InContact {
-		a.detachedAt = 0
+		a.contactLostAt = 0
 		a.searchOwnZone(now)
 	} else {
-		a.searchContact(now)
+		a.searchMajorityContact(now)
 	}
 }
 
-// searchContact looks for a controller that is in contact with the majority, since this one isn't.
-func (a *attachment) searchContact(now time.Duration) {
-	if a.detachedAt == 0 {
-		a.detachedAt = now
+// searchMajorityContact looks for a controller that is in contact with the majority, since this one isn't.
+func (a *attachment) searchMajorityContact(now time.Duration) {
+	if a.contactLostAt == 0 {
+		a.contactLostAt = now
 	}
-	if now-a.searchedAt <= 2*searchInterval || now-a.detachedAt <= searchInterval {
+	if now-a.searchedAt <= 2*searchInterval || now-a.contactLostAt <= searchInterval {
 		return
 	}
 	a.searchedAt = now
--- a/internal/edge/proxy/shutdown.go
+++ b/internal/edge/proxy/shutdown.go
@@ -13,15 +13,15 @@
 
 // Timing of a graceful shutdown. The platform ends the process when the grace (grace_s) is over.
 const (
-	defaultGrace = 6.0 // seconds, where the settings don't say
-	shutdownPoll = 50 * time.Millisecond
-	finishPoll   = 5 * time.Millisecond
+	defaultGraceSeconds = 6.0 // seconds, where the settings don't say
+	shutdownPoll        = 50 * time.Millisecond
+	finishPoll          = 5 * time.Millisecond
 
-	// openAdmission is how long requests are accepted whatever their deadline: until clients and platform know that this
+	// admitAllDuration is how long requests are accepted whatever their deadline: until clients and platform know that this
 	// edge is shutting down. By then the platform, which asks for readiness each second, sends no new connections.
-	openAdmission   = 2500 * time.Millisecond
-	quietBeforeExit = 700 * time.Millisecond // without any request
-	idleBeforeClose = 500 * time.Millisecond // so that a connection that was just made is not closed before its request comes
+	admitAllDuration = 2500 * time.Millisecond
+	quietBeforeExit  = 700 * time.Millisecond // without any request
+	idleBeforeClose  = 500 * time.Millisecond // so that a connection that was just made is not closed before its request comes
 
 	// stopAcceptBefore, flushReserve and exitReserve are counted back from the end of the grace: no new connections, time for
 	// the last responses to leave, and time for the process to end. Of a short grace the reserves are a twentieth each.
@@ -36,8 +36,8 @@
 
 	// A request may cross a close for loss_slack_s. Connections are closed at will only while the way to the clients and back
 	// takes half of that at most.
-	defaultLossSlack = 0.2 // seconds, where the settings don't say
-	crossingShare    = 0.5
+	defaultLossSlackSeconds = 0.2 // seconds, where the settings don't say
+	closeRaceShare          = 0.5
 )
 
 // errShuttingDown refuses what an edge that was asked to end can't promise to answer.
@@ -45,10 +45,10 @@
 
 // shutdownSchedule divides the grace of a shutdown. All times are on the steady clock.
 type shutdownSchedule struct {
-	openUntil  time.Duration // until then every request is accepted; from then on the process may end when nothing comes
-	stopAccept time.Duration // from then on no new connections are accepted
-	respondBy  time.Duration // what was accepted is answered by then
-	exitBy     time.Duration // the process ends, whatever is left
+	admitAllUntil time.Duration // until then every request is accepted; from then on the process may end when nothing comes
+	stopAccept    time.Duration // from then on no new connections are accepted
+	respondBy     time.Duration // what was accepted is answered by then
+	exitBy        time.Duration // the process ends, whatever is left
 }
 
 // newShutdownSchedule divides a grace that was noticed to have started. The process may have noticed that as late, and may do
@@ -59,15 +59,15 @@
 	startedAt := noticedAt - late
 	exitBy := startedAt + grace - reserve(exitReserve) - late
 	respondBy := max(exitBy-reserve(flushReserve)-late, noticedAt+grace-grace/minResponseShare)
-	open := noticedAt + min(openAdmission, grace/2)
-	return &shutdownSchedule{openUntil: open, stopAccept: noticedAt + max(grace/2, grace-stopAcceptBefore),
+	admitAllUntil := noticedAt + min(admitAllDuration, grace/2)
+	return &shutdownSchedule{admitAllUntil: admitAllUntil, stopAccept: noticedAt + max(grace/2, grace-stopAcceptBefore),
 		respondBy: respondBy, exitBy: exitBy}
 }
 
 // admits reports whether a request that has been read now is accepted: at first any, then only what is over in time even if
 // it takes up to its deadline. Once a request has been sent to a server it may not be broken off.
 func (s *shutdownSchedule) admits(now, deadline time.Duration) bool {
-	return now <= s.openUntil || deadline <= s.respondBy
+	return now <= s.admitAllUntil || deadline <= s.respondBy
 }
 
 // shutdown is how far the end of an edge has come, and what it depends on.
@@ -112,7 +112,7 @@
 // listener stays open for clients that still come, and connections that clients keep without using them are closed once the
 // way to the clients is free. It gives the cause of the end, for the log.
 func (p *Proxy) shutDown(listener net.Listener) (cause string) {
-	schedule := newShutdownSchedule(p.Now(), p.Settings.Seconds("grace_s", defaultGrace), p.lateness.Worst(p.Now()))
+	schedule := newShutdownSchedule(p.Now(), p.Settings.Seconds("grace_s", defaultGraceSeconds), p.lateness.Worst(p.Now()))
 	drain := httpconn.NewDrain(listener, p.clients.conns)
 	p.shutdown.schedule.Store(schedule)
 	p.LogEvent("shutdown requested", "in_flight", p.shutdown.inFlight.Load(), "late", p.lateness.Worst(p.Now()))
@@ -129,19 +129,19 @@
 
 // continueShutdown does what is due by the schedule. It gives the cause if the process may end now.
 func (p *Proxy) continueShutdown(schedule *shutdownSchedule, drain *httpconn.Drain, now time.Duration) (cause string) {
-	pathClear := p.clients.conns.RoundTripWithin(p.crossingBound() + p.lateness.Worst(now))
-	if now > schedule.openUntil && pathClear {
+	mayClose := p.clients.conns.RoundTripWithin(p.closeRaceLimit() + p.lateness.Worst(now))
+	if now > schedule.admitAllUntil && mayClose {
 		p.closeIdleClients(idleBeforeClose)
 	}
-	stopped := pathClear && now > schedule.stopAccept && drain.StopAccepting()
+	stopped := mayClose && now > schedule.stopAccept && drain.StopAccepting()
 	if now >= schedule.respondBy {
 		p.shutdown.stopWork()
 	}
 	switch {
 	case now >= schedule.exitBy:
 		return "grace is over"
-	case !pathClear || !drain.Quiet() || p.shutdown.inFlight.Load() > 0:
-	case now > schedule.openUntil && p.sinceLastClient(now) > quietBeforeExit:
+	case !mayClose || !drain.Quiet() || p.shutdown.inFlight.Load() > 0:
+	case now > schedule.admitAllUntil && p.sinceLastClientActivity(now) > quietBeforeExit:
 		return "no request comes"
 	case stopped:
 		return "all requests are answered"
@@ -149,14 +149,14 @@
 	return ""
 }
 
-// crossingBound is how long the way to the clients and back may take while connections are closed at will. What is measured
+// closeRaceLimit is how long the way to the clients and back may take while connections are closed at will. What is measured
 // has the process's own lateness in it, which no client notices: what has arrived by then is read before a close.
-func (p *Proxy) crossingBound() time.Duration {
-	return scale(p.Settings.Seconds("loss_slack_s", defaultLossSlack), crossingShare)
+func (p *Proxy) closeRaceLimit() time.Duration {
+	return scale(p.Settings.Seconds("loss_slack_s", defaultLossSlackSeconds), closeRaceShare)
 }
 
-// sinceLastClient is the time since the last request, or the last new connection, whose request may be on its way.
-func (p *Proxy) sinceLastClient(now time.Duration) time.Duration {
+// sinceLastClientActivity is the time since the last request, or the last new connection, whose request may be on its way.
+func (p *Proxy) sinceLastClientActivity(now time.Duration) time.Duration {
 	return min(now-time.Duration(p.shutdown.lastRequestAt.Load()), time.Since(p.clients.conns.LastAccept()))
 }
 
--- a/internal/edge/proxy/shutdown_test.go
+++ b/internal/edge/proxy/shutdown_test.go
@@ -25,7 +25,7 @@
 		began := time.Now()
 		near, far := net.Pipe()
 		defer far.Close()
-		listener := &oneConn{near}
+		listener := &closeOnlyListener{near}
 		done := make(chan struct{})
 		go func() {
 			h.shutDown(listener)
@@ -49,11 +49,11 @@
 	return answered, ended, w
 }
 
-// oneConn is a listener that is only closed.
-type oneConn struct{ net.Conn }
+// closeOnlyListener is a listener that is only closed.
+type closeOnlyListener struct{ net.Conn }
 
-func (l *oneConn) Accept() (net.Conn, error) { return nil, net.ErrClosed }
-func (l *oneConn) Addr() net.Addr            { return l.LocalAddr() }
+func (l *closeOnlyListener) Accept() (net.Conn, error) { return nil, net.ErrClosed }
+func (l *closeOnlyListener) Addr() net.Addr            { return l.LocalAddr() }
 
 // A request that is read in the last moments before the edge ends is answered before it does: nothing of it has run.
 func TestLateRequestsAreRefusedBeforeTheEnd(t *testing.T) {
@@ -72,14 +72,14 @@
 // otherwise, although the server was sound and the deadline not reached.
 func TestForwardedRequestsAreAnsweredBeforeTheEnd(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		h.addServer("i-1", works(h, 1300*time.Millisecond))
+		h.addServer("i-1", respondAfter(h, 1300*time.Millisecond))
 		startedAt := time.Now()
 		near, far := net.Pipe()
 		defer far.Close()
 		var ended time.Duration
 		done := make(chan struct{})
 		go func() {
-			h.shutDown(&oneConn{near})
+			h.shutDown(&closeOnlyListener{near})
 			ended = time.Since(startedAt)
 			close(done)
 		}()
@@ -100,17 +100,17 @@
 	})
 }
 
-// shuttingDown runs an edge whose shutdown begins at once, and is kept from ending early by another request. It plays the
+// runDuringShutdown runs an edge whose shutdown begins at once, and is kept from ending early by another request. It plays the
 // scenario and gives the time, counted from the beginning, at which the edge ended.
-func shuttingDown(t *testing.T, play func(h *testEdge, startedAt time.Time)) (ended time.Duration) {
+func runDuringShutdown(t *testing.T, play func(h *testEdge, startedAt time.Time)) (ended time.Duration) {
 	runEdge(t, func(h *testEdge) {
-		h.runOn(t)
+		h.continueOnFailure(t)
 		near, far := net.Pipe()
 		defer far.Close()
 		startedAt := time.Now()
 		done := make(chan struct{})
 		go func() {
-			h.shutDown(&oneConn{near})
+			h.shutDown(&closeOnlyListener{near})
 			ended = time.Since(startedAt)
 			close(done)
 		}()
@@ -144,7 +144,7 @@
 
 // setLongDeadlines puts a configuration in force that allows requests 20 s.
 func (h *testEdge) setLongDeadlines() {
-	long := strings.ReplaceAll(strings.Replace(plan, "r1", "r2", 1), `"deadline_s":2`, `"deadline_s":20`)
+	long := strings.ReplaceAll(strings.Replace(testConfig, "r1", "r2", 1), `"deadline_s":2`, `"deadline_s":20`)
 	h.g.Expect(h.applyConfig(&peer.Config{Version: 2, Snapshot: []byte(long)})).To(BeTrue())
 }
 
@@ -160,9 +160,9 @@
 					var answered time.Duration
 					var w *httptest.ResponseRecorder
 					received := 0
-					ended := shuttingDown(t, func(h *testEdge, startedAt time.Time) {
-						h.decide = grant
-						h.addServer("i-1", works(h, time.Duration(share*float64(deadline))))
+					ended := runDuringShutdown(t, func(h *testEdge, startedAt time.Time) {
+						h.decideClaim = grantClaim
+						h.addServer("i-1", respondAfter(h, time.Duration(share*float64(deadline))))
 						time.Sleep(after)
 						w = h.send(http.MethodPost, "/"+kind+"/x", "", "X-Operation-Key", "k-1",
 							"X-Deadline-Ms", strconv.FormatInt(deadline.Milliseconds(), 10))
@@ -177,7 +177,7 @@
 						t.Errorf("%s: refused, and sent to a server", name)
 					}
 					inTime := share < 1
-					if received > 0 && inTime && after > openAdmission && w.Code != http.StatusOK {
+					if received > 0 && inTime && after > admitAllDuration && w.Code != http.StatusOK {
 						t.Errorf("%s: taken long after SIGTERM and given up", name)
 					}
 					if after+deadline < grace-500*time.Millisecond && received == 0 {
@@ -195,10 +195,10 @@
 		bodyTakes time.Duration
 		status    int
 	}{{50 * time.Millisecond, http.StatusOK}, {1900 * time.Millisecond, http.StatusServiceUnavailable}} {
-		shuttingDown(t, func(h *testEdge, _ time.Time) {
+		runDuringShutdown(t, func(h *testEdge, _ time.Time) {
 			h.setLongDeadlines()
-			h.addServer("i-1", works(h, 1500*time.Millisecond))
-			time.Sleep(openAdmission - 100*time.Millisecond)
+			h.addServer("i-1", respondAfter(h, 1500*time.Millisecond))
+			time.Sleep(admitAllDuration - 100*time.Millisecond)
 			body, client := io.Pipe()
 			r := httptest.NewRequest(http.MethodPost, "http://a.example/u/x", body)
 			r.RequestURI, r.ContentLength = "/u/x", 9
@@ -222,7 +222,7 @@
 func TestWhatOutlastsTheGraceIsAnswered(t *testing.T) {
 	var w *httptest.ResponseRecorder
 	var answered time.Duration
-	ended := shuttingDown(t, func(h *testEdge, startedAt time.Time) {
+	ended := runDuringShutdown(t, func(h *testEdge, startedAt time.Time) {
 		h.setLongDeadlines()
 		h.addServer("i-1", hang)
 		w = h.send(http.MethodGet, "/s/x", "", "X-Deadline-Ms", "15000")
@@ -238,7 +238,7 @@
 	for _, grace := range []time.Duration{200 * time.Millisecond, time.Second, 3 * time.Second, 6 * time.Second, time.Minute} {
 		s := newShutdownSchedule(time.Hour, grace, 0)
 		ends := time.Hour + grace
-		if !(time.Hour < s.openUntil && s.openUntil <= s.stopAccept && s.openUntil < s.respondBy && s.respondBy < s.exitBy && s.exitBy < ends) {
+		if !(time.Hour < s.admitAllUntil && s.admitAllUntil <= s.stopAccept && s.admitAllUntil < s.respondBy && s.respondBy < s.exitBy && s.exitBy < ends) {
 			t.Errorf("grace %s: %+v", grace, s)
 		}
 		if s.respondBy < ends-grace/6 {
@@ -250,16 +250,16 @@
 // A response that its client reads slowly has left before the process ends, also when no request comes any more.
 func TestShutdownWaitsUntilResponsesHaveLeft(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		h.runOn(t)
-		h.addServer("i-1", good)
-		h.opened(func(s street) {
-			conn := h.walkIn(s)
+		h.continueOnFailure(t)
+		h.addServer("i-1", goodResponse)
+		h.serveClients(func(s pipeListener) {
+			conn := h.connectClient(s)
 			ended := false
 			go func() {
 				h.shutDown(s)
 				ended = true
 			}()
-			time.Sleep(openAdmission - 100*time.Millisecond)
+			time.Sleep(admitAllDuration - 100*time.Millisecond)
 			go func() { _, _ = io.WriteString(conn, wireRequest("s", "2000")) }()
 			time.Sleep(2 * time.Second)
 			synctest.Wait()
@@ -279,10 +279,10 @@
 // Connections that clients keep without using them are closed once the platform sends no new ones, and don't hold up the end.
 func TestShutdownClosesIdleConnections(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		h.runOn(t)
-		h.addServer("i-1", good)
-		h.opened(func(s street) {
-			kept := h.walkIn(s)
+		h.continueOnFailure(t)
+		h.addServer("i-1", goodResponse)
+		h.serveClients(func(s pipeListener) {
+			kept := h.connectClient(s)
 			ended := make(chan struct{})
 			go func() {
 				h.shutDown(s)
@@ -291,9 +291,9 @@
 			startedAt := time.Now()
 			_, err := io.ReadAll(kept)
 			h.g.Expect(err).NotTo(HaveOccurred())
-			h.g.Expect(time.Since(startedAt)).To(BeNumerically("~", openAdmission, 2*shutdownPoll))
+			h.g.Expect(time.Since(startedAt)).To(BeNumerically("~", admitAllDuration, 2*shutdownPoll))
 			<-ended
-			h.g.Expect(time.Since(startedAt)).To(BeNumerically("~", openAdmission, 3*shutdownPoll), "nothing else is waited for")
+			h.g.Expect(time.Since(startedAt)).To(BeNumerically("~", admitAllDuration, 3*shutdownPoll), "nothing else is waited for")
 		})
 	})
 }
--- a/internal/edge/proxy/tracked_conn.go
+++ b/internal/edge/proxy/tracked_conn.go
@@ -77,9 +77,9 @@
 	return c.Conn.Close()
 }
 
-// clean reports whether nothing is left of what came. After a response net/http either waits for more, or finds surplus
+// waitClean reports whether nothing is left of what came. After a response net/http either waits for more, or finds surplus
 // bytes and closes the connection; it does one of them at once, so this waits for it.
-func (c *trackedConn) clean() bool {
+func (c *trackedConn) waitClean() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for !c.reading && !c.closed {
--- a/internal/edge/proxy/traffic.go
+++ b/internal/edge/proxy/traffic.go
@@ -69,8 +69,8 @@
 	budget.Refund()
 }
 
-// drainStats gives what was counted since the last call.
-func (t *trafficCounter) drainStats() (all []peer.ServiceStats) {
+// takeStats gives what was counted since the last call.
+func (t *trafficCounter) takeStats() (all []peer.ServiceStats) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range t.stats {
--- a/internal/edge/proxy/upstreams.go
+++ b/internal/edge/proxy/upstreams.go
@@ -24,16 +24,16 @@
 	tcpKeepAlive      = 5 * time.Second
 	userTimeoutMillis = 2000 // that sent bytes may stay unacknowledged: a network partition is not reported otherwise
 
-	defaultServerIdle = 8 * time.Second         // how long a server keeps an idle connection, where it doesn't say
-	idleMargin        = 1500 * time.Millisecond // by which a connection is closed here before the server closes it
-	minServerIdle     = idleMargin + 100*time.Millisecond
+	defaultServerIdleTimeout = 8 * time.Second         // how long a server keeps an idle connection, where it doesn't say
+	idleMargin               = 1500 * time.Millisecond // by which a connection is closed here before the server closes it
+	minServerIdleTimeout     = idleMargin + 100*time.Millisecond
 
 	// distrustDuration is how long the connections of a service are not reused for what must not run twice, after one
 	// of them was dropped or brought what belongs to no request.
-	distrustDuration   = 5 * time.Second
-	tombstoneRetention = 90 * time.Second // how long a server that is gone is remembered
-	transportBuffer    = 4 << 10
-	maxResponseHeader  = 64 << 10
+	distrustDuration       = 5 * time.Second
+	tombstoneRetention     = 90 * time.Second // how long a server that is gone is remembered
+	transportBufferBytes   = 4 << 10
+	maxResponseHeaderBytes = 64 << 10
 )
 
 // setUserTimeout has the kernel end connections whose peer doesn't acknowledge.
@@ -60,9 +60,9 @@
 	p := &upstreamPool{Env: env, onChange: onChange, registry: registry.New(tombstoneRetention),
 		picker: picker.New(env.Settings.Zone, randomFloat), distrusted: map[string]time.Duration{}}
 	p.dial = (&net.Dialer{Timeout: dialTimeout, KeepAlive: tcpKeepAlive, Control: setUserTimeout}).DialContext
-	p.transport = &http.Transport{DisableCompression: true, Proxy: nil, WriteBufferSize: transportBuffer,
-		ReadBufferSize:         transportBuffer,
-		MaxResponseHeaderBytes: maxResponseHeader, DialContext: p.dialTracked}
+	p.transport = &http.Transport{DisableCompression: true, Proxy: nil, WriteBufferSize: transportBufferBytes,
+		ReadBufferSize:         transportBufferBytes,
+		MaxResponseHeaderBytes: maxResponseHeaderBytes, DialContext: p.dialTracked}
 	return p
 }
 
@@ -104,10 +104,10 @@
 
 // usage is how an attempt went, as the picker counts it.
 type usage struct {
-	took      time.Duration // of a cancelled one: 0, unless it is over the latency target
-	arrived   bool          // at the server
-	succeeded bool
-	cancelled bool // the client left or stopped sending: it doesn't speak for or against the server
+	duration      time.Duration // of a cancelled one: 0, unless it is over the latency target
+	reachedServer bool          // at the server
+	succeeded     bool
+	cancelled     bool // the client left or stopped sending: it doesn't speak for or against the server
 }
 
 // update takes over what changed of servers.
@@ -141,7 +141,7 @@
 }
 
 func newUpstream(e registry.Entry) *upstream {
-	u := &upstream{address: e.Address, idleTimeout: defaultServerIdle}
+	u := &upstream{address: e.Address, idleTimeout: defaultServerIdleTimeout}
 	u.Upstream = &picker.Upstream{ID: e.ID, Service: e.Service, Zone: e.Zone, Capacity: e.Capacity, Attachment: u}
 	return u
 }
@@ -200,8 +200,8 @@
 	return d.Compare(p.registry, p.Now())
 }
 
-// drainStats gives what was counted at the servers since the last call.
-func (p *upstreamPool) drainStats() (all []peer.ServerStats) {
+// takeStats gives what was counted at the servers since the last call.
+func (p *upstreamPool) takeStats() (all []peer.ServerStats) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, u := range p.picker.All() {
@@ -230,10 +230,10 @@
 	defer p.mu.Unlock()
 	switch {
 	case use.cancelled:
-		p.picker.Cancelled(u.Upstream, use.took)
+		p.picker.Cancelled(u.Upstream, use.duration)
 	case use.succeeded:
-		p.picker.Succeeded(u.Upstream, use.took, p.Now())
-	case use.arrived:
+		p.picker.Succeeded(u.Upstream, use.duration, p.Now())
+	case use.reachedServer:
 		p.picker.Failed(u.Upstream, p.Now())
 	default:
 		p.picker.Unreachable(u.Upstream, p.Now())
@@ -282,7 +282,7 @@
 		if conn == nil {
 			return p.dialConn(ctx, u)
 		}
-		if usable && conn.tracked.clean() {
+		if usable && conn.tracked.waitClean() {
 			conn.reused = true
 			return conn, nil
 		}
@@ -377,7 +377,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if timeout > 0 {
-		u.idleTimeout = max(timeout, minServerIdle)
+		u.idleTimeout = max(timeout, minServerIdleTimeout)
 	}
 	conn.idleSince = now
 	if u.closed || conn.client.Err() != nil {
--- a/internal/edge/proxy/variants_test.go
+++ b/internal/edge/proxy/variants_test.go
@@ -22,11 +22,11 @@
 		}
 	}
 	wrong := func(extra string) func(string) string {
-		return func(id string) string { return head("200 OK", extra)(id) + bodyOf(id) }
+		return func(id string) string { return head("200 OK", extra)(id) + expectedBody(id) }
 	}
 	after := func(before string) func(string) string {
 		return func(id string) string {
-			head, body := answerTo(id, false)
+			head, body := expectedResponse(id, false)
 			return before + head + body
 		}
 	}
@@ -58,13 +58,13 @@
 		for _, kind := range []string{"s", "u", "k"} {
 			for _, reused := range []bool{false, true} {
 				runEdge(t, func(h *testEdge) {
-					p := &peers{play: play{at: atWhole, act: garbage, kind: kind, reused: reused}, auditor: newAuditor(), answer: c.answer, sound: c.sound}
+					p := &scriptedServers{matrixCase: matrixCase{at: atRequestEnd, action: actGarbage, kind: kind, reused: reused}, auditor: newAuditor(), answer: c.answer, keepConn: c.sound}
 					want := c.other
 					if kind == "s" {
 						want = c.safe
 					}
-					h.g.Expect(p.run(h, nil)).To(Equal(want), "%s, %s", name, p.play)
-					h.g.Expect(p.findings).To(BeEmpty(), "%s, %s", name, p.play)
+					h.g.Expect(p.run(h, nil)).To(Equal(want), "%s, %s", name, p.matrixCase)
+					h.g.Expect(p.findings).To(BeEmpty(), "%s, %s", name, p.matrixCase)
 				})
 			}
 		}
@@ -74,7 +74,7 @@
 // Clients that break off at every boundary of a request: servers get it whole only if all of it was sent, once, and the
 // next client is served.
 func TestClientsThatBreakOff(t *testing.T) {
-	short := probe("u", "probe")
+	short := probeRequest("u", "probe")
 	end := strings.Index(short, "\r\n\r\n") + 4
 	long := strings.Repeat("x", 300_000)
 	chunked := strings.Replace(short[:end], "Content-Length: 5", "Transfer-Encoding: chunked", 1) + "493e0\r\n" + long + "\r\n0\r\n\r\n"
@@ -84,9 +84,9 @@
 			for _, real := range []bool{false, true} {
 				try := func(h *testEdge) {
 					h.setLimits(3, `{}`)
-					p := &peers{play: play{at: boundaries, kind: "u", real: real}, auditor: newAuditor()}
+					p := &scriptedServers{matrixCase: matrixCase{at: boundaryCount, kind: "u", realSockets: real}, auditor: newAuditor()}
 					h.upstreams.dial = p.dial
-					h.addServer("i-1", good)
+					h.addServer("i-1", goodResponse)
 					client, shut := p.client(h)
 					_, err := io.WriteString(client, text[:sent])
 					h.g.Expect(err).NotTo(HaveOccurred())
@@ -106,9 +106,9 @@
 					}
 					p.served.Wait()
 					if sent < len(text) {
-						h.g.Expect(p.whole["probe"]).To(BeZero(), "%s, %d bytes of %d", name, sent, len(text))
+						h.g.Expect(p.completeRequests["probe"]).To(BeZero(), "%s, %d bytes of %d", name, sent, len(text))
 					}
-					h.g.Expect(p.whole["probe"]).To(BeNumerically("<=", 1))
+					h.g.Expect(p.completeRequests["probe"]).To(BeNumerically("<=", 1))
 				}
 				if real {
 					setup(t, func(h *testEdge) { defer h.close(); try(h) })
@@ -123,9 +123,9 @@
 // A client that sends many requests at once gets each answer in its place.
 func TestPipelinedAnswersComeInOrder(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		p := &peers{play: play{at: boundaries}, auditor: newAuditor()}
+		p := &scriptedServers{matrixCase: matrixCase{at: boundaryCount}, auditor: newAuditor()}
 		h.upstreams.dial = p.dial
-		h.addServer("i-1", good)
+		h.addServer("i-1", goodResponse)
 		client, shut := p.client(h)
 		defer p.served.Wait()
 		defer func() { h.upstreams.picker.Get("i-1").Attachment.(*upstream).close() }()
@@ -133,12 +133,12 @@
 		ids := strings.Split("abcdefghijklmnopqrstuvwxyz", "")
 		var text strings.Builder
 		for i, id := range ids {
-			text.WriteString(probe([]string{"s", "u"}[i%2], id))
+			text.WriteString(probeRequest([]string{"s", "u"}[i%2], id))
 		}
 		go func() { _, _ = io.WriteString(client, text.String()) }()
 		answers := bufio.NewReader(client)
 		for _, id := range ids {
-			h.g.Expect(p.hear(answers, id)).To(Equal(200))
+			h.g.Expect(p.readResponse(answers, id)).To(Equal(200))
 		}
 		h.g.Expect(p.findings).To(BeEmpty())
 	})
@@ -155,8 +155,8 @@
 	return copy(p, bytes.ReplaceAll(p[:n], []byte(r.from), []byte(r.to))), err
 }
 
-// instead plants a fault behind the edge: its answer goes through a function, which may call the edge again.
-func instead(change func(edge http.Handler, w *httptest.ResponseRecorder, r *http.Request)) func(http.Handler) http.Handler {
+// plantFault plants a fault behind the edge: its answer goes through a function, which may call the edge again.
+func plantFault(change func(edge http.Handler, w *httptest.ResponseRecorder, r *http.Request)) func(http.Handler) http.Handler {
 	return func(edge http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			body, _ := io.ReadAll(r.Body)
@@ -182,37 +182,37 @@
 		return func(conn net.Conn) net.Conn { return rewriting{conn, from, to} }
 	}
 	for name, c := range map[string]struct {
-		play
+		matrixCase
 		through func(http.Handler) http.Handler
 		spoil   func(net.Conn) net.Conn
 		finding string
 	}{
-		"a resend after a reset on a reused connection": {play: play{at: atWhole, act: resetting, reused: true, kind: "u"},
-			through: instead(func(edge http.Handler, w *httptest.ResponseRecorder, r *http.Request) {
+		"a resend after a reset on a reused connection": {matrixCase: matrixCase{at: atRequestEnd, action: actReset, reused: true, kind: "u"},
+			through: plantFault(func(edge http.Handler, w *httptest.ResponseRecorder, r *http.Request) {
 				*w = *httptest.NewRecorder()
 				edge.ServeHTTP(w, r)
 			}), finding: "probe was sent 2 times"},
-		"a 503 after bytes went out": {play: play{at: atWhole, act: closing, kind: "k"},
-			through: instead(func(_ http.Handler, w *httptest.ResponseRecorder, _ *http.Request) { w.Code = 503 }), finding: "probe was promised"},
-		"an answer cut short that looks whole": {play: play{at: atAnswerBodyPart, act: closing, kind: "u"},
-			through: instead(func(_ http.Handler, w *httptest.ResponseRecorder, _ *http.Request) {
+		"a 503 after bytes went out": {matrixCase: matrixCase{at: atRequestEnd, action: actClose, kind: "k"},
+			through: plantFault(func(_ http.Handler, w *httptest.ResponseRecorder, _ *http.Request) { w.Code = 503 }), finding: "probe was promised"},
+		"an answer cut short that looks whole": {matrixCase: matrixCase{at: atResponseBodyPart, action: actClose, kind: "u"},
+			through: plantFault(func(_ http.Handler, w *httptest.ResponseRecorder, _ *http.Request) {
 				w.Code = 200
 				w.Header().Set("X-Server-Seal", "seal-probe")
 				w.Header().Del("Content-Length")
-				w.Body = bytes.NewBufferString(bodyOf("probe")[:20])
+				w.Body = bytes.NewBufferString(expectedBody("probe")[:20])
 			}), finding: "probe was told"},
-		"an answer of another try that is accepted": {play: play{at: atWhole, act: foreignAnswer, kind: "u"},
+		"an answer of another try that is accepted": {matrixCase: matrixCase{at: atRequestEnd, action: actForeignResponse, kind: "u"},
 			spoil: rewrite("X-Attempt-Id: stranger", "X-Attempt-Id: probe"), finding: "probe was told"},
-		"a connection that is kept after surplus bytes": {play: play{at: atAnswerWhole, act: garbage, kind: "u"},
+		"a connection that is kept after surplus bytes": {matrixCase: matrixCase{at: atResponseEnd, action: actGarbage, kind: "u"},
 			spoil: rewrite("\x00no answer\r\n\r\n", ""), finding: "kept after garbage"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, planted := range []bool{true, false} {
 				runEdge(t, func(h *testEdge) {
-					p := &peers{play: c.play, auditor: newAuditor(), alone: c.spoil != nil}
+					p := &scriptedServers{matrixCase: c.matrixCase, auditor: newAuditor(), single: c.spoil != nil}
 					var through func(http.Handler) http.Handler
 					if planted {
-						p.spoil, through = c.spoil, c.through
+						p.wrapConn, through = c.spoil, c.through
 					}
 					p.run(h, through)
 					if planted {
