--- a/internal/edge/proxy/active_requests.go
+++ b/internal/edge/proxy/active_requests.go
@@ -10,39 +10,39 @@
 	"mulleinwood/internal/node"
 )
 
-// requestStage is what a request is waiting for.
+// requestStage is the stage of processing that a request has reached.
 type requestStage uint32
 
 // The stages, in the order in which a request reaches them.
 const (
 	stageReading   requestStage = iota // its body is being read
 	stageClaiming                      // its key is being claimed
-	stageQueued                        // no server has a free slot
-	stageAtServer                      // a server was chosen, and no response came yet
+	stageQueued                        // it waits for a free slot at a server
+	stageAtServer                      // a server was picked, and no response was received yet
 	stageStreaming                     // the beginning of a long response was forwarded
 )
 
-// String is the stage's name in logs and metrics.
+// String returns the stage's name in logs and metrics.
 func (s requestStage) String() string {
 	return [...]string{"reading", "claiming", "queued", "at_server", "streaming"}[min(s, stageStreaming)]
 }
 
-// maxCutOffLines bounds the lines of log about requests that end with their process.
+// maxCutOffLines limits the log lines about requests that are still active at the end of the process.
 const maxCutOffLines = 20
 
-// activeRequest is a request that is being served, as far as logs and metrics tell of it. All times are on the steady clock.
+// activeRequest contains the data about a request in progress for logs and metrics. All times are on the monotonic clock.
 type activeRequest struct {
 	attemptID string
 	startedAt time.Duration
 	stage     atomic.Uint32 // a requestStage
-	leftAt    atomic.Int64  // when its client left, in nanoseconds; 0: it is still there
+	leftAt    atomic.Int64  // when the client left, in nanoseconds; 0 while it is connected
 }
 
 func (a *activeRequest) setStage(stage requestStage) { a.stage.Store(uint32(stage)) }
 
 func (a *activeRequest) currentStage() requestStage { return requestStage(a.stage.Load()) }
 
-// activeRequests holds all requests that are being served.
+// activeRequests contains all requests in progress. It is safe for concurrent use.
 type activeRequests struct {
 	*node.Env
 	logLimiter *logLimiter
@@ -55,7 +55,7 @@
 	return &activeRequests{Env: env, logLimiter: limiter, all: map[*activeRequest]struct{}{}}
 }
 
-// begin notes a request, and watches its client until end is called.
+// begin adds a request, and watches its client until end is called.
 func (r *activeRequests) begin(request *http.Request, now time.Duration) (a *activeRequest, end func()) {
 	a = &activeRequest{attemptID: request.Header.Get(headerAttemptID), startedAt: now}
 	stopWatching := context.AfterFunc(request.Context(), func() { r.handleClientLeft(a) })
@@ -68,13 +68,13 @@
 	}
 }
 
-// handleClientLeft notes that net/http saw the client's connection end while its request was served.
+// handleClientLeft records that the client's connection was closed while its request was served.
 func (r *activeRequests) handleClientLeft(a *activeRequest) {
 	a.leftAt.Store(int64(max(1, r.Now())))
 	r.Metrics.ClientsLeft.WithLabelValues(a.currentStage().String()).Inc()
 }
 
-// remove takes out a request that is over. Where its client had left, it tells how long the work went on after that.
+// remove removes a request that is done. If its client had left, it logs how long the work continued after that.
 func (r *activeRequests) remove(a *activeRequest) {
 	r.mu.Lock()
 	delete(r.all, a)
@@ -91,7 +91,7 @@
 	}
 }
 
-// logCutOff logs the requests that end with the process.
+// logCutOff logs the requests that are still active at the end of the process.
 func (r *activeRequests) logCutOff() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/edge/proxy/bodies_test.go
+++ b/internal/edge/proxy/bodies_test.go
@@ -20,7 +20,7 @@
 	"mulleinwood/internal/platform/httpconn"
 )
 
-// setLimits puts a configuration with these limits in force.
+// setLimits applies a configuration with the given limits.
 func (h *testEdge) setLimits(version int, limits string) {
 	next := strings.Replace(strings.Replace(testConfig, `"r1"`, fmt.Sprintf(`"r%d"`, version), 1), `{"max_body_bytes":100}`, limits, 1)
 	h.g.Expect(h.applyConfig(&peer.Config{Version: uint64(version), Snapshot: []byte(next)})).To(BeTrue())
@@ -52,7 +52,7 @@
 }
 func (s pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// connectClient connects a client to the edge's door.
+// connectClient connects a client to the edge.
 func (h *testEdge) connectClient(s pipeListener) net.Conn {
 	near, far := net.Pipe()
 	s.in <- far
@@ -60,6 +60,7 @@
 	return near
 }
 
+// serveClients serves a listener while a scenario runs, and waits until serving has ended.
 func (h *testEdge) serveClients(scenario func(pipeListener)) {
 	s := newPipeListener()
 	ended := make(chan struct{})
@@ -77,15 +78,15 @@
 		h.setLimits(2, `{"max_body_bytes":1000000}`)
 		h.addServer("i-1", truncatedResponse)
 		h.addServer("i-2", truncatedResponse)
-		for range 4 { // fills the budget
+		for range 4 { // fills the retry budget
 			h.traffic.countRequest("tags")
 		}
 		long := strings.Repeat("0123456789", 50_000)
 		h.g.Expect(h.request("POST", "/s/x", long).Code).To(Equal(502))
-		h.g.Expect(len(h.bodies)).To(Equal(1), "what was read of a long body can't be sent again, though the route is safe")
+		h.g.Expect(len(h.bodies)).To(Equal(1), "a streamed body can't be sent again, though the route is safe")
 		h.g.Expect(h.bodies[0] == long).To(BeTrue())
 		h.g.Expect(h.request("POST", "/s/x", "short").Code).To(Equal(502))
-		h.g.Expect(len(h.bodies)).To(Equal(3), "a short one can")
+		h.g.Expect(len(h.bodies)).To(Equal(3), "a buffered body can be sent again")
 		h.g.Expect(h.request("POST", "/s/x", strings.Repeat("x", 1_000_001)).Code).To(Equal(413))
 	})
 }
@@ -98,8 +99,8 @@
 		h.bodyMemory.available.Store(10_000)
 		long := strings.Repeat("x", 100_000)
 		h.g.Expect(h.request("POST", "/u/x", long).Code).To(Equal(200))
-		h.g.Expect(h.bodies).To(Equal([]string{long}), "what isn't held is passed on")
-		h.g.Expect(h.bodyMemory.available.Load()).To(BeEquivalentTo(10_000), "all is given back")
+		h.g.Expect(h.bodies).To(Equal([]string{long}), "what isn't buffered is streamed")
+		h.g.Expect(h.bodyMemory.available.Load()).To(BeEquivalentTo(10_000), "all reserved bytes are released")
 		h.bodyMemory.available.Store(whole)
 	})
 	g := NewWithT(t)
@@ -123,7 +124,7 @@
 	}
 }
 
-// A long answer goes on as it comes; one that breaks off in its middle must not look whole, nor be counted as good.
+// A long response is streamed. A truncated one must not look complete to the client.
 func TestLongAnswers(t *testing.T) {
 	long := strings.Repeat("0123456789", 60_000)
 	chunked := func(r *http.Request, end string) string {
@@ -135,10 +136,10 @@
 		answer func(*http.Request) string
 		whole  bool
 	}{
-		"a length":                 {told, true},
-		"chunks":                   {func(r *http.Request) string { return chunked(r, "0\r\n\r\n") }, true},
-		"a length, breaking off":   {func(r *http.Request) string { return told(r)[:400_000] + "<close>" }, false},
-		"chunks, without the last": {func(r *http.Request) string { return chunked(r, "") + "<close>" }, false},
+		"a length":            {told, true},
+		"chunks":              {func(r *http.Request) string { return chunked(r, "0\r\n\r\n") }, true},
+		"a length, truncated": {func(r *http.Request) string { return told(r)[:400_000] + "<close>" }, false},
+		"chunks, truncated":   {func(r *http.Request) string { return chunked(r, "") + "<close>" }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runEdge(t, func(h *testEdge) {
@@ -158,7 +159,7 @@
 						h.g.Expect(err).To(MatchError(io.ErrUnexpectedEOF))
 					}
 					synctest.Wait()
-					h.g.Expect(h.upstreams.picker.Get("i-1").InFlight()).To(Equal(0), "its place is given back")
+					h.g.Expect(h.upstreams.picker.Get("i-1").InFlight()).To(Equal(0), "its slot is released")
 				})
 			})
 		})
@@ -172,12 +173,11 @@
 		})
 		w := h.request("HEAD", "/s/x", "")
 		h.g.Expect(w.Code).To(Equal(200))
-		h.g.Expect(w.Header().Get("Content-Length")).To(Equal("77"), "a HEAD tells the length that a GET would have")
+		h.g.Expect(w.Header().Get("Content-Length")).To(Equal("77"), "the response to HEAD has the length of a GET")
 	})
 }
 
-// What a client asks of the next hop is answered by the next hop: a server that was sent Expect and doesn't answer it
-// would wait for a body that never comes.
+// Expect applies to one hop: if the edge forwarded it, a server that ignores it would wait for a body that is never sent.
 func TestExpectHeaderIsNotForwarded(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		h.addServer("i-1", goodResponse)
@@ -200,7 +200,7 @@
 	})
 }
 
-// Clients that are slow, silent or too large, each under the limits of the configuration, and none at another's cost.
+// The configured limits apply to slow and silent clients and to large requests, and don't affect other clients.
 func TestLimitsOfTheConfiguration(t *testing.T) {
 	const limits = `{"max_header_bytes":8000,"max_body_bytes":1000,"header_wait_s":3,"idle_s":15}`
 	const head = "GET /s/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: t\r\n"
@@ -218,14 +218,14 @@
 			go func() { _, _ = io.WriteString(before, head+"X-Pad: "+strings.Repeat("x", 20_000)+"\r\n\r\n") }()
 			resp, err := http.ReadResponse(bufio.NewReader(before), nil)
 			h.g.Expect(err).NotTo(HaveOccurred())
-			h.g.Expect(resp.StatusCode).To(Equal(200), "who was in before stays under the former limits")
+			h.g.Expect(resp.StatusCode).To(Equal(200), "an established connection keeps the former limits")
 
 			late := h.connectClient(s)
 			_, _ = io.WriteString(late, "GET /s/x HT")
 			h.g.Expect(gone(h, late)).To(Equal(3*time.Second), "a header has header_wait_s from its first byte")
 
 			silent := h.connectClient(s)
-			h.g.Expect(gone(h, silent)).To(Equal(15*time.Second), "a connection without any may stay for idle_s")
+			h.g.Expect(gone(h, silent)).To(Equal(15*time.Second), "a connection without a request may stay for idle_s")
 
 			large := h.connectClient(s)
 			go func() { _, _ = io.WriteString(large, head+"X-Pad: "+strings.Repeat("x", 20_000)+"\r\n\r\n") }()
@@ -238,7 +238,7 @@
 			began := time.Now()
 			resp, err = http.ReadResponse(bufio.NewReader(slow), nil)
 			h.g.Expect(err).NotTo(HaveOccurred())
-			h.g.Expect(resp.StatusCode).To(Equal(408), "a body that doesn't come while the client waits was never run")
+			h.g.Expect(resp.StatusCode).To(Equal(408), "a request whose body doesn't arrive by the deadline was never run")
 			h.g.Expect(time.Since(began).Round(10 * time.Millisecond)).To(Equal(700 * time.Millisecond))
 
 			for _, c := range []net.Conn{before, large, slow} {
@@ -273,10 +273,10 @@
 			synctest.Wait()
 			third := h.connectClient(s)
 			_, err := first.Read(make([]byte, 1))
-			h.g.Expect(err).To(MatchError(io.EOF), "the first was idle for longest")
+			h.g.Expect(err).To(MatchError(io.EOF), "the first was idle longest")
 			fourth := h.connectClient(s)
 			_, err = third.Read(make([]byte, 1))
-			h.g.Expect(err).To(MatchError(io.EOF), "one that works is not broken off")
+			h.g.Expect(err).To(MatchError(io.EOF), "an active connection is not evicted")
 			resp, err := http.ReadResponse(bufio.NewReader(busy), nil)
 			h.g.Expect(err).NotTo(HaveOccurred())
 			h.g.Expect(resp.StatusCode).To(Equal(504))
--- a/internal/edge/proxy/body_buffer.go
+++ b/internal/edge/proxy/body_buffer.go
@@ -11,20 +11,20 @@
 	"mulleinwood/internal/platform/apierror"
 )
 
-// Bounds of what is buffered of a body. What is longer, or finds the budget spent, is forwarded as it comes.
+// Limits of buffering bodies. The rest of a body that is longer, or that finds the budget exhausted, is streamed.
 const (
-	uncountedBytes           = 4 << 10   // of each body, that the budget doesn't count: the number of connections bounds them
-	maxBufferedRequestBytes  = 256 << 10 // bytes of a request, so that a retry can send them again
-	maxBufferedResponseBytes = 256 << 10 // bytes of a response, so that one that breaks off early can be asked for elsewhere
-	maxStoredResponseBytes   = 1 << 20   // bytes of a keyed operation's response: a longer one is not kept for repeats
-	bodyMemoryShare          = 0.25      // of the machine's memory, for all bodies together
-	maxInitialBufferBytes    = 32 << 10  // bytes that are allocated on the word of a Content-Length alone
-	defaultMaxBodyBytes      = 64 << 20  // bytes of a request, where the configuration doesn't say
+	uncountedBytes           = 4 << 10   // of each body not counted by the budget: the number of connections limits them
+	maxBufferedRequestBytes  = 256 << 10 // bytes of a request, buffered so that a retry can send them again
+	maxBufferedResponseBytes = 256 << 10 // bytes of a response, buffered so that a truncated one can be retried at another server
+	maxStoredResponseBytes   = 1 << 20   // bytes of a keyed operation's response; longer ones are not stored for repeats
+	bodyMemoryShare          = 0.25      // fraction of the machine's memory for all buffered bodies
+	maxInitialBufferBytes    = 32 << 10  // largest allocation based on an unverified Content-Length
+	defaultMaxBodyBytes      = 64 << 20  // bytes of a request, if the configuration sets no limit
 	copyChunkBytes           = 16 << 10
 )
 
-// memoryBudget bounds the bytes of all bodies that an edge buffers together, against many large ones at once, each of which
-// is allowed.
+// memoryBudget limits the total bytes of the bodies that an edge buffers, since many bodies below their individual limits
+// could exhaust the memory. It is safe for concurrent use.
 type memoryBudget struct{ available atomic.Int64 }
 
 func newMemoryBudget(bytes int64) *memoryBudget {
@@ -33,6 +33,7 @@
 	return b
 }
 
+// reserve reserves n bytes, and reports false if they aren't available.
 func (b *memoryBudget) reserve(n int64) bool {
 	if b.available.Add(-n) < 0 {
 		b.available.Add(n)
@@ -41,17 +42,18 @@
 	return true
 }
 
+// release releases n reserved bytes.
 func (b *memoryBudget) release(n int64) { b.available.Add(n) }
 
-// buffered is what was read of a body.
+// buffered is the part of a body that was read.
 type buffered struct {
 	data     []byte
-	complete bool  // the body ended; else the rest is still to be read
-	reserved int64 // bytes of the budget, to be released
+	complete bool  // the body was read to its end
+	reserved int64 // bytes of the budget that have to be released
 }
 
-// buffer reads up to limit bytes of a body, while the budget lasts. Length is its Content-Length; below 0: not known. What
-// is reserved has to be released also after an error.
+// buffer reads up to limit bytes of a body, or less if the budget is exhausted. length is its Content-Length, negative if
+// unknown. The caller must release the reserved bytes, also after an error.
 func (b *memoryBudget) buffer(source io.Reader, length, limit int64) (buffered, error) {
 	var out buffered
 	capacity := int64(uncountedBytes)
@@ -88,9 +90,9 @@
 	}
 }
 
-// bufferBody reads a request's body: all of it if it is short, so that it can be sent again. Of a longer one the beginning
-// is buffered and the rest is forwarded as it comes, to one server. The client has to send it by the request's deadline:
-// one that sends slowly holds a connection and what it sent, no longer than that.
+// bufferBody reads a request's body: completely if it is short, so that it can be sent again. The beginning of a longer one
+// is buffered, and the rest is streamed to a single server. The client must send the body by the request's deadline, which
+// limits how long a slow client occupies a connection and memory.
 func (p *Proxy) bufferBody(w http.ResponseWriter, req *clientRequest, limit int64) error {
 	r := req.http
 	if limit <= 0 {
@@ -100,7 +102,7 @@
 		return apierror.TooLarge.New("body of %d bytes", r.ContentLength)
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(req.deadline - p.Now())) // unsupported: the connection's own limits hold
+	_ = control.SetReadDeadline(time.Now().Add(req.deadline - p.Now())) // if unsupported, the connection's own limits apply
 	source := http.MaxBytesReader(w, r.Body, limit)
 	body, err := p.bodyMemory.buffer(source, r.ContentLength, maxBufferedRequestBytes)
 	req.body, req.bodyBytes, req.length = body.data, req.bodyBytes+body.reserved, r.ContentLength
@@ -116,6 +118,7 @@
 	return nil
 }
 
+// bodyError converts an error of reading a request's body to the error sent to the client.
 func bodyError(err error, limit int64) error {
 	if large := new(http.MaxBytesError); errors.As(err, &large) {
 		return apierror.TooLarge.New("body of more than %d bytes", limit)
@@ -126,17 +129,18 @@
 	return apierror.Malformed.Wrap(err, "body")
 }
 
-// bodyTail is the part of a request's body that isn't buffered. Once any of it was read it can't be sent again.
+// bodyTail is the unbuffered rest of a request's body. Once reading it has started, the request can't be sent again.
 type bodyTail struct {
 	source  io.Reader
 	started atomic.Bool
 	err     atomic.Pointer[error]
 }
 
-// resendable reports whether nothing of the tail was read yet. A nil tail is a body that is buffered completely.
+// resendable reports whether the body can be sent again: it is buffered completely (t is nil), or reading the tail has not
+// started.
 func (t *bodyTail) resendable() bool { return t == nil || !t.started.Load() }
 
-// failure is why the tail couldn't be read from the client; nil: it could, or there is none.
+// failure returns the error of reading the tail from the client, nil if there is none or t is nil.
 func (t *bodyTail) failure() error {
 	if t == nil {
 		return nil
@@ -157,7 +161,7 @@
 	return n, err
 }
 
-// copyBody forwards the rest of a response. It is complete only if the server ended it and the client took it all.
+// copyBody copies the rest of a response to the client until its end or an error. Both errors are nil if it is complete.
 func copyBody(w http.ResponseWriter, source io.Reader) (fromServer, toClient error) {
 	chunk := make([]byte, copyChunkBytes)
 	for {
--- a/internal/edge/proxy/claims.go
+++ b/internal/edge/proxy/claims.go
@@ -12,53 +12,56 @@
 )
 
 const (
-	// claimHedgeDelay is how long the own controller may take before another one is asked, too: it may have died, and a
-	// network partition is noticed only by its silence.
+	// claimHedgeDelay is how long the edge's controller may take before another one is asked, too: a controller that
+	// crashed or is partitioned is detected only by its silence.
 	claimHedgeDelay = 60 * time.Millisecond
-	// revocationRepeatDuration is how long a revocation is repeated: as long as controllers that lost power take to be back.
+	// revocationRepeatDuration is how long a revocation is repeated: as long as controllers take to restart after a power
+	// failure.
 	revocationRepeatDuration = 4 * time.Second
-	// maxStoredBytes bounds the memory that kept responses take: an edge has a small machine.
+	// maxStoredBytes limits the memory of stored response bodies, since edges run on small machines.
 	maxStoredBytes = 8 << 20
-	// maxStoredPerFrame is how many kept responses are sent in one frame.
+	// maxStoredPerFrame is the largest number of stored responses sent in one frame.
 	maxStoredPerFrame       = 100
-	defaultKeyWindowSeconds = 60 // seconds, where the settings don't say
+	defaultKeyWindowSeconds = 60 // used if the settings contain no key_window_s
 )
 
-// claimSender is what the tracker needs of the links to controllers.
+// claimSender sends a claimTracker's messages over the links to controllers.
 type claimSender interface {
-	// send hands a message to the own controller, and reports whether there is one.
+	// send queues a message for the edge's controller and reports whether the edge is attached to one.
 	send(m peer.Message) bool
-	// sendSecondary hands a message to another controller, and reports whether one could be reached.
+	// sendSecondary queues a message for another controller and reports whether one could be reached.
 	sendSecondary(m peer.Message) bool
-	// sendBoth hands a message to both, as far as there are links to them.
+	// sendBoth queues a message for both controllers, as far as there are links to them.
 	sendBoth(m peer.Message)
-	// connected reports whether there is a link to either.
+	// connected reports whether there is a link to any controller.
 	connected() bool
 }
 
-// claimTracker claims the keys of operations, and keeps what a controller may want to hear again.
+// claimTracker claims the keys of operations, and stores responses and revocations that may have to be sent to a controller
+// again. It is safe for concurrent use.
 type claimTracker struct {
 	*node.Env
 	controllers claimSender
-	abort       <-chan struct{} // closed when requests that wait are refused
+	abort       <-chan struct{} // closed at shutdown, when waiting requests are rejected
 
 	mu          sync.Mutex
 	sequence    uint64
 	pending     map[idempotency.Token]*pendingClaim
-	stored      []timedRecord // responses of the last window, oldest first: a controller that lost its disk gets them again
-	storedBytes int           // of their bodies
-	revocations []timedRecord // that are still repeated
+	stored      []timedRecord // responses of the last key window, oldest first, sent again to a controller that lost its disk
+	storedBytes int           // size of the stored bodies
+	revocations []timedRecord // still being repeated
 }
 
+// timedRecord is a record and the time at which it was added.
 type timedRecord struct {
 	at     time.Duration
 	record idempotency.Record
 }
 
-// pendingClaim waits for its outcome.
+// pendingClaim is a claim that is not decided yet.
 type pendingClaim struct {
 	record     idempotency.Record
-	unanswered int // controllers that were asked and have not answered
+	unanswered int // requests to controllers without an answer
 	outcome    chan peer.ClaimOutcome
 }
 
@@ -66,9 +69,9 @@
 	return &claimTracker{Env: env, controllers: controllers, abort: abort, pending: map[idempotency.Token]*pendingClaim{}}
 }
 
-// acquire asks for the right to run a key's operation. If no controller can be reached after giveUpEarly, or none decides
-// within limit or before ctx ends, the outcome is undecided. A claim that is not granted is revoked: nothing was run under
-// it, and nothing ever will be.
+// acquire claims a key and waits for the outcome. If no controller can be reached after giveUpEarly, or none decides within
+// limit or before ctx is done, the outcome is undecided. A claim that is not granted is revoked: nothing was run under it,
+// and nothing ever will be.
 func (t *claimTracker) acquire(ctx context.Context, key idempotency.Key, giveUpEarly, limit time.Duration) (idempotency.Record,
 	peer.ClaimOutcome) {
 	c := t.addClaim(key)
@@ -86,6 +89,7 @@
 	return c.record, outcome
 }
 
+// addClaim adds a pending claim with a new token.
 func (t *claimTracker) addClaim(key idempotency.Key) *pendingClaim {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,13 +100,14 @@
 	return c
 }
 
+// removeClaim removes a pending claim; later outcomes are ignored.
 func (t *claimTracker) removeClaim(c *pendingClaim) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.pending, c.record.Token)
 }
 
-// await waits for the outcome of a claim.
+// await waits for the outcome of a claim. It returns an undecided one as described at acquire, and at shutdown.
 func (t *claimTracker) await(ctx context.Context, c *pendingClaim, giveUpEarly, limit time.Duration) peer.ClaimOutcome {
 	undecided := peer.ClaimOutcome{Token: c.record.Token, Outcome: idempotency.OutcomeUndecided}
 	startedAt := t.Now()
@@ -121,13 +126,13 @@
 			if passed >= limit || !t.controllers.connected() {
 				return undecided
 			}
-			timer.Reset(limit - passed) // a controller is at it
+			timer.Reset(limit - passed) // a connected controller may still decide
 		}
 	}
 }
 
-// requestGrant asks one more controller, unless the claim is decided. It reports whether nobody else has to be asked for
-// lack of a link.
+// requestGrant asks one more controller, unless the claim is decided. It reports false if there is no link to that
+// controller, so that another one has to be asked.
 func (t *claimTracker) requestGrant(send func(peer.Message) bool, c *pendingClaim) bool {
 	if !t.countRequest(c) {
 		return true
@@ -141,7 +146,7 @@
 	return false
 }
 
-// countRequest counts a controller that is asked, and reports whether the claim is still pending.
+// countRequest counts a request to a controller, and reports whether the claim is still pending.
 func (t *claimTracker) countRequest(c *pendingClaim) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -152,8 +157,8 @@
 	return true
 }
 
-// handleOutcome takes a controller's word on a claim. That one could not decide it matters only once no other one is asked;
-// the first to decide is believed, and then nobody is asked any more.
+// handleOutcome handles a controller's outcome of a claim. An undecided outcome is ignored while another controller has not
+// answered; the first decision counts, and later ones are ignored.
 func (t *claimTracker) handleOutcome(outcome peer.ClaimOutcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -166,10 +171,11 @@
 		return
 	}
 	delete(t.pending, outcome.Token)
-	c.outcome <- outcome // it has room for the one outcome
+	c.outcome <- outcome // the channel has capacity for the only outcome
 }
 
-// resendPending puts pending claims to a new controller: the previous one may have died with them.
+// resendPending sends pending claims and recent revocations to a new controller: the previous one may have crashed before
+// handling them.
 func (t *claimTracker) resendPending() {
 	t.resendRevocations()
 	for _, c := range t.allPending() {
@@ -186,8 +192,9 @@
 	return all
 }
 
-// revoke withdraws a claim under which nothing was run. It is repeated for a while: a controller that could not decide on
-// the claim may not hear of its end either, and a store that holds it would refuse the client's next attempt.
+// revoke withdraws a claim under which nothing was run. The revocation is repeated for revocationRepeatDuration: a controller
+// that could not decide on the claim may miss the revocation, too, and a replica that holds the claim would reject the
+// client's next attempt.
 func (t *claimTracker) revoke(claim idempotency.Record) {
 	r := idempotency.Record{Key: claim.Key, Token: claim.Token}
 	t.controllers.sendBoth(peer.Revocations{r})
@@ -196,7 +203,7 @@
 	t.revocations = append(t.revocations, timedRecord{t.Now(), r})
 }
 
-// resendRevocations repeats what was revoked lately.
+// resendRevocations sends the recent revocations again.
 func (t *claimTracker) resendRevocations() {
 	if recent := t.recentRevocations(); len(recent) > 0 {
 		t.controllers.sendBoth(recent)
@@ -214,7 +221,8 @@
 	return recent
 }
 
-// complete has the response of a claim's run kept for repeats: by the controller, and here for one that loses its disk.
+// complete stores the response of a claimed operation for repeats: at the controller, and in memory for a controller that
+// loses its disk. Responses older than the key window are dropped, and so are the oldest beyond maxStoredBytes.
 func (t *claimTracker) complete(claim idempotency.Record, response *idempotency.Response) {
 	r := idempotency.Record{Key: claim.Key, Token: claim.Token, Response: response}
 	t.controllers.send(peer.Responses{r})
@@ -231,7 +239,7 @@
 	}
 }
 
-// sendStored gives a controller whose disk came back empty the responses that are still kept here.
+// sendStored sends the stored responses to a controller that lost its disk.
 func (t *claimTracker) sendStored(link *peer.Link) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/edge/proxy/faults_test.go
+++ b/internal/edge/proxy/faults_test.go
@@ -17,7 +17,7 @@
 	"mulleinwood/internal/control/registry"
 )
 
-// scriptFirstRequest plays a script for the first request that any server gets, and answers the others well.
+// scriptFirstRequest adds servers of which the first request gets the response of a script, and all others a good one.
 func (h *testEdge) scriptFirstRequest(first func(*http.Request) string, servers ...string) {
 	played := false
 	for _, id := range servers {
@@ -32,30 +32,31 @@
 			return goodResponse(r)
 		})
 	}
-	for range 4 { // fills the budget
+	for range 4 { // fills the retry budget
 		h.traffic.countRequest("tags")
 	}
 }
 
-// Answers that prove nothing: what must not run twice is sent to no other server, and nothing is promised.
+// Responses that prove nothing: an unsafe request is sent to no other server, and its client receives no promise that it did
+// not run.
 func TestResponsesThatAreNotTrusted(t *testing.T) {
 	for name, answer := range map[string]func(*http.Request) string{
-		"a 503 without the word that nothing ran": func(r *http.Request) string { return rawResponse(r, "503 Busy", "", "") },
-		"a 429 without the word that nothing ran": func(r *http.Request) string { return rawResponse(r, "429 Busy", "", "") },
-		"a 408 without the word that nothing ran": func(r *http.Request) string { return rawResponse(r, "408 Late", "", "") },
-		"a success that says that nothing ran": func(r *http.Request) string {
+		"a 503 without X-Not-Run": func(r *http.Request) string { return rawResponse(r, "503 Busy", "", "") },
+		"a 429 without X-Not-Run": func(r *http.Request) string { return rawResponse(r, "429 Busy", "", "") },
+		"a 408 without X-Not-Run": func(r *http.Request) string { return rawResponse(r, "408 Late", "", "") },
+		"a success with X-Not-Run": func(r *http.Request) string {
 			return rawResponse(r, "200 OK", "X-Server-Seal: s\r\nX-Not-Run: 1\r\n", "x")
 		},
-		"a content coding that nobody asked for": func(r *http.Request) string {
+		"a content coding that was not requested": func(r *http.Request) string {
 			return rawResponse(r, "200 OK", "X-Server-Seal: s\r\nContent-Encoding: gzip\r\n", "x")
 		},
-		"two ids": func(r *http.Request) string {
+		"two attempt IDs": func(r *http.Request) string {
 			return rawResponse(r, "200 OK", "X-Server-Seal: s\r\nX-Attempt-Id: try-0\r\n", "x")
 		},
-		"a seal that concerns one connection only": func(r *http.Request) string {
+		"a seal that is a hop-by-hop header": func(r *http.Request) string {
 			return rawResponse(r, "200 OK", "X-Server-Seal: s\r\nConnection: X-Server-Seal\r\n", "x")
 		},
-		"another protocol": func(r *http.Request) string {
+		"switched protocols": func(r *http.Request) string {
 			return rawResponse(r, "101 Switch", "X-Server-Seal: s\r\n", "x") + "<close>"
 		},
 	} {
@@ -82,14 +83,14 @@
 	})
 }
 
-// A promise that the request never ran has to hold for the first server, too.
+// A client is promised that its request did not run only if that holds for the first server, too.
 func TestNoPromiseAfterAFirstServerThatMayHaveRun(t *testing.T) {
 	for name, c := range map[string]struct {
 		first  func(*http.Request) string
 		status int
 	}{
-		"cut off":     {truncatedResponse, 502},
-		"its own 500": {func(r *http.Request) string { return rawResponse(r, "500 Oops", "", "why") }, 500},
+		"truncated":    {truncatedResponse, 502},
+		"server error": {func(r *http.Request) string { return rawResponse(r, "500 Oops", "", "why") }, 500},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runEdge(t, func(h *testEdge) {
@@ -111,7 +112,7 @@
 	}
 }
 
-// A connection that leads to another server than it should is of no use to the next request either.
+// A connection to a wrong server (421) must not be reused by the next request.
 func TestConnectionToAnotherServerIsClosed(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		h.scriptFirstRequest(func(r *http.Request) string { return rawResponse(r, "421 Other", "", "") }, "i-1")
@@ -121,7 +122,8 @@
 	})
 }
 
-// A connection that ends before it takes a byte proves that nothing was sent: another may be used, whatever the kind.
+// A connection that is closed before it accepts a byte proves that nothing was sent, so a request of any kind may be sent
+// on another one.
 func TestNothingWrittenMayBeSentAgain(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		h.scriptFirstRequest(goodResponse, "i-1", "i-2")
@@ -154,7 +156,7 @@
 
 func (refusing) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
 
-// Bytes behind an answer, in the same segment: the next request, right behind it, never meets them.
+// Surplus bytes after a response, in the same segment, are never taken for the response to the next request.
 func TestSurplusBytesMeetNoRequest(t *testing.T) {
 	for i := range 200 {
 		runEdge(t, func(h *testEdge) {
@@ -166,7 +168,7 @@
 	}
 }
 
-// What identifies a try or an operation doesn't concern one connection only, whatever a client says.
+// The attempt ID and the operation key are end-to-end headers, even if the client's Connection header lists them.
 func TestConnectionHeaderDropsNoIdentity(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		h.decideClaim = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
@@ -179,7 +181,7 @@
 	})
 }
 
-// A deadline that is longer than any duration is the route's; one that is no number is refused for good.
+// A deadline that overflows a duration is replaced by the route's; one that is not a number is rejected.
 func TestDeadlinesOutOfRange(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		h.addServer("i-1", goodResponse)
@@ -189,7 +191,7 @@
 	})
 }
 
-// Of an answer without a body the length is the server's word, not ours.
+// The server's Content-Length of a response without a body is forwarded.
 func TestLengthOfAnAnswerWithoutBodyStands(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		h.addServer("i-1", func(r *http.Request) string {
@@ -199,7 +201,8 @@
 	})
 }
 
-// A server may answer at length before it has the whole of a long body: both go on, and no byte of either is lost.
+// A server may send a long response before it has received all of a long request body: both continue, and no byte of either
+// is lost.
 func TestLongAnswerToABodyThatStillComes(t *testing.T) {
 	long := strings.Repeat("0123456789", 60_000)
 	runEdge(t, func(h *testEdge) {
@@ -237,12 +240,12 @@
 			h.g.Expect(string(body) == long).To(BeTrue(), "%d bytes", len(body))
 			sent := <-got
 			h.g.Expect(len(sent) < 2*len(long) || sent == long+long).To(BeTrue())
-			h.g.Expect(strings.HasPrefix(long+long, sent)).To(BeTrue(), "bytes of the body were lost on their way: %d came", len(sent))
+			h.g.Expect(strings.HasPrefix(long+long, sent)).To(BeTrue(), "bytes of the body were lost: %d arrived", len(sent))
 		})
 	})
 }
 
-// A client of HTTP/1.0 takes a close for the end of an answer without a length: one that is cut short ends in a reset.
+// An HTTP/1.0 client takes a close as the end of a response without a length, so a truncated one must end in a reset.
 func TestCutAnswerDoesNotLookWholeToOldClients(t *testing.T) {
 	setup(t, func(h *testEdge) {
 		defer h.close()
@@ -260,7 +263,7 @@
 		defer conn.Close()
 		_, _ = io.WriteString(conn, "GET /s/x HTTP/1.0\r\nHost: a.example\r\nX-Attempt-Id: t\r\n\r\n")
 		_, err = io.Copy(io.Discard, conn)
-		h.g.Expect(err).To(HaveOccurred(), "a close would look like the end of the answer")
+		h.g.Expect(err).To(HaveOccurred(), "a close would look like the end of the response")
 	})
 }
 
@@ -285,7 +288,7 @@
 	})
 }
 
-// A client that goes in the middle of a long answer costs its connection and the server's, and no place.
+// A client that leaves during a long response: its connection and the server's are closed, and the server's slot is released.
 func TestClientThatLeavesDuringALongResponse(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		h.setLimits(2, `{}`)
--- a/internal/edge/proxy/headers.go
+++ b/internal/edge/proxy/headers.go
@@ -10,13 +10,13 @@
 	"strings"
 )
 
-// hopByHop are the headers that concern one connection. Expect is among them: this edge has granted what it asks for, and a
-// server that doesn't answer it would never be sent the body.
+// hopByHop contains the headers that apply to a single connection. Expect is one of them: the edge itself responds to it, and
+// a server that ignores it would never receive the body.
 var hopByHop = map[string]bool{"Connection": true, "Expect": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true,
 	"Trailer":           true,
 	"Transfer-Encoding": true, "Upgrade": true, "Proxy-Authenticate": true, "Proxy-Authorization": true}
 
-// copyEndToEnd copies the headers that concern more than one connection: all but hopByHop and those that Connection names.
+// copyEndToEnd returns a copy of the end-to-end headers: all except hopByHop and those listed in Connection.
 func copyEndToEnd(from http.Header) http.Header {
 	to := make(http.Header, len(from)+2)
 	named := from.Values("Connection")
@@ -33,21 +33,21 @@
 	return to
 }
 
-// upstreamRequest makes what is sent to the server: method, path and body as they came, end-to-end headers, and those that
-// this edge sets itself.
+// upstreamRequest returns the request for a server: method, target and body of the client's request, its end-to-end headers,
+// and the headers that the edge sets.
 func (p *Proxy) upstreamRequest(ctx context.Context, req *clientRequest, u *upstream) *http.Request {
 	client := req.http
 	header := copyEndToEnd(client.Header)
 	left := max(1, (req.timeLeft(p.Now()) - returnMargin).Milliseconds())
 	header[headerDeadline] = []string{strconv.FormatInt(left, 10)}
 	header[headerExpectedInstance] = []string{u.ID}
-	for _, name := range []string{headerAttemptID, headerOperationKey} { // whatever the client's Connection header names
+	for _, name := range []string{headerAttemptID, headerOperationKey} { // even if listed in the client's Connection header
 		if values := client.Header[name]; values != nil {
 			header[name] = values
 		}
 	}
 	if header["User-Agent"] == nil {
-		header["User-Agent"] = []string{""} // so that none is added
+		header["User-Agent"] = []string{""} // keeps net/http from adding one
 	}
 	out := (&http.Request{Method: client.Method, URL: req.target(u.address), Host: client.Host, Header: header,
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1}).WithContext(ctx)
@@ -64,8 +64,8 @@
 	return out
 }
 
-// target is the URL by which net/http writes the client's request target unchanged. As an opaque part a target that begins
-// with two slashes would be read as a host, and an absolute one would be sent as it is.
+// target returns the URL with which net/http sends the client's request target unchanged. Targets that begin with two slashes
+// and absolute URIs can't be passed as URL.Opaque: the former would be parsed as a host, the latter sent as an absolute URI.
 func (req *clientRequest) target(address string) *url.URL {
 	uri := req.http.RequestURI
 	if strings.HasPrefix(uri, "/") && !strings.HasPrefix(uri, "//") {
--- a/internal/edge/proxy/listener.go
+++ b/internal/edge/proxy/listener.go
@@ -11,7 +11,7 @@
 	"mulleinwood/internal/platform/httpconn"
 )
 
-// Limits that clients are held to before a configuration says otherwise.
+// Default limits for clients, used if the configuration sets none.
 const (
 	defaultMaxHeaderBytes = 64 << 10
 	defaultHeaderTimeout  = 10 * time.Second
@@ -19,39 +19,39 @@
 )
 
 const (
-	clientHandleShare = 0.6             // of the file handles, for clients' connections
-	reservedHandles   = 200             // that the platform keeps for files
-	minClientConns    = 16              // however few file handles there are
-	stuckTimeout      = 5 * time.Second // past deadline and idle time, after which a request's connection is stuck
-	// keepAliveTimeout is above any idle time of a configuration: the tracker closes idle connections.
+	clientHandleShare = 0.6             // fraction of the file handles for clients' connections
+	reservedHandles   = 200             // file handles that the platform reserves for files
+	minClientConns    = 16              // regardless of the number of file handles
+	stuckTimeout      = 5 * time.Second // beyond deadline and idle timeout, after which a connection counts as stuck
+	// keepAliveTimeout exceeds any configured idle timeout, since the tracker closes idle connections.
 	keepAliveTimeout = time.Hour
-	// handoffGrace is how long the previous server still takes connections that were being handed to it.
+	// handoffGrace is how long a replaced server still accepts connections that are being handed to it.
 	handoffGrace = time.Second
-	// acceptBackoff is how long accepting rests after it failed, such as for lack of a descriptor.
+	// acceptBackoff is the pause after a failed accept, such as for lack of a file descriptor.
 	acceptBackoff = 20 * time.Millisecond
 )
 
-// maxClientConns is how many connections of clients are held at once.
+// maxClientConns returns the largest number of concurrent clients' connections.
 func maxClientConns(fileHandles int) int {
 	return max(minClientConns, int(clientHandleShare*float64(fileHandles-reservedHandles)))
 }
 
-// clientListener accepts clients' connections under the limits in force. net/http takes its limits when a server starts,
-// so other limits get a server of their own: new connections go to it, and established ones stay under theirs.
+// clientListener accepts clients' connections under the limits in force. An http.Server can't change its limits while it
+// runs, so changed limits start a new server for new connections; established connections keep theirs.
 type clientListener struct {
 	handler http.Handler
 	conns   *httpconn.Tracker
 
 	mu      sync.Mutex
 	limits  config.Limits
-	handoff *handoffListener // of the server that takes new connections; nil: not serving yet
+	handoff *handoffListener // of the server for new connections; nil until serve is called
 }
 
 func newClientListener(handler http.Handler, maxConns int) *clientListener {
 	return &clientListener{handler: handler, conns: httpconn.NewTracker(maxConns)}
 }
 
-// handoffListener is the listener of one server: accepted connections are handed to it.
+// handoffListener is the net.Listener of one server, which receives accepted connections by a channel.
 type handoffListener struct {
 	in       chan net.Conn
 	closed   chan struct{}
@@ -75,7 +75,7 @@
 // Addr implements net.Listener.
 func (l *handoffListener) Addr() net.Addr { return l.addr }
 
-// serve accepts connections until the listener is closed. Other failures, such as a lack of descriptors, pass.
+// serve accepts connections until the listener is closed. After other errors, such as a lack of file descriptors, it retries.
 func (l *clientListener) serve(listener net.Listener) error {
 	l.replaceServer(listener.Addr())
 	for {
@@ -91,17 +91,17 @@
 	}
 }
 
-// handOff gives a connection to the server that takes new ones. One that was replaced while this process stood still takes none
-// any more: the next one does.
+// handOff passes a connection to the server for new ones. If that server was replaced meanwhile, as after a pause of this
+// process, and accepts no more, the connection goes to its successor.
 func (l *clientListener) handOff(conn *httpconn.Conn) {
 	for handoff := l.current(); ; {
 		select {
-		case handoff.in <- conn: // its server waits for it
+		case handoff.in <- conn: // the server was waiting in Accept
 			return
 		case <-handoff.closed:
 		}
 		next := l.current()
-		if next == handoff { // nobody serves any more
+		if next == handoff { // no server is left
 			l.conns.Drop(conn)
 			return
 		}
@@ -109,14 +109,14 @@
 	}
 }
 
-// current is the listener of the server that takes new connections.
+// current returns the listener of the server for new connections.
 func (l *clientListener) current() *handoffListener {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.handoff
 }
 
-// setLimits takes over the limits of a configuration, which may come before the listener serves.
+// setLimits applies the limits of a configuration. It may be called before serve.
 func (l *clientListener) setLimits(limits config.Limits) {
 	l.mu.Lock()
 	same := l.limits.MaxHeaderBytes == limits.MaxHeaderBytes && l.limits.HeaderTimeout == limits.HeaderTimeout &&
@@ -129,7 +129,7 @@
 	}
 }
 
-// replaceServer has new connections served under the limits as they are now.
+// replaceServer starts a server with the current limits for new connections.
 func (l *clientListener) replaceServer(addr net.Addr) {
 	l.mu.Lock()
 	limits, previous := l.limits, l.handoff
@@ -150,7 +150,7 @@
 	server := &http.Server{Handler: l.handler, ReadHeaderTimeout: next.timeouts.Header, IdleTimeout: keepAliveTimeout,
 		MaxHeaderBytes: maxHeader,
 		ConnState:      l.conns.SetState}
-	go func() { _ = server.Serve(next) }() // it ends when another server replaces it
+	go func() { _ = server.Serve(next) }() // returns when the server is replaced
 	if previous != nil {
 		time.AfterFunc(handoffGrace, func() { close(previous.closed) })
 	}
--- a/internal/edge/proxy/matrix_test.go
+++ b/internal/edge/proxy/matrix_test.go
@@ -25,7 +25,7 @@
 
 // The boundaryCount of a request and its answer, at which a scripted server acts.
 const (
-	atAccept = iota // of a new connection; on a reused one: while it is free
+	atAccept = iota // of a new connection; on a reused one, while it is idle
 	atHeadPart
 	atHead
 	atBodyPart
@@ -37,8 +37,8 @@
 	boundaryCount
 )
 
-var boundaryNames = [boundaryCount]string{"accept", "part of the head", "head", "part of the body", "whole request",
-	"part of the answer's head", "answer's head", "part of the answer's body", "whole answer"}
+var boundaryNames = [boundaryCount]string{"accept", "part of the head", "head", "part of the body", "complete request",
+	"part of the response's head", "response's head", "part of the response's body", "complete response"}
 
 // The actionCount of a scripted server.
 const (
@@ -51,29 +51,29 @@
 	actionCount
 )
 
-var actionNames = [actionCount]string{"silence", "close", "reset", "garbage", "a second answer", "an answer of another try"}
+var actionNames = [actionCount]string{"silence", "close", "reset", "garbage", "a second response", "a response of another attempt"}
 
-// lastWarmUpID is the request before the probe, where the connection is a reused one.
+// lastWarmUpID is the ID of the last request before the probe on a reused connection.
 const lastWarmUpID = "warm-4"
 
-// matrixCase is one case of the matrix.
+// matrixCase is one combination of boundary, action, kind of route and connection.
 type matrixCase struct {
 	at, action  int
 	reused      bool
 	kind        string // the route's path segment
-	chunked     bool   // the answer
-	realSockets bool   // sockets of the system
+	chunked     bool   // the response is chunked
+	realSockets bool   // connections are TCP sockets instead of pipes
 }
 
 func (p matrixCase) String() string {
 	return fmt.Sprintf("%s at %s, /%s/, reused %v, chunked %v, sockets %v", actionNames[p.action], boundaryNames[p.at], p.kind, p.reused, p.chunked, p.realSockets)
 }
 
-// auditor sees what servers receive and clients are told, and knows nothing of the edge.
+// auditor checks the requests that servers receive and the responses that clients receive, without access to the edge.
 type auditor struct {
 	mu               sync.Mutex
-	completeRequests map[string]int // requests that servers received whole, by id
-	provedNotRun     map[string]int // of them, those that a server said it did not run
+	completeRequests map[string]int // number of complete requests received by servers, by ID
+	provedNotRun     map[string]int // by ID: of these, the ones that a server declared as not run
 	findings         []string
 }
 
@@ -93,19 +93,19 @@
 	a.completeRequests[id]++
 }
 
-// checkResponse checks what a client was told. Its body names whose it is.
+// checkResponse checks a client's response, whose body contains the ID of its request.
 func (a *auditor) checkResponse(id string, resp *http.Response, body string, err error) {
 	switch {
 	case resp.Header.Get("X-Attempt-Id") != id:
-		a.report("%s was told an answer of %q", id, resp.Header.Get("X-Attempt-Id"))
+		a.report("%s received a response of %q", id, resp.Header.Get("X-Attempt-Id"))
 	case resp.StatusCode == 200 && err == nil && (body != expectedBody(id) || resp.Header.Get("X-Server-Seal") != "seal-"+id):
-		a.report("%s was told %q", id, body)
+		a.report("%s received %q", id, body)
 	case resp.StatusCode == 200 && err != nil && !strings.HasPrefix(expectedBody(id), body):
-		a.report("%s was told a part of another's", id)
+		a.report("%s received a part of another response", id)
 	}
 }
 
-// checkRequest checks a request after all that could be sent was sent.
+// checkRequest checks how often a request ran, after its response was received.
 func (a *auditor) checkRequest(id string, safe bool, status int) {
 	a.mu.Lock()
 	ran := a.completeRequests[id] - a.provedNotRun[id]
@@ -114,13 +114,13 @@
 		a.report("%s was sent %d times", id, ran)
 	}
 	if attempt.PromisesNotRun(status) && ran > 0 {
-		a.report("%s was promised by a %d and sent", id, status)
+		a.report("%s was sent despite a %d, which promises that it did not run", id, status)
 	}
 }
 
 func expectedBody(id string) string { return strings.Repeat("the bytes of "+id+".", 3) }
 
-// expectedResponse is the head and the body of the good answer to a request.
+// expectedResponse returns the head and the body of the good response to a request.
 func expectedResponse(id string, chunked bool) (head, body string) {
 	head = "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + id + "\r\nX-Server-Seal: seal-" + id + "\r\n"
 	if body = expectedBody(id); !chunked {
@@ -129,17 +129,18 @@
 	return head + "Transfer-Encoding: chunked\r\n\r\n", fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(body), body)
 }
 
-// scriptedServers are the scripted servers of one case. The first that is reached while armed plays the script; the others are good.
+// scriptedServers are the servers of one case. The first request that arrives while armed triggers the action; all others
+// receive good responses.
 type scriptedServers struct {
 	matrixCase
 	*auditor
 	mu       sync.Mutex
 	armed    bool
 	served   sync.WaitGroup
-	answer   func(id string) string  // in the place of the good one, if set
-	keepConn bool                    // and the connection may be used after it
-	wrapConn func(net.Conn) net.Conn // a planted fault on the edge's connections
-	single   bool                    // there is one server
+	answer   func(id string) string  // replaces the good response, if set
+	keepConn bool                    // the connection may be reused after answer
+	wrapConn func(net.Conn) net.Conn // plants a fault in the edge's connections
+	single   bool                    // there is only one server
 }
 
 func (p *scriptedServers) disarm() bool {
@@ -150,7 +151,7 @@
 	return armed
 }
 
-// serve is one connection at a server.
+// serve serves one connection at a server.
 func (p *scriptedServers) serve(conn net.Conn) {
 	defer p.served.Done()
 	defer conn.Close()
@@ -192,14 +193,14 @@
 		if _, err := io.WriteString(conn, head+body); err != nil {
 			return
 		}
-		if p.at == atAccept && p.reused && id == lastWarmUpID { // while the connection is free
+		if p.at == atAccept && p.reused && id == lastWarmUpID { // while the connection is idle
 			p.actOn(conn, in)
 			return
 		}
 	}
 }
 
-// writeScripted writes as much of the answer as the boundary says, with what the act adds in the same segment.
+// writeScripted writes the response up to the boundary, and the action's surplus bytes in the same segment.
 func (p *scriptedServers) writeScripted(conn net.Conn, in *bufio.Reader, id string) {
 	if p.answer != nil {
 		text := p.answer(id)
@@ -224,14 +225,14 @@
 	p.finishAction(conn, in)
 }
 
-// surplusBytes are the bytes of an act.
+// surplusBytes returns the bytes that an action sends.
 func (p *scriptedServers) surplusBytes(id string) string {
 	head, body := expectedResponse(id, false)
 	otherHead, otherBody := expectedResponse("stranger", false)
 	return map[int]string{actGarbage: "\x00no answer\r\n\r\n", actSecondResponse: head + body, actForeignResponse: otherHead + otherBody}[p.action]
 }
 
-// actOn acts before any answer.
+// actOn runs the action before any response.
 func (p *scriptedServers) actOn(conn net.Conn, in *bufio.Reader) {
 	_, _ = io.WriteString(conn, p.surplusBytes("stranger"))
 	p.finishAction(conn, in)
@@ -247,7 +248,7 @@
 			conn.(*pipeEnd).reset.Store(true)
 		}
 	case actSilence:
-		if p.at == atResponseEnd { // nothing is odd
+		if p.at == atResponseEnd { // a complete response without a fault
 			p.served.Add(1)
 			p.serve(conn)
 			return
@@ -258,16 +259,16 @@
 	}
 }
 
-// readUntilClose reads what comes after the act until the edge closes the connection: no other request may be among it.
+// readUntilClose reads until the edge closes the connection. It reports a finding if another request arrives after the action.
 func (p *scriptedServers) readUntilClose(in *bufio.Reader) {
 	text, _ := io.ReadAll(in)
 	if strings.Contains(string(text), "X-Attempt-Id: after") {
-		p.report("a connection was kept after %s", actionNames[p.action])
+		p.report("a connection was reused after %s", actionNames[p.action])
 	}
 }
 
-// run plays the case: a probe and, in the same segment behind it, another request of the same client. It gives the probe's
-// status; 0: the connection was broken off.
+// run runs the case: the client sends a probe and another request in the same segment. It returns the status of the probe's
+// response, or 0 if the connection was closed without one.
 func (p *scriptedServers) run(h *testEdge, through func(http.Handler) http.Handler) int {
 	h.decideClaim = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
 		return idempotency.OutcomeGranted, nil
@@ -280,11 +281,11 @@
 	if !p.single {
 		h.addServer("i-2", goodResponse)
 	}
-	if p.realSockets { // no time is measured
+	if p.realSockets { // long deadlines, since the clock is real
 		patient := strings.ReplaceAll(strings.Replace(testConfig, `"r1"`, `"r2"`, 1), `"deadline_s":2`, `"deadline_s":60`)
 		h.g.Expect(h.applyConfig(&peer.Config{Version: 2, Snapshot: []byte(patient)})).To(BeTrue())
 	}
-	for range 8 { // fills the budget
+	for range 8 { // fills the retry budget
 		h.traffic.countRequest("tags")
 	}
 	client, shut := p.client(h)
@@ -297,7 +298,7 @@
 	defer shut()
 	in := bufio.NewReader(client)
 	if p.reused {
-		for _, id := range []string{"warm-1", "warm-2", "warm-3", lastWarmUpID} { // both servers have a free connection, or nearly
+		for _, id := range []string{"warm-1", "warm-2", "warm-3", lastWarmUpID} { // leaves idle connections to both servers
 			go func() { _, _ = io.WriteString(client, probeRequest("s", id)) }()
 			p.readResponse(in, id)
 		}
@@ -312,7 +313,7 @@
 	status := p.readResponse(in, "probe")
 	if status != 0 {
 		if after := p.readResponse(in, "after"); after != 200 {
-			p.report("the request behind it was told %d", after)
+			p.report("the request after the probe received %d", after)
 		}
 	}
 	p.checkRequest("probe", p.kind == "s", status)
@@ -324,7 +325,7 @@
 		"\r\nContent-Length: 5\r\n\r\nhello"
 }
 
-// readResponse reads the next answer at a client.
+// readResponse reads and checks a client's next response. It returns its status, or 0 if there is none.
 func (p *scriptedServers) readResponse(in *bufio.Reader, id string) int {
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -335,7 +336,7 @@
 	return resp.StatusCode
 }
 
-// client connects a client to the edge's door, by a pipe or a socket.
+// client connects a client to the edge by a pipe or a socket.
 func (p *scriptedServers) client(h *testEdge) (conn net.Conn, shut func()) {
 	if p.realSockets {
 		front, err := net.Listen("tcp", "127.0.0.1:0")
@@ -377,7 +378,7 @@
 	}
 	go func() {
 		conn, err := l.Accept()
-		l.Close() // not before: it would reset what waits to be accepted
+		l.Close() // closing earlier would reset the connection in the backlog
 		if err != nil {
 			p.served.Done()
 			return
@@ -387,7 +388,7 @@
 	return (&net.Dialer{}).DialContext(ctx, "tcp", l.Addr().String())
 }
 
-// generateCases generates the cases.
+// generateCases returns all valid cases.
 func generateCases(real bool) (all []matrixCase) {
 	for at := range boundaryCount {
 		for act := range actionCount {
@@ -404,33 +405,33 @@
 	return all
 }
 
-// valid tells whether a case means anything.
+// valid reports whether a case can occur and has a defined result.
 func (p matrixCase) valid() bool {
 	switch {
-	case p.realSockets && p.action == actSilence: // it takes its time, which is a fake clock's business
+	case p.realSockets && p.action == actSilence: // waiting for a timeout needs the fake clock
 		return false
-	case p.reused && p.at == atAccept && p.action == actSilence: // that is a sound connection
+	case p.reused && p.at == atAccept && p.action == actSilence: // the connection has no fault
 		return false
-	case p.reused && p.at == atAccept && p.action > actReset && p.realSockets: // such bytes and the request may cross on their way
+	case p.reused && p.at == atAccept && p.action > actReset && p.realSockets: // the surplus bytes may arrive before or after the request is sent
 		return false
 	case p.action == actSecondResponse:
 		return p.at == atResponseEnd
 	case p.action > actReset && (p.at == atResponseHead || p.at == atResponseBodyPart):
-		return p.chunked && p.at == atResponseHead // bytes in the place of a body are the body: only the server could tell
+		return p.chunked && p.at == atResponseHead // the edge can't distinguish surplus bytes from the body
 	}
 	return true
 }
 
-// allowedStatuses are those that the table of endings allows.
+// allowedStatuses returns the statuses that the table of the attempt package allows.
 func (p matrixCase) allowedStatuses() []int {
 	switch {
 	case p.at == atResponseEnd:
 		return []int{200}
-	case p.action == actSilence: // the time is over
+	case p.action == actSilence: // the deadline is exceeded
 		return []int{504}
 	case p.kind == "s":
 		return []int{200}
-	case p.at == atAccept: // whether a byte was taken is the connection's to say
+	case p.at == atAccept: // depends on whether the connection accepted a byte
 		return []int{200, 502}
 	default:
 		return []int{502}
@@ -455,13 +456,13 @@
 	t.Logf("%d cases", len(cases))
 }
 
-// pipeEnd is the server's end of a pipe, and resets it on demand.
+// pipeEnd is the server's end of a pipe, which can be reset.
 type pipeEnd struct {
 	net.Conn
 	reset *atomic.Bool
 }
 
-// edgeEnd is the edge's end: after a reset its calls fail as a socket's do.
+// edgeEnd is the edge's end of a pipe. After a reset, its calls return ECONNRESET as a socket's do.
 type edgeEnd struct{ *pipeEnd }
 
 func newPipe() (near, far net.Conn) {
--- a/internal/edge/proxy/pipeline.go
+++ b/internal/edge/proxy/pipeline.go
@@ -15,22 +15,23 @@
 )
 
 const (
-	// queueShare is the share of the latency target that a request may wait here for a slot at a server.
+	// queueShare is the fraction of the latency target that a request may wait in the queue for a slot at a server.
 	queueShare = 0.2
-	// claimShare is the share of the time left that a claim may take.
+	// claimShare is the fraction of the time left that a claim may take, maxClaimWait its upper bound.
 	claimShare   = 0.5
 	maxClaimWait = 1200 * time.Millisecond
-	// returnMargin is kept of the deadline for the response's way back to the client.
+	// returnMargin is subtracted from the deadline so that the response reaches the client in time.
 	returnMargin = 5 * time.Millisecond
-	// minAttemptTime is the time left below which no attempt is started.
+	// minAttemptTime is the least time left at which an attempt is started.
 	minAttemptTime = 10 * time.Millisecond
 
-	// Ranks in the queue, around the routes' priorities: a lower rank goes first.
+	// Offsets added to a route's priority (stale) or subtracted from it (reserved) to get the rank in the queue; the lowest
+	// rank is served first.
 	staleRankOffset    = 1000
 	reservedRankOffset = 1000
 )
 
-// ServeHTTP serves a client's request.
+// ServeHTTP implements http.Handler for the clients' requests.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s := p.shutdown
 	s.inFlight.Add(1)
@@ -71,10 +72,10 @@
 	}
 }
 
-// findRoute finds a request's route by its host and path.
+// findRoute returns the route for a request's host and path.
 func findRoute(tree *config.Tree, r *http.Request) (*config.Route, error) {
 	path, _, _ := strings.Cut(r.RequestURI, "?")
-	if !strings.HasPrefix(path, "/") { // an absolute URI, which servers have to accept, too
+	if !strings.HasPrefix(path, "/") { // an absolute URI, which HTTP servers must accept
 		path = r.URL.EscapedPath()
 	}
 	route := tree.Find(r.Host, path)
@@ -84,8 +85,8 @@
 	return route, nil
 }
 
-// serveKeyed runs an operation at most once: its key is claimed before the first byte leaves for a server, and the response
-// is kept for repeats.
+// serveKeyed runs an operation at most once: its key is claimed before the first byte is sent to a server, and the response
+// is stored for repeats.
 func (p *Proxy) serveKeyed(w http.ResponseWriter, req *clientRequest) {
 	key := idempotency.KeyOf(strings.ToLower(req.http.Host), req.http.Header.Get(headerOperationKey))
 	giveUpEarly := scale(req.latencyTarget, queueShare)
@@ -109,15 +110,16 @@
 		p.claims.complete(claim, storedResponse(result))
 	case attempt.RevokeClaim:
 		p.claims.revoke(claim)
-	case attempt.KeepClaim: // repeats are told that the operation is in progress until its window is over
+	case attempt.KeepClaim: // repeats are answered that the operation is in progress, until the key's window is over
 	}
 	p.respond(w, req, result)
 }
 
-// scale gives a share of a duration.
+// scale returns d multiplied by share.
 func scale(d time.Duration, share float64) time.Duration { return time.Duration(float64(d) * share) }
 
-// replay answers a request whose key was claimed before with the response of the first run; nil: it is not known.
+// replay answers a request whose key was claimed before with the stored response of the first run. If first is nil, the
+// first run has no response yet, and the request is rejected.
 func (p *Proxy) replay(w http.ResponseWriter, req *clientRequest, first *idempotency.Response) {
 	if first == nil {
 		p.reject(w, req.http, apierror.AtWork.New("the operation is in progress"))
@@ -130,7 +132,7 @@
 	p.respond(w, req, attemptResult{cause: attempt.Completed, status: first.Status, header: header, body: first.Body})
 }
 
-// storedResponse is what repeats of an operation are told.
+// storedResponse returns the parts of a response that repeats of an operation receive.
 func storedResponse(result attemptResult) *idempotency.Response {
 	stored := &idempotency.Response{Status: result.status, Headers: map[string]string{}, Body: result.body}
 	for _, name := range []string{headerServerSeal, "Content-Type"} {
@@ -141,10 +143,10 @@
 	return stored
 }
 
-// errDeadlineTooNear says that the deadline is too near for any server.
+// errDeadlineTooNear is returned if the time left is too short for an attempt at any server.
 var errDeadlineTooNear = errors.New("no time left")
 
-// forward sends a request to servers until one answers or no retry is allowed.
+// forward sends a request to one server after another until one responds or no retry is allowed.
 func (p *Proxy) forward(req *clientRequest) attemptResult {
 	budget := p.traffic.countRequest(req.service)
 	req.admission = p.reservations.enter(req.route, req.service)
@@ -182,7 +184,7 @@
 	}
 }
 
-// mustStop tells why no server may be sent a request any more; no error: one may.
+// mustStop returns the reason why no further attempt may be started, or a nil error if one may.
 func (p *Proxy) mustStop(req *clientRequest) (attempt.Cause, error) {
 	switch {
 	case req.clientLeft():
@@ -193,8 +195,8 @@
 	return 0, nil
 }
 
-// mayRetry decides whether another server is tried after an attempt that is over, and takes a retry out of the budget where
-// the next server may be the second that the request reaches.
+// mayRetry reports whether another server may be tried after an attempt that ended with cause. It spends a retry of the
+// budget if the request may have reached a server already.
 func (p *Proxy) mayRetry(req *clientRequest, cause attempt.Cause, budget *retrybudget.Budget) bool {
 	next := req.retries.AfterAttempt(cause, req.bodyTail.resendable())
 	if next == attempt.Stop || req.clientLeft() || p.shutdown.work.Err() != nil || p.Now() > req.deadline-minAttemptTime {
@@ -207,7 +209,7 @@
 	return true
 }
 
-// attemptAt makes one attempt and counts it.
+// attemptAt makes one attempt and counts its outcome.
 func (p *Proxy) attemptAt(req *clientRequest, u *upstream) attemptResult {
 	req.attempted = append(req.attempted, u)
 	req.active.setStage(stageAtServer)
@@ -217,12 +219,12 @@
 	return result
 }
 
-// acquireUpstream finds a server with a free slot. Before the first attempt it waits a little for one, as long as the client
-// does.
+// acquireUpstream reserves a slot at a server. Before the first attempt it waits in the queue for a short time, or until the
+// client leaves. It returns nil if no slot becomes free.
 func (p *Proxy) acquireUpstream(req *clientRequest) *upstream {
 	retry := req.retries.SentAttempts > 0
 	if u := p.tryPick(req); u != nil || retry || !p.upstreams.serves(req.service) {
-		return u // without any server there is nothing to wait for
+		return u // without any server, waiting is pointless
 	}
 	req.active.setStage(stageQueued)
 	limit, rank := p.queueLimits(req)
@@ -246,8 +248,8 @@
 	}
 }
 
-// queueLimits says how long a request may wait for a server, and at which rank. A stale one comes after all that can still
-// be in time, and has nothing to lose by waiting.
+// queueLimits returns how long a request may wait for a server, and its rank in the queue. A stale request ranks behind all
+// that can still meet the latency target, and may wait longer, since it has missed the target anyway.
 func (p *Proxy) queueLimits(req *clientRequest) (limit time.Duration, rank int) {
 	left := req.timeLeft(p.Now())
 	limit, rank = min(scale(req.latencyTarget, queueShare), left/4), req.route.Priority
@@ -260,7 +262,8 @@
 	return limit, rank
 }
 
-// tryPick picks a server and reserves a slot there, if the request may have one at its service.
+// tryPick picks a server and reserves a slot there if the service's reservations admit the request. It returns nil if they
+// don't or no server has a free slot.
 func (p *Proxy) tryPick(req *clientRequest) *upstream {
 	if !p.reservations.admit(req.admission) {
 		return nil
--- a/internal/edge/proxy/proxy.go
+++ b/internal/edge/proxy/proxy.go
@@ -1,20 +1,20 @@
-// Package proxy is the runtime of an edge process: it takes clients' requests, finds their route, sends each to a server
-// of the route's service and answers with what that server said.
+// Package proxy is the runtime of an edge process: it accepts clients' requests, finds their route, sends each to a server
+// of the route's service and forwards the server's response.
 //
-// Requests run on goroutines of their own, so each part owns its state together with a lock of its own, and no part calls
-// another one while it holds its lock:
+// Each request is served by its own goroutine. Each part below owns its state and protects it by its own lock, and no part
+// calls another one while it holds its lock:
 //
 //	clientListener     clients' connections, under the limits of the configuration
-//	pipeline.go        the way of a request: route, claim, attempts, response
+//	pipeline.go        the steps of a request: route, claim, attempts, response
 //	roundTrip          one attempt at one server
 //	upstreamPool       servers, their connections, and the picker that chooses among them
-//	trafficCounter     requests by service, and the retry budgets that they earn
+//	trafficCounter     numbers of requests by service, and the retry budgets that they fund
 //	requestQueue       requests that wait for a slot at a server
 //	activeRequests     requests that are being served, for the log
-//	reservationGates   shares of booked capacity
+//	reservationGates   this edge's shares of reserved capacity
 //	claimTracker       claims of keyed operations
 //	controllerSession  the link to this edge's controller
-//	shutdown           the end in order
+//	shutdown           the graceful shutdown
 package proxy
 
 import (
@@ -36,16 +36,16 @@
 	"mulleinwood/internal/platform/nodesettings"
 )
 
-// reportInterval is how often an edge reports to its controller, and closes what has been idle for too long.
+// reportInterval is how often an edge sends a report to its controller and closes connections that were idle for too long.
 const reportInterval = time.Second
 
-// Proxy is one edge. Its methods may be called by any goroutine.
+// Proxy is one edge. Its methods are safe for concurrent use.
 type Proxy struct {
 	*node.Env
 	security *peer.Security
 
-	tree       atomic.Pointer[config.Tree] // of the configuration in force; nil: none yet
-	fleetEdges atomic.Int32                // edges of the whole fleet, as the controller last said
+	tree       atomic.Pointer[config.Tree] // routes of the configuration in force; nil if there is none yet
+	fleetEdges atomic.Int32                // number of edges in the fleet, as last reported by the controller
 
 	clients      *clientListener
 	bodyMemory   *memoryBudget
@@ -61,7 +61,7 @@
 	lateness     lateness.Meter
 }
 
-// New makes an edge that knows no configuration and no server yet.
+// New returns an edge without a configuration and without servers.
 func New(c node.Config) *Proxy {
 	p := &Proxy{Env: node.NewEnv(c, metrics.Edge, rand.Uint64()|1), security: c.Security}
 	limits := c.Settings.Limits
@@ -79,7 +79,8 @@
 	return p
 }
 
-// Run serves until ctx ends, and then until what was accepted is answered.
+// Run serves clients until ctx is done, and then shuts down gracefully: accepted requests are answered within the grace. It
+// returns an error only if a listener can't be opened.
 func Run(ctx context.Context, c node.Config) error {
 	p := New(c)
 	listener, err := node.Listen(ctx, p.Settings.Listen.Front)
@@ -95,7 +96,7 @@
 	go p.serve(func() error { return p.clients.serve(listener) })
 	go p.serve(func() error { return probe.Serve(readiness) })
 	p.LogEvent("edge starts", "node", p.Settings.Node, "zone", p.Settings.Zone)
-	sessionCtx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // the session is needed during the shutdown, too
+	sessionCtx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // the session is needed until the end of the shutdown
 	defer cancel()
 	go p.session.run(sessionCtx)
 	go p.reservations.run(ctx)
@@ -119,8 +120,8 @@
 	}
 }
 
-// reload takes over what a running edge has use for of the settings file: the seeds. It also reads the certificates again.
-// A file that is wrong changes nothing.
+// reload reads the settings file and the certificates again. Of the settings, only the seeds take effect in a running edge.
+// An invalid file changes nothing.
 func (p *Proxy) reload() {
 	if err := p.security.Reload(); err != nil {
 		p.LogEvent("inner TLS rejected", "cause", err)
@@ -134,7 +135,7 @@
 	p.LogEvent("settings reloaded", "seeds", strings.Join(settings.Seeds, " "))
 }
 
-// serveReadiness tells the platform whether to send clients here, and serves the counters.
+// serveReadiness serves the readiness check of the platform, and the metrics.
 func (p *Proxy) serveReadiness(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path == "/metrics":
@@ -148,7 +149,7 @@
 	}
 }
 
-// runPeriodic does what is due by the clock, until ctx ends.
+// runPeriodic runs the periodic tasks until ctx is done.
 func (p *Proxy) runPeriodic(ctx context.Context) {
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
@@ -160,7 +161,7 @@
 		case <-tick.C:
 			now := p.Now()
 			p.lateness.Observe(due, now)
-			due = max(due, now-reportInterval) + reportInterval // a tick that was missed is not made up for
+			due = max(due, now-reportInterval) + reportInterval // missed ticks are skipped
 			p.sendReport()
 			p.closeIdle()
 			p.claims.resendRevocations()
@@ -168,7 +169,7 @@
 	}
 }
 
-// sendReport tells the controller what was counted since the last report.
+// sendReport sends the statistics since the last report to the controller, if there are any.
 func (p *Proxy) sendReport() {
 	report := &peer.Report{Period: reportInterval.Seconds(), Servers: p.upstreams.takeStats(), Services: p.traffic.takeStats()}
 	if len(report.Servers)+len(report.Services) > 0 {
@@ -176,10 +177,10 @@
 	}
 }
 
-// closeIdle closes what has been idle for too long, on both sides.
+// closeIdle closes connections to clients and servers that were idle for too long.
 func (p *Proxy) closeIdle() {
 	if tree := p.tree.Load(); tree != nil && tree.Config.Limits.IdleTimeout > 0 {
-		const slack = 0.5 // seconds, for a request that is on its way
+		const slack = 0.5 // seconds, for a request in transit
 		idle := seconds(tree.Config.Limits.IdleTimeout + slack)
 		longest := 0.0
 		for _, r := range tree.Config.Routes {
@@ -190,10 +191,11 @@
 	p.upstreams.closeIdle()
 }
 
-// seconds turns a time of the configuration into a duration.
+// seconds converts a time of the configuration, in seconds, to a time.Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// current is what a new controller receives of this edge: the version of its configuration, and the servers that it knows.
+// current returns the state that a new controller receives: the version of the edge's configuration, and the entries of its
+// registry.
 func (p *Proxy) current() (version uint64, servers []registry.Entry) {
 	if tree := p.tree.Load(); tree != nil {
 		version = uint64(tree.Config.Version)
@@ -201,17 +203,17 @@
 	return version, p.upstreams.entries()
 }
 
-// handleControllerAttached puts open claims to a new controller: the previous one may have died with them.
+// handleControllerAttached sends pending claims to a new controller: the previous one may have crashed before handling them.
 func (p *Proxy) handleControllerAttached() { p.claims.resendPending() }
 
-// handleOutcomes hands on the outcomes of claims.
+// handleOutcomes handles the outcomes of claims.
 func (p *Proxy) handleOutcomes(outcomes peer.ClaimOutcomes) {
 	for _, one := range outcomes {
 		p.claims.handleOutcome(one)
 	}
 }
 
-// handleSummary takes what the controller says of the fleet.
+// handleSummary updates the number of edges and the shares of slots from the controller's summary of the fleet.
 func (p *Proxy) handleSummary(s *peer.Summary) {
 	p.fleetEdges.Store(int32(s.Fleet))
 	if s.ZoneEdges != nil {
@@ -219,12 +221,12 @@
 	}
 }
 
-// registryDigests gives what the controller's digests are compared with.
+// registryDigests returns the digests of this edge's registry, to be compared with the controller's.
 func (p *Proxy) registryDigests() (all uint64, byZone map[string]uint64) {
 	return p.upstreams.digests()
 }
 
-// handleMessage handles a message of the controller.
+// handleMessage handles a message from the controller.
 func (p *Proxy) handleMessage(link *peer.Link, m peer.Message) {
 	switch m := m.(type) {
 	case peer.RegistryUpdate:
@@ -262,8 +264,8 @@
 	}
 }
 
-// applyConfig puts a configuration into force, unless it is older than the one that is: within a run of the process the
-// version never goes back. It reports false if the complete configuration is needed.
+// applyConfig applies a configuration unless its version is older than the one in force: the version never decreases while
+// the process runs. It reports false if a complete configuration is needed.
 func (p *Proxy) applyConfig(m *peer.Config) (ok bool) {
 	tree := p.tree.Load()
 	if tree != nil && m.Version <= uint64(tree.Config.Version) {
@@ -289,5 +291,5 @@
 	return true
 }
 
-// closeConn closes a connection of which nothing more is expected, so that an error would change nothing.
+// closeConn closes a connection that isn't used any more, so that an error has no consequence.
 func closeConn(conn net.Conn) { _ = conn.Close() }
--- a/internal/edge/proxy/proxy_test.go
+++ b/internal/edge/proxy/proxy_test.go
@@ -40,13 +40,13 @@
 	`{"name":"u","path_prefix":"/u/","kind":"unsafe","deadline_s":2,"setpoint_s":0.4,"service":"tags","tries":2},` +
 	`{"name":"k","path_prefix":"/k/","kind":"keyed","deadline_s":2,"setpoint_s":0.4,"service":"tags","tries":2}]}]}`
 
-// testEdge is an edge among scripted peers, on a fake clock.
+// testEdge is an edge with scripted servers and a scripted controller, on a fake clock.
 type testEdge struct {
 	*Proxy
 	g             *WithT
 	mu            sync.Mutex
-	servers       map[string]func(*http.Request) string // by address: the bytes of an answer; none, or <stall> at the end, hangs
-	received      []*http.Request                       // what servers were sent
+	servers       map[string]func(*http.Request) string // by address: returns the bytes of a response; the server hangs after an empty one or the suffix <stall>, and closes after <close>
+	received      []*http.Request                       // requests received by servers
 	bodies        []string
 	dials         int
 	decideClaim   func(idempotency.Record) (idempotency.Outcome, *idempotency.Response)
@@ -55,6 +55,7 @@
 	controllerEnd *peer.Link
 }
 
+// runEdge runs a scenario with a testEdge on a fake clock.
 func runEdge(t *testing.T, scenario func(*testEdge)) {
 	synctest.Test(t, func(t *testing.T) {
 		setup(t, func(h *testEdge) {
@@ -65,7 +66,7 @@
 	})
 }
 
-// setup makes a hall without a clock of its own.
+// setup runs a scenario with a testEdge on the clock of its caller.
 func setup(t *testing.T, scenario func(*testEdge)) {
 	g := NewWithT(t)
 	set, err := nodesettings.Parse("test", []byte(testSettings))
@@ -88,7 +89,7 @@
 	scenario(h)
 }
 
-// close ends what runs beside the edge.
+// close closes the links to the controller and the idle connections to servers.
 func (h *testEdge) close() {
 	h.session.link.Close()
 	h.controllerEnd.Close()
@@ -118,7 +119,7 @@
 	h.dials++
 	h.mu.Unlock()
 	if answer == nil {
-		return nil, fmt.Errorf("nobody at %s", address)
+		return nil, fmt.Errorf("no server at %s", address)
 	}
 	near, far := net.Pipe()
 	go func() {
@@ -140,7 +141,7 @@
 				_, _ = io.WriteString(far, text)
 			}
 			if text == "" && !closes || stalls {
-				_, _ = io.Copy(io.Discard, in) // hangs until the caller goes
+				_, _ = io.Copy(io.Discard, in) // hangs until the edge closes the connection
 				return
 			}
 			if _, err := io.WriteString(far, text); err != nil || closes {
@@ -151,7 +152,7 @@
 	return near, nil
 }
 
-// addServer adds a server with a script.
+// addServer adds a server that sends the responses of a script.
 func (h *testEdge) addServer(id string, answer func(*http.Request) string) {
 	h.mu.Lock()
 	h.servers[id+":80"] = answer
@@ -215,7 +216,7 @@
 	})
 }
 
-// What a server did is told from what came: only proof that it never ran allows another server for what is unsafe.
+// An unsafe request is retried at another server only if the first one's response proves that it did not run.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -223,16 +224,16 @@
 		path         string
 		status, sent int
 	}{
-		{"an answer to another try, safe", foreignResponse, "/s/x", 200, 2},
-		{"an answer to another try, unsafe", foreignResponse, "/u/x", 502, 1},
-		{"a body cut short, safe", truncatedResponse, "/s/x", 200, 2},
-		{"a body cut short, unsafe", truncatedResponse, "/u/x", 502, 1},
-		{"a close without an answer, unsafe", func(*http.Request) string { return "<close>" }, "/u/x", 502, 1},
-		{"bytes that are no answer, unsafe", func(*http.Request) string { return "spoilt\r\n\r\n" }, "/u/x", 502, 1},
-		{"turned away, unsafe", rejectFull, "/u/x", 200, 2},
-		{"a failure of the server's own, unsafe", func(r *http.Request) string { return rawResponse(r, "500 Oops", "", "") }, "/u/x", 500, 1},
+		{"a response of another attempt, safe", foreignResponse, "/s/x", 200, 2},
+		{"a response of another attempt, unsafe", foreignResponse, "/u/x", 502, 1},
+		{"a truncated body, safe", truncatedResponse, "/s/x", 200, 2},
+		{"a truncated body, unsafe", truncatedResponse, "/u/x", 502, 1},
+		{"a close without a response, unsafe", func(*http.Request) string { return "<close>" }, "/u/x", 502, 1},
+		{"bytes that are no HTTP response, unsafe", func(*http.Request) string { return "spoilt\r\n\r\n" }, "/u/x", 502, 1},
+		{"rejected as full, unsafe", rejectFull, "/u/x", 200, 2},
+		{"a server error, unsafe", func(r *http.Request) string { return rawResponse(r, "500 Oops", "", "") }, "/u/x", 500, 1},
 		{"a success without a seal, unsafe", func(r *http.Request) string { return rawResponse(r, "200 OK", "", "x") }, "/u/x", 502, 1},
-		{"a success with no end of its own, unsafe", func(r *http.Request) string {
+		{"a success without a length, unsafe", func(r *http.Request) string {
 			return "HTTP/1.1 200 OK\r\nX-Attempt-Id: try-1\r\nX-Server-Seal: seal\r\n\r\nbytes<close>"
 		}, "/u/x", 502, 1},
 		{"silence, unsafe", hang, "/u/x", 504, 1},
@@ -252,7 +253,7 @@
 				}
 				h.addServer("i-1", script)
 				h.addServer("i-2", script)
-				for range 4 { // fills the budget
+				for range 4 { // fills the retry budget
 					h.traffic.countRequest("tags")
 				}
 				w := h.request("POST", c.path, "x")
@@ -311,7 +312,7 @@
 	stands := func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
 		return idempotency.OutcomeGranted, nil
 	}
-	t.Run("run once claimed, and their answer is kept", func(t *testing.T) {
+	t.Run("run once claimed, and their response is stored", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
 			h.decideClaim = stands
 			h.addServer("i-1", goodResponse)
@@ -321,7 +322,7 @@
 			h.g.Expect(h.stored[0].Response.Headers).To(HaveKeyWithValue("X-Server-Seal", "seal"))
 		})
 	})
-	t.Run("are 409 while another runs them", func(t *testing.T) {
+	t.Run("are answered 409 while another edge runs them", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
 			h.decideClaim = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
 				return idempotency.OutcomeConflict, nil
@@ -331,7 +332,7 @@
 			h.g.Expect(h.received).To(BeEmpty())
 		})
 	})
-	t.Run("repeat the first answer, for this try", func(t *testing.T) {
+	t.Run("repeat the first response with the ID of this attempt", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
 			h.decideClaim = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
 				return idempotency.OutcomeConflict, &idempotency.Response{Status: 201, Headers: map[string]string{"X-Server-Seal": "first"}, Body: []byte("one")}
@@ -343,16 +344,16 @@
 			h.g.Expect(w.Header().Get("X-Attempt-Id")).To(Equal("try-1"))
 		})
 	})
-	t.Run("send nothing without a clear claim, and withdraw it", func(t *testing.T) {
+	t.Run("are not sent without a granted claim, which is revoked", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
 			h.addServer("i-1", goodResponse)
-			w := h.request("POST", "/k/x", "x", "X-Operation-Key", "k") // the controller says nothing
+			w := h.request("POST", "/k/x", "x", "X-Operation-Key", "k") // the controller doesn't respond
 			h.g.Expect(w.Code).To(Equal(503))
 			h.g.Expect(h.received).To(BeEmpty())
 			h.g.Expect(h.revoked).To(HaveLen(1))
 		})
 	})
-	t.Run("are withdrawn on proof that they never ran, and only then", func(t *testing.T) {
+	t.Run("are revoked on proof that they never ran, and only then", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
 			h.decideClaim = stands
 			h.addServer("i-1", rejectFull)
@@ -367,7 +368,7 @@
 			h.g.Expect(h.stored).To(BeEmpty())
 		})
 	})
-	t.Run("are refused early while no controller can be reached, and withdrawn once one can", func(t *testing.T) {
+	t.Run("are rejected early while no controller can be reached, and revoked once one can", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
 			h.addServer("i-1", goodResponse)
 			link := h.session.link
@@ -375,7 +376,7 @@
 			w := h.request("POST", "/k/x", "x", "X-Operation-Key", "k")
 			h.g.Expect(w.Code).To(Equal(503))
 			h.g.Expect(w.Header().Get("Retry-After")).NotTo(BeEmpty())
-			h.g.Expect(h.Now()).To(BeNumerically("<=", 100*time.Millisecond), "a fifth of the aim and a little")
+			h.g.Expect(h.Now()).To(BeNumerically("<=", 100*time.Millisecond), "a fifth of the latency target and a margin")
 			h.session.link = link
 			h.claims.resendPending()
 			synctest.Wait()
@@ -383,7 +384,7 @@
 			h.g.Expect(h.received).To(BeEmpty())
 		})
 	})
-	t.Run("are withdrawn at the other controller, too, that they were put to: home may have died", func(t *testing.T) {
+	t.Run("are revoked at the secondary controller, too: the edge's controller may have crashed", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
 			h.addServer("i-1", goodResponse)
 			near, far := net.Pipe()
@@ -405,7 +406,7 @@
 	t.Run("need a key", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) { h.g.Expect(h.request("POST", "/k/x", "x").Code).To(Equal(400)) })
 	})
-	t.Run("that wait for a claim are put to a new home, unless they were decided", func(t *testing.T) {
+	t.Run("are no longer pending once decided", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
 			h.decideClaim = stands
 			h.addServer("i-1", goodResponse)
@@ -415,8 +416,8 @@
 	})
 }
 
-// A surplus answer may come in the place of the next: once a service was seen to spoil connections, what must not run
-// twice goes on a new one, while lookups go on as before.
+// A surplus response on a connection could be taken for the next request's. After a service sent one, unsafe requests use
+// new connections, while safe ones continue to reuse idle ones.
 func TestUnsafeRequestsAvoidDistrustedConnections(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		spoil := true
@@ -438,7 +439,8 @@
 	})
 }
 
-// While all servers are full, those who can still be in time go before those who can't, whoever came first.
+// While all servers are full, requests that can still meet the latency target are served before stale ones that arrived
+// earlier.
 func TestFreshRequestsGoFirst(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		open := make(chan struct{})
@@ -455,7 +457,7 @@
 			})
 			synctest.Wait()
 		}
-		for i := range 4 { // two run, two may queue at the server
+		for i := range 4 { // two run, two may be queued at the server
 			send(fmt.Sprint("first-", i), "2000")
 		}
 		send("stale", "1000")
@@ -496,7 +498,7 @@
 		h.g.Expect(h.applyConfig(&peer.Config{Version: 5, Snapshot: []byte(newer)})).To(BeTrue())
 		h.g.Expect(h.applyConfig(&peer.Config{Version: 1, Snapshot: []byte(testConfig)})).To(BeTrue())
 		h.g.Expect(h.tree.Load().Config.Version).To(Equal(config.Version(5)))
-		h.g.Expect(h.applyConfig(&peer.Config{Version: 9, Base: 7, Delta: []byte(`{"version":"r9"}`)})).To(BeFalse(), "a change on another version needs the whole")
+		h.g.Expect(h.applyConfig(&peer.Config{Version: 9, Base: 7, Delta: []byte(`{"version":"r9"}`)})).To(BeFalse(), "a delta of another version needs a complete configuration")
 	})
 }
 
@@ -527,8 +529,8 @@
 	}
 }
 
-// SIGTERM in the middle of an answer: the answer is finished, new requests are served with the word that the connection
-// closes, readiness is gone at once, and the end comes when nothing comes any more.
+// After SIGTERM during a response, the response is completed, new requests are served with Connection: close, readiness
+// fails immediately, and the edge ends once no more requests arrive.
 func TestShutdownCutsNothingOff(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		running := make(chan struct{})
@@ -563,7 +565,7 @@
 	})
 }
 
-// The same key at three edges at once, and a claimer that dies: whoever is told Taken runs nothing.
+// Three concurrent requests with the same key: only the one whose claim is granted runs.
 func TestOneOfManyEdgesRunsAKey(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		taken := map[idempotency.Key]idempotency.Token{}
--- a/internal/edge/proxy/queue.go
+++ b/internal/edge/proxy/queue.go
@@ -5,21 +5,22 @@
 	"sync"
 )
 
-// requestQueue holds the requests that wait for a slot at a server, by service, then by rank, then by arrival.
+// requestQueue contains the requests that wait for a slot at a server. The requests of a service are ordered by rank, then
+// by arrival. It is safe for concurrent use.
 type requestQueue struct {
 	mu      sync.Mutex
 	waiters map[string][]*waiter
 }
 
-// waiter is a request that waits. A value on wake tells it to try again.
+// waiter is a waiting request. A value on wake signals it to try again.
 type waiter struct {
-	rank int // the lowest goes first
+	rank int // the lowest is served first
 	wake chan struct{}
 }
 
 func newRequestQueue() *requestQueue { return &requestQueue{waiters: map[string][]*waiter{}} }
 
-// enqueue joins a service's queue, behind all of the same rank. The waiter has to be removed again.
+// enqueue adds a waiter to a service's queue, behind all of the same rank. The caller must remove it.
 func (q *requestQueue) enqueue(service string, rank int) *waiter {
 	w := &waiter{rank: rank, wake: make(chan struct{}, 1)}
 	q.mu.Lock()
@@ -35,14 +36,14 @@
 	return w
 }
 
-// remove takes a waiter out.
+// remove removes a waiter from a service's queue.
 func (q *requestQueue) remove(service string, w *waiter) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.waiters[service] = slices.DeleteFunc(q.waiters[service], func(other *waiter) bool { return other == w })
 }
 
-// wake has the first waiter of a service try again: a slot may be free.
+// wake notifies the first waiter of a service. It is called when a slot may have become free.
 func (q *requestQueue) wake(service string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -51,7 +52,7 @@
 	}
 }
 
-// wakeAll has all waiters try again: servers came or went.
+// wakeAll notifies all waiters. It is called when servers or leases changed.
 func (q *requestQueue) wakeAll() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -62,9 +63,10 @@
 	}
 }
 
+// notify signals the waiter without blocking.
 func (w *waiter) notify() {
 	select {
 	case w.wake <- struct{}{}:
-	default: // it was notified already
+	default: // a signal is pending already
 	}
 }
--- a/internal/edge/proxy/request.go
+++ b/internal/edge/proxy/request.go
@@ -12,7 +12,7 @@
 	"mulleinwood/internal/platform/apierror"
 )
 
-// Headers of the users' protocol.
+// Headers of the protocol between clients, edges and servers.
 const (
 	headerAttemptID        = "X-Attempt-Id"
 	headerDeadline         = "X-Deadline-Ms"
@@ -23,42 +23,42 @@
 	headerServerLoad       = "X-Server-Load"
 )
 
-// errClientLeft says that the client closed its connection before its request was answered.
+// errClientLeft is returned if the client closed its connection before its request was answered.
 var errClientLeft = errors.New("the client left")
 
-// clientRequest is a request of a client while it is served. It belongs to the goroutine that serves it.
+// clientRequest is a client's request in progress. It is used only by the goroutine that serves it.
 type clientRequest struct {
 	http          *http.Request
 	active        *activeRequest
-	id            string // of the client's attempt
+	id            string // the client's attempt ID
 	route         *config.Route
-	service       string        // one of the route's, drawn by weight
-	deadline      time.Duration // on the steady clock
+	service       string        // one of the route's services, chosen by weight
+	deadline      time.Duration // on the monotonic clock
 	latencyTarget time.Duration
-	stale         bool // the client has waited for longer than the latency target: fresh requests go first
+	stale         bool // the client has waited longer than the latency target, so fresh requests are served first
 
-	body      []byte    // or its beginning, if there is a tail
-	bodyTail  *bodyTail // nil: the body is buffered completely
-	length    int64     // of the complete body; -1: it comes in chunks
-	bodyBytes int64     // reserved of the memory budget
+	body      []byte    // complete, or its beginning if bodyTail is set
+	bodyTail  *bodyTail // nil if the body is buffered completely
+	length    int64     // of the complete body in bytes, -1 if it is chunked
+	bodyBytes int64     // reserved in the memory budget
 
 	retries   attempt.Retries
 	attempted []*upstream
-	admission *admission // to booked capacity; nil: no reservation is in force at the service
+	admission *admission // to reserved capacity; nil if no reservation is in force at the service
 }
 
-// timeLeft is how long the request may still take.
+// timeLeft returns the time until the request's deadline.
 func (req *clientRequest) timeLeft(now time.Duration) time.Duration { return req.deadline - now }
 
-// clientLeft reports whether the client has closed its connection. Net/http notices that while the request is served, once
-// its body was read.
+// clientLeft reports whether the client has closed its connection. The net/http package detects that while the request is
+// served, once its body was read.
 func (req *clientRequest) clientLeft() bool { return req.http.Context().Err() != nil }
 
-// unsafe reports whether the request may run only once.
+// unsafe reports whether the request must not run more than once.
 func (req *clientRequest) unsafe() bool { return req.route.Kind != config.Safe }
 
-// readRequest reads a request and checks what its route needs. The request it gives with an error has only its reserved
-// memory to be released; it is nil if there is none.
+// readRequest reads a request and checks the headers that its route requires. A request returned together with an error is
+// only good for releasing its reserved memory; it is nil if none was reserved.
 func (p *Proxy) readRequest(w http.ResponseWriter, r *http.Request, tree *config.Tree, route *config.Route,
 	now time.Duration) (*clientRequest, error) {
 	req := &clientRequest{http: r, id: r.Header.Get(headerAttemptID), route: route, latencyTarget: seconds(route.LatencyTarget)}
@@ -78,7 +78,7 @@
 		if err := p.bufferBody(w, req, tree.Config.Limits.MaxBodyBytes); err != nil {
 			return req, err
 		}
-		if !p.shutdown.admits(p.Now(), req.deadline) { // the body took its time
+		if !p.shutdown.admits(p.Now(), req.deadline) { // reading the body may have taken long
 			return req, errShuttingDown
 		}
 	}
@@ -87,7 +87,7 @@
 	return req, nil
 }
 
-// readDeadline takes the route's deadline, or the client's if that is nearer.
+// readDeadline sets the deadline to the route's, or to the client's if that is earlier.
 func (req *clientRequest) readDeadline(now time.Duration) error {
 	req.deadline = now + seconds(req.route.Deadline)
 	text := req.http.Header.Get(headerDeadline)
@@ -95,16 +95,16 @@
 		return nil
 	}
 	millis, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(millis >= 0) { // not a number is no time either
-		return apierror.Malformed.New("X-Deadline-Ms %q is no time", text)
+	if err != nil || !(millis >= 0) { // the negated comparison also rejects NaN
+		return apierror.Malformed.New("X-Deadline-Ms %q is not a valid duration in milliseconds", text)
 	}
-	millis = min(millis, req.route.Deadline*1000) // a longer time need not fit into a duration
+	millis = min(millis, req.route.Deadline*1000) // a longer time may overflow a time.Duration
 	req.deadline = now + time.Duration(millis*float64(time.Millisecond))
 	req.stale = req.route.Deadline-millis/1000 > req.route.LatencyTarget
 	return nil
 }
 
-// drawService draws one of a route's services by their weights.
+// drawService returns one of a route's services, chosen at random by weight.
 func drawService(route *config.Route) string {
 	shares := route.Shares()
 	total := 0.0
--- a/internal/edge/proxy/reservations.go
+++ b/internal/edge/proxy/reservations.go
@@ -15,31 +15,31 @@
 	"mulleinwood/internal/peer"
 )
 
-// demandInterval is how often an edge says what it wants of the reservations, while any is in force.
+// demandInterval is how often an edge sends its demand while a reservation is in force.
 const demandInterval = 250 * time.Millisecond
 
-// reservationGates holds an edge's shares of booked capacity: a gate for each service at which a reservation is in force.
-// Without bookings it costs a request one atomic load.
+// reservationGates contains an admission gate for each service at which a reservation is in force, with this edge's shares
+// of the reserved capacity. Without reservations, a request costs one atomic load. It is safe for concurrent use.
 type reservationGates struct {
 	*node.Env
 	queue      *requestQueue
 	fleetEdges *atomic.Int32
-	send       func(peer.Message) bool // to the controller
-	active     atomic.Bool             // a reservation is in force, or something runs under a gate
+	send       func(peer.Message) bool // sends a message to the controller
+	active     atomic.Bool             // a reservation is in force, or requests admitted by a gate are in progress
 	wake       chan struct{}
 
 	mu           sync.Mutex
-	announced    []reservation.Reservation // in force, as the controller last said
+	announced    []reservation.Reservation // reservations in force, as last reported by the controller
 	lease        reservation.LeaseHolder
 	gates        map[string]*reservation.AdmissionGate // by service
-	demandCounts map[string]int                        // by reservation: requests that run or wait
+	demandCounts map[string]int                        // by reservation: number of running and waiting requests
 }
 
-// admission is what a request holds of a gate. A nil one is that of a service without reservations.
+// admission is a request's place at a gate. It is nil if the service has no reservations.
 type admission struct {
 	gate        *reservation.AdmissionGate
-	reservation string // that the request may use
-	admittedAs  string // what it was admitted under; empty: as everybody
+	reservation string // ID of the reservation that the request may use
+	admittedAs  string // ID of the reservation whose slot it uses; empty if it uses an unreserved slot
 	admittedAt  time.Duration
 	admitted    bool
 }
@@ -58,7 +58,7 @@
 	}
 }
 
-// handleReservations takes over what the controller says is in force.
+// handleReservations replaces the reservations in force by the controller's list.
 func (g *reservationGates) handleReservations(m *peer.Reservations) {
 	g.mu.Lock()
 	g.lease.AdvanceTerm(m.Term)
@@ -72,7 +72,7 @@
 	}
 }
 
-// handleLease takes over a lease on shares of the reservations.
+// handleLease applies a lease on shares of the reservations, unless it is outdated.
 func (g *reservationGates) handleLease(l reservation.Lease) {
 	if g.acceptLease(l) {
 		g.queue.wakeAll()
@@ -89,8 +89,8 @@
 	return true
 }
 
-// updateGates sets the gates to the shares as they are now. Without a lease, which a long partition brings about, the
-// requests of all who booked nothing are limited to an even share, and booked ones go on as slots are found.
+// updateGates updates the gates to the current shares. Without a valid lease, as after a long partition, unreserved requests
+// are limited to an even share among the edges, and reserved ones continue to use free slots. The caller must hold mu.
 func (g *reservationGates) updateGates() {
 	services := map[string]bool{}
 	for _, r := range g.announced {
@@ -131,8 +131,8 @@
 	}
 }
 
-// reservationFor finds the reservation that a request may use: one of its tenant at its service, with capacity if there is
-// such a one.
+// reservationFor returns the ID of the reservation that a request may use: one of its tenant at its service, preferably one
+// with capacity, or the unreserved part. The caller must hold mu.
 func (g *reservationGates) reservationFor(route *config.Route, service string) string {
 	found, tenant := reservation.UnreservedID(service), strings.ToLower(route.Host)
 	for _, r := range g.announced {
@@ -146,13 +146,13 @@
 	return found
 }
 
-// mayUse reports whether a route's requests may use a reservation. Tenant is the route's host in lower case.
+// mayUse reports whether a route's requests may use a reservation. tenant is the route's host in lower case.
 func (g *reservationGates) mayUse(tenant, route string, r reservation.Reservation) bool {
 	ofTenant := r.Tenant != "" && strings.ToLower(r.Tenant) == tenant
 	return ofTenant && (r.Route == "" || r.Route == route) && (r.Zone == "" || r.Zone == g.Settings.Zone)
 }
 
-// enter counts a request that wants a slot. It gives nil where no reservation is in force at its service.
+// enter counts the demand of a request. It returns nil if no reservation is in force at the service.
 func (g *reservationGates) enter(route *config.Route, service string) *admission {
 	if !g.active.Load() {
 		return nil
@@ -168,7 +168,7 @@
 	return a
 }
 
-// admit admits a request, once; false: it has to wait.
+// admit reports whether a request may use a slot now. A request is admitted once and then stays admitted.
 func (g *reservationGates) admit(a *admission) bool {
 	if a == nil || a.admitted {
 		return true
@@ -180,7 +180,7 @@
 	return a.admitted
 }
 
-// undoAdmit takes back an admission that found no server.
+// undoAdmit reverts an admission after which no server had a free slot.
 func (g *reservationGates) undoAdmit(a *admission) {
 	if a == nil || !a.admitted {
 		return
@@ -191,7 +191,7 @@
 	a.admitted = false
 }
 
-// leave ends a request.
+// leave ends a request's demand and releases its admission.
 func (g *reservationGates) leave(a *admission, service string) {
 	if a == nil {
 		return
@@ -207,11 +207,11 @@
 		delete(g.demandCounts, a.reservation)
 	}
 	if a.admitted {
-		a.gate.Release(a.admittedAs, max(1, g.Now()-a.admittedAt)) // a release of 0 would mean that it found no server
+		a.gate.Release(a.admittedAs, max(1, g.Now()-a.admittedAt)) // a duration of 0 would mean that no server had a free slot
 	}
 }
 
-// hasPriority reports whether a request goes before all that booked nothing.
+// hasPriority reports whether a request is queued ahead of all unreserved ones.
 func (g *reservationGates) hasPriority(a *admission) bool {
 	if a == nil {
 		return false
@@ -221,7 +221,7 @@
 	return a.gate.HasCapacity(a.reservation)
 }
 
-// run sends the edge's demand while any reservation is in force, and sleeps otherwise, until ctx ends.
+// run sends the edge's demand at each demandInterval while a reservation is in force, until ctx is done.
 func (g *reservationGates) run(ctx context.Context) {
 	for {
 		if !g.active.Load() {
@@ -246,7 +246,7 @@
 	}
 }
 
-// demand is what this edge wants now, and whether any reservation is in force.
+// demand returns this edge's current demand, and whether a reservation is in force.
 func (g *reservationGates) demand() (demand reservation.Demand, inForce bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/edge/proxy/respond.go
+++ b/internal/edge/proxy/respond.go
@@ -16,10 +16,10 @@
 	"mulleinwood/internal/platform/httpconn"
 )
 
-// maxLogLinesPerSecond bounds the lines of log for each kind of error.
+// maxLogLinesPerSecond limits the log lines for each kind of error.
 const maxLogLinesPerSecond = 5
 
-// respond forwards what a server said, or says why nobody did.
+// respond forwards a server's response, or rejects the request if there is none to be forwarded.
 func (p *Proxy) respond(w http.ResponseWriter, req *clientRequest, result attemptResult) {
 	if req.retries.Disposition(result.cause) != attempt.ForwardResponse {
 		p.reject(w, req.http, req.clientError(result))
@@ -28,28 +28,29 @@
 	req.writeHeader(w.Header(), result)
 	p.Metrics.Requests.WithLabelValues(string(req.route.Kind), strconv.Itoa(result.status)).Inc()
 	if result.stream != nil && req.bodyTail != nil {
-		// Without this net/http would read what the client still sends, out of the middle of what the server gets.
+		// Without full duplex, net/http would read the rest of the request body itself, and these bytes would be missing
+		// in the body that is being sent to the server.
 		_ = http.NewResponseController(w).EnableFullDuplex() // HTTP/1.1 connections always support it
 	}
 	w.WriteHeader(result.status)
-	_, err := w.Write(result.body) // a client that has gone has given up
+	_, err := w.Write(result.body) // fails only if the client has left
 	if result.stream != nil {
 		req.active.setStage(stageStreaming)
 		p.streamResponse(w, req, result.stream, err)
 	}
 }
 
-// writeHeader makes the header of a response that is forwarded.
+// writeHeader sets the header of a forwarded response in h.
 func (req *clientRequest) writeHeader(h http.Header, result attemptResult) {
 	for name, values := range result.header {
 		h[name] = values
 	}
 	h[headerAttemptID] = []string{req.id}
 	if h["Content-Type"] == nil {
-		h["Content-Type"] = nil // none is guessed
+		h["Content-Type"] = nil // keeps net/http from guessing one
 	}
 	switch {
-	case hasNoBody(req.http.Method, result.status): // the length that the server stated stands
+	case hasNoBody(req.http.Method, result.status): // the server's Content-Length is kept
 	case result.stream == nil:
 		h["Content-Length"] = []string{strconv.Itoa(len(result.body))}
 	case result.stream.length >= 0:
@@ -57,19 +58,19 @@
 	}
 }
 
-// hasNoBody reports whether a response has no body, whatever its header says.
+// hasNoBody reports whether a response to method has no body, regardless of its Content-Length.
 func hasNoBody(method string, status int) bool {
 	return method == http.MethodHead || status == http.StatusNoContent || status == http.StatusNotModified
 }
 
-// streamResponse forwards the rest of a long response. One that was cut short must not look complete, so the client's
-// connection is broken off then. ToClient is the error of writing the beginning.
+// streamResponse forwards the rest of a long response. A truncated response must not look complete, so the client's
+// connection is aborted in that case. toClient is the error of writing the beginning, if any.
 func (p *Proxy) streamResponse(w http.ResponseWriter, req *clientRequest, stream *responseStream, toClient error) {
 	var fromServer error
 	if toClient == nil {
 		fromServer, toClient = copyBody(w, stream.remaining)
 	}
-	if fromServer != nil && req.clientLeft() { // the attempt ended with the client
+	if fromServer != nil && req.clientLeft() { // the attempt was cancelled because the client left
 		fromServer, toClient = nil, errClientLeft
 	}
 	cause := stream.finish(fromServer, toClient)
@@ -77,32 +78,32 @@
 		return
 	}
 	if fromServer != nil {
-		p.Metrics.Failures.WithLabelValues(apierror.Kind(apierror.PerhapsRun.New("broken off"))).Inc()
-		p.logRejection(apierror.PerhapsRun.Wrap(fromServer, "response breaks off"), req.http)
+		p.Metrics.Failures.WithLabelValues(apierror.Kind(apierror.PerhapsRun.New("response truncated"))).Inc()
+		p.logRejection(apierror.PerhapsRun.Wrap(fromServer, "response truncated"), req.http)
 	}
 	if stream.length < 0 && !req.http.ProtoAtLeast(1, 1) {
 		resetConn(w)
 	}
-	panic(http.ErrAbortHandler) // net/http closes the connection for it
+	panic(http.ErrAbortHandler) // makes net/http close the connection
 }
 
-// resetConn ends a client's connection so that the client sees a failure: one of HTTP/1.0 takes a close for the end of a
-// response without a length.
+// resetConn resets a client's connection so that the client sees a failure: an HTTP/1.0 client takes a regular close as the
+// end of a response without a length.
 func resetConn(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
-		return // the abort that follows has to do
+		return // the abort by the caller remains
 	}
 	if client, ok := conn.(*httpconn.Conn); ok {
 		conn = client.Conn
 	}
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // one that has failed is closed all the same
+		_ = tcp.SetLinger(0) // on failure, the connection is closed without a reset
 	}
 	closeConn(conn)
 }
 
-// clientError is the error that the client is told where no response is forwarded.
+// clientError returns the error sent to the client if no response is forwarded.
 func (req *clientRequest) clientError(result attemptResult) error {
 	switch req.retries.Disposition(result.cause) {
 	case attempt.SafeRefusal:
@@ -114,7 +115,7 @@
 	}
 }
 
-// safeRefusalKind is the kind of error by which a client is told that its request never ran.
+// safeRefusalKind returns the kind of error that promises the client that its request never ran.
 func (req *clientRequest) safeRefusalKind(cause attempt.Cause) *errorx.Type {
 	switch {
 	case req.retries.SentAttempts > 0:
@@ -128,8 +129,8 @@
 	}
 }
 
-// reject answers an error as apierror's table says. Retry-After is spread over half of its value around it, so that clients
-// don't come back together.
+// reject responds to the client with an error, with the status and Retry-After of the apierror package. Retry-After varies
+// at random by ±25%, so that clients don't retry at the same moment.
 func (p *Proxy) reject(w http.ResponseWriter, r *http.Request, err error) {
 	response := apierror.For(err)
 	h := w.Header()
@@ -144,12 +145,12 @@
 	body := apierror.Kind(err) + "\n"
 	h["Content-Length"] = []string{strconv.Itoa(len(body))}
 	w.WriteHeader(response.Status)
-	_, _ = io.WriteString(w, body) // a client that has gone has given up
+	_, _ = io.WriteString(w, body) // fails only if the client has left
 	p.Metrics.Failures.WithLabelValues(apierror.Kind(err)).Inc()
 	p.logRejection(err, r)
 }
 
-// logLimiter counts the lines of the current second, by kind of error.
+// logLimiter counts the log lines of the current second by kind, to limit their rate. It is safe for concurrent use.
 type logLimiter struct {
 	mu     sync.Mutex
 	second int64
@@ -167,8 +168,8 @@
 	return l.lines[kind] <= maxLogLinesPerSecond
 }
 
-// logRejection logs a request that failed, with the cause: a few lines a second of each kind, since a flood of rejections
-// should not cost more than the requests did. The counters count all.
+// logRejection logs a failed request and its cause. At most maxLogLinesPerSecond are logged of each kind, so that logging a
+// flood of rejections costs less than serving the requests. The metrics count all of them.
 func (p *Proxy) logRejection(err error, r *http.Request) {
 	kind := apierror.Kind(err)
 	if p.logLimiter.allow(kind, p.Now()) {
--- a/internal/edge/proxy/roundtrip.go
+++ b/internal/edge/proxy/roundtrip.go
@@ -12,40 +12,41 @@
 	"mulleinwood/internal/edge/attempt"
 )
 
-// attemptResult is how an attempt ended, and the response if there is one.
+// attemptResult contains the cause that ended an attempt, and the response if the server sent one that can be forwarded.
 type attemptResult struct {
 	cause  attempt.Cause
 	status int
 	header http.Header // end-to-end headers only
 	body   []byte
-	stream *responseStream // nil: body is the complete response
-	err    error           // what happened, where no response can be forwarded
+	stream *responseStream // nil if body is the complete response
+	err    error           // why no response can be forwarded, else nil
 }
 
-// responseStream is the rest of a response that is too long to be buffered. Its end has to be called.
+// responseStream is the unread rest of a response that is too long to be buffered. The caller must call finish.
 type responseStream struct {
 	remaining io.Reader
-	length    int64 // of the complete response; -1: not known
+	length    int64 // of the complete response, -1 if unknown
 	finish    func(fromServer, toClient error) attempt.Cause
 }
 
-// roundTrip is one attempt at one server while it goes on. It belongs to the goroutine that serves the request.
+// roundTrip is one attempt at one server in progress. It is used only by the goroutine that serves the request.
 type roundTrip struct {
 	*Proxy
 	req             *clientRequest
 	upstream        *upstream
-	ctx             context.Context // ends with the request's deadline, with the process, and with a client that may be given up
+	ctx             context.Context // done at the deadline, at shutdown, and, if cancellable, when the client leaves
 	cancel          context.CancelFunc
-	stopClientWatch func() bool // ends the watch on the client; nil: the attempt goes on without it
+	stopClientWatch func() bool // stops watching the client; nil if the attempt outlives its client
 	conn            *serverConn
 	attempt         attempt.Attempt
 	sentAt          time.Duration
 }
 
-// errServerDraining says that a server began to drain while a connection to it was made.
+// errServerDraining is returned if the server began to drain while a connection to it was being opened.
 var errServerDraining = errors.New("server is draining")
 
-// attemptOnce sends the request to one server.
+// attemptOnce makes one attempt: it sends the request to one server and reads the response. Unsafe requests use a new
+// connection while the service's idle connections are distrusted, and so do bodies that can't be sent a second time.
 func (p *Proxy) attemptOnce(req *clientRequest, u *upstream) attemptResult {
 	rt := &roundTrip{Proxy: p, req: req, upstream: u}
 	timeout := req.timeLeft(p.Now()) - returnMargin
@@ -65,14 +66,15 @@
 	return result
 }
 
-// cancelOnClientLeft has the attempt end when the client leaves: nobody takes its response, and the server can use the slot.
+// cancelOnClientLeft cancels the attempt when the client leaves: the response is no longer needed, and the server's slot
+// becomes free for another request.
 func (rt *roundTrip) cancelOnClientLeft() {
 	if rt.stopClientWatch == nil {
 		rt.stopClientWatch = context.AfterFunc(rt.req.http.Context(), rt.cancel)
 	}
 }
 
-// releaseContext frees what the context of the attempt holds.
+// releaseContext stops watching the client and releases the resources of the attempt's context.
 func (rt *roundTrip) releaseContext() {
 	if rt.stopClientWatch != nil {
 		rt.stopClientWatch()
@@ -80,10 +82,11 @@
 	rt.cancel()
 }
 
-// endedByClient reports whether the attempt ended because the client left.
+// endedByClient reports whether the attempt was cancelled because the client left.
 func (rt *roundTrip) endedByClient() bool { return rt.stopClientWatch != nil && rt.req.clientLeft() }
 
-// cancelledUsage is the usage of an attempt that ended because the client left or stopped sending.
+// cancelledUsage returns the usage of an attempt that ended because the client left or stopped sending. Its duration is set
+// only if it exceeds the latency target.
 func (rt *roundTrip) cancelledUsage() usage {
 	if took := rt.Now() - rt.sentAt; rt.sentAt > 0 && took > rt.req.latencyTarget {
 		return usage{cancelled: true, duration: took}
@@ -91,7 +94,7 @@
 	return usage{cancelled: true}
 }
 
-// handleInterruption takes that the context or the connection of the attempt ended before its response was read.
+// handleInterruption records that the context or the connection of the attempt ended before its response was read.
 func (rt *roundTrip) handleInterruption() {
 	switch {
 	case rt.endedByClient():
@@ -103,8 +106,8 @@
 	}
 }
 
-// do makes the attempt on an idle connection, if there is one. If that ended before the first byte a new one replaces it:
-// nothing was sent.
+// do makes the attempt on an idle connection if there is one. If that connection turns out to be closed before the first
+// byte of the request was written, the attempt starts over on a new connection: nothing was sent.
 func (rt *roundTrip) do() attemptResult {
 	conn, err := rt.connect(rt.upstreams.connect)
 	if err != nil {
@@ -125,7 +128,7 @@
 	return rt.fail(err)
 }
 
-// doOnNewConn makes the attempt on a new connection, where nothing of an earlier exchange can be left over.
+// doOnNewConn makes the attempt on a new connection, which can't contain leftovers of an earlier exchange.
 func (rt *roundTrip) doOnNewConn() attemptResult {
 	conn, err := rt.connect(rt.upstreams.dialConn)
 	if err != nil {
@@ -138,7 +141,7 @@
 	return rt.receive(resp)
 }
 
-// failConnect ends an attempt for which there was no connection.
+// failConnect ends an attempt that got no connection, and releases the server's slot.
 func (rt *roundTrip) failConnect(err error) attemptResult {
 	use := usage{}
 	if rt.req.clientLeft() {
@@ -148,7 +151,8 @@
 	return attemptResult{cause: rt.attempt.Cause, err: err}
 }
 
-// fail ends an attempt that got no response. Where the client left or stopped sending, the server did nothing wrong.
+// fail ends an attempt that got no response, and releases the server's slot. It isn't counted as the server's failure if the
+// client left or stopped sending.
 func (rt *roundTrip) fail(err error) attemptResult {
 	use := usage{reachedServer: true}
 	if rt.attempt.Cause == attempt.ClientAborted || rt.endedByClient() {
@@ -158,7 +162,7 @@
 	return attemptResult{cause: rt.attempt.Cause, err: fmt.Errorf("server %s: %w", rt.upstream.ID, err)}
 }
 
-// connect gets a connection, unless the server begins to drain or the client leaves meanwhile.
+// connect opens or takes a connection by get. It fails if the server begins to drain or the client leaves meanwhile.
 func (rt *roundTrip) connect(get func(context.Context, *upstream) (*serverConn, error)) (*serverConn, error) {
 	rt.attempt.Handle(attempt.ConnectStarted)
 	ctx, cancel := context.WithTimeout(rt.ctx, dialTimeout)
@@ -183,7 +187,7 @@
 	return conn, nil
 }
 
-// send writes the request and waits for the head of a response.
+// send writes the request and waits for the response header.
 func (rt *roundTrip) send(conn *serverConn) (*http.Response, error) {
 	request := rt.upstreamRequest(rt.ctx, rt.req, rt.upstream)
 	rt.sentAt = rt.Now()
@@ -195,11 +199,11 @@
 		return resp, nil
 	}
 	conn.close()
-	if conn.tracked.hasWritten() { // asked after the close: from then on no byte leaves
+	if conn.tracked.hasWritten() { // checked after the close: no byte is written any more
 		rt.attempt.Handle(attempt.SendStarted)
 	}
 	clientErr := rt.req.bodyTail.failure()
-	if clientErr != nil && rt.ctx.Err() == nil { // the client broke off, or was too slow: not the server's doing
+	if clientErr != nil && rt.ctx.Err() == nil { // the client closed the connection or was too slow: no fault of the server
 		rt.attempt.Handle(attempt.ClientClosed)
 		return nil, fmt.Errorf("body: %w", clientErr)
 	}
@@ -207,7 +211,8 @@
 	return nil, err
 }
 
-// receive reads a server's response: all of it if it is short, else its beginning.
+// receive reads a server's response: completely if it is short, else as much as may be buffered. The rest becomes the
+// result's stream.
 func (rt *roundTrip) receive(resp *http.Response) attemptResult {
 	header := copyEndToEnd(resp.Header)
 	response := rt.classify(resp, header)
@@ -235,7 +240,7 @@
 		rt.finish(resp, use)
 		return result
 	}
-	rt.cancelOnClientLeft() // what is streaming is of no use to anybody else
+	rt.cancelOnClientLeft() // a streamed response can't be stored for repeats, so only this client needs it
 	result.stream = &responseStream{remaining: resp.Body, length: resp.ContentLength,
 		finish: func(fromServer, toClient error) attempt.Cause {
 			rt.handleStreamed(fromServer, toClient)
@@ -247,7 +252,8 @@
 	return result
 }
 
-// classify reads the head of a response. It belongs to this attempt only if it carries its id, once.
+// classify derives the facts about a response from its header. A response belongs to this attempt only if it contains the
+// attempt's ID exactly once.
 func (rt *roundTrip) classify(resp *http.Response, header http.Header) attempt.Response {
 	ids := header[headerAttemptID]
 	return attempt.Response{
@@ -264,7 +270,7 @@
 	}
 }
 
-// readBody reads as much of a response's body as may be buffered.
+// readBody reads as much of a response's body as may be buffered, and records whether that is all of it.
 func (rt *roundTrip) readBody(resp *http.Response, response *attempt.Response) ([]byte, error) {
 	limit := int64(maxBufferedResponseBytes)
 	if rt.req.route.Kind == config.Keyed {
@@ -281,7 +287,7 @@
 	return body.data, nil
 }
 
-// responseError tells for the log why a response can't be forwarded.
+// responseError returns the reason for the log why a response can't be forwarded, or nil if it can.
 func (rt *roundTrip) responseError(resp *http.Response, err error) error {
 	switch rt.attempt.Cause {
 	case attempt.Completed, attempt.ServerError:
@@ -290,12 +296,12 @@
 		return fmt.Errorf("response of server %s belongs to another attempt: %q", rt.upstream.ID, resp.Header[headerAttemptID])
 	}
 	if err != nil {
-		return fmt.Errorf("response of server %s breaks off: %w", rt.upstream.ID, err)
+		return fmt.Errorf("response of server %s is truncated: %w", rt.upstream.ID, err)
 	}
 	return fmt.Errorf("response of server %s has status %d", rt.upstream.ID, resp.StatusCode)
 }
 
-// handleStreamed takes how the forwarding of a long response ended.
+// handleStreamed records how the forwarding of a long response ended.
 func (rt *roundTrip) handleStreamed(fromServer, toClient error) {
 	switch {
 	case fromServer != nil:
@@ -307,11 +313,11 @@
 	}
 }
 
-// finish gives the connection and the server's slot back.
+// finish returns the connection to the idle ones or closes it, and releases the server's slot.
 func (rt *roundTrip) finish(resp *http.Response, use usage) {
-	_ = resp.Body.Close() // its end was read, or the connection is closed below
+	_ = resp.Body.Close() // the body was read to its end, or the connection is closed below
 	reuse := rt.attempt.Cause.Consequence().ReuseConn && !resp.Close
-	if reuse && rt.req.bodyTail == nil { // after a long body it isn't known whether all of it was taken
+	if reuse && rt.req.bodyTail == nil { // the server may not have read all of a streamed request body
 		rt.upstream.putIdle(rt.conn, rt.Now(), resp.Header)
 	} else {
 		rt.conn.close()
--- a/internal/edge/proxy/session.go
+++ b/internal/edge/proxy/session.go
@@ -20,47 +20,47 @@
 	controllerDialTimeout = 400 * time.Millisecond
 	// searchInterval is the pause between two searches for a controller.
 	searchInterval = 50 * time.Millisecond
-	// searchGrace is how long further answers are waited for after the first one.
+	// searchGrace is how long a search waits for further responses after the first one.
 	searchGrace = 60 * time.Millisecond
-	// searchesBeforeReload is how many searches may fail before the settings file is read again: it may have changed
-	// without a signal.
+	// searchesBeforeReload is the number of failed searches after which the settings file is read again: it may have
+	// changed without a signal.
 	searchesBeforeReload = 20
 	// zoneSearchInterval is how often an edge whose controller is in another zone searches for one of its own zone.
 	zoneSearchInterval = 3 * time.Second
-	// secondaryIdleTimeout is how long a link to another controller stays without a claim.
+	// secondaryIdleTimeout is how long the link to another controller stays open without an outcome of a claim.
 	secondaryIdleTimeout = 3 * time.Second
 )
 
-// sessionHandler is what a session tells its edge. Its methods are called by the goroutines that read links.
+// sessionHandler handles the events of a controllerSession. Its methods are called by the goroutines that read links.
 type sessionHandler interface {
-	// current is what a new controller receives: the version of the configuration and the known servers.
+	// current returns the state that a new controller receives: the version of the configuration and the registry entries.
 	current() (configVersion uint64, servers []registry.Entry)
 	handleControllerAttached()
 	handleSummary(s *peer.Summary)
 	handleMessage(link *peer.Link, m peer.Message)
 	handleOutcomes(outcomes peer.ClaimOutcomes)
-	// registryDigests are those that are compared with the controller's.
+	// registryDigests returns the edge's digests, to be compared with the controller's.
 	registryDigests() (all uint64, byZone map[string]uint64)
 	reload()
 }
 
-// controllerSession keeps the link to the controller that this edge is attached to: one that is in contact with a majority
-// of the voters, if possible of the own zone. A second link goes to another controller while claims need it.
+// controllerSession maintains the link to the controller that this edge is attached to: one that is in contact with a
+// majority of the voters, preferably in the edge's zone. A secondary link to another controller exists while claims need it.
 type controllerSession struct {
 	*node.Env
 	security *peer.Security
 	handler  sessionHandler
-	dialing  chan struct{} // holds a value while the secondary link is dialled or used to send
+	dialing  chan struct{} // semaphore, held while the secondary link is dialled or used to send
 
 	mu        sync.Mutex
-	link      *peer.Link // to the own controller; nil: not attached
-	ip        string     // of the own controller, or the last one
+	link      *peer.Link // to the edge's controller; nil if not attached
+	ip        string     // of the edge's controller, or the previous one while not attached
 	zoneByIP  map[string]string
-	known     map[string]bool // IPs of controllers
-	secondary *peer.Link      // to another controller; nil: none
+	known     map[string]bool // IPs of all known controllers
+	secondary *peer.Link      // to another controller; nil if there is none
 }
 
-// controllerInfo is what a controller answered to a probe.
+// controllerInfo is a controller's response to a probe.
 type controllerInfo struct {
 	ip        string
 	zone      string
@@ -74,7 +74,7 @@
 	return s
 }
 
-// run keeps this edge attached to a controller, until ctx ends.
+// run keeps this edge attached to a controller until ctx is done.
 func (s *controllerSession) run(ctx context.Context) {
 	for failed := 0; ctx.Err() == nil; time.Sleep(searchInterval) {
 		if best, ok := s.findController(ctx); ok {
@@ -88,7 +88,7 @@
 	}
 }
 
-// addKnown adds controllers that may be asked.
+// addKnown adds IPs of controllers to the known ones.
 func (s *controllerSession) addKnown(ips []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,9 +103,9 @@
 	return slices.Collect(maps.Keys(s.known))
 }
 
-// findController probes all known controllers and gives the best that answer: one in contact with a majority of the voters
-// first, then one of the own zone, then the one that rendezvous hashing names. One that is down or cut off doesn't hold up
-// the others.
+// findController probes all known controllers and returns the best one that responds: contact with a majority of the voters
+// counts first, then the edge's zone, then rendezvous hashing. Controllers that are down or partitioned don't delay the
+// result by more than searchGrace after the first response.
 func (s *controllerSession) findController(ctx context.Context) (best controllerInfo, ok bool) {
 	ips := s.knownIPs()
 	infos := make(chan *controllerInfo, len(ips))
@@ -139,7 +139,7 @@
 	s.zoneByIP[c.ip] = c.zone
 }
 
-// score orders controllers: contact counts most, then the zone, then a hash that spreads the edges.
+// score ranks controllers: contact with the majority counts most, then the zone, then a hash that spreads the edges.
 func (s *controllerSession) score(c controllerInfo) uint64 {
 	const inContact, ownZone = 1 << 63, 1 << 62
 	score := xxh3.HashString(s.Settings.Node+"\x00"+c.ip) >> 2
@@ -163,7 +163,7 @@
 	return h
 }
 
-// probe asks one controller how it is; nil: it didn't answer.
+// probe asks one controller for its zone and contact. It returns nil if the controller doesn't respond.
 func (s *controllerSession) probe(ctx context.Context, ip string) (info *controllerInfo) {
 	conn, err := s.security.Dial(ctx, s.Settings.InnerAddress(ip), controllerDialTimeout)
 	if err != nil {
@@ -171,7 +171,7 @@
 	}
 	link := peer.NewLink(conn)
 	link.Send(s.probeHandshake())
-	_ = link.Read(func(messages []peer.Message) { // no answer is an answer
+	_ = link.Read(func(messages []peer.Message) { // an error means no response
 		got := peer.FrameOf(messages...)
 		if got.Handshake != nil && got.Summary != nil {
 			info = &controllerInfo{ip: ip, zone: got.Handshake.Zone, inContact: got.Summary.InContact}
@@ -181,19 +181,19 @@
 	return info
 }
 
-// attachment is the link to the own controller while it lasts. It belongs to the goroutine that reads the link.
+// attachment is the state of an attachment to a controller. It is used only by the goroutine that reads the link.
 type attachment struct {
 	*controllerSession
 	ctx           context.Context
 	link          *peer.Link
 	controller    controllerInfo
 	digests       peer.DigestComparison
-	searchedAt    time.Duration // when a better controller was last searched for
-	contactLostAt time.Duration // since when the controller has been out of contact with the majority; 0: it is not
+	searchedAt    time.Duration // time of the last search for a better controller
+	contactLostAt time.Duration // when the controller lost contact with the majority; 0 while it has contact
 }
 
-// attach attaches this edge to a controller until the link ends. The edge closes it when the controller loses contact with
-// the majority and another one has it, or when one of the own zone is back.
+// attach attaches this edge to a controller until the link ends. The edge closes the link when the controller has lost
+// contact with the majority and another one has it, or when a controller of the edge's zone becomes available.
 func (s *controllerSession) attach(ctx context.Context, c controllerInfo) {
 	conn, err := s.security.Dial(ctx, s.Settings.InnerAddress(c.ip), controllerDialTimeout)
 	if err != nil {
@@ -204,13 +204,13 @@
 	version, servers := s.handler.current()
 	handshake.Version = version
 	a.link.Send(handshake)
-	if len(servers) > 0 { // a controller that has just started knows no server
+	if len(servers) > 0 { // a controller that has just started has no registry entries
 		a.link.Send(peer.RegistryUpdate{Entries: servers})
 	}
 	s.setLink(a.link, c.ip)
 	s.handler.handleControllerAttached()
 	s.LogEvent("controller attached", "controller", c.ip, "zone", c.zone, "in_contact", c.inContact)
-	_ = a.link.Read(a.handleMessages) // that it ended is logged below; why doesn't matter
+	_ = a.link.Read(a.handleMessages) // the end of the link is logged below
 	s.clearLink()
 	s.LogEvent("controller detached", "controller", c.ip)
 }
@@ -256,7 +256,8 @@
 	}
 }
 
-// searchMajorityContact looks for a controller that is in contact with the majority, since this one isn't.
+// searchMajorityContact searches for a controller in contact with the majority while this one has no contact. If there is
+// one, it closes the link.
 func (a *attachment) searchMajorityContact(now time.Duration) {
 	if a.contactLostAt == 0 {
 		a.contactLostAt = now
@@ -270,7 +271,8 @@
 	}
 }
 
-// searchOwnZone looks for a controller of the own zone, if this one is of another.
+// searchOwnZone searches for a controller of the edge's zone if this one is in another zone. If there is one in contact with
+// the majority, it closes the link.
 func (a *attachment) searchOwnZone(now time.Duration) {
 	if a.controller.zone == a.Settings.Zone || now-a.searchedAt <= zoneSearchInterval || !a.zoneMayHaveController() {
 		return
@@ -281,7 +283,7 @@
 	}
 }
 
-// zoneMayHaveController reports whether a controller of the own zone was ever seen, or some controller's zone is not known.
+// zoneMayHaveController reports whether a controller of the edge's zone is known, or the zone of some controller is unknown.
 func (s *controllerSession) zoneMayHaveController() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -296,7 +298,7 @@
 	return false
 }
 
-// send hands a message to the own controller, and reports whether there is one.
+// send implements claimSender.
 func (s *controllerSession) send(m peer.Message) bool {
 	link, _ := s.links()
 	if link == nil {
@@ -306,8 +308,8 @@
 	return true
 }
 
-// sendBoth hands a message to the own controller and over the secondary link: the own controller may have died without a
-// sign, and what is sent to it until that is noticed is lost.
+// sendBoth implements claimSender. The edge's controller may have crashed unnoticed, and messages sent to it until that is
+// detected are lost, so they are also sent over the secondary link.
 func (s *controllerSession) sendBoth(m peer.Message) {
 	for _, link := range s.allLinks() {
 		link.Send(m)
@@ -331,10 +333,10 @@
 	return all
 }
 
-// connected reports whether any controller can be asked now.
+// connected implements claimSender.
 func (s *controllerSession) connected() bool { return len(s.allLinks()) > 0 }
 
-// sendSecondary hands a message to a controller that is not the own one, and reports whether one could be reached.
+// sendSecondary implements claimSender. It dials another controller if there is no secondary link.
 func (s *controllerSession) sendSecondary(m peer.Message) bool {
 	s.dialing <- struct{}{}
 	defer func() { <-s.dialing }()
@@ -348,7 +350,7 @@
 	return true
 }
 
-// otherIPs are the known controllers but the own one, in the order of rendezvous hashing.
+// otherIPs returns the IPs of the known controllers except the edge's own, in the order of rendezvous hashing.
 func (s *controllerSession) otherIPs() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -364,7 +366,8 @@
 	return ips
 }
 
-// dialSecondary links to the first of the other controllers that answers; nil: none does.
+// dialSecondary opens the secondary link to the first of the other controllers that accepts a connection. It returns nil if
+// none does.
 func (s *controllerSession) dialSecondary() *peer.Link {
 	conn := s.dialFirst(s.otherIPs())
 	if conn == nil {
@@ -379,7 +382,7 @@
 	return link
 }
 
-// dialFirst dials several controllers at once and gives the first connection that comes about; nil: none does.
+// dialFirst dials several controllers concurrently and returns the first connection, or nil if all fail.
 func (s *controllerSession) dialFirst(ips []string) net.Conn {
 	conns := make(chan net.Conn, len(ips))
 	for _, ip := range ips {
@@ -400,7 +403,7 @@
 	return nil
 }
 
-// closeConns closes the connections that are not needed; count of them are still being dialled.
+// closeConns closes the surplus connections of dialFirst, count of which are still being dialled.
 func closeConns(conns <-chan net.Conn, count int) {
 	for range count {
 		if conn := <-conns; conn != nil {
@@ -409,10 +412,10 @@
 	}
 }
 
-// readSecondary reads the secondary link until it ends, or no claim needed it for a while.
+// readSecondary reads the secondary link until it ends or received no outcome of a claim for secondaryIdleTimeout.
 func (s *controllerSession) readSecondary(link *peer.Link) {
 	usedAt := s.Now()
-	_ = link.Read(func(messages []peer.Message) { // whoever needs it again dials again
+	_ = link.Read(func(messages []peer.Message) { // sendSecondary dials again if needed
 		for _, m := range messages {
 			switch m := m.(type) {
 			case peer.ClaimOutcomes:
--- a/internal/edge/proxy/shutdown.go
+++ b/internal/edge/proxy/shutdown.go
@@ -11,48 +11,49 @@
 	"mulleinwood/internal/platform/httpconn"
 )
 
-// Timing of a graceful shutdown. The platform ends the process when the grace (grace_s) is over.
+// Timing of a graceful shutdown. The platform kills the process at the end of the grace (grace_s).
 const (
-	defaultGraceSeconds = 6.0 // seconds, where the settings don't say
+	defaultGraceSeconds = 6.0 // used if the settings contain no grace_s
 	shutdownPoll        = 50 * time.Millisecond
 	finishPoll          = 5 * time.Millisecond
 
-	// admitAllDuration is how long requests are accepted whatever their deadline: until clients and platform know that this
-	// edge is shutting down. By then the platform, which asks for readiness each second, sends no new connections.
+	// admitAllDuration is how long requests with any deadline are accepted: until clients and the platform have learned that
+	// this edge is shutting down. By then the platform, which checks readiness each second, sends no new connections.
 	admitAllDuration = 2500 * time.Millisecond
-	quietBeforeExit  = 700 * time.Millisecond // without any request
-	idleBeforeClose  = 500 * time.Millisecond // so that a connection that was just made is not closed before its request comes
+	quietBeforeExit  = 700 * time.Millisecond // time without any request after which the process may end early
+	idleBeforeClose  = 500 * time.Millisecond // protects new connections whose first request has not arrived yet
 
-	// stopAcceptBefore, flushReserve and exitReserve are counted back from the end of the grace: no new connections, time for
-	// the last responses to leave, and time for the process to end. Of a short grace the reserves are a twentieth each.
+	// stopAcceptBefore is how long before the end of the grace no new connections are accepted. flushReserve is reserved for
+	// sending the last responses, exitReserve for the exit of the process; each is at most 1/maxReserveShare of the grace.
 	stopAcceptBefore = time.Second
 	flushReserve     = 200 * time.Millisecond
 	exitReserve      = 150 * time.Millisecond
 	maxReserveShare  = 20
-	// maxLatenessShare bounds how much of the grace the process's own lateness may take from it, each time that it counts.
+	// The scheduling delay of the process counts for at most 1/maxLatenessShare of the grace, each time it is subtracted.
 	maxLatenessShare = 24
-	// minResponseShare: requests that servers work on are not given up before the last sixth of the grace.
+	// Requests in progress at servers are not cancelled before the last 1/minResponseShare of the grace.
 	minResponseShare = 6
 
-	// A request may cross a close for loss_slack_s. Connections are closed at will only while the way to the clients and back
-	// takes half of that at most.
-	defaultLossSlackSeconds = 0.2 // seconds, where the settings don't say
+	// A request may be sent up to loss_slack_s before its client sees that the edge has closed the connection, and be lost.
+	// Idle connections are closed only while the round trip to the clients takes at most closeRaceShare of that time.
+	defaultLossSlackSeconds = 0.2 // used if the settings contain no loss_slack_s
 	closeRaceShare          = 0.5
 )
 
-// errShuttingDown refuses what an edge that was asked to end can't promise to answer.
+// errShuttingDown rejects requests that an edge that is shutting down may not be able to answer in time.
 var errShuttingDown = apierror.NotReady.New("this edge is shutting down")
 
-// shutdownSchedule divides the grace of a shutdown. All times are on the steady clock.
+// shutdownSchedule contains the times of the phases of a shutdown. All times are on the monotonic clock.
 type shutdownSchedule struct {
-	admitAllUntil time.Duration // until then every request is accepted; from then on the process may end when nothing comes
-	stopAccept    time.Duration // from then on no new connections are accepted
-	respondBy     time.Duration // what was accepted is answered by then
-	exitBy        time.Duration // the process ends, whatever is left
+	admitAllUntil time.Duration // until then every request is accepted; afterwards the process may end once no requests arrive
+	stopAccept    time.Duration // when the listener is closed
+	respondBy     time.Duration // when all accepted requests must be answered
+	exitBy        time.Duration // when the process ends unconditionally
 }
 
-// newShutdownSchedule divides a grace that was noticed to have started. The process may have noticed that as late, and may do
-// what is due at the end as late, as it was in the last seconds: by that much its own times come earlier.
+// newShutdownSchedule returns the schedule of a grace whose start was noticed at noticedAt. late is the worst scheduling
+// delay of the process in the last seconds: the start may have been noticed that late, and the final steps may run that late,
+// so the times are moved ahead by that much.
 func newShutdownSchedule(noticedAt, grace, late time.Duration) *shutdownSchedule {
 	reserve := func(d time.Duration) time.Duration { return min(d, grace/maxReserveShare) }
 	late = min(late, grace/maxLatenessShare)
@@ -64,24 +65,24 @@
 		respondBy: respondBy, exitBy: exitBy}
 }
 
-// admits reports whether a request that has been read now is accepted: at first any, then only what is over in time even if
-// it takes up to its deadline. Once a request has been sent to a server it may not be broken off.
+// admits reports whether a request that was read at now is accepted: until admitAllUntil every request, afterwards only one
+// that ends in time even if it takes until its deadline, since a request must not be cancelled once it was sent to a server.
 func (s *shutdownSchedule) admits(now, deadline time.Duration) bool {
 	return now <= s.admitAllUntil || deadline <= s.respondBy
 }
 
-// shutdown is how far the end of an edge has come, and what it depends on.
+// shutdown is the state of an edge's graceful shutdown and the activity that it waits for.
 type shutdown struct {
-	schedule      atomic.Pointer[shutdownSchedule] // nil: no shutdown was requested
-	exiting       atomic.Bool                      // requests that come now are refused at once
-	work          context.Context                  // of all attempts and waits; it ends when they have to be answered
+	schedule      atomic.Pointer[shutdownSchedule] // nil until a shutdown is requested
+	exiting       atomic.Bool                      // new requests are rejected immediately
+	work          context.Context                  // of all attempts and waits, cancelled when requests have to be answered
 	stopWork      context.CancelFunc
-	inFlight      atomic.Int64 // requests
-	lastRequestAt atomic.Int64 // on the steady clock, in nanoseconds
+	inFlight      atomic.Int64 // number of requests being served
+	lastRequestAt atomic.Int64 // on the monotonic clock, in nanoseconds
 
-	// Of the goroutine that shuts down, for the log.
-	idleClosed int // idle connections that it closed
-	unread     int // times that it passed one over, since something had arrived that was not read
+	// Counted for the log, by the goroutine that shuts down.
+	idleClosed int // idle connections closed
+	unread     int // idle connections skipped, since they had unread bytes
 }
 
 func newShutdown() *shutdown {
@@ -90,16 +91,16 @@
 	return s
 }
 
-// requested reports whether the process was asked to end.
+// requested reports whether a shutdown was requested.
 func (s *shutdown) requested() bool { return s.schedule.Load() != nil }
 
-// admits reports whether a request that has been read now is accepted.
+// admits reports whether a request that was read at now is accepted.
 func (s *shutdown) admits(now, deadline time.Duration) bool {
 	schedule := s.schedule.Load()
 	return schedule == nil || schedule.admits(now, deadline)
 }
 
-// respondBy is when all that is accepted has to be answered.
+// respondBy returns the time by which accepted requests must be answered.
 func (s *shutdown) respondBy() time.Duration {
 	if schedule := s.schedule.Load(); schedule != nil {
 		return schedule.respondBy
@@ -107,10 +108,10 @@
 	return math.MaxInt64
 }
 
-// shutDown ends in order: not ready at once, and serving on until no request comes any more or the grace is nearly over.
-// What is accepted is answered before the process ends; what can't be is refused, which promises that it never runs. The
-// listener stays open for clients that still come, and connections that clients keep without using them are closed once the
-// way to the clients is free. It gives the cause of the end, for the log.
+// shutDown shuts down gracefully: the edge reports not ready immediately, and continues to serve until no more requests
+// arrive or the grace is nearly over. Accepted requests are answered before the process ends; others are rejected, which
+// promises that they never run. The listener stays open for clients that still connect, and idle connections are closed
+// while the round trip to the clients is short. It returns the cause of the end for the log.
 func (p *Proxy) shutDown(listener net.Listener) (cause string) {
 	schedule := newShutdownSchedule(p.Now(), p.Settings.Seconds("grace_s", defaultGraceSeconds), p.lateness.Worst(p.Now()))
 	drain := httpconn.NewDrain(listener, p.clients.conns)
@@ -127,7 +128,7 @@
 	return cause
 }
 
-// continueShutdown does what is due by the schedule. It gives the cause if the process may end now.
+// continueShutdown runs the steps that are due by the schedule. It returns a cause if the process may end now, else "".
 func (p *Proxy) continueShutdown(schedule *shutdownSchedule, drain *httpconn.Drain, now time.Duration) (cause string) {
 	mayClose := p.clients.conns.RoundTripWithin(p.closeRaceLimit() + p.lateness.Worst(now))
 	if now > schedule.admitAllUntil && mayClose {
@@ -149,18 +150,20 @@
 	return ""
 }
 
-// closeRaceLimit is how long the way to the clients and back may take while connections are closed at will. What is measured
-// has the process's own lateness in it, which no client notices: what has arrived by then is read before a close.
+// closeRaceLimit returns the longest round trip to the clients at which idle connections are closed. The measured round trip
+// includes the scheduling delay of this process, which the caller adds to the limit: it loses no requests, since bytes that
+// have arrived are read before a close.
 func (p *Proxy) closeRaceLimit() time.Duration {
 	return scale(p.Settings.Seconds("loss_slack_s", defaultLossSlackSeconds), closeRaceShare)
 }
 
-// sinceLastClientActivity is the time since the last request, or the last new connection, whose request may be on its way.
+// sinceLastClientActivity returns the time since the last request or the last new connection, whose first request may be in
+// transit.
 func (p *Proxy) sinceLastClientActivity(now time.Duration) time.Duration {
 	return min(now-time.Duration(p.shutdown.lastRequestAt.Load()), time.Since(p.clients.conns.LastAccept()))
 }
 
-// closeIdleClients closes what has been idle for so long.
+// closeIdleClients closes clients' connections that have been idle for at least minIdle.
 func (p *Proxy) closeIdleClients(minIdle time.Duration) {
 	closed, unread := p.clients.conns.CloseIdle(minIdle)
 	p.shutdown.idleClosed += closed
@@ -170,8 +173,8 @@
 	}
 }
 
-// finishShutdown refuses what still comes, and waits until the last responses have left and nothing that has arrived is left
-// unanswered.
+// finishShutdown rejects new requests, and waits until all responses were sent and every request that has arrived is
+// answered, until exitBy at the latest.
 func (p *Proxy) finishShutdown(schedule *shutdownSchedule, drain *httpconn.Drain) {
 	p.shutdown.exiting.Store(true)
 	for {
--- a/internal/edge/proxy/shutdown_test.go
+++ b/internal/edge/proxy/shutdown_test.go
@@ -18,8 +18,8 @@
 	"mulleinwood/internal/peer"
 )
 
-// lateRequest plays a keyed request that comes some time after an edge was told to end, while no controller rules on claims.
-// It tells after how long it is answered, and when the edge ends.
+// lateRequest sends a keyed request some time after the start of a shutdown, while no controller decides on claims. It
+// returns the times from the start at which the request is answered and the edge ends.
 func lateRequest(t *testing.T, after time.Duration) (answered, ended time.Duration, w *httptest.ResponseRecorder) {
 	runEdge(t, func(h *testEdge) {
 		began := time.Now()
@@ -32,7 +32,7 @@
 			ended = time.Since(began)
 			close(done)
 		}()
-		h.shutdown.inFlight.Add(1) // another request that a server is still at work on
+		h.shutdown.inFlight.Add(1) // another request in progress at a server
 		defer h.shutdown.inFlight.Add(-1)
 		time.Sleep(after)
 		w = httptest.NewRecorder()
@@ -55,7 +55,7 @@
 func (l *closeOnlyListener) Accept() (net.Conn, error) { return nil, net.ErrClosed }
 func (l *closeOnlyListener) Addr() net.Addr            { return l.LocalAddr() }
 
-// A request that is read in the last moments before the edge ends is answered before it does: nothing of it has run.
+// A request that is read shortly before the edge ends is rejected before the end, and did not run.
 func TestLateRequestsAreRefusedBeforeTheEnd(t *testing.T) {
 	for _, before := range []time.Duration{1500, 900, 700, 590, 450, 300, 210} {
 		answered, ended, w := lateRequest(t, 6*time.Second-before*time.Millisecond)
@@ -68,8 +68,8 @@
 	}
 }
 
-// A request that is forwarded late in the grace is answered before the edge ends: whoever reads its response last cuts it off
-// otherwise, although the server was sound and the deadline not reached.
+// A request that is forwarded late in the grace is answered before the edge ends. Otherwise its response would be cut off,
+// although the server is healthy and the deadline not reached.
 func TestForwardedRequestsAreAnsweredBeforeTheEnd(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		h.addServer("i-1", respondAfter(h, 1300*time.Millisecond))
@@ -83,7 +83,7 @@
 			ended = time.Since(startedAt)
 			close(done)
 		}()
-		h.shutdown.inFlight.Add(1) // a client of a kept connection goes on sending
+		h.shutdown.inFlight.Add(1) // a client of a persistent connection continues to send
 		defer h.shutdown.inFlight.Add(-1)
 		time.Sleep(4700 * time.Millisecond) // of a grace of 6 s
 		w := httptest.NewRecorder()
@@ -100,8 +100,8 @@
 	})
 }
 
-// runDuringShutdown runs an edge whose shutdown begins at once, and is kept from ending early by another request. It plays the
-// scenario and gives the time, counted from the beginning, at which the edge ended.
+// runDuringShutdown runs a scenario while an edge shuts down. Another request prevents the edge from ending early. It returns
+// the time from the start at which the edge ended.
 func runDuringShutdown(t *testing.T, play func(h *testEdge, startedAt time.Time)) (ended time.Duration) {
 	runEdge(t, func(h *testEdge) {
 		h.continueOnFailure(t)
@@ -114,7 +114,7 @@
 			ended = time.Since(startedAt)
 			close(done)
 		}()
-		go func() { // both ends keep their link
+		go func() { // heartbeats keep the link open
 			for {
 				select {
 				case <-done:
@@ -129,28 +129,28 @@
 		play(h, startedAt)
 		<-done
 		h.shutdown.inFlight.Add(-1)
-		time.Sleep(10 * time.Second) // for servers that work on
+		time.Sleep(10 * time.Second) // for servers that are still working
 		synctest.Wait()
 	})
 	return ended
 }
 
-// receivedCount is how many requests servers were sent.
+// receivedCount returns the number of requests received by servers.
 func (h *testEdge) receivedCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.received)
 }
 
-// setLongDeadlines puts a configuration in force that allows requests 20 s.
+// setLongDeadlines applies a configuration whose routes have deadlines of 20 s.
 func (h *testEdge) setLongDeadlines() {
 	long := strings.ReplaceAll(strings.Replace(testConfig, "r1", "r2", 1), `"deadline_s":2`, `"deadline_s":20`)
 	h.g.Expect(h.applyConfig(&peer.Config{Version: 2, Snapshot: []byte(long)})).To(BeTrue())
 }
 
-// Requests of each kind come at any time of the grace, with deadlines of any length, to servers that take any share of it.
-// Each gets a complete answer before the edge ends; what comes after the first part of the grace gets the server's own
-// answer, or a refusal that promises, and then no server saw it.
+// Requests of each kind arrive at various times of the grace, with various deadlines and service times. Each receives a
+// complete response before the edge ends. After admitAllDuration that is the server's response, or a rejection, in which
+// case no server received the request.
 func TestWhatIsAcceptedWhileShuttingDownIsAnswered(t *testing.T) {
 	const grace = 6 * time.Second
 	for _, kind := range []string{"s", "u", "k"} {
@@ -174,14 +174,14 @@
 						t.Errorf("%s: answered after %s, the edge ends after %s", name, answered, ended)
 					}
 					if w.Code == http.StatusServiceUnavailable && received > 0 {
-						t.Errorf("%s: refused, and sent to a server", name)
+						t.Errorf("%s: rejected, but sent to a server", name)
 					}
 					inTime := share < 1
 					if received > 0 && inTime && after > admitAllDuration && w.Code != http.StatusOK {
-						t.Errorf("%s: taken long after SIGTERM and given up", name)
+						t.Errorf("%s: accepted after admitAllDuration and cancelled", name)
 					}
 					if after+deadline < grace-500*time.Millisecond && received == 0 {
-						t.Errorf("%s: refused, although there is time for it", name)
+						t.Errorf("%s: rejected, although there is enough time", name)
 					}
 				}
 			}
@@ -189,7 +189,7 @@
 	}
 }
 
-// A request whose body takes its time is judged anew when it has come: by then it may be too late for it.
+// A request whose body arrives slowly is checked again once it is complete: by then it may be too late to serve it.
 func TestLateBodiesAreRefusedBeforeTheEnd(t *testing.T) {
 	for _, c := range []struct {
 		bodyTakes time.Duration
@@ -212,13 +212,13 @@
 			w := httptest.NewRecorder()
 			h.ServeHTTP(w, r)
 			h.g.Expect(w.Code).To(Equal(c.status), c.bodyTakes.String())
-			h.g.Expect(h.receivedCount() > 0).To(Equal(c.status == http.StatusOK), "what is refused is sent to no server")
+			h.g.Expect(h.receivedCount() > 0).To(Equal(c.status == http.StatusOK), "a rejected request is sent to no server")
 		})
 	}
 }
 
-// What is under way when SIGTERM comes and outlasts the grace gets an answer of the edge's own before the end, instead of a
-// connection that closes.
+// A request that is in progress at SIGTERM and would outlast the grace is answered by the edge before the end, instead of
+// having its connection closed.
 func TestWhatOutlastsTheGraceIsAnswered(t *testing.T) {
 	var w *httptest.ResponseRecorder
 	var answered time.Duration
@@ -233,7 +233,7 @@
 	}
 }
 
-// The schedule of a grace: the parts follow each other, and the work is not broken off before the last sixth of the grace.
+// The phases of a schedule are in order, and work is not cancelled before the last sixth of the grace.
 func TestShutdownSchedule(t *testing.T) {
 	for _, grace := range []time.Duration{200 * time.Millisecond, time.Second, 3 * time.Second, 6 * time.Second, time.Minute} {
 		s := newShutdownSchedule(time.Hour, grace, 0)
@@ -242,12 +242,12 @@
 			t.Errorf("grace %s: %+v", grace, s)
 		}
 		if s.respondBy < ends-grace/6 {
-			t.Errorf("grace %s: work is broken off %s before its end", grace, ends-s.respondBy)
+			t.Errorf("grace %s: work is cancelled %s before its end", grace, ends-s.respondBy)
 		}
 	}
 }
 
-// A response that its client reads slowly has left before the process ends, also when no request comes any more.
+// The process doesn't end before a slow client has received its response, even if no more requests arrive.
 func TestShutdownWaitsUntilResponsesHaveLeft(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		h.continueOnFailure(t)
@@ -276,7 +276,7 @@
 	})
 }
 
-// Connections that clients keep without using them are closed once the platform sends no new ones, and don't hold up the end.
+// Idle connections are closed once the platform sends no new ones, and don't delay the end.
 func TestShutdownClosesIdleConnections(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		h.continueOnFailure(t)
@@ -293,7 +293,7 @@
 			h.g.Expect(err).NotTo(HaveOccurred())
 			h.g.Expect(time.Since(startedAt)).To(BeNumerically("~", admitAllDuration, 2*shutdownPoll))
 			<-ended
-			h.g.Expect(time.Since(startedAt)).To(BeNumerically("~", admitAllDuration, 3*shutdownPoll), "nothing else is waited for")
+			h.g.Expect(time.Since(startedAt)).To(BeNumerically("~", admitAllDuration, 3*shutdownPoll), "the idle connection must not delay the end")
 		})
 	})
 }
--- a/internal/edge/proxy/tracked_conn.go
+++ b/internal/edge/proxy/tracked_conn.go
@@ -7,19 +7,19 @@
 	"sync/atomic"
 )
 
-// trackedConn is a connection to a server that tells what net/http doesn't: whether any byte of a request was written, and
-// whether bytes that belong to no request follow a response.
+// trackedConn is a connection to a server that records what net/http doesn't expose: whether any byte of a request was
+// written, and whether a response is followed by surplus bytes that belong to no request.
 type trackedConn struct {
 	net.Conn
 	written atomic.Bool
 
 	mu      sync.Mutex
 	changed sync.Cond
-	reading bool // net/http has read all that came, and waits for more
+	reading bool // net/http has consumed all bytes and waits for more
 	closed  bool
 }
 
-// trackedConnKey finds, in the context of a dial, the variable that is set to the new connection.
+// trackedConnKey is the context key of a dial for the variable that is set to the new connection.
 type trackedConnKey struct{}
 
 // track wraps a new connection, and sets the variable in the context of its dial.
@@ -32,13 +32,13 @@
 	return tracked
 }
 
-// resetWritten is called before a request is handed to net/http.
+// resetWritten resets hasWritten. It is called before a request is passed to net/http.
 func (c *trackedConn) resetWritten() { c.written.Store(false) }
 
-// hasWritten tells whether a byte of the request may have left. It is final once the connection is closed.
+// hasWritten reports whether a byte of the request may have been sent. The result is final once the connection is closed.
 func (c *trackedConn) hasWritten() bool { return c.written.Load() }
 
-// Write notes that bytes leave before they do, and takes that back where the connection took none.
+// Write sets written before it writes, and restores it if the connection accepted no byte.
 func (c *trackedConn) Write(p []byte) (int, error) {
 	before := c.written.Swap(true)
 	n, err := c.Conn.Write(p)
@@ -48,7 +48,7 @@
 	return n, err
 }
 
-// Read notes that net/http has read all that came.
+// Read records that net/http is waiting for more bytes while it reads.
 func (c *trackedConn) Read(p []byte) (int, error) {
 	c.beginRead()
 	defer c.endRead()
@@ -68,7 +68,7 @@
 	c.reading = false
 }
 
-// Close wakes those who wait for the connection to become clean.
+// Close closes the connection and wakes the callers of waitClean.
 func (c *trackedConn) Close() error {
 	c.mu.Lock()
 	c.closed = true
@@ -77,8 +77,8 @@
 	return c.Conn.Close()
 }
 
-// waitClean reports whether nothing is left of what came. After a response net/http either waits for more, or finds surplus
-// bytes and closes the connection; it does one of them at once, so this waits for it.
+// waitClean reports whether the connection has no surplus bytes after a response. In that case net/http starts to wait for
+// more bytes; otherwise it closes the connection. It does either immediately, and waitClean blocks until then.
 func (c *trackedConn) waitClean() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/edge/proxy/traffic.go
+++ b/internal/edge/proxy/traffic.go
@@ -10,13 +10,14 @@
 	"mulleinwood/internal/platform/nodesettings"
 )
 
-// randomFloat draws from [0, 1).
+// randomFloat returns a random number in [0, 1).
 func randomFloat() float64 { return rand.Float64() }
 
-// trafficCounter counts the requests for each service, and holds the retry budgets that they earn.
+// trafficCounter counts the requests for each service, and contains the retry budgets that they fund. It is safe for
+// concurrent use.
 type trafficCounter struct {
-	retryRatio, retrySlack float64       // of the whole fleet, as the platform bounds retries
-	fleetEdges             *atomic.Int32 // that share the slack
+	retryRatio, retrySlack float64       // the platform's limits on retries of the whole fleet
+	fleetEdges             *atomic.Int32 // number of edges that share the slack
 
 	mu      sync.Mutex
 	budgets map[string]*retrybudget.Budget
@@ -29,7 +30,7 @@
 		budgets:    map[string]*retrybudget.Budget{}, stats: map[string]*peer.ServiceStats{}}
 }
 
-// countRequest counts a request for a service and gives the service's retry budget.
+// countRequest counts a request for a service and returns the service's retry budget.
 func (t *trafficCounter) countRequest(service string) *retrybudget.Budget {
 	edges := int(t.fleetEdges.Load())
 	t.mu.Lock()
@@ -50,8 +51,8 @@
 	return budget
 }
 
-// spendRetry takes a retry out of the budget. While capacity is booked at the service, the last one is kept for those who
-// booked it.
+// spendRetry spends a retry of the budget, and reports whether one was left. While capacity is reserved at the service, the
+// last retry is left to requests under a reservation.
 func (t *trafficCounter) spendRetry(budget *retrybudget.Budget, a *admission) bool {
 	keepOne := a != nil && a.admittedAs == ""
 	t.mu.Lock()
@@ -62,14 +63,14 @@
 	return budget.Spend()
 }
 
-// refundRetry returns a retry that reached no server.
+// refundRetry returns a retry to the budget for which no server was found.
 func (t *trafficCounter) refundRetry(budget *retrybudget.Budget) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	budget.Refund()
 }
 
-// takeStats gives what was counted since the last call.
+// takeStats returns the requests counted by service since the last call.
 func (t *trafficCounter) takeStats() (all []peer.ServiceStats) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/edge/proxy/upstreams.go
+++ b/internal/edge/proxy/upstreams.go
@@ -20,40 +20,43 @@
 )
 
 const (
-	dialTimeout       = 400 * time.Millisecond
-	tcpKeepAlive      = 5 * time.Second
-	userTimeoutMillis = 2000 // that sent bytes may stay unacknowledged: a network partition is not reported otherwise
+	dialTimeout  = 400 * time.Millisecond
+	tcpKeepAlive = 5 * time.Second
+	// userTimeoutMillis is how long sent bytes may stay unacknowledged; a network partition is not reported otherwise.
+	userTimeoutMillis = 2000
 
-	defaultServerIdleTimeout = 8 * time.Second         // how long a server keeps an idle connection, where it doesn't say
-	idleMargin               = 1500 * time.Millisecond // by which a connection is closed here before the server closes it
+	defaultServerIdleTimeout = 8 * time.Second         // assumed idle timeout of a server that sends no Keep-Alive header
+	idleMargin               = 1500 * time.Millisecond // how much earlier than the server the edge closes an idle connection
 	minServerIdleTimeout     = idleMargin + 100*time.Millisecond
 
-	// distrustDuration is how long the connections of a service are not reused for what must not run twice, after one
-	// of them was dropped or brought what belongs to no request.
+	// distrustDuration is how long unsafe requests don't reuse a service's connections after one of them was dropped or
+	// contained a response that belongs to no request.
 	distrustDuration       = 5 * time.Second
-	tombstoneRetention     = 90 * time.Second // how long a server that is gone is remembered
+	tombstoneRetention     = 90 * time.Second // how long the entry of a removed server is kept
 	transportBufferBytes   = 4 << 10
 	maxResponseHeaderBytes = 64 << 10
 )
 
-// setUserTimeout has the kernel end connections whose peer doesn't acknowledge.
+// setUserTimeout makes the kernel close connections whose peer doesn't acknowledge sent bytes in time.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, userTimeoutMillis) // without it deadlines remain
+		// On failure, the requests' deadlines remain.
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, userTimeoutMillis)
 	})
 }
 
-// upstreamPool holds the servers that this edge knows, their connections, and the picker that chooses among them.
+// upstreamPool contains the servers known to this edge, their connections, and the picker that chooses among them. It is
+// safe for concurrent use.
 type upstreamPool struct {
 	*node.Env
-	onChange  func() // called, without the lock, when servers came or went
+	onChange  func() // called without the lock after servers were added or removed
 	dial      func(ctx context.Context, network, address string) (net.Conn, error)
 	transport *http.Transport
 
 	mu         sync.Mutex
 	registry   *registry.Registry
 	picker     *picker.Picker
-	distrusted map[string]time.Duration // services, and until when
+	distrusted map[string]time.Duration // by service: the end of the distrust
 }
 
 func newUpstreamPool(env *node.Env, onChange func()) *upstreamPool {
@@ -66,6 +69,7 @@
 	return p
 }
 
+// dialTracked dials a server and wraps the connection in a trackedConn.
 func (p *upstreamPool) dialTracked(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := p.dial(ctx, network, address)
 	if err != nil {
@@ -74,16 +78,16 @@
 	return track(ctx, conn), nil
 }
 
-// upstream is a picker's upstream with its connections. They belong to one incarnation of a server and end with it,
-// whichever server has the address next.
+// upstream is a picker's upstream with its connections. The connections belong to one instance of a server and are closed
+// with it, even if another instance takes over the address.
 type upstream struct {
 	*picker.Upstream
 	address string
 
 	mu          sync.Mutex
-	idle        []*serverConn // the longest idle first
-	idleTimeout time.Duration // of the server
-	closed      bool
+	idle        []*serverConn // the one that has been idle longest comes first
+	idleTimeout time.Duration // after which the server closes an idle connection
+	closed      bool          // the server is draining or was removed
 }
 
 // serverConn is a connection to a server. It carries one request at a time.
@@ -91,26 +95,26 @@
 	client    *http.ClientConn
 	tracked   *trackedConn
 	idleSince time.Duration
-	reused    bool // it carried a request before
+	reused    bool // it was used by an earlier request
 }
 
-// close closes a connection that is not used any more.
-func (c *serverConn) close() { _ = c.client.Close() } // there is nothing left to be lost on it
+// close closes the connection.
+func (c *serverConn) close() { _ = c.client.Close() } // nothing more is expected on it
 
-// usable reports whether a connection may carry another request.
+// usable reports whether the connection may be used for another request.
 func (c *serverConn) usable(now, idleTimeout time.Duration) bool {
 	return now-c.idleSince <= idleTimeout-idleMargin && c.client.Err() == nil
 }
 
-// usage is how an attempt went, as the picker counts it.
+// usage is the result of an attempt, as the picker counts it.
 type usage struct {
-	duration      time.Duration // of a cancelled one: 0, unless it is over the latency target
-	reachedServer bool          // at the server
+	duration      time.Duration // of a cancelled attempt: 0 unless it exceeds the latency target
+	reachedServer bool          // a connection was established
 	succeeded     bool
-	cancelled     bool // the client left or stopped sending: it doesn't speak for or against the server
+	cancelled     bool // the client left or stopped sending, so the result says nothing about the server's health
 }
 
-// update takes over what changed of servers.
+// update applies registry entries, and closes the upstreams of servers that are draining or gone.
 func (p *upstreamPool) update(entries []registry.Entry) {
 	removed, changed := p.apply(entries)
 	for _, u := range removed {
@@ -146,7 +150,7 @@
 	return u
 }
 
-// updateWeights takes over changed lines of the weight tables.
+// updateWeights applies changes of the weight tables.
 func (p *upstreamPool) updateWeights(w *peer.Weights) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -158,7 +162,7 @@
 	}
 }
 
-// assignSlots divides the slots of the zone's servers among the zone's edges.
+// assignSlots divides the slots of the zone's servers among the zone's edges, given as their hashes.
 func (p *upstreamPool) assignSlots(zoneEdges []uint32) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -172,35 +176,35 @@
 	return p.picker.Len() == 0
 }
 
-// serves reports whether any server of a service is known.
+// serves reports whether a server of the service is known.
 func (p *upstreamPool) serves(service string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.picker.Serves(service)
 }
 
-// entries is all that is known of servers.
+// entries returns all registry entries.
 func (p *upstreamPool) entries() []registry.Entry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.registry.All(p.Now())
 }
 
-// digests are those of what is known of servers, altogether and by zone.
+// digests returns the digests of the registry, in total and by zone.
 func (p *upstreamPool) digests() (all uint64, byZone map[string]uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.registry.Digest(), p.registry.ZoneDigests()
 }
 
-// compare answers a controller's digests.
+// compare compares a controller's digests with the registry and returns the messages to be sent in reply.
 func (p *upstreamPool) compare(d *peer.Digests) []peer.Message {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return d.Compare(p.registry, p.Now())
 }
 
-// takeStats gives what was counted at the servers since the last call.
+// takeStats returns the attempts counted by server since the last call.
 func (p *upstreamPool) takeStats() (all []peer.ServerStats) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -212,7 +216,8 @@
 	return all
 }
 
-// pick chooses a server that is not among those already tried, and reserves a slot there; nil: none has room.
+// pick chooses a server that is not among the attempted ones and reserves a slot there. It returns nil if none has a free
+// slot.
 func (p *upstreamPool) pick(service string, attempted []*upstream) *upstream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -224,7 +229,7 @@
 	return u.Attachment.(*upstream)
 }
 
-// release gives a reserved slot back and counts how the attempt went.
+// release releases a reserved slot and counts the result of the attempt.
 func (p *upstreamPool) release(u *upstream, use usage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -240,7 +245,8 @@
 	}
 }
 
-// reportLoad takes over a server's word on its load: running, waiting and slots, as X-Server-Load gives them.
+// reportLoad passes a server's reported load to the picker. X-Server-Load contains the numbers of running and waiting
+// requests and of slots; a malformed header is ignored.
 func (p *upstreamPool) reportLoad(u *upstream, header http.Header) {
 	const fields = 3
 	parts := strings.Split(header.Get(headerServerLoad), ",")
@@ -260,22 +266,23 @@
 	p.picker.ReportLoad(u.Upstream, figures[0], figures[1], p.Now())
 }
 
-// distrust notes that a service's connections can't be reused safely for now: its servers drop them, or send on them what
-// belongs to no request. What must not run twice then goes on new connections, where nothing is left over; that costs
-// little beside an operation whose outcome nobody knows.
+// distrust records that a service's connections can't be reused safely for now: its servers drop them, or send responses
+// that belong to no request. Unsafe requests then use new connections, which contain no leftovers; the cost of dialling is
+// small compared with an operation whose outcome is unknown.
 func (p *upstreamPool) distrust(service string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.distrusted[service] = p.Now() + distrustDuration
 }
 
+// distrusts reports whether unsafe requests must not reuse a service's connections.
 func (p *upstreamPool) distrusts(service string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.Now() < p.distrusted[service]
 }
 
-// connect gives an idle connection of the server, the latest used first, or a new one.
+// connect returns the most recently used idle connection to the server, or a new one if none is usable.
 func (p *upstreamPool) connect(ctx context.Context, u *upstream) (*serverConn, error) {
 	for {
 		conn, usable := u.popIdle(p.Now())
@@ -290,7 +297,7 @@
 	}
 }
 
-// dialConn gives a new connection to the server.
+// dialConn opens a new connection to the server.
 func (p *upstreamPool) dialConn(ctx context.Context, u *upstream) (*serverConn, error) {
 	conn := &serverConn{}
 	client, err := p.transport.NewClientConn(context.WithValue(ctx, trackedConnKey{}, &conn.tracked), "http", u.address)
@@ -301,7 +308,7 @@
 	return conn, nil
 }
 
-// closeIdle closes the connections that were idle for too long, and forgets servers that are long gone.
+// closeIdle closes connections that were idle for too long, and removes expired entries of the registry.
 func (p *upstreamPool) closeIdle() {
 	p.mu.Lock()
 	p.registry.Prune(p.Now())
@@ -312,7 +319,7 @@
 	}
 }
 
-// popIdle takes the connection that was used last; nil: none is idle.
+// popIdle removes and returns the most recently used idle connection, or nil if none is idle.
 func (u *upstream) popIdle(now time.Duration) (conn *serverConn, usable bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -325,7 +332,7 @@
 	return conn, conn.usable(now, u.idleTimeout)
 }
 
-// close ends an upstream: nothing new is sent, what is in flight goes on.
+// close closes the idle connections and prevents further ones. Requests in flight continue.
 func (u *upstream) close() {
 	u.mu.Lock()
 	u.closed = true
@@ -344,6 +351,7 @@
 	return u.closed
 }
 
+// closeIdle closes the idle connections that are no longer usable.
 func (u *upstream) closeIdle(now time.Duration) {
 	for _, conn := range u.removeUnusable(now) {
 		conn.close()
@@ -363,7 +371,7 @@
 	return unusable
 }
 
-// putIdle takes a connection back after a response with this header.
+// putIdle returns a connection to the idle ones after a response with the given header.
 func (u *upstream) putIdle(conn *serverConn, now time.Duration, header http.Header) {
 	surplus := u.addIdle(conn, now, keepAliveTimeoutOf(header))
 	if surplus != nil {
@@ -371,8 +379,9 @@
 	}
 }
 
-// addIdle gives the connection that has to be closed instead: the one itself if it can't be kept, or the longest idle one
-// where there are more than ever ran at once (new ones are made out of distrust). Timeout is the server's; 0: not stated.
+// addIdle adds an idle connection and returns one that has to be closed, if any: the added one if it can't be kept, or the
+// longest idle one if there are more than can be in use at once, since distrust opens additional ones. timeout is the
+// server's idle timeout, 0 if not stated.
 func (u *upstream) addIdle(conn *serverConn, now, timeout time.Duration) (surplus *serverConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -390,7 +399,7 @@
 	return surplus
 }
 
-// keepAliveTimeoutOf reads how long the server keeps an idle connection from its Keep-Alive header; 0: it doesn't say.
+// keepAliveTimeoutOf returns the server's idle timeout from its Keep-Alive header, 0 if there is none.
 func keepAliveTimeoutOf(header http.Header) (timeout time.Duration) {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, figure, ok := strings.Cut(strings.TrimSpace(part), "=")
--- a/internal/edge/proxy/variants_test.go
+++ b/internal/edge/proxy/variants_test.go
@@ -14,7 +14,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// Whole answers of every make, on new and reused connections, with a request right behind.
+// Complete responses of many forms, on new and reused connections, each followed by another request.
 func TestEveryAnswer(t *testing.T) {
 	head := func(status, extra string) func(string) string {
 		return func(id string) string {
@@ -35,25 +35,25 @@
 		safe, other int
 		sound       bool
 	}{
-		"100 before it":              {after("HTTP/1.1 100 Continue\r\n\r\n"), 200, 200, true},
-		"103 before it":              {after("HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"), 200, 200, true},
-		"101":                        {head("101 Switching", "Upgrade: x\r\nConnection: Upgrade\r\n\r\n"), 200, 502, false},
-		"two lengths":                {wrong("Content-Length: 3\r\nContent-Length: 4\r\n\r\n"), 200, 502, false},
-		"a length that is no number": {wrong("Content-Length: x\r\n\r\n"), 200, 502, false},
-		"a negative length":          {wrong("Content-Length: -1\r\n\r\n"), 200, 502, false},
-		"a length too large":         {wrong("Content-Length: 99999999999999999999\r\n\r\n"), 200, 502, false},
-		"another coding than chunks": {wrong("Transfer-Encoding: gzip, chunked\r\n\r\n"), 200, 502, false},
-		"a chunk size that is none":  {wrong("Transfer-Encoding: chunked\r\n\r\nzz\r\n"), 200, 502, false},
-		"a chunk without its end":    {wrong("Transfer-Encoding: chunked\r\n\r\n3\r\n"), 200, 502, false},
-		"a space before the colon":   {wrong("Content-Length : 3\r\n\r\n"), 200, 502, false},
-		"no status":                  {func(string) string { return "HTTP/1.1\r\n\r\n" }, 200, 502, false},
-		"another protocol":           {func(string) string { return "SSH-2.0-x\r\n\r\n" }, 200, 502, false},
-		"encoded":                    {wrong("Content-Encoding: br\r\nContent-Length: 57\r\n\r\n"), 200, 502, false},
-		"no id":                      {func(id string) string { return "HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nContent-Length: 0\r\n\r\n" }, 200, 502, false},
-		"503 without proof":          {head("503 Busy", "Content-Length: 0\r\n\r\n"), 200, 502, false},
-		"503 with proof":             {head("503 Full", "X-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 200, 200, true},
-		"429 with proof":             {head("429 Full", "X-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 200, 200, true},
-		"421":                        {head("421 Other", "Content-Length: 0\r\n\r\n"), 200, 200, false},
+		"100 before the response":        {after("HTTP/1.1 100 Continue\r\n\r\n"), 200, 200, true},
+		"103 before the response":        {after("HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"), 200, 200, true},
+		"101":                            {head("101 Switching", "Upgrade: x\r\nConnection: Upgrade\r\n\r\n"), 200, 502, false},
+		"two lengths":                    {wrong("Content-Length: 3\r\nContent-Length: 4\r\n\r\n"), 200, 502, false},
+		"a length that is not a number":  {wrong("Content-Length: x\r\n\r\n"), 200, 502, false},
+		"a negative length":              {wrong("Content-Length: -1\r\n\r\n"), 200, 502, false},
+		"a length too large":             {wrong("Content-Length: 99999999999999999999\r\n\r\n"), 200, 502, false},
+		"an unsupported transfer coding": {wrong("Transfer-Encoding: gzip, chunked\r\n\r\n"), 200, 502, false},
+		"an invalid chunk size":          {wrong("Transfer-Encoding: chunked\r\n\r\nzz\r\n"), 200, 502, false},
+		"a truncated chunk":              {wrong("Transfer-Encoding: chunked\r\n\r\n3\r\n"), 200, 502, false},
+		"a space before the colon":       {wrong("Content-Length : 3\r\n\r\n"), 200, 502, false},
+		"no status":                      {func(string) string { return "HTTP/1.1\r\n\r\n" }, 200, 502, false},
+		"not HTTP":                       {func(string) string { return "SSH-2.0-x\r\n\r\n" }, 200, 502, false},
+		"encoded":                        {wrong("Content-Encoding: br\r\nContent-Length: 57\r\n\r\n"), 200, 502, false},
+		"no id":                          {func(id string) string { return "HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nContent-Length: 0\r\n\r\n" }, 200, 502, false},
+		"503 without proof":              {head("503 Busy", "Content-Length: 0\r\n\r\n"), 200, 502, false},
+		"503 with proof":                 {head("503 Full", "X-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 200, 200, true},
+		"429 with proof":                 {head("429 Full", "X-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 200, 200, true},
+		"421":                            {head("421 Other", "Content-Length: 0\r\n\r\n"), 200, 200, false},
 	} {
 		for _, kind := range []string{"s", "u", "k"} {
 			for _, reused := range []bool{false, true} {
@@ -71,8 +71,8 @@
 	}
 }
 
-// Clients that break off at every boundary of a request: servers get it whole only if all of it was sent, once, and the
-// next client is served.
+// Clients that close the connection at any boundary of a request: a server receives the complete request at most once, and
+// only if the client sent all of it. The next client is served.
 func TestClientsThatBreakOff(t *testing.T) {
 	short := probeRequest("u", "probe")
 	end := strings.Index(short, "\r\n\r\n") + 4
@@ -120,7 +120,7 @@
 	}
 }
 
-// A client that sends many requests at once gets each answer in its place.
+// A client that pipelines requests receives the responses in the same order.
 func TestPipelinedAnswersComeInOrder(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		p := &scriptedServers{matrixCase: matrixCase{at: boundaryCount}, auditor: newAuditor()}
@@ -144,7 +144,7 @@
 	})
 }
 
-// rewriting is a connection on which a planted fault changes what comes.
+// rewriting is a connection with a planted fault that changes the received bytes.
 type rewriting struct {
 	net.Conn
 	from, to string
@@ -155,7 +155,8 @@
 	return copy(p, bytes.ReplaceAll(p[:n], []byte(r.from), []byte(r.to))), err
 }
 
-// plantFault plants a fault behind the edge: its answer goes through a function, which may call the edge again.
+// plantFault returns a wrapper of the edge that passes responses of status 502 to change, which may modify them or call the
+// edge again.
 func plantFault(change func(edge http.Handler, w *httptest.ResponseRecorder, r *http.Request)) func(http.Handler) http.Handler {
 	return func(edge http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -176,7 +177,7 @@
 	}
 }
 
-// Faults that are planted around the edge: the auditor has to see each, and nothing without it.
+// Faults planted around the edge: the auditor must report each of them, and nothing without a fault.
 func TestAuditorSeesPlantedFaults(t *testing.T) {
 	rewrite := func(from, to string) func(net.Conn) net.Conn {
 		return func(conn net.Conn) net.Conn { return rewriting{conn, from, to} }
@@ -192,19 +193,19 @@
 				*w = *httptest.NewRecorder()
 				edge.ServeHTTP(w, r)
 			}), finding: "probe was sent 2 times"},
-		"a 503 after bytes went out": {matrixCase: matrixCase{at: atRequestEnd, action: actClose, kind: "k"},
-			through: plantFault(func(_ http.Handler, w *httptest.ResponseRecorder, _ *http.Request) { w.Code = 503 }), finding: "probe was promised"},
-		"an answer cut short that looks whole": {matrixCase: matrixCase{at: atResponseBodyPart, action: actClose, kind: "u"},
+		"a 503 after bytes were sent": {matrixCase: matrixCase{at: atRequestEnd, action: actClose, kind: "k"},
+			through: plantFault(func(_ http.Handler, w *httptest.ResponseRecorder, _ *http.Request) { w.Code = 503 }), finding: "probe was sent despite"},
+		"a truncated response that looks complete": {matrixCase: matrixCase{at: atResponseBodyPart, action: actClose, kind: "u"},
 			through: plantFault(func(_ http.Handler, w *httptest.ResponseRecorder, _ *http.Request) {
 				w.Code = 200
 				w.Header().Set("X-Server-Seal", "seal-probe")
 				w.Header().Del("Content-Length")
 				w.Body = bytes.NewBufferString(expectedBody("probe")[:20])
-			}), finding: "probe was told"},
-		"an answer of another try that is accepted": {matrixCase: matrixCase{at: atRequestEnd, action: actForeignResponse, kind: "u"},
-			spoil: rewrite("X-Attempt-Id: stranger", "X-Attempt-Id: probe"), finding: "probe was told"},
-		"a connection that is kept after surplus bytes": {matrixCase: matrixCase{at: atResponseEnd, action: actGarbage, kind: "u"},
-			spoil: rewrite("\x00no answer\r\n\r\n", ""), finding: "kept after garbage"},
+			}), finding: "probe received"},
+		"a response of another attempt that is accepted": {matrixCase: matrixCase{at: atRequestEnd, action: actForeignResponse, kind: "u"},
+			spoil: rewrite("X-Attempt-Id: stranger", "X-Attempt-Id: probe"), finding: "probe received"},
+		"a connection that is reused after surplus bytes": {matrixCase: matrixCase{at: atResponseEnd, action: actGarbage, kind: "u"},
+			spoil: rewrite("\x00no answer\r\n\r\n", ""), finding: "reused after garbage"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, planted := range []bool{true, false} {
