--- a/internal/edge/proxy/answers_test.go
+++ b/internal/edge/proxy/answers_test.go
@@ -16,11 +16,12 @@
 	"mulleinwood/internal/control/idempotency"
 )
 
-var update = flag.Bool("update", false, "write the expected answers again")
+var update = flag.Bool("update", false, "rewrite the expected responses")
 
 var metricValue = regexp.MustCompile(`(?m) [0-9.e+-]+$`)
 
-// responseText is an answer as a client sees it. Retry-After is drawn at random; of metrics the names and labels are kept.
+// responseText returns a response as a client sees it. The random value of Retry-After is omitted; of metrics, only names and
+// labels are included.
 func responseText(name string, w *httptest.ResponseRecorder) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "== %s\n%d\n", name, w.Code)
@@ -39,7 +40,7 @@
 	return b.String() + body + "\n"
 }
 
-// What clients and the platform are answered is what the earlier version answered: statuses, headers, bodies, names of metrics.
+// Responses to clients and the platform match testdata/answers.txt: statuses, headers, bodies and names of metrics.
 func TestAnswersOfAnEdge(t *testing.T) {
 	servers := []struct {
 		name   string
@@ -103,7 +104,7 @@
 			t.Fatal(err)
 		}
 		if got.String() != string(want) {
-			t.Errorf("answers differ from %s:\n%s\nnot\n%s", path, got.String(), want)
+			t.Errorf("responses differ from %s: got\n%s\nwant\n%s", path, got.String(), want)
 		}
 	})
 }
--- a/internal/edge/proxy/bodies_test.go
+++ b/internal/edge/proxy/bodies_test.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// A long response is streamed. A truncated one must not look complete to the client.
+// A long response is streamed. A truncated one must not look complete to the client, nor be counted as a success.
 func TestLongAnswers(t *testing.T) {
 	long := strings.Repeat("0123456789", 60_000)
 	chunked := func(r *http.Request, end string) string {
--- a/internal/edge/proxy/client_left_test.go
+++ b/internal/edge/proxy/client_left_test.go
@@ -17,17 +17,17 @@
 	"mulleinwood/internal/control/idempotency"
 )
 
-// maxAbandonedWork is how long the work on a request may go on after its client has left (GONE, NEWS-18).
+// maxAbandonedWork is how long the work on a request may continue after its client has left (rule GONE, NEWS-18).
 const maxAbandonedWork = 500 * time.Millisecond
 
-// serverConns tells when connections to servers were closed by the edge.
+// serverConns records when the edge closed its connections to servers.
 type serverConns struct {
 	mu       sync.Mutex
 	opened   int
 	closedAt []time.Time
 }
 
-// closeObservedConn notes its first close.
+// closeObservedConn calls onClose at its first close.
 type closeObservedConn struct {
 	net.Conn
 	once    sync.Once
@@ -39,7 +39,7 @@
 	return c.Conn.Close()
 }
 
-// watchServerConns notes the connections to servers from now on.
+// watchServerConns records the connections to servers from now on.
 func (h *testEdge) watchServerConns() *serverConns {
 	s := &serverConns{}
 	dial := h.upstreams.dial
@@ -62,60 +62,60 @@
 	s.closedAt = append(s.closedAt, time.Now())
 }
 
-// open is how many connections are open.
+// open returns the number of open connections.
 func (s *serverConns) open() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.opened - len(s.closedAt)
 }
 
-// continueOnFailure has expectations that fail let the test run on, so that what is still under way ends before the fake clock does.
+// continueOnFailure lets the test continue after a failed expectation, so that work in progress ends before the fake clock.
 func (h *testEdge) continueOnFailure(t *testing.T) {
 	h.g.ConfigureWithFailHandler(func(message string, _ ...int) { t.Error(message) })
 }
 
-// wireRequest is a request as a client writes it.
+// wireRequest returns a request as a client writes it.
 func wireRequest(kind, deadlineMS string) string {
 	method := map[string]string{"s": "GET", "u": "POST", "k": "PUT"}[kind]
 	return fmt.Sprintf("%s /%s/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: try-1\r\nX-Operation-Key: k-1\r\n"+
 		"X-Deadline-Ms: %s\r\nContent-Length: 0\r\n\r\n", method, kind, deadlineMS)
 }
 
-// truncatedLongResponse is the beginning of a long response, which is never finished.
+// truncatedLongResponse returns the beginning of a long response.
 func truncatedLongResponse() string {
 	return "HTTP/1.1 200 OK\r\nX-Attempt-Id: try-1\r\nX-Server-Seal: s\r\nContent-Length: 900000\r\n\r\n" +
 		strings.Repeat("0123456789", 40_000)
 }
 
-// A client that leaves ends the work on its request, whatever the request waits for then: no server works on for it, no
-// server gets it any more, and no slot, claim or connection is kept for it.
+// The work on a request is cancelled when its client leaves, at any stage: the server stops working on it, no other server
+// receives it, and no slot, claim or connection remains in use for it.
 func TestWorkIsCancelledWhenTheClientLeaves(t *testing.T) {
 	slowly := func(h *testEdge) { h.addServer("i-1", respondAfter(h, 1800*time.Millisecond)) }
 	for _, c := range []struct {
 		name, kind, deadlineMS string
 		prepare                func(h *testEdge)
 		meanwhile              func(h *testEdge) // while the request is served
-		received               int               // requests that may reach servers
+		received               int               // number of requests that may reach servers
 	}{
 		{name: "at a server", kind: "s", deadlineMS: "2000", prepare: slowly, received: 1},
-		{name: "at a server that answers nothing", kind: "s", deadlineMS: "2000", received: 1,
+		{name: "at a server that doesn't respond", kind: "s", deadlineMS: "2000", received: 1,
 			prepare: func(h *testEdge) { h.addServer("i-1", hang) }},
 		{name: "on a connection from before a change of the limits", kind: "s", deadlineMS: "2000", prepare: slowly, received: 1,
 			meanwhile: func(h *testEdge) { h.setLimits(3, `{"idle_s":3}`) }},
 		{name: "queued", kind: "s", deadlineMS: "1500", prepare: func(h *testEdge) {
 			slowly(h)
-			for range 10 { // more than are ever sent to a server of two slots
+			for range 10 { // more than are admitted to a server of two slots
 				h.upstreams.picker.Reserve(h.upstreams.picker.Get("i-1"))
 			}
 		}},
 		{name: "claiming", kind: "k", deadlineMS: "2000", prepare: func(h *testEdge) {
 			slowly(h)
-			h.decideClaim = nil // the controller takes the claim and says nothing
+			h.decideClaim = nil // the controller receives the claim and doesn't respond
 		}},
 		{name: "streaming", kind: "s", deadlineMS: "2000", received: 1, prepare: func(h *testEdge) {
 			h.addServer("i-1", func(*http.Request) string { return truncatedLongResponse() + "<stall>" })
 		}},
-		{name: "streaming what may run once", kind: "u", deadlineMS: "2000", received: 1,
+		{name: "streaming an unsafe request", kind: "u", deadlineMS: "2000", received: 1,
 			prepare: func(h *testEdge) {
 				h.addServer("i-1", func(*http.Request) string { return truncatedLongResponse() + "<stall>" })
 			}},
@@ -129,7 +129,7 @@
 				h.serveClients(func(s pipeListener) {
 					conn := h.connectClient(s)
 					go func() { _, _ = io.WriteString(conn, wireRequest(c.kind, c.deadlineMS)) }()
-					go func() { _, _ = io.Copy(io.Discard, conn) }() // up to where the server stalls
+					go func() { _, _ = io.Copy(io.Discard, conn) }() // until the server stalls
 					time.Sleep(100 * time.Millisecond)
 					synctest.Wait()
 					h.g.Expect(h.shutdown.inFlight.Load()).To(BeEquivalentTo(1))
@@ -139,13 +139,13 @@
 					conn.Close()
 					time.Sleep(maxAbandonedWork)
 					synctest.Wait()
-					h.g.Expect(h.shutdown.inFlight.Load()).To(BeZero(), "the work goes on")
-					h.g.Expect(conns.open()).To(BeZero(), "the server's connection stays open, so it works on")
+					h.g.Expect(h.shutdown.inFlight.Load()).To(BeZero(), "the work continues")
+					h.g.Expect(conns.open()).To(BeZero(), "the connection to the server stays open, so the server continues to work")
 					time.Sleep(2 * time.Second)
 					synctest.Wait()
-					h.g.Expect(h.received).To(HaveLen(c.received), "a server got the request after its client had left")
+					h.g.Expect(h.received).To(HaveLen(c.received), "a server received the request after its client had left")
 					if c.kind == "k" {
-						h.g.Expect(h.revoked).NotTo(BeEmpty(), "the claim is kept for nobody")
+						h.g.Expect(h.revoked).NotTo(BeEmpty(), "the claim is not revoked")
 					}
 				})
 			})
@@ -158,7 +158,7 @@
 	return idempotency.OutcomeGranted, nil
 }
 
-// A client that left is no reason to ask a second server, also where nothing ran at the first.
+// A request isn't retried after its client has left, even if the first server proves that it did not run.
 func TestNoRetryForAClientThatLeft(t *testing.T) {
 	for _, kind := range []string{"s", "u", "k"} {
 		runEdge(t, func(h *testEdge) {
@@ -183,15 +183,15 @@
 				synctest.Wait()
 				h.g.Expect(h.received).To(HaveLen(1), kind)
 				if kind == "k" {
-					h.g.Expect(h.revoked).NotTo(BeEmpty(), "nothing ran: a repeat may")
+					h.g.Expect(h.revoked).NotTo(BeEmpty(), "nothing ran, so a repeat must be allowed")
 				}
 			})
 		})
 	}
 }
 
-// What may run only once is not broken off when its client leaves: nobody could tell how far it came. The response of a keyed
-// operation is kept for its repeats.
+// An unsafe request is not cancelled when its client leaves, since its outcome would be unknown. The response of a keyed
+// operation is stored for repeats.
 func TestUnsafeWorkContinuesAfterTheClientLeaves(t *testing.T) {
 	for _, kind := range []string{"u", "k"} {
 		runEdge(t, func(h *testEdge) {
@@ -207,13 +207,13 @@
 				conn.Close()
 				time.Sleep(600 * time.Millisecond)
 				synctest.Wait()
-				h.g.Expect(conns.open()).To(Equal(1), "the run was broken off")
+				h.g.Expect(conns.open()).To(Equal(1), "the request was cancelled")
 				time.Sleep(200 * time.Millisecond)
 				synctest.Wait()
 				h.g.Expect(h.shutdown.inFlight.Load()).To(BeZero())
 				h.g.Expect(h.received).To(HaveLen(1))
 				if kind == "k" {
-					h.g.Expect(h.stored).To(HaveLen(1), "the response is kept for repeats")
+					h.g.Expect(h.stored).To(HaveLen(1), "the response is stored for repeats")
 				}
 			})
 		})
--- a/internal/edge/proxy/connection_end_test.go
+++ b/internal/edge/proxy/connection_end_test.go
@@ -11,8 +11,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// runShutdownOn has an edge serve a listener and shut down. The scenario begins with the shutdown; when it returns, the
-// edge has ended.
+// runShutdownOn runs a scenario while an edge serves a listener and shuts down. The scenario begins with the shutdown. The
+// edge has ended when runShutdownOn returns.
 func runShutdownOn(t *testing.T, play func(h *testEdge, listener *linkedListener)) {
 	runEdge(t, func(h *testEdge) {
 		h.continueOnFailure(t)
@@ -31,14 +31,14 @@
 		play(h, listener)
 		<-ended
 		<-served
-		time.Sleep(time.Minute) // what lingers ends
+		time.Sleep(time.Minute) // lingering connections end
 		close(h.clients.handoff.closed)
 		h.clients.conns.CloseStale(0, 0)
 		synctest.Wait()
 	})
 }
 
-// connectClients has a client connect and send a request each 100 ms for a while, as long as the platform sends clients.
+// connectClients connects a new client each 100 ms, which sends a request, as while the platform still sends clients.
 func connectClients(l *link, listener *linkedListener, until time.Duration) {
 	const gap = 100 * time.Millisecond
 	for range int(until / gap) {
@@ -47,8 +47,8 @@
 	}
 }
 
-// Issue 54's incident: 2.46 s after SIGTERM a client sends a request on a connection that it kept. The links are full, so
-// that the request, and the news that the edge closes idle connections, are under way for some tenths of a second.
+// Issue 54: 2.46 s after SIGTERM a client sends a request on an idle connection. The links are congested, so that the request
+// and the edge's close of idle connections take some tenths of a second to arrive.
 func TestRequestOnAFullLinkIsNotLostToTheCloseOfIdleConnections(t *testing.T) {
 	const sentAfter = 2460 * time.Millisecond
 	for _, delay := range []time.Duration{120 * time.Millisecond, 200 * time.Millisecond, 320 * time.Millisecond} {
@@ -67,8 +67,8 @@
 	}
 }
 
-// A request has reached the edge's kernel, and the edge, which is late, has not read it when it closes idle connections, or
-// when it decides that no request comes any more.
+// A request has arrived in the kernel, but the edge, which is delayed, has not read it when it closes idle connections or
+// decides that no more requests arrive.
 func TestRequestThatIsUnreadIsNotLostToTheCloseOfIdleConnections(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct{ connected, sent time.Duration }{ // after SIGTERM
@@ -77,7 +77,7 @@
 		runShutdownOn(t, func(_ *testEdge, listener *linkedListener) {
 			startedAt := time.Now()
 			at := func(after time.Duration) { time.Sleep(time.Until(startedAt.Add(after))) }
-			go func() { // another client keeps the edge up
+			go func() { // another client keeps the edge from ending
 				at(2400 * ms)
 				listener.arrive((&link{}).connect()).send(wireRequest("s", "2000"))
 			}()
@@ -92,13 +92,13 @@
 	}
 }
 
-// A client's connection is complete in the kernel, its request too, and the edge, which is late, has not accepted it when
-// it decides that no request comes any more.
+// A connection and its request have arrived in the kernel, but the edge, which is delayed, has not accepted the connection
+// when it decides that no more requests arrive.
 func TestConnectionThatIsNotAcceptedIsNotLostToTheEndOfTheProcess(t *testing.T) {
 	runShutdownOn(t, func(_ *testEdge, listener *linkedListener) {
 		time.Sleep(2 * time.Second)
 		listener.gate = make(chan struct{})
-		accepted := listener.arrive((&link{}).connect()) // by the accept that was under way
+		accepted := listener.arrive((&link{}).connect()) // by the pending call of Accept
 		late := listener.arrive((&link{}).connect())
 		late.send(wireRequest("s", "2000"))
 		accepted.send(wireRequest("s", "2000"))
@@ -110,7 +110,8 @@
 	})
 }
 
-// A server that takes clients' connections is replaced, by other limits, while one is being handed to it: the next one takes it.
+// The server for new connections is replaced, because the limits changed, while a connection is handed to it: its successor
+// serves the connection.
 func TestConnectionIsHandedToTheServerThatReplacesItsOwn(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		h.continueOnFailure(t)
@@ -119,7 +120,7 @@
 			stuck := &handoffListener{in: make(chan net.Conn), closed: make(chan struct{}), addr: s.Addr(), timeouts: h.clients.current().timeouts}
 			h.clients.mu.Lock()
 			serving := h.clients.handoff
-			h.clients.handoff = stuck // its server doesn't come to accept
+			h.clients.handoff = stuck // its server doesn't call Accept
 			h.clients.mu.Unlock()
 			client := (&link{}).connect()
 			s.in <- client.edgeEnd
@@ -138,7 +139,7 @@
 	})
 }
 
-// flakyListener fails before each connection, as for lack of a descriptor.
+// flakyListener fails before each connection, as for lack of a file descriptor.
 type flakyListener struct {
 	net.Listener
 	failures int
@@ -151,7 +152,7 @@
 	return l.Listener.Accept()
 }
 
-// Accepting goes on after a failure that passes.
+// Accepting continues after a temporary failure.
 func TestAcceptingGoesOnAfterAFailure(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		h.addServer("i-1", goodResponse)
@@ -173,20 +174,20 @@
 	})
 }
 
-// A process that runs late has that much less of its grace: it learns of the SIGTERM late and does late what is due at the end.
+// The scheduling delay of the process shortens its grace: it notices SIGTERM late and runs the final steps late.
 func TestShutdownFollowsTheLatenessOfTheProcess(t *testing.T) {
 	const grace = 6 * time.Second
 	for _, late := range []time.Duration{0, 90 * time.Millisecond, 240 * time.Millisecond, 3 * time.Second} {
 		counted := min(late, grace/maxLatenessShare)
 		s := newShutdownSchedule(0, grace, late)
 		if last := grace - counted - exitReserve; s.exitBy+counted > last {
-			t.Errorf("late by %s: the process ends after %s, and may be %s late with that", late, s.exitBy, counted)
+			t.Errorf("late by %s: the process ends after %s, possibly %s later", late, s.exitBy, counted)
 		}
 		if s.respondBy+flushReserve > s.exitBy || s.respondBy < grace-grace/minResponseShare {
-			t.Errorf("late by %s: what is accepted is answered by %s, of %s", late, s.respondBy, s.exitBy)
+			t.Errorf("late by %s: accepted requests are answered by %s, of %s", late, s.respondBy, s.exitBy)
 		}
 		if s.admitAllUntil != admitAllDuration {
-			t.Errorf("late by %s: open until %s", late, s.admitAllUntil)
+			t.Errorf("late by %s: all requests are admitted until %s", late, s.admitAllUntil)
 		}
 	}
 }
--- a/internal/edge/proxy/faults_test.go
+++ b/internal/edge/proxy/faults_test.go
@@ -89,8 +89,8 @@
 		first  func(*http.Request) string
 		status int
 	}{
-		"truncated":    {truncatedResponse, 502},
-		"server error": {func(r *http.Request) string { return rawResponse(r, "500 Oops", "", "why") }, 500},
+		"truncated response": {truncatedResponse, 502},
+		"server error":       {func(r *http.Request) string { return rawResponse(r, "500 Oops", "", "why") }, 500},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runEdge(t, func(h *testEdge) {
--- a/internal/edge/proxy/fuzz_test.go
+++ b/internal/edge/proxy/fuzz_test.go
@@ -19,8 +19,8 @@
 	"mulleinwood/internal/platform/nodesettings"
 )
 
-// FuzzRequest has a client send any bytes. What reaches the server is what net/http read of them, on a route, and no more:
-// one request, its method, path and body unchanged, under the name of the server that was picked.
+// FuzzRequest sends arbitrary bytes as a client. The server must receive exactly one request, as parsed by net/http and on a
+// configured route, with method, path and body unchanged and the ID of the picked server.
 func FuzzRequest(f *testing.F) {
 	for _, seed := range []string{
 		"GET /s/x?y=1 HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: t\r\nX-Deadline-Ms: 900\r\n\r\n",
@@ -75,11 +75,11 @@
 		}
 		<-served
 		if len(got) != 1 {
-			t.Fatalf("%d requests for one", len(got))
+			t.Fatalf("server received %d requests for one", len(got))
 		}
 		q := got[0]
 		if q.Method != r.Method || q.Header.Get("X-Expected-Instance") != "i-1" || q.Header.Get("X-Attempt-Id") != r.Header.Get("X-Attempt-Id") {
-			t.Errorf("sent on as %s %v", q.Method, q.Header)
+			t.Errorf("forwarded as %s %v", q.Method, q.Header)
 		}
 		if want := r.URL.RequestURI(); q.RequestURI != r.RequestURI && q.RequestURI != want {
 			t.Errorf("path %q became %q", r.RequestURI, q.RequestURI)
@@ -88,7 +88,7 @@
 			t.Errorf("body %q became %q", body, bodies[0])
 		}
 		if path, _, _ := strings.Cut(q.RequestURI, "?"); !strings.HasPrefix(path, "/s/") && !strings.HasPrefix(path, "/u/") {
-			t.Errorf("%q is on no route that needs no key", q.RequestURI)
+			t.Errorf("%q is not on a safe or unsafe route", q.RequestURI)
 		}
 	})
 }
--- a/internal/edge/proxy/matrix_test.go
+++ b/internal/edge/proxy/matrix_test.go
@@ -23,7 +23,7 @@
 	"mulleinwood/internal/peer"
 )
 
-// The boundaryCount of a request and its answer, at which a scripted server acts.
+// The boundaries of a request and its response at which a scripted server acts.
 const (
 	atAccept = iota // of a new connection; on a reused one, while it is idle
 	atHeadPart
@@ -40,7 +40,7 @@
 var boundaryNames = [boundaryCount]string{"accept", "part of the head", "head", "part of the body", "complete request",
 	"part of the response's head", "response's head", "part of the response's body", "complete response"}
 
-// The actionCount of a scripted server.
+// The actions of a scripted server.
 const (
 	actSilence = iota
 	actClose
--- a/internal/edge/proxy/reservations_test.go
+++ b/internal/edge/proxy/reservations_test.go
@@ -16,7 +16,7 @@
 	"mulleinwood/internal/peer"
 )
 
-// requestMany is many requests of a tenant at once, each of which a server works on for a while.
+// requestMany sends n concurrent requests of a tenant. done waits for them and returns the number of responses by status.
 func (h *testEdge) requestMany(n int, host string) (done func() map[int]int) {
 	var all sync.WaitGroup
 	var mu sync.Mutex
@@ -38,7 +38,7 @@
 	return func() map[int]int { all.Wait(); return got }
 }
 
-// respondAfter answers after a span.
+// respondAfter returns a script that responds after a delay.
 func respondAfter(h *testEdge, delay time.Duration) func(*http.Request) string {
 	return func(r *http.Request) string {
 		time.Sleep(delay)
@@ -50,7 +50,7 @@
 	`{"name":"s","path_prefix":"/s/","kind":"safe","deadline_s":2,"setpoint_s":0.4,"service":"tags","tries":2}]},{"plant":"b.example","channels":[` +
 	`{"name":"t","path_prefix":"/s/","kind":"safe","deadline_s":2,"setpoint_s":0.4,"service":"tags","tries":2}]}]}`
 
-// setReservations gives the edge reservations and its parts of them.
+// setReservations announces reservations to the edge and leases it shares of them.
 func (h *testEdge) setReservations(list []reservation.Reservation, parts map[string]int, full map[string]bool) {
 	h.reservations.handleReservations(&peer.Reservations{Term: 3, List: list})
 	h.reservations.handleLease(reservation.Lease{Incarnation: h.Incarnation, Stamp: h.Now(), Term: 3, Seq: 1, Duration: 10 * time.Second, Shares: parts, Exhausted: full})
@@ -67,20 +67,21 @@
 		others := h.requestMany(30, "b.example")
 		time.Sleep(20 * time.Millisecond)
 		booked := h.requestMany(4, "a.example")
-		h.g.Expect(booked()).To(Equal(map[int]int{200: 4}), "while others come at many times what fits")
+		h.g.Expect(booked()).To(Equal(map[int]int{200: 4}), "while others send many times more than fits")
 		got := others()
-		h.g.Expect(got[200]).To(BeNumerically("<=", 6), "their own, what is lent, and what came free in a fifth of the aim")
+		h.g.Expect(got[200]).To(BeNumerically("<=", 6), "their own slots, lent ones, and those released within a fifth of the latency target")
 		h.g.Expect(got[503]).To(Equal(30 - got[200]))
-		h.g.Expect(h.reservations.gates["tags"].Idle()).To(BeTrue(), "all room is given back")
+		h.g.Expect(h.reservations.gates["tags"].Idle()).To(BeTrue(), "all slots are released")
 
-		// The booking ends: nobody is held any more.
+		// The reservation ends: no request is limited any more.
 		h.reservations.handleReservations(&peer.Reservations{Term: 3})
 		h.g.Expect(h.reservations.active.Load()).To(BeFalse())
 		h.g.Expect(h.requestMany(8, "b.example")()).To(Equal(map[int]int{200: 8}))
 	})
 }
 
-// The booking is cancelled while others run under its reservation: they run on, nobody is held any more, and every slot is given back.
+// A reservation is cancelled while unreserved requests use its lent slots: they continue, no request is limited any more, and
+// all slots are released.
 func TestReservationEndsWhileItsSlotsAreLent(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		h.g.Expect(h.applyConfig(&peer.Config{Version: 2, Snapshot: []byte(twoTenants)})).To(BeTrue())
@@ -92,7 +93,7 @@
 		lent := h.requestMany(3, "b.example")
 		booked := h.requestMany(1, "a.example")
 		h.reservations.handleReservations(&peer.Reservations{Term: 3})
-		h.g.Expect(h.reservations.gates).To(HaveLen(1), "requests still run under it")
+		h.g.Expect(h.reservations.gates).To(HaveLen(1), "requests admitted by the gate are still running")
 		more := h.requestMany(4, "b.example")
 		h.g.Expect(lent()).To(Equal(map[int]int{200: 3}))
 		h.g.Expect(booked()).To(Equal(map[int]int{200: 1}))
@@ -103,8 +104,8 @@
 	})
 }
 
-// Its part is small here, but the booking isn't used up elsewhere: no booked request is sent away while a server has room.
-// Once it is used up, what exceeds it competes like everyone else.
+// This edge's share is small, but the reservation isn't exhausted elsewhere: no reserved request is rejected while a server
+// has free slots. Once the reservation is exhausted, requests beyond it compete with unreserved ones.
 func TestEdgeWithASmallShareRejectsNobody(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		h.g.Expect(h.applyConfig(&peer.Config{Version: 2, Snapshot: []byte(twoTenants)})).To(BeTrue())
@@ -116,12 +117,12 @@
 		h.g.Expect(h.requestMany(6, "a.example")()).To(Equal(map[int]int{200: 6}))
 		h.reservations.handleLease(reservation.Lease{Incarnation: h.Incarnation, Stamp: h.Now(), Term: 3, Seq: 2, Duration: 10 * time.Second,
 			Shares: map[string]int{"flyer": 1, reservation.UnreservedID("tags"): 2}, Exhausted: map[string]bool{"flyer": true, reservation.UnreservedID("tags"): true}})
-		h.g.Expect(h.requestMany(8, "a.example")()[200]).To(Equal(3), "one booked, two as everybody")
+		h.g.Expect(h.requestMany(8, "a.example")()[200]).To(Equal(3), "one reserved, two unreserved")
 	})
 }
 
-// A lease that is over, after a cut: others are held to an even share, what is booked goes on, and a lease of a former
-// leader that was on its way says nothing any more.
+// After a partition the lease has expired: unreserved requests are limited to an even share, reserved ones continue, and a
+// delayed lease of a former leader is ignored.
 func TestAnEdgeWithoutALease(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		h.g.Expect(h.applyConfig(&peer.Config{Version: 2, Snapshot: []byte(twoTenants)})).To(BeTrue())
--- a/internal/edge/proxy/scripted_link_test.go
+++ b/internal/edge/proxy/scripted_link_test.go
@@ -12,39 +12,38 @@
 	"time"
 )
 
-// link is the way between clients and an edge: bytes, and the end of a stream, arrive in order after its delay.
+// link is the network between clients and an edge: bytes and the end of a stream arrive in order after a delay.
 type link struct {
 	delay time.Duration
-	// late is how long bytes that have arrived lie in the edge's kernel before the edge gets to read them.
+	// late is how long received bytes stay in the kernel before the edge can read them.
 	readDelay time.Duration
 }
 
-// packet is what arrives at one time: data, or the end of the stream.
+// packet is a delivery at one time: data, or the end of the stream if data is nil.
 type packet struct {
 	at   time.Time
 	data []byte
 }
 
-// linkedConn is the edge's end of a connection over a link. What arrived and was not read is Readable, as the kernel tells it of a
-// socket.
+// linkedConn is the edge's end of a connection over a link. Like a socket, it reports unread bytes by Readable.
 type linkedConn struct {
-	net.Conn // the process reads from it what it gets to see
+	net.Conn // delivers the bytes that the edge can read
 	client   *linkedClient
 	unread   atomic.Int64
 	finSent  sync.Once
 }
 
-// linkedClient is the client's end. Like any sane client it closes when it sees the edge's end of the stream.
+// linkedClient is the client's end of a connection. It closes when it sees the end of the edge's stream.
 type linkedClient struct {
 	link     *link
 	edgeEnd  *linkedConn
 	up, down chan packet
 	ended    chan struct{} // closed when it has seen the end of the stream
-	endedAt  time.Time     // valid from then on
-	received bytes.Buffer  // the same: all that the connection brought
+	endedAt  time.Time     // valid once ended is closed
+	received bytes.Buffer  // all received bytes, valid once ended is closed
 }
 
-// connect opens a connection that waits to be accepted.
+// connect opens a connection that is not accepted yet.
 func (l *link) connect() *linkedClient {
 	near, far := net.Pipe()
 	c := &linkedClient{link: l, up: make(chan packet, 100), down: make(chan packet, 100), ended: make(chan struct{})}
@@ -54,7 +53,7 @@
 	return c
 }
 
-// carryUp takes to the edge what the client sends.
+// carryUp delivers the client's packets to the edge.
 func (c *linkedClient) carryUp(far net.Conn) {
 	defer far.Close()
 	for p := range c.up {
@@ -66,14 +65,14 @@
 		time.Sleep(c.link.readDelay)
 		_, err := far.Write(p.data)
 		c.edgeEnd.unread.Add(-int64(len(p.data)))
-		if err != nil { // the edge has closed: a reset
+		if err != nil { // the edge has closed the connection: a reset
 			c.edgeEnd.sendFin()
 			return
 		}
 	}
 }
 
-// carryDown takes to the client what the edge writes.
+// carryDown delivers the edge's packets to the client.
 func (c *linkedClient) carryDown() {
 	for p := range c.down {
 		time.Sleep(time.Until(p.at))
@@ -87,12 +86,12 @@
 	c.up <- packet{at: time.Now().Add(c.link.delay)}
 }
 
-// send writes to the connection.
+// send sends text to the edge.
 func (c *linkedClient) send(text string) {
 	c.up <- packet{at: time.Now().Add(c.link.delay), data: []byte(text)}
 }
 
-// responses waits for the connection's end and gives the complete responses that it brought.
+// responses waits for the end of the connection and returns the complete responses received.
 func (c *linkedClient) responses() (all []*http.Response) {
 	<-c.ended
 	in := bufio.NewReader(&c.received)
@@ -114,7 +113,7 @@
 	return len(p), nil
 }
 
-// CloseWrite ends the stream to the client. What the client sends is still read.
+// CloseWrite ends the stream to the client. Bytes from the client can still be read.
 func (c *linkedConn) CloseWrite() error {
 	c.sendFin()
 	return nil
@@ -130,13 +129,13 @@
 	c.finSent.Do(func() { c.client.down <- packet{at: time.Now().Add(c.client.link.delay)} })
 }
 
-// Readable reports whether something has arrived that was not read.
+// Readable reports whether there are unread bytes.
 func (c *linkedConn) Readable() bool { return c.unread.Load() > 0 }
 
-// linkedListener is a listener whose connections wait to be accepted until its gate is open.
+// linkedListener is a listener that accepts connections only after its gate channel is closed.
 type linkedListener struct {
 	queue  chan net.Conn
-	gate   chan struct{} // closed: the process accepts
+	gate   chan struct{} // closed while the process accepts
 	closed chan struct{}
 	once   sync.Once
 }
@@ -147,7 +146,7 @@
 	return l
 }
 
-// arrive puts a connection into the queue, as the kernel does.
+// arrive puts a connection into the backlog, as the kernel does.
 func (l *linkedListener) arrive(c *linkedClient) *linkedClient {
 	select {
 	case <-l.closed:
