--- a/internal/edge/proxy/bodies_test.go
+++ b/internal/edge/proxy/bodies_test.go
@@ -106,19 +106,19 @@
 	g := NewWithT(t)
 	for _, left := range []int64{0, 1, 5_000, 1 << 20} {
 		for _, size := range []int{0, 1, uncountedBytes, uncountedBytes + 1, maxInitialBufferBytes, 100_000, maxBufferedRequestBytes, maxBufferedRequestBytes + 1} {
-			for _, told := range []int64{-1, int64(size)} {
+			for _, contentLength := range []int64{-1, int64(size)} {
 				a := &memoryBudget{}
 				a.available.Store(left)
 				text := strings.Repeat("x", size)
 				src := iotest.DataErrReader(strings.NewReader(text))
-				got, err := a.buffer(src, told, maxBufferedRequestBytes)
-				body, whole, booked := got.data, got.complete, got.reserved
+				got, err := a.buffer(src, contentLength, maxBufferedRequestBytes)
+				body, whole, reserved := got.data, got.complete, got.reserved
 				g.Expect(err).NotTo(HaveOccurred())
 				more, _ := io.ReadAll(src)
 				g.Expect(string(body)+string(more) == text).To(BeTrue(), "left %d, size %d", left, size)
-				g.Expect(whole).To(Equal(len(more) == 0 && size <= maxBufferedRequestBytes && (whole || size > 0)), "left %d, size %d, told %d", left, size, told)
-				g.Expect(a.available.Load()).To(And(BeNumerically(">=", 0), Equal(left-booked)))
-				g.Expect(int64(len(body))).To(BeNumerically("<=", uncountedBytes+booked))
+				g.Expect(whole).To(Equal(len(more) == 0 && size <= maxBufferedRequestBytes && (whole || size > 0)), "left %d, size %d, told %d", left, size, contentLength)
+				g.Expect(a.available.Load()).To(And(BeNumerically(">=", 0), Equal(left-reserved)))
+				g.Expect(int64(len(body))).To(BeNumerically("<=", uncountedBytes+reserved))
 			}
 		}
 	}
@@ -131,14 +131,14 @@
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Server-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n%s",
 			r.Header.Get("X-Attempt-Id"), len(long), long, end)
 	}
-	told := func(r *http.Request) string { return rawResponse(r, "200 OK", "X-Server-Seal: s\r\n", long) }
+	withLength := func(r *http.Request) string { return rawResponse(r, "200 OK", "X-Server-Seal: s\r\n", long) }
 	for name, c := range map[string]struct {
 		answer func(*http.Request) string
 		whole  bool
 	}{
-		"a length":            {told, true},
+		"a length":            {withLength, true},
 		"chunks":              {func(r *http.Request) string { return chunked(r, "0\r\n\r\n") }, true},
-		"a length, truncated": {func(r *http.Request) string { return told(r)[:400_000] + "<close>" }, false},
+		"a length, truncated": {func(r *http.Request) string { return withLength(r)[:400_000] + "<close>" }, false},
 		"chunks, truncated":   {func(r *http.Request) string { return chunked(r, "") + "<close>" }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -204,7 +204,7 @@
 func TestLimitsOfTheConfiguration(t *testing.T) {
 	const limits = `{"max_header_bytes":8000,"max_body_bytes":1000,"header_wait_s":3,"idle_s":15}`
 	const head = "GET /s/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: t\r\n"
-	gone := func(h *testEdge, conn net.Conn) time.Duration {
+	closedAfter := func(h *testEdge, conn net.Conn) time.Duration {
 		began := time.Now()
 		_, _ = io.Copy(io.Discard, conn)
 		return time.Since(began).Round(100 * time.Millisecond)
@@ -222,10 +222,10 @@
 
 			late := h.connectClient(s)
 			_, _ = io.WriteString(late, "GET /s/x HT")
-			h.g.Expect(gone(h, late)).To(Equal(3*time.Second), "a header has header_wait_s from its first byte")
+			h.g.Expect(closedAfter(h, late)).To(Equal(3*time.Second), "a header has header_wait_s from its first byte")
 
 			silent := h.connectClient(s)
-			h.g.Expect(gone(h, silent)).To(Equal(15*time.Second), "a connection without a request may stay for idle_s")
+			h.g.Expect(closedAfter(h, silent)).To(Equal(15*time.Second), "a connection without a request may stay for idle_s")
 
 			large := h.connectClient(s)
 			go func() { _, _ = io.WriteString(large, head+"X-Pad: "+strings.Repeat("x", 20_000)+"\r\n\r\n") }()
--- a/internal/edge/proxy/faults_test.go
+++ b/internal/edge/proxy/faults_test.go
@@ -145,19 +145,19 @@
 		h.request("GET", "/s/x", "")
 		u := h.upstreams.picker.Get("i-1").Attachment.(*upstream)
 		idle := u.idle[0].tracked
-		idle.Conn = refusing{idle.Conn} // it fails at the next write
+		idle.Conn = rejectingConn{idle.Conn} // it fails at the next write
 		h.g.Expect(h.request("POST", "/u/x", "x").Code).To(Equal(200))
 		h.g.Expect(h.received).To(HaveLen(2))
 		h.g.Expect(h.dials).To(Equal(2), "the same server on a new connection")
 	})
 }
 
-type refusing struct{ net.Conn }
+type rejectingConn struct{ net.Conn }
 
-func (refusing) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
+func (rejectingConn) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
 
 // Surplus bytes after a response, in the same segment, are never taken for the response to the next request.
-func TestSurplusBytesMeetNoRequest(t *testing.T) {
+func TestSurplusBytesAreNotTakenForTheNextResponse(t *testing.T) {
 	for i := range 200 {
 		runEdge(t, func(h *testEdge) {
 			h.scriptFirstRequest(func(r *http.Request) string { return goodResponse(r) + foreignResponse(r) }, "i-1")
@@ -169,7 +169,7 @@
 }
 
 // The attempt ID and the operation key are end-to-end headers, even if the client's Connection header lists them.
-func TestConnectionHeaderDropsNoIdentity(t *testing.T) {
+func TestConnectionHeaderCannotRemoveIDs(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		h.decideClaim = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
 			return idempotency.OutcomeGranted, nil
@@ -246,7 +246,7 @@
 }
 
 // An HTTP/1.0 client takes a close as the end of a response without a length, so a truncated one must end in a reset.
-func TestCutAnswerDoesNotLookWholeToOldClients(t *testing.T) {
+func TestTruncatedResponseLooksIncompleteToHTTP10Clients(t *testing.T) {
 	setup(t, func(h *testEdge) {
 		defer h.close()
 		h.setLimits(2, `{}`)
--- a/internal/edge/proxy/proxy_test.go
+++ b/internal/edge/proxy/proxy_test.go
@@ -104,8 +104,8 @@
 	defer h.mu.Unlock()
 	for _, r := range f.Claims {
 		if h.decideClaim != nil {
-			ruling, answer := h.decideClaim(r)
-			h.controllerEnd.Send(peer.ClaimOutcomes{{Token: r.Token, Outcome: ruling, Response: answer}})
+			outcome, response := h.decideClaim(r)
+			h.controllerEnd.Send(peer.ClaimOutcomes{{Token: r.Token, Outcome: outcome, Response: response}})
 		}
 	}
 	h.revoked = append(h.revoked, f.Revocations...)
@@ -309,12 +309,12 @@
 }
 
 func TestKeyedOperations(t *testing.T) {
-	stands := func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
+	grant := func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
 		return idempotency.OutcomeGranted, nil
 	}
 	t.Run("run once claimed, and their response is stored", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
-			h.decideClaim = stands
+			h.decideClaim = grant
 			h.addServer("i-1", goodResponse)
 			h.g.Expect(h.request("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(200))
 			h.g.Expect(h.stored).To(HaveLen(1))
@@ -355,13 +355,13 @@
 	})
 	t.Run("are revoked on proof that they never ran, and only then", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
-			h.decideClaim = stands
+			h.decideClaim = grant
 			h.addServer("i-1", rejectFull)
 			h.g.Expect(h.request("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(503))
 			h.g.Expect(h.revoked).To(HaveLen(1))
 		})
 		runEdge(t, func(h *testEdge) {
-			h.decideClaim = stands
+			h.decideClaim = grant
 			h.addServer("i-1", truncatedResponse)
 			h.g.Expect(h.request("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(502))
 			h.g.Expect(h.revoked).To(BeEmpty())
@@ -388,19 +388,19 @@
 		runEdge(t, func(h *testEdge) {
 			h.addServer("i-1", goodResponse)
 			near, far := net.Pipe()
-			guest, other := peer.NewLink(near), peer.NewLink(far)
-			defer guest.Close()
-			var claims, voids int
+			secondary, other := peer.NewLink(near), peer.NewLink(far)
+			defer secondary.Close()
+			var claims, revocations int
 			go func() {
 				_ = other.Read(func(messages []peer.Message) {
 					f := peer.FrameOf(messages...)
-					claims, voids = claims+len(f.Claims), voids+len(f.Revocations)
+					claims, revocations = claims+len(f.Claims), revocations+len(f.Revocations)
 				})
 			}()
-			h.session.secondary = guest
+			h.session.secondary = secondary
 			h.g.Expect(h.request("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(503))
 			h.g.Expect(claims).To(Equal(1))
-			h.g.Expect(voids).To(Equal(1))
+			h.g.Expect(revocations).To(Equal(1))
 		})
 	})
 	t.Run("need a key", func(t *testing.T) {
@@ -408,7 +408,7 @@
 	})
 	t.Run("are no longer pending once decided", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
-			h.decideClaim = stands
+			h.decideClaim = grant
 			h.addServer("i-1", goodResponse)
 			h.request("POST", "/k/x", "x", "X-Operation-Key", "k")
 			h.g.Expect(h.claims.pending).To(BeEmpty())
--- a/internal/edge/proxy/reservations_test.go
+++ b/internal/edge/proxy/reservations_test.go
@@ -51,9 +51,9 @@
 	`{"name":"t","path_prefix":"/s/","kind":"safe","deadline_s":2,"setpoint_s":0.4,"service":"tags","tries":2}]}]}`
 
 // setReservations announces reservations to the edge and leases it shares of them.
-func (h *testEdge) setReservations(list []reservation.Reservation, parts map[string]int, full map[string]bool) {
+func (h *testEdge) setReservations(list []reservation.Reservation, shares map[string]int, full map[string]bool) {
 	h.reservations.handleReservations(&peer.Reservations{Term: 3, List: list})
-	h.reservations.handleLease(reservation.Lease{Incarnation: h.Incarnation, Stamp: h.Now(), Term: 3, Seq: 1, Duration: 10 * time.Second, Shares: parts, Exhausted: full})
+	h.reservations.handleLease(reservation.Lease{Incarnation: h.Incarnation, Stamp: h.Now(), Term: 3, Seq: 1, Duration: 10 * time.Second, Shares: shares, Exhausted: full})
 }
 
 func TestOthersDoNotTakeAReservation(t *testing.T) {
@@ -66,8 +66,8 @@
 		h.setReservations(list, map[string]int{"flyer": 6, reservation.UnreservedID("tags"): 2}, map[string]bool{reservation.UnreservedID("tags"): true})
 		others := h.requestMany(30, "b.example")
 		time.Sleep(20 * time.Millisecond)
-		booked := h.requestMany(4, "a.example")
-		h.g.Expect(booked()).To(Equal(map[int]int{200: 4}), "while others send many times more than fits")
+		reserved := h.requestMany(4, "a.example")
+		h.g.Expect(reserved()).To(Equal(map[int]int{200: 4}), "while others send many times more than fits")
 		got := others()
 		h.g.Expect(got[200]).To(BeNumerically("<=", 6), "their own slots, lent ones, and those released within a fifth of the latency target")
 		h.g.Expect(got[503]).To(Equal(30 - got[200]))
@@ -91,12 +91,12 @@
 		list := []reservation.Reservation{{ID: "flyer", Tenant: "a.example", Service: "tags", Slots: 7}, {ID: reservation.UnreservedID("tags"), Service: "tags", Slots: 1}}
 		h.setReservations(list, map[string]int{"flyer": 7, reservation.UnreservedID("tags"): 1}, map[string]bool{reservation.UnreservedID("tags"): true})
 		lent := h.requestMany(3, "b.example")
-		booked := h.requestMany(1, "a.example")
+		reserved := h.requestMany(1, "a.example")
 		h.reservations.handleReservations(&peer.Reservations{Term: 3})
 		h.g.Expect(h.reservations.gates).To(HaveLen(1), "requests admitted by the gate are still running")
 		more := h.requestMany(4, "b.example")
 		h.g.Expect(lent()).To(Equal(map[int]int{200: 3}))
-		h.g.Expect(booked()).To(Equal(map[int]int{200: 1}))
+		h.g.Expect(reserved()).To(Equal(map[int]int{200: 1}))
 		h.g.Expect(more()).To(Equal(map[int]int{200: 4}))
 		h.reservations.sendDemand()
 		h.g.Expect(h.reservations.gates).To(BeEmpty())
@@ -137,8 +137,8 @@
 		h.reservations.handleReservations(&peer.Reservations{Term: 4, List: list})
 		h.reservations.handleLease(reservation.Lease{Incarnation: h.Incarnation, Stamp: h.Now(), Term: 3, Seq: 9, Duration: 10 * time.Second, Shares: map[string]int{reservation.UnreservedID("tags"): 8}})
 		others := h.requestMany(10, "b.example")
-		booked := h.requestMany(4, "a.example")
-		h.g.Expect(booked()).To(Equal(map[int]int{200: 4}))
+		reserved := h.requestMany(4, "a.example")
+		h.g.Expect(reserved()).To(Equal(map[int]int{200: 4}))
 		h.g.Expect(others()[200]).To(Equal(2))
 	})
 }
--- a/internal/edge/proxy/variants_test.go
+++ b/internal/edge/proxy/variants_test.go
@@ -162,17 +162,17 @@
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			body, _ := io.ReadAll(r.Body)
 			r.Body = io.NopCloser(bytes.NewReader(body))
-			told := httptest.NewRecorder()
-			edge.ServeHTTP(told, r)
-			if told.Code == http.StatusBadGateway {
+			recorded := httptest.NewRecorder()
+			edge.ServeHTTP(recorded, r)
+			if recorded.Code == http.StatusBadGateway {
 				r.Body = io.NopCloser(bytes.NewReader(body))
-				change(edge, told, r)
+				change(edge, recorded, r)
 			}
-			for name, values := range told.Header() {
+			for name, values := range recorded.Header() {
 				w.Header()[name] = values
 			}
-			w.WriteHeader(told.Code)
-			_, _ = w.Write(told.Body.Bytes())
+			w.WriteHeader(recorded.Code)
+			_, _ = w.Write(recorded.Body.Bytes())
 		})
 	}
 }
