--- a/internal/platform/httpconn/conn.go
+++ b/internal/platform/httpconn/conn.go
@@ -14,72 +14,74 @@
 	"mulleinwood/internal/platform/tcpstate"
 )
 
-// lingerTimeout bounds how long a connection whose sending side has ended is read on for its client's end. Clients end a
-// connection as soon as they see its end; this is for those that don't, and for links that hold the news back.
+// lingerTimeout limits how long a connection is read after its sending side was closed, until the client closes its side.
+// Clients do so as soon as they see the end of the stream; the limit is for clients that don't, and for slow links.
 const lingerTimeout = 500 * time.Millisecond
 
-// errClosing is what net/http reads from a connection that was closed. Of this form it takes it for an end of the connection; to
-// other errors it would answer 400.
+// errClosing is the read error of a closed connection. net/http treats an error of this form as the end of the connection;
+// to others it would respond with status 400.
 var errClosing = &net.OpError{Op: "read", Net: "tcp", Err: net.ErrClosed}
 
-// Timeouts are how long a client may take. Both have to be above 0.
+// Timeouts limits how long a client may take. Both durations must be positive.
 type Timeouts struct {
-	Header time.Duration // for the head of a request, from its first byte on
+	Header time.Duration // for the header of a request, from its first byte
 	Idle   time.Duration // for the first byte on a new connection
 }
 
-// connState is what a connection is used for.
+// connState is the state of a connection.
 type connState int
 
-// The states of a connection, in the order in which they follow each other; a busy one becomes idle again.
+// The states of a connection, in order; a busy connection may become idle again.
 const (
-	stateIdle    connState = iota // net/http waits for a request, and has read nothing of it
+	stateIdle    connState = iota // net/http waits for a request and has read no byte of it
 	stateBusy                     // a request is being read, served or answered
-	stateClosing                  // the stream to the client has ended: what still comes is dropped
+	stateClosing                  // the stream to the client has ended, and received bytes are discarded
 )
 
-// Conn is a client's connection. Net/http uses it as a net.Conn; the Tracker that made it ends it.
+// Conn is a client's connection. The net/http package uses it as a net.Conn; the Tracker that created it closes it when idle.
 type Conn struct {
 	net.Conn
 	tracker  *Tracker
 	timeouts Timeouts
-	raw      syscall.RawConn // nil: not a socket of the kernel
-
-	mu       sync.Mutex
-	state    connState
-	since    time.Time // the last change between waiting for a request and serving one
-	active   bool      // the head of a request was read, and its response has not left
-	answered bool      // a response has left, and net/http did not ask for more since
-	started  bool      // the first byte has come
-	// overrunUntil bounds time-outs that count as not fired; zero: none has fired over bytes that had arrived.
-	overrunUntil time.Time
-	closedAt     time.Time // when the stream to the client ended
-	measured     bool      // the client had not ended its own before
+	raw      syscall.RawConn // nil if the connection is not a kernel socket
+
+	mu            sync.Mutex
+	state         connState
+	since         time.Time // last change between waiting for a request and serving one
+	active        bool      // a request's header was read, and its response is not sent yet
+	responseSent  bool      // a response was sent, and net/http has not read since
+	firstByteRead bool      // the first byte was received
+	// overrunUntil is the time until which timeouts are ignored that fire although bytes have arrived; zero if none has.
+	lateTimeoutUntil  time.Time
+	closedAt          time.Time // when the stream to the client ended
+	measuresRoundTrip bool      // the client had not closed its side before
 }
 
 func newConn(accepted net.Conn, tracker *Tracker, timeouts Timeouts) *Conn {
 	c := &Conn{Conn: accepted, tracker: tracker, timeouts: timeouts, since: time.Now()}
 	if socket, ok := accepted.(syscall.Conn); ok {
-		c.raw, _ = socket.SyscallConn() // one that is closed already fails at the first read
+		c.raw, _ = socket.SyscallConn() // a closed one fails at the first read
 	}
 	return c
 }
 
-// SetReadDeadline is called by net/http before a header with the time that it may take. On a new connection that time counts
-// from the first byte on, since clients may connect ahead of what they send. A connection that is closing keeps its own.
+// SetReadDeadline implements net.Conn. net/http calls it with the header timeout before it reads a header. On a new connection
+// the idle timeout applies until the first byte, since clients may connect before they have a request to send. A closing
+// connection keeps its own deadline.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state == stateClosing {
 		return nil
 	}
-	if !c.started && !t.IsZero() && time.Until(t) > 0 {
+	if !c.firstByteRead && !t.IsZero() && time.Until(t) > 0 {
 		t = time.Now().Add(c.timeouts.Idle)
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// Read reads for net/http. What comes after the end of the stream to the client is dropped, until the client's own end.
+// Read implements net.Conn. After the end of the stream to the client, received bytes are discarded until the client closes
+// its side.
 func (c *Conn) Read(p []byte) (int, error) {
 	c.awaitRequest()
 	for {
@@ -87,10 +89,10 @@
 		switch {
 		case c.isClosing():
 			if err != nil {
-				c.observeClientEnd(err)
+				c.observeClientClose(err)
 				return 0, errClosing
 			}
-		case err != nil && c.overruns(err): // once more
+		case err != nil && c.ignoreTimeout(err): // read again
 		default:
 			if n > 0 {
 				c.beginHeaderTimeout()
@@ -100,17 +102,17 @@
 	}
 }
 
-// awaitRequest makes the connection idle if net/http asks for the first bytes after a response: it has nothing buffered then.
+// awaitRequest makes the connection idle if this is net/http's first read after a response: its buffer is empty then.
 func (c *Conn) awaitRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.answered && c.state == stateBusy {
+	if c.responseSent && c.state == stateBusy {
 		c.state = stateIdle
 	}
-	c.answered = false
+	c.responseSent = false
 }
 
-// readAndBecomeBusy reads, and makes the connection busy with the bytes that it takes from the kernel, as one step.
+// readAndBecomeBusy reads bytes from the kernel and makes the connection busy, in one step under the lock.
 func (c *Conn) readAndBecomeBusy(p []byte) (n int, err error) {
 	if c.raw == nil {
 		n, err = c.Conn.Read(p)
@@ -143,7 +145,7 @@
 	return n, nil
 }
 
-// readSocket reads once without waiting.
+// readSocket reads once without blocking.
 func readSocket(fd int, p []byte) (int, error) {
 	for {
 		n, err := unix.Read(fd, p)
@@ -154,53 +156,53 @@
 	}
 }
 
-// becomeBusy notes that so many bytes were read. The lock is held.
+// becomeBusy makes an idle connection busy if bytes were read. The caller must hold mu.
 func (c *Conn) becomeBusy(bytes int) {
 	if bytes > 0 && c.state == stateIdle {
 		c.state = stateBusy
 	}
 }
 
-// beginHeaderTimeout starts the time for the header with the first byte of a new connection.
+// beginHeaderTimeout starts the header timeout at the first byte of a new connection.
 func (c *Conn) beginHeaderTimeout() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.started && c.state != stateClosing {
-		c.started = true
-		_ = c.Conn.SetReadDeadline(time.Now().Add(c.timeouts.Header)) // a connection that is closed fails at the next read
+	if !c.firstByteRead && c.state != stateClosing {
+		c.firstByteRead = true
+		_ = c.Conn.SetReadDeadline(time.Now().Add(c.timeouts.Header)) // a closed connection fails at the next read
 	}
 }
 
-// overruns reports whether a time-out for a head fired although bytes had arrived by then, since the process was late. They are
-// read, then: for as long again as a head may take at most, so that a client can't go on so for ever.
-func (c *Conn) overruns(err error) bool {
+// ignoreTimeout reports whether a header timeout fired although bytes had arrived, because the process was delayed. The bytes are
+// then read within one more header timeout, so that a client can't extend its time indefinitely.
+func (c *Conn) ignoreTimeout(err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !errors.Is(err, os.ErrDeadlineExceeded) || c.active || !tcpstate.Readable(c.Conn) {
 		return false
 	}
 	now := time.Now()
-	if c.overrunUntil.IsZero() {
-		c.overrunUntil = now.Add(c.timeouts.Header)
+	if c.lateTimeoutUntil.IsZero() {
+		c.lateTimeoutUntil = now.Add(c.timeouts.Header)
 	}
-	return now.Before(c.overrunUntil) && c.Conn.SetReadDeadline(c.overrunUntil) == nil
+	return now.Before(c.lateTimeoutUntil) && c.Conn.SetReadDeadline(c.lateTimeoutUntil) == nil
 }
 
-// setActive notes that the head of a request was read.
+// setActive records that the header of a request was read.
 func (c *Conn) setActive() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.active, c.answered, c.since = true, false, time.Now()
-	if c.state == stateIdle { // its bytes came together with those of the previous request
+	c.active, c.responseSent, c.since = true, false, time.Now()
+	if c.state == stateIdle { // its bytes were read together with the previous request
 		c.state = stateBusy
 	}
 }
 
-// setAnswered notes that the response has left.
-func (c *Conn) setAnswered() {
+// setResponseSent records that the response was sent.
+func (c *Conn) setResponseSent() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.active, c.answered, c.since, c.overrunUntil = false, true, time.Now(), time.Time{}
+	c.active, c.responseSent, c.since, c.lateTimeoutUntil = false, true, time.Now(), time.Time{}
 }
 
 // isClosing reports whether the stream to the client has ended.
@@ -210,22 +212,22 @@
 	return c.state == stateClosing
 }
 
-// busy reports whether anything is left to be done on the connection: a request, or the client's end.
+// busy reports whether the connection has a request in progress, or is closing and waits for the client to close its side.
 func (c *Conn) busy() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state != stateIdle
 }
 
-// use tells whether a request is served on the connection, and since when that is so.
-func (c *Conn) use() (active bool, since time.Time) {
+// activity reports whether a request is being served on the connection, and since when that has been so.
+func (c *Conn) activity() (active bool, since time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.active, c.since
 }
 
-// closeIfIdle ends the stream to the client unless a request, or a part of one, has reached this machine. Net/http's read,
-// which waits, goes on until the client's end.
+// closeIfIdle ends the stream to the client unless a request, or a part of one, has arrived at this machine. The pending read
+// of net/http continues until the client closes its side.
 func (c *Conn) closeIfIdle() (result idleCloseResult) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -239,31 +241,29 @@
 	return idleClosed
 }
 
-// idleCloseResult is what became of closing an idle connection.
+// idleCloseResult is the result of closeIfIdle.
 type idleCloseResult int
 
 const (
-	idleClosed  idleCloseResult = iota
-	notIdle                     // a request is on it
-	unreadBytes                 // something has arrived that the process has not read
+	idleClosed  idleCloseResult = iota // the stream was ended
+	notIdle                            // a request is in progress
+	unreadBytes                        // bytes have arrived that the process has not read
 )
 
-// endStream ends the stream to the client. Where that can't be done, or has failed, nothing is waited for: the reads end at
-// once, and net/http closes the connection. It must not be closed here: the lock is held, and a close waits for a read that
-// waits for the lock.
+// endStream ends the stream to the client. If that isn't supported or fails, reads end immediately, and net/http closes the
+// connection. endStream must not close it: the caller holds mu, and a close waits for a pending read, which waits for mu.
 func (c *Conn) endStream() {
 	c.state, c.closedAt = stateClosing, time.Now()
 	until := c.closedAt
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
 		until = until.Add(lingerTimeout)
-		c.measured = !tcpstate.Readable(c.Conn)
+		c.measuresRoundTrip = !tcpstate.Readable(c.Conn)
 	}
-	_ = c.Conn.SetReadDeadline(until) // a connection that is closed ends the reads all the same
+	_ = c.Conn.SetReadDeadline(until) // on failure, the connection is closed, and reads end
 }
 
-// Close ends the connection for net/http, after a response or a failure. It ends the stream to the client, drops what still
-// comes, and returns when the client has ended its own stream or lingerTimeout is over: a close over unread bytes would be
-// a reset, which may take back the response.
+// Close implements net.Conn. It ends the stream to the client, discards received bytes, and returns when the client has closed
+// its side or lingerTimeout is over: closing a socket with unread bytes sends a reset, which may discard the response.
 func (c *Conn) Close() error {
 	c.mu.Lock()
 	lingers := c.state != stateClosing
@@ -273,12 +273,12 @@
 	c.mu.Unlock()
 	if lingers {
 		_, err := io.Copy(io.Discard, c.Conn)
-		c.observeClientEnd(err)
+		c.observeClientClose(err)
 	}
 	return c.Conn.Close()
 }
 
-// abort closes the connection at once, whatever is on it.
+// abort closes the connection immediately, even if requests are in progress.
 func (c *Conn) abort() {
 	c.mu.Lock()
 	c.state = stateClosing
@@ -286,25 +286,25 @@
 	closeConn(c.Conn)
 }
 
-// observeClientEnd hands on how long the client's end took after ours; err is what ended the reads.
-func (c *Conn) observeClientEnd(err error) {
+// observeClientClose records the time from the end of our stream to the client's; err is the error that ended the reads.
+func (c *Conn) observeClientClose(err error) {
 	if err != nil && !errors.Is(err, io.EOF) {
 		return
 	}
 	c.mu.Lock()
-	measured, span := c.measured, time.Since(c.closedAt)
+	measured, span := c.measuresRoundTrip, time.Since(c.closedAt)
 	c.mu.Unlock()
 	if measured {
 		c.tracker.roundTrips.observe(span)
 	}
 }
 
-// awaitsClient reports for how long the client's end has been waited for; ok: it is.
-func (c *Conn) awaitsClient(now time.Time) (span time.Duration, ok bool) {
+// awaitingClientClose reports whether the connection waits for the client to close its side, and for how long it has waited.
+func (c *Conn) awaitingClientClose(now time.Time) (span time.Duration, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return now.Sub(c.closedAt), c.state == stateClosing && c.measured
+	return now.Sub(c.closedAt), c.state == stateClosing && c.measuresRoundTrip
 }
 
-// closeConn closes a connection of which nothing more is expected, so that an error would change nothing.
+// closeConn closes a connection that isn't used any more, so that an error has no consequence.
 func closeConn(conn net.Conn) { _ = conn.Close() }
--- a/internal/platform/httpconn/conn_test.go
+++ b/internal/platform/httpconn/conn_test.go
@@ -20,7 +20,7 @@
 
 var testTimeouts = Timeouts{Header: time.Second, Idle: time.Second}
 
-// tcpPair is a tracked connection on a real socket, and its client's end.
+// tcpPair returns a tracked connection on a TCP socket, and its client's end.
 func tcpPair(t *testing.T, tracker *Tracker) (conn *Conn, client *net.TCPConn) {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -50,8 +50,8 @@
 	}
 }
 
-// A connection is closed only if nothing of a request has reached this machine, whether the process has read it or not.
-func TestIdleCloseMeetsWhatIsUnread(t *testing.T) {
+// An idle connection is closed only if no byte of a request has arrived at this machine, read by the process or not.
+func TestIdleCloseSkipsConnectionsWithUnreadBytes(t *testing.T) {
 	tracker := NewTracker(10)
 	conn, client := tcpPair(t, tracker)
 	mustWrite(t, client, "GET")
@@ -81,8 +81,7 @@
 	}
 }
 
-// A close and a request that cross each other, as often as the scheduler can be made to play them: either the request is read,
-// and the connection stays, or nothing of it is read.
+// A close races with a request: either the request is read and the connection stays open, or no byte of it is read.
 func TestCloseAndRequestExcludeEachOther(t *testing.T) {
 	tracker := NewTracker(1000)
 	read, closed := 0, 0
@@ -102,7 +101,7 @@
 		case n == 0 && err != nil && result == idleClosed:
 			closed++
 		default:
-			t.Fatalf("%d bytes read, %v, the close said %d", n, err, result)
+			t.Fatalf("%d bytes read, %v, the close returned %d", n, err, result)
 		}
 		client.Close()
 		_ = conn.Close()
@@ -111,8 +110,8 @@
 	t.Logf("%d requests read, %d connections closed first", read, closed)
 }
 
-// A response is not taken back by a reset: its client goes on sending while the connection ends, and gets it completely.
-func TestCloseLingersOverWhatTheClientStillSends(t *testing.T) {
+// A client that continues to send while the connection is closed receives the complete response: no reset discards it.
+func TestCloseLingersWhileTheClientSends(t *testing.T) {
 	tracker := NewTracker(10)
 	conn, client := tcpPair(t, tracker)
 	mustWrite(t, client, request+request) // the second one is never read
@@ -136,8 +135,8 @@
 	<-ended
 }
 
-// serveOn runs a net/http server on a listener by a tracker until both ends are told.
-func serveOn(t *testing.T, tracker *Tracker, handler http.HandlerFunc) (address string, listener net.Listener) {
+// serve runs a net/http server with tracked connections until the end of the test.
+func serve(t *testing.T, tracker *Tracker, handler http.HandlerFunc) (address string, listener net.Listener) {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -149,13 +148,12 @@
 	return listener.Addr().String(), listener
 }
 
-// Requests that are pipelined are answered, all of them, by a server that drains: a connection isn't idle while net/http
-// holds the next request.
+// A draining server answers all pipelined requests: a connection isn't idle while net/http has buffered the next request.
 func TestPipelinedRequestsAreAnsweredWhileDraining(t *testing.T) {
 	const requests = 20
 	tracker := NewTracker(10)
 	started, goOn := make(chan struct{}, requests), make(chan struct{})
-	address, listener := serveOn(t, tracker, func(http.ResponseWriter, *http.Request) {
+	address, listener := serve(t, tracker, func(http.ResponseWriter, *http.Request) {
 		started <- struct{}{}
 		<-goOn
 	})
@@ -190,12 +188,12 @@
 	<-drained
 }
 
-// The end of a server loses none of the requests that clients sent before it, however they and its end are mixed: each is
-// answered, or its connection was refused or ended before the request was sent.
+// A drain loses none of the requests that clients sent before it: each is answered, accepted or not and read or not when the
+// drain begins.
 func TestDrainAnswersAllThatArrived(t *testing.T) {
 	for round := range 30 {
 		tracker := NewTracker(1000)
-		address, listener := serveOn(t, tracker, func(http.ResponseWriter, *http.Request) {})
+		address, listener := serve(t, tracker, func(http.ResponseWriter, *http.Request) {})
 		var sent []net.Conn
 		for range 40 { // all are in the kernel when the drain begins: accepted or not, read or not
 			client, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", address)
@@ -223,10 +221,10 @@
 	}
 }
 
-// A refusal reaches a client that is still sending a long body: no reset takes it back.
+// A rejection reaches a client that is still sending a long body: no reset discards it.
 func TestRefusalOfALongBodyReachesItsClient(t *testing.T) {
 	tracker := NewTracker(10)
-	address, _ := serveOn(t, tracker, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusRequestEntityTooLarge) })
+	address, _ := serve(t, tracker, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusRequestEntityTooLarge) })
 	for range 5 {
 		client, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", address)
 		if err != nil {
@@ -248,18 +246,18 @@
 	}
 }
 
-// lateConn is a connection whose bytes have arrived when its time-out fires, but were not read.
-type lateConn struct {
+// lateTimeoutConn is a connection with unread bytes when its timeout fires.
+type lateTimeoutConn struct {
 	net.Conn
 	arrived string
 	left    int // deadlines that fire before the bytes are read
 }
 
-func (c *lateConn) Readable() bool { return c.arrived != "" }
+func (c *lateTimeoutConn) Readable() bool { return c.arrived != "" }
 
-func (c *lateConn) SetReadDeadline(time.Time) error { return nil }
+func (c *lateTimeoutConn) SetReadDeadline(time.Time) error { return nil }
 
-func (c *lateConn) Read(p []byte) (int, error) {
+func (c *lateTimeoutConn) Read(p []byte) (int, error) {
 	if c.left > 0 {
 		c.left--
 		return 0, os.ErrDeadlineExceeded
@@ -269,25 +267,25 @@
 	return n, nil
 }
 
-// A time-out that fires over bytes that have arrived is the process's own lateness: they are read. One that fires over
-// nothing, or again and again, counts.
+// A timeout that fires although bytes have arrived is caused by a delay of the process, so the bytes are read. A timeout
+// without received bytes, or beyond one more header timeout, closes the connection.
 func TestTimeoutsThatFireOverUnreadBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, c := range []struct {
 			name    string
-			conn    *lateConn
-			passes  time.Duration // since the first time-out
+			conn    *lateTimeoutConn
+			passes  time.Duration // since the first timeout
 			wantErr error
 		}{
-			{"bytes had arrived", &lateConn{arrived: "GET", left: 1}, 0, nil},
-			{"nothing had arrived", &lateConn{left: 1}, 0, os.ErrDeadlineExceeded},
-			{"a client that sends for ever", &lateConn{arrived: "GET", left: 1}, 2 * testTimeouts.Header, os.ErrDeadlineExceeded},
+			{"bytes had arrived", &lateTimeoutConn{arrived: "GET", left: 1}, 0, nil},
+			{"nothing had arrived", &lateTimeoutConn{left: 1}, 0, os.ErrDeadlineExceeded},
+			{"a client that sends for ever", &lateTimeoutConn{arrived: "GET", left: 1}, 2 * testTimeouts.Header, os.ErrDeadlineExceeded},
 		} {
 			near, far := net.Pipe()
 			c.conn.Conn = near
 			conn := newConn(c.conn, NewTracker(1), testTimeouts)
 			if c.passes > 0 {
-				conn.overrunUntil = time.Now().Add(testTimeouts.Header)
+				conn.lateTimeoutUntil = time.Now().Add(testTimeouts.Header)
 				time.Sleep(c.passes)
 			}
 			if _, err := conn.Read(make([]byte, 3)); !errors.Is(err, c.wantErr) {
@@ -299,35 +297,35 @@
 	})
 }
 
-// slowEnd is a connection whose client ends its stream some time after it was told of ours.
-type slowEnd struct {
+// slowCloseConn is a connection whose client closes its side some time after ours.
+type slowCloseConn struct {
 	net.Conn
-	takes time.Duration
-	ended chan struct{}
+	closeDelay time.Duration
+	ended      chan struct{}
 }
 
-func (c *slowEnd) CloseWrite() error {
-	time.AfterFunc(c.takes, func() { close(c.ended) })
+func (c *slowCloseConn) CloseWrite() error {
+	time.AfterFunc(c.closeDelay, func() { close(c.ended) })
 	return nil
 }
 
-func (c *slowEnd) Readable() bool { return false }
+func (c *slowCloseConn) Readable() bool { return false }
 
-func (c *slowEnd) Read([]byte) (int, error) {
+func (c *slowCloseConn) Read([]byte) (int, error) {
 	<-c.ended
 	return 0, io.EOF
 }
 
-func (c *slowEnd) SetReadDeadline(time.Time) error { return nil }
+func (c *slowCloseConn) SetReadDeadline(time.Time) error { return nil }
 
-// The path to the clients is clear if the last close's news came back in time, and none is waited for longer.
-func TestPathClearFollowsTheLastCloses(t *testing.T) {
+// RoundTripWithin reports true if the last close was confirmed within the bound, and no pending one exceeds it.
+func TestRoundTripWithinFollowsTheLastCloses(t *testing.T) {
 	const bound = 100 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		tracker := NewTracker(10)
 		closeOne := func(takes time.Duration) {
 			near, _ := net.Pipe()
-			conn := tracker.admit(&slowEnd{Conn: near, takes: takes, ended: make(chan struct{})}, testTimeouts)
+			conn := tracker.admit(&slowCloseConn{Conn: near, closeDelay: takes, ended: make(chan struct{})}, testTimeouts)
 			go func() {
 				_ = conn.Close()
 				tracker.SetState(conn, http.StateClosed)
@@ -337,7 +335,7 @@
 		expect := func(want bool, when string) {
 			t.Helper()
 			if tracker.RoundTripWithin(bound) != want {
-				t.Errorf("%s: the path is clear: %t", when, !want)
+				t.Errorf("%s: round trip within the bound: %t", when, !want)
 			}
 		}
 		expect(true, "nothing was closed")
@@ -356,13 +354,13 @@
 		closeOne(300 * time.Millisecond)
 		time.Sleep(400 * time.Millisecond)
 		expect(false, "the last close took 300 ms, a moment ago")
-		time.Sleep(roundTripAge)
-		expect(true, "that is long ago")
+		time.Sleep(maxRoundTripAge)
+		expect(true, "the last measurement has expired")
 	})
 }
 
-// Where there are too many connections the longest idle one makes room, but not one on which something has arrived.
-func TestEvictionSparesWhatIsUnread(t *testing.T) {
+// At the limit, the longest idle connection is evicted, but none with unread bytes.
+func TestEvictionSkipsConnectionsWithUnreadBytes(t *testing.T) {
 	tracker := NewTracker(2)
 	oldest, oldestClient := tcpPair(t, tracker)
 	mustWrite(t, oldestClient, request)
@@ -377,7 +375,7 @@
 	}
 }
 
-// heldSocket is a socket whose client has reset it: its close waits for reads that are under way, as that of a descriptor does.
+// heldSocket is a socket that its client has reset. Its close waits for pending reads, as that of a file descriptor does.
 type heldSocket struct {
 	net.Conn
 	reading sync.Mutex
@@ -410,7 +408,7 @@
 	return nil
 }
 
-// socketOf hides the methods of a heldSocket that net.Conn has otherwise.
+// socketOf combines a heldSocket with the remaining methods of net.Conn.
 type socketOf struct {
 	*heldSocket
 	net.Conn
@@ -420,8 +418,8 @@
 func (s socketOf) Read([]byte) (int, error)    { return 0, os.ErrDeadlineExceeded }
 func (s socketOf) Write(p []byte) (int, error) { return s.Conn.Write(p) }
 
-// A close that fails, since the client has just reset the connection, doesn't wait for a read that waits for the close.
-func TestCloseAndAResetExcludeADeadlock(t *testing.T) {
+// A close that fails because the client has just reset the connection must not deadlock with a pending read.
+func TestCloseDuringAResetDoesNotDeadlock(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	socket := socketOf{&heldSocket{woken: make(chan struct{}), begun: make(chan struct{})}, near}
@@ -445,20 +443,20 @@
 	}
 }
 
-// failingListener fails before it has a connection.
+// failingListener fails without accepting a connection.
 type failingListener struct{ net.Listener }
 
 func (failingListener) Accept() (net.Conn, error) {
 	return nil, fmt.Errorf("accept: %w", net.ErrClosed)
 }
 
-// A listener that fails says so, and leaves nothing that an end would wait for.
+// An accept error is returned, and leaves no state that a drain would wait for.
 func TestAcceptFails(t *testing.T) {
 	tracker := NewTracker(1)
 	if _, err := tracker.Accept(failingListener{}, func() Timeouts { return testTimeouts }); !errors.Is(err, net.ErrClosed) {
 		t.Error(err)
 	}
 	if tracker.accepting.Load() != 0 || tracker.Busy() != 0 {
-		t.Error("something is waited for")
+		t.Error("a failed accept is still counted")
 	}
 }
--- a/internal/platform/httpconn/listener.go
+++ b/internal/platform/httpconn/listener.go
@@ -9,8 +9,8 @@
 	timeouts Timeouts
 }
 
-// Listener wraps a listener for a server whose limits don't change: what it accepts is tracked. The server's ConnState has
-// to be the tracker's SetState.
+// Listener wraps a listener so that accepted connections are tracked, with fixed timeouts. The server's ConnState must be the
+// tracker's SetState.
 func (t *Tracker) Listener(listener net.Listener, timeouts Timeouts) net.Listener {
 	return &trackedListener{Listener: listener, conns: t, timeouts: timeouts}
 }
--- a/internal/platform/httpconn/tracker.go
+++ b/internal/platform/httpconn/tracker.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// maxLingerShare is the share of the connections that may linger after they made room for others: a flood of new ones
-	// must not hold descriptors by closing.
-	maxLingerShare = 0.25
-	// roundTripAge is how long the last close's round trip says something about the way to the clients.
-	roundTripAge = lingerTimeout
+	// maxLingeringShare is the largest fraction of the connections that may linger after eviction: a flood of new connections
+	// must not occupy file descriptors by lingering.
+	maxLingeringShare = 0.25
+	// maxRoundTripAge is how long a measured round trip is considered valid.
+	maxRoundTripAge = lingerTimeout
 )
 
-// Tracker holds all connections of clients, and ends those that are not needed any more. It is safe for concurrent use.
+// Tracker contains all clients' connections, and closes those that are no longer needed. It is safe for concurrent use.
 type Tracker struct {
 	limit      int
 	roundTrips roundTrips
@@ -29,10 +29,10 @@
 	lastAccept time.Time
 }
 
-// NewTracker makes a tracker of at most so many connections.
+// NewTracker returns a tracker of at most limit connections.
 func NewTracker(limit int) *Tracker { return &Tracker{limit: limit, conns: map[*Conn]struct{}{}} }
 
-// Accept waits for a connection and takes it in. One for which there is no room is closed. Its errors are the listener's.
+// Accept waits for a connection and tracks it. Connections beyond the limit are closed. Its errors are the listener's.
 func (t *Tracker) Accept(listener net.Listener, timeouts func() Timeouts) (*Conn, error) {
 	t.accepting.Add(1)
 	defer t.accepting.Add(-1)
@@ -48,19 +48,19 @@
 	}
 }
 
-// LastAccept is when the last connection was taken in; zero: none was.
+// LastAccept returns when the last connection was accepted, or the zero time if none was.
 func (t *Tracker) LastAccept() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lastAccept
 }
 
-// admit takes in a new connection. Where there are too many, the one that has been idle for longest makes room, or else the
-// one that has been sending the head of a request for longest; nil: there is none, and the connection was not taken.
+// admit tracks a new connection. At the limit, it evicts the connection that has been idle longest, or else the one that has
+// been sending the header of a request longest. It returns nil if neither exists.
 func (t *Tracker) admit(accepted net.Conn, timeouts Timeouts) *Conn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.conns) >= t.limit && !t.evictIdle() && !t.evictUnread() {
+	if len(t.conns) >= t.limit && !t.evictIdle() && !t.evictIncomplete() {
 		return nil
 	}
 	conn := newConn(accepted, t, timeouts)
@@ -69,7 +69,8 @@
 	return conn
 }
 
-// evictIdle closes the connection that has been idle for longest. One on which something has arrived meanwhile is passed over.
+// evictIdle closes the connection that has been idle longest, skipping those with unread bytes. It reports whether there was
+// one. The caller must hold mu.
 func (t *Tracker) evictIdle() bool {
 	lingers := 0
 	for conn := range t.conns {
@@ -79,12 +80,12 @@
 	}
 	passedOver := map[*Conn]bool{}
 	for {
-		conn := t.longest(func(c *Conn) bool { return !c.busy() && !passedOver[c] })
+		conn := t.longestInState(func(c *Conn) bool { return !c.busy() && !passedOver[c] })
 		switch {
 		case conn == nil:
 			return false
 		case conn.closeIfIdle() == idleClosed:
-			if float64(lingers) >= maxLingerShare*float64(t.limit) {
+			if float64(lingers) >= maxLingeringShare*float64(t.limit) {
 				conn.abort()
 			}
 			return true
@@ -93,10 +94,11 @@
 	}
 }
 
-// evictUnread closes the connection whose request has been waited for the longest, without its head being complete.
-func (t *Tracker) evictUnread() bool {
-	conn := t.longest(func(c *Conn) bool {
-		active, _ := c.use()
+// evictIncomplete closes the connection that has been waiting longest for the complete header of a request. It reports whether
+// there was one. The caller must hold mu.
+func (t *Tracker) evictIncomplete() bool {
+	conn := t.longestInState(func(c *Conn) bool {
+		active, _ := c.activity()
 		return !active && !c.isClosing()
 	})
 	if conn == nil {
@@ -106,11 +108,12 @@
 	return true
 }
 
-// longest finds, among the connections that are eligible, the one that has been in its state for longest; nil: none is.
-func (t *Tracker) longest(eligible func(*Conn) bool) (oldest *Conn) {
+// longestInState returns the eligible connection that has been in its state longest, or nil if none is eligible. The caller
+// must hold mu.
+func (t *Tracker) longestInState(eligible func(*Conn) bool) (oldest *Conn) {
 	var oldestSince time.Time
 	for conn := range t.conns {
-		_, since := conn.use()
+		_, since := conn.activity()
 		if eligible(conn) && (oldest == nil || since.Before(oldestSince)) {
 			oldest, oldestSince = conn, since
 		}
@@ -118,7 +121,7 @@
 	return oldest
 }
 
-// SetState follows what net/http says of a connection: it is the server's ConnState.
+// SetState updates a connection from net/http's state of it. It must be the server's ConnState.
 func (t *Tracker) SetState(c net.Conn, state http.ConnState) {
 	conn, ok := c.(*Conn)
 	if !ok {
@@ -128,13 +131,13 @@
 	case http.StateActive:
 		conn.setActive()
 	case http.StateIdle:
-		conn.setAnswered()
+		conn.setResponseSent()
 	case http.StateClosed, http.StateHijacked:
 		t.forget(conn)
 	}
 }
 
-// Drop closes a connection that no server took.
+// Drop removes a connection and closes it immediately.
 func (t *Tracker) Drop(conn *Conn) {
 	t.forget(conn)
 	conn.abort()
@@ -146,7 +149,7 @@
 	delete(t.conns, conn)
 }
 
-// all gives the connections as they are now.
+// all returns the current connections.
 func (t *Tracker) all() []*Conn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -157,8 +160,8 @@
 	return all
 }
 
-// Busy counts the connections on which a request is being read, served or answered, on which something has arrived that was not
-// read, or whose client's end is awaited.
+// Busy returns the number of connections that have a request in progress, have unread bytes, or wait for the client to close
+// its side.
 func (t *Tracker) Busy() (count int) {
 	for _, conn := range t.all() {
 		if conn.busy() || tcpstate.Readable(conn.Conn) {
@@ -168,12 +171,12 @@
 	return count
 }
 
-// CloseIdle closes the connections that have been idle for so long, unless something has arrived on them. It counts those
-// that it closed, and those that it passed over since something had arrived that the process had not read.
+// CloseIdle closes the connections that have been idle for at least minIdle, except those with unread bytes. It returns the
+// numbers of closed connections and of those skipped because of unread bytes.
 func (t *Tracker) CloseIdle(minIdle time.Duration) (closed, unread int) {
 	now := time.Now()
 	for _, conn := range t.all() {
-		if active, since := conn.use(); active || now.Sub(since) < minIdle {
+		if active, since := conn.activity(); active || now.Sub(since) < minIdle {
 			continue
 		}
 		switch conn.closeIfIdle() {
@@ -187,12 +190,13 @@
 	return closed, unread
 }
 
-// CloseStale closes what has been idle, or busy with one request, for too long.
+// CloseStale closes connections that have been idle for at least maxIdle, and aborts those that have been busy with one
+// request, or waiting without unread bytes, for more than maxActive.
 func (t *Tracker) CloseStale(maxIdle, maxActive time.Duration) {
 	t.CloseIdle(maxIdle)
 	now := time.Now()
 	for _, conn := range t.all() {
-		active, since := conn.use()
+		active, since := conn.activity()
 		if now.Sub(since) <= maxActive || conn.isClosing() {
 			continue
 		}
@@ -202,30 +206,30 @@
 	}
 }
 
-// Abort closes all connections at once.
+// Abort closes all connections immediately.
 func (t *Tracker) Abort() {
 	for _, conn := range t.all() {
 		conn.abort()
 	}
 }
 
-// RoundTripWithin reports whether a client learns of a close, and this process of the client's, within a bound, as far as the last
-// closes show. Only then may a connection be closed at will: a request that crosses the close was sent no longer before its
-// client sees the end. Where nothing was closed lately and nothing waits, the way to the clients counts as free.
+// RoundTripWithin reports whether the round trip to the clients, from a close to the client's own close, is at most bound
+// according to the recent closes. Idle connections should be closed only then: a request that is lost to the close was sent
+// at most that long before its client sees the close. Without a recent or pending close, it reports true.
 func (t *Tracker) RoundTripWithin(bound time.Duration) bool {
-	if t.roundTrips.last(roundTripAge) > bound {
+	if t.roundTrips.last(maxRoundTripAge) > bound {
 		return false
 	}
 	now := time.Now()
 	for _, conn := range t.all() {
-		if span, ok := conn.awaitsClient(now); ok && span > bound {
+		if span, ok := conn.awaitingClientClose(now); ok && span > bound {
 			return false
 		}
 	}
 	return true
 }
 
-// Unsent is how many bytes were written to clients and did not reach them yet.
+// Unsent returns the number of bytes that were written to clients and not received by them yet.
 func (t *Tracker) Unsent() (bytes int) {
 	for _, conn := range t.all() {
 		bytes += tcpstate.Unsent(conn.Conn)
@@ -233,25 +237,25 @@
 	return bytes
 }
 
-// roundTrips holds the last time from a close to its client's own.
+// roundTrips contains the last measured time from a close to the client's close. It is safe for concurrent use.
 type roundTrips struct {
-	mu   sync.Mutex
-	at   time.Time
-	span time.Duration
+	mu         sync.Mutex
+	observedAt time.Time
+	duration   time.Duration
 }
 
 func (r *roundTrips) observe(span time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.at, r.span = time.Now(), span
+	r.observedAt, r.duration = time.Now(), span
 }
 
-// last is the last one, if it is not older than that; 0: there is none.
+// last returns the last measurement, or 0 if there is none or it is older than maxAge.
 func (r *roundTrips) last(maxAge time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if time.Since(r.at) > maxAge {
+	if time.Since(r.observedAt) > maxAge {
 		return 0
 	}
-	return r.span
+	return r.duration
 }
