--- a/internal/edge/proxy/bodies_test.go
+++ b/internal/edge/proxy/bodies_test.go
@@ -116,7 +116,7 @@
 				g.Expect(err).NotTo(HaveOccurred())
 				more, _ := io.ReadAll(src)
 				g.Expect(string(body)+string(more) == text).To(BeTrue(), "left %d, size %d", left, size)
-				g.Expect(whole).To(Equal(len(more) == 0 && size <= maxBufferedRequestBytes && (whole || size > 0)), "left %d, size %d, told %d", left, size, contentLength)
+				g.Expect(whole).To(Equal(len(more) == 0 && size <= maxBufferedRequestBytes && (whole || size > 0)), "left %d, size %d, length %d", left, size, contentLength)
 				g.Expect(a.available.Load()).To(And(BeNumerically(">=", 0), Equal(left-reserved)))
 				g.Expect(int64(len(body))).To(BeNumerically("<=", uncountedBytes+reserved))
 			}
@@ -218,7 +218,7 @@
 			go func() { _, _ = io.WriteString(before, head+"X-Pad: "+strings.Repeat("x", 20_000)+"\r\n\r\n") }()
 			resp, err := http.ReadResponse(bufio.NewReader(before), nil)
 			h.g.Expect(err).NotTo(HaveOccurred())
-			h.g.Expect(resp.StatusCode).To(Equal(200), "an established connection keeps the former limits")
+			h.g.Expect(resp.StatusCode).To(Equal(200), "an established connection keeps the previous limits")
 
 			late := h.connectClient(s)
 			_, _ = io.WriteString(late, "GET /s/x HT")
--- a/internal/edge/proxy/matrix_test.go
+++ b/internal/edge/proxy/matrix_test.go
@@ -138,7 +138,7 @@
 	armed    bool
 	served   sync.WaitGroup
 	answer   func(id string) string  // replaces the good response, if set
-	keepConn bool                    // the connection may be reused after answer
+	keepConn bool                    // the connection may be reused after the scripted response
 	wrapConn func(net.Conn) net.Conn // plants a fault in the edge's connections
 	single   bool                    // there is only one server
 }
