--- a/internal/edge/proxy/connection_end_test.go
+++ b/internal/edge/proxy/connection_end_test.go
@@ -11,12 +11,12 @@
 	. "github.com/onsi/gomega"
 )
 
-// shuttingDownOn has an edge serve a listener and shut down. The scenario begins with the shutdown; when it returns, the
-// edge has ended.
-func shuttingDownOn(t *testing.T, play func(h *testEdge, listener *linkedListener)) {
+// runShutdownOn runs a scenario while an edge serves a listener and shuts down. The scenario begins with the shutdown. The
+// edge has ended when runShutdownOn returns.
+func runShutdownOn(t *testing.T, play func(h *testEdge, listener *linkedListener)) {
 	runEdge(t, func(h *testEdge) {
-		h.runOn(t)
-		h.addServer("i-1", works(h, 50*time.Millisecond))
+		h.continueOnFailure(t)
+		h.addServer("i-1", respondAfter(h, 50*time.Millisecond))
 		listener := newLinkedListener()
 		served, ended := make(chan struct{}), make(chan struct{})
 		go func() {
@@ -31,15 +31,15 @@
 		play(h, listener)
 		<-ended
 		<-served
-		time.Sleep(time.Minute) // what lingers ends
+		time.Sleep(time.Minute) // lingering connections end
 		close(h.clients.handoff.closed)
 		h.clients.conns.CloseStale(0, 0)
 		synctest.Wait()
 	})
 }
 
-// clientsThatCome has a client connect and send a request each 100 ms for a while, as long as the platform sends clients.
-func clientsThatCome(l *link, listener *linkedListener, until time.Duration) {
+// connectClients connects a new client each 100 ms, which sends a request, as while the platform still sends clients.
+func connectClients(l *link, listener *linkedListener, until time.Duration) {
 	const gap = 100 * time.Millisecond
 	for range int(until / gap) {
 		listener.arrive(l.connect()).send(wireRequest("s", "2000"))
@@ -47,16 +47,16 @@
 	}
 }
 
-// Issue 54's incident: 2.46 s after SIGTERM a client sends a request on a connection that it kept. The links are full, so
-// that the request, and the news that the edge closes idle connections, are under way for some tenths of a second.
+// Issue 54: 2.46 s after SIGTERM a client sends a request on an idle connection. The links are congested, so that the request
+// and the edge's close of idle connections take some tenths of a second to arrive.
 func TestRequestOnAFullLinkIsNotLostToTheCloseOfIdleConnections(t *testing.T) {
 	const sentAfter = 2460 * time.Millisecond
 	for _, delay := range []time.Duration{120 * time.Millisecond, 200 * time.Millisecond, 320 * time.Millisecond} {
-		shuttingDownOn(t, func(_ *testEdge, listener *linkedListener) {
+		runShutdownOn(t, func(_ *testEdge, listener *linkedListener) {
 			startedAt := time.Now()
 			full := &link{delay: delay}
 			kept := listener.arrive(full.connect())
-			clientsThatCome(full, listener, 2400*time.Millisecond)
+			connectClients(full, listener, 2400*time.Millisecond)
 			time.Sleep(sentAfter - time.Since(startedAt))
 			kept.send(wireRequest("s", "2000"))
 			if len(kept.responses()) == 0 {
@@ -67,22 +67,22 @@
 	}
 }
 
-// A request has reached the edge's kernel, and the edge, which is late, has not read it when it closes idle connections, or
-// when it decides that no request comes any more.
+// A request has arrived in the kernel, but the edge, which is delayed, has not read it when it closes idle connections or
+// decides that no more requests arrive.
 func TestRequestThatIsUnreadIsNotLostToTheCloseOfIdleConnections(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct{ connected, sent time.Duration }{ // after SIGTERM
 		{0, 2300 * ms}, {0, 2400 * ms}, {0, 2480 * ms}, {2120 * ms, 2600 * ms}, {2600 * ms, 3050 * ms}, {2750 * ms, 3230 * ms},
 	} {
-		shuttingDownOn(t, func(_ *testEdge, listener *linkedListener) {
+		runShutdownOn(t, func(_ *testEdge, listener *linkedListener) {
 			startedAt := time.Now()
 			at := func(after time.Duration) { time.Sleep(time.Until(startedAt.Add(after))) }
-			go func() { // another client keeps the edge up
+			go func() { // another client keeps the edge from ending
 				at(2400 * ms)
 				listener.arrive((&link{}).connect()).send(wireRequest("s", "2000"))
 			}()
 			at(c.connected)
-			kept := listener.arrive((&link{late: 400 * ms}).connect())
+			kept := listener.arrive((&link{readDelay: 400 * ms}).connect())
 			at(c.sent)
 			kept.send(wireRequest("s", "2000"))
 			if len(kept.responses()) == 0 {
@@ -92,13 +92,13 @@
 	}
 }
 
-// A client's connection is complete in the kernel, its request too, and the edge, which is late, has not accepted it when
-// it decides that no request comes any more.
+// A connection and its request have arrived in the kernel, but the edge, which is delayed, has not accepted the connection
+// when it decides that no more requests arrive.
 func TestConnectionThatIsNotAcceptedIsNotLostToTheEndOfTheProcess(t *testing.T) {
-	shuttingDownOn(t, func(_ *testEdge, listener *linkedListener) {
+	runShutdownOn(t, func(_ *testEdge, listener *linkedListener) {
 		time.Sleep(2 * time.Second)
 		listener.gate = make(chan struct{})
-		accepted := listener.arrive((&link{}).connect()) // by the accept that was under way
+		accepted := listener.arrive((&link{}).connect()) // by the pending call of Accept
 		late := listener.arrive((&link{}).connect())
 		late.send(wireRequest("s", "2000"))
 		accepted.send(wireRequest("s", "2000"))
@@ -110,16 +110,17 @@
 	})
 }
 
-// A server that takes clients' connections is replaced, by other limits, while one is being handed to it: the next one takes it.
+// The server for new connections is replaced, because the limits changed, while a connection is handed to it: its successor
+// serves the connection.
 func TestConnectionIsHandedToTheServerThatReplacesItsOwn(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		h.runOn(t)
-		h.addServer("i-1", works(h, 50*time.Millisecond))
-		h.opened(func(s street) {
+		h.continueOnFailure(t)
+		h.addServer("i-1", respondAfter(h, 50*time.Millisecond))
+		h.serveClients(func(s pipeListener) {
 			stuck := &handoffListener{in: make(chan net.Conn), closed: make(chan struct{}), addr: s.Addr(), timeouts: h.clients.current().timeouts}
 			h.clients.mu.Lock()
 			serving := h.clients.handoff
-			h.clients.handoff = stuck // its server doesn't come to accept
+			h.clients.handoff = stuck // its server doesn't call Accept
 			h.clients.mu.Unlock()
 			client := (&link{}).connect()
 			s.in <- client.edgeEnd
@@ -138,7 +139,7 @@
 	})
 }
 
-// flakyListener fails before each connection, as for lack of a descriptor.
+// flakyListener fails before each connection, as for lack of a file descriptor.
 type flakyListener struct {
 	net.Listener
 	failures int
@@ -151,10 +152,10 @@
 	return l.Listener.Accept()
 }
 
-// Accepting goes on after a failure that passes.
+// Accepting continues after a temporary failure.
 func TestAcceptingGoesOnAfterAFailure(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		h.addServer("i-1", good)
+		h.addServer("i-1", goodResponse)
 		listener, done := newLinkedListener(), make(chan struct{})
 		go func() {
 			_ = h.clients.serve(&flakyListener{Listener: listener})
@@ -173,20 +174,20 @@
 	})
 }
 
-// A process that runs late has that much less of its grace: it learns of the SIGTERM late and does late what is due at the end.
+// The scheduling delay of the process shortens its grace: it notices SIGTERM late and runs the final steps late.
 func TestShutdownFollowsTheLatenessOfTheProcess(t *testing.T) {
 	const grace = 6 * time.Second
 	for _, late := range []time.Duration{0, 90 * time.Millisecond, 240 * time.Millisecond, 3 * time.Second} {
 		counted := min(late, grace/maxLatenessShare)
 		s := newShutdownSchedule(0, grace, late)
 		if last := grace - counted - exitReserve; s.exitBy+counted > last {
-			t.Errorf("late by %s: the process ends after %s, and may be %s late with that", late, s.exitBy, counted)
+			t.Errorf("late by %s: the process ends after %s, possibly %s later", late, s.exitBy, counted)
 		}
 		if s.respondBy+flushReserve > s.exitBy || s.respondBy < grace-grace/minResponseShare {
-			t.Errorf("late by %s: what is accepted is answered by %s, of %s", late, s.respondBy, s.exitBy)
+			t.Errorf("late by %s: accepted requests are answered by %s, of %s", late, s.respondBy, s.exitBy)
 		}
-		if s.openUntil != openAdmission {
-			t.Errorf("late by %s: open until %s", late, s.openUntil)
+		if s.admitAllUntil != admitAllDuration {
+			t.Errorf("late by %s: all requests are admitted until %s", late, s.admitAllUntil)
 		}
 	}
 }
--- a/internal/edge/proxy/proxy_test.go
+++ b/internal/edge/proxy/proxy_test.go
@@ -26,7 +26,7 @@
 	"mulleinwood/internal/platform/nodesettings"
 )
 
-const settings = `
+const testSettings = `
 node: "edge-1"
 ip: "10.0.0.1"
 zone: "hall"
@@ -35,44 +35,45 @@
 bounds: ["retry_ratio=0.5,retry_slack=40"]
 `
 
-const plan = `{"version":"r1","services":[{"name":"tags"}],"limits":{"max_body_bytes":100},"plants":[{"plant":"a.example","channels":[` +
+const testConfig = `{"version":"r1","services":[{"name":"tags"}],"limits":{"max_body_bytes":100},"plants":[{"plant":"a.example","channels":[` +
 	`{"name":"s","path_prefix":"/s/","kind":"safe","deadline_s":2,"setpoint_s":0.4,"service":"tags","tries":2},` +
 	`{"name":"u","path_prefix":"/u/","kind":"unsafe","deadline_s":2,"setpoint_s":0.4,"service":"tags","tries":2},` +
 	`{"name":"k","path_prefix":"/k/","kind":"keyed","deadline_s":2,"setpoint_s":0.4,"service":"tags","tries":2}]}]}`
 
-// testEdge is an edge among scripted peers, on a fake clock.
+// testEdge is an edge with scripted servers and a scripted controller, on a fake clock.
 type testEdge struct {
 	*Proxy
 	g             *WithT
 	mu            sync.Mutex
-	servers       map[string]func(*http.Request) string // by address: the bytes of an answer; none, or <stall> at the end, hangs
-	received      []*http.Request                       // what servers were sent
+	servers       map[string]func(*http.Request) string // by address: returns the bytes of a response; the server hangs after an empty one or the suffix <stall>, and closes after <close>
+	received      []*http.Request                       // requests received by servers
 	bodies        []string
 	dials         int
-	decide        func(idempotency.Record) (idempotency.Outcome, *idempotency.Response)
+	decideClaim   func(idempotency.Record) (idempotency.Outcome, *idempotency.Response)
 	revoked       []idempotency.Record
-	kept          []idempotency.Record
+	stored        []idempotency.Record
 	controllerEnd *peer.Link
 }
 
-func runEdge(t *testing.T, play func(*testEdge)) {
+// runEdge runs a scenario with a testEdge on a fake clock.
+func runEdge(t *testing.T, scenario func(*testEdge)) {
 	synctest.Test(t, func(t *testing.T) {
 		setup(t, func(h *testEdge) {
 			defer synctest.Wait()
 			defer h.close()
-			play(h)
+			scenario(h)
 		})
 	})
 }
 
-// setup makes a hall without a clock of its own.
-func setup(t *testing.T, play func(*testEdge)) {
+// setup runs a scenario with a testEdge on the clock of its caller.
+func setup(t *testing.T, scenario func(*testEdge)) {
 	g := NewWithT(t)
-	set, err := nodesettings.Parse("test", []byte(settings))
+	set, err := nodesettings.Parse("test", []byte(testSettings))
 	g.Expect(err).NotTo(HaveOccurred())
 	h := &testEdge{Proxy: New(node.Config{Settings: set, Logger: log.NewNopLogger()}), g: g, servers: map[string]func(*http.Request) string{}}
 	h.upstreams.dial = h.dial
-	g.Expect(h.applyConfig(&peer.Config{Version: 1, Snapshot: []byte(plan)})).To(BeTrue())
+	g.Expect(h.applyConfig(&peer.Config{Version: 1, Snapshot: []byte(testConfig)})).To(BeTrue())
 	near, far := net.Pipe()
 	link := peer.NewLink(near)
 	h.session.link = link
@@ -85,10 +86,10 @@
 		})
 	}()
 	go func() { _ = h.controllerEnd.Read(h.handleAtController) }()
-	play(h)
+	scenario(h)
 }
 
-// close ends what runs beside the edge.
+// close closes the links to the controller and the idle connections to servers.
 func (h *testEdge) close() {
 	h.session.link.Close()
 	h.controllerEnd.Close()
@@ -102,13 +103,13 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, r := range f.Claims {
-		if h.decide != nil {
-			ruling, answer := h.decide(r)
-			h.controllerEnd.Send(peer.ClaimOutcomes{{Token: r.Token, Outcome: ruling, Response: answer}})
+		if h.decideClaim != nil {
+			outcome, response := h.decideClaim(r)
+			h.controllerEnd.Send(peer.ClaimOutcomes{{Token: r.Token, Outcome: outcome, Response: response}})
 		}
 	}
 	h.revoked = append(h.revoked, f.Revocations...)
-	h.kept = append(h.kept, f.Responses...)
+	h.stored = append(h.stored, f.Responses...)
 }
 
 // dial connects to a scripted server.
@@ -118,7 +119,7 @@
 	h.dials++
 	h.mu.Unlock()
 	if answer == nil {
-		return nil, fmt.Errorf("nobody at %s", address)
+		return nil, fmt.Errorf("no server at %s", address)
 	}
 	near, far := net.Pipe()
 	go func() {
@@ -140,7 +141,7 @@
 				_, _ = io.WriteString(far, text)
 			}
 			if text == "" && !closes || stalls {
-				_, _ = io.Copy(io.Discard, in) // hangs until the caller goes
+				_, _ = io.Copy(io.Discard, in) // hangs until the edge closes the connection
 				return
 			}
 			if _, err := io.WriteString(far, text); err != nil || closes {
@@ -151,7 +152,7 @@
 	return near, nil
 }
 
-// addServer adds a server with a script.
+// addServer adds a server that sends the responses of a script.
 func (h *testEdge) addServer(id string, answer func(*http.Request) string) {
 	h.mu.Lock()
 	h.servers[id+":80"] = answer
@@ -180,21 +181,25 @@
 	return w
 }
 
-func reply(r *http.Request, status, extra, body string) string {
+func rawResponse(r *http.Request, status, extra, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %s\r\nX-Attempt-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, r.Header.Get("X-Attempt-Id"), extra, len(body), body)
 }
 
-func good(r *http.Request) string { return reply(r, "200 OK", "X-Server-Seal: seal\r\n", "bytes") }
-func full(r *http.Request) string { return reply(r, "503 Full", "X-Not-Run: 1\r\n", "") }
-func hang(*http.Request) string   { return "" }
-func cut(r *http.Request) string  { return strings.TrimSuffix(good(r), "tes") + "<close>" }
-func other(*http.Request) string {
+func goodResponse(r *http.Request) string {
+	return rawResponse(r, "200 OK", "X-Server-Seal: seal\r\n", "bytes")
+}
+func rejectFull(r *http.Request) string { return rawResponse(r, "503 Full", "X-Not-Run: 1\r\n", "") }
+func hang(*http.Request) string         { return "" }
+func truncatedResponse(r *http.Request) string {
+	return strings.TrimSuffix(goodResponse(r), "tes") + "<close>"
+}
+func foreignResponse(*http.Request) string {
 	return "HTTP/1.1 200 OK\r\nX-Attempt-Id: try-0\r\nX-Server-Seal: seal\r\nContent-Length: 1\r\n\r\nx"
 }
 
 func TestRequestGoesUnchangedAndAnswerComesBack(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		h.addServer("i-1", good)
+		h.addServer("i-1", goodResponse)
 		w := h.request("POST", "/u/x?q=%2f", "hello", "X-Own", "kept", "Connection", "X-Hop", "X-Hop", "gone", "X-Expected-Instance", "i-9")
 		h.g.Expect(w.Code).To(Equal(200))
 		h.g.Expect(w.Body.String()).To(Equal("bytes"))
@@ -211,7 +216,7 @@
 	})
 }
 
-// What a server did is told from what came: only proof that it never ran allows another server for what is unsafe.
+// An unsafe request is retried at another server only if the first one's response proves that it did not run.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -219,16 +224,16 @@
 		path         string
 		status, sent int
 	}{
-		{"an answer to another try, safe", other, "/s/x", 200, 2},
-		{"an answer to another try, unsafe", other, "/u/x", 502, 1},
-		{"a body cut short, safe", cut, "/s/x", 200, 2},
-		{"a body cut short, unsafe", cut, "/u/x", 502, 1},
-		{"a close without an answer, unsafe", func(*http.Request) string { return "<close>" }, "/u/x", 502, 1},
-		{"bytes that are no answer, unsafe", func(*http.Request) string { return "spoilt\r\n\r\n" }, "/u/x", 502, 1},
-		{"turned away, unsafe", full, "/u/x", 200, 2},
-		{"a failure of the server's own, unsafe", func(r *http.Request) string { return reply(r, "500 Oops", "", "") }, "/u/x", 500, 1},
-		{"a success without a seal, unsafe", func(r *http.Request) string { return reply(r, "200 OK", "", "x") }, "/u/x", 502, 1},
-		{"a success with no end of its own, unsafe", func(r *http.Request) string {
+		{"a response of another attempt, safe", foreignResponse, "/s/x", 200, 2},
+		{"a response of another attempt, unsafe", foreignResponse, "/u/x", 502, 1},
+		{"a truncated body, safe", truncatedResponse, "/s/x", 200, 2},
+		{"a truncated body, unsafe", truncatedResponse, "/u/x", 502, 1},
+		{"a close without a response, unsafe", func(*http.Request) string { return "<close>" }, "/u/x", 502, 1},
+		{"bytes that are no HTTP response, unsafe", func(*http.Request) string { return "spoilt\r\n\r\n" }, "/u/x", 502, 1},
+		{"rejected as full, unsafe", rejectFull, "/u/x", 200, 2},
+		{"a server error, unsafe", func(r *http.Request) string { return rawResponse(r, "500 Oops", "", "") }, "/u/x", 500, 1},
+		{"a success without a seal, unsafe", func(r *http.Request) string { return rawResponse(r, "200 OK", "", "x") }, "/u/x", 502, 1},
+		{"a success without a length, unsafe", func(r *http.Request) string {
 			return "HTTP/1.1 200 OK\r\nX-Attempt-Id: try-1\r\nX-Server-Seal: seal\r\n\r\nbytes<close>"
 		}, "/u/x", 502, 1},
 		{"silence, unsafe", hang, "/u/x", 504, 1},
@@ -244,11 +249,11 @@
 					if mine {
 						return c.first(r)
 					}
-					return good(r)
+					return goodResponse(r)
 				}
 				h.addServer("i-1", script)
 				h.addServer("i-2", script)
-				for range 4 { // fills the budget
+				for range 4 { // fills the retry budget
 					h.traffic.countRequest("tags")
 				}
 				w := h.request("POST", c.path, "x")
@@ -261,8 +266,8 @@
 
 func TestNoRetryWithoutBudget(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		h.addServer("i-1", full)
-		h.addServer("i-2", full)
+		h.addServer("i-1", rejectFull)
+		h.addServer("i-2", rejectFull)
 		w := h.request("GET", "/s/x", "")
 		h.g.Expect(w.Code).To(Equal(503))
 		h.g.Expect(w.Header().Get("Retry-After")).NotTo(BeEmpty())
@@ -281,7 +286,7 @@
 
 func TestServerThatLeavesGetsNothing(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		h.addServer("i-1", good)
+		h.addServer("i-1", goodResponse)
 		h.g.Expect(h.request("GET", "/s/x", "").Code).To(Equal(200))
 		h.upstreams.update([]registry.Entry{{ID: "i-1", Service: "tags", Address: "i-1:80", Seq: 2, State: registry.Draining}})
 		h.upstreams.update([]registry.Entry{{ID: "i-1", Service: "tags", Address: "i-1:80", Seq: 1}}) // late
@@ -292,7 +297,7 @@
 
 func TestConnectionsEndWithAnIncarnationNotWithAnAddress(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		h.addServer("i-1", good)
+		h.addServer("i-1", goodResponse)
 		h.request("GET", "/s/x", "")
 		h.request("GET", "/s/x", "")
 		h.g.Expect(h.dials).To(Equal(1))
@@ -304,32 +309,32 @@
 }
 
 func TestKeyedOperations(t *testing.T) {
-	stands := func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
+	grant := func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
 		return idempotency.OutcomeGranted, nil
 	}
-	t.Run("run once claimed, and their answer is kept", func(t *testing.T) {
+	t.Run("run once claimed, and their response is stored", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
-			h.decide = stands
-			h.addServer("i-1", good)
+			h.decideClaim = grant
+			h.addServer("i-1", goodResponse)
 			h.g.Expect(h.request("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(200))
-			h.g.Expect(h.kept).To(HaveLen(1))
-			h.g.Expect(string(h.kept[0].Response.Body)).To(Equal("bytes"))
-			h.g.Expect(h.kept[0].Response.Headers).To(HaveKeyWithValue("X-Server-Seal", "seal"))
+			h.g.Expect(h.stored).To(HaveLen(1))
+			h.g.Expect(string(h.stored[0].Response.Body)).To(Equal("bytes"))
+			h.g.Expect(h.stored[0].Response.Headers).To(HaveKeyWithValue("X-Server-Seal", "seal"))
 		})
 	})
-	t.Run("are 409 while another runs them", func(t *testing.T) {
+	t.Run("are answered 409 while another edge runs them", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
-			h.decide = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
+			h.decideClaim = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
 				return idempotency.OutcomeConflict, nil
 			}
-			h.addServer("i-1", good)
+			h.addServer("i-1", goodResponse)
 			h.g.Expect(h.request("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(409))
 			h.g.Expect(h.received).To(BeEmpty())
 		})
 	})
-	t.Run("repeat the first answer, for this try", func(t *testing.T) {
+	t.Run("repeat the first response with the ID of this attempt", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
-			h.decide = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
+			h.decideClaim = func(idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
 				return idempotency.OutcomeConflict, &idempotency.Response{Status: 201, Headers: map[string]string{"X-Server-Seal": "first"}, Body: []byte("one")}
 			}
 			w := h.request("POST", "/k/x", "x", "X-Operation-Key", "k")
@@ -339,39 +344,39 @@
 			h.g.Expect(w.Header().Get("X-Attempt-Id")).To(Equal("try-1"))
 		})
 	})
-	t.Run("send nothing without a clear claim, and withdraw it", func(t *testing.T) {
+	t.Run("are not sent without a granted claim, which is revoked", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
-			h.addServer("i-1", good)
-			w := h.request("POST", "/k/x", "x", "X-Operation-Key", "k") // the controller says nothing
+			h.addServer("i-1", goodResponse)
+			w := h.request("POST", "/k/x", "x", "X-Operation-Key", "k") // the controller doesn't respond
 			h.g.Expect(w.Code).To(Equal(503))
 			h.g.Expect(h.received).To(BeEmpty())
 			h.g.Expect(h.revoked).To(HaveLen(1))
 		})
 	})
-	t.Run("are withdrawn on proof that they never ran, and only then", func(t *testing.T) {
+	t.Run("are revoked on proof that they never ran, and only then", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
-			h.decide = stands
-			h.addServer("i-1", full)
+			h.decideClaim = grant
+			h.addServer("i-1", rejectFull)
 			h.g.Expect(h.request("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(503))
 			h.g.Expect(h.revoked).To(HaveLen(1))
 		})
 		runEdge(t, func(h *testEdge) {
-			h.decide = stands
-			h.addServer("i-1", cut)
+			h.decideClaim = grant
+			h.addServer("i-1", truncatedResponse)
 			h.g.Expect(h.request("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(502))
 			h.g.Expect(h.revoked).To(BeEmpty())
-			h.g.Expect(h.kept).To(BeEmpty())
+			h.g.Expect(h.stored).To(BeEmpty())
 		})
 	})
-	t.Run("are refused early while no controller can be reached, and withdrawn once one can", func(t *testing.T) {
+	t.Run("are rejected early while no controller can be reached, and revoked once one can", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
-			h.addServer("i-1", good)
+			h.addServer("i-1", goodResponse)
 			link := h.session.link
 			h.session.link, h.session.known = nil, map[string]bool{}
 			w := h.request("POST", "/k/x", "x", "X-Operation-Key", "k")
 			h.g.Expect(w.Code).To(Equal(503))
 			h.g.Expect(w.Header().Get("Retry-After")).NotTo(BeEmpty())
-			h.g.Expect(h.Now()).To(BeNumerically("<=", 100*time.Millisecond), "a fifth of the aim and a little")
+			h.g.Expect(h.Now()).To(BeNumerically("<=", 100*time.Millisecond), "a fifth of the latency target and a margin")
 			h.session.link = link
 			h.claims.resendPending()
 			synctest.Wait()
@@ -379,49 +384,49 @@
 			h.g.Expect(h.received).To(BeEmpty())
 		})
 	})
-	t.Run("are withdrawn at the other controller, too, that they were put to: home may have died", func(t *testing.T) {
+	t.Run("are revoked at the secondary controller, too: the edge's controller may have crashed", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
-			h.addServer("i-1", good)
+			h.addServer("i-1", goodResponse)
 			near, far := net.Pipe()
-			guest, other := peer.NewLink(near), peer.NewLink(far)
-			defer guest.Close()
-			var claims, voids int
+			secondary, other := peer.NewLink(near), peer.NewLink(far)
+			defer secondary.Close()
+			var claims, revocations int
 			go func() {
 				_ = other.Read(func(messages []peer.Message) {
 					f := peer.FrameOf(messages...)
-					claims, voids = claims+len(f.Claims), voids+len(f.Revocations)
+					claims, revocations = claims+len(f.Claims), revocations+len(f.Revocations)
 				})
 			}()
-			h.session.secondary = guest
+			h.session.secondary = secondary
 			h.g.Expect(h.request("POST", "/k/x", "x", "X-Operation-Key", "k").Code).To(Equal(503))
 			h.g.Expect(claims).To(Equal(1))
-			h.g.Expect(voids).To(Equal(1))
+			h.g.Expect(revocations).To(Equal(1))
 		})
 	})
 	t.Run("need a key", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) { h.g.Expect(h.request("POST", "/k/x", "x").Code).To(Equal(400)) })
 	})
-	t.Run("that wait for a claim are put to a new home, unless they were decided", func(t *testing.T) {
+	t.Run("are no longer pending once decided", func(t *testing.T) {
 		runEdge(t, func(h *testEdge) {
-			h.decide = stands
-			h.addServer("i-1", good)
+			h.decideClaim = grant
+			h.addServer("i-1", goodResponse)
 			h.request("POST", "/k/x", "x", "X-Operation-Key", "k")
 			h.g.Expect(h.claims.pending).To(BeEmpty())
 		})
 	})
 }
 
-// A surplus answer may come in the place of the next: once a service was seen to spoil connections, what must not run
-// twice goes on a new one, while lookups go on as before.
+// A surplus response on a connection could be taken for the next request's. After a service sent one, unsafe requests use
+// new connections, while safe ones continue to reuse idle ones.
 func TestUnsafeRequestsAvoidDistrustedConnections(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		spoil := true
 		h.addServer("i-1", func(r *http.Request) string {
 			if r.URL.Path == "/s/spoilt" && spoil {
 				spoil = false
-				return other(r)
+				return foreignResponse(r)
 			}
-			return good(r)
+			return goodResponse(r)
 		})
 		h.request("GET", "/s/x", "")
 		h.request("GET", "/s/spoilt", "")
@@ -434,11 +439,12 @@
 	})
 }
 
-// While all servers are full, those who can still be in time go before those who can't, whoever came first.
+// While all servers are full, requests that can still meet the latency target are served before stale ones that arrived
+// earlier.
 func TestFreshRequestsGoFirst(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		open := make(chan struct{})
-		h.addServer("i-1", func(r *http.Request) string { <-open; return good(r) })
+		h.addServer("i-1", func(r *http.Request) string { <-open; return goodResponse(r) })
 		var order []string
 		var mu sync.Mutex
 		var all sync.WaitGroup
@@ -451,7 +457,7 @@
 			})
 			synctest.Wait()
 		}
-		for i := range 4 { // two run, two may queue at the server
+		for i := range 4 { // two run, two may be queued at the server
 			send(fmt.Sprint("first-", i), "2000")
 		}
 		send("stale", "1000")
@@ -467,9 +473,9 @@
 	})
 }
 
-func TestBadRequestsHarmNobody(t *testing.T) {
+func TestBadRequestsAreRejected(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		h.addServer("i-1", good)
+		h.addServer("i-1", goodResponse)
 		for _, c := range []struct {
 			path, body, header, value string
 			status                    int
@@ -486,13 +492,13 @@
 	})
 }
 
-func TestConfigurationNeverGoesBack(t *testing.T) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
-		newer := strings.Replace(plan, `"r1"`, `"r5"`, 1)
+		newer := strings.Replace(testConfig, `"r1"`, `"r5"`, 1)
 		h.g.Expect(h.applyConfig(&peer.Config{Version: 5, Snapshot: []byte(newer)})).To(BeTrue())
-		h.g.Expect(h.applyConfig(&peer.Config{Version: 1, Snapshot: []byte(plan)})).To(BeTrue())
+		h.g.Expect(h.applyConfig(&peer.Config{Version: 1, Snapshot: []byte(testConfig)})).To(BeTrue())
 		h.g.Expect(h.tree.Load().Config.Version).To(Equal(config.Version(5)))
-		h.g.Expect(h.applyConfig(&peer.Config{Version: 9, Base: 7, Delta: []byte(`{"version":"r9"}`)})).To(BeFalse(), "a change on another version needs the whole")
+		h.g.Expect(h.applyConfig(&peer.Config{Version: 9, Base: 7, Delta: []byte(`{"version":"r9"}`)})).To(BeFalse(), "a delta of another version needs a complete configuration")
 	})
 }
 
@@ -503,12 +509,12 @@
 		_, _ = io.WriteString(w, "bytes")
 	}))
 	defer server.Close()
-	set, err := nodesettings.Parse("test", []byte(settings))
+	set, err := nodesettings.Parse("test", []byte(testSettings))
 	if err != nil {
 		b.Fatal(err)
 	}
 	c := New(node.Config{Settings: set, Logger: log.NewNopLogger()})
-	c.applyConfig(&peer.Config{Version: 1, Snapshot: []byte(plan)})
+	c.applyConfig(&peer.Config{Version: 1, Snapshot: []byte(testConfig)})
 	c.upstreams.update([]registry.Entry{{ID: "i-1", Service: "tags", Address: server.Listener.Addr().String(), Zone: "hall", Capacity: 2, Seq: 1}})
 	b.ReportAllocs()
 	for b.Loop() {
@@ -523,8 +529,8 @@
 	}
 }
 
-// SIGTERM in the middle of an answer: the answer is finished, new requests are served with the word that the connection
-// closes, readiness is gone at once, and the end comes when nothing comes any more.
+// After SIGTERM during a response, the response is completed, new requests are served with Connection: close, readiness
+// fails immediately, and the edge ends once no more requests arrive.
 func TestShutdownCutsNothingOff(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		running := make(chan struct{})
@@ -532,7 +538,7 @@
 			if r.URL.Path == "/s/slow" {
 				<-running
 			}
-			return good(r)
+			return goodResponse(r)
 		})
 		front, err := net.Listen("tcp", "127.0.0.1:0")
 		h.g.Expect(err).NotTo(HaveOccurred())
@@ -559,18 +565,18 @@
 	})
 }
 
-// The same key at three edges at once, and a claimer that dies: whoever is told Taken runs nothing.
+// Three concurrent requests with the same key: only the one whose claim is granted runs.
 func TestOneOfManyEdgesRunsAKey(t *testing.T) {
 	runEdge(t, func(h *testEdge) {
 		taken := map[idempotency.Key]idempotency.Token{}
-		h.decide = func(r idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
+		h.decideClaim = func(r idempotency.Record) (idempotency.Outcome, *idempotency.Response) {
 			if first, ok := taken[r.Key]; ok && first != r.Token {
 				return idempotency.OutcomeConflict, nil
 			}
 			taken[r.Key] = r.Token
 			return idempotency.OutcomeGranted, nil
 		}
-		h.addServer("i-1", good)
+		h.addServer("i-1", goodResponse)
 		var all sync.WaitGroup
 		codes := make([]int, 3)
 		for i := range codes {
