--- a/internal/control/controller/answers_test.go
+++ b/internal/control/controller/answers_test.go
@@ -24,8 +24,8 @@
 
 var update = flag.Bool("update", false, "write the expected answers again")
 
-// expected holds answers against those that an earlier version gave.
-func expected(t *testing.T, file, got string) {
+// checkExpected holds answers against those that an earlier version gave.
+func checkExpected(t *testing.T, file, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
 	if *update {
@@ -67,9 +67,9 @@
 const (
 	readyServer   = `{"service":"tags","address":"10.0.1.1:80","zone":"x","version":"v1","capacity":4,"state":"ready","warmup_left_s":0,"call_seq":4}`
 	leavingServer = `{"service":"tags","address":"10.0.1.1:80","zone":"x","version":"v1","capacity":4,"state":"draining","warmup_left_s":0,"call_seq":5}`
-	proper        = `{"version":"r1","services":[{"name":"tags"}],"limits":{"max_body_bytes":65536},"plants":[{"plant":"a.example","channels":[` +
+	validConfig   = `{"version":"r1","services":[{"name":"tags"}],"limits":{"max_body_bytes":65536},"plants":[{"plant":"a.example","channels":[` +
 		`{"name":"s","path_prefix":"/s/","kind":"safe","deadline_s":2,"setpoint_s":0.4,"service":"tags","tries":2}]}]}`
-	room = `{"tenant":"a.example","service":"tags","start":4000000000,"end":4000003600,"slots":2,"owner":"ops"}`
+	validBooking = `{"tenant":"a.example","service":"tags","start":4000000000,"end":4000003600,"slots":2,"owner":"ops"}`
 )
 
 // calls are all that a control endpoint is asked, proper and not, in the order in which they are sent.
@@ -80,20 +80,20 @@
 	{http.MethodPut, "/instances/i-1", "", `{"service":"tags"}`},
 	{http.MethodPut, "/instances/i-1", "", `{`},
 	{http.MethodPut, "/config", "r0", `{"version":"r1"`},
-	{http.MethodPut, "/config", "x", proper},
+	{http.MethodPut, "/config", "x", validConfig},
 	{http.MethodPut, "/config", "r0", `{"version":"r1","services":[{"name":""}]}`},
 	{http.MethodPatch, "/config", "r0", `{"version":"r1"}`},
-	{http.MethodPut, "/config", "r0", proper},
-	{http.MethodPut, "/config", "r0", proper},
-	{http.MethodPut, "/config", "r0", strings.Replace(proper, "r1", "r2", 1)},
+	{http.MethodPut, "/config", "r0", validConfig},
+	{http.MethodPut, "/config", "r0", validConfig},
+	{http.MethodPut, "/config", "r0", strings.Replace(validConfig, "r1", "r2", 1)},
 	{http.MethodPatch, "/config", "r1", `{"version":"r2","upsert":{"services":[{"name":"fares"}]}}`},
 	{http.MethodPatch, "/config", "r2", `{"version":"r3","upsert":{"services":[{"name":""}]}}`},
 	{http.MethodGet, "/config", "", ""},
 	{http.MethodGet, "/config/history", "", ""},
-	{http.MethodPut, "/bookings/b-1", "b0", room},
-	{http.MethodPut, "/bookings/b-2", "b7", room},
-	{http.MethodPut, "/bookings/b-2", "b1", strings.Replace(room, `"slots":2`, `"slots":200`, 1)},
-	{http.MethodPut, "/bookings/b-2?dry_run=true", "", strings.Replace(room, `"slots":2`, `"slots":200`, 1)},
+	{http.MethodPut, "/bookings/b-1", "b0", validBooking},
+	{http.MethodPut, "/bookings/b-2", "b7", validBooking},
+	{http.MethodPut, "/bookings/b-2", "b1", strings.Replace(validBooking, `"slots":2`, `"slots":200`, 1)},
+	{http.MethodPut, "/bookings/b-2?dry_run=true", "", strings.Replace(validBooking, `"slots":2`, `"slots":200`, 1)},
 	{http.MethodPut, "/bookings/b-2", "", `{`},
 	{http.MethodDelete, "/bookings/none", "b1", ""},
 	{http.MethodGet, "/bookings", "", ""},
@@ -127,7 +127,7 @@
 					}
 					got.WriteString(c.text(one.method + " " + one.path))
 				}
-				expected(t, "answers_"+role+".txt", got.String())
+				checkExpected(t, "answers_"+role+".txt", got.String())
 				h.stop()
 			})
 		})
--- a/internal/control/controller/api_bookings.go
+++ b/internal/control/controller/api_bookings.go
@@ -61,20 +61,20 @@
 }
 
 // readBookings reads one booking, whose id the path has, or a list of them.
-func readBookings(id string, body []byte) (all []reservation.Booking, err error) {
+func readBookings(id string, body []byte) (bookings []reservation.Booking, err error) {
 	if id != "" {
-		all = make([]reservation.Booking, 1)
-		err = json.Unmarshal(body, &all[0])
-		all[0].ID = id
+		bookings = make([]reservation.Booking, 1)
+		err = json.Unmarshal(body, &bookings[0])
+		bookings[0].ID = id
 	} else {
 		var list operator.BookingList
 		err = json.Unmarshal(body, &list)
-		all = list.Bookings
+		bookings = list.Bookings
 	}
-	for i := range all {
-		all[i] = all[i].WithSlots()
+	for i := range bookings {
+		bookings[i] = bookings[i].WithSlots()
 	}
-	return all, err
+	return bookings, err
 }
 
 // tryBookings answers what would become of a change of the ledger.
--- a/internal/control/controller/api_config.go
+++ b/internal/control/controller/api_config.go
@@ -95,8 +95,8 @@
 	done := make(chan []acceptedVersion, 1)
 	a.runOnOwner(func() {
 		all := []acceptedVersion{}
-		for _, one := range slices.Backward(a.consensus.state.AcceptedChanges) {
-			all = append(all, acceptedVersion{config.Version(one.Version).String(), hex.EncodeToString(one.Digest[:digestBytes])})
+		for _, change := range slices.Backward(a.consensus.state.AcceptedChanges) {
+			all = append(all, acceptedVersion{config.Version(change.Version).String(), hex.EncodeToString(change.Digest[:digestBytes])})
 		}
 		done <- all
 	})
--- a/internal/control/controller/authority_test.go
+++ b/internal/control/controller/authority_test.go
@@ -32,24 +32,24 @@
 
 // startCall starts a call and lets it come as far as it comes without time passing.
 func (h *testController) startCall(method, path, match, body string) *call {
-	one := &call{h: h, w: httptest.NewRecorder(), answered: make(chan struct{})}
-	ctx, gone := context.WithCancel(context.Background())
-	h.t.Cleanup(gone)
+	started := &call{h: h, w: httptest.NewRecorder(), answered: make(chan struct{})}
+	ctx, cancel := context.WithCancel(context.Background())
+	h.t.Cleanup(cancel)
 	r := httptest.NewRequest(method, path, strings.NewReader(body)).WithContext(ctx)
 	if match != "" {
 		r.Header.Set("If-Match", match)
 	}
 	go func() {
-		defer close(one.answered)
+		defer close(started.answered)
 		defer func() { // as net/http does
 			if cause := recover(); cause != nil && cause != http.ErrAbortHandler {
 				panic(cause)
 			}
 		}()
-		newControlAPI(h.Controller).handler().ServeHTTP(one.w, r)
+		newControlAPI(h.Controller).handler().ServeHTTP(started.w, r)
 	}()
 	h.settle()
-	return one
+	return started
 }
 
 // status is the answer's, or 0 as long as there is none.
@@ -85,18 +85,18 @@
 // One that follows sends callers on to the leader; one that knows of none asks them to come back. Neither looks at what
 // it holds.
 func TestCallsWithoutLeadership(t *testing.T) {
-	for name, order := range leaderCalls {
+	for name, request := range leaderCalls {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				h, b := startVoter(t)
-				one := h.startCall(order.method, order.path, order.match, order.body)
-				g.Expect(one.status()).To(Equal(http.StatusServiceUnavailable))
-				g.Expect(one.w.Header().Get("Retry-After")).NotTo(BeEmpty())
+				pending := h.startCall(request.method, request.path, request.match, request.body)
+				g.Expect(pending.status()).To(Equal(http.StatusServiceUnavailable))
+				g.Expect(pending.w.Header().Get("Retry-After")).NotTo(BeEmpty())
 				h.followLeader(b, 5, consensus.Message{Index: 1, LogTerm: 4})
-				one = h.startCall(order.method, order.path, order.match, order.body)
-				g.Expect(one.status()).To(Equal(http.StatusTemporaryRedirect))
-				g.Expect(one.w.Header().Get("Location")).To(Equal("http://" + ipB + ":8649" + order.path))
+				pending = h.startCall(request.method, request.path, request.match, request.body)
+				g.Expect(pending.status()).To(Equal(http.StatusTemporaryRedirect))
+				g.Expect(pending.w.Header().Get("Location")).To(Equal("http://" + ipB + ":8649" + request.path))
 				h.stop()
 			})
 		})
@@ -105,18 +105,18 @@
 
 // A leader that can send and not hear, or was cut off after it was elected, answers no read, confirms no order, and leads no
 // longer once it has heard no majority for a second.
-func TestLeaderThatHearsNobody(t *testing.T) {
+func TestLeaderWithoutReplies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		h, b := startVoter(t)
 		h.becomeLeader(b)
-		read, order := h.startCall(http.MethodGet, "/config", "", ""), h.startCall(http.MethodPut, "/config", "r0", firstConfig)
-		g.Expect([]int{read.status(), order.status()}).To(HaveEach(0), "nobody has answered this round")
+		read, update := h.startCall(http.MethodGet, "/config", "", ""), h.startCall(http.MethodPut, "/config", "r0", firstConfig)
+		g.Expect([]int{read.status(), update.status()}).To(HaveEach(0), "nobody has answered this round")
 		h.advance(500 * time.Millisecond)
-		g.Expect([]int{read.status(), order.status()}).To(HaveEach(0))
+		g.Expect([]int{read.status(), update.status()}).To(HaveEach(0))
 		h.advance(2 * callTimeout)
 		g.Expect(read.status()).To(Equal(http.StatusServiceUnavailable))
-		g.Expect(order.status()).To(Equal(http.StatusBadGateway), "it may still be taken")
+		g.Expect(update.status()).To(Equal(http.StatusBadGateway), "it may still be taken")
 		g.Expect(h.consensus.leads()).To(BeFalse())
 		g.Expect(h.consensus.inContact()).To(BeFalse())
 		h.stop()
@@ -150,15 +150,15 @@
 		time.Sleep(20 * time.Second) // b leads by now, and has agreed on other things
 		g.Expect(h.consensus.inContact()).To(BeFalse())
 		late := h.startCall(http.MethodGet, "/config", "", "")
-		order := h.startCall(http.MethodPut, "/config", "r0", firstConfig)
+		update := h.startCall(http.MethodPut, "/config", "r0", firstConfig)
 		drain := h.startCall(http.MethodDelete, "/instances/i-1", "", "")
 		g.Expect(drain.status()).To(Equal(http.StatusServiceUnavailable))
 		b.sendConsensus(consensus.Message{Kind: consensus.AppendReply, Term: h.consensus.replica.Term(), OK: true, Index: 2}) // was on its way all the time
-		g.Expect([]int{late.status(), order.status()}).To(HaveEach(0))
+		g.Expect([]int{late.status(), update.status()}).To(HaveEach(0))
 		h.followLeader(b, h.consensus.replica.Term()+3, consensus.Message{Index: 1, LogTerm: 4})
 		h.advance(tickInterval)
 		g.Expect([]int{read.status(), late.status()}).To(HaveEach(http.StatusServiceUnavailable))
-		g.Expect(order.status()).To(Equal(http.StatusBadGateway))
+		g.Expect(update.status()).To(Equal(http.StatusBadGateway))
 		h.stop()
 	})
 }
@@ -170,19 +170,19 @@
 		h, b := startVoter(t)
 		h.becomeLeader(b)
 		term, at := h.consensus.replica.Term(), h.consensus.replica.LastIndex()+1
-		one := h.startCall(http.MethodPut, "/config", "r0", firstConfig)
-		g.Expect(one.status()).To(BeZero())
+		pending := h.startCall(http.MethodPut, "/config", "r0", firstConfig)
+		g.Expect(pending.status()).To(BeZero())
 		// Another leader's entry takes its place, and is committed, in the same turn.
 		h.followLeader(b, term+1, consensus.Message{Index: at - 1, LogTerm: term, Commit: at, Entries: []consensus.Entry{{Term: term + 1, Index: at}}})
-		g.Expect(one.status()).To(Equal(http.StatusBadGateway))
+		g.Expect(pending.status()).To(Equal(http.StatusBadGateway))
 		g.Expect(h.consensus.state.Version()).To(BeZero())
 		g.Expect(h.consensus.proposals).To(BeEmpty())
 
 		h.becomeLeader(b)
-		one = h.startCall(http.MethodPut, "/config", "r0", firstConfig)
+		pending = h.startCall(http.MethodPut, "/config", "r0", firstConfig)
 		index := h.consensus.replica.LastIndex()
 		h.consensus.awaitEntry(index, 0, func(uint64, error) {}) // it leads again and proposes at the same index
-		g.Expect(one.status()).To(Equal(http.StatusBadGateway))
+		g.Expect(pending.status()).To(Equal(http.StatusBadGateway))
 		h.stop()
 	})
 }
@@ -237,7 +237,7 @@
 		h.stop()
 		s := readDisk(t, h.dir)
 		g.Expect(s.Snapshot.Index).NotTo(BeZero())
-		g.Expect(s.Snapshot.Membership).To(Equal(three))
+		g.Expect(s.Snapshot.Membership).To(Equal(threeVoters))
 		h = start(t, ipA, h.dir, false)
 		b = h.linkReplica(ipB)
 		h.becomeLeader(b)
@@ -252,29 +252,29 @@
 }
 
 // What says that a server leaves is refused by a controller that is cut off; a beat is taken, for it promises nothing.
-func TestServersAtAControllerThatIsCutOff(t *testing.T) {
+func TestServerCallsAtPartitionedController(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		h, b := startVoter(t)
-		beat := func(state string) *call {
+		sendHeartbeat := func(state string) *call {
 			return h.startCall(http.MethodPut, "/instances/i-1", "", `{"service":"s","address":"x:1","capacity":2,"state":"`+state+`","call_seq":1}`)
 		}
-		g.Expect(beat("ready").status()).To(Equal(http.StatusOK))
-		g.Expect(beat("draining").status()).To(Equal(http.StatusServiceUnavailable))
+		g.Expect(sendHeartbeat("ready").status()).To(Equal(http.StatusOK))
+		g.Expect(sendHeartbeat("draining").status()).To(Equal(http.StatusServiceUnavailable))
 		g.Expect(h.startCall(http.MethodDelete, "/instances/i-1", "", "").status()).To(Equal(http.StatusServiceUnavailable))
 		e, _ := h.servers.registry.Get("i-1")
 		g.Expect(e.State).To(BeZero())
 		// In contact: the leader is heard, and says that it hears this controller.
 		h.followLeader(b, 5, consensus.Message{Index: 1, LogTerm: 4})
 		b.received()
-		one := beat("draining")
-		g.Expect(one.status()).To(BeZero(), "the other controller has not said that it knows")
+		draining := sendHeartbeat("draining")
+		g.Expect(draining.status()).To(BeZero(), "the other controller has not said that it knows")
 		for _, f := range b.received() {
 			if f.AckID != 0 {
 				b.send(&peer.Frame{Acked: f.AckID})
 			}
 		}
-		g.Expect(one.status()).To(Equal(http.StatusOK))
+		g.Expect(draining.status()).To(Equal(http.StatusOK))
 		h.stop()
 	})
 }
@@ -293,19 +293,19 @@
 }
 
 // Operators read each controller's own view: it needs nobody, and is no proof of anything.
-func TestStatusNeedsNobody(t *testing.T) {
+func TestStatusNeedsNoQuorum(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		h, _ := startVoter(t)
 		for _, path := range []string{"/status", "/config/history", "/metrics"} {
 			g.Expect(h.startCall(http.MethodGet, path, "", "").status()).To(Equal(http.StatusOK), path)
 		}
-		one := h.startCall(http.MethodGet, "/status", "", "")
-		g.Expect(one.status()).To(Equal(http.StatusOK))
-		var v operator.Status
-		g.Expect(json.Unmarshal(one.w.Body.Bytes(), &v)).To(Succeed())
-		g.Expect(v.InContact).To(BeFalse())
-		g.Expect(v.Membership.Epoch).To(BeEquivalentTo(2))
+		response := h.startCall(http.MethodGet, "/status", "", "")
+		g.Expect(response.status()).To(Equal(http.StatusOK))
+		var status operator.Status
+		g.Expect(json.Unmarshal(response.w.Body.Bytes(), &status)).To(Succeed())
+		g.Expect(status.InContact).To(BeFalse())
+		g.Expect(status.Membership.Epoch).To(BeEquivalentTo(2))
 		h.stop()
 	})
 }
--- a/internal/control/controller/claims.go
+++ b/internal/control/controller/claims.go
@@ -141,8 +141,8 @@
 }
 
 // handleClaimRequests starts to collect grants for the claims of an edge.
-func (s *claimsService) handleClaimRequests(p *remote, claims peer.ClaimRequests) {
-	for _, r := range claims {
+func (s *claimsService) handleClaimRequests(p *remote, requests peer.ClaimRequests) {
+	for _, r := range requests {
 		if len(s.members.membership().Voters) == 0 {
 			p.link.Send(peer.ClaimOutcomes{{Token: r.Token, Outcome: idempotency.OutcomeUndecided}})
 			continue
@@ -280,8 +280,8 @@
 }
 
 // handleRevocations withdraws claims: at all stores if an edge says so, here if another controller passes it on.
-func (s *claimsService) handleRevocations(p *remote, claims peer.Revocations) {
-	for _, r := range claims {
+func (s *claimsService) handleRevocations(p *remote, revocations peer.Revocations) {
+	for _, r := range revocations {
 		if p.edge {
 			s.revokeEverywhere(r)
 		} else {
--- a/internal/control/controller/claims_test.go
+++ b/internal/control/controller/claims_test.go
@@ -24,38 +24,38 @@
 
 // startNewVoter brings a controller to the joint membership under which it gets a vote.
 func startNewVoter(t *testing.T, dir string) (h *testController, a, b *scriptedPeer) {
-	yes, m := true, three
+	yes, m := true, threeVoters
 	writeDisk(t, dir, &storage.Batch{Identity: "10.0.0.4#d", Hard: &consensus.HardState{Term: 4, Commit: 1}, Recovering: &yes, Membership: &m,
 		Entries: []consensus.Entry{{Term: 4, Index: 1, Membership: &m}}})
 	h = start(t, ipD, dir, false)
 	a, b = h.linkReplica(ipA), h.linkReplica(ipB)
-	h.followLeader(a, 5, consensus.Message{Index: 1, LogTerm: 4, Commit: 2, Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &joint}}})
-	h.g.Expect(h.members.current).To(Equal(joint))
+	h.followLeader(a, 5, consensus.Message{Index: 1, LogTerm: 4, Commit: 2, Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &jointMembership}}})
+	h.g.Expect(h.members.current).To(Equal(jointMembership))
 	return h, a, b
 }
 
 // A store whose disk holds a newer membership grants nothing that is asked under an older one.
-func TestStoreIsBehindNoOlderEpoch(t *testing.T) {
+func TestStoreRejectsOlderEpoch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		dir := t.TempDir()
 		writeDisk(t, dir, voterDisk(ipB))
 		h := start(t, ipB, dir, false)
 		a := h.linkReplica(ipA)
-		ask := func(n, epoch uint64) []idempotency.GrantReply {
+		requestGrant := func(n, epoch uint64) []idempotency.GrantReply {
 			a.received()
 			a.send(&peer.Frame{GrantRequests: []idempotency.Record{claimRecord(n)}, Epoch: epoch})
 			return grantReplies(a.received())
 		}
-		g.Expect(ask(1, 2)).To(Equal([]idempotency.GrantReply{idempotency.ReplyGranted}))
-		h.followLeader(a, 5, consensus.Message{Index: 1, LogTerm: 4, Commit: 2, Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &joint}}})
-		g.Expect(ask(2, 2)).To(Equal([]idempotency.GrantReply{idempotency.ReplyStaleEpoch}))
+		g.Expect(requestGrant(1, 2)).To(Equal([]idempotency.GrantReply{idempotency.ReplyGranted}))
+		h.followLeader(a, 5, consensus.Message{Index: 1, LogTerm: 4, Commit: 2, Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &jointMembership}}})
+		g.Expect(requestGrant(2, 2)).To(Equal([]idempotency.GrantReply{idempotency.ReplyStaleEpoch}))
 		g.Expect(h.claims.store.Len()).To(Equal(1), "and holds nothing of it")
-		g.Expect(ask(2, 3)).To(Equal([]idempotency.GrantReply{idempotency.ReplyGranted}))
+		g.Expect(requestGrant(2, 3)).To(Equal([]idempotency.GrantReply{idempotency.ReplyGranted}))
 		h.stop()
 		h = start(t, ipB, dir, false)
 		a = h.linkReplica(ipA)
-		g.Expect(ask(3, 2)).To(Equal([]idempotency.GrantReply{idempotency.ReplyStaleEpoch}), "a start forgets no epoch")
+		g.Expect(requestGrant(3, 2)).To(Equal([]idempotency.GrantReply{idempotency.ReplyStaleEpoch}), "a start forgets no epoch")
 		h.stop()
 	})
 }
@@ -64,14 +64,14 @@
 func TestCoordinatorAsksAgainUnderTheNewerEpoch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		two := joint // of which only one voter stays
-		two.Next = []string{ipA, "10.0.0.4#d", "10.0.0.5#e"}
+		next := jointMembership // of which only one voter stays
+		next.Next = []string{ipA, "10.0.0.4#d", "10.0.0.5#e"}
 		dir := t.TempDir()
 		writeDisk(t, dir, voterDisk(ipA))
 		h := start(t, ipA, dir, false)
 		b, d := h.linkReplica(ipB), h.linkReplica("10.0.0.4#d")
 		edge := h.link("10.0.0.9", &peer.Handshake{Node: "e", IP: "10.0.0.9", Zone: "x", Edge: true})
-		asked := func(s *scriptedPeer) (epochs []uint64) {
+		requestedEpochs := func(s *scriptedPeer) (epochs []uint64) {
 			for _, f := range s.received() {
 				if len(f.GrantRequests) > 0 {
 					epochs = append(epochs, f.Epoch)
@@ -81,96 +81,96 @@
 		}
 		r := claimRecord(1)
 		edge.send(&peer.Frame{Claims: []idempotency.Record{r}})
-		g.Expect(asked(b)).To(Equal([]uint64{2}))
+		g.Expect(requestedEpochs(b)).To(Equal([]uint64{2}))
 		b.send(&peer.Frame{GrantReplies: []peer.GrantReply{{Token: r.Token, Reply: idempotency.ReplyStaleEpoch}}})
-		asked(b)
-		h.followLeader(b, 5, consensus.Message{Index: 1, LogTerm: 4, Commit: 2, Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &two}}})
-		g.Expect(asked(b)).To(Equal([]uint64{3}))
+		requestedEpochs(b)
+		h.followLeader(b, 5, consensus.Message{Index: 1, LogTerm: 4, Commit: 2, Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &next}}})
+		g.Expect(requestedEpochs(b)).To(Equal([]uint64{3}))
 		for _, s := range []*scriptedPeer{b, d} {
 			for _, f := range edge.received() {
 				g.Expect(f.Outcomes).To(BeEmpty(), "it stands with both sets only")
 			}
 			s.send(&peer.Frame{GrantReplies: []peer.GrantReply{{Token: r.Token, Reply: idempotency.ReplyGranted}}})
 		}
-		var rulings []peer.ClaimOutcome
+		var outcomes []peer.ClaimOutcome
 		for _, f := range edge.received() {
-			rulings = append(rulings, f.Outcomes...)
+			outcomes = append(outcomes, f.Outcomes...)
 		}
-		g.Expect(rulings).To(Equal([]peer.ClaimOutcome{{Token: r.Token, Outcome: idempotency.OutcomeGranted}}))
+		g.Expect(outcomes).To(Equal([]peer.ClaimOutcome{{Token: r.Token, Outcome: idempotency.OutcomeGranted}}))
 		h.stop()
 	})
 }
 
 // The claims of a store are copied only once its disk holds the joint membership: from then on it grants nothing under the
 // former one, and what it granted before is in the copy.
-func TestCopyLeavesAfterTheJointMembershipIsDurable(t *testing.T) {
+func TestCopyIsSentAfterTheJointMembershipIsDurable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		dir := t.TempDir()
 		writeDisk(t, dir, voterDisk(ipB))
 		h := start(t, ipB, dir, false)
 		a, d := h.linkReplica(ipA), h.linkReplica("10.0.0.4#d")
-		copied := func(epoch uint64) (records int, whole bool) {
+		copied := func(epoch uint64) (records int, complete bool) {
 			d.received()
 			d.send(&peer.Frame{CopyRequest: true, Epoch: epoch})
 			for _, f := range d.received() {
 				if f.ClaimsChunk != nil {
 					g.Expect(f.Epoch).To(Equal(epoch))
-					records, whole = records+len(f.ClaimsChunk.Records), whole || f.ClaimsChunk.Last
+					records, complete = records+len(f.ClaimsChunk.Records), complete || f.ClaimsChunk.Last
 				}
 			}
-			return records, whole
+			return records, complete
 		}
-		_, whole := copied(3)
-		g.Expect(whole).To(BeFalse(), "it knows nothing of that epoch")
+		_, complete := copied(3)
+		g.Expect(complete).To(BeFalse(), "it knows nothing of that epoch")
 		h.failDisk()
-		h.followLeader(a, 5, consensus.Message{Index: 1, LogTerm: 4, Commit: 2, Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &joint}}})
-		g.Expect(h.members.current).To(Equal(joint))
-		_, whole = copied(3)
-		g.Expect(whole).To(BeFalse(), "it is applied and not durable")
+		h.followLeader(a, 5, consensus.Message{Index: 1, LogTerm: 4, Commit: 2, Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &jointMembership}}})
+		g.Expect(h.members.current).To(Equal(jointMembership))
+		_, complete = copied(3)
+		g.Expect(complete).To(BeFalse(), "it is applied and not durable")
 		h.repairDisk()
 		h.advance(2 * writeRetry)
 		a.send(&peer.Frame{GrantRequests: []idempotency.Record{claimRecord(1)}, Epoch: 3})
-		records, whole := copied(3)
-		g.Expect(whole).To(BeTrue())
+		records, complete := copied(3)
+		g.Expect(complete).To(BeTrue())
 		g.Expect(records).To(Equal(1))
-		_, whole = copied(2)
-		g.Expect(whole).To(BeFalse(), "an older epoch is over")
+		_, complete = copied(2)
+		g.Expect(complete).To(BeFalse(), "an older epoch is over")
 		h.stop()
 	})
 }
 
 // What an entrant copies is on its disk before it says that its store is whole, also if the disk refuses in the midst.
-func TestCopiesSurviveADiskThatRefuses(t *testing.T) {
+func TestCopiesSurviveFailedWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		dir := t.TempDir()
 		h, a, b := startNewVoter(t, dir)
-		part := func(from, to uint64) (all []idempotency.Record) {
+		claims := func(from, to uint64) (all []idempotency.Record) {
 			for n := from; n < to; n++ {
 				all = append(all, claimRecord(n))
 			}
 			return all
 		}
-		ready := func() (said bool) {
+		announcedReady := func() (announced bool) {
 			for _, f := range a.received() {
-				said = said || f.ReplicaStatus != nil && f.ReplicaStatus.Ready
+				announced = announced || f.ReplicaStatus != nil && f.ReplicaStatus.Ready
 			}
-			return said
+			return announced
 		}
-		a.send(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Records: part(1, 11)}, Epoch: 3})
+		a.send(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Records: claims(1, 11)}, Epoch: 3})
 		h.failDisk()
-		a.send(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Records: part(11, 21)}, Epoch: 3})
+		a.send(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Records: claims(11, 21)}, Epoch: 3})
 		h.advance(3 * writeRetry)
-		a.send(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Records: part(21, 31), Last: true}, Epoch: 3})
-		b.send(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Records: part(5, 41), Last: true}, Epoch: 3})
+		a.send(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Records: claims(21, 31), Last: true}, Epoch: 3})
+		b.send(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Records: claims(5, 41), Last: true}, Epoch: 3})
 		h.advance(3 * writeRetry)
-		g.Expect(ready()).To(BeFalse())
+		g.Expect(announcedReady()).To(BeFalse())
 		g.Expect(h.claims.store.Recovering()).To(BeTrue(), "it grants nothing before its word is durable")
-		g.Expect(h.log.with("disk write failed")).To(HaveLen(1))
+		g.Expect(h.log.containing("disk write failed")).To(HaveLen(1))
 		h.repairDisk()
 		h.advance(3 * writeRetry)
-		g.Expect(ready()).To(BeTrue())
+		g.Expect(announcedReady()).To(BeTrue())
 		h.stop()
 		s := readDisk(t, dir)
 		g.Expect(s.Recovering).To(BeFalse())
@@ -181,8 +181,8 @@
 		}
 		g.Expect(keys).To(HaveLen(40))
 		h = start(t, ipD, dir, false)
-		v, _, _ := h.claims.store.Grant(claimRecord(15), h.Now())
-		g.Expect(v).To(Equal(idempotency.ReplyConflict), "a key that was copied is granted to nobody, after a start, too")
+		reply, _, _ := h.claims.store.Grant(claimRecord(15), h.Now())
+		g.Expect(reply).To(Equal(idempotency.ReplyConflict), "a key that was copied is granted to nobody, after a start, too")
 		h.stop()
 	})
 }
@@ -223,11 +223,11 @@
 		h.repairDisk()
 		c.send(&peer.Frame{GrantReplies: []peer.GrantReply{{Token: r.Token, Reply: idempotency.ReplyGranted}}})
 		h.advance(claimTimeout + time.Second)
-		var rulings []peer.ClaimOutcome
+		var outcomes []peer.ClaimOutcome
 		for _, f := range edge.received() {
-			rulings = append(rulings, f.Outcomes...)
+			outcomes = append(outcomes, f.Outcomes...)
 		}
-		g.Expect(rulings).To(Equal([]peer.ClaimOutcome{{Token: r.Token, Outcome: idempotency.OutcomeUndecided}}))
+		g.Expect(outcomes).To(Equal([]peer.ClaimOutcome{{Token: r.Token, Outcome: idempotency.OutcomeUndecided}}))
 		h.stop()
 	})
 }
--- a/internal/control/controller/cluster_test.go
+++ b/internal/control/controller/cluster_test.go
@@ -33,7 +33,7 @@
 			h.link("10.0.0.8", &peer.Handshake{Node: "other", IP: "10.0.0.8", Zone: "x", Incarnation: 6, Counted: true, Cluster: cluster + 1})
 			h.advance(redialInterval)
 		}
-		g.Expect(h.log.with("peer rejected")).To(HaveLen(1))
+		g.Expect(h.log.containing("peer rejected")).To(HaveLen(1))
 		h.stop()
 	})
 }
--- a/internal/control/controller/consensus.go
+++ b/internal/control/controller/consensus.go
@@ -238,8 +238,8 @@
 // awaitEntry has done wait for the entry at an index. Whoever waited there before waits for an entry that was cut off the
 // log.
 func (r *consensusRuntime) awaitEntry(index, term uint64, done func(version uint64, err error)) {
-	if previous, ok := r.proposals[index]; ok {
-		previous.done(0, errSuperseded())
+	if superseded, ok := r.proposals[index]; ok {
+		superseded.done(0, errSuperseded())
 	}
 	r.proposals[index] = proposal{term: term, deadline: r.Now() + callTimeout, done: done}
 }
@@ -251,12 +251,12 @@
 }
 
 func (r *consensusRuntime) completeReads() {
-	r.reads = slices.DeleteFunc(r.reads, func(one read) bool {
+	r.reads = slices.DeleteFunc(r.reads, func(pending read) bool {
 		switch {
-		case r.leads() && r.replica.ReadConfirmed(one.readIndex):
-			one.done(one.render())
-		case !r.leads() || r.Now() > one.deadline:
-			one.done(nil, apierror.NoLeader.New("it could not be confirmed that this controller leads"))
+		case r.leads() && r.replica.ReadConfirmed(pending.readIndex):
+			pending.done(pending.render())
+		case !r.leads() || r.Now() > pending.deadline:
+			pending.done(nil, apierror.NoLeader.New("it could not be confirmed that this controller leads"))
 		default:
 			return false
 		}
--- a/internal/control/controller/handed_over_test.go
+++ b/internal/control/controller/handed_over_test.go
@@ -22,13 +22,13 @@
 		h.advance(3 * writeRetry)
 		h.repairDisk()
 		h.advance(3 * writeRetry)
-		said := false
+		replied := false
 		for _, f := range b.received() {
-			said = said || f.SyncReply == 1
+			replied = replied || f.SyncReply == 1
 		}
 		h.stop()
 		s := readDisk(t, h.dir)
-		g.Expect(said).To(BeTrue())
+		g.Expect(replied).To(BeTrue())
 		r.ResponseHolder = ipA
 		g.Expect(s.Claims).To(ContainElement(r))
 	})
--- a/internal/control/controller/harness_test.go
+++ b/internal/control/controller/harness_test.go
@@ -32,8 +32,8 @@
 )
 
 var (
-	three = consensus.Membership{Epoch: 2, Cluster: cluster, Voters: []string{ipA, ipB, ipC}}
-	joint = consensus.Membership{Epoch: 3, Cluster: cluster, Voters: []string{ipA, ipB, ipC}, Next: []string{ipA, ipB, "10.0.0.4#d"}}
+	threeVoters     = consensus.Membership{Epoch: 2, Cluster: cluster, Voters: []string{ipA, ipB, ipC}}
+	jointMembership = consensus.Membership{Epoch: 3, Cluster: cluster, Voters: []string{ipA, ipB, ipC}, Next: []string{ipA, ipB, "10.0.0.4#d"}}
 )
 
 // testController is a controller with a disk of its own, whose turns the test runs one by one, in fake time: it belongs in a bubble
@@ -43,28 +43,28 @@
 	t   *testing.T
 	g   *WithT
 	dir string
-	log *lines
+	log *logRecorder
 
 	remotes []*remote // all that were ever linked
 }
 
-// lines gathers what is logged.
-type lines struct {
-	mu  sync.Mutex
-	all []string
+// logRecorder gathers what is logged.
+type logRecorder struct {
+	mu    sync.Mutex
+	lines []string
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logRecorder) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.all = append(l.all, strings.TrimSpace(string(p)))
+	l.lines = append(l.lines, strings.TrimSpace(string(p)))
 	return len(p), nil
 }
 
-func (l *lines) with(text string) (found []string) {
+func (l *logRecorder) containing(text string) (found []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, line := range l.all {
+	for _, line := range l.lines {
 		if strings.Contains(line, text) {
 			found = append(found, line)
 		}
@@ -72,8 +72,8 @@
 	return found
 }
 
-// settings are those of a controller of three, at a start that isn't the first.
-func settings(t *testing.T, ip, dir string, first bool) *nodesettings.Settings {
+// testSettings are those of a controller of three, at a start that isn't the first.
+func testSettings(t *testing.T, ip, dir string, first bool) *nodesettings.Settings {
 	text := fmt.Sprintf("node: %q\nip: %q\nzone: \"x\"\nseeds: [%q, %q, %q]\ninner_port_range: [7000, 7001]\nfirst_start: %t\ncounted: true\n"+
 		"tolerance: {machines: 1, zones: 0, regions: 0}\ndata_dir: %q\nlisten: {control: %q}\nlimits: {memory_mb: 200}\n",
 		"n-"+ip, ip, ipA+":8649", ipB+":8649", ipC+":8649", first, dir, ip+":8649")
@@ -86,8 +86,8 @@
 
 // start begins a controller's life on a disk. It dials nobody.
 func start(t *testing.T, ip, dir string, first bool) *testController {
-	h := &testController{t: t, g: NewWithT(t), dir: dir, log: &lines{}}
-	c := newController(node.Config{Settings: settings(t, ip, dir, first), Logger: log.NewLogfmtLogger(h.log)}, 99)
+	h := &testController{t: t, g: NewWithT(t), dir: dir, log: &logRecorder{}}
+	c := newController(node.Config{Settings: testSettings(t, ip, dir, first), Logger: log.NewLogfmtLogger(h.log)}, 99)
 	c.summaries.next = time.Nanosecond // the first summary has all that are known dialled
 	h.Controller = c
 	h.g.Expect(c.open()).To(Succeed())
@@ -172,17 +172,17 @@
 
 // voterDisk is the disk of a voter of three that granted before.
 func voterDisk(ip string) *storage.Batch {
-	no, m := false, three
-	return &storage.Batch{Identity: ip, BootstrapVoters: three.Voters, Hard: &consensus.HardState{Term: 4, Commit: 1}, Recovering: &no, Membership: &m,
+	no, m := false, threeVoters
+	return &storage.Batch{Identity: ip, BootstrapVoters: threeVoters.Voters, Hard: &consensus.HardState{Term: 4, Commit: 1}, Recovering: &no, Membership: &m,
 		Entries: []consensus.Entry{{Term: 4, Index: 1, Membership: &m}}}
 }
 
 // scriptedPeer is a peer that says what the test has it say, and notes what it hears.
 type scriptedPeer struct {
-	h  *testController
-	p  *remote
-	mu sync.Mutex
-	in []*peer.Frame
+	h      *testController
+	p      *remote
+	mu     sync.Mutex
+	frames []*peer.Frame
 }
 
 // linkReplica links a controller that calls itself by an identity.
@@ -193,12 +193,12 @@
 }
 
 // link links whoever says this hello.
-func (h *testController) link(ip string, hello *peer.Handshake) *scriptedPeer {
-	mine, theirs := net.Pipe()
-	s := &scriptedPeer{h: h, p: &remote{link: peer.NewLink(mine), node: hello.Node, ip: ip, zone: hello.Zone, edge: hello.Edge}}
+func (h *testController) link(ip string, handshake *peer.Handshake) *scriptedPeer {
+	local, remoteEnd := net.Pipe()
+	s := &scriptedPeer{h: h, p: &remote{link: peer.NewLink(local), node: handshake.Node, ip: ip, zone: handshake.Zone, edge: handshake.Edge}}
 	h.remotes = append(h.remotes, s.p)
-	go s.listen(theirs)
-	h.handleJoin(s.p, hello)
+	go s.listen(remoteEnd)
+	h.handleJoin(s.p, handshake)
 	h.settle()
 	return s
 }
@@ -219,7 +219,7 @@
 			return
 		}
 		s.mu.Lock()
-		s.in = append(s.in, f)
+		s.frames = append(s.frames, f)
 		s.mu.Unlock()
 	}
 }
@@ -235,8 +235,8 @@
 	synctest.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	in := s.in
-	s.in = nil
+	in := s.frames
+	s.frames = nil
 	return in
 }
 
--- a/internal/control/controller/identity_test.go
+++ b/internal/control/controller/identity_test.go
@@ -76,7 +76,7 @@
 		h := start(t, ipA, dir, true)
 		g.Expect(h.members.identity).To(HavePrefix(ipA + "#"))
 		g.Expect(h.consensus.replica.IsVoter()).To(BeFalse())
-		g.Expect(h.log.with("data file corrupt")).To(HaveLen(1))
+		g.Expect(h.log.containing("data file corrupt")).To(HaveLen(1))
 		h.stop()
 	})
 }
@@ -84,7 +84,7 @@
 // A file of the version before identities holds members and no identity.
 func TestFileOfTheEarlierVersion(t *testing.T) {
 	yes, no := true, false
-	for name, one := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		hard         consensus.HardState
 		ledgerBlank  *bool
 		keeps, blank bool
@@ -97,17 +97,17 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				dir := t.TempDir()
-				writeDisk(t, dir, &storage.Batch{BootstrapVoters: three.Voters, Hard: &one.hard, Recovering: one.ledgerBlank,
+				writeDisk(t, dir, &storage.Batch{BootstrapVoters: threeVoters.Voters, Hard: &testCase.hard, Recovering: testCase.ledgerBlank,
 					Entries: []consensus.Entry{{Term: 4, Index: 1}}, Claims: []idempotency.Record{claimRecord(1)}})
 				for range 2 { // and the same at the next start
 					h := start(t, ipA, dir, false)
-					g.Expect(h.members.identity == ipA).To(Equal(one.keeps), h.members.identity)
-					g.Expect(h.consensus.replica.IsVoter()).To(Equal(one.keeps))
-					g.Expect(h.claims.store.Recovering()).To(Equal(one.blank))
+					g.Expect(h.members.identity == ipA).To(Equal(testCase.keeps), h.members.identity)
+					g.Expect(h.consensus.replica.IsVoter()).To(Equal(testCase.keeps))
+					g.Expect(h.claims.store.Recovering()).To(Equal(testCase.blank))
 					g.Expect(h.consensus.replica.Term()).To(BeEquivalentTo(5))
 					g.Expect(h.claims.store.Len()).To(Equal(1))
-					if one.keeps {
-						g.Expect(h.members.current.Voters).To(Equal(three.Voters))
+					if testCase.keeps {
+						g.Expect(h.members.current.Voters).To(Equal(threeVoters.Voters))
 					}
 					h.stop()
 				}
@@ -117,11 +117,11 @@
 }
 
 // A store that the earlier version had not restored grants nothing after the start, either.
-func TestStoreOfTheEarlierVersionStaysBlank(t *testing.T) {
+func TestStoreOfTheEarlierVersionKeepsRecovering(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		dir, yes := t.TempDir(), true
-		writeDisk(t, dir, &storage.Batch{BootstrapVoters: three.Voters, Hard: &consensus.HardState{Term: 5}, Recovering: &yes})
+		writeDisk(t, dir, &storage.Batch{BootstrapVoters: threeVoters.Voters, Hard: &consensus.HardState{Term: 5}, Recovering: &yes})
 		for range 2 {
 			h := start(t, ipA, dir, false)
 			g.Expect(h.claims.store.Recovering()).To(BeTrue())
@@ -131,7 +131,7 @@
 }
 
 // A membership that can't be makes a file worth as much as an empty disk.
-func TestImpossibleMembershipIsPutAside(t *testing.T) {
+func TestInvalidMembershipIsMovedAside(t *testing.T) {
 	for name, m := range map[string]consensus.Membership{
 		"a voter twice":        {Epoch: 4, Voters: []string{ipA, ipA, ipB}},
 		"no voters":            {Epoch: 4},
@@ -148,7 +148,7 @@
 				h := start(t, ipA, dir, false)
 				g.Expect(h.members.identity).To(HavePrefix(ipA + "#"))
 				g.Expect(h.consensus.replica.IsVoter()).To(BeFalse())
-				g.Expect(h.log.with("data file corrupt")).To(ConsistOf(ContainSubstring("membership 4")))
+				g.Expect(h.log.containing("data file corrupt")).To(ConsistOf(ContainSubstring("membership 4")))
 				g.Expect(filepath.Join(dir, "exchange.db.spoilt")).To(BeAnExistingFile())
 				h.stop()
 			})
@@ -158,7 +158,7 @@
 
 // One that is voted out grants nothing from then on, and its new identity, the membership that removed it and the word that
 // its claims count for nothing are durable together: at whatever write the power goes.
-func TestRetirementIsDurableAtOnce(t *testing.T) {
+func TestRetirementIsAtomic(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		dir := t.TempDir()
@@ -180,7 +180,7 @@
 			return retired
 		}
 		h.handleMessages(b.p, []peer.Message{peer.ConsensusMessages{{Kind: consensus.Append, From: ipB, To: ipC, Term: 5, Index: 1, LogTerm: 4, Commit: 3, LeaderInContact: true,
-			Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &joint}, {Term: 5, Index: 3, Membership: &final}}}}})
+			Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &jointMembership}, {Term: 5, Index: 3, Membership: &final}}}}})
 		g.Expect(check("before its turn")).To(BeFalse())
 		h.endTurn() // applies, and hands the disk its first write
 		g.Expect(h.claims.store.Recovering()).To(BeTrue(), "it grants nothing before that is durable, either")
--- a/internal/control/controller/lagging_booking_test.go
+++ b/internal/control/controller/lagging_booking_test.go
@@ -15,7 +15,7 @@
 
 // A leader that was just elected may not have applied yet what another one acknowledged. What is built on that is decided by
 // the log, as a configuration is, and not by what is known here.
-func TestBookingAtALeaderThatLags(t *testing.T) {
+func TestBookingAtALaggingLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		h, b := startVoter(t)
--- a/internal/control/controller/links_test.go
+++ b/internal/control/controller/links_test.go
@@ -14,13 +14,13 @@
 	links.controllers["10.0.0.4"] = &remote{}
 	links.known = map[string]bool{"10.0.0.1": true, "10.0.0.2": true, "10.0.0.3": true, "10.0.0.4": true}
 	voters := []string{"10.0.0.2#7"}
-	for _, one := range []struct {
+	for _, testCase := range []struct {
 		ip        string
 		unreached time.Duration
 		want      dialState
 	}{{"10.0.0.1", time.Hour, dialWanted}, {"10.0.0.2", time.Hour, dialWanted}, {"10.0.0.3", time.Second, dialWanted}, {"10.0.0.3", time.Hour, dialForgotten}, {"10.0.0.4", time.Hour, dialLinked}} {
-		if got := links.dialState(one.ip, one.unreached, voters); got != one.want {
-			t.Errorf("%s, out of reach for %s: %d, not %d", one.ip, one.unreached, got, one.want)
+		if got := links.dialState(testCase.ip, testCase.unreached, voters); got != testCase.want {
+			t.Errorf("%s, out of reach for %s: %d, not %d", testCase.ip, testCase.unreached, got, testCase.want)
 		}
 	}
 	if links.known["10.0.0.3"] || !links.known["10.0.0.2"] {
--- a/internal/control/controller/members_test.go
+++ b/internal/control/controller/members_test.go
@@ -22,7 +22,7 @@
 		h.becomeLeader(b)
 		before := h.learners()
 		s := h.link("10.0.0.8", &peer.Handshake{Node: "other", IP: "10.0.0.8", Zone: "x", Incarnation: 6, Counted: true, Cluster: cluster + 1})
-		g.Expect(h.log.with("peer rejected")).To(ConsistOf(And(ContainSubstring("10.0.0.8"), ContainSubstring("another cluster"))))
+		g.Expect(h.log.containing("peer rejected")).To(ConsistOf(And(ContainSubstring("10.0.0.8"), ContainSubstring("another cluster"))))
 		<-s.p.link.Closed()
 		term := h.consensus.replica.Term()
 		s.send(&peer.Frame{ReplicaStatus: &peer.ReplicaStatus{Identity: "10.0.0.8", Cluster: cluster + 1, Ready: true}})
@@ -52,10 +52,10 @@
 	return h.startCall(http.MethodPost, "/members", "", string(body))
 }
 
-func (c *call) replaced(g *WithT) (made operator.ReplacementResult) {
+func (c *call) replacementResult(g *WithT) (result operator.ReplacementResult) {
 	g.Expect(c.status()).To(Equal(http.StatusOK))
-	g.Expect(json.Unmarshal(c.w.Body.Bytes(), &made)).To(Succeed())
-	return made
+	g.Expect(json.Unmarshal(c.w.Body.Bytes(), &result)).To(Succeed())
+	return result
 }
 
 // linkStandby links a controller without a vote that is level with the log.
@@ -68,14 +68,14 @@
 
 func TestReplacementByAnOperator(t *testing.T) {
 	const standby = "10.0.0.4#d"
-	leading := func(t *testing.T) (h *testController, b *scriptedPeer) {
+	startLeader := func(t *testing.T) (h *testController, b *scriptedPeer) {
 		h, b = startVoter(t)
 		h.linkReplica(ipC) // all voters are in reach: the leader replaces none by itself
 		h.becomeLeader(b)
 		h.linkStandby(standby)
 		return h, b
 	}
-	for name, one := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		voter, by string
 		status    int
 		says      string
@@ -91,19 +91,19 @@
 			t.Run(fmt.Sprint(name, ", dry: ", dry), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					g := NewWithT(t)
-					h, b := leading(t)
+					h, b := startLeader(t)
 					b.received()
-					out := h.startReplacement(one.voter, one.by, dry)
-					g.Expect(out.status()).To(Equal(one.status))
-					g.Expect(out.w.Body.String()).To(ContainSubstring(one.says))
-					g.Expect(h.consensus.replica.Membership()).To(Equal(three))
-					asked := false
+					response := h.startReplacement(testCase.voter, testCase.by, dry)
+					g.Expect(response.status()).To(Equal(testCase.status))
+					g.Expect(response.w.Body.String()).To(ContainSubstring(testCase.says))
+					g.Expect(h.consensus.replica.Membership()).To(Equal(threeVoters))
+					transferred := false
 					for _, f := range b.received() {
 						for _, m := range f.Consensus {
-							asked = asked || m.Kind == consensus.TimeoutNow
+							transferred = transferred || m.Kind == consensus.TimeoutNow
 						}
 					}
-					g.Expect(asked).To(Equal(one.voter == ipA && !dry), "leadership is passed on, but not by a dry run")
+					g.Expect(transferred).To(Equal(testCase.voter == ipA && !dry), "leadership is passed on, but not by a dry run")
 					h.stop()
 				})
 			})
@@ -112,10 +112,10 @@
 	t.Run("is only described by a dry run", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
-			h, _ := leading(t)
+			h, _ := startLeader(t)
 			last := h.consensus.replica.LastIndex()
-			made := h.startReplacement(ipC, "", true).replaced(g)
-			g.Expect(made).To(Equal(operator.ReplacementResult{Epoch: 2, Voters: three.Voters, Next: []string{ipA, ipB, standby}}))
+			result := h.startReplacement(ipC, "", true).replacementResult(g)
+			g.Expect(result).To(Equal(operator.ReplacementResult{Epoch: 2, Voters: threeVoters.Voters, Next: []string{ipA, ipB, standby}}))
 			g.Expect(h.consensus.replica.LastIndex()).To(Equal(last))
 			h.stop()
 		})
@@ -123,25 +123,25 @@
 	t.Run("is acknowledged once the joint membership is committed, and refused while it lasts", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
-			h, b := leading(t)
-			out := h.startReplacement(ipC, standby, false)
-			g.Expect(out.status()).To(BeZero())
+			h, b := startLeader(t)
+			response := h.startReplacement(ipC, standby, false)
+			g.Expect(response.status()).To(BeZero())
 			during := h.startReplacement(ipB, "", false)
 			g.Expect(during.status()).To(Equal(http.StatusServiceUnavailable))
 			g.Expect(during.w.Body.String()).To(ContainSubstring("under way"))
 			h.confirmReads(b)
-			g.Expect(out.replaced(g)).To(Equal(operator.ReplacementResult{Epoch: 3, Voters: three.Voters, Next: []string{ipA, ipB, standby}}))
-			g.Expect(h.members.current).To(Equal(joint))
+			g.Expect(response.replacementResult(g)).To(Equal(operator.ReplacementResult{Epoch: 3, Voters: threeVoters.Voters, Next: []string{ipA, ipB, standby}}))
+			g.Expect(h.members.current).To(Equal(jointMembership))
 			h.stop()
 		})
 	})
 	t.Run("is nothing when it was made before", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
-			h, _ := leading(t)
+			h, _ := startLeader(t)
 			last := h.consensus.replica.LastIndex()
-			made := h.startReplacement(ipC+"#2", ipC, false).replaced(g)
-			g.Expect(made.Next).To(Equal(three.Voters))
+			result := h.startReplacement(ipC+"#2", ipC, false).replacementResult(g)
+			g.Expect(result.Next).To(Equal(threeVoters.Voters))
 			g.Expect(h.consensus.replica.LastIndex()).To(Equal(last))
 			h.stop()
 		})
@@ -149,17 +149,17 @@
 	t.Run("that can't be committed gets an unclear answer", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
-			h, _ := leading(t)
-			out := h.startReplacement(ipC, standby, false)
+			h, _ := startLeader(t)
+			response := h.startReplacement(ipC, standby, false)
 			h.advance(2 * callTimeout)
-			g.Expect(out.status()).To(Equal(http.StatusBadGateway))
+			g.Expect(response.status()).To(Equal(http.StatusBadGateway))
 			h.stop()
 		})
 	})
 	t.Run("that can't be read is refused", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
-			h, _ := leading(t)
+			h, _ := startLeader(t)
 			for _, body := range []string{"", "[", `{"voter":7}`, string(make([]byte, maxReplacementBody+1))} {
 				g.Expect(h.startCall(http.MethodPost, "/members", "", body).status()).To(Equal(http.StatusBadRequest))
 			}
--- a/internal/control/controller/membership.go
+++ b/internal/control/controller/membership.go
@@ -132,13 +132,13 @@
 	}
 }
 
-func filter(all []string, include func(string) bool) (some []string) {
-	for _, one := range all {
-		if include(one) {
-			some = append(some, one)
+func filter(values []string, include func(string) bool) (filtered []string) {
+	for _, value := range values {
+		if include(value) {
+			filtered = append(filtered, value)
 		}
 	}
-	return some
+	return filtered
 }
 
 // handleBootstrapVoters takes over the voters of a first start, and tells all peers once that is durable.
@@ -154,9 +154,9 @@
 
 // announceBootstrapVoters repeats the handshake with the voters in it.
 func (s *memberService) announceBootstrapVoters() {
-	handshake := s.handshake()
-	handshake.BootstrapVoters = s.bootstrapVoters
-	s.links.sendToControllers(handshake)
+	message := s.handshake()
+	message.BootstrapVoters = s.bootstrapVoters
+	s.links.sendToControllers(message)
 }
 
 // handshake holds only what never changes, since it is also sent from outside the owner.
@@ -304,16 +304,16 @@
 	v.Controllers = append(v.Controllers, membership.Controller{ID: s.identity, Zone: s.Settings.Zone,
 		MayVote: s.Settings.Counted, Connected: true,
 		CaughtUp: true, ShuttingDown: s.shuttingDown(), Epoch: s.durable, Ready: !s.claims.store.Recovering()})
-	for identity, one := range s.seen {
+	for identity, controller := range s.seen {
 		if p := s.links.replica(identity); p != nil {
-			one.Connected, one.ShuttingDown, one.Epoch, one.Ready = true, p.status.ShuttingDown, p.status.Epoch, p.status.Ready
+			controller.Connected, controller.ShuttingDown, controller.Epoch, controller.Ready = true, p.status.ShuttingDown, p.status.Epoch, p.status.Ready
 			match, _, known := replica.Match(identity)
-			one.CaughtUp = known && match+caughtUpLag >= replica.CommitIndex()
+			controller.CaughtUp = known && match+caughtUpLag >= replica.CommitIndex()
 		} else if !v.Membership.Contains(identity) {
 			delete(s.seen, identity) // if it comes back, it is a new one
 			continue
 		}
-		v.Controllers = append(v.Controllers, one)
+		v.Controllers = append(v.Controllers, controller)
 	}
 	return v
 }
@@ -336,19 +336,19 @@
 	if !s.consensus.leads() {
 		return view
 	}
-	for _, one := range s.view().Controllers {
-		if one.ID != s.identity {
-			view.Replicas = append(view.Replicas, s.operatorReplica(one))
+	for _, controller := range s.view().Controllers {
+		if controller.ID != s.identity {
+			view.Replicas = append(view.Replicas, s.operatorReplica(controller))
 		}
 	}
 	slices.SortFunc(view.Replicas, func(a, b operator.Replica) int { return cmp.Compare(a.Identity, b.Identity) })
 	return view
 }
 
-func (s *memberService) operatorReplica(one membership.Controller) operator.Replica {
-	r := operator.Replica{Identity: one.ID, Votes: s.current.Contains(one.ID), Connected: one.Connected, Ready: one.Ready,
-		ShuttingDown: one.ShuttingDown, Epoch: one.Epoch}
-	if match, _, known := s.consensus.replica.Match(one.ID); known {
+func (s *memberService) operatorReplica(controller membership.Controller) operator.Replica {
+	r := operator.Replica{Identity: controller.ID, Votes: s.current.Contains(controller.ID), Connected: controller.Connected, Ready: controller.Ready,
+		ShuttingDown: controller.ShuttingDown, Epoch: controller.Epoch}
+	if match, _, known := s.consensus.replica.Match(controller.ID); known {
 		commit := s.consensus.replica.CommitIndex()
 		r.Lag = commit - min(match, commit)
 	}
--- a/internal/control/controller/reservations.go
+++ b/internal/control/controller/reservations.go
@@ -51,28 +51,28 @@
 
 // capacities is what the services' servers carry at once, by service and zone: the slots of those that take requests.
 func (s *reservationService) capacities() map[string]reservation.Capacity {
-	all := map[string]reservation.Capacity{}
+	byService := map[string]reservation.Capacity{}
 	for _, e := range s.registry.All(s.Now()) {
 		if e.State != registry.Ready || e.TimedOut {
 			continue
 		}
-		if all[e.Service] == nil {
-			all[e.Service] = reservation.Capacity{}
+		if byService[e.Service] == nil {
+			byService[e.Service] = reservation.Capacity{}
 		}
-		all[e.Service][e.Zone] += float64(e.Capacity)
+		byService[e.Service][e.Zone] += float64(e.Capacity)
 	}
-	return all
+	return byService
 }
 
 // bookedCapacities is capacities for all services that have bookings: one without any server carries nothing.
 func (s *reservationService) bookedCapacities() map[string]reservation.Capacity {
-	all := s.capacities()
+	byService := s.capacities()
 	for _, b := range s.ledger().Active {
-		if all[b.Service] == nil {
-			all[b.Service] = reservation.Capacity{}
+		if byService[b.Service] == nil {
+			byService[b.Service] = reservation.Capacity{}
 		}
 	}
-	return all
+	return byService
 }
 
 func (s *reservationService) ledger() *reservation.Ledger { return s.consensus.state.Bookings }
--- a/internal/control/controller/session.go
+++ b/internal/control/controller/session.go
@@ -197,8 +197,8 @@
 	case *peer.ReplicaStatus:
 		c.members.handleReplicaStatus(p, m)
 	case peer.ConsensusMessages:
-		for _, one := range m {
-			c.consensus.replica.Step(one, c.Now())
+		for _, message := range m {
+			c.consensus.replica.Step(message, c.Now())
 		}
 	case peer.ConfigRequest:
 		p.link.Send(c.consensus.configSnapshot())
--- a/internal/control/controller/shutdown_test.go
+++ b/internal/control/controller/shutdown_test.go
@@ -17,7 +17,7 @@
 
 // One that is voted out while it leaves hands its answers on, and ends once they are durable elsewhere; if nobody says so,
 // it ends all the same, within its grace.
-func TestResponsesAreHandedOverBeforeTheEnd(t *testing.T) {
+func TestResponsesAreHandedOverBeforeExit(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
@@ -36,22 +36,22 @@
 			final := consensus.Membership{Epoch: 4, Cluster: cluster, Voters: []string{ipA, ipB, "10.0.0.4#d"}}
 			b.received()
 			d.received()
-			h.followLeader(b, 5, consensus.Message{Index: 1, LogTerm: 4, Commit: 3, Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &joint}, {Term: 5, Index: 3, Membership: &final}}})
+			h.followLeader(b, 5, consensus.Message{Index: 1, LogTerm: 4, Commit: 3, Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &jointMembership}, {Term: 5, Index: 3, Membership: &final}}})
 			h.advance(tickInterval)
 			g.Expect(h.shutdown.done).To(BeFalse())
-			got, sync := 0, uint64(0)
-			var heir *scriptedPeer
+			responseCount, sync := 0, uint64(0)
+			var receiver *scriptedPeer
 			for _, s := range []*scriptedPeer{b, d} {
 				for _, f := range s.received() {
-					if got += len(f.Responses); f.SyncRequest != 0 {
-						sync, heir = f.SyncRequest, s
+					if responseCount += len(f.Responses); f.SyncRequest != 0 {
+						sync, receiver = f.SyncRequest, s
 					}
 				}
 			}
-			g.Expect(got).To(Equal(1))
-			g.Expect(heir).NotTo(BeNil())
+			g.Expect(responseCount).To(Equal(1))
+			g.Expect(receiver).NotTo(BeNil())
 			if answered {
-				heir.send(&peer.Frame{SyncReply: sync})
+				receiver.send(&peer.Frame{SyncReply: sync})
 				h.advance(tickInterval)
 				g.Expect(h.shutdown.done).To(BeTrue())
 			} else {
@@ -75,14 +75,14 @@
 		b.received()
 		h.beginShutdown()
 		h.advance(2 * tickInterval)
-		asked := false
+		transferred := false
 		for _, f := range b.received() {
 			for _, m := range f.Consensus {
-				asked = asked || m.Kind == consensus.TimeoutNow
+				transferred = transferred || m.Kind == consensus.TimeoutNow
 			}
 			g.Expect(f.Summary == nil || !f.Summary.InContact).To(BeTrue(), "edges look for another controller")
 		}
-		g.Expect(asked).To(BeTrue())
+		g.Expect(transferred).To(BeTrue())
 		g.Expect(h.shutdown.done).To(BeFalse())
 		h.followLeader(b, h.consensus.replica.Term()+1, consensus.Message{Index: h.consensus.replica.LastIndex(), LogTerm: h.consensus.replica.Term()})
 		h.advance(tickInterval)
@@ -92,7 +92,7 @@
 }
 
 // One that can hand on neither leadership nor vote ends in order all the same, before its grace is over.
-func TestShutdownWithoutAnybody(t *testing.T) {
+func TestShutdownWithoutSuccessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		h, _ := startVoter(t)
@@ -103,7 +103,7 @@
 		g.Expect(h.shutdown.done).To(BeFalse())
 		h.advance(2 * time.Second)
 		g.Expect(h.shutdown.done).To(BeTrue())
-		g.Expect(h.log.with("shutdown deadline exceeded")).NotTo(BeEmpty())
+		g.Expect(h.log.containing("shutdown deadline exceeded")).NotTo(BeEmpty())
 		h.stop()
 	})
 }
@@ -122,25 +122,25 @@
 		h.settle()
 		h.confirmReads(b)
 		g.Expect(h.consensus.state.Bookings.Active).To(HaveLen(1))
-		told := func() (times int) {
+		countAnnouncements := func() (count int) {
 			for _, f := range b.received() {
 				if f.Reservations != nil {
-					times++
+					count++
 				}
 			}
-			return times
+			return count
 		}
-		told()
+		countAnnouncements()
 		h.advance(reservation.LeaderProofTTL)
-		g.Expect(told()).To(BeZero(), "nobody has answered a round")
+		g.Expect(countAnnouncements()).To(BeZero(), "nobody has answered a round")
 		h.advance(allocateInterval)
 		h.confirmReads(b)
 		h.advance(allocateInterval + tickInterval)
-		g.Expect(told()).To(BeNumerically(">", 0))
+		g.Expect(countAnnouncements()).To(BeNumerically(">", 0))
 		h.advance(reservation.LeaderProofTTL + allocateInterval)
-		told()
+		countAnnouncements()
 		h.advance(announceInterval)
-		g.Expect(told()).To(BeZero(), "the last proof is too old")
+		g.Expect(countAnnouncements()).To(BeZero(), "the last proof is too old")
 		h.stop()
 	})
 }
--- a/internal/control/controller/summaries.go
+++ b/internal/control/controller/summaries.go
@@ -74,14 +74,14 @@
 func (c *Controller) sendFullSummaries(now time.Duration) {
 	summary := c.summaries.full(c)
 	for _, e := range c.links.edges {
-		own := summary
+		edgeSummary := summary
 		if edges := c.links.zoneEdgeHashes(e.zone); !slices.Equal(edges, e.zoneEdges) {
 			e.zoneEdges = edges
-			changed := *summary
-			changed.ZoneEdges = edges
-			own = &changed
+			withZoneEdges := *summary
+			withZoneEdges.ZoneEdges = edges
+			edgeSummary = &withZoneEdges
 		}
-		e.link.Send(own)
+		e.link.Send(edgeSummary)
 	}
 	c.sendToSecondary(summary)
 
--- a/internal/control/controller/unreadable_snapshot_test.go
+++ b/internal/control/controller/unreadable_snapshot_test.go
@@ -15,7 +15,7 @@
 		g := NewWithT(t)
 		dir := t.TempDir()
 		v := voterDisk(ipA)
-		v.Snapshot = &consensus.Snapshot{Term: 4, Index: 64, Data: []byte("no state"), Membership: three}
+		v.Snapshot = &consensus.Snapshot{Term: 4, Index: 64, Data: []byte("no state"), Membership: threeVoters}
 		v.Entries = nil
 		v.Hard.Commit = 64
 		writeDisk(t, dir, v)
--- a/internal/control/controller/voted_out_test.go
+++ b/internal/control/controller/voted_out_test.go
@@ -9,12 +9,12 @@
 	"mulleinwood/internal/control/consensus"
 )
 
-func TestRemovedLeaderComesBack(t *testing.T) {
+func TestRemovedLeaderGetsANewIdentity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		dir := t.TempDir()
 		b := voterDisk(ipC)
-		m := joint
+		m := jointMembership
 		b.Membership = &m
 		b.Entries = append(b.Entries, consensus.Entry{Term: 4, Index: 2, Membership: &m})
 		b.Hard.Commit = 2
@@ -30,14 +30,14 @@
 			s.sendConsensus(consensus.Message{Kind: consensus.VoteReply, Term: term, OK: true})
 		}
 		g.Expect(h.consensus.leads()).To(BeTrue())
-		asked := 0
+		transfers := 0
 		for range 30 { // it doesn't finish the change itself: one that votes afterwards is asked to lead
 			h.advance(tickInterval)
 			for _, s := range []*scriptedPeer{sb, sd} {
 				for _, f := range s.received() {
 					for _, m := range f.Consensus {
 						if m.Kind == consensus.TimeoutNow {
-							asked++
+							transfers++
 						}
 					}
 				}
@@ -46,8 +46,8 @@
 		}
 		g.Expect(h.consensus.leads()).To(BeTrue())
 		g.Expect(h.members.current.Joint()).To(BeTrue())
-		g.Expect(asked).To(BeNumerically(">", 0))
-		last, final := h.consensus.replica.LastIndex(), consensus.Membership{Epoch: joint.Epoch + 1, Cluster: joint.Cluster, Voters: joint.Next}
+		g.Expect(transfers).To(BeNumerically(">", 0))
+		last, final := h.consensus.replica.LastIndex(), consensus.Membership{Epoch: jointMembership.Epoch + 1, Cluster: jointMembership.Cluster, Voters: jointMembership.Next}
 		h.followLeader(sb, term+1, consensus.Message{Index: last, LogTerm: term, Entries: []consensus.Entry{{Term: term + 1, Index: last + 1, Membership: &final}}, Commit: last + 1})
 		h.advance(4 * electionTimeout)
 		g.Expect(h.members.current.Joint()).To(BeFalse())
--- a/internal/peer/digests.go
+++ b/internal/peer/digests.go
@@ -18,8 +18,8 @@
 }
 
 // Due takes the digest of a full summary and reports whether the zones should be compared now.
-func (c *DigestComparison) Due(theirs, ours uint64, now time.Duration) bool {
-	if theirs == ours {
+func (c *DigestComparison) Due(remote, local uint64, now time.Duration) bool {
+	if remote == local {
 		c.differed = 0
 		return false
 	}
@@ -35,13 +35,13 @@
 // the own entries and digests of the zones that differ, to a reply the entries of those that still do. Together they
 // repair whatever updates were missed while links came and went.
 func (d *Digests) Compare(servers *registry.Registry, now time.Duration) []Message {
-	ours, zones, differing := servers.ZoneDigests(), map[string]bool{}, map[string]uint64{}
+	own, zones, differing := servers.ZoneDigests(), map[string]bool{}, map[string]uint64{}
 	for zone, digest := range d.ByZone {
-		if ours[zone] != digest {
-			zones[zone], differing[zone] = true, ours[zone]
+		if own[zone] != digest {
+			zones[zone], differing[zone] = true, own[zone]
 		}
 	}
-	for zone, digest := range ours {
+	for zone, digest := range own {
 		if _, known := d.ByZone[zone]; !known && !d.Reply && digest != 0 { // a zone that the other end doesn't know
 			zones[zone], differing[zone] = true, digest
 		}
--- a/internal/peer/security.go
+++ b/internal/peer/security.go
@@ -60,11 +60,11 @@
 	if err != nil {
 		return fmt.Errorf("inner TLS: %w", err)
 	}
-	p := &credentials{certificate: certificate, authorities: x509.NewCertPool()}
-	if !p.authorities.AppendCertsFromPEM(text) {
+	loaded := &credentials{certificate: certificate, authorities: x509.NewCertPool()}
+	if !loaded.authorities.AppendCertsFromPEM(text) {
 		return fmt.Errorf("inner TLS: %s holds no certificate", authorityFile)
 	}
-	s.current.Store(p)
+	s.current.Store(loaded)
 	return nil
 }
 
@@ -82,11 +82,11 @@
 	if err != nil {
 		return nil, closeWith(conn, err)
 	}
-	p := s.current.Load()
+	current := s.current.Load()
 	return completeHandshake(ctx, tls.Client(conn, &tls.Config{
 		MinVersion:   tls.VersionTLS13,
-		Certificates: []tls.Certificate{p.certificate},
-		RootCAs:      p.authorities,
+		Certificates: []tls.Certificate{current.certificate},
+		RootCAs:      current.authorities,
 		ServerName:   ip,
 	}))
 }
@@ -97,11 +97,11 @@
 	if s == nil {
 		return conn, nil
 	}
-	p := s.current.Load()
+	current := s.current.Load()
 	secured := tls.Server(conn, &tls.Config{
 		MinVersion:   tls.VersionTLS13,
-		Certificates: []tls.Certificate{p.certificate},
-		ClientCAs:    p.authorities,
+		Certificates: []tls.Certificate{current.certificate},
+		ClientCAs:    current.authorities,
 		ClientAuth:   tls.RequireAndVerifyClientCert,
 	})
 	if _, err := completeHandshake(ctx, secured); err != nil {
