--- a/internal/control/controller/api.go
+++ b/internal/control/controller/api.go
@@ -15,7 +15,7 @@
 	"mulleinwood/internal/platform/nodesettings"
 )
 
-// Bounds of the bodies of calls, in bytes.
+// Maximum lengths of call bodies, in bytes.
 const (
 	maxConfigBody      = 32 << 20
 	maxBookingsBody    = 1 << 20
@@ -23,8 +23,8 @@
 	maxHeartbeatBody   = 64 << 10
 )
 
-// controlAPI serves the HTTP calls of servers and operators. Its handlers run on goroutines of their own: they check what
-// can be checked without the controller's state, hand the rest to the owner and wait for the outcome.
+// controlAPI handles the HTTP calls of servers and operators. Its handlers run on their own goroutines: they validate what
+// needs no access to the controller's state, pass the rest to the owner and wait for the outcome.
 type controlAPI struct {
 	*Controller
 }
@@ -52,7 +52,7 @@
 	return mux
 }
 
-// writeError answers an error as apierror's table says.
+// writeError answers with the status and Retry-After that apierror assigns to err.
 func writeError(w http.ResponseWriter, err error) {
 	response := apierror.For(err)
 	if response.RetryAfter > 0 {
@@ -69,16 +69,16 @@
 	writeBody(w, status, text)
 }
 
-// writeBody answers with JSON that is encoded already.
+// writeBody answers with JSON that is already encoded.
 func writeBody(w http.ResponseWriter, status int, text []byte) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	w.WriteHeader(status)
-	_, _ = w.Write(text) // a caller that has gone asks again
+	_, _ = w.Write(text) // a caller that has disconnected retries
 }
 
-// readBody reads a body of at most limit bytes; ok is false if the call was answered with an error, which is of the kind
-// tooLarge if the body is longer.
+// readBody reads a body of at most limit bytes. If that fails, it answers the call with an error, which is of the type
+// tooLarge for a longer body, and returns false.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64, tooLarge *errorx.Type) (body []byte, ok bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if err == nil {
@@ -92,15 +92,15 @@
 	return nil, false
 }
 
-// outcome is what the owner answers to a call.
+// outcome is the owner's answer to a call.
 type outcome struct {
-	leader string // IP of the controller that the caller should go to; empty: err or body holds the answer
+	leader string // IP of the leader to redirect the caller to; empty or own: err or body is the answer
 	err    error
-	body   any // encoded as JSON with status 200; json.RawMessage as it is
+	body   any // encoded as JSON with status 200; a json.RawMessage is sent unchanged
 }
 
-// onLeader has the owner run f if this controller leads, and answers the call with the outcome that f sends. Otherwise the
-// caller is redirected to the leader.
+// onLeader runs f on the owner's goroutine if this controller leads, and answers the call with the outcome that f sends.
+// Otherwise it redirects the caller to the leader, or answers with an error if the leader is unknown.
 func (a *controlAPI) onLeader(w http.ResponseWriter, r *http.Request, f func(done chan<- outcome)) {
 	done := make(chan outcome, 1)
 	a.runOnOwner(func() {
@@ -130,9 +130,9 @@
 	}
 }
 
-// await waits for a value. Where the caller leaves before it comes, net/http closes the connection without an answer: for a
-// handler that just returned it would write a 200, which a caller that closed only its sending side takes for an
-// acknowledgement.
+// await waits for a value. If the caller disconnects first, it panics with http.ErrAbortHandler, so that net/http closes the
+// connection without an answer. If the handler just returned, net/http would write a 200, and a caller that closed only its
+// sending side would take it for an acknowledgement.
 func await[T any](ctx context.Context, values <-chan T) T {
 	select {
 	case value := <-values:
@@ -142,7 +142,7 @@
 	}
 }
 
-// controlAddress is where the controller at an IP address takes control calls: all use the same port.
+// controlAddress returns the address for control calls of the controller at an IP address. All controllers use the same port.
 func controlAddress(settings *nodesettings.Settings, ip string) string {
 	_, port, err := net.SplitHostPort(settings.Listen.Control)
 	if err != nil {
--- a/internal/control/controller/api_bookings.go
+++ b/internal/control/controller/api_bookings.go
@@ -15,15 +15,16 @@
 	"mulleinwood/internal/platform/apierror"
 )
 
-// callDigestBytes is how much of a call's digest names it: enough that no two calls of a year share it.
+// callDigestBytes is the length of a call ID, a truncated digest. It is long enough that no two calls of a year collide.
 const callDigestBytes = 16
 
-// getBookings answers with the ledger of bookings, once it is sure that this controller still leads.
+// getBookings answers with the ledger of bookings once it is confirmed that this controller still leads.
 func (a *controlAPI) getBookings(w http.ResponseWriter, r *http.Request) {
 	a.readConfirmed(w, r, a.reservations.operatorView)
 }
 
-// changeBookings puts bookings into the ledger or cancels one. With dry_run=true it only says what could be kept.
+// changeBookings puts bookings into the ledger or cancels one. With dry_run=true it only reports whether the capacity
+// suffices.
 func (a *controlAPI) changeBookings(w http.ResponseWriter, r *http.Request) {
 	body, ok := readBody(w, r, maxBookingsBody, apierror.Malformed)
 	if !ok {
@@ -48,7 +49,7 @@
 	a.onLeader(w, r, func(done chan<- outcome) { a.proposeBookings(op, done) })
 }
 
-// readOperation makes the change of the ledger that a call asks for. The same call again gets the same name.
+// readOperation returns the change of the ledger that a call requests. A repeated call gets the same ID.
 func readOperation(r *http.Request, base uint64, body []byte) (op reservation.Op, err error) {
 	digest := sha256.Sum256(fmt.Appendf(nil, "%s %s %d %s", r.Method, r.PathValue("id"), base, body))
 	op = reservation.Op{Call: hex.EncodeToString(digest[:callDigestBytes]), Base: base}
@@ -60,7 +61,7 @@
 	return op, err
 }
 
-// readBookings reads one booking, whose id the path has, or a list of them.
+// readBookings decodes a single booking, whose id is in the path, or a list of bookings.
 func readBookings(id string, body []byte) (bookings []reservation.Booking, err error) {
 	if id != "" {
 		bookings = make([]reservation.Booking, 1)
@@ -77,7 +78,7 @@
 	return bookings, err
 }
 
-// tryBookings answers what would become of a change of the ledger.
+// tryBookings answers with the result that a change of the ledger would have.
 func (a *controlAPI) tryBookings(op reservation.Op, done chan<- outcome) {
 	op, err := a.timed(op)
 	if err != nil {
@@ -89,9 +90,9 @@
 	done <- outcome{body: result, err: err}
 }
 
-// proposeBookings proposes a change of the ledger, if what is booked can be kept. The entry is built on the version that
-// was judged, so that two bookings at once can't both take the last slots. A call that is known is proposed again and
-// changes nothing.
+// proposeBookings proposes a change of the ledger if the capacity suffices for it. The entry is based on the version that
+// was checked, so that two concurrent bookings can't both take the last slots. A call that was already applied is proposed
+// again and changes nothing.
 func (a *controlAPI) proposeBookings(op reservation.Op, done chan<- outcome) {
 	op, err := a.timed(op)
 	if err != nil {
@@ -116,19 +117,19 @@
 	})
 }
 
-// timed sets the time of a change, which every replica applies it by. It fails on a leader that has not committed an entry
-// of its own term yet: what an earlier leader acknowledged may not be applied here.
+// timed sets the time of a change, which all replicas use when they apply it. It fails on a leader that has not committed an
+// entry of its own term yet, since changes that an earlier leader acknowledged may not be applied here.
 func (a *controlAPI) timed(op reservation.Op) (reservation.Op, error) {
 	if !a.consensus.replica.CommittedInTerm() {
 		return op, apierror.NoLeader.New("this leader has not caught up yet")
 	}
 	if op.Now = a.reservations.clock.Now(a.Now()); op.Now == 0 {
-		op.Now = wallClock() // before the first summary
+		op.Now = wallClock() // no summary was sent yet
 	}
 	return op, nil
 }
 
-// judgeBookings says whether a change can be made, and whether what it books could be kept.
+// judgeBookings validates a change and reports whether the capacity suffices for its bookings.
 func (a *controlAPI) judgeBookings(op reservation.Op) (operator.BookingResult, error) {
 	ledger := a.reservations.ledger()
 	result := operator.BookingResult{Version: ledgerVersion(ledger.Version), Accepted: true}
--- a/internal/control/controller/api_config.go
+++ b/internal/control/controller/api_config.go
@@ -25,7 +25,7 @@
 	a.proposeConfig(w, r, change)
 }
 
-// patchConfig changes the configuration as the body says.
+// patchConfig applies the patch in the body to the configuration.
 func (a *controlAPI) patchConfig(w http.ResponseWriter, r *http.Request) {
 	change, ok := readChange(w, r)
 	if !ok {
@@ -35,7 +35,8 @@
 	a.proposeConfig(w, r, change)
 }
 
-// readChange reads the body and the version that it is built on; ok is false if the call was answered with an error.
+// readChange reads the body and the version that it is based on. If that fails, it answers the call with an error and
+// returns false.
 func readChange(w http.ResponseWriter, r *http.Request) (change statemachine.Change, ok bool) {
 	body, ok := readBody(w, r, maxConfigBody, apierror.TooLarge)
 	if !ok {
@@ -49,10 +50,10 @@
 	return statemachine.Change{Base: uint64(base), Body: body}, true
 }
 
-// proposeConfig proposes a change to the log of the leader and answers once it is applied.
+// proposeConfig proposes a change on the leader and answers once it is applied.
 func (a *controlAPI) proposeConfig(w http.ResponseWriter, r *http.Request, change statemachine.Change) {
 	a.onLeader(w, r, func(done chan<- outcome) {
-		// What is plainly wrong needs no entry: whether it is stale or invalid, it is refused either way.
+		// An invalid change needs no entry: it would be rejected as stale or as invalid.
 		state := a.consensus.state
 		if !state.HasAccepted(change) && len(a.consensus.proposals) == 0 && change.Base == state.Version() {
 			if _, err := state.Check(change); err != nil {
@@ -66,7 +67,7 @@
 	})
 }
 
-// getConfig answers with the newest configuration, once it is sure that this controller still leads.
+// getConfig answers with the newest configuration once it is confirmed that this controller still leads.
 func (a *controlAPI) getConfig(w http.ResponseWriter, r *http.Request) {
 	a.readConfirmed(w, r, func() ([]byte, error) {
 		if a.consensus.state.Config == nil {
@@ -76,7 +77,7 @@
 	})
 }
 
-// readConfirmed answers with what render gives once it is sure that this controller still leads.
+// readConfirmed answers with the result of render once it is confirmed that this controller still leads.
 func (a *controlAPI) readConfirmed(w http.ResponseWriter, r *http.Request, render func() ([]byte, error)) {
 	a.onLeader(w, r, func(done chan<- outcome) {
 		a.consensus.readConfirmed(render, func(body []byte, err error) {
@@ -85,25 +86,26 @@
 	})
 }
 
-// getConfigHistory lists the configurations that were accepted, newest first, as this controller knows them.
+// getConfigHistory answers with the accepted configuration versions known to this controller, newest first.
 func (a *controlAPI) getConfigHistory(w http.ResponseWriter, r *http.Request) {
 	type acceptedVersion struct {
-		Version string // no tag: operators read these names since the first version
-		Digest  string // the first bytes of the call's digest, in hexadecimal
+		Version string // no tag: the JSON names are the same since the first version
+		Digest  string // first digestBytes of the call's digest, in hexadecimal
 	}
 	const digestBytes = 8
 	done := make(chan []acceptedVersion, 1)
 	a.runOnOwner(func() {
 		all := []acceptedVersion{}
 		for _, change := range slices.Backward(a.consensus.state.AcceptedChanges) {
-			all = append(all, acceptedVersion{config.Version(change.Version).String(), hex.EncodeToString(change.Digest[:digestBytes])})
+			all = append(all, acceptedVersion{config.Version(change.Version).String(),
+				hex.EncodeToString(change.Digest[:digestBytes])})
 		}
 		done <- all
 	})
 	writeJSON(w, http.StatusOK, await(r.Context(), done))
 }
 
-// getStatus tells operators how this controller sees the system.
+// getStatus answers with this controller's view of the system, for operators.
 func (a *controlAPI) getStatus(w http.ResponseWriter, r *http.Request) {
 	done := make(chan operator.Status, 1)
 	a.runOnOwner(func() { done <- a.status() })
--- a/internal/control/controller/api_members.go
+++ b/internal/control/controller/api_members.go
@@ -11,7 +11,7 @@
 	"mulleinwood/internal/platform/apierror"
 )
 
-// replaceMember replaces a voter. With dry_run it only says who would take its place.
+// replaceMember replaces a voter. With dry_run it only reports which controller would replace it.
 func (a *controlAPI) replaceMember(w http.ResponseWriter, r *http.Request) {
 	body, ok := readBody(w, r, maxReplacementBody, apierror.Malformed)
 	if !ok {
@@ -25,8 +25,8 @@
 	a.onLeader(w, r, func(done chan<- outcome) { a.proposeReplacement(call, done) })
 }
 
-// proposeReplacement begins a replacement. It is acknowledged once the joint membership is committed; the change is then
-// finished like any other, by the leader of that time.
+// proposeReplacement begins a replacement. It is acknowledged once the joint membership is committed; the current leader
+// then completes it like any other membership change.
 func (a *controlAPI) proposeReplacement(call operator.Replacement, done chan<- outcome) {
 	next, err := membership.Replace(a.members.view(), call.Voter, call.By)
 	if errors.Is(err, membership.ErrVoterIsLeader) && !call.DryRun {
@@ -54,7 +54,8 @@
 	})
 }
 
-// replacementError is the answer to a replacement that can't be made: now, or at all.
+// replacementError returns the answer to a failed replacement: a temporary error if it may succeed later, otherwise a
+// conflict.
 func replacementError(voter string, err error) error {
 	if errors.Is(err, membership.ErrVoterIsLeader) || errors.Is(err, membership.ErrChangeInProgress) {
 		return apierror.NoLeader.Wrap(err, "not now")
--- a/internal/control/controller/api_servers.go
+++ b/internal/control/controller/api_servers.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	maxWarmup   = 3600.0  // seconds; a server that says more is mistaken
-	maxCapacity = 1 << 20 // slots of a server
+	maxWarmup   = 3600.0  // seconds; larger values are taken for a mistake and reduced to it
+	maxCapacity = 1 << 20 // slots per server; larger values are reduced to it
 )
 
-// heartbeat is what a server says of itself.
+// heartbeat is the body of a server's heartbeat.
 type heartbeat struct {
 	Service  string  `json:"service"`
 	Address  string  `json:"address"`
@@ -29,7 +29,7 @@
 	return h.Service != "" && h.Address != "" && h.Capacity >= 0 && (h.State == "ready" || h.State == "draining")
 }
 
-// entry is what the register keeps of a heartbeat that a controller received.
+// entry returns the registry entry for a heartbeat received by the controller owner.
 func (h heartbeat) entry(id, owner string) registry.Entry {
 	e := registry.Entry{ID: id, Service: h.Service, Address: h.Address, Zone: h.Zone, Version: h.Version,
 		Capacity: min(max(1, h.Capacity), maxCapacity), WarmupLeft: min(max(0, h.Warmup), maxWarmup), Seq: h.Seq, Owner: owner}
@@ -39,7 +39,8 @@
 	return e
 }
 
-// putInstance takes a server's heartbeat. That a server drains is acknowledged once those who could send to it know.
+// putInstance handles a server's heartbeat. A drain is acknowledged once the edges that could send to the server have been
+// notified.
 func (a *controlAPI) putInstance(w http.ResponseWriter, r *http.Request) {
 	body, ok := readBody(w, r, maxHeartbeatBody, apierror.Malformed)
 	if !ok {
@@ -57,7 +58,7 @@
 	a.register(w, r, h.entry(r.PathValue("id"), a.Settings.IP))
 }
 
-// deleteInstance takes a server's last call.
+// deleteInstance removes a server; it is the server's last call.
 func (a *controlAPI) deleteInstance(w http.ResponseWriter, r *http.Request) {
 	a.register(w, r, registry.Entry{ID: r.PathValue("id"), State: registry.Removed, Owner: a.Settings.IP})
 }
@@ -65,7 +66,7 @@
 func (a *controlAPI) register(w http.ResponseWriter, r *http.Request, e registry.Entry) {
 	done := make(chan registration, 1)
 	a.runOnOwner(func() { a.servers.register(e, done) })
-	reply := await(r.Context(), done) // a server that leaves before calls another controller
+	reply := await(r.Context(), done) // a server that disconnects first calls another controller
 	switch {
 	case reply.err != nil:
 		writeError(w, reply.err)
--- a/internal/control/controller/claims.go
+++ b/internal/control/controller/claims.go
@@ -13,40 +13,40 @@
 )
 
 const (
-	// keyWindowSlack is added to the window of keys that the platform gives: a record is kept too long rather than too short.
+	// keyWindowSlack is added to the configured key window, so that a record is kept too long rather than too short.
 	keyWindowSlack = 5 * time.Second
-	// defaultKeyWindow is taken where the settings don't give one, in seconds.
+	// defaultKeyWindow is the key window if the settings have none, in seconds.
 	defaultKeyWindow = 60
-	// claimHedgeDelay is how long the first claim stores may take before the others are asked, too.
+	// claimHedgeDelay is how long the first claim stores may take to reply before the others are asked as well.
 	claimHedgeDelay = 20 * time.Millisecond
-	// claimTimeout is how long a claim may stay undecided. Edges wait a little longer.
+	// claimTimeout is how long a claim may stay undecided. The timeout at the edges is a little longer.
 	claimTimeout = 900 * time.Millisecond
-	// responseQueryTimeout is how long other controllers may take to say whether they keep a response.
+	// responseQueryTimeout is how long to wait for the other controllers' replies to a response query.
 	responseQueryTimeout = 300 * time.Millisecond
-	// copyInterval is the time between two requests for the claims of other stores.
+	// copyInterval is how often the claims of other stores are requested while they are being copied.
 	copyInterval = 200 * time.Millisecond
-	// maxChunkClaims is how many claims one message holds when a store is copied.
+	// maxChunkClaims is the maximum number of claims per message when a store is copied.
 	maxChunkClaims = 2000
-	// responseMemoryShare and responseDiskShare bound what responses may take of the machine. Space that is freed in the
-	// file is used again only once no older transaction needs it, so a quarter of the disk is all of it in the worst case.
+	// responseMemoryShare and responseDiskShare limit the responses' share of the machine's memory and disk. Space freed
+	// in the file is reused only once no older transaction needs it: in the worst case a quarter of the disk fills all of it.
 	responseMemoryShare = 0.25
 	responseDiskShare   = 0.25
 )
 
-// membershipState is what the claims service has to know of the membership.
+// membershipState provides the membership to the claims service.
 type membershipState interface {
-	// ownIdentity is that of this replica.
+	// ownIdentity returns the identity of this replica.
 	ownIdentity() string
-	// membership is the newest that was applied.
+	// membership returns the newest applied membership.
 	membership() consensus.Membership
-	// durableEpoch is that of the newest membership that is durable here.
+	// durableEpoch returns the epoch of the newest membership that is durable on this replica.
 	durableEpoch() uint64
-	// announceStatus tells all controllers of this replica's status.
+	// announceStatus sends this replica's status to all controllers.
 	announceStatus()
 }
 
-// claimsService runs the claim store of this controller and the coordinator of its edges' claims. A grant is sent once it
-// is durable.
+// claimsService runs this controller's claim store and the coordinator for the claims of its edges. A grant is sent only
+// once it is durable.
 type claimsService struct {
 	*node.Env
 	writer      *writer
@@ -55,17 +55,17 @@
 	store       *idempotency.Store
 	coordinator *idempotency.Coordinator
 
-	claimants  map[idempotency.Token]*remote // who receives the outcome
+	claimants  map[idempotency.Token]*remote // links that receive the outcome
 	queries    map[idempotency.Token]*responseQuery
-	copiedFrom map[string]bool // replicas whose claims were copied for the change under way
+	copiedFrom map[string]bool // replicas whose claims were copied for the change in progress
 	nextCopy   time.Duration
-	onSynced   func() // called when a peer has made durable what was handed over to it
+	onSynced   func() // called when the handed-over responses are durable at the peer
 }
 
-// responseQuery waits for a response that another controller keeps.
+// responseQuery is a pending query for a response that another controller may keep.
 type responseQuery struct {
 	deadline time.Duration
-	pending  int // controllers that have not replied
+	pending  int // number of controllers that have not replied
 	done     func(*idempotency.Response)
 }
 
@@ -81,12 +81,12 @@
 	return s
 }
 
-// keyWindow is how long claims are remembered.
+// keyWindow returns how long claims are kept.
 func keyWindow(env *node.Env) time.Duration {
 	return env.Settings.Seconds("key_window_s", defaultKeyWindow) + keyWindowSlack
 }
 
-// maxResponseBytes is how many bytes the responses of keyed operations may take, in memory and on disk.
+// maxResponseBytes returns the limit for the stored responses of keyed operations, in memory and on disk, in bytes.
 func maxResponseBytes(env *node.Env) int64 {
 	megabytes := responseMemoryShare * env.Settings.Limits.MemoryMB
 	if disk := env.Settings.Limits.DiskMB; disk > 0 {
@@ -102,7 +102,7 @@
 	s.store.Expire(now)
 }
 
-// expireQueries gives up on responses that nobody sends.
+// expireQueries completes queries that timed out, without a response.
 func (s *claimsService) expireQueries(now time.Duration) {
 	for token, q := range s.queries {
 		if now > q.deadline {
@@ -112,7 +112,7 @@
 	}
 }
 
-// handleMessage handles what peers say of claims.
+// handleMessage handles a peer's message about claims.
 func (s *claimsService) handleMessage(p *remote, m peer.Message) {
 	switch m := m.(type) {
 	case peer.ClaimRequests:
@@ -140,7 +140,7 @@
 	}
 }
 
-// handleClaimRequests starts to collect grants for the claims of an edge.
+// handleClaimRequests starts collecting grants for an edge's claims.
 func (s *claimsService) handleClaimRequests(p *remote, requests peer.ClaimRequests) {
 	for _, r := range requests {
 		if len(s.members.membership().Voters) == 0 {
@@ -153,7 +153,7 @@
 	}
 }
 
-// handleGrantRequests puts the claims of another coordinator to the store here.
+// handleGrantRequests requests grants from this store for another coordinator's claims.
 func (s *claimsService) handleGrantRequests(p *remote, m peer.GrantRequests) {
 	for _, r := range m.Records {
 		s.requestGrant(r, m.Epoch, func(reply idempotency.GrantReply, holder idempotency.Record) {
@@ -166,9 +166,9 @@
 	}
 }
 
-// requestGrant puts a claim to the store here; a grant is sent once it is durable. A claim that is asked under a membership
-// older than the newest that is durable here is granted nothing: the new voters have copied, or are copying, what this
-// store held before.
+// requestGrant requests a grant from this store and calls done with the reply, for a grant once it is durable. A request
+// under a membership older than the newest durable one is rejected: the new voters have copied, or are copying, the claims
+// that this store held before.
 func (s *claimsService) requestGrant(r idempotency.Record, epoch uint64, done func(idempotency.GrantReply, idempotency.Record)) {
 	if epoch < s.members.durableEpoch() {
 		done(idempotency.ReplyStaleEpoch, idempotency.Record{})
@@ -180,7 +180,7 @@
 		return
 	}
 	s.writer.writeClaim(r, func(durable bool) {
-		if !durable { // what isn't durable is not granted, and not remembered as if it were
+		if !durable { // a claim that isn't durable is neither granted nor kept as granted
 			s.store.MarkFailed(r.Key, r.Token)
 		}
 		if !durable || !s.store.MarkDurable(r.Key, r.Token) {
@@ -190,7 +190,7 @@
 	})
 }
 
-// sendGrantRequests puts claims to the stores that the coordinator chose.
+// sendGrantRequests sends grant requests to the stores that the coordinator chose.
 func (s *claimsService) sendGrantRequests(requests []idempotency.GrantRequest) {
 	epoch := s.members.membership().Epoch
 	for _, request := range requests {
@@ -232,9 +232,9 @@
 	}
 }
 
-// finishClaim tells the claimant the outcome. The claimant alone revokes a claim that was not granted: two coordinators may
-// be asked about one claim, and only the claimant knows which of them it heard. Where another claim holds the key, the
-// response of its run goes along, if there is one.
+// finishClaim sends the outcome to the claimant. Only the claimant revokes a claim that was not granted: it may have asked
+// two coordinators about one claim, and only it knows whose reply it received. If another claim holds the key, the outcome
+// includes the response of that claim's run, if there is one.
 func (s *claimsService) finishClaim(result idempotency.Result) {
 	s.Metrics.Claims.WithLabelValues(result.Outcome.String()).Inc()
 	claimant := s.claimants[result.Token]
@@ -251,8 +251,9 @@
 	s.findResponse(result.Holder, done)
 }
 
-// findResponse looks for the response of a claim's run. It is kept where the claimant's controller was when the response
-// came, mostly at the claim's ResponseHolder: all controllers are asked at once.
+// findResponse looks up the response of a claim's run and calls done with it, or with nil if there is none. The response
+// is kept by the controller that the claimant was attached to when it arrived. That is usually the claim's ResponseHolder,
+// but not always, so all controllers are asked at once.
 func (s *claimsService) findResponse(claim idempotency.Record, done func(*idempotency.Response)) {
 	if response := s.store.Response(claim.Key, claim.Token); response != nil {
 		done(response)
@@ -268,7 +269,8 @@
 		done: done}
 }
 
-// joinQuery lets one query serve all that wait for the same response.
+// joinQuery returns a callback that also completes a pending query for the same response, so that one query serves all
+// callers.
 func (s *claimsService) joinQuery(token idempotency.Token, done func(*idempotency.Response)) func(*idempotency.Response) {
 	if q, ok := s.queries[token]; ok {
 		return func(response *idempotency.Response) {
@@ -279,7 +281,7 @@
 	return done
 }
 
-// handleRevocations withdraws claims: at all stores if an edge says so, here if another controller passes it on.
+// handleRevocations revokes claims: at all stores if an edge sent them, only here if another controller forwarded them.
 func (s *claimsService) handleRevocations(p *remote, revocations peer.Revocations) {
 	for _, r := range revocations {
 		if p.edge {
@@ -306,8 +308,8 @@
 	}
 }
 
-// handleResponses keeps the responses of completed operations. What a controller hands over as it shuts down is written
-// without giving up, since it may be the only copy.
+// handleResponses stores the responses of completed operations. Responses that a controller hands over while it shuts down
+// may be the only copies, so their writes are retried until they succeed.
 func (s *claimsService) handleResponses(p *remote, responses peer.Responses) {
 	for _, r := range responses {
 		if r.Response == nil {
@@ -343,7 +345,7 @@
 	}
 }
 
-// setStores lets the coordinator ask the stores of the membership in force.
+// setStores sets the coordinator's claim stores to those of the current membership.
 func (s *claimsService) setStores() {
 	m := s.members.membership()
 	requests, results := s.coordinator.SetStores(s.members.ownIdentity(), m.Voters, m.Next)
@@ -351,21 +353,23 @@
 	s.finishClaims(results)
 }
 
-// forgetGrants takes back what a replica granted to claims that are still open: its disk was lost, or it was voted out.
+// forgetGrants discards a replica's grants for undecided claims. It is called when the replica lost its disk or was voted
+// out.
 func (s *claimsService) forgetGrants(identity string) {
 	s.finishClaims(s.coordinator.DiscardGrants(identity))
 }
 
-// restartCopy begins to copy the claims of the other stores from the start.
+// restartCopy starts copying the claims of the other stores from the beginning.
 func (s *claimsService) restartCopy() { s.copiedFrom, s.nextCopy = map[string]bool{}, 0 }
 
-// mustCopy reports whether this replica is a new voter of the change under way whose store doesn't hold the others' claims.
+// mustCopy reports whether this replica is a new voter in the current membership change whose store lacks the others'
+// claims.
 func (s *claimsService) mustCopy() bool {
 	m, own := s.members.membership(), s.members.ownIdentity()
 	return s.store.Recovering() && m.Joint() && slices.Contains(m.Next, own) && !slices.Contains(m.Voters, own)
 }
 
-// requestCopies asks the stores of the present voters for what they hold, while this replica is to become a voter.
+// requestCopies requests the claims of the current voters' stores while this replica is becoming a voter.
 func (s *claimsService) requestCopies(now time.Duration) {
 	if !s.mustCopy() || now < s.nextCopy {
 		return
@@ -379,8 +383,8 @@
 	}
 }
 
-// handleCopyRequest sends a new voter all claims that this store holds, once it grants nothing under the previous
-// membership. One that is refused asks again.
+// handleCopyRequest sends all claims of this store to a new voter. It ignores the request until this store no longer grants
+// under the previous membership; the new voter retries.
 func (s *claimsService) handleCopyRequest(p *remote, m peer.CopyRequest) {
 	current := s.members.membership()
 	if current.Epoch != m.Epoch || s.members.durableEpoch() < m.Epoch {
@@ -399,8 +403,8 @@
 	p.link.Send(peer.ClaimsCopy{Epoch: m.Epoch, ClaimsChunk: &peer.ClaimsChunk{Records: chunk, Last: true}})
 }
 
-// handleClaimsCopy takes over a chunk of another store. Once a majority of the previous voters is copied and durable here,
-// this store grants.
+// handleClaimsCopy imports a chunk of another store. Once the claims of a majority of the previous voters are copied and
+// durable here, this store starts granting.
 func (s *claimsService) handleClaimsCopy(p *remote, m peer.ClaimsCopy) {
 	current := s.members.membership()
 	if !s.mustCopy() || m.Epoch != current.Epoch || m.Recovering {
@@ -410,7 +414,7 @@
 	for i, r := range m.Records {
 		records[i] = s.store.Import(r, s.Now())
 	}
-	s.writer.write(&storage.Batch{Claims: records}, nil) // durable before what says that the store is complete
+	s.writer.write(&storage.Batch{Claims: records}, nil) // durable before the record that the store is complete
 	if !m.Last {
 		return
 	}
@@ -421,12 +425,12 @@
 	}
 }
 
-// finishRecovery lets the store grant once it is durable that it is complete.
+// finishRecovery records that the store is complete and lets it grant once that record is durable.
 func (s *claimsService) finishRecovery(epoch uint64) {
 	recovering := false
 	s.writer.write(&storage.Batch{Recovering: &recovering}, func() {
 		if s.members.membership().Epoch != epoch || !s.store.Recovering() {
-			return // the change is over meanwhile, or this was done before
+			return // the change has ended in the meantime, or recovery is already finished
 		}
 		s.store.FinishRecovery()
 		s.LogEvent("claims copied", "keys", s.store.Len(), "epoch", epoch)
--- a/internal/control/controller/clock.go
+++ b/internal/control/controller/clock.go
@@ -2,5 +2,5 @@
 
 import "time"
 
-// wallClock is this machine's time of day, in seconds since 1970.
+// wallClock returns this machine's wall clock time, in seconds since the Unix epoch.
 func wallClock() float64 { return float64(time.Now().UnixNano()) / float64(time.Second) }
--- a/internal/control/controller/consensus.go
+++ b/internal/control/controller/consensus.go
@@ -19,27 +19,27 @@
 
 const (
 	heartbeatInterval = 150 * time.Millisecond
-	// electionTimeout is three heartbeats and a bit: a follower stands for election after one to two of it.
+	// electionTimeout is a little more than three heartbeats. A follower starts an election after one to two timeouts.
 	electionTimeout = 500 * time.Millisecond
-	// callTimeout is how long an operator's call waits for the consensus. It is above two election timeouts, so that a
-	// call may survive a change of leader.
+	// callTimeout is how long an operator's call waits for the consensus. It exceeds two election timeouts, so that a call
+	// can outlast a change of leader.
 	callTimeout = 1500 * time.Millisecond
-	// compactAfter is how many applied entries the log holds before a snapshot replaces them.
+	// compactAfter is the number of applied entries after which a snapshot replaces them in the log.
 	compactAfter = 64
 )
 
-// consensusEvents is what the consensus runtime tells the other parts.
+// consensusEvents receives the consensus runtime's events for the other components.
 type consensusEvents interface {
-	// sendConsensus sends a message to the replica that it names, if there is a link to it.
+	// sendConsensus sends a message to the replica m.To, if there is a link to it.
 	sendConsensus(m consensus.Message)
-	// membershipCommitted is called for every committed membership, in order, again after a restart.
+	// membershipCommitted is called for every committed membership, in order. Memberships are repeated after a restart.
 	membershipCommitted(m consensus.Membership)
-	// configChanged is called once per turn in which entries changed the configuration.
+	// configChanged is called once per turn if applied entries changed the configuration.
 	configChanged(update *peer.Config)
 }
 
-// consensusRuntime drives the replica: it stores and sends what the replica puts out, applies what is committed to the
-// state machine and answers the calls that waited for it.
+// consensusRuntime drives the replica: it stores and sends the replica's output, applies committed entries to the state
+// machine and completes the calls that wait for them.
 type consensusRuntime struct {
 	*node.Env
 	writer  *writer
@@ -47,22 +47,22 @@
 	replica *consensus.Replica
 	state   *statemachine.StateMachine
 
-	proposals map[uint64]proposal // by index of the entry that they wait for
+	proposals map[uint64]proposal // pending calls, by the index of their entry
 	reads     []read
-	// snapshotUnreadable: the state here is not what was committed. The replica votes and stores on, so that the others
-	// keep their majority, and neither leads nor serves.
+	// snapshotUnreadable is set if a snapshot could not be restored, so that the local state lacks committed changes. The
+	// replica still votes and stores entries, to preserve the majority, but neither leads nor serves.
 	snapshotUnreadable bool
 	loggedRole         string
 }
 
-// proposal is a call that waits for its entry.
+// proposal is a call that waits until its entry is applied.
 type proposal struct {
-	term     uint64 // of the entry; another one at the index means that ours was cut off
+	term     uint64 // of the entry; a different term at the index means that the entry was truncated
 	deadline time.Duration
 	done     func(version uint64, err error)
 }
 
-// read is a call that waits for the proof that this controller still leads.
+// read is a call that waits for confirmation that this controller still leads.
 type read struct {
 	readIndex uint64
 	deadline  time.Duration
@@ -70,12 +70,12 @@
 	done      func(body []byte, err error)
 }
 
-// leads reports whether this controller leads and has the state that it needs for that.
+// leads reports whether this controller is the leader and its state is complete.
 func (r *consensusRuntime) leads() bool {
 	return r.replica != nil && r.replica.Role() == consensus.Leader && !r.snapshotUnreadable
 }
 
-// leaderIP is the address of the leader, as far as it is known; empty: it is not.
+// leaderIP returns the address of the leader, or the empty string if the leader is unknown.
 func (r *consensusRuntime) leaderIP() string { return membership.Address(r.replica.Leader()) }
 
 // inContact reports whether this controller is in contact with a majority of the voters.
@@ -89,7 +89,7 @@
 	}
 }
 
-// process does what the replica wants done after the events of a turn.
+// process handles the replica's output after the events of a turn.
 func (r *consensusRuntime) process() {
 	out := r.replica.DrainOutput()
 	for _, m := range out.Immediate {
@@ -101,7 +101,7 @@
 	r.logRole()
 }
 
-// store makes the output durable and then sends what waited for that.
+// store makes the output durable and then sends the messages that depend on it.
 func (r *consensusRuntime) store(out *consensus.Output) {
 	if out.Empty() && len(out.AfterSync) == 0 {
 		return
@@ -124,7 +124,7 @@
 		Entries: out.Entries}, done)
 }
 
-// apply applies what was committed, and tells the edges if that changed the configuration.
+// apply applies committed entries and reports a change of the configuration.
 func (r *consensusRuntime) apply(out consensus.Output) {
 	before := r.state.Version()
 	bookingsBefore := r.state.Bookings.Version
@@ -132,7 +132,7 @@
 		return
 	}
 	if r.snapshotUnreadable {
-		return // there is no state that entries could be applied to
+		return // there is no state to apply the entries to
 	}
 	var changes []*statemachine.Change
 	for _, e := range out.Committed {
@@ -145,7 +145,7 @@
 	}
 	if r.state.Version() != before {
 		if out.Install != nil {
-			changes = nil // the snapshot brought more than these
+			changes = nil // the snapshot may contain more changes than these
 		}
 		r.events.configChanged(r.configUpdate(before, changes))
 	}
@@ -164,8 +164,8 @@
 	return true
 }
 
-// applyEntry applies one entry and answers the call that waited for it. It gives the change of the configuration, if the
-// entry was one and was not refused.
+// applyEntry applies one entry and completes the call that waits for it. It returns the change of the configuration, or nil
+// if the entry has none or the change was rejected.
 func (r *consensusRuntime) applyEntry(e consensus.Entry) *statemachine.Change {
 	if e.Membership != nil {
 		r.events.membershipCommitted(*e.Membership)
@@ -187,8 +187,8 @@
 
 func errSuperseded() error { return apierror.Unconfirmed.New("another change took its place") }
 
-// configUpdate is what edges are sent of the configuration that changes led to: the change itself, where there was one and it
-// is a delta.
+// configUpdate returns the update to send to the edges after changes: a delta if there was a single change and it is a
+// patch, otherwise the complete configuration.
 func (r *consensusRuntime) configUpdate(before uint64, changes []*statemachine.Change) *peer.Config {
 	if len(changes) == 1 && changes[0].Patch {
 		return &peer.Config{Version: r.state.Version(), Base: before, Delta: changes[0].Body}
@@ -200,7 +200,8 @@
 	return update
 }
 
-// configSnapshot is the complete configuration, for an edge that has none or missed a change; nil: there is none yet.
+// configSnapshot returns the complete configuration for an edge that has none or missed a change. It returns nil if there
+// is no configuration yet.
 func (r *consensusRuntime) configSnapshot() *peer.Config {
 	if r.state.Config == nil {
 		return nil
@@ -218,13 +219,14 @@
 	}
 	data, err := r.state.Save()
 	if err != nil {
-		return // the log grows until it can be saved
+		return // the log grows until the state can be saved
 	}
 	r.replica.Compact(r.state.Index, data)
 	r.state.EntriesSinceSnapshot = 0
 }
 
-// propose appends a change to the log of a leader; done hears how it was applied, or that this is not known.
+// propose appends a change to the leader's log. It calls done with the result of applying it, or with an error that says
+// that the result is unknown.
 func (r *consensusRuntime) propose(change statemachine.Change, done func(version uint64, err error)) {
 	data, err := cbor.Marshal(change)
 	if err != nil {
@@ -235,8 +237,8 @@
 	r.awaitEntry(index, term, done)
 }
 
-// awaitEntry has done wait for the entry at an index. Whoever waited there before waits for an entry that was cut off the
-// log.
+// awaitEntry calls done when the entry at index is applied. A call that already waits for this index fails, since its entry
+// was truncated from the log.
 func (r *consensusRuntime) awaitEntry(index, term uint64, done func(version uint64, err error)) {
 	if superseded, ok := r.proposals[index]; ok {
 		superseded.done(0, errSuperseded())
@@ -244,7 +246,7 @@
 	r.proposals[index] = proposal{term: term, deadline: r.Now() + callTimeout, done: done}
 }
 
-// readConfirmed answers with what render gives once a majority has confirmed that this controller still leads.
+// readConfirmed calls done with the result of render once a majority has confirmed that this controller still leads.
 func (r *consensusRuntime) readConfirmed(render func() ([]byte, error), done func(body []byte, err error)) {
 	now := r.Now()
 	r.reads = append(r.reads, read{readIndex: r.replica.ReadIndex(now), deadline: now + callTimeout, render: render, done: done})
@@ -264,7 +266,7 @@
 	})
 }
 
-// expireProposals answers calls that waited for too long, or that this controller can't confirm any more.
+// expireProposals fails calls that timed out, and all calls if this controller no longer leads.
 func (r *consensusRuntime) expireProposals(now time.Duration) {
 	for index, p := range r.proposals {
 		if now > p.deadline || !r.leads() {
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -1,22 +1,22 @@
-// Package controller is the runtime of a controller process. It owns the deciders of the control plane (consensus, state
-// machine, membership manager, claim store, registry, weight tables, reservations), feeds them with what comes in on
-// sockets and timers, and does what they say.
+// Package controller implements the controller process. It runs the components of the control plane (consensus, state
+// machine, membership manager, claim store, registry, weight tables, reservations): it passes them the input from sockets
+// and timers and carries out their decisions.
 //
-// One goroutine, the owner, runs all of it: see Controller.loop. Other goroutines (links, HTTP handlers, disk writes) hand
-// it functions through an inbox and never touch its state; whatever waits for a disk or a peer is a callback that the owner
-// runs later. Each part has a file and a state of its own:
+// All of this runs on one goroutine, the owner; see Controller.loop. Other goroutines (links, HTTP handlers, disk writes)
+// send it functions through an inbox and never access its state. Work that waits for a disk or a peer is a callback that
+// the owner runs later. Each component has its own file and state:
 //
-//	node.Env          facts of the platform, log, clock
-//	writer            what has to become durable, in order, one sync at a time
-//	consensusRuntime  the replica, the state machine and the calls that wait for them
-//	memberService     who votes, and this replica's identity
-//	linkTable         links to edges and controllers; session.go dials, accepts and dispatches
-//	claimsService     claims of keyed operations
-//	registrar         the register of servers
-//	weightService     weights of servers, for the edges
+//	node.Env            platform settings, log, clock
+//	writer              durable writes, in order, one sync at a time
+//	consensusRuntime    the replica, the state machine and the calls that wait for them
+//	memberService       the voters and this replica's identity
+//	linkTable           links to edges and controllers; session.go dials, accepts and dispatches
+//	claimsService       claims of keyed operations
+//	registrar           the server registry
+//	weightService       server weights, for the edges
 //	reservationService  booked capacity
-//	controlAPI        the HTTP endpoints of servers and operators
-//	shutdown          the end in order
+//	controlAPI          the HTTP endpoints for servers and operators
+//	shutdown            the graceful shutdown
 package controller
 
 import (
@@ -43,7 +43,7 @@
 
 const (
 	tickInterval = 50 * time.Millisecond
-	// claimTickInterval is used while claims wait for replies: a slow store is noticed after claimHedgeDelay.
+	// claimTickInterval is the tick interval while claims wait for replies. It is short enough to hedge after claimHedgeDelay.
 	claimTickInterval = 10 * time.Millisecond
 	inboxSize         = 1024
 
@@ -52,13 +52,13 @@
 	maxHeaderBytes    = 32 << 10
 )
 
-// Controller is one controller process. All fields belong to the owner's goroutine, but for the embedded Env,
-// security, inbox and linkCtx, which don't change after the start.
+// Controller is one controller process. Its fields may only be accessed by the owner's goroutine, except for the embedded
+// Env, security, inbox and linkCtx, which don't change after the start.
 type Controller struct {
 	*node.Env
 	security *peer.Security
 	inbox    chan func()
-	linkCtx  context.Context // ends the goroutines that dial
+	linkCtx  context.Context // cancelled to stop the goroutines that dial
 
 	storage      *storage.Storage
 	writer       *writer
@@ -71,12 +71,13 @@
 	reservations *reservationService
 	summaries    summarySchedule
 	shutdown     shutdown
-	endpoint     *controlEndpoint // nil: none is open
+	endpoint     *controlEndpoint // nil if none is open
 }
 
-// Run serves until ctx ends, and then until the shutdown in order is done.
+// Run serves until ctx is done and the graceful shutdown that follows is complete. It returns an error if the process can't
+// start.
 func Run(ctx context.Context, config node.Config) error {
-	linkCtx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // links are needed during the shutdown, too
+	linkCtx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // the shutdown needs links
 	defer cancel()
 	c := newController(config, rand.Uint64()|1)
 	c.linkCtx = linkCtx
@@ -109,10 +110,10 @@
 	return nil
 }
 
-// closeListener stops accepting. Nothing is lost if it fails: the process ends.
+// closeListener closes l. An error is ignored, since the process is about to exit.
 func closeListener(l net.Listener) { _ = l.Close() }
 
-// closeStorage closes the file. All that was acknowledged is durable already.
+// closeStorage closes the data file. Everything that was acknowledged is already durable.
 func (c *Controller) closeStorage() {
 	if err := c.storage.Close(); err != nil {
 		c.LogEvent("storage close failed", "cause", err)
@@ -125,7 +126,8 @@
 	}
 }
 
-// newController makes a controller without its disk; open completes it. The incarnation names this run of the process.
+// newController returns a controller without its storage; open completes it. The incarnation identifies this run of the
+// process.
 func newController(config node.Config, incarnation uint64) *Controller {
 	env := node.NewEnv(config, metrics.Controller, incarnation)
 	c := &Controller{Env: env, security: config.Security, inbox: make(chan func(), inboxSize), linkCtx: context.Background()}
@@ -142,7 +144,7 @@
 	return c
 }
 
-// open reads the disk and makes what starts from it.
+// open reads the stored state and initializes the components that start from it.
 func (c *Controller) open() error {
 	dir := os.TempDir()
 	if c.Settings.DataDir != nil {
@@ -182,7 +184,7 @@
 	return nil
 }
 
-// learnAddresses notes the controllers that are dialled from the start: the seeds and all voters.
+// learnAddresses records the controllers to dial from the start: the seeds and all voters.
 func (c *Controller) learnAddresses() {
 	for _, ip := range c.Settings.SeedIPs() {
 		c.links.known[ip] = true
@@ -193,8 +195,8 @@
 	delete(c.links.known, c.Settings.IP)
 }
 
-// reload takes over what a running controller has use for of the settings file: the seeds. It also reads the certificates
-// again. A file that is wrong changes nothing.
+// reload applies the part of the settings file that a running controller can change, the seeds, and reloads the
+// certificates. An invalid file changes nothing.
 func (c *Controller) reload() {
 	if err := c.security.Reload(); err != nil {
 		c.LogEvent("inner TLS rejected", "cause", err)
@@ -210,11 +212,11 @@
 	c.LogEvent("settings reloaded", "seeds", strings.Join(settings.Seeds, " "))
 }
 
-// runOnOwner has the owner run a function. It blocks while the inbox is full.
+// runOnOwner queues f to run on the owner's goroutine. It blocks while the inbox is full.
 func (c *Controller) runOnOwner(f func()) { c.inbox <- f }
 
-// loop is the owner. Each turn runs all that came in together and then does what the deciders want done, so that one write
-// to disk and one frame a peer serve all of it.
+// loop is the owner's event loop. Each turn handles all queued events and then carries out the resulting decisions, so that
+// they share one disk write and one frame per peer.
 func (c *Controller) loop(ctx context.Context) {
 	tick := time.NewTimer(tickInterval)
 	defer tick.Stop()
@@ -256,7 +258,7 @@
 	return tickInterval
 }
 
-// tick does what is due by the clock.
+// tick runs the periodic work of all components.
 func (c *Controller) tick() {
 	now := c.Now()
 	c.consensus.tick(now)
@@ -274,7 +276,7 @@
 	c.servers.expireHeartbeats(now)
 }
 
-// endTurn does what the deciders want done after the events of a turn, and hands the disk what has gathered.
+// endTurn carries out the decisions that the events of a turn led to, and flushes the buffered writes.
 func (c *Controller) endTurn() {
 	c.consensus.process()
 	c.servers.publish()
@@ -297,7 +299,7 @@
 	c.weights.tables.SetConfig(c.consensus.state.Config)
 }
 
-// handleServerUpdates takes what changed of servers to the disk and to the weight tables.
+// handleServerUpdates passes changed servers to the writer and the weight tables.
 func (c *Controller) handleServerUpdates(entries []registry.Entry) {
 	c.writer.writeServers(entries)
 	c.weights.tables.UpdateServers(entries, c.Now())
--- a/internal/control/controller/endpoint.go
+++ b/internal/control/controller/endpoint.go
@@ -11,20 +11,21 @@
 
 const (
 	drainPoll = 5 * time.Millisecond
-	// endpointDrainTimeout bounds the end of the endpoint. Calls that are not answered by then end with their connection:
-	// their callers make them again elsewhere.
+	// endpointDrainTimeout limits how long draining the endpoint may take. Connections of calls that are unanswered by then
+	// are closed; their callers retry at another controller.
 	endpointDrainTimeout = 300 * time.Millisecond
-	// Connections of servers and operators are bounded by a share of the file handles: the longest idle one makes room.
+	// controlHandleShare is the share of the file handles for connections of servers and operators. At the limit, the
+	// connection that has been idle longest is closed for a new one.
 	controlHandleShare  = 0.5
-	defaultControlConns = 1024 // where the settings don't say
+	defaultControlConns = 1024 // connections, if the settings have no limit of file handles
 )
 
-// controlEndpoint is the HTTP server for servers and operators.
+// controlEndpoint is the HTTP server for calls of servers and operators.
 type controlEndpoint struct {
 	listener net.Listener
 	conns    *httpconn.Tracker
 	server   *http.Server
-	draining atomic.Bool // each response asks its caller to go elsewhere with the next call
+	draining atomic.Bool // responses close their connections, so that callers go to another controller
 }
 
 func newControlEndpoint(c *Controller, listener net.Listener) *controlEndpoint {
@@ -39,7 +40,7 @@
 	return e
 }
 
-// serve answers calls until the endpoint is drained.
+// serve serves calls until the endpoint is drained.
 func (e *controlEndpoint) serve() error {
 	return e.server.Serve(e.conns.Listener(e.listener, httpconn.Timeouts{Header: readHeaderTimeout, Idle: idleTimeout}))
 }
@@ -53,8 +54,8 @@
 	})
 }
 
-// drain answers the calls that have arrived, also those that the process has not read yet, and ends all connections, within
-// a bound.
+// drain answers the calls that have arrived, including those not yet accepted or read, and closes all connections. It takes
+// at most about endpointDrainTimeout.
 func (e *controlEndpoint) drain() {
 	e.draining.Store(true)
 	drain := httpconn.NewDrain(e.listener, e.conns)
@@ -62,6 +63,6 @@
 	for !drain.Step() && time.Now().Before(deadline) {
 		time.Sleep(drainPoll)
 	}
-	_ = e.listener.Close() // also if something still waits there
+	_ = e.listener.Close() // connections may still be waiting in the backlog
 	e.conns.Abort()
 }
--- a/internal/control/controller/links.go
+++ b/internal/control/controller/links.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// controllerUnreachableAfter is how long a controller has to be unreachable before others watch over its servers: longer than
-	// servers need to find another controller.
+	// controllerUnreachableAfter is how long a controller must be unreachable before others monitor its servers' heartbeats.
+	// It is longer than servers need to find another controller.
 	controllerUnreachableAfter = 2500 * time.Millisecond
-	// forgetAfter is how long a controller without a vote may be unreachable before its address is not dialled any more.
+	// forgetAfter is how long a controller without a vote may be unreachable before its address is no longer dialled.
 	forgetAfter = 2 * time.Minute
 )
 
-// remote is a process at the other end of a link, with what it said last.
+// remote is the process at the other end of a link, with the state that it last reported.
 type remote struct {
 	link        *peer.Link
 	node        string
@@ -26,19 +26,20 @@
 	zone        string
 	incarnation uint64
 	edge        bool // false: a controller
-	counted     bool // a controller that the platform counts, and that may vote
-	// dialledByLower: of the two controllers, the one with the lower address dialled. If both dial, that link is kept.
+	counted     bool // a controller that the platform counts as a member; it may become a voter
+	// dialledByLower is set if the controller with the lower address dialled. If both dial, that link is kept.
 	dialledByLower bool
-	// secondary: an edge that belongs to another controller. It probes, or sends claims that its own didn't decide.
+	// secondary is set for an edge that belongs to another controller. It only probes this controller, or sends claims that
+	// its own controller didn't decide.
 	secondary bool
 
 	summary   remoteSummary
 	digests   peer.DigestComparison
-	status    peer.ReplicaStatus // of a controller
-	zoneEdges []uint32           // as last sent to an edge
+	status    peer.ReplicaStatus // set for a controller
+	zoneEdges []uint32           // ZoneEdges last sent to an edge
 }
 
-// remoteSummary is what is kept of a peer's summaries.
+// remoteSummary is the last state from a peer's summaries.
 type remoteSummary struct {
 	inContact     bool // with a majority of the voters
 	edges         int
@@ -46,7 +47,7 @@
 	trafficByZone []peer.ZoneTraffic
 }
 
-// Names by which the broadcaster knows peers: a kind and an IP address.
+// Kinds in the broadcaster's peer names. A name consists of a kind, a space and an IP address.
 const (
 	edgeKind       = "edge"
 	controllerKind = "controller"
@@ -68,8 +69,8 @@
 	edges       map[string]*remote // by IP
 	secondary   map[*remote]bool
 	known       map[string]bool          // IPs of controllers that are dialled
-	unreachable map[string]time.Duration // controllers by IP, and since when
-	rejected    map[string]uint64        // clusters of controllers that were rejected, by IP
+	unreachable map[string]time.Duration // since when a controller is unreachable, by IP
+	rejected    map[string]uint64        // cluster of a rejected controller, by IP
 }
 
 func newLinkTable(env *node.Env) *linkTable {
@@ -77,12 +78,12 @@
 		known: map[string]bool{}, unreachable: map[string]time.Duration{}, rejected: map[string]uint64{}}
 }
 
-// current reports whether the link is the one in use for its process: a newer one may have superseded it.
+// current reports whether the link is in use; a newer link of the same process may have replaced it.
 func (t *linkTable) current(p *remote) bool {
 	return t.secondary[p] || t.edges[p.ip] == p || t.controllers[p.ip] == p
 }
 
-// byPeerName finds the peer that the broadcaster means; nil: it has gone.
+// byPeerName returns the peer with a broadcaster name, or nil if its link has ended.
 func (t *linkTable) byPeerName(name string) *remote {
 	kind, ip, _ := strings.Cut(name, " ")
 	if kind == edgeKind {
@@ -91,7 +92,7 @@
 	return t.controllers[ip]
 }
 
-// replica finds the link to a replica; nil while another replica, or none, runs at its address.
+// replica returns the link to a replica, or nil if there is no link to its address or another identity is in use there.
 func (t *linkTable) replica(identity string) *remote {
 	if p := t.controllers[membership.Address(identity)]; p != nil && p.status.Identity == identity {
 		return p
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// identities are those of the linked replicas, sorted.
+// identities returns the sorted identities of the linked replicas.
 func (t *linkTable) identities() []string {
 	var linked []string
 	for _, p := range t.controllers {
@@ -125,7 +126,7 @@
 	}
 }
 
-// addEdge makes a link the one to its edge.
+// addEdge adds the link to an edge and closes the previous one.
 func (t *linkTable) addEdge(p *remote) {
 	if previous := t.edges[p.ip]; previous != nil {
 		previous.link.Close()
@@ -133,7 +134,8 @@
 	t.edges[p.ip] = p
 }
 
-// addController makes a link the one to its controller, unless both ends dialled and the other link is to stay.
+// addController adds the link to a controller and closes the previous one. If both ends dialled, it keeps the link dialled by
+// the controller with the lower address and reports whether p was added.
 func (t *linkTable) addController(p *remote) (added bool) {
 	if previous := t.controllers[p.ip]; previous != nil {
 		if previous.incarnation == p.incarnation && previous.dialledByLower && !p.dialledByLower {
@@ -147,7 +149,7 @@
 	return true
 }
 
-// remove takes a link out and reports whether it was the one in use.
+// remove removes a link and reports whether it was in use as its process's main link.
 func (t *linkTable) remove(p *remote) bool {
 	delete(t.secondary, p)
 	switch {
@@ -162,7 +164,8 @@
 	return true
 }
 
-// reject ends the link to a controller of another cluster, with one line of log for as long as it keeps dialling.
+// reject closes the link to a controller of another cluster. It logs the first rejection only, since the controller keeps
+// dialling.
 func (t *linkTable) reject(p *remote, cluster uint64) {
 	if t.rejected[p.ip] != cluster {
 		t.rejected[p.ip] = cluster
@@ -171,7 +174,7 @@
 	p.link.Close()
 }
 
-// controllerUnreachable reports whether a controller has been unreachable for longer than its servers need to find another.
+// controllerUnreachable reports whether a controller has been unreachable for longer than controllerUnreachableAfter.
 func (t *linkTable) controllerUnreachable(ip string) bool {
 	if ip == t.Settings.IP || t.controllers[ip] != nil {
 		return false
@@ -184,7 +187,7 @@
 	return t.Now()-since > controllerUnreachableAfter
 }
 
-// zoneEdgeHashes lists a zone's edges, whichever controller they are attached to.
+// zoneEdgeHashes returns the sorted hashes of all edges in a zone, of all controllers.
 func (t *linkTable) zoneEdgeHashes(zone string) []uint32 {
 	var all []uint32
 	for _, e := range t.edges {
@@ -199,17 +202,17 @@
 	return slices.Compact(all)
 }
 
-// dialState is what becomes of a controller's address.
+// dialState is the dialling state of a controller's address.
 type dialState uint8
 
 const (
-	dialWanted    dialState = iota // it is dialled
-	dialLinked                     // there is a link
-	dialForgotten                  // it is not dialled any more, until a peer or the settings name it again
+	dialWanted    dialState = iota // to be dialled
+	dialLinked                     // linked, not to be dialled
+	dialForgotten                  // no longer dialled, until a peer or the settings name the address again
 )
 
-// dialState decides on an address that has been unreachable for a time. One that no voter has, and that nobody answers at,
-// belonged to a controller that was replaced: it is forgotten.
+// dialState returns the dialling state of an address that has been unreachable for the given time. An address that belongs to
+// no voter and no seed, and has been unreachable for forgetAfter, was that of a replaced controller and is forgotten.
 func (t *linkTable) dialState(ip string, unreachable time.Duration, voters []string) dialState {
 	switch {
 	case t.controllers[ip] != nil:
@@ -222,7 +225,7 @@
 	return dialForgotten
 }
 
-// drain lets what is queued for peers leave before the process ends.
+// drain waits until all queued frames are written, for at most limit.
 func (t *linkTable) drain(limit time.Duration) {
 	deadline := time.Now().Add(limit)
 	for _, p := range t.controllers {
--- a/internal/control/controller/membership.go
+++ b/internal/control/controller/membership.go
@@ -17,38 +17,38 @@
 	"mulleinwood/internal/peer"
 )
 
-// caughtUpLag is by how many entries a controller may lag and still count as level with the log.
+// caughtUpLag is the maximum lag, in entries, at which a controller counts as caught up with the log.
 const caughtUpLag = 16
 
-// memberService knows which replicas vote and what this one's part is. On a leader it also carries out what the membership
-// manager decides.
+// memberService tracks the voters and this replica's identity. On the leader it also carries out the membership manager's
+// decisions.
 type memberService struct {
 	*node.Env
 	writer    *writer
 	links     *linkTable
 	consensus *consensusRuntime
 	claims    *claimsService
-	// addController starts to dial a controller by its IP address.
+	// addController starts dialling the controller at an IP address.
 	addController func(ip string)
-	// shuttingDown reports whether this controller was asked to end.
+	// shuttingDown reports whether this controller is shutting down.
 	shuttingDown func() bool
 
-	identity        string        // of this replica: its address, and a number drawn for its disk
-	cluster         atomic.Uint64 // 0: not known yet. Handshakes are sent from other goroutines.
-	firstStart      bool          // the whole system starts for the first time, and this disk is empty
-	bootstrapVoters []string      // voters that the cluster started with, where this disk knows them
+	identity        string        // of this replica: its address and a random number for its disk
+	cluster         atomic.Uint64 // 0: not known yet; atomic because other goroutines send handshakes
+	firstStart      bool          // this is the cluster's first start, and this disk is empty
+	bootstrapVoters []string      // voters that the cluster started with, if stored on this disk
 	current         consensus.Membership
 	durable         uint64 // epoch of the newest membership that is applied and durable
 	retired         bool   // voted out since the process started
 	manager         membership.Manager
-	seen            map[string]membership.Controller // replicas that were linked at some time, by identity
+	seen            map[string]membership.Controller // replicas that have been linked since the start, by identity
 }
 
 func (s *memberService) ownIdentity() string              { return s.identity }
 func (s *memberService) membership() consensus.Membership { return s.current }
 func (s *memberService) durableEpoch() uint64             { return s.durable }
 
-// initIdentity gives a disk that has no identity yet its own, before anything else is written to it.
+// initIdentity sets the identity from state. If the disk has none yet, it stores a new one before anything else is written.
 func (s *memberService) initIdentity(state *storage.State, commit func([]*storage.Batch) error) error {
 	if state.Identity != "" {
 		s.identity = state.Identity
@@ -57,21 +57,21 @@
 	firstStart := s.Settings.FirstStart && state.Corrupt == nil
 	recovering := true
 	switch {
-	case len(state.BootstrapVoters) > 0 && !state.Hard.DiskLost && !state.Recovering: // a complete file without an identity
+	case len(state.BootstrapVoters) > 0 && !state.Hard.DiskLost && !state.Recovering: // complete, but without an identity
 		s.identity, recovering = membership.Identity(s.Settings.IP, 0), false
 		if snapshot := &state.Snapshot; snapshot.Index > 0 && snapshot.Membership.Epoch == 0 {
 			snapshot.Membership = consensus.Membership{Epoch: 1, Voters: state.BootstrapVoters}
 		}
 	case firstStart:
 		s.identity = membership.Identity(s.Settings.IP, 0)
-	default: // the disk was lost: what it voted and granted is not known
+	default: // the disk was lost, and with it its votes and grants
 		s.identity, state.BootstrapVoters = newIdentity(s.Settings.IP), nil
 	}
 	state.Recovering = recovering
 	batch := &storage.Batch{Identity: s.identity, Recovering: &recovering}
 	if seeds := s.sortedSeeds(); firstStart && len(state.BootstrapVoters) == 0 && slices.Contains(seeds, s.Settings.IP) &&
 		len(seeds) >= s.wantedVoters() {
-		recovering = false // it never granted anything
+		recovering = false // this replica has never granted a claim
 		state.BootstrapVoters, state.Recovering = seeds, false
 		batch.BootstrapVoters, batch.Hard = seeds, &state.Hard
 	}
@@ -80,7 +80,7 @@
 
 func newIdentity(ip string) string { return membership.Identity(ip, rand.Uint64()|1) }
 
-// load takes over what the disk held of the membership.
+// load restores the membership from the stored state.
 func (s *memberService) load(state *storage.State) {
 	s.firstStart = s.Settings.FirstStart && s.identity == membership.Identity(s.Settings.IP, 0)
 	s.bootstrapVoters = state.BootstrapVoters
@@ -92,7 +92,7 @@
 	s.cluster.Store(s.current.Cluster)
 }
 
-// bootstrapMembership is the membership of a cluster's first start; empty voters give the empty one.
+// bootstrapMembership returns the membership of a cluster's first start, or the empty one if there are no voters.
 func bootstrapMembership(voters []string) consensus.Membership {
 	if len(voters) == 0 {
 		return consensus.Membership{}
@@ -100,19 +100,19 @@
 	return consensus.Membership{Epoch: 1, Voters: voters}
 }
 
-// sortedSeeds are the addresses of the seeds. If they are enough, they are the voters of a first start.
+// sortedSeeds returns the sorted seed addresses. If there are enough seeds, they are the voters at the first start.
 func (s *memberService) sortedSeeds() []string {
 	return slices.Sorted(slices.Values(s.Settings.SeedIPs()))
 }
 
-// wantedVoters is how many voters the consensus needs, so that a majority remains when as many as are tolerated are lost.
+// wantedVoters returns how many voters are needed so that a majority remains after the tolerated number of failures.
 func (s *memberService) wantedVoters() int {
 	tolerated := s.Settings.Tolerance
 	return 2*max(tolerated.Machines, min(1, tolerated.Zones+tolerated.Regions)) + 1
 }
 
-// chooseBootstrapVoters names the voters of a system that starts for the first time, where the seeds are too few to be all
-// of them. The first of the seeds alone decides; the others learn it from its handshake.
+// chooseBootstrapVoters chooses the voters of a cluster that starts for the first time with fewer seeds than wanted voters.
+// Only the first seed decides; the others learn the choice from its handshake.
 func (s *memberService) chooseBootstrapVoters() {
 	seeds := s.sortedSeeds()
 	if !s.firstStart || len(s.bootstrapVoters) > 0 || !s.Settings.Counted || len(seeds) == 0 || seeds[0] != s.Settings.IP {
@@ -141,41 +141,40 @@
 	return filtered
 }
 
-// handleBootstrapVoters takes over the voters of a first start, and tells all peers once that is durable.
+// handleBootstrapVoters adopts the voters of a first start and announces them to all peers once they are durable.
 func (s *memberService) handleBootstrapVoters(voters []string) {
 	if len(voters) == 0 || !s.firstStart || len(s.bootstrapVoters) > 0 || !s.consensus.replica.Bootstrap(voters) {
 		return
 	}
 	s.bootstrapVoters = slices.Sorted(slices.Values(voters))
-	hard := s.consensus.replica.HardState() // a vote that was given before the voters were known stays
+	hard := s.consensus.replica.HardState() // keeps a vote that was cast before the voters were known
 	s.writer.write(&storage.Batch{BootstrapVoters: s.bootstrapVoters, Hard: &hard}, s.announceBootstrapVoters)
 	s.apply(s.consensus.replica.Membership())
 }
 
-// announceBootstrapVoters repeats the handshake with the voters in it.
+// announceBootstrapVoters sends the handshake again, with the voters included.
 func (s *memberService) announceBootstrapVoters() {
 	message := s.handshake()
 	message.BootstrapVoters = s.bootstrapVoters
 	s.links.sendToControllers(message)
 }
 
-// handshake holds only what never changes, since it is also sent from outside the owner.
+// handshake returns a handshake without mutable state of the owner, since other goroutines call it as well.
 func (s *memberService) handshake() *peer.Handshake {
 	return &peer.Handshake{Node: s.Settings.Node, IP: s.Settings.IP, Zone: s.Settings.Zone, Incarnation: s.Incarnation,
 		Counted: s.Settings.Counted, Cluster: s.cluster.Load()}
 }
 
-// apply takes over a membership that is committed. From when it is durable, this claim store grants nothing that is asked
-// under an older one.
+// apply applies a committed membership. Once it is durable, this claim store rejects requests under an older membership.
 func (s *memberService) apply(m consensus.Membership) {
 	if m.Epoch <= s.current.Epoch {
-		return // the log is applied again after a start
+		return // entries are applied again after a restart
 	}
 	previous := s.current
 	s.current = m
 	s.cluster.Store(m.Cluster)
 	batch := &storage.Batch{Membership: &m}
-	nextIdentity := "" // of a replica that is voted out
+	nextIdentity := "" // set if this replica was voted out
 	switch {
 	case previous.Contains(s.identity) && !m.Contains(s.identity):
 		nextIdentity = s.retire(batch)
@@ -199,8 +198,8 @@
 		"next", strings.Join(m.Next, " "), "votes", m.Contains(s.identity))
 }
 
-// retire ends the part of an identity that was voted out: its grants count for nothing any more, and another identity of
-// this disk may be voted in later.
+// retire adds a new identity for this disk to the batch after the current one was voted out, and returns it. The grants of
+// the old identity no longer count; the new identity may be voted in later.
 func (s *memberService) retire(batch *storage.Batch) (nextIdentity string) {
 	s.claims.store.BeginRecovery()
 	s.retired = true
@@ -209,8 +208,8 @@
 	return batch.Identity
 }
 
-// finishRecoveryOfBootstrapVoter lets the store of a voter of the first start grant: under that identity it never granted
-// anything before.
+// finishRecoveryOfBootstrapVoter lets the store of a bootstrap voter grant at once, since it has never granted a claim under
+// that identity.
 func (s *memberService) finishRecoveryOfBootstrapVoter() {
 	if s.identity != membership.Identity(s.Settings.IP, 0) || !slices.Contains(s.current.Voters, s.identity) {
 		return
@@ -220,24 +219,24 @@
 	s.writer.write(&storage.Batch{Recovering: &recovering}, nil)
 }
 
-// status is what this replica says of its part in the consensus.
+// status returns the status that this replica announces to other controllers.
 func (s *memberService) status() *peer.ReplicaStatus {
 	return &peer.ReplicaStatus{Identity: s.identity, Cluster: s.current.Cluster, Epoch: s.durable,
 		Ready:        !s.claims.store.Recovering(),
 		ShuttingDown: s.shuttingDown()}
 }
 
-// announceStatus tells all controllers of this replica's status.
+// announceStatus sends this replica's status to all controllers.
 func (s *memberService) announceStatus() { s.links.sendToControllers(s.status()) }
 
-// otherCluster reports whether a process that names this cluster belongs to another one than this controller.
+// otherCluster reports whether cluster differs from this controller's cluster. It is false while either is unknown.
 func (s *memberService) otherCluster(cluster uint64) bool {
 	own := s.cluster.Load()
 	return own != 0 && cluster != 0 && cluster != own
 }
 
-// handleReplicaStatus takes over what a controller says of its replica. Another identity at its address means that its disk
-// was lost, or that it was voted out: what it granted to claims that are still open is not relied on.
+// handleReplicaStatus records a controller's replica status. A new identity at the same address means that the replica lost
+// its disk or was voted out, so its grants for undecided claims are discarded.
 func (s *memberService) handleReplicaStatus(p *remote, status *peer.ReplicaStatus) {
 	if p.edge {
 		return
@@ -261,11 +260,11 @@
 	s.seen[status.Identity] = membership.Controller{ID: status.Identity, Zone: p.zone, MayVote: p.counted}
 }
 
-// manage lets a leader change the membership.
+// manage runs the membership manager and carries out its decision if this controller leads.
 func (s *memberService) manage(now time.Duration) {
 	replica := s.consensus.replica
 	replica.SetLearners(s.links.identities())
-	if replica.ID() != s.identity { // it led when it was voted out
+	if replica.ID() != s.identity { // it was the leader when it was voted out
 		replica.SetID(s.identity)
 	}
 	if !s.consensus.leads() {
@@ -295,7 +294,7 @@
 	return nil
 }
 
-// view is what the membership manager decides by.
+// view returns the input of the membership manager.
 func (s *memberService) view() membership.View {
 	replica := s.consensus.replica
 	v := membership.View{Self: s.identity, Term: replica.Term(), Membership: replica.Membership(),
@@ -306,11 +305,12 @@
 		CaughtUp: true, ShuttingDown: s.shuttingDown(), Epoch: s.durable, Ready: !s.claims.store.Recovering()})
 	for identity, controller := range s.seen {
 		if p := s.links.replica(identity); p != nil {
-			controller.Connected, controller.ShuttingDown, controller.Epoch, controller.Ready = true, p.status.ShuttingDown, p.status.Epoch, p.status.Ready
+			controller.Connected, controller.ShuttingDown, controller.Epoch, controller.Ready =
+				true, p.status.ShuttingDown, p.status.Epoch, p.status.Ready
 			match, _, known := replica.Match(identity)
 			controller.CaughtUp = known && match+caughtUpLag >= replica.CommitIndex()
 		} else if !v.Membership.Contains(identity) {
-			delete(s.seen, identity) // if it comes back, it is a new one
+			delete(s.seen, identity) // a replica that returns is recorded again
 			continue
 		}
 		v.Controllers = append(v.Controllers, controller)
@@ -318,7 +318,7 @@
 	return v
 }
 
-// transferLeadership hands leadership to any other voter that holds the complete log.
+// transferLeadership transfers leadership to any other voter that has the complete log.
 func (s *memberService) transferLeadership() {
 	for _, identity := range s.current.Voters {
 		if identity != s.identity && s.consensus.replica.TransferLeadership(identity, s.Now()) {
@@ -327,7 +327,7 @@
 	}
 }
 
-// operatorView is what operators are told of who votes.
+// operatorView returns the membership as reported to operators.
 func (s *memberService) operatorView() operator.Membership {
 	m := s.current
 	view := operator.Membership{Identity: s.identity, Cluster: fmt.Sprintf("%016x", m.Cluster), Epoch: m.Epoch,
@@ -346,8 +346,8 @@
 }
 
 func (s *memberService) operatorReplica(controller membership.Controller) operator.Replica {
-	r := operator.Replica{Identity: controller.ID, Votes: s.current.Contains(controller.ID), Connected: controller.Connected, Ready: controller.Ready,
-		ShuttingDown: controller.ShuttingDown, Epoch: controller.Epoch}
+	r := operator.Replica{Identity: controller.ID, Votes: s.current.Contains(controller.ID), Connected: controller.Connected,
+		Ready: controller.Ready, ShuttingDown: controller.ShuttingDown, Epoch: controller.Epoch}
 	if match, _, known := s.consensus.replica.Match(controller.ID); known {
 		commit := s.consensus.replica.CommitIndex()
 		r.Lag = commit - min(match, commit)
--- a/internal/control/controller/registrar.go
+++ b/internal/control/controller/registrar.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// missedHeartbeats is how many heartbeats a server may leave out before it counts as silent.
+	// missedHeartbeats is the number of missed heartbeats after which a server is timed out.
 	missedHeartbeats = 2.5
-	// tombstoneRetention is how long a server that is gone is remembered, so that a late heartbeat can't bring it back.
+	// tombstoneRetention is how long a removed server is remembered, so that a late heartbeat can't restore it.
 	tombstoneRetention = 90 * time.Second
 )
 
-// registrar keeps the register of servers and spreads what changes in it.
+// registrar maintains the server registry and broadcasts its changes.
 type registrar struct {
 	*node.Env
 	links       *linkTable
 	registry    *registry.Registry
 	broadcaster *broadcast.Broadcaster
-	inContact   func() bool            // with a majority of the voters
-	onUpdates   func([]registry.Entry) // is called with what changed here
+	inContact   func() bool            // reports contact with a majority of the voters
+	onUpdates   func([]registry.Entry) // called with the changed entries
 
-	calls    map[uint64]func() // heartbeats and last calls that are not acknowledged yet
+	calls    map[uint64]func() // unacknowledged heartbeats and deregistrations, by number
 	lastCall uint64
 }
 
@@ -36,8 +36,8 @@
 		onUpdates: onUpdates, calls: map[uint64]func(){}}
 }
 
-// load takes over the servers that the disk held, as they were: their next heartbeats confirm them, or their silence takes
-// them out. It gives what is new here.
+// load restores the servers from the disk in their stored state. Their next heartbeats confirm them; without heartbeats they
+// time out. It returns the entries that were added.
 func (r *registrar) load(entries []registry.Entry) (added []registry.Entry) {
 	for _, e := range entries {
 		e.WarmupLeft, e.Owner = 0, r.Settings.IP
@@ -63,7 +63,7 @@
 	}
 }
 
-// expireHeartbeats marks the servers whose heartbeats stopped, and spreads that.
+// expireHeartbeats marks the servers whose heartbeats stopped as timed out and broadcasts the change.
 func (r *registrar) expireHeartbeats(now time.Duration) {
 	timeout := time.Duration(missedHeartbeats * r.Settings.BeatPeriod * float64(time.Second))
 	changed := r.registry.MarkTimedOut(r.Settings.IP, r.links.controllerUnreachable, timeout, now)
@@ -76,7 +76,7 @@
 	r.broadcaster.Publish(changed)
 }
 
-// publish does what the broadcaster has gathered: it sends updates and acknowledges calls.
+// publish sends the broadcaster's pending updates and acknowledges the completed calls.
 func (r *registrar) publish() {
 	out := r.broadcaster.DrainOutput()
 	if len(out.Updates) > 0 {
@@ -101,14 +101,15 @@
 	}
 }
 
-// registration is the outcome of a server's call.
+// registration is the reply to a server's call.
 type registration struct {
-	heartbeatTarget string // address for the server's later heartbeats; empty: this one
+	heartbeatTarget string // address for the server's next heartbeats; empty: this controller's
 	err             error
 }
 
-// register takes a server's call in. That a server drains or is gone is acknowledged once those who could send to it know;
-// a controller that is cut off from the others can't let them know, so it refuses the call and another one takes it.
+// register handles a server's call. A server's drain or removal is acknowledged once every edge that could send to the
+// server has been notified. A controller that is cut off from the others can't notify them, so it rejects such a call and
+// the server calls another controller.
 func (r *registrar) register(e registry.Entry, done chan<- registration) {
 	if e.State > registry.Ready && !r.inContact() {
 		done <- registration{err: apierror.NoLeader.New("cut off from the other controllers")}
@@ -123,7 +124,8 @@
 	}
 }
 
-// heartbeatTarget is the control address of a controller of the server's zone, so that heartbeats don't cross zones.
+// heartbeatTarget returns the control address of a controller in the server's zone, so that heartbeats don't cross zones. It
+// returns the empty string if this controller is in the zone or no other one is available.
 func (r *registrar) heartbeatTarget(zone string) string {
 	if zone == "" || zone == r.Settings.Zone {
 		return ""
--- a/internal/control/controller/reservations.go
+++ b/internal/control/controller/reservations.go
@@ -16,12 +16,13 @@
 
 const (
 	allocateInterval = 250 * time.Millisecond
-	// announceInterval is how often reservations in force are announced again, for whoever missed them.
+	// announceInterval is how often active reservations are announced again, for controllers that missed an announcement.
 	announceInterval = time.Second
 )
 
-// reservationService gives the edges their shares of booked slots. The leader says which reservations are in force and
-// allocates them; the other controllers pass that on between it and their edges. Without any booking it does nothing.
+// reservationService distributes booked slots to the edges. The leader announces the active reservations and allocates
+// them; the other controllers forward demands and leases between the leader and their edges. Without bookings it does
+// nothing.
 type reservationService struct {
 	*node.Env
 	links     *linkTable
@@ -29,27 +30,27 @@
 	registry  *registry.Registry
 
 	clock        *reservation.Clock
-	allocator    *reservation.Allocator // of the term that this controller led last
+	allocator    *reservation.Allocator // for the last term in which this controller led
 	proof        leaderProof
 	nextAllocate time.Duration
 	nextAnnounce time.Duration
-	announced    *peer.Reservations // as this controller last heard or said; nil: nothing yet
-	announcer    string             // IP of who said it
-	controllerOf map[string]string  // by IP of the edge
+	announced    *peer.Reservations // last announcement sent or received; nil if none
+	announcer    string             // IP of the controller that sent it
+	controllerOf map[string]string  // IP of each edge's controller, by IP of the edge
 }
 
-// leaderProof is what shows that this controller still leads: a read index that a majority has confirmed.
+// leaderProof tracks the proof that this controller still leads: a read index that a majority has confirmed.
 type leaderProof struct {
 	readIndex   uint64
 	requestedAt time.Duration
-	provenAt    time.Duration // when the last one that was confirmed had been requested; 0: none
+	provenAt    time.Duration // when the last confirmed read index was requested; 0: none confirmed
 }
 
 func newReservationService(env *node.Env, links *linkTable, c *consensusRuntime, servers *registry.Registry) *reservationService {
 	return &reservationService{Env: env, links: links, consensus: c, registry: servers, clock: reservation.NewClock()}
 }
 
-// capacities is what the services' servers carry at once, by service and zone: the slots of those that take requests.
+// capacities returns the total slots of the servers that accept requests, by service and zone.
 func (s *reservationService) capacities() map[string]reservation.Capacity {
 	byService := map[string]reservation.Capacity{}
 	for _, e := range s.registry.All(s.Now()) {
@@ -64,7 +65,7 @@
 	return byService
 }
 
-// bookedCapacities is capacities for all services that have bookings: one without any server carries nothing.
+// bookedCapacities returns capacities, with an empty one for each booked service that has no servers.
 func (s *reservationService) bookedCapacities() map[string]reservation.Capacity {
 	byService := s.capacities()
 	for _, b := range s.ledger().Active {
@@ -77,7 +78,7 @@
 
 func (s *reservationService) ledger() *reservation.Ledger { return s.consensus.state.Bookings }
 
-// allocate announces the reservations and allocates them, while this controller is sure that it leads.
+// allocate announces and allocates the reservations while this controller has recent proof that it leads.
 func (s *reservationService) allocate(now time.Duration) {
 	if now < s.nextAllocate || !s.consensus.leads() || s.ledger().Version == 0 {
 		return
@@ -99,7 +100,7 @@
 	s.sendLeases(s.allocator.Allocate(now))
 }
 
-// proveLeadership requests the next proof and reports whether the last one is recent enough.
+// proveLeadership requests the next proof of leadership and reports whether the last one is recent enough.
 func (s *reservationService) proveLeadership(now time.Duration) bool {
 	replica := s.consensus.replica
 	if s.proof.readIndex > 0 && replica.ReadConfirmed(s.proof.readIndex) {
@@ -109,7 +110,8 @@
 	return s.proof.provenAt != 0 && now-s.proof.provenAt <= reservation.LeaderProofTTL
 }
 
-// announce tells the controllers, and the own edges, which reservations are in force, after a change and once in a while.
+// announce sends the active reservations to the controllers after a change and periodically, and to this controller's edges
+// after a change.
 func (s *reservationService) announce(list []reservation.Reservation, now time.Duration) {
 	term := s.allocator.Term()
 	changed := s.announced == nil || s.announced.Term != term || !slices.Equal(s.announced.List, list)
@@ -124,7 +126,8 @@
 	}
 }
 
-// announceTo tells a process that joins. A leader also tells that nothing is in force: the other may have missed an end.
+// announceTo sends the announcement to a process that joins. A leader also announces an empty list, since the other
+// controller may have missed the end of a reservation.
 func (s *reservationService) announceTo(p *remote) {
 	if s.announced == nil {
 		return
@@ -134,7 +137,7 @@
 	}
 }
 
-// sendLeases sends leases to the edges, through the controllers that they are attached to.
+// sendLeases sends leases to the edges through their controllers.
 func (s *reservationService) sendLeases(byEdge map[string]reservation.Lease) {
 	byController := map[string]peer.Leases{}
 	for edge, lease := range byEdge {
@@ -151,7 +154,7 @@
 	}
 }
 
-// forwardLeases sends leases to the edges of this controller.
+// forwardLeases sends leases to this controller's edges.
 func (s *reservationService) forwardLeases(leases peer.Leases) {
 	for _, l := range leases {
 		if e := s.links.edges[l.Edge]; e != nil {
@@ -175,7 +178,7 @@
 	}
 }
 
-// handleReservations takes over what the leader announces, unless it comes from an older term.
+// handleReservations adopts an announcement of the leader, unless it is from an older term.
 func (s *reservationService) handleReservations(p *remote, m *peer.Reservations) {
 	last := s.announced
 	if last != nil && m.Term < last.Term {
@@ -188,7 +191,7 @@
 	}
 }
 
-// handleDemands hands the demands of edges to the controller that announced the reservations, which allocates them.
+// handleDemands passes edges' demands to the controller that announced the reservations, which allocates them.
 func (s *reservationService) handleDemands(p *remote, demands peer.Demands) {
 	if p.edge {
 		demands[0].Edge = p.ip
@@ -210,7 +213,7 @@
 	}
 }
 
-// operatorView is the ledger as operators read it, in JSON.
+// operatorView returns the ledger in JSON, as reported to operators.
 func (s *reservationService) operatorView() ([]byte, error) {
 	now := s.Now()
 	ledger := s.ledger()
@@ -236,7 +239,8 @@
 	return json.Marshal(view)
 }
 
-// shortfalls lists the bookings that can't be kept now, a line each, as the leader sees it.
+// shortfalls returns one line for each booking that exceeds the current capacity. It returns nil if this controller doesn't
+// lead.
 func (s *reservationService) shortfalls() (lines []string) {
 	if !s.consensus.leads() || len(s.ledger().Active) == 0 {
 		return nil
@@ -250,5 +254,5 @@
 	return lines
 }
 
-// ledgerVersion writes a version of the ledger: b and a number.
+// ledgerVersion formats a version of the ledger as b and a number.
 func ledgerVersion(n uint64) string { return fmt.Sprint("b", n) }
--- a/internal/control/controller/session.go
+++ b/internal/control/controller/session.go
@@ -13,7 +13,7 @@
 	dialTimeout    = 400 * time.Millisecond
 )
 
-// acceptLinks takes in the links that other processes dial, until the listener is closed.
+// acceptLinks accepts links from other processes until the listener is closed.
 func (c *Controller) acceptLinks(ctx context.Context, l net.Listener) {
 	for {
 		conn, err := l.Accept()
@@ -24,7 +24,7 @@
 	}
 }
 
-// serveLink runs one accepted link. The first frame has to carry the handshake.
+// serveLink runs one accepted link. The first frame must contain the handshake.
 func (c *Controller) serveLink(ctx context.Context, accepted net.Conn) {
 	conn, err := c.security.Accept(ctx, accepted)
 	if err != nil {
@@ -40,11 +40,11 @@
 	})
 }
 
-// runLink reads a link until it ends, and hands what it brings to the owner. From the first handshake identify makes the
-// remote; nil refuses it.
+// runLink reads a link until it ends and passes its messages to the owner. It calls identify with the first handshake; if
+// identify returns nil, the link is rejected.
 func (c *Controller) runLink(link *peer.Link, identify func(*peer.Link, *peer.Handshake) *remote) {
 	var p *remote
-	_ = link.Read(func(messages []peer.Message) { // how a link ends doesn't matter: it is dialled again
+	_ = link.Read(func(messages []peer.Message) { // the error is ignored, since the link is dialled again
 		if p == nil {
 			handshake := handshakeIn(messages)
 			if handshake == nil {
@@ -73,8 +73,9 @@
 	return nil
 }
 
-// dialController keeps a link to another controller, until the address is forgotten. Of two controllers the one with the
-// lower address dials first; the other one follows a little later if no link came, since the first may not know it.
+// dialController maintains a link to another controller until its address is forgotten. Of two controllers, the one with
+// the lower address dials first. The other one dials a little later if there is no link, since the first may not know its
+// address.
 func (c *Controller) dialController(ctx context.Context, ip string) {
 	if c.Settings.IP > ip {
 		time.Sleep(2 * redialInterval)
@@ -101,7 +102,7 @@
 	}
 }
 
-// addController starts to dial a controller that is not known yet.
+// addController starts dialling a controller that is not known yet.
 func (c *Controller) addController(ip string) {
 	if ip == c.Settings.IP || c.links.known[ip] {
 		return
@@ -110,7 +111,7 @@
 	go c.dialController(c.linkCtx, ip)
 }
 
-// handleJoin takes a peer in and brings it up to date: a snapshot of what it needs, then changes.
+// handleJoin registers a new peer and sends it a snapshot of the state that it needs; changes follow.
 func (c *Controller) handleJoin(p *remote, h *peer.Handshake) {
 	if p.secondary = h.ProbeOnly; p.secondary {
 		p.link.Send(c.members.handshake(), c.summaries.full(c))
@@ -139,7 +140,7 @@
 	}
 }
 
-// sendSnapshot sends a new peer all that it needs; version is that of the configuration it has.
+// sendSnapshot sends a new peer the state that it needs; version is the peer's configuration version.
 func (c *Controller) sendSnapshot(p *remote, version uint64) {
 	handshake := c.members.handshake()
 	handshake.Recovering = c.claims.store.Recovering()
@@ -153,7 +154,7 @@
 	p.link.Send(messages...)
 }
 
-// handleLinkDown drops a peer whose link ended, unless another link has superseded it.
+// handleLinkDown removes a peer whose link ended, unless a newer link has replaced it.
 func (c *Controller) handleLinkDown(p *remote) {
 	if !c.links.remove(p) {
 		return
@@ -165,19 +166,20 @@
 	c.LogEvent("link down", "node", p.node, "ip", p.ip, "edge", p.edge)
 }
 
-// handleMessages handles what one frame of a peer holds.
+// handleMessages handles the messages of one frame.
 func (c *Controller) handleMessages(p *remote, messages []peer.Message) {
 	for _, m := range messages {
 		switch {
 		case p.secondary:
 			c.handleFromSecondary(p, m)
-		case c.links.current(p): // a message may be the reason for which the link was closed
+		case c.links.current(p): // an earlier message of the frame may have closed the link
 			c.handleMessage(p, m)
 		}
 	}
 }
 
-// handleFromSecondary handles a message of an edge that belongs to another controller: only its claims count here.
+// handleFromSecondary handles a message of an edge that belongs to another controller. Messages other than claims are
+// ignored.
 func (c *Controller) handleFromSecondary(p *remote, m peer.Message) {
 	switch m := m.(type) {
 	case peer.ClaimRequests:
@@ -187,7 +189,7 @@
 	}
 }
 
-// handleMessage hands a message to the part that it is for.
+// handleMessage dispatches a message to the component that handles its type.
 func (c *Controller) handleMessage(p *remote, m peer.Message) {
 	switch m := m.(type) {
 	case *peer.Handshake:
@@ -213,7 +215,7 @@
 	}
 }
 
-// handleSummary keeps what a peer says of itself, and dials the controllers that it knows.
+// handleSummary records a peer's summary and dials the controllers that it lists.
 func (c *Controller) handleSummary(p *remote, s *peer.Summary) {
 	p.summary.inContact, p.summary.edges = s.InContact, s.Edges
 	if s.Full {
--- a/internal/control/controller/shutdown.go
+++ b/internal/control/controller/shutdown.go
@@ -7,30 +7,30 @@
 	"mulleinwood/internal/peer"
 )
 
-// Timing of a graceful shutdown, all within the grace that the platform gives (grace_s).
+// Timing of a graceful shutdown, which must complete within the platform's grace period (grace_s).
 const (
-	defaultGrace    = 6.0                    // seconds, where the settings don't say
-	exitReserve     = time.Second            // kept of the grace for the end itself
-	minShutdown     = 400 * time.Millisecond // for edges to find another controller
+	defaultGrace    = 6.0                    // seconds, if the settings have none
+	exitReserve     = time.Second            // part of the grace period reserved for the exit itself
+	minShutdown     = 400 * time.Millisecond // gives edges time to find another controller
 	handOverTimeout = 1500 * time.Millisecond
-	drainTimeout    = 100 * time.Millisecond // for frames that are queued
+	drainTimeout    = 100 * time.Millisecond // for writing queued frames
 	handOverChunk   = 256 << 10              // bytes of responses in one frame
 	handOverSyncID  = 1
 )
 
-// shutdown is the state of a controller that was asked to end. It ends in order: leadership is transferred, edges go
-// elsewhere, a standby takes over the vote, and what was kept here is handed over before the process exits.
+// shutdown is the state of a graceful shutdown. Before the process exits, leadership is transferred, edges move to other
+// controllers, a standby takes over the vote, and the stored responses are handed over.
 type shutdown struct {
 	started           bool
 	startedAt         time.Duration
 	deadline          time.Duration
-	handOverStartedAt time.Duration // when responses were sent to another controller; 0: not yet
-	handOverSynced    bool          // they are durable there
+	handOverStartedAt time.Duration // when responses were sent to another controller; 0: not sent yet
+	handOverSynced    bool          // the handed-over responses are durable at the other controller
 	done              bool
-	drained           chan struct{} // closed when the calls are answered, after done; nil: not asked for yet
+	drained           chan struct{} // closed when the pending calls are answered; nil until done is set
 }
 
-// beginShutdown is called once, on SIGTERM.
+// beginShutdown starts the graceful shutdown. It is called once, on SIGTERM.
 func (c *Controller) beginShutdown() {
 	now := c.Now()
 	grace := c.Settings.Seconds("grace_s", defaultGrace)
@@ -42,12 +42,12 @@
 	c.sendSummaries(now)
 }
 
-// continueShutdown goes on with it at every tick.
+// continueShutdown advances the shutdown. It is called at every tick.
 func (c *Controller) continueShutdown(now time.Duration) {
 	if !c.shutdown.started {
 		return
 	}
-	c.summaries.sendNow(now) // edges that are still here look for another controller at each summary
+	c.summaries.sendNow(now) // each summary makes the remaining edges look for another controller
 	switch {
 	case now > c.shutdown.deadline:
 		c.LogEvent("shutdown deadline exceeded", "leads", c.consensus.leads(), "votes", c.consensus.replica.IsVoter())
@@ -57,8 +57,8 @@
 	}
 }
 
-// drainEndpoint has the calls answered that have arrived, once the shutdown is done. The owner goes on meanwhile, since it
-// decides what they are answered.
+// drainEndpoint starts draining the HTTP endpoint once the shutdown is done. The owner keeps running meanwhile, since the
+// pending calls need it for their answers.
 func (c *Controller) drainEndpoint() {
 	if !c.shutdown.done || c.shutdown.drained != nil {
 		return
@@ -74,7 +74,7 @@
 	}()
 }
 
-// mustWait reports whether anything is left to do that another process could take over.
+// mustWait reports whether the shutdown has to wait for a step that is not complete and can still succeed.
 func (c *Controller) mustWait(now time.Duration) bool {
 	switch {
 	case c.consensus.leads() && c.otherVoterLinked():
@@ -112,8 +112,8 @@
 	return false
 }
 
-// handedOver sends the responses that are kept here to another controller, once, and reports whether they are durable
-// there or waiting for that is over.
+// handedOver sends the stored responses to another controller, once. It reports whether they are durable there or
+// handOverTimeout has passed.
 func (c *Controller) handedOver(now time.Duration) bool {
 	if c.shutdown.handOverStartedAt == 0 {
 		c.shutdown.handOverStartedAt = now
@@ -126,7 +126,7 @@
 	return c.shutdown.handOverSynced || now-c.shutdown.handOverStartedAt > handOverTimeout
 }
 
-// handOverTarget is a controller of the own zone, else the leader, else any; nil: there is none.
+// handOverTarget returns a controller of the same zone, else the leader, else any other, or nil if there is none.
 func (c *Controller) handOverTarget() (target *remote) {
 	for _, p := range c.links.controllers {
 		if p.status.ShuttingDown {
--- a/internal/control/controller/summaries.go
+++ b/internal/control/controller/summaries.go
@@ -7,19 +7,19 @@
 	"mulleinwood/internal/peer"
 )
 
-// fullSummaryEvery is how many summaries pass until one is full: what it adds changes slowly.
+// fullSummaryEvery is the interval of full summaries, in summaries. The additional fields of a full one change slowly.
 const fullSummaryEvery = 4
 
-// summarySchedule is when summaries are sent.
+// summarySchedule schedules the summaries.
 type summarySchedule struct {
 	next  time.Duration
 	count int
 }
 
-// sendNow has the next summary sent at the next tick.
+// sendNow schedules the next summary for the next tick.
 func (s *summarySchedule) sendNow(now time.Duration) { s.next = now }
 
-// full is a full summary, as a peer gets it that joins.
+// full returns a full summary, as sent to a peer that joins.
 func (s *summarySchedule) full(c *Controller) *peer.Summary {
 	summary := c.shortSummary()
 	summary.Full = true
@@ -31,8 +31,8 @@
 	return summary
 }
 
-// shortSummary says how this controller sees the system. One that shuts down calls itself cut off, so that edges look for
-// another controller.
+// shortSummary returns a summary without the additional fields of a full one. During a shutdown it reports no contact with
+// the majority, so that edges look for another controller.
 func (c *Controller) shortSummary() *peer.Summary {
 	summary := &peer.Summary{InContact: c.consensus.inContact() && !c.shutdown.started, Version: c.consensus.state.Version(),
 		Edges: len(c.links.edges), Fleet: len(c.links.edges)}
@@ -42,8 +42,7 @@
 	return summary
 }
 
-// sendSummaries sends all links their summary, if it is time. The first time it also starts to dial the controllers that
-// are known.
+// sendSummaries sends a summary on all links if one is due. The first time it also starts dialling the known controllers.
 func (c *Controller) sendSummaries(now time.Duration) {
 	if now < c.summaries.next {
 		return
--- a/internal/control/controller/weights.go
+++ b/internal/control/controller/weights.go
@@ -10,7 +10,7 @@
 	"mulleinwood/internal/peer"
 )
 
-// weightService decides the weights by which the edges of this controller send.
+// weightService computes the server weights that this controller's edges balance by.
 type weightService struct {
 	*node.Env
 	links     *linkTable
@@ -18,7 +18,8 @@
 	serviceOf func(server string) (service string, known bool)
 }
 
-// newWeightService makes the tables; voters tells how many controllers decide beside each other.
+// newWeightService returns a service with empty tables. The function voters returns how many controllers compute weights in
+// parallel.
 func newWeightService(env *node.Env, links *linkTable, voters func() int, serviceOf func(string) (string, bool)) *weightService {
 	s := &weightService{Env: env, links: links, serviceOf: serviceOf}
 	zones := slices.Collect(maps.Keys(env.Settings.Zones))
@@ -32,7 +33,7 @@
 	s.tables.HandleReport(p.ip, report, s.serviceOf)
 }
 
-// push sends the edges the changes that the tables order.
+// push sends changed weights to the edges.
 func (s *weightService) push(now time.Duration) {
 	orders := s.tables.Tick(now, s.peerTraffic)
 	for ip, changes := range orders {
@@ -42,7 +43,7 @@
 	}
 }
 
-// peerTraffic is what the edges of the other controllers bring.
+// peerTraffic returns the traffic of the other controllers' edges.
 func (s *weightService) peerTraffic() (all []weights.PeerTraffic) {
 	for _, p := range s.links.controllers {
 		all = append(all, weights.PeerTraffic{Edges: p.summary.edges, TrafficByZone: p.summary.trafficByZone})
--- a/internal/control/controller/writer.go
+++ b/internal/control/controller/writer.go
@@ -10,37 +10,38 @@
 )
 
 const (
-	// writeRetry is how long the writer waits after the disk refused a write.
+	// writeRetry is how long the writer waits after a failed write.
 	writeRetry = 100 * time.Millisecond
-	// maxWriteDelay is how long a record that nobody waits for may wait for a write that is due anyway.
+	// maxWriteDelay is how long a record without a waiting caller may be delayed to share another write.
 	maxWriteDelay = 100 * time.Millisecond
 	// writeTimeSmoothing is the weight of the newest write in the mean duration of writes.
 	writeTimeSmoothing = 0.2
 )
 
-// writer gathers what has to become durable while the disk is busy, so that one sync serves all of it. It is owned by the
-// controller's goroutine; only the write itself runs on another one.
+// writer buffers records while a write is in progress, so that one sync makes all of them durable. It belongs to the owner's
+// goroutine; only the write itself runs on another goroutine.
 type writer struct {
 	*node.Env
 	commit     func([]*storage.Batch) error // blocks until the batches are durable
 	runOnOwner func(func())
 
-	batches       []*storage.Batch // of the consensus and what is stored with it, in order
+	batches       []*storage.Batch // consensus state and the records stored with it, in order
 	afterBatches  []func()
 	claims        []idempotency.Record
 	afterClaims   []func(durable bool)
 	servers       []registry.Entry
-	deferredSince time.Duration // since when records wait that nobody waits for; 0: none do
-	busy          bool          // a write is under way
-	retryAt       time.Duration // no write before, after a failure
+	deferredSince time.Duration // when the oldest deferred record was added; 0: there is none
+	busy          bool          // a write is in progress
+	retryAt       time.Duration // earliest time of the next write after a failure
 	failing       bool          // the last write failed
-	meanMillis    float64       // duration of the last writes
+	meanMillis    float64       // smoothed duration of writes, in milliseconds
 }
 
-// idle reports whether nothing of the consensus waits for the disk.
+// idle reports whether no write is in progress and no batch is buffered.
 func (w *writer) idle() bool { return !w.busy && len(w.batches) == 0 }
 
-// write makes a batch durable, in order and without giving up; done is called once it is, and may be nil.
+// write makes a batch durable, in order, retrying until it succeeds. It calls done, which may be nil, once the batch is
+// durable.
 func (w *writer) write(b *storage.Batch, done func()) {
 	if done == nil {
 		done = func() {}
@@ -49,8 +50,9 @@
 	w.afterBatches = append(w.afterBatches, done)
 }
 
-// writeClaim makes a record of the claim store durable; done is called with whether it is. One without done is written together
-// with the next record that somebody waits for, or a little later: syncs are what the disk and the processor spend.
+// writeClaim writes a record of the claim store and calls done with whether it is durable. With a nil done the write is
+// deferred: the record is written with the next record that has a waiting caller, or after maxWriteDelay, since syncs
+// account for most of the disk and CPU time.
 func (w *writer) writeClaim(r idempotency.Record, done func(durable bool)) {
 	w.claims = append(w.claims, r)
 	if done != nil {
@@ -60,8 +62,8 @@
 	w.deferWrite()
 }
 
-// writeServers keeps what is known of servers, for a start after all machines lost power: heartbeats alone would bring the
-// servers back one by one, and the first of them would get all the traffic.
+// writeServers stores registry entries for a restart after all machines lost power. With heartbeats alone the servers would
+// come back one by one, and the first of them would receive all the traffic.
 func (w *writer) writeServers(entries []registry.Entry) {
 	if len(entries) == 0 {
 		return
@@ -76,14 +78,14 @@
 	}
 }
 
-// due reports whether anything has to go to the disk now.
+// due reports whether any record has to be written now.
 func (w *writer) due(now time.Duration) bool {
 	deferred := len(w.claims)+len(w.servers) > 0 && now-w.deferredSince >= maxWriteDelay
 	return len(w.batches) > 0 || len(w.afterClaims) > 0 || deferred
 }
 
-// flush hands the disk what has gathered, if it is free. A disk that refuses keeps the batches waiting, since nothing of
-// them may be acknowledged or dropped. Claims are refused at once: other claim stores can take them.
+// flush starts a write of the buffered records, unless one is in progress. After a failed write the batches stay buffered,
+// since they may be neither acknowledged nor dropped. Claims are rejected at once, since other claim stores can take them.
 func (w *writer) flush() {
 	now := w.Now()
 	waiting := now < w.retryAt
@@ -105,7 +107,7 @@
 	}
 }
 
-// pendingWrite is what one write is to make durable.
+// pendingWrite holds the callbacks of a write in progress, and the records to write again if it fails.
 type pendingWrite struct {
 	batches      []*storage.Batch
 	afterBatches []func()
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,11 +1,11 @@
-// Package peer has the messages that the gateway's processes send each other and the links that carry them.
+// Package peer defines the messages between the gateway's processes and the links that carry them.
 //
 // A Link is one TCP connection (optionally TLS, see Security) between two processes. It carries frames: a length of four
-// bytes, big endian, and a CBOR map whose integer keys are the fields of Frame. A frame holds one message or several that
-// belong together; Frame.Messages takes it apart into the closed set of types that implement Message. The numbers of the
-// fields never change their meaning, and a field that a process doesn't know is passed over, so that processes of
-// neighbouring versions understand each other (package compat holds the bytes).
+// bytes, big endian, and a CBOR map whose integer keys are the fields of Frame. A frame contains one message or several
+// related ones; Frame.Messages splits it into the closed set of types that implement Message. The numbers of the fields
+// never change their meaning, and unknown fields are ignored, so that processes of adjacent versions are compatible
+// (package compat has the encoded bytes).
 //
-// The first frame in each direction carries a Handshake. After it both ends send a Summary every SummaryInterval; a link
-// on which nothing was read for LinkTimeout is closed, since a network partition is not reported by the kernel.
+// The first frame in each direction contains a Handshake. After it both ends send a Summary every SummaryInterval. A link
+// on which nothing was read for LinkTimeout is closed, since the kernel doesn't report a network partition.
 package peer
