--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -151,7 +151,7 @@
 		dir = *c.Settings.DataDir
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return fmt.Errorf("make data directory: %w", err)
+		return fmt.Errorf("create data directory: %w", err)
 	}
 	opened, state, err := storage.Open(dir, keyWindow(c.Env), maxResponseBytes(c.Env))
 	if err != nil {
--- a/internal/control/controller/links.go
+++ b/internal/control/controller/links.go
@@ -169,7 +169,7 @@
 func (t *linkTable) reject(p *remote, cluster uint64) {
 	if t.rejected[p.ip] != cluster {
 		t.rejected[p.ip] = cluster
-		t.LogEvent("peer rejected", "node", p.node, "ip", p.ip, "cause", "it belongs to another cluster", "cluster", cluster)
+		t.LogEvent("peer rejected", "node", p.node, "ip", p.ip, "cause", "peer belongs to another cluster", "cluster", cluster)
 	}
 	p.link.Close()
 }
--- a/internal/peer/digests.go
+++ b/internal/peer/digests.go
@@ -6,18 +6,19 @@
 	"mulleinwood/internal/control/registry"
 )
 
-// compareInterval is how long a process waits before it asks the same peer for its digests again.
+// compareInterval is the minimum time between two digest requests to the same peer.
 const compareInterval = 4 * time.Second
 
-// DigestComparison decides when to ask the other end of a link for its digests: once two full summaries in a row had
-// another digest than the own one, since an update may be on its way, and then not for a while. The zero value is ready.
+// DigestComparison decides when to request the peer's digests: after two consecutive full summaries whose digest differs
+// from the local one, since after the first an update may still be in flight, and then at most every compareInterval. The
+// zero value is ready to use.
 type DigestComparison struct {
-	differed    int // full summaries in a row
+	differed    int // consecutive full summaries with a different digest
 	requestedAt time.Duration
 	requested   bool
 }
 
-// Due takes the digest of a full summary and reports whether the zones should be compared now.
+// Due records the remote digest of a full summary and reports whether the zones should be compared now.
 func (c *DigestComparison) Due(remote, local uint64, now time.Duration) bool {
 	if remote == local {
 		c.differed = 0
@@ -31,9 +32,10 @@
 	return true
 }
 
-// Compare answers the digests of the other end, after the entries that came with them were applied. To a request it gives
-// the own entries and digests of the zones that differ, to a reply the entries of those that still do. Together they
-// repair whatever updates were missed while links came and went.
+// Compare returns the answer to the peer's digests, or nil if no zone differs. It must be called after the entries that came
+// with the digests were applied. The answer to a request has the entries and digests of the zones that differ; the answer
+// to a reply has the entries of the zones that still differ. The exchange repairs updates that were missed while links were
+// down.
 func (d *Digests) Compare(servers *registry.Registry, now time.Duration) []Message {
 	own, zones, differing := servers.ZoneDigests(), map[string]bool{}, map[string]uint64{}
 	for zone, digest := range d.ByZone {
@@ -42,7 +44,7 @@
 		}
 	}
 	for zone, digest := range own {
-		if _, known := d.ByZone[zone]; !known && !d.Reply && digest != 0 { // a zone that the other end doesn't know
+		if _, known := d.ByZone[zone]; !known && !d.Reply && digest != 0 { // a zone that is unknown to the peer
 			zones[zone], differing[zone] = true, digest
 		}
 	}
--- a/internal/peer/digests_test.go
+++ b/internal/peer/digests_test.go
@@ -12,8 +12,8 @@
 	"mulleinwood/internal/peer"
 )
 
-// Two controllers that heard different updates, in any order and with any of them missing, know the same after one exchange
-// of digests, and then exchange nothing more.
+// Two controllers that received different updates, in any order and with some missing, have the same registry after one
+// exchange of digests, and exchange nothing more afterwards.
 func TestCompareRepairsMissedUpdates(t *testing.T) {
 	g := NewWithT(t)
 	rng := rand.New(rand.NewPCG(3, 3))
@@ -23,7 +23,7 @@
 		for range rng.IntN(30) {
 			e := registry.Entry{ID: fmt.Sprint("i-", rng.IntN(8)), Service: "tags", Address: "x:1", Capacity: 2, Seq: uint64(rng.IntN(5)),
 				State: registry.State(rng.IntN(3)), TimedOut: rng.IntN(4) == 0, Owner: string(rune('p' + rng.IntN(2)))}
-			e.Zone = string(rune('a' + int(e.ID[2]-'0')%3)) // a life doesn't move
+			e.Zone = string(rune('a' + int(e.ID[2]-'0')%3)) // a server doesn't change its zone
 			if rng.IntN(3) > 0 {
 				a.Apply(e, 0)
 			}
@@ -55,10 +55,10 @@
 func TestCompareWaitsForUpdatesInFlight(t *testing.T) {
 	g := NewWithT(t)
 	c := peer.DigestComparison{}
-	g.Expect(c.Due(1, 2, 1*time.Second)).To(BeFalse(), "it may be on its way")
+	g.Expect(c.Due(1, 2, 1*time.Second)).To(BeFalse(), "the update may still be in flight")
 	g.Expect(c.Due(2, 2, 2*time.Second)).To(BeFalse())
 	g.Expect(c.Due(1, 2, 3*time.Second)).To(BeFalse())
 	g.Expect(c.Due(1, 2, 4*time.Second)).To(BeTrue())
-	g.Expect(c.Due(1, 2, 5*time.Second)).To(BeFalse(), "not again at once")
+	g.Expect(c.Due(1, 2, 5*time.Second)).To(BeFalse(), "not again within compareInterval")
 	g.Expect(c.Due(1, 2, 9*time.Second)).To(BeTrue())
 }
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -6,8 +6,8 @@
 	"mulleinwood/internal/control/registry"
 )
 
-// Frame is the wire form of one or more messages. The numbers of the fields are the protocol; a retired one is not used
-// again.
+// Frame is the wire format of one or more messages. The field numbers are part of the protocol; the number of a removed
+// field is never reused.
 type Frame struct {
 	Handshake       *Handshake           `cbor:"1,keyasint,omitempty"`
 	Summary         *Summary             `cbor:"2,keyasint,omitempty"`
@@ -39,7 +39,7 @@
 	SyncReply       uint64               `cbor:"28,keyasint,omitempty"`
 }
 
-// FrameOf puts messages into one frame. No two of them may be of the same type.
+// FrameOf returns a frame that contains the messages. No two of them may be of the same type.
 func FrameOf(messages ...Message) *Frame {
 	f := &Frame{}
 	for _, m := range messages {
@@ -48,9 +48,9 @@
 	return f
 }
 
-// Messages takes a frame apart, in the order in which the receiver handles them: who the sender is, what it says of the
-// cluster and of servers, then what depends on that. An update of the servers comes before the digests that were made
-// after it, and a SyncRequest after all that it covers.
+// Messages returns the messages of a frame in the order in which the receiver must handle them: the handshake, the state of
+// the cluster and of servers, then the messages that depend on it. A RegistryUpdate comes before the digests that include
+// it, and a SyncRequest after all messages that it covers.
 func (f *Frame) Messages() []Message {
 	all := make([]Message, 0, 2)
 	all = f.appendCluster(all)
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -13,22 +13,22 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Spans of a link. Both ends send summaries; a peer that is silent for longer than Silence is taken to be cut off.
-// Timing and bounds of a link.
+// Timing and limits of a link. Both ends send summaries; a peer that sends nothing for LinkTimeout counts as unreachable.
 const (
 	// SummaryInterval is how often each end sends a Summary.
 	SummaryInterval = 250 * time.Millisecond
-	// LinkTimeout is how long a link may bring nothing before its peer counts as unreachable: three summaries, and a bit.
+	// LinkTimeout is how long nothing may be read from a link before its peer counts as unreachable. It is a little more than
+	// three summary intervals.
 	LinkTimeout = 800 * time.Millisecond
 
 	writeTimeout       = 2 * time.Second
 	maxFrameBytes      = 16 << 20
-	maxQueueBytes      = 64 << 20 // unwritten, after which a peer that doesn't read is disconnected
-	largeFrameBytes    = 64 << 10 // from which a frame may take longer than a summary
+	maxQueueBytes      = 64 << 20 // queued bytes above which a peer that doesn't read is disconnected
+	largeFrameBytes    = 64 << 10 // above which reading a frame may take up to largeFrameTimeout
 	largeFrameTimeout  = 4 * LinkTimeout
 	readBufferBytes    = 16 << 10
 	lengthBytes        = 4
-	maxDecodedElements = 1 << 20 // of an array or a map
+	maxDecodedElements = 1 << 20 // per array or map
 )
 
 var decMode = func() cbor.DecMode {
@@ -39,29 +39,30 @@
 	return mode
 }()
 
-// Link is a connection to another process. Its methods may be called by any goroutine; Read by one.
+// Link is a connection to another process. Its methods are safe for concurrent use, but only one goroutine may call Read.
 type Link struct {
 	conn        net.Conn
 	mu          sync.Mutex
-	queue       [][]byte // frames that are not written yet
+	queue       [][]byte // frames not written yet
 	queuedBytes int
 	wake        chan struct{}
-	writing     bool // what was taken from queue is not written yet
+	writing     bool // frames taken from queue are not written yet
 	closed      chan struct{}
 	closeOnce   sync.Once
 }
 
-// NewLink takes over a connection and starts its writer.
+// NewLink returns a link that owns conn, and starts its writer.
 func NewLink(conn net.Conn) *Link {
 	l := &Link{conn: conn, wake: make(chan struct{}, 1), closed: make(chan struct{})}
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetNoDelay(true) // it is the default; a connection that has failed shows that when it is read
+		_ = tcp.SetNoDelay(true) // on by default; a failed connection returns an error when it is read
 	}
 	go l.write()
 	return l
 }
 
-// Send queues messages as one frame. It never waits: a peer that doesn't read is disconnected once too much is queued.
+// Send queues messages as one frame. It never blocks: a peer that doesn't read is disconnected once more than maxQueueBytes
+// are queued.
 func (l *Link) Send(messages ...Message) {
 	body, err := cbor.Marshal(FrameOf(messages...))
 	if err != nil {
@@ -81,7 +82,7 @@
 	}
 }
 
-// enqueue reports how many bytes are queued now.
+// enqueue appends a frame to the queue and returns the number of queued bytes.
 func (l *Link) enqueue(packet []byte) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,18 +91,18 @@
 	return l.queuedBytes
 }
 
-// Close ends the link.
+// Close closes the link. It may be called more than once.
 func (l *Link) Close() {
 	l.closeOnce.Do(func() {
 		close(l.closed)
-		_ = l.conn.Close() // nothing can be done about it, and the link is over either way
+		_ = l.conn.Close() // the link has ended whether or not this fails
 	})
 }
 
 // drainPollInterval is how often Drain checks whether the queue is written.
 const drainPollInterval = 2 * time.Millisecond
 
-// Drain waits until all that was sent is written, the link has ended or the deadline is reached.
+// Drain waits until all queued frames are written, the link has ended or the deadline has passed.
 func (l *Link) Drain(deadline time.Time) {
 	for time.Now().Before(deadline) && !l.idle() {
 		select {
@@ -112,17 +113,17 @@
 	}
 }
 
-// idle reports whether all that was sent is written.
+// idle reports whether all queued frames are written.
 func (l *Link) idle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.queue) == 0 && !l.writing
 }
 
-// Closed is closed when the link has ended.
+// Closed returns a channel that is closed when the link has ended.
 func (l *Link) Closed() <-chan struct{} { return l.closed }
 
-// write is the link's writer, which ends with the link.
+// write writes queued frames until the link has ended.
 func (l *Link) write() {
 	defer l.Close()
 	for {
@@ -155,7 +156,7 @@
 	return packets
 }
 
-// joined is what is written by one call of the system.
+// joined concatenates frames, so that one system call writes them.
 func joined(packets [][]byte) []byte {
 	if len(packets) == 1 {
 		return packets[0]
@@ -163,10 +164,10 @@
 	return slices.Concat(packets...)
 }
 
-var errFrameTooLong = errors.New("a frame is longer than any that is sent")
+var errFrameTooLong = errors.New("frame exceeds the maximum length")
 
-// Read hands the messages of each frame to handle until the link ends, brings nothing for LinkTimeout or brings what can't
-// be decoded. It closes the link and says why it ended.
+// Read calls handle with the messages of each frame until the link ends, nothing is read for LinkTimeout or a frame can't be
+// decoded. It then closes the link and returns the reason, which is never nil.
 func (l *Link) Read(handle func(messages []Message)) error {
 	defer l.Close()
 	in := bufio.NewReaderSize(l.conn, readBufferBytes)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -39,7 +39,7 @@
 	})
 }
 
-// A cut is silent: a peer that says nothing is taken to be gone.
+// A network partition causes no error on the connection, so a peer that sends nothing must time out.
 func TestTimeoutEndsALink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -93,7 +93,7 @@
 		_ = link.Read(func(messages []peer.Message) {
 			got := peer.FrameOf(messages...)
 			if _, err := cbor.Marshal(got); err != nil {
-				t.Fatalf("taken, but can't be written: %v", err)
+				t.Fatalf("decoded, but can't be encoded: %v", err)
 			}
 		})
 	})
--- a/internal/peer/security.go
+++ b/internal/peer/security.go
@@ -16,12 +16,12 @@
 // handshakeTimeout is how long a TLS handshake may take.
 const handshakeTimeout = 2 * time.Second
 
-// Security authenticates links by mutual TLS. It reads a certificate, its key and the accepted authorities from three
-// files of a folder. A nil Security leaves links plain: then only the network keeps strangers out. It may be used by any
-// goroutine.
+// Security authenticates links by mutual TLS. It reads a certificate, its key and the accepted authorities from three files
+// in a directory. With a nil Security links are unencrypted, and only the network protects them from other processes. It is
+// safe for concurrent use.
 type Security struct {
 	dir     string
-	ownIP   string // address that links are dialled from; the certificate names it
+	ownIP   string // local address of dialled links; the certificate must name it
 	current atomic.Pointer[credentials]
 }
 
@@ -30,14 +30,15 @@
 	authorities *x509.CertPool
 }
 
-// The files of a Security's folder.
+// Files in the directory of a Security.
 const (
 	certificateFile = "certificate.pem"
 	keyFile         = "key.pem"
-	authorityFile   = "authorities.pem" // holds two while one authority replaces another
+	authorityFile   = "authorities.pem" // contains two authorities during a rotation
 )
 
-// NewSecurity reads the folder dir for a process whose address is ownIP. An empty dir gives nil, which means plain links.
+// NewSecurity reads the directory dir for a process whose address is ownIP. It returns nil for an empty dir, which means
+// unencrypted links.
 func NewSecurity(dir, ownIP string) (*Security, error) {
 	if dir == "" {
 		return nil, nil
@@ -46,8 +47,8 @@
 	return s, s.Reload()
 }
 
-// Reload reads the folder again. New links use what it holds; established ones stay. Files that can't be used change
-// nothing.
+// Reload reads the directory again. New links use its contents; established links are not affected. If it returns an error,
+// the previous credentials stay in use.
 func (s *Security) Reload() error {
 	if s == nil {
 		return nil
@@ -62,7 +63,7 @@
 	}
 	loaded := &credentials{certificate: certificate, authorities: x509.NewCertPool()}
 	if !loaded.authorities.AppendCertsFromPEM(text) {
-		return fmt.Errorf("inner TLS: %s holds no certificate", authorityFile)
+		return fmt.Errorf("inner TLS: %s contains no certificate", authorityFile)
 	}
 	s.current.Store(loaded)
 	return nil
@@ -91,8 +92,8 @@
 	}))
 }
 
-// Accept takes over a connection that another process dialled, and verifies that its certificate names the address that it
-// dialled from. It blocks for the handshake, so it belongs on the connection's own goroutine.
+// Accept secures a connection that another process dialled, and verifies that its certificate names the remote address. It
+// blocks during the TLS handshake, so it should be called on the connection's own goroutine.
 func (s *Security) Accept(ctx context.Context, conn net.Conn) (net.Conn, error) {
 	if s == nil {
 		return conn, nil
@@ -122,13 +123,13 @@
 	return conn, nil
 }
 
-// closeWith closes a connection that failed, and gives the error for which it did.
+// closeWith closes a failed connection and returns the error that caused it.
 func closeWith(conn net.Conn, err error) error {
-	_ = conn.Close() // the first error is the one that explains
+	_ = conn.Close() // the first error is the cause
 	return err
 }
 
-// RemoteIP is the address at the other end of a connection.
+// RemoteIP returns the remote IP address of a connection, or the empty string if it has none.
 func RemoteIP(conn net.Conn) string {
 	ip, _, err := net.SplitHostPort(conn.RemoteAddr().String())
 	if err != nil {
@@ -137,9 +138,9 @@
 	return ip
 }
 
-var errAddressMismatch = errors.New("the handshake names another address than the connection")
+var errAddressMismatch = errors.New("handshake address differs from the remote address")
 
-// VerifyAddress compares the address in a peer's handshake with the one that its certificate proved.
+// VerifyAddress returns an error if the address in a peer's handshake differs from the one that its certificate proved.
 func (s *Security) VerifyAddress(conn net.Conn, handshake *Handshake) error {
 	if s != nil && handshake.IP != RemoteIP(conn) {
 		return fmt.Errorf("%w: %s, not %s", errAddressMismatch, handshake.IP, RemoteIP(conn))
--- a/internal/peer/security_test.go
+++ b/internal/peer/security_test.go
@@ -47,7 +47,7 @@
 	return key
 }
 
-// issue writes a folder for a process at an address, which believes these authorities.
+// issue writes the directory of a process at an address that accepts the given authorities.
 func (a *authority) issue(dir, ip string, believed ...*authority) {
 	key := a.newKey()
 	serial++
@@ -73,7 +73,7 @@
 	write("authorities.pem", all...)
 }
 
-// meet has one process dial another, and tells how that ended at both ends.
+// meet lets one process dial another and returns the errors of both ends.
 func meet(g *WithT, at, from *peer.Security) (dialled, accepted error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -91,7 +91,7 @@
 	}()
 	conn, dialled := from.Dial(context.Background(), l.Addr().String(), time.Second)
 	if dialled == nil {
-		_, dialled = conn.Read(make([]byte, 1)) // a refusal of the other end shows here
+		_, dialled = conn.Read(make([]byte, 1)) // a rejection by the other end is reported here
 		conn.Close()
 	}
 	return dialled, <-taken
@@ -131,7 +131,8 @@
 		g.Expect(stranger == nil || dialled != nil).To(BeTrue(), name)
 	}
 
-	// Rotation: first everybody believes both authorities, then certificates change one by one, then the old one goes.
+	// Rotation: first all processes accept both authorities, then the certificates change one by one, then the old authority
+	// is removed.
 	ours.issue(dir, "127.0.0.1", ours, theirs)
 	g.Expect(good.Reload()).To(Succeed())
 	moved, _ := folder(theirs, "127.0.0.1", ours, theirs)
@@ -143,11 +144,11 @@
 	theirs.issue(dir, "127.0.0.1", theirs)
 	g.Expect(good.Reload()).To(Succeed())
 	_, accepted = meet(g, good, other)
-	g.Expect(accepted).To(HaveOccurred(), "the old authority is no longer believed")
+	g.Expect(accepted).To(HaveOccurred(), "the old authority is no longer accepted")
 	_, accepted = meet(g, good, moved)
 	g.Expect(accepted).NotTo(HaveOccurred())
 
-	// What can't be used changes nothing.
+	// Unusable files change nothing.
 	g.Expect(os.WriteFile(filepath.Join(dir, "key.pem"), []byte("spoilt"), 0o600)).To(Succeed())
 	g.Expect(good.Reload()).NotTo(Succeed())
 	_, accepted = meet(g, good, moved)
