--- a/internal/control/controller/answers_test.go
+++ b/internal/control/controller/answers_test.go
@@ -22,9 +22,9 @@
 	"mulleinwood/internal/control/idempotency"
 )
 
-var update = flag.Bool("update", false, "write the expected answers again")
+var update = flag.Bool("update", false, "rewrite the expected answers in testdata")
 
-// checkExpected holds answers against those that an earlier version gave.
+// checkExpected compares answers with those of an earlier version, stored in testdata.
 func checkExpected(t *testing.T, file, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
@@ -44,7 +44,7 @@
 
 var metricValue = regexp.MustCompile(`(?m) [0-9.e+-]+$`)
 
-// text is an answer as a caller sees it. Of metrics the names and labels are kept, not the values and the help.
+// text formats an answer as a caller receives it. Metrics keep their names and labels, but not their values and help texts.
 func (c *call) text(name string) string {
 	status := c.status()
 	var b strings.Builder
@@ -72,7 +72,7 @@
 	validBooking = `{"tenant":"a.example","service":"tags","start":4000000000,"end":4000003600,"slots":2,"owner":"ops"}`
 )
 
-// calls are all that a control endpoint is asked, proper and not, in the order in which they are sent.
+// calls lists valid and invalid calls of all control endpoints, in the order in which they are sent.
 var calls = []struct{ method, path, match, body string }{
 	{http.MethodGet, "/nothing", "", ""},
 	{http.MethodPost, "/config", "", ""},
@@ -106,8 +106,8 @@
 	{http.MethodGet, "/metrics", "", ""},
 }
 
-// Every control endpoint answers as the earlier version did, at one that leads, at one that follows and at one that knows
-// no leader: statuses, headers and bodies.
+// On a leader, on a follower and without a leader, all control endpoints must answer with the same statuses, headers and
+// bodies as the earlier version.
 func TestAnswersOfControlEndpoints(t *testing.T) {
 	for _, role := range []string{"leader", "follower", "no_leader"} {
 		t.Run(role, func(t *testing.T) {
@@ -134,7 +134,7 @@
 	}
 }
 
-// A controller starts on the data directory that an earlier version wrote, and answers from what it held.
+// A controller must start on a data directory written by an earlier version and answer from its contents.
 func TestStartOnDataDirectoryOfEarlierVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/internal/control/controller/authority_test.go
+++ b/internal/control/controller/authority_test.go
@@ -23,14 +23,14 @@
 	secondConfig = `{"version":"r2","services":[],"limits":{"max_header_bytes":16384,"max_body_bytes":65536,"header_wait_s":3,"idle_s":15},"plants":[]}`
 )
 
-// call is one that a controller has not answered yet, or has.
+// call is a call to a controller, pending or answered.
 type call struct {
 	h        *testController
 	w        *httptest.ResponseRecorder
 	answered chan struct{}
 }
 
-// startCall starts a call and lets it come as far as it comes without time passing.
+// startCall starts a call and processes it as far as possible without advancing the time.
 func (h *testController) startCall(method, path, match, body string) *call {
 	started := &call{h: h, w: httptest.NewRecorder(), answered: make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -41,7 +41,7 @@
 	}
 	go func() {
 		defer close(started.answered)
-		defer func() { // as net/http does
+		defer func() { // recovers http.ErrAbortHandler as net/http does
 			if cause := recover(); cause != nil && cause != http.ErrAbortHandler {
 				panic(cause)
 			}
@@ -52,7 +52,7 @@
 	return started
 }
 
-// status is the answer's, or 0 as long as there is none.
+// status returns the status of the answer, or 0 while the call is pending.
 func (c *call) status() int {
 	c.h.settle()
 	select {
@@ -63,7 +63,7 @@
 	}
 }
 
-// startVoter is a voter of three with a link to another one.
+// startVoter starts one of three voters, with a link to another one.
 func startVoter(t *testing.T) (*testController, *scriptedPeer) {
 	dir := t.TempDir()
 	writeDisk(t, dir, voterDisk(ipA))
@@ -71,8 +71,8 @@
 	return h, h.linkReplica(ipB)
 }
 
-// leaderCalls is each call that needs a leader, with what it needs to be proper.
-var leaderCalls = map[string]struct{ method, path, match, body string }{
+// leaderOnlyCalls lists a valid example of each call that only a leader can answer.
+var leaderOnlyCalls = map[string]struct{ method, path, match, body string }{
 	"GET /config":           {http.MethodGet, "/config", "", ""},
 	"PUT /config":           {http.MethodPut, "/config", "r0", firstConfig},
 	"PATCH /config":         {http.MethodPatch, "/config", "r0", `{"version":"r1"}`},
@@ -82,10 +82,10 @@
 	"POST /members":         {http.MethodPost, "/members", "", `{"voter":"` + ipC + `"}`},
 }
 
-// One that follows sends callers on to the leader; one that knows of none asks them to come back. Neither looks at what
-// it holds.
+// A follower redirects callers to the leader; a controller that knows no leader asks them to retry. Neither answers from its
+// local state.
 func TestCallsWithoutLeadership(t *testing.T) {
-	for name, request := range leaderCalls {
+	for name, request := range leaderOnlyCalls {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
@@ -103,35 +103,35 @@
 	}
 }
 
-// A leader that can send and not hear, or was cut off after it was elected, answers no read, confirms no order, and leads no
-// longer once it has heard no majority for a second.
+// A leader that receives no replies, in a one-way partition or cut off after its election, must answer no read, confirm no
+// update, and step down once it has had no contact with a majority for a second.
 func TestLeaderWithoutReplies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		h, b := startVoter(t)
 		h.becomeLeader(b)
 		read, update := h.startCall(http.MethodGet, "/config", "", ""), h.startCall(http.MethodPut, "/config", "r0", firstConfig)
-		g.Expect([]int{read.status(), update.status()}).To(HaveEach(0), "nobody has answered this round")
+		g.Expect([]int{read.status(), update.status()}).To(HaveEach(0), "no replica has confirmed the read index")
 		h.advance(500 * time.Millisecond)
 		g.Expect([]int{read.status(), update.status()}).To(HaveEach(0))
 		h.advance(2 * callTimeout)
 		g.Expect(read.status()).To(Equal(http.StatusServiceUnavailable))
-		g.Expect(update.status()).To(Equal(http.StatusBadGateway), "it may still be taken")
+		g.Expect(update.status()).To(Equal(http.StatusBadGateway), "the update may still be committed")
 		g.Expect(h.consensus.leads()).To(BeFalse())
 		g.Expect(h.consensus.inContact()).To(BeFalse())
 		h.stop()
 	})
 }
 
-// A read is answered by a round that began after it came, not by an answer that was on its way.
+// A read must be confirmed by a round that began after the read arrived, not by a reply that was already in flight.
 func TestReadNeedsItsOwnReadIndex(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		h, b := startVoter(t)
 		h.becomeLeader(b)
-		before := consensus.Message{Kind: consensus.AppendReply, Term: h.consensus.replica.Term(), OK: true, Index: h.consensus.replica.LastIndex()}
+		earlierReply := consensus.Message{Kind: consensus.AppendReply, Term: h.consensus.replica.Term(), OK: true, Index: h.consensus.replica.LastIndex()}
 		read := h.startCall(http.MethodGet, "/config", "", "")
-		b.sendConsensus(before)
+		b.sendConsensus(earlierReply)
 		g.Expect(read.status()).To(BeZero())
 		h.confirmReads(b)
 		g.Expect(read.status()).To(Equal(http.StatusOK))
@@ -139,21 +139,21 @@
 	})
 }
 
-// A leader that stood still while another was elected answers from nothing that it held when it wakes: neither what was
-// asked before nor what is asked now.
+// A leader that was paused while another one was elected must not answer from its stale state after it resumes, neither calls
+// from before the pause nor new ones.
 func TestFrozenLeaderThatResumes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		h, b := startVoter(t)
 		h.becomeLeader(b)
 		read := h.startCall(http.MethodGet, "/config", "", "")
-		time.Sleep(20 * time.Second) // b leads by now, and has agreed on other things
+		time.Sleep(20 * time.Second) // b leads by now and has committed other entries
 		g.Expect(h.consensus.inContact()).To(BeFalse())
 		late := h.startCall(http.MethodGet, "/config", "", "")
 		update := h.startCall(http.MethodPut, "/config", "r0", firstConfig)
 		drain := h.startCall(http.MethodDelete, "/instances/i-1", "", "")
 		g.Expect(drain.status()).To(Equal(http.StatusServiceUnavailable))
-		b.sendConsensus(consensus.Message{Kind: consensus.AppendReply, Term: h.consensus.replica.Term(), OK: true, Index: 2}) // was on its way all the time
+		b.sendConsensus(consensus.Message{Kind: consensus.AppendReply, Term: h.consensus.replica.Term(), OK: true, Index: 2}) // was in flight during the pause
 		g.Expect([]int{late.status(), update.status()}).To(HaveEach(0))
 		h.followLeader(b, h.consensus.replica.Term()+3, consensus.Message{Index: 1, LogTerm: 4})
 		h.advance(tickInterval)
@@ -163,7 +163,7 @@
 	})
 }
 
-// A call whose entry is cut off the log, or whose place another entry takes, gets an unclear answer, and gets one.
+// A call whose entry is truncated, or replaced by another entry at its index, must be answered that the result is unknown.
 func TestCallWhoseEntryIsTruncated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -172,7 +172,7 @@
 		term, at := h.consensus.replica.Term(), h.consensus.replica.LastIndex()+1
 		pending := h.startCall(http.MethodPut, "/config", "r0", firstConfig)
 		g.Expect(pending.status()).To(BeZero())
-		// Another leader's entry takes its place, and is committed, in the same turn.
+		// Another leader's entry replaces it and is committed in the same turn.
 		h.followLeader(b, term+1, consensus.Message{Index: at - 1, LogTerm: term, Commit: at, Entries: []consensus.Entry{{Term: term + 1, Index: at}}})
 		g.Expect(pending.status()).To(Equal(http.StatusBadGateway))
 		g.Expect(h.consensus.state.Version()).To(BeZero())
@@ -181,14 +181,14 @@
 		h.becomeLeader(b)
 		pending = h.startCall(http.MethodPut, "/config", "r0", firstConfig)
 		index := h.consensus.replica.LastIndex()
-		h.consensus.awaitEntry(index, 0, func(uint64, error) {}) // it leads again and proposes at the same index
+		h.consensus.awaitEntry(index, 0, func(uint64, error) {}) // as if it leads again and proposes at the same index
 		g.Expect(pending.status()).To(Equal(http.StatusBadGateway))
 		h.stop()
 	})
 }
 
-// The same order sent again after its acknowledgement was lost is acknowledged, and one that lost the race is refused: both
-// only once their entries are committed.
+// An update that is retried after its acknowledgement was lost is acknowledged, and a concurrent one that lost is rejected,
+// both only once their entries are committed.
 func TestChangesAreDecidedByTheLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -201,15 +201,15 @@
 		h.confirmReads(b)
 		g.Expect([]int{first.status(), again.status(), other.status()}).To(Equal([]int{200, 200, http.StatusPreconditionFailed}))
 		later := h.startCall(http.MethodPut, "/config", "r0", firstConfig)
-		g.Expect(later.status()).To(BeZero(), "even what is known here is told only once a majority follows")
+		g.Expect(later.status()).To(BeZero(), "even a known change is acknowledged only once its entry is committed")
 		h.confirmReads(b)
 		g.Expect(later.status()).To(Equal(http.StatusOK))
 		h.stop()
 	})
 }
 
-// An order that was taken is known again after a hundred others, in a snapshot, by a leader that started from it; so is one
-// of eight that were under way at once.
+// A retried update is recognized after a hundred others by a leader that restarted from a snapshot, also if it was one of ten
+// in flight at once.
 func TestChangeIsKnownAfterASnapshotAndARestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -225,13 +225,13 @@
 		h.confirmReads(b)
 		g.Expect(first.status()).To(Equal(http.StatusOK))
 		for base := 1; base < 101; base += 10 {
-			var all []*call
-			for n := range 10 { // each on top of one that is not committed yet
-				all = append(all, patch(base+n))
+			var patches []*call
+			for n := range 10 { // each is based on one that is not committed yet
+				patches = append(patches, patch(base+n))
 			}
 			h.confirmReads(b)
-			for _, one := range all {
-				g.Expect(one.status()).To(Equal(http.StatusOK))
+			for _, patched := range patches {
+				g.Expect(patched.status()).To(Equal(http.StatusOK))
 			}
 		}
 		h.stop()
@@ -251,7 +251,7 @@
 	})
 }
 
-// What says that a server leaves is refused by a controller that is cut off; a beat is taken, for it promises nothing.
+// A controller that is cut off must reject a server's drain and removal. It accepts a heartbeat, which guarantees nothing.
 func TestServerCallsAtPartitionedController(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -264,11 +264,11 @@
 		g.Expect(h.startCall(http.MethodDelete, "/instances/i-1", "", "").status()).To(Equal(http.StatusServiceUnavailable))
 		e, _ := h.servers.registry.Get("i-1")
 		g.Expect(e.State).To(BeZero())
-		// In contact: the leader is heard, and says that it hears this controller.
+		// In contact: the leader's message arrives and reports contact with a majority.
 		h.followLeader(b, 5, consensus.Message{Index: 1, LogTerm: 4})
 		b.received()
 		draining := sendHeartbeat("draining")
-		g.Expect(draining.status()).To(BeZero(), "the other controller has not said that it knows")
+		g.Expect(draining.status()).To(BeZero(), "the other controller has not acknowledged the update")
 		for _, f := range b.received() {
 			if f.AckID != 0 {
 				b.send(&peer.Frame{Acked: f.AckID})
@@ -279,7 +279,7 @@
 	})
 }
 
-// A leader that is not heard by its followers' side, a cut one way, is no proof of contact for who follows it.
+// In a one-way partition the leader receives nothing from its followers. Its messages must not count as contact for them.
 func TestFollowerWhoseLeaderDoesNotHearIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -292,7 +292,7 @@
 	})
 }
 
-// Operators read each controller's own view: it needs nobody, and is no proof of anything.
+// Operators read each controller's local view without a quorum, so that it is available during a partition.
 func TestStatusNeedsNoQuorum(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/internal/control/controller/caller_left_test.go
+++ b/internal/control/controller/caller_left_test.go
@@ -16,8 +16,8 @@
 
 const standaloneSettings = "node: \"x\"\nip: \"10.0.0.1\"\nzone: \"a\"\nseeds: [\"10.0.0.1:1\"]\ninner_port_range: [7000, 7001]\n"
 
-// A caller that closes its sending side while its call waits gets no answer: nothing was decided, and a 200 that net/http
-// writes for a handler that says nothing would acknowledge what may never be in force.
+// A caller that closes its sending side while its call waits must get no answer, since the call has no result yet. net/http
+// would write a 200 for a handler that returns without an answer, and so acknowledge a change that may never be applied.
 func TestNothingIsAcknowledgedToACallerThatLeft(t *testing.T) {
 	set, err := nodesettings.Parse("test", []byte(standaloneSettings))
 	if err != nil {
@@ -27,7 +27,7 @@
 		if !strings.HasPrefix(call.path, "/config") && !strings.HasPrefix(call.path, "/instances") && call.path != "/status" {
 			continue
 		}
-		c := newController(node.Config{Settings: set, Logger: log.NewNopLogger()}, 1) // its owner doesn't run: calls wait
+		c := newController(node.Config{Settings: set, Logger: log.NewNopLogger()}, 1) // the owner doesn't run, so that calls wait
 		server := httptest.NewServer(newControlAPI(c).handler())
 		conn, err := net.Dial("tcp", server.Listener.Addr().String())
 		if err != nil {
@@ -46,7 +46,7 @@
 		}
 		answer, _ := io.ReadAll(conn)
 		if strings.HasPrefix(string(answer), "HTTP/1.1 2") {
-			t.Errorf("%s %s of a caller that left is acknowledged: %q", call.method, call.path, answer)
+			t.Errorf("%s %s of a caller that disconnected is acknowledged: %q", call.method, call.path, answer)
 		}
 		conn.Close()
 		server.Close()
--- a/internal/control/controller/claims_test.go
+++ b/internal/control/controller/claims_test.go
@@ -13,7 +13,7 @@
 	"mulleinwood/internal/peer"
 )
 
-// failDisk has the disk take no write until mend.
+// failDisk makes all writes fail until repairDisk.
 func (h *testController) failDisk() { h.g.Expect(h.storage.Close()).To(Succeed()) }
 
 func (h *testController) repairDisk() {
@@ -22,7 +22,7 @@
 	h.storage = st
 }
 
-// startNewVoter brings a controller to the joint membership under which it gets a vote.
+// startNewVoter starts a controller that becomes a voter in the joint membership.
 func startNewVoter(t *testing.T, dir string) (h *testController, a, b *scriptedPeer) {
 	yes, m := true, threeVoters
 	writeDisk(t, dir, &storage.Batch{Identity: "10.0.0.4#d", Hard: &consensus.HardState{Term: 4, Commit: 1}, Recovering: &yes, Membership: &m,
@@ -34,7 +34,7 @@
 	return h, a, b
 }
 
-// A store whose disk holds a newer membership grants nothing that is asked under an older one.
+// A store with a newer durable membership must reject requests under an older one.
 func TestStoreRejectsOlderEpoch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -50,21 +50,22 @@
 		g.Expect(requestGrant(1, 2)).To(Equal([]idempotency.GrantReply{idempotency.ReplyGranted}))
 		h.followLeader(a, 5, consensus.Message{Index: 1, LogTerm: 4, Commit: 2, Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &jointMembership}}})
 		g.Expect(requestGrant(2, 2)).To(Equal([]idempotency.GrantReply{idempotency.ReplyStaleEpoch}))
-		g.Expect(h.claims.store.Len()).To(Equal(1), "and holds nothing of it")
+		g.Expect(h.claims.store.Len()).To(Equal(1), "the rejected claim is not stored")
 		g.Expect(requestGrant(2, 3)).To(Equal([]idempotency.GrantReply{idempotency.ReplyGranted}))
 		h.stop()
 		h = start(t, ipB, dir, false)
 		a = h.linkReplica(ipA)
-		g.Expect(requestGrant(3, 2)).To(Equal([]idempotency.GrantReply{idempotency.ReplyStaleEpoch}), "a start forgets no epoch")
+		g.Expect(requestGrant(3, 2)).To(Equal([]idempotency.GrantReply{idempotency.ReplyStaleEpoch}), "the epoch is kept over a restart")
 		h.stop()
 	})
 }
 
-// A coordinator that was behind asks again once it knows the newer membership, and the claim stands with majorities of both.
+// A coordinator with an old membership must retry once it learns the newer one. The claim is granted with majorities of both
+// voter sets.
 func TestCoordinatorAsksAgainUnderTheNewerEpoch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		next := jointMembership // of which only one voter stays
+		next := jointMembership // a joint membership in which only one voter stays
 		next.Next = []string{ipA, "10.0.0.4#d", "10.0.0.5#e"}
 		dir := t.TempDir()
 		writeDisk(t, dir, voterDisk(ipA))
@@ -88,7 +89,7 @@
 		g.Expect(requestedEpochs(b)).To(Equal([]uint64{3}))
 		for _, s := range []*scriptedPeer{b, d} {
 			for _, f := range edge.received() {
-				g.Expect(f.Outcomes).To(BeEmpty(), "it stands with both sets only")
+				g.Expect(f.Outcomes).To(BeEmpty(), "the claim needs majorities of both sets")
 			}
 			s.send(&peer.Frame{GrantReplies: []peer.GrantReply{{Token: r.Token, Reply: idempotency.ReplyGranted}}})
 		}
@@ -101,8 +102,8 @@
 	})
 }
 
-// The claims of a store are copied only once its disk holds the joint membership: from then on it grants nothing under the
-// former one, and what it granted before is in the copy.
+// A store must send its claims only once the joint membership is durable. From then on it grants nothing under the previous
+// membership, and all its earlier grants are in the copy.
 func TestCopyIsSentAfterTheJointMembershipIsDurable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -122,12 +123,12 @@
 			return records, complete
 		}
 		_, complete := copied(3)
-		g.Expect(complete).To(BeFalse(), "it knows nothing of that epoch")
+		g.Expect(complete).To(BeFalse(), "the epoch is unknown to the store")
 		h.failDisk()
 		h.followLeader(a, 5, consensus.Message{Index: 1, LogTerm: 4, Commit: 2, Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &jointMembership}}})
 		g.Expect(h.members.current).To(Equal(jointMembership))
 		_, complete = copied(3)
-		g.Expect(complete).To(BeFalse(), "it is applied and not durable")
+		g.Expect(complete).To(BeFalse(), "the membership is applied but not durable")
 		h.repairDisk()
 		h.advance(2 * writeRetry)
 		a.send(&peer.Frame{GrantRequests: []idempotency.Record{claimRecord(1)}, Epoch: 3})
@@ -135,12 +136,13 @@
 		g.Expect(complete).To(BeTrue())
 		g.Expect(records).To(Equal(1))
 		_, complete = copied(2)
-		g.Expect(complete).To(BeFalse(), "an older epoch is over")
+		g.Expect(complete).To(BeFalse(), "the epoch is older than the current one")
 		h.stop()
 	})
 }
 
-// What an entrant copies is on its disk before it says that its store is whole, also if the disk refuses in the midst.
+// The copied claims of a new voter must be durable before it announces that its store is complete, also if writes fail
+// meanwhile.
 func TestCopiesSurviveFailedWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -166,7 +168,7 @@
 		b.send(&peer.Frame{ClaimsChunk: &peer.ClaimsChunk{Records: claims(5, 41), Last: true}, Epoch: 3})
 		h.advance(3 * writeRetry)
 		g.Expect(announcedReady()).To(BeFalse())
-		g.Expect(h.claims.store.Recovering()).To(BeTrue(), "it grants nothing before its word is durable")
+		g.Expect(h.claims.store.Recovering()).To(BeTrue(), "it must not grant before its recovery is durable")
 		g.Expect(h.log.containing("disk write failed")).To(HaveLen(1))
 		h.repairDisk()
 		h.advance(3 * writeRetry)
@@ -182,12 +184,13 @@
 		g.Expect(keys).To(HaveLen(40))
 		h = start(t, ipD, dir, false)
 		reply, _, _ := h.claims.store.Grant(claimRecord(15), h.Now())
-		g.Expect(reply).To(Equal(idempotency.ReplyConflict), "a key that was copied is granted to nobody, after a start, too")
+		g.Expect(reply).To(Equal(idempotency.ReplyConflict), "a copied key must not be granted to another claim, also after a restart")
 		h.stop()
 	})
 }
 
-// One store, one that copies itself, and one that was asked under another epoch are no majority of the former voters.
+// Copies of one previous voter, of a store that is itself recovering and of another epoch are no majority of the previous
+// voters.
 func TestNewVoterNeedsAMajorityOfCopies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -205,7 +208,7 @@
 	})
 }
 
-// What another identity at the same address granted is not relied on.
+// The grants of a previous identity at the same address must not count.
 func TestGrantsOfALostDiskAreForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -214,7 +217,7 @@
 		h := start(t, ipA, dir, false)
 		b, c := h.linkReplica(ipB), h.linkReplica(ipC)
 		edge := h.link("10.0.0.9", &peer.Handshake{Node: "e", IP: "10.0.0.9", Zone: "x", Edge: true})
-		h.failDisk() // the own store grants nothing
+		h.failDisk() // the local store can't grant
 		r := claimRecord(1)
 		edge.send(&peer.Frame{Claims: []idempotency.Record{r}})
 		h.advance(2 * claimHedgeDelay)
@@ -232,7 +235,7 @@
 	})
 }
 
-// An edge's claim is refused at once, with nothing granted, where no membership is known yet.
+// Without a known membership, an edge's claim must be answered at once as undecided.
 func TestClaimWithoutVotersIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/internal/control/controller/cluster_test.go
+++ b/internal/control/controller/cluster_test.go
@@ -9,6 +9,7 @@
 	"mulleinwood/internal/peer"
 )
 
+// A controller that reports another cluster only after the handshake must not be sent the log: it would adopt it as its own.
 func TestClusterThatIsLearntLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -19,7 +20,7 @@
 		h.advance(tickInterval)
 		g.Expect(h.learners()).NotTo(ContainElement("10.0.0.8"))
 		for _, f := range s.received() {
-			g.Expect(f.Consensus).To(BeEmpty(), "it would take this log for its own")
+			g.Expect(f.Consensus).To(BeEmpty(), "it would adopt this log as its own")
 		}
 		h.stop()
 	})
--- a/internal/control/controller/earlier_files_test.go
+++ b/internal/control/controller/earlier_files_test.go
@@ -29,7 +29,7 @@
 	})
 }
 
-// A store that the earlier version had not restored yet doesn't grant before it has copied what the others hold.
+// A store that was still recovering under the earlier version must not grant before it has copied the others' claims.
 func TestEarlierStoreThatIsRecovering(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -38,7 +38,7 @@
 		writeDisk(t, dir, &storage.Batch{BootstrapVoters: threeVoters.Voters, Hard: &consensus.HardState{Term: 5, Commit: 1}, Recovering: &yes, Entries: []consensus.Entry{{Term: 4, Index: 1}}})
 		h := start(t, ipA, dir, false)
 		b := h.linkReplica(ipB)
-		h.followLeader(b, 6, consensus.Message{Index: 1, LogTerm: 4, Commit: 2, Entries: []consensus.Entry{{Term: 6, Index: 2, Membership: &threeVoters}}}) // the first leader names the cluster
+		h.followLeader(b, 6, consensus.Message{Index: 1, LogTerm: 4, Commit: 2, Entries: []consensus.Entry{{Term: 6, Index: 2, Membership: &threeVoters}}}) // the first leader sets the cluster
 		b.received()
 		b.send(&peer.Frame{GrantRequests: []idempotency.Record{claimRecord(1)}, Epoch: 2})
 		g.Expect(grantReplies(b.received())).NotTo(ContainElement(idempotency.ReplyGranted))
--- a/internal/control/controller/endpoint_test.go
+++ b/internal/control/controller/endpoint_test.go
@@ -14,8 +14,8 @@
 	"mulleinwood/internal/platform/nodesettings"
 )
 
-// Calls that have arrived when a controller ends are answered, whether they were accepted and read by then or not, and told
-// to go elsewhere with the next one.
+// Calls that have arrived when a controller shuts down must be answered, whether or not they were accepted and read by then.
+// Their connections are closed, so that the callers go to another controller.
 func TestEndpointAnswersTheCallsThatHaveArrived(t *testing.T) {
 	const calls = 40
 	g := NewWithT(t)
@@ -24,7 +24,7 @@
 	endpoint := newControlEndpoint(newController(node.Config{Settings: &nodesettings.Settings{IP: "10.0.0.3"},
 		Logger: log.NewNopLogger()}, 1), listener)
 	conns := make([]net.Conn, 0, calls)
-	for range calls { // nothing is accepted yet
+	for range calls { // the endpoint accepts no connection yet
 		conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", listener.Addr().String())
 		g.Expect(err).NotTo(HaveOccurred())
 		defer conn.Close()
--- a/internal/control/controller/fuzz_test.go
+++ b/internal/control/controller/fuzz_test.go
@@ -15,7 +15,7 @@
 	"mulleinwood/internal/platform/nodesettings"
 )
 
-// FuzzBeat has a server's call hold any bytes. It is refused, or what is known of that server afterwards makes sense.
+// FuzzBeat sends a heartbeat with an arbitrary body. It must be rejected, or result in a valid registry entry.
 func FuzzBeat(f *testing.F) {
 	for _, seed := range []string{
 		`{"service":"huvo11a","address":"10.128.0.9:8080","zone":"a","version":"v1","capacity":4,"state":"ready","warmup_left_s":0,"call_seq":4}`,
@@ -35,7 +35,7 @@
 		c := newController(node.Config{Settings: set, Logger: log.NewNopLogger()}, 1)
 		c.consensus.replica = consensus.New(consensus.Config{ID: "10.0.0.1", Membership: consensus.Membership{Epoch: 1, Voters: []string{"10.0.0.1"}},
 			Timing: consensus.Timing{Heartbeat: heartbeatInterval, ElectionTimeout: electionTimeout}})
-		c.consensus.replica.Tick(time.Minute) // it leads, alone: what says that a server leaves is acknowledged
+		c.consensus.replica.Tick(time.Minute) // it leads as the only voter, so that drains are acknowledged
 		w := httptest.NewRecorder()
 		done := make(chan struct{})
 		go func() {
@@ -54,13 +54,13 @@
 		e, known := c.servers.registry.Get("i-1")
 		switch {
 		case w.Code == http.StatusOK && !known:
-			t.Error("acknowledged and not known")
+			t.Error("acknowledged, but not in the registry")
 		case w.Code != http.StatusOK && known:
-			t.Errorf("refused with %d and known", w.Code)
+			t.Errorf("rejected with %d, but in the registry", w.Code)
 		case w.Code != http.StatusOK && w.Code/100 != 4:
-			t.Errorf("answered %d", w.Code)
+			t.Errorf("answered with status %d", w.Code)
 		case known && (e.Service == "" || e.Address == "" || e.Capacity < 1 || e.State > registry.Draining || e.WarmupLeft < 0 || e.WarmupLeft > maxWarmup):
-			t.Errorf("taken as %+v", e)
+			t.Errorf("accepted as %+v", e)
 		}
 		if w.Code == http.StatusOK {
 			c.weights.push(time.Second)
--- a/internal/control/controller/harness_test.go
+++ b/internal/control/controller/harness_test.go
@@ -36,8 +36,8 @@
 	jointMembership = consensus.Membership{Epoch: 3, Cluster: cluster, Voters: []string{ipA, ipB, ipC}, Next: []string{ipA, ipB, "10.0.0.4#d"}}
 )
 
-// testController is a controller with a disk of its own, whose turns the test runs one by one, in fake time: it belongs in a bubble
-// of synctest. Its peers are scripted.
+// testController is a controller with its own disk and scripted peers. The test runs its turns one by one in fake time, so it
+// must run in a synctest bubble.
 type testController struct {
 	*Controller
 	t   *testing.T
@@ -45,10 +45,10 @@
 	dir string
 	log *logRecorder
 
-	remotes []*remote // all that were ever linked
+	remotes []*remote // all remotes since the start
 }
 
-// logRecorder gathers what is logged.
+// logRecorder records log lines.
 type logRecorder struct {
 	mu    sync.Mutex
 	lines []string
@@ -72,7 +72,7 @@
 	return found
 }
 
-// testSettings are those of a controller of three, at a start that isn't the first.
+// testSettings returns the settings of one of three controllers. With first set, it is the cluster's first start.
 func testSettings(t *testing.T, ip, dir string, first bool) *nodesettings.Settings {
 	text := fmt.Sprintf("node: %q\nip: %q\nzone: \"x\"\nseeds: [%q, %q, %q]\ninner_port_range: [7000, 7001]\nfirst_start: %t\ncounted: true\n"+
 		"tolerance: {machines: 1, zones: 0, regions: 0}\ndata_dir: %q\nlisten: {control: %q}\nlimits: {memory_mb: 200}\n",
@@ -84,36 +84,36 @@
 	return set
 }
 
-// start begins a controller's life on a disk. It dials nobody.
+// start starts a controller on the disk in dir. It dials no other controller.
 func start(t *testing.T, ip, dir string, first bool) *testController {
 	h := &testController{t: t, g: NewWithT(t), dir: dir, log: &logRecorder{}}
 	c := newController(node.Config{Settings: testSettings(t, ip, dir, first), Logger: log.NewLogfmtLogger(h.log)}, 99)
-	c.summaries.next = time.Nanosecond // the first summary has all that are known dialled
+	c.summaries.next = time.Nanosecond // not 0: the first summary would dial the known controllers
 	h.Controller = c
 	h.g.Expect(c.open()).To(Succeed())
-	for i := range 20 { // and so has a meeting
+	for i := range 20 { // a join would dial unknown controllers
 		c.links.known[fmt.Sprint("10.0.0.", i)] = true
 	}
 	t.Cleanup(h.end)
 	return h
 }
 
-// stop ends the life; all that is durable stays.
+// stop stops the controller; durable state stays on disk.
 func (h *testController) stop() {
 	h.end()
 	synctest.Wait()
 }
 
-// end closes what is open, also after a test that failed.
+// end closes the links and the storage, also after a failed test.
 func (h *testController) end() {
 	synctest.Wait()
 	for _, p := range h.remotes {
 		p.link.Close()
 	}
-	_ = h.storage.Close() // it may be closed
+	_ = h.storage.Close() // it may already be closed
 }
 
-// settle lets everything that waits happen, the disk included, without any time passing.
+// settle runs turns and disk writes until the controller is idle, without advancing the time.
 func (h *testController) settle() {
 	for range 50 {
 		h.endTurn()
@@ -132,10 +132,10 @@
 			return
 		}
 	}
-	h.t.Fatal("it never comes to rest")
+	h.t.Fatal("the controller does not become idle")
 }
 
-// advance lets time pass, tick by tick.
+// advance advances the time by d, tick by tick.
 func (h *testController) advance(d time.Duration) {
 	for end := h.Now() + d; h.Now() < end; {
 		time.Sleep(tickInterval)
@@ -144,7 +144,7 @@
 	}
 }
 
-// writeDisk writes a disk before a controller's life on it.
+// writeDisk writes a batch to the disk in dir before a controller starts on it.
 func writeDisk(t *testing.T, dir string, b *storage.Batch) {
 	st, _, err := storage.Open(dir, time.Minute, 1<<20)
 	if err == nil {
@@ -158,7 +158,7 @@
 	}
 }
 
-// readDisk reads a disk after a life.
+// readDisk returns the state on the disk in dir after the controller stopped.
 func readDisk(t *testing.T, dir string) *storage.State {
 	st, s, err := storage.Open(dir, time.Minute, 1<<20)
 	if err == nil {
@@ -170,14 +170,14 @@
 	return s
 }
 
-// voterDisk is the disk of a voter of three that granted before.
+// voterDisk returns the stored state of one of three voters that is ready to grant.
 func voterDisk(ip string) *storage.Batch {
 	no, m := false, threeVoters
 	return &storage.Batch{Identity: ip, BootstrapVoters: threeVoters.Voters, Hard: &consensus.HardState{Term: 4, Commit: 1}, Recovering: &no, Membership: &m,
 		Entries: []consensus.Entry{{Term: 4, Index: 1, Membership: &m}}}
 }
 
-// scriptedPeer is a peer that says what the test has it say, and notes what it hears.
+// scriptedPeer is a peer that sends frames for the test and records the frames that it receives.
 type scriptedPeer struct {
 	h      *testController
 	p      *remote
@@ -185,14 +185,14 @@
 	frames []*peer.Frame
 }
 
-// linkReplica links a controller that calls itself by an identity.
+// linkReplica links a controller with the given identity.
 func (h *testController) linkReplica(identity string) *scriptedPeer {
 	s := h.link(membership.Address(identity), &peer.Handshake{Node: "n-" + identity, IP: membership.Address(identity), Zone: "x", Incarnation: 5, Counted: true, Cluster: cluster})
 	s.send(&peer.Frame{ReplicaStatus: &peer.ReplicaStatus{Identity: identity, Cluster: cluster, Epoch: h.members.durable, Ready: true}})
 	return s
 }
 
-// link links whoever says this hello.
+// link links a process that sends this handshake.
 func (h *testController) link(ip string, handshake *peer.Handshake) *scriptedPeer {
 	local, remoteEnd := net.Pipe()
 	s := &scriptedPeer{h: h, p: &remote{link: peer.NewLink(local), node: handshake.Node, ip: ip, zone: handshake.Zone, edge: handshake.Edge}}
@@ -224,13 +224,13 @@
 	}
 }
 
-// send hands the controller a frame.
+// send delivers a frame to the controller.
 func (s *scriptedPeer) send(f *peer.Frame) {
 	s.h.handleMessages(s.p, f.Messages())
 	s.h.settle()
 }
 
-// received gives what came since it was asked last.
+// received returns the frames received since the last call.
 func (s *scriptedPeer) received() []*peer.Frame {
 	synctest.Wait()
 	s.mu.Lock()
@@ -245,7 +245,7 @@
 	s.send(&peer.Frame{Consensus: []consensus.Message{m}})
 }
 
-// becomeLeader has the controller elected by a peer, which holds its whole log.
+// becomeLeader makes the controller leader with the vote of a peer that has its complete log.
 func (h *testController) becomeLeader(by *scriptedPeer) {
 	h.advance(2 * electionTimeout)
 	term := h.consensus.replica.Term() + 1
@@ -255,7 +255,7 @@
 	h.confirmReads(by)
 }
 
-// confirmReads has a peer answer that it holds the whole log, and the newest round of the leader.
+// confirmReads makes a peer acknowledge the complete log and the leader's newest read round.
 func (h *testController) confirmReads(by *scriptedPeer) {
 	round := uint64(0)
 	for _, f := range by.received() {
@@ -266,13 +266,13 @@
 	by.sendConsensus(consensus.Message{Kind: consensus.AppendReply, Term: h.consensus.replica.Term(), OK: true, Index: h.consensus.replica.LastIndex(), ReadRound: round})
 }
 
-// followLeader has a peer lead, in contact with a majority.
+// followLeader delivers m as an append from a peer that leads in contact with a majority.
 func (h *testController) followLeader(leader *scriptedPeer, term uint64, m consensus.Message) {
 	m.Kind, m.Term, m.LeaderInContact = consensus.Append, term, true
 	leader.sendConsensus(m)
 }
 
-// grantReplies of all claims that frames tell of.
+// grantReplies returns the grant replies in the frames.
 func grantReplies(in []*peer.Frame) (all []idempotency.GrantReply) {
 	for _, f := range in {
 		for _, v := range f.GrantReplies {
@@ -282,7 +282,7 @@
 	return all
 }
 
-// identities of the replicas that the leader sends its log to.
+// learners returns the sorted identities of the replicas in the membership manager's view.
 func (h *testController) learners() (all []string) {
 	for _, r := range h.members.view().Controllers {
 		all = append(all, r.ID)
--- a/internal/control/controller/identity_test.go
+++ b/internal/control/controller/identity_test.go
@@ -19,7 +19,7 @@
 	return idempotency.Record{Key: idempotency.Key{byte(n)}, Token: idempotency.Token{Incarnation: 1, Sequence: n}}
 }
 
-// Before anything else is on the disk there is an identity, and it is the same after a start.
+// The identity must be stored before anything else and stay the same after a restart, also if power is lost at once.
 func TestIdentityIsDrawnFirstAndKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -27,7 +27,7 @@
 		h := start(t, ipD, dir, false)
 		drawn := h.members.identity
 		g.Expect(drawn).To(HavePrefix(ipD + "#"))
-		g.Expect(h.writer.batches).To(BeEmpty(), "nothing else waits for the disk yet")
+		g.Expect(h.writer.batches).To(BeEmpty(), "no other write is buffered yet")
 		h.stop() // power is lost at once
 		s := readDisk(t, dir)
 		g.Expect(s.Identity).To(Equal(drawn))
@@ -40,7 +40,7 @@
 	})
 }
 
-// The founders of a first start are named by their address, vote at once, and grant at once.
+// The bootstrap voters have their address as identity, and vote and grant at once.
 func TestBootstrapVotersVoteAndGrantAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -57,8 +57,8 @@
 	})
 }
 
-// A disk that was lost draws an identity that no disk had before: it neither votes nor grants, also when the settings still
-// say that the system starts for the first time and a spoilt file was put aside.
+// A lost disk must get a new identity, which neither votes nor grants. This also holds if a corrupt file was moved aside while
+// the settings still announce the first start.
 func TestLostDiskGetsAnotherIdentity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -81,7 +81,7 @@
 	})
 }
 
-// A file of the version before identities holds members and no identity.
+// A data file from before identities were introduced has members, but no identity.
 func TestFileOfTheEarlierVersion(t *testing.T) {
 	yes, no := true, false
 	for name, testCase := range map[string]struct {
@@ -99,7 +99,7 @@
 				dir := t.TempDir()
 				writeDisk(t, dir, &storage.Batch{BootstrapVoters: threeVoters.Voters, Hard: &testCase.hard, Recovering: testCase.ledgerBlank,
 					Entries: []consensus.Entry{{Term: 4, Index: 1}}, Claims: []idempotency.Record{claimRecord(1)}})
-				for range 2 { // and the same at the next start
+				for range 2 { // the same again after a restart
 					h := start(t, ipA, dir, false)
 					g.Expect(h.members.identity == ipA).To(Equal(testCase.keeps), h.members.identity)
 					g.Expect(h.consensus.replica.IsVoter()).To(Equal(testCase.keeps))
@@ -116,7 +116,7 @@
 	}
 }
 
-// A store that the earlier version had not restored grants nothing after the start, either.
+// A store that was still recovering under the earlier version must not grant after a restart.
 func TestStoreOfTheEarlierVersionKeepsRecovering(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -130,7 +130,7 @@
 	})
 }
 
-// A membership that can't be makes a file worth as much as an empty disk.
+// A data file with an invalid membership is moved aside, and the replica starts as with an empty disk.
 func TestInvalidMembershipIsMovedAside(t *testing.T) {
 	for name, m := range map[string]consensus.Membership{
 		"a voter twice":        {Epoch: 4, Voters: []string{ipA, ipA, ipB}},
@@ -156,8 +156,8 @@
 	}
 }
 
-// One that is voted out grants nothing from then on, and its new identity, the membership that removed it and the word that
-// its claims count for nothing are durable together: at whatever write the power goes.
+// A replica that is voted out must stop granting at once. Its new identity, the membership that removed it and the record that
+// its store is recovering must become durable together, whenever power is lost.
 func TestRetirementIsAtomic(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -182,8 +182,8 @@
 		h.handleMessages(b.p, []peer.Message{peer.ConsensusMessages{{Kind: consensus.Append, From: ipB, To: ipC, Term: 5, Index: 1, LogTerm: 4, Commit: 3, LeaderInContact: true,
 			Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &jointMembership}, {Term: 5, Index: 3, Membership: &final}}}}})
 		g.Expect(check("before its turn")).To(BeFalse())
-		h.endTurn() // applies, and hands the disk its first write
-		g.Expect(h.claims.store.Recovering()).To(BeTrue(), "it grants nothing before that is durable, either")
+		h.endTurn() // applies the entries and starts the first write
+		g.Expect(h.claims.store.Recovering()).To(BeTrue(), "it must stop granting before the change is durable")
 		for range 5 {
 			synctest.Wait()
 			check("between writes")
--- a/internal/control/controller/lagging_booking_test.go
+++ b/internal/control/controller/lagging_booking_test.go
@@ -13,8 +13,8 @@
 	"mulleinwood/internal/control/statemachine"
 )
 
-// A leader that was just elected may not have applied yet what another one acknowledged. What is built on that is decided by
-// the log, as a configuration is, and not by what is known here.
+// A new leader may not have applied a booking that the previous leader acknowledged. A change based on it must be decided by
+// the log, as for a configuration, and not rejected by the leader's local state.
 func TestBookingAtALaggingLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -23,7 +23,7 @@
 		op := reservation.Op{Call: "x", Puts: []reservation.Booking{{ID: "x", Tenant: "t.example", Service: "s", Start: 3e9, End: 4e9, Slots: 1, Owner: "o"}}}
 		data, err := cbor.Marshal(statemachine.Change{Bookings: &op})
 		g.Expect(err).NotTo(HaveOccurred())
-		h.followLeader(b, 5, consensus.Message{Index: 1, LogTerm: 4, Entries: []consensus.Entry{{Term: 5, Index: 2, Data: data}}}) // b acknowledges it, and is lost
+		h.followLeader(b, 5, consensus.Message{Index: 1, LogTerm: 4, Entries: []consensus.Entry{{Term: 5, Index: 2, Data: data}}}) // b acknowledges it and fails
 		h.advance(2 * electionTimeout)
 		term := h.consensus.replica.Term() + 1
 		c.sendConsensus(consensus.Message{Kind: consensus.PreVoteReply, Term: term, OK: true})
--- a/internal/control/controller/links_test.go
+++ b/internal/control/controller/links_test.go
@@ -8,7 +8,7 @@
 	"mulleinwood/internal/platform/nodesettings"
 )
 
-// The addresses of controllers that were replaced are not dialled for ever; those of voters and seeds are.
+// The address of a replaced controller must be forgotten; voters and seeds are dialled for ever.
 func TestReplacedControllersAreForgotten(t *testing.T) {
 	links := newLinkTable(&node.Env{Settings: &nodesettings.Settings{Seeds: []string{"10.0.0.1:8649"}}})
 	links.controllers["10.0.0.4"] = &remote{}
@@ -20,10 +20,10 @@
 		want      dialState
 	}{{"10.0.0.1", time.Hour, dialWanted}, {"10.0.0.2", time.Hour, dialWanted}, {"10.0.0.3", time.Second, dialWanted}, {"10.0.0.3", time.Hour, dialForgotten}, {"10.0.0.4", time.Hour, dialLinked}} {
 		if got := links.dialState(testCase.ip, testCase.unreached, voters); got != testCase.want {
-			t.Errorf("%s, out of reach for %s: %d, not %d", testCase.ip, testCase.unreached, got, testCase.want)
+			t.Errorf("%s, unreachable for %s: %d, want %d", testCase.ip, testCase.unreached, got, testCase.want)
 		}
 	}
 	if links.known["10.0.0.3"] || !links.known["10.0.0.2"] {
-		t.Error("known are ", links.known)
+		t.Error("known addresses: ", links.known)
 	}
 }
--- a/internal/control/controller/members_test.go
+++ b/internal/control/controller/members_test.go
@@ -14,7 +14,7 @@
 	"mulleinwood/internal/peer"
 )
 
-// A controller of another cluster is refused with one line that names it, and nothing that it says counts here.
+// A controller of another cluster must be rejected with one log line that names it, and its messages must be ignored.
 func TestControllerOfAnotherClusterIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -35,7 +35,7 @@
 	})
 }
 
-// A message for a former identity at this address changes nothing.
+// A message for a previous identity at this address must be ignored.
 func TestMessageForAFormerIdentity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -46,9 +46,9 @@
 	})
 }
 
-// startReplacement asks a leader to replace a voter.
+// startReplacement starts a call to replace a voter.
 func (h *testController) startReplacement(voter, by string, dry bool) *call {
-	body, _ := json.Marshal(operator.Replacement{Voter: voter, By: by, DryRun: dry}) // strings and a flag
+	body, _ := json.Marshal(operator.Replacement{Voter: voter, By: by, DryRun: dry}) // strings and a bool can't fail
 	return h.startCall(http.MethodPost, "/members", "", string(body))
 }
 
@@ -58,10 +58,10 @@
 	return result
 }
 
-// linkStandby links a controller without a vote that is level with the log.
+// linkStandby links a controller without a vote that is caught up with the log.
 func (h *testController) linkStandby(identity string) *scriptedPeer {
 	s := h.linkReplica(identity)
-	h.advance(tickInterval) // the leader takes it for a learner
+	h.advance(tickInterval) // the leader adds it as a learner
 	h.confirmReads(s)
 	return s
 }
@@ -70,7 +70,7 @@
 	const standby = "10.0.0.4#d"
 	startLeader := func(t *testing.T) (h *testController, b *scriptedPeer) {
 		h, b = startVoter(t)
-		h.linkReplica(ipC) // all voters are in reach: the leader replaces none by itself
+		h.linkReplica(ipC) // all voters are linked, so that the leader replaces none by itself
 		h.becomeLeader(b)
 		h.linkStandby(standby)
 		return h, b
@@ -103,7 +103,7 @@
 							transferred = transferred || m.Kind == consensus.TimeoutNow
 						}
 					}
-					g.Expect(transferred).To(Equal(testCase.voter == ipA && !dry), "leadership is passed on, but not by a dry run")
+					g.Expect(transferred).To(Equal(testCase.voter == ipA && !dry), "a dry run must not transfer leadership")
 					h.stop()
 				})
 			})
--- a/internal/control/controller/membership_test.go
+++ b/internal/control/controller/membership_test.go
@@ -11,8 +11,8 @@
 	"mulleinwood/internal/platform/nodesettings"
 )
 
-// A replica that was away learns of its removal and of later changes at once, before any of that is durable. It keeps the
-// identity that it draws at its removal.
+// A replica that was disconnected may apply its removal and later changes in one go, before any of them is durable. It must
+// keep the identity that it got at its removal.
 func TestRemovedReplicaKeepsItsNextIdentity(t *testing.T) {
 	c := newController(node.Config{Settings: &nodesettings.Settings{IP: "10.0.0.3"}, Logger: log.NewNopLogger()}, 1)
 	c.members.identity, c.members.current = "10.0.0.3", consensus.Membership{Epoch: 4, Voters: []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}}
@@ -32,6 +32,6 @@
 		c.writer.afterBatches[i]()
 	}
 	if stored == "" || c.members.identity != stored || c.consensus.replica.ID() != stored {
-		t.Fatalf("the disk holds the identity %q, the controller goes by %q, its replica by %q", stored, c.members.identity, c.consensus.replica.ID())
+		t.Fatalf("identity on disk is %q, of the controller %q, of its replica %q", stored, c.members.identity, c.consensus.replica.ID())
 	}
 }
--- a/internal/control/controller/shutdown_test.go
+++ b/internal/control/controller/shutdown_test.go
@@ -15,8 +15,8 @@
 	"mulleinwood/internal/peer"
 )
 
-// One that is voted out while it leaves hands its answers on, and ends once they are durable elsewhere; if nobody says so,
-// it ends all the same, within its grace.
+// A controller that is voted out during its shutdown must hand over its stored responses and exit once they are durable at
+// the receiver. Without an acknowledgement it must still exit within its grace period.
 func TestResponsesAreHandedOverBeforeExit(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -32,7 +32,7 @@
 			h.advance(tickInterval)
 			h.beginShutdown()
 			h.advance(2 * minShutdown)
-			g.Expect(h.shutdown.done).To(BeFalse(), "somebody stands by: it waits for its vote to go there")
+			g.Expect(h.shutdown.done).To(BeFalse(), "a standby is linked: it waits until the standby has its vote")
 			final := consensus.Membership{Epoch: 4, Cluster: cluster, Voters: []string{ipA, ipB, "10.0.0.4#d"}}
 			b.received()
 			d.received()
@@ -65,7 +65,7 @@
 	}
 }
 
-// A leader that is told to end passes leadership to a voter that holds its log, and takes part until that one leads.
+// A leader that shuts down must transfer leadership to a voter with the complete log, and run until that voter leads.
 func TestLeaderThatShutsDownTransfersLeadership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -86,17 +86,17 @@
 		g.Expect(h.shutdown.done).To(BeFalse())
 		h.followLeader(b, h.consensus.replica.Term()+1, consensus.Message{Index: h.consensus.replica.LastIndex(), LogTerm: h.consensus.replica.Term()})
 		h.advance(tickInterval)
-		g.Expect(h.shutdown.done).To(BeTrue(), "nobody stands by: it keeps its vote, and ends as for a restart")
+		g.Expect(h.shutdown.done).To(BeTrue(), "there is no standby: it keeps its vote and exits as for a restart")
 		h.stop()
 	})
 }
 
-// One that can hand on neither leadership nor vote ends in order all the same, before its grace is over.
+// A controller that can transfer neither leadership nor its vote must still exit gracefully within its grace period.
 func TestShutdownWithoutSuccessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		h, _ := startVoter(t)
-		h.linkReplica("10.0.0.4#d") // stands by, but nobody leads who could vote it in
+		h.linkReplica("10.0.0.4#d") // a standby, but there is no leader to make it a voter
 		h.advance(tickInterval)
 		h.beginShutdown()
 		h.advance(4 * time.Second)
@@ -108,7 +108,8 @@
 	})
 }
 
-// Reservations are told and dealt only by a leader that a majority confirmed at most half a second ago.
+// Only a leader that a majority confirmed within the last half second (reservation.LeaderProofTTL) may announce and allocate
+// reservations.
 func TestReservationsNeedALeaderProof(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -132,7 +133,7 @@
 		}
 		countAnnouncements()
 		h.advance(reservation.LeaderProofTTL)
-		g.Expect(countAnnouncements()).To(BeZero(), "nobody has answered a round")
+		g.Expect(countAnnouncements()).To(BeZero(), "no replica has confirmed a read index")
 		h.advance(allocateInterval)
 		h.confirmReads(b)
 		h.advance(allocateInterval + tickInterval)
--- a/internal/control/controller/unreadable_snapshot_test.go
+++ b/internal/control/controller/unreadable_snapshot_test.go
@@ -10,6 +10,7 @@
 	"mulleinwood/internal/control/consensus"
 )
 
+// A replica with an unreadable snapshot must never lead, serve reads or report contact with the majority.
 func TestSnapshotThatCantBeReadServesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -23,13 +24,13 @@
 		b := h.linkReplica(ipB)
 		h.settle()
 		h.advance(2 * electionTimeout)
-		for range 20 { // its peer would elect it at any time
+		for range 20 { // the peer always grants its vote
 			h.advance(electionTimeout)
 			for _, kind := range []consensus.Kind{consensus.PreVoteReply, consensus.VoteReply} {
 				b.sendConsensus(consensus.Message{Kind: kind, Term: h.consensus.replica.Term() + 1, OK: true})
 			}
 			g.Expect(h.consensus.leads()).To(BeFalse())
-			g.Expect(h.consensus.inContact()).To(BeFalse(), "edges and servers go elsewhere")
+			g.Expect(h.consensus.inContact()).To(BeFalse(), "edges and servers must use another controller")
 		}
 		read := h.startCall(http.MethodGet, "/config", "", "")
 		h.advance(2 * callTimeout)
--- a/internal/control/controller/voted_out_test.go
+++ b/internal/control/controller/voted_out_test.go
@@ -31,7 +31,7 @@
 		}
 		g.Expect(h.consensus.leads()).To(BeTrue())
 		transfers := 0
-		for range 30 { // it doesn't finish the change itself: one that votes afterwards is asked to lead
+		for range 30 { // it must not finish the change itself, but transfer leadership to a voter of the next membership
 			h.advance(tickInterval)
 			for _, s := range []*scriptedPeer{sb, sd} {
 				for _, f := range s.received() {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -46,10 +46,10 @@
 		a, b := net.Pipe()
 		defer a.Close()
 		link := peer.NewLink(b)
-		began := time.Now()
+		startedAt := time.Now()
 		err := link.Read(func([]peer.Message) {})
 		g.Expect(err).To(HaveOccurred())
-		g.Expect(time.Since(began)).To(Equal(peer.LinkTimeout))
+		g.Expect(time.Since(startedAt)).To(Equal(peer.LinkTimeout))
 		<-link.Closed()
 	})
 }
@@ -78,11 +78,11 @@
 }
 
 func FuzzFrame(f *testing.F) {
-	good, err := cbor.Marshal(&peer.Frame{AckID: 7, Entries: []registry.Entry{{ID: "i-1", Seq: 3}}, Handshake: &peer.Handshake{Node: "n"}})
+	valid, err := cbor.Marshal(&peer.Frame{AckID: 7, Entries: []registry.Entry{{ID: "i-1", Seq: 3}}, Handshake: &peer.Handshake{Node: "n"}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(good)
+	f.Add(valid)
 	f.Fuzz(func(t *testing.T, body []byte) {
 		a, b := net.Pipe()
 		link := peer.NewLink(b)
--- a/internal/peer/security_test.go
+++ b/internal/peer/security_test.go
@@ -48,7 +48,7 @@
 }
 
 // issue writes the directory of a process at an address that accepts the given authorities.
-func (a *authority) issue(dir, ip string, believed ...*authority) {
+func (a *authority) issue(dir, ip string, accepted ...*authority) {
 	key := a.newKey()
 	serial++
 	cert := &x509.Certificate{SerialNumber: big.NewInt(serial), IPAddresses: []net.IP{net.ParseIP(ip)}, NotBefore: time.Now().Add(-time.Hour),
@@ -67,91 +67,91 @@
 	write("certificate.pem", &pem.Block{Type: "CERTIFICATE", Bytes: der})
 	write("key.pem", &pem.Block{Type: "EC PRIVATE KEY", Bytes: secret})
 	var all []*pem.Block
-	for _, b := range believed {
+	for _, b := range accepted {
 		all = append(all, &pem.Block{Type: "CERTIFICATE", Bytes: b.cert.Raw})
 	}
 	write("authorities.pem", all...)
 }
 
-// meet lets one process dial another and returns the errors of both ends.
-func meet(g *WithT, at, from *peer.Security) (dialled, accepted error) {
+// connect lets one process dial another and returns the errors of both ends.
+func connect(g *WithT, listener, dialler *peer.Security) (dialled, accepted error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	defer l.Close()
-	taken := make(chan error, 1)
+	acceptResult := make(chan error, 1)
 	go func() {
 		conn, err := l.Accept()
 		if err == nil {
-			if conn, err = at.Accept(context.Background(), conn); err == nil {
+			if conn, err = listener.Accept(context.Background(), conn); err == nil {
 				_, err = conn.Write([]byte("x"))
 				conn.Close()
 			}
 		}
-		taken <- err
+		acceptResult <- err
 	}()
-	conn, dialled := from.Dial(context.Background(), l.Addr().String(), time.Second)
+	conn, dialled := dialler.Dial(context.Background(), l.Addr().String(), time.Second)
 	if dialled == nil {
 		_, dialled = conn.Read(make([]byte, 1)) // a rejection by the other end is reported here
 		conn.Close()
 	}
-	return dialled, <-taken
+	return dialled, <-acceptResult
 }
 
-func TestLinksProveWhoTheyAre(t *testing.T) {
+func TestLinksAuthenticateBothEnds(t *testing.T) {
 	g := NewWithT(t)
-	ours, theirs := newAuthority(g), newAuthority(g)
-	folder := func(a *authority, ip string, believed ...*authority) (*peer.Security, string) {
+	current, successor := newAuthority(g), newAuthority(g)
+	newSecurity := func(a *authority, ip string, believed ...*authority) (*peer.Security, string) {
 		dir := t.TempDir()
 		a.issue(dir, ip, believed...)
 		s, err := peer.NewSecurity(dir, "127.0.0.1")
 		g.Expect(err).NotTo(HaveOccurred())
 		return s, dir
 	}
-	good, dir := folder(ours, "127.0.0.1", ours)
-	other, _ := folder(ours, "127.0.0.1", ours)
-	dialled, accepted := meet(g, good, other)
+	reloaded, dir := newSecurity(current, "127.0.0.1", current)
+	other, _ := newSecurity(current, "127.0.0.1", current)
+	dialled, accepted := connect(g, reloaded, other)
 	g.Expect(dialled).NotTo(HaveOccurred())
 	g.Expect(accepted).NotTo(HaveOccurred())
 
-	for name, stranger := range map[string]*peer.Security{
+	for name, untrusted := range map[string]*peer.Security{
 		"a plain link": nil,
 		"another authority's": func() *peer.Security {
-			s, _ := folder(theirs, "127.0.0.1", ours)
+			s, _ := newSecurity(successor, "127.0.0.1", current)
 			return s
 		}(),
 		"a certificate for another address": func() *peer.Security {
-			s, _ := folder(ours, "10.0.0.9", ours)
+			s, _ := newSecurity(current, "10.0.0.9", current)
 			return s
 		}(),
 	} {
-		dialled, accepted = meet(g, good, stranger)
+		dialled, accepted = connect(g, reloaded, untrusted)
 		g.Expect(accepted).To(HaveOccurred(), name)
 		g.Expect(dialled).To(HaveOccurred(), name)
-		dialled, _ = meet(g, stranger, other)
-		g.Expect(stranger == nil || dialled != nil).To(BeTrue(), name)
+		dialled, _ = connect(g, untrusted, other)
+		g.Expect(untrusted == nil || dialled != nil).To(BeTrue(), name)
 	}
 
 	// Rotation: first all processes accept both authorities, then the certificates change one by one, then the old authority
 	// is removed.
-	ours.issue(dir, "127.0.0.1", ours, theirs)
-	g.Expect(good.Reload()).To(Succeed())
-	moved, _ := folder(theirs, "127.0.0.1", ours, theirs)
-	for _, pair := range [][2]*peer.Security{{good, moved}, {moved, good}, {good, other}} {
-		dialled, accepted = meet(g, pair[0], pair[1])
+	current.issue(dir, "127.0.0.1", current, successor)
+	g.Expect(reloaded.Reload()).To(Succeed())
+	rotated, _ := newSecurity(successor, "127.0.0.1", current, successor)
+	for _, pair := range [][2]*peer.Security{{reloaded, rotated}, {rotated, reloaded}, {reloaded, other}} {
+		dialled, accepted = connect(g, pair[0], pair[1])
 		g.Expect(dialled).NotTo(HaveOccurred())
 		g.Expect(accepted).NotTo(HaveOccurred())
 	}
-	theirs.issue(dir, "127.0.0.1", theirs)
-	g.Expect(good.Reload()).To(Succeed())
-	_, accepted = meet(g, good, other)
+	successor.issue(dir, "127.0.0.1", successor)
+	g.Expect(reloaded.Reload()).To(Succeed())
+	_, accepted = connect(g, reloaded, other)
 	g.Expect(accepted).To(HaveOccurred(), "the old authority is no longer accepted")
-	_, accepted = meet(g, good, moved)
+	_, accepted = connect(g, reloaded, rotated)
 	g.Expect(accepted).NotTo(HaveOccurred())
 
 	// Unusable files change nothing.
 	g.Expect(os.WriteFile(filepath.Join(dir, "key.pem"), []byte("spoilt"), 0o600)).To(Succeed())
-	g.Expect(good.Reload()).NotTo(Succeed())
-	_, accepted = meet(g, good, moved)
+	g.Expect(reloaded.Reload()).NotTo(Succeed())
+	_, accepted = connect(g, reloaded, rotated)
 	g.Expect(accepted).NotTo(HaveOccurred())
 	_, err := peer.NewSecurity(t.TempDir(), "127.0.0.1")
 	g.Expect(err).To(MatchError(ContainSubstring("certificate.pem")))
