--- a/internal/control/controller/answers_test.go
+++ b/internal/control/controller/answers_test.go
@@ -120,12 +120,12 @@
 					h.followLeader(b, 5, consensus.Message{Index: 1, LogTerm: 4})
 				}
 				var got strings.Builder
-				for _, one := range calls {
-					c := h.startCall(one.method, one.path, one.match, one.body)
+				for _, request := range calls {
+					c := h.startCall(request.method, request.path, request.match, request.body)
 					if role == "leader" {
 						h.confirmReads(b)
 					}
-					got.WriteString(c.text(one.method + " " + one.path))
+					got.WriteString(c.text(request.method + " " + request.path))
 				}
 				checkExpected(t, "answers_"+role+".txt", got.String())
 				h.stop()
--- a/internal/control/controller/api_bookings.go
+++ b/internal/control/controller/api_bookings.go
@@ -43,7 +43,7 @@
 		return
 	}
 	if dryRun {
-		a.onLeader(w, r, func(done chan<- outcome) { a.tryBookings(op, done) })
+		a.onLeader(w, r, func(done chan<- outcome) { a.dryRunBookings(op, done) })
 		return
 	}
 	a.onLeader(w, r, func(done chan<- outcome) { a.proposeBookings(op, done) })
@@ -78,15 +78,15 @@
 	return bookings, err
 }
 
-// tryBookings answers with the result that a change of the ledger would have.
-func (a *controlAPI) tryBookings(op reservation.Op, done chan<- outcome) {
-	op, err := a.timed(op)
+// dryRunBookings answers with the result that a change of the ledger would have.
+func (a *controlAPI) dryRunBookings(op reservation.Op, done chan<- outcome) {
+	op, err := a.withTime(op)
 	if err != nil {
 		done <- outcome{err: err}
 		return
 	}
 	op.Base = a.reservations.ledger().Version
-	result, err := a.judgeBookings(op)
+	result, err := a.checkBookings(op)
 	done <- outcome{body: result, err: err}
 }
 
@@ -94,7 +94,7 @@
 // was checked, so that two concurrent bookings can't both take the last slots. A call that was already applied is proposed
 // again and changes nothing.
 func (a *controlAPI) proposeBookings(op reservation.Op, done chan<- outcome) {
-	op, err := a.timed(op)
+	op, err := a.withTime(op)
 	if err != nil {
 		done <- outcome{err: err}
 		return
@@ -102,7 +102,7 @@
 	ledger := a.reservations.ledger()
 	result := operator.BookingResult{Accepted: true}
 	if !ledger.HasApplied(op.Call) {
-		if result, err = a.judgeBookings(op); err != nil {
+		if result, err = a.checkBookings(op); err != nil {
 			done <- outcome{err: err}
 			return
 		}
@@ -117,9 +117,9 @@
 	})
 }
 
-// timed sets the time of a change, which all replicas use when they apply it. It fails on a leader that has not committed an
+// withTime sets the time of a change, which all replicas use when they apply it. It fails on a leader that has not committed an
 // entry of its own term yet, since changes that an earlier leader acknowledged may not be applied here.
-func (a *controlAPI) timed(op reservation.Op) (reservation.Op, error) {
+func (a *controlAPI) withTime(op reservation.Op) (reservation.Op, error) {
 	if !a.consensus.replica.CommittedInTerm() {
 		return op, apierror.NoLeader.New("this leader has not caught up yet")
 	}
@@ -129,8 +129,8 @@
 	return op, nil
 }
 
-// judgeBookings validates a change and reports whether the capacity suffices for its bookings.
-func (a *controlAPI) judgeBookings(op reservation.Op) (operator.BookingResult, error) {
+// checkBookings validates a change and reports whether the capacity suffices for its bookings.
+func (a *controlAPI) checkBookings(op reservation.Op) (operator.BookingResult, error) {
 	ledger := a.reservations.ledger()
 	result := operator.BookingResult{Version: ledgerVersion(ledger.Version), Accepted: true}
 	if err := ledger.Validate(op); err != nil {
--- a/internal/control/controller/api_config.go
+++ b/internal/control/controller/api_config.go
@@ -95,12 +95,12 @@
 	const digestBytes = 8
 	done := make(chan []acceptedVersion, 1)
 	a.runOnOwner(func() {
-		all := []acceptedVersion{}
+		versions := []acceptedVersion{}
 		for _, change := range slices.Backward(a.consensus.state.AcceptedChanges) {
-			all = append(all, acceptedVersion{config.Version(change.Version).String(),
+			versions = append(versions, acceptedVersion{config.Version(change.Version).String(),
 				hex.EncodeToString(change.Digest[:digestBytes])})
 		}
-		done <- all
+		done <- versions
 	})
 	writeJSON(w, http.StatusOK, await(r.Context(), done))
 }
--- a/internal/control/controller/api_members.go
+++ b/internal/control/controller/api_members.go
@@ -25,8 +25,8 @@
 	a.onLeader(w, r, func(done chan<- outcome) { a.proposeReplacement(call, done) })
 }
 
-// proposeReplacement begins a replacement. It is acknowledged once the joint membership is committed; the current leader
-// then completes it like any other membership change.
+// proposeReplacement begins a replacement. It is acknowledged once the joint membership is committed; whichever controller
+// leads then completes it like any other membership change.
 func (a *controlAPI) proposeReplacement(call operator.Replacement, done chan<- outcome) {
 	next, err := membership.Replace(a.members.view(), call.Voter, call.By)
 	if errors.Is(err, membership.ErrVoterIsLeader) && !call.DryRun {
--- a/internal/control/controller/claims_test.go
+++ b/internal/control/controller/claims_test.go
@@ -148,11 +148,11 @@
 		g := NewWithT(t)
 		dir := t.TempDir()
 		h, a, b := startNewVoter(t, dir)
-		claims := func(from, to uint64) (all []idempotency.Record) {
+		claims := func(from, to uint64) (records []idempotency.Record) {
 			for n := from; n < to; n++ {
-				all = append(all, claimRecord(n))
+				records = append(records, claimRecord(n))
 			}
-			return all
+			return records
 		}
 		announcedReady := func() (announced bool) {
 			for _, f := range a.received() {
--- a/internal/control/controller/harness_test.go
+++ b/internal/control/controller/harness_test.go
@@ -235,9 +235,9 @@
 	synctest.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	in := s.frames
+	frames := s.frames
 	s.frames = nil
-	return in
+	return frames
 }
 
 func (s *scriptedPeer) sendConsensus(m consensus.Message) {
@@ -273,20 +273,20 @@
 }
 
 // grantReplies returns the grant replies in the frames.
-func grantReplies(in []*peer.Frame) (all []idempotency.GrantReply) {
-	for _, f := range in {
+func grantReplies(frames []*peer.Frame) (replies []idempotency.GrantReply) {
+	for _, f := range frames {
 		for _, v := range f.GrantReplies {
-			all = append(all, v.Reply)
+			replies = append(replies, v.Reply)
 		}
 	}
-	return all
+	return replies
 }
 
 // learners returns the sorted identities of the replicas in the membership manager's view.
-func (h *testController) learners() (all []string) {
+func (h *testController) learners() (identities []string) {
 	for _, r := range h.members.view().Controllers {
-		all = append(all, r.ID)
+		identities = append(identities, r.ID)
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(identities)
+	return identities
 }
--- a/internal/control/controller/identity_test.go
+++ b/internal/control/controller/identity_test.go
@@ -85,9 +85,9 @@
 func TestFileOfTheEarlierVersion(t *testing.T) {
 	yes, no := true, false
 	for name, testCase := range map[string]struct {
-		hard         consensus.HardState
-		ledgerBlank  *bool
-		keeps, blank bool
+		hard                      consensus.HardState
+		storedRecovering          *bool
+		keepsIdentity, recovering bool
 	}{
 		"sound":               {consensus.HardState{Term: 5, Vote: ipB}, &no, true, false},
 		"its votes were lost": {consensus.HardState{Term: 5, DiskLost: true}, &no, false, true},
@@ -97,16 +97,16 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				dir := t.TempDir()
-				writeDisk(t, dir, &storage.Batch{BootstrapVoters: threeVoters.Voters, Hard: &testCase.hard, Recovering: testCase.ledgerBlank,
+				writeDisk(t, dir, &storage.Batch{BootstrapVoters: threeVoters.Voters, Hard: &testCase.hard, Recovering: testCase.storedRecovering,
 					Entries: []consensus.Entry{{Term: 4, Index: 1}}, Claims: []idempotency.Record{claimRecord(1)}})
 				for range 2 { // the same again after a restart
 					h := start(t, ipA, dir, false)
-					g.Expect(h.members.identity == ipA).To(Equal(testCase.keeps), h.members.identity)
-					g.Expect(h.consensus.replica.IsVoter()).To(Equal(testCase.keeps))
-					g.Expect(h.claims.store.Recovering()).To(Equal(testCase.blank))
+					g.Expect(h.members.identity == ipA).To(Equal(testCase.keepsIdentity), h.members.identity)
+					g.Expect(h.consensus.replica.IsVoter()).To(Equal(testCase.keepsIdentity))
+					g.Expect(h.claims.store.Recovering()).To(Equal(testCase.recovering))
 					g.Expect(h.consensus.replica.Term()).To(BeEquivalentTo(5))
 					g.Expect(h.claims.store.Len()).To(Equal(1))
-					if testCase.keeps {
+					if testCase.keepsIdentity {
 						g.Expect(h.members.current.Voters).To(Equal(threeVoters.Voters))
 					}
 					h.stop()
@@ -181,7 +181,7 @@
 		}
 		h.handleMessages(b.p, []peer.Message{peer.ConsensusMessages{{Kind: consensus.Append, From: ipB, To: ipC, Term: 5, Index: 1, LogTerm: 4, Commit: 3, LeaderInContact: true,
 			Entries: []consensus.Entry{{Term: 5, Index: 2, Membership: &jointMembership}, {Term: 5, Index: 3, Membership: &final}}}}})
-		g.Expect(check("before its turn")).To(BeFalse())
+		g.Expect(check("before the turn")).To(BeFalse())
 		h.endTurn() // applies the entries and starts the first write
 		g.Expect(h.claims.store.Recovering()).To(BeTrue(), "it must stop granting before the change is durable")
 		for range 5 {
@@ -194,7 +194,7 @@
 			h.endTurn()
 		}
 		h.settle()
-		g.Expect(check("after all")).To(BeTrue())
+		g.Expect(check("after all writes")).To(BeTrue())
 		g.Expect(h.members.identity).To(HavePrefix(ipC + "#"))
 		g.Expect(h.consensus.replica.ID()).To(Equal(h.members.identity))
 		g.Expect(h.consensus.replica.IsVoter()).To(BeFalse())
--- a/internal/control/controller/links.go
+++ b/internal/control/controller/links.go
@@ -189,17 +189,17 @@
 
 // zoneEdgeHashes returns the sorted hashes of all edges in a zone, of all controllers.
 func (t *linkTable) zoneEdgeHashes(zone string) []uint32 {
-	var all []uint32
+	var hashes []uint32
 	for _, e := range t.edges {
 		if e.zone == zone {
-			all = append(all, peer.EdgeHash(e.node))
+			hashes = append(hashes, peer.EdgeHash(e.node))
 		}
 	}
 	for _, p := range t.controllers {
-		all = append(all, p.summary.edgesByZone[zone]...)
+		hashes = append(hashes, p.summary.edgesByZone[zone]...)
 	}
-	slices.Sort(all)
-	return slices.Compact(all)
+	slices.Sort(hashes)
+	return slices.Compact(hashes)
 }
 
 // dialState is the dialling state of a controller's address.
--- a/internal/control/controller/members_test.go
+++ b/internal/control/controller/members_test.go
@@ -80,12 +80,12 @@
 		status    int
 		says      string
 	}{
-		"of the leader":                    {ipA, "", http.StatusServiceUnavailable, "leadership is transferred first"},
-		"of nobody":                        {"10.0.0.7", "", http.StatusConflict, "no such voter"},
-		"by a voter":                       {ipC, ipB, http.StatusConflict, "there is no standby"},
-		"by one who is not there":          {ipC, "10.0.0.5", http.StatusConflict, "there is no standby"},
-		"of a voter by its former address": {ipC + "#2", "", http.StatusConflict, "no such voter"},
-		"that names no voter":              {"", "", http.StatusBadRequest, "names a voter"},
+		"of the leader":                     {ipA, "", http.StatusServiceUnavailable, "leadership is transferred first"},
+		"of an unknown voter":               {"10.0.0.7", "", http.StatusConflict, "no such voter"},
+		"by a voter":                        {ipC, ipB, http.StatusConflict, "there is no standby"},
+		"by an unlinked controller":         {ipC, "10.0.0.5", http.StatusConflict, "there is no standby"},
+		"of a voter by a previous identity": {ipC + "#2", "", http.StatusConflict, "no such voter"},
+		"that names no voter":               {"", "", http.StatusBadRequest, "names a voter"},
 	} {
 		for _, dry := range []bool{true, false} {
 			t.Run(fmt.Sprint(name, ", dry: ", dry), func(t *testing.T) {
@@ -109,7 +109,7 @@
 			})
 		}
 	}
-	t.Run("is only described by a dry run", func(t *testing.T) {
+	t.Run("is only reported by a dry run", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
 			h, _ := startLeader(t)
@@ -120,7 +120,7 @@
 			h.stop()
 		})
 	})
-	t.Run("is acknowledged once the joint membership is committed, and refused while it lasts", func(t *testing.T) {
+	t.Run("is acknowledged once the joint membership is committed, and rejected during a change", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
 			h, b := startLeader(t)
@@ -135,7 +135,7 @@
 			h.stop()
 		})
 	})
-	t.Run("is nothing when it was made before", func(t *testing.T) {
+	t.Run("changes nothing if it was already made", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
 			h, _ := startLeader(t)
@@ -146,7 +146,7 @@
 			h.stop()
 		})
 	})
-	t.Run("that can't be committed gets an unclear answer", func(t *testing.T) {
+	t.Run("that can't be committed is unconfirmed", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
 			h, _ := startLeader(t)
@@ -156,7 +156,7 @@
 			h.stop()
 		})
 	})
-	t.Run("that can't be read is refused", func(t *testing.T) {
+	t.Run("that can't be decoded is rejected", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
 			h, _ := startLeader(t)
--- a/internal/control/controller/membership.go
+++ b/internal/control/controller/membership.go
@@ -270,26 +270,26 @@
 	if !s.consensus.leads() {
 		return
 	}
-	d := s.manager.Decide(s.view(), now)
-	if d.Action == membership.ActionNone {
+	decision := s.manager.Decide(s.view(), now)
+	if decision.Action == membership.ActionNone {
 		return
 	}
-	err := s.carryOut(d, now)
-	s.LogEvent("membership change", "action", d.Action, "cause", d.Cause, "next", strings.Join(d.Next, " "), "to", d.To,
-		"error", err)
+	err := s.carryOut(decision, now)
+	s.LogEvent("membership change", "action", decision.Action, "cause", decision.Cause,
+		"next", strings.Join(decision.Next, " "), "to", decision.To, "error", err)
 }
 
-func (s *memberService) carryOut(d membership.Decision, now time.Duration) error {
+func (s *memberService) carryOut(decision membership.Decision, now time.Duration) error {
 	replica := s.consensus.replica
-	switch d.Action {
+	switch decision.Action {
 	case membership.ActionBegin:
-		return replica.BeginChange(d.Next, now)
+		return replica.BeginChange(decision.Next, now)
 	case membership.ActionAdopt:
 		return replica.AdoptChange(now)
 	case membership.ActionAbandon:
 		return replica.AbandonChange(now)
 	case membership.ActionTransferLeadership:
-		replica.TransferLeadership(d.To, now)
+		replica.TransferLeadership(decision.To, now)
 	}
 	return nil
 }
@@ -297,10 +297,10 @@
 // view returns the input of the membership manager.
 func (s *memberService) view() membership.View {
 	replica := s.consensus.replica
-	v := membership.View{Self: s.identity, Term: replica.Term(), Membership: replica.Membership(),
+	view := membership.View{Self: s.identity, Term: replica.Term(), Membership: replica.Membership(),
 		Committed:    replica.MembershipCommitted(),
 		WantedVoters: s.wantedVoters()}
-	v.Controllers = append(v.Controllers, membership.Controller{ID: s.identity, Zone: s.Settings.Zone,
+	view.Controllers = append(view.Controllers, membership.Controller{ID: s.identity, Zone: s.Settings.Zone,
 		MayVote: s.Settings.Counted, Connected: true,
 		CaughtUp: true, ShuttingDown: s.shuttingDown(), Epoch: s.durable, Ready: !s.claims.store.Recovering()})
 	for identity, controller := range s.seen {
@@ -309,13 +309,13 @@
 				true, p.status.ShuttingDown, p.status.Epoch, p.status.Ready
 			match, _, known := replica.Match(identity)
 			controller.CaughtUp = known && match+caughtUpLag >= replica.CommitIndex()
-		} else if !v.Membership.Contains(identity) {
-			delete(s.seen, identity) // a replica that returns is recorded again
+		} else if !view.Membership.Contains(identity) {
+			delete(s.seen, identity) // a replica that returns is treated as new
 			continue
 		}
-		v.Controllers = append(v.Controllers, controller)
+		view.Controllers = append(view.Controllers, controller)
 	}
-	return v
+	return view
 }
 
 // transferLeadership transfers leadership to any other voter that has the complete log.
--- a/internal/control/controller/session.go
+++ b/internal/control/controller/session.go
@@ -227,11 +227,11 @@
 }
 
 func (c *Controller) handleFullSummary(p *remote, s *peer.Summary) {
-	linkedTo := make([]string, 0, len(s.Controllers))
+	peerLinks := make([]string, 0, len(s.Controllers))
 	for _, ip := range s.Controllers {
-		linkedTo = append(linkedTo, controllerName(ip))
+		peerLinks = append(peerLinks, controllerName(ip))
 	}
-	c.servers.broadcaster.SetPeerLinks(p.peerName(), linkedTo)
+	c.servers.broadcaster.SetPeerLinks(p.peerName(), peerLinks)
 	p.summary.trafficByZone, p.summary.edgesByZone = s.TrafficByZone, s.EdgesByZone
 	if s.Clock > 0 && !p.edge {
 		c.reservations.clock.Observe(p.ip, s.Clock, c.Now())
--- a/internal/control/controller/shutdown.go
+++ b/internal/control/controller/shutdown.go
@@ -11,7 +11,7 @@
 const (
 	defaultGrace    = 6.0                    // seconds, if the settings have none
 	exitReserve     = time.Second            // part of the grace period reserved for the exit itself
-	minShutdown     = 400 * time.Millisecond // gives edges time to find another controller
+	minShutdown     = 400 * time.Millisecond // minimum duration while edges are attached, so that they can move
 	handOverTimeout = 1500 * time.Millisecond
 	drainTimeout    = 100 * time.Millisecond // for writing queued frames
 	handOverChunk   = 256 << 10              // bytes of responses in one frame
--- a/internal/control/controller/weights.go
+++ b/internal/control/controller/weights.go
@@ -44,9 +44,9 @@
 }
 
 // peerTraffic returns the traffic of the other controllers' edges.
-func (s *weightService) peerTraffic() (all []weights.PeerTraffic) {
+func (s *weightService) peerTraffic() (traffic []weights.PeerTraffic) {
 	for _, p := range s.links.controllers {
-		all = append(all, weights.PeerTraffic{Edges: p.summary.edges, TrafficByZone: p.summary.trafficByZone})
+		traffic = append(traffic, weights.PeerTraffic{Edges: p.summary.edges, TrafficByZone: p.summary.trafficByZone})
 	}
-	return all
+	return traffic
 }
--- a/internal/control/controller/writer.go
+++ b/internal/control/controller/writer.go
@@ -116,19 +116,19 @@
 }
 
 func (w *writer) startWrite() {
-	p := pendingWrite{batches: w.batches, afterBatches: w.afterBatches, afterClaims: w.afterClaims, servers: w.servers}
-	all := w.batches
+	pending := pendingWrite{batches: w.batches, afterBatches: w.afterBatches, afterClaims: w.afterClaims, servers: w.servers}
+	batches := w.batches
 	if len(w.claims)+len(w.servers) > 0 {
-		all = append(all[:len(all):len(all)], &storage.Batch{Claims: w.claims, Servers: w.servers})
+		batches = append(batches[:len(batches):len(batches)], &storage.Batch{Claims: w.claims, Servers: w.servers})
 	}
 	w.batches, w.afterBatches, w.claims, w.afterClaims, w.servers = nil, nil, nil, nil, nil
 	w.busy, w.deferredSince = true, 0
 	startedAt := w.Now()
 	go func() {
-		err := w.commit(all)
+		err := w.commit(batches)
 		took := w.Now() - startedAt
 		w.Metrics.Syncs.Observe(took.Seconds())
-		w.runOnOwner(func() { w.finishWrite(p, took, err) })
+		w.runOnOwner(func() { w.finishWrite(pending, took, err) })
 	}()
 }
 
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -52,106 +52,106 @@
 // the cluster and of servers, then the messages that depend on it. A RegistryUpdate comes before the digests that include
 // it, and a SyncRequest after all messages that it covers.
 func (f *Frame) Messages() []Message {
-	all := make([]Message, 0, 2)
-	all = f.appendCluster(all)
-	all = f.appendTraffic(all)
-	all = f.appendReservations(all)
-	all = f.appendClaims(all)
+	messages := make([]Message, 0, 2)
+	messages = f.appendCluster(messages)
+	messages = f.appendTraffic(messages)
+	messages = f.appendReservations(messages)
+	messages = f.appendClaims(messages)
 	if f.SyncRequest != 0 {
-		all = append(all, SyncRequest(f.SyncRequest))
+		messages = append(messages, SyncRequest(f.SyncRequest))
 	}
 	if f.SyncReply != 0 {
-		all = append(all, SyncReply(f.SyncReply))
+		messages = append(messages, SyncReply(f.SyncReply))
 	}
-	return all
+	return messages
 }
 
-func (f *Frame) appendCluster(all []Message) []Message {
+func (f *Frame) appendCluster(messages []Message) []Message {
 	if f.Handshake != nil {
-		all = append(all, f.Handshake)
+		messages = append(messages, f.Handshake)
 	}
 	if f.Summary != nil {
-		all = append(all, f.Summary)
+		messages = append(messages, f.Summary)
 	}
 	if f.ReplicaStatus != nil {
-		all = append(all, f.ReplicaStatus)
+		messages = append(messages, f.ReplicaStatus)
 	}
 	if len(f.Consensus) > 0 {
-		all = append(all, ConsensusMessages(f.Consensus))
+		messages = append(messages, ConsensusMessages(f.Consensus))
 	}
 	if len(f.Entries) > 0 || f.AckID != 0 {
-		all = append(all, RegistryUpdate{Entries: f.Entries, AckID: f.AckID})
+		messages = append(messages, RegistryUpdate{Entries: f.Entries, AckID: f.AckID})
 	}
 	if f.Digests != nil {
-		all = append(all, f.Digests)
+		messages = append(messages, f.Digests)
 	}
 	if f.Acked != 0 {
-		all = append(all, RegistryAck(f.Acked))
+		messages = append(messages, RegistryAck(f.Acked))
 	}
-	return all
+	return messages
 }
 
-func (f *Frame) appendTraffic(all []Message) []Message {
+func (f *Frame) appendTraffic(messages []Message) []Message {
 	if f.ConfigRequest {
-		all = append(all, ConfigRequest{})
+		messages = append(messages, ConfigRequest{})
 	}
 	if f.Config != nil {
-		all = append(all, f.Config)
+		messages = append(messages, f.Config)
 	}
 	if f.Weights != nil {
-		all = append(all, f.Weights)
+		messages = append(messages, f.Weights)
 	}
 	if f.Report != nil {
-		all = append(all, f.Report)
+		messages = append(messages, f.Report)
 	}
-	return all
+	return messages
 }
 
-func (f *Frame) appendReservations(all []Message) []Message {
+func (f *Frame) appendReservations(messages []Message) []Message {
 	if f.Reservations != nil {
-		all = append(all, f.Reservations)
+		messages = append(messages, f.Reservations)
 	}
 	if len(f.Demands) > 0 {
-		all = append(all, Demands(f.Demands))
+		messages = append(messages, Demands(f.Demands))
 	}
 	if len(f.Leases) > 0 {
-		all = append(all, Leases(f.Leases))
+		messages = append(messages, Leases(f.Leases))
 	}
-	return all
+	return messages
 }
 
-func (f *Frame) appendClaims(all []Message) []Message {
+func (f *Frame) appendClaims(messages []Message) []Message {
 	if len(f.Claims) > 0 {
-		all = append(all, ClaimRequests(f.Claims))
+		messages = append(messages, ClaimRequests(f.Claims))
 	}
 	if len(f.Outcomes) > 0 {
-		all = append(all, ClaimOutcomes(f.Outcomes))
+		messages = append(messages, ClaimOutcomes(f.Outcomes))
 	}
 	if len(f.GrantRequests) > 0 {
-		all = append(all, GrantRequests{Epoch: f.Epoch, Records: f.GrantRequests})
+		messages = append(messages, GrantRequests{Epoch: f.Epoch, Records: f.GrantRequests})
 	}
 	if len(f.GrantReplies) > 0 {
-		all = append(all, GrantReplies(f.GrantReplies))
+		messages = append(messages, GrantReplies(f.GrantReplies))
 	}
 	if len(f.Revocations) > 0 {
-		all = append(all, Revocations(f.Revocations))
+		messages = append(messages, Revocations(f.Revocations))
 	}
 	if len(f.Responses) > 0 {
-		all = append(all, Responses(f.Responses))
+		messages = append(messages, Responses(f.Responses))
 	}
 	if len(f.ResponseQueries) > 0 {
-		all = append(all, ResponseQueries(f.ResponseQueries))
+		messages = append(messages, ResponseQueries(f.ResponseQueries))
 	}
 	if len(f.ResponseReplies) > 0 {
-		all = append(all, ResponseReplies(f.ResponseReplies))
+		messages = append(messages, ResponseReplies(f.ResponseReplies))
 	}
 	if f.CopyRequest {
-		all = append(all, CopyRequest{Epoch: f.Epoch})
+		messages = append(messages, CopyRequest{Epoch: f.Epoch})
 	}
 	if f.ClaimsChunk != nil {
-		all = append(all, ClaimsCopy{Epoch: f.Epoch, ClaimsChunk: f.ClaimsChunk})
+		messages = append(messages, ClaimsCopy{Epoch: f.Epoch, ClaimsChunk: f.ClaimsChunk})
 	}
-	return all
+	return messages
 }
 
 func (h *Handshake) addTo(f *Frame)        { f.Handshake = h }
--- a/internal/peer/security_test.go
+++ b/internal/peer/security_test.go
@@ -66,11 +66,11 @@
 	}
 	write("certificate.pem", &pem.Block{Type: "CERTIFICATE", Bytes: der})
 	write("key.pem", &pem.Block{Type: "EC PRIVATE KEY", Bytes: secret})
-	var all []*pem.Block
+	var blocks []*pem.Block
 	for _, b := range accepted {
-		all = append(all, &pem.Block{Type: "CERTIFICATE", Bytes: b.cert.Raw})
+		blocks = append(blocks, &pem.Block{Type: "CERTIFICATE", Bytes: b.cert.Raw})
 	}
-	write("authorities.pem", all...)
+	write("authorities.pem", blocks...)
 }
 
 // connect lets one process dial another and returns the errors of both ends.
