--- a/internal/control/controller/answers_test.go
+++ b/internal/control/controller/answers_test.go
@@ -22,10 +22,10 @@
 	"mulleinwood/internal/control/idempotency"
 )
 
-var update = flag.Bool("update", false, "write the expected answers again")
+var update = flag.Bool("update", false, "rewrite the expected answers in testdata")
 
-// expected holds answers against those that an earlier version gave.
-func expected(t *testing.T, file, got string) {
+// checkExpected compares answers with those of an earlier version, stored in testdata.
+func checkExpected(t *testing.T, file, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
 	if *update {
@@ -44,7 +44,7 @@
 
 var metricValue = regexp.MustCompile(`(?m) [0-9.e+-]+$`)
 
-// text is an answer as a caller sees it. Of metrics the names and labels are kept, not the values and the help.
+// text formats an answer as a caller receives it. Metrics keep their names and labels, but not their values and help texts.
 func (c *call) text(name string) string {
 	status := c.status()
 	var b strings.Builder
@@ -67,12 +67,12 @@
 const (
 	readyServer   = `{"service":"tags","address":"10.0.1.1:80","zone":"x","version":"v1","capacity":4,"state":"ready","warmup_left_s":0,"call_seq":4}`
 	leavingServer = `{"service":"tags","address":"10.0.1.1:80","zone":"x","version":"v1","capacity":4,"state":"draining","warmup_left_s":0,"call_seq":5}`
-	proper        = `{"version":"r1","services":[{"name":"tags"}],"limits":{"max_body_bytes":65536},"plants":[{"plant":"a.example","channels":[` +
+	validConfig   = `{"version":"r1","services":[{"name":"tags"}],"limits":{"max_body_bytes":65536},"plants":[{"plant":"a.example","channels":[` +
 		`{"name":"s","path_prefix":"/s/","kind":"safe","deadline_s":2,"setpoint_s":0.4,"service":"tags","tries":2}]}]}`
-	room = `{"tenant":"a.example","service":"tags","start":4000000000,"end":4000003600,"slots":2,"owner":"ops"}`
+	validBooking = `{"tenant":"a.example","service":"tags","start":4000000000,"end":4000003600,"slots":2,"owner":"ops"}`
 )
 
-// calls are all that a control endpoint is asked, proper and not, in the order in which they are sent.
+// calls lists valid and invalid calls of all control endpoints, in the order in which they are sent.
 var calls = []struct{ method, path, match, body string }{
 	{http.MethodGet, "/nothing", "", ""},
 	{http.MethodPost, "/config", "", ""},
@@ -80,20 +80,20 @@
 	{http.MethodPut, "/instances/i-1", "", `{"service":"tags"}`},
 	{http.MethodPut, "/instances/i-1", "", `{`},
 	{http.MethodPut, "/config", "r0", `{"version":"r1"`},
-	{http.MethodPut, "/config", "x", proper},
+	{http.MethodPut, "/config", "x", validConfig},
 	{http.MethodPut, "/config", "r0", `{"version":"r1","services":[{"name":""}]}`},
 	{http.MethodPatch, "/config", "r0", `{"version":"r1"}`},
-	{http.MethodPut, "/config", "r0", proper},
-	{http.MethodPut, "/config", "r0", proper},
-	{http.MethodPut, "/config", "r0", strings.Replace(proper, "r1", "r2", 1)},
+	{http.MethodPut, "/config", "r0", validConfig},
+	{http.MethodPut, "/config", "r0", validConfig},
+	{http.MethodPut, "/config", "r0", strings.Replace(validConfig, "r1", "r2", 1)},
 	{http.MethodPatch, "/config", "r1", `{"version":"r2","upsert":{"services":[{"name":"fares"}]}}`},
 	{http.MethodPatch, "/config", "r2", `{"version":"r3","upsert":{"services":[{"name":""}]}}`},
 	{http.MethodGet, "/config", "", ""},
 	{http.MethodGet, "/config/history", "", ""},
-	{http.MethodPut, "/bookings/b-1", "b0", room},
-	{http.MethodPut, "/bookings/b-2", "b7", room},
-	{http.MethodPut, "/bookings/b-2", "b1", strings.Replace(room, `"slots":2`, `"slots":200`, 1)},
-	{http.MethodPut, "/bookings/b-2?dry_run=true", "", strings.Replace(room, `"slots":2`, `"slots":200`, 1)},
+	{http.MethodPut, "/bookings/b-1", "b0", validBooking},
+	{http.MethodPut, "/bookings/b-2", "b7", validBooking},
+	{http.MethodPut, "/bookings/b-2", "b1", strings.Replace(validBooking, `"slots":2`, `"slots":200`, 1)},
+	{http.MethodPut, "/bookings/b-2?dry_run=true", "", strings.Replace(validBooking, `"slots":2`, `"slots":200`, 1)},
 	{http.MethodPut, "/bookings/b-2", "", `{`},
 	{http.MethodDelete, "/bookings/none", "b1", ""},
 	{http.MethodGet, "/bookings", "", ""},
@@ -106,8 +106,8 @@
 	{http.MethodGet, "/metrics", "", ""},
 }
 
-// Every control endpoint answers as the earlier version did, at one that leads, at one that follows and at one that knows
-// no leader: statuses, headers and bodies.
+// On a leader, on a follower and without a leader, all control endpoints must answer with the same statuses, headers and
+// bodies as the earlier version.
 func TestAnswersOfControlEndpoints(t *testing.T) {
 	for _, role := range []string{"leader", "follower", "no_leader"} {
 		t.Run(role, func(t *testing.T) {
@@ -120,21 +120,21 @@
 					h.followLeader(b, 5, consensus.Message{Index: 1, LogTerm: 4})
 				}
 				var got strings.Builder
-				for _, one := range calls {
-					c := h.startCall(one.method, one.path, one.match, one.body)
+				for _, request := range calls {
+					c := h.startCall(request.method, request.path, request.match, request.body)
 					if role == "leader" {
 						h.confirmReads(b)
 					}
-					got.WriteString(c.text(one.method + " " + one.path))
+					got.WriteString(c.text(request.method + " " + request.path))
 				}
-				expected(t, "answers_"+role+".txt", got.String())
+				checkExpected(t, "answers_"+role+".txt", got.String())
 				h.stop()
 			})
 		})
 	}
 }
 
-// A controller starts on the data directory that an earlier version wrote, and answers from what it held.
+// A controller must start on a data directory written by an earlier version and answer from its contents.
 func TestStartOnDataDirectoryOfEarlierVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/internal/control/controller/harness_test.go
+++ b/internal/control/controller/harness_test.go
@@ -32,39 +32,39 @@
 )
 
 var (
-	three = consensus.Membership{Epoch: 2, Cluster: cluster, Voters: []string{ipA, ipB, ipC}}
-	joint = consensus.Membership{Epoch: 3, Cluster: cluster, Voters: []string{ipA, ipB, ipC}, Next: []string{ipA, ipB, "10.0.0.4#d"}}
+	threeVoters     = consensus.Membership{Epoch: 2, Cluster: cluster, Voters: []string{ipA, ipB, ipC}}
+	jointMembership = consensus.Membership{Epoch: 3, Cluster: cluster, Voters: []string{ipA, ipB, ipC}, Next: []string{ipA, ipB, "10.0.0.4#d"}}
 )
 
-// testController is a controller with a disk of its own, whose turns the test runs one by one, in fake time: it belongs in a bubble
-// of synctest. Its peers are scripted.
+// testController is a controller with its own disk and scripted peers. The test runs its turns one by one in fake time, so it
+// must run in a synctest bubble.
 type testController struct {
 	*Controller
 	t   *testing.T
 	g   *WithT
 	dir string
-	log *lines
+	log *logRecorder
 
-	remotes []*remote // all that were ever linked
+	remotes []*remote // all remotes since the start
 }
 
-// lines gathers what is logged.
-type lines struct {
-	mu  sync.Mutex
-	all []string
+// logRecorder records log lines.
+type logRecorder struct {
+	mu    sync.Mutex
+	lines []string
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logRecorder) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.all = append(l.all, strings.TrimSpace(string(p)))
+	l.lines = append(l.lines, strings.TrimSpace(string(p)))
 	return len(p), nil
 }
 
-func (l *lines) with(text string) (found []string) {
+func (l *logRecorder) containing(text string) (found []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, line := range l.all {
+	for _, line := range l.lines {
 		if strings.Contains(line, text) {
 			found = append(found, line)
 		}
@@ -72,8 +72,8 @@
 	return found
 }
 
-// settings are those of a controller of three, at a start that isn't the first.
-func settings(t *testing.T, ip, dir string, first bool) *nodesettings.Settings {
+// testSettings returns the settings of one of three controllers. With first set, it is the cluster's first start.
+func testSettings(t *testing.T, ip, dir string, first bool) *nodesettings.Settings {
 	text := fmt.Sprintf("node: %q\nip: %q\nzone: \"x\"\nseeds: [%q, %q, %q]\ninner_port_range: [7000, 7001]\nfirst_start: %t\ncounted: true\n"+
 		"tolerance: {machines: 1, zones: 0, regions: 0}\ndata_dir: %q\nlisten: {control: %q}\nlimits: {memory_mb: 200}\n",
 		"n-"+ip, ip, ipA+":8649", ipB+":8649", ipC+":8649", first, dir, ip+":8649")
@@ -84,36 +84,36 @@
 	return set
 }
 
-// start begins a controller's life on a disk. It dials nobody.
+// start starts a controller on the disk in dir. It dials no other controller.
 func start(t *testing.T, ip, dir string, first bool) *testController {
-	h := &testController{t: t, g: NewWithT(t), dir: dir, log: &lines{}}
-	c := newController(node.Config{Settings: settings(t, ip, dir, first), Logger: log.NewLogfmtLogger(h.log)}, 99)
-	c.summaries.next = time.Nanosecond // the first summary has all that are known dialled
+	h := &testController{t: t, g: NewWithT(t), dir: dir, log: &logRecorder{}}
+	c := newController(node.Config{Settings: testSettings(t, ip, dir, first), Logger: log.NewLogfmtLogger(h.log)}, 99)
+	c.summaries.next = time.Nanosecond // not 0: the first summary would dial the known controllers
 	h.Controller = c
 	h.g.Expect(c.open()).To(Succeed())
-	for i := range 20 { // and so has a meeting
+	for i := range 20 { // a join would dial unknown controllers
 		c.links.known[fmt.Sprint("10.0.0.", i)] = true
 	}
 	t.Cleanup(h.end)
 	return h
 }
 
-// stop ends the life; all that is durable stays.
+// stop stops the controller; durable state stays on disk.
 func (h *testController) stop() {
 	h.end()
 	synctest.Wait()
 }
 
-// end closes what is open, also after a test that failed.
+// end closes the links and the storage, also after a failed test.
 func (h *testController) end() {
 	synctest.Wait()
 	for _, p := range h.remotes {
 		p.link.Close()
 	}
-	_ = h.storage.Close() // it may be closed
+	_ = h.storage.Close() // it may already be closed
 }
 
-// settle lets everything that waits happen, the disk included, without any time passing.
+// settle runs turns and disk writes until the controller is idle, without advancing the time.
 func (h *testController) settle() {
 	for range 50 {
 		h.endTurn()
@@ -132,10 +132,10 @@
 			return
 		}
 	}
-	h.t.Fatal("it never comes to rest")
+	h.t.Fatal("the controller does not become idle")
 }
 
-// advance lets time pass, tick by tick.
+// advance advances the time by d, tick by tick.
 func (h *testController) advance(d time.Duration) {
 	for end := h.Now() + d; h.Now() < end; {
 		time.Sleep(tickInterval)
@@ -144,7 +144,7 @@
 	}
 }
 
-// writeDisk writes a disk before a controller's life on it.
+// writeDisk writes a batch to the disk in dir before a controller starts on it.
 func writeDisk(t *testing.T, dir string, b *storage.Batch) {
 	st, _, err := storage.Open(dir, time.Minute, 1<<20)
 	if err == nil {
@@ -158,7 +158,7 @@
 	}
 }
 
-// readDisk reads a disk after a life.
+// readDisk returns the state on the disk in dir after the controller stopped.
 func readDisk(t *testing.T, dir string) *storage.State {
 	st, s, err := storage.Open(dir, time.Minute, 1<<20)
 	if err == nil {
@@ -170,35 +170,35 @@
 	return s
 }
 
-// voterDisk is the disk of a voter of three that granted before.
+// voterDisk returns the stored state of one of three voters that is ready to grant.
 func voterDisk(ip string) *storage.Batch {
-	no, m := false, three
-	return &storage.Batch{Identity: ip, BootstrapVoters: three.Voters, Hard: &consensus.HardState{Term: 4, Commit: 1}, Recovering: &no, Membership: &m,
+	no, m := false, threeVoters
+	return &storage.Batch{Identity: ip, BootstrapVoters: threeVoters.Voters, Hard: &consensus.HardState{Term: 4, Commit: 1}, Recovering: &no, Membership: &m,
 		Entries: []consensus.Entry{{Term: 4, Index: 1, Membership: &m}}}
 }
 
-// scriptedPeer is a peer that says what the test has it say, and notes what it hears.
+// scriptedPeer is a peer that sends frames for the test and records the frames that it receives.
 type scriptedPeer struct {
-	h  *testController
-	p  *remote
-	mu sync.Mutex
-	in []*peer.Frame
+	h      *testController
+	p      *remote
+	mu     sync.Mutex
+	frames []*peer.Frame
 }
 
-// linkReplica links a controller that calls itself by an identity.
+// linkReplica links a controller with the given identity.
 func (h *testController) linkReplica(identity string) *scriptedPeer {
 	s := h.link(membership.Address(identity), &peer.Handshake{Node: "n-" + identity, IP: membership.Address(identity), Zone: "x", Incarnation: 5, Counted: true, Cluster: cluster})
 	s.send(&peer.Frame{ReplicaStatus: &peer.ReplicaStatus{Identity: identity, Cluster: cluster, Epoch: h.members.durable, Ready: true}})
 	return s
 }
 
-// link links whoever says this hello.
-func (h *testController) link(ip string, hello *peer.Handshake) *scriptedPeer {
-	mine, theirs := net.Pipe()
-	s := &scriptedPeer{h: h, p: &remote{link: peer.NewLink(mine), node: hello.Node, ip: ip, zone: hello.Zone, edge: hello.Edge}}
+// link links a process that sends this handshake.
+func (h *testController) link(ip string, handshake *peer.Handshake) *scriptedPeer {
+	local, remoteEnd := net.Pipe()
+	s := &scriptedPeer{h: h, p: &remote{link: peer.NewLink(local), node: handshake.Node, ip: ip, zone: handshake.Zone, edge: handshake.Edge}}
 	h.remotes = append(h.remotes, s.p)
-	go s.listen(theirs)
-	h.handleJoin(s.p, hello)
+	go s.listen(remoteEnd)
+	h.handleJoin(s.p, handshake)
 	h.settle()
 	return s
 }
@@ -219,25 +219,25 @@
 			return
 		}
 		s.mu.Lock()
-		s.in = append(s.in, f)
+		s.frames = append(s.frames, f)
 		s.mu.Unlock()
 	}
 }
 
-// send hands the controller a frame.
+// send delivers a frame to the controller.
 func (s *scriptedPeer) send(f *peer.Frame) {
 	s.h.handleMessages(s.p, f.Messages())
 	s.h.settle()
 }
 
-// received gives what came since it was asked last.
+// received returns the frames received since the last call.
 func (s *scriptedPeer) received() []*peer.Frame {
 	synctest.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	in := s.in
-	s.in = nil
-	return in
+	frames := s.frames
+	s.frames = nil
+	return frames
 }
 
 func (s *scriptedPeer) sendConsensus(m consensus.Message) {
@@ -245,7 +245,7 @@
 	s.send(&peer.Frame{Consensus: []consensus.Message{m}})
 }
 
-// becomeLeader has the controller elected by a peer, which holds its whole log.
+// becomeLeader makes the controller leader with the vote of a peer that has its complete log.
 func (h *testController) becomeLeader(by *scriptedPeer) {
 	h.advance(2 * electionTimeout)
 	term := h.consensus.replica.Term() + 1
@@ -255,7 +255,7 @@
 	h.confirmReads(by)
 }
 
-// confirmReads has a peer answer that it holds the whole log, and the newest round of the leader.
+// confirmReads makes a peer acknowledge the complete log and the leader's newest read round.
 func (h *testController) confirmReads(by *scriptedPeer) {
 	round := uint64(0)
 	for _, f := range by.received() {
@@ -266,27 +266,27 @@
 	by.sendConsensus(consensus.Message{Kind: consensus.AppendReply, Term: h.consensus.replica.Term(), OK: true, Index: h.consensus.replica.LastIndex(), ReadRound: round})
 }
 
-// followLeader has a peer lead, in contact with a majority.
+// followLeader delivers m as an append from a peer that leads in contact with a majority.
 func (h *testController) followLeader(leader *scriptedPeer, term uint64, m consensus.Message) {
 	m.Kind, m.Term, m.LeaderInContact = consensus.Append, term, true
 	leader.sendConsensus(m)
 }
 
-// grantReplies of all claims that frames tell of.
-func grantReplies(in []*peer.Frame) (all []idempotency.GrantReply) {
-	for _, f := range in {
+// grantReplies returns the grant replies in the frames.
+func grantReplies(frames []*peer.Frame) (replies []idempotency.GrantReply) {
+	for _, f := range frames {
 		for _, v := range f.GrantReplies {
-			all = append(all, v.Reply)
+			replies = append(replies, v.Reply)
 		}
 	}
-	return all
+	return replies
 }
 
-// identities of the replicas that the leader sends its log to.
-func (h *testController) learners() (all []string) {
+// learners returns the sorted identities of the replicas in the membership manager's view.
+func (h *testController) learners() (identities []string) {
 	for _, r := range h.members.view().Controllers {
-		all = append(all, r.ID)
+		identities = append(identities, r.ID)
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(identities)
+	return identities
 }
