--- a/internal/planner/protocol/exchange.go
+++ b/internal/planner/protocol/exchange.go
@@ -14,15 +14,15 @@
 
 // Bounds of what another party may answer.
 const (
-	MaxHeadBytes = 16 << 10 // of a head
-	chunkLine    = 256      // of the line before a chunk, and of a trailer
+	MaxHeadBytes      = 16 << 10 // of a head
+	maxChunkLineBytes = 256      // of the line before a chunk, and of a trailer
 )
 
 var (
-	errHeadLong = errors.New("head over 16 KiB")
-	errBodyLong = errors.New("body over its bound")
-	errChunk    = errors.New("broken chunk")
-	errShort    = errors.New("ended within the answer")
+	errHeadTooLong = errors.New("head over 16 KiB")
+	errBodyTooLong = errors.New("body over its bound")
+	errChunk       = errors.New("broken chunk")
+	errTruncated   = errors.New("ended within the answer")
 )
 
 // stage of an exchange.
@@ -31,7 +31,7 @@
 const (
 	inHead stage = iota
 	inLength
-	inRest // until the peer closes
+	inUntilClose // until the peer closes
 	inChunkSize
 	inChunk
 	inChunkEnd
@@ -49,11 +49,11 @@
 	// BodyMost bounds the body; 0: no bound, for answers that go on as long as their connection.
 	MaxBodyBytes int64
 
-	whole    func() error // called once the answer is complete
-	stage    stage
-	searched int
-	left     int64 // bytes of the body, or of the chunk
-	got      int64 // bytes of the body so far
+	onComplete func() error // called once the answer is complete
+	stage      stage
+	scanned    int
+	remaining  int64 // bytes of the body, or of the chunk
+	received   int64 // bytes of the body so far
 }
 
 // Done says whether the answer is complete.
@@ -61,18 +61,18 @@
 
 // Close says whether the answer is complete now that the peer has closed the connection.
 func (x *HTTPExchange) Close() error {
-	if x.stage == inRest {
+	if x.stage == inUntilClose {
 		return x.finish()
 	}
 	if x.stage != complete {
-		return errShort
+		return errTruncated
 	}
 	return nil
 }
 
 func (x *HTTPExchange) finish() error {
-	if x.stage = complete; x.whole != nil {
-		return x.whole()
+	if x.stage = complete; x.onComplete != nil {
+		return x.onComplete()
 	}
 	return nil
 }
@@ -80,17 +80,17 @@
 // Feed takes from the buffer what can be understood.
 func (x *HTTPExchange) Feed(in *ring.Buffer) error {
 	for x.stage != complete {
-		var moved bool
+		var progressed bool
 		var err error
 		switch x.stage {
 		case inHead:
-			moved, err = x.head(in)
-		case inLength, inChunk, inRest:
-			moved, err = x.body(in)
+			progressed, err = x.head(in)
+		case inLength, inChunk, inUntilClose:
+			progressed, err = x.body(in)
 		default:
-			moved, err = x.chunkLine(in)
+			progressed, err = x.chunkLine(in)
 		}
-		if err != nil || !moved {
+		if err != nil || !progressed {
 			return err
 		}
 	}
@@ -100,53 +100,53 @@
 // head waits for the whole head, then reads it.
 func (x *HTTPExchange) head(in *ring.Buffer) (bool, error) {
 	for {
-		end := in.Index('\n', x.searched)
+		end := in.Index('\n', x.scanned)
 		if end < 0 || end >= MaxHeadBytes {
 			if in.Len() >= MaxHeadBytes {
-				return false, errHeadLong
+				return false, errHeadTooLong
 			}
-			x.searched = in.Len()
+			x.scanned = in.Len()
 			return false, nil
 		}
 		text := in.Front(end + 1)
-		if x.searched = end + 1; !bytes.HasSuffix(text, []byte("\n\r\n")) && !bytes.HasSuffix(text, []byte("\n\n")) {
+		if x.scanned = end + 1; !bytes.HasSuffix(text, []byte("\n\r\n")) && !bytes.HasSuffix(text, []byte("\n\n")) {
 			continue
 		}
 		method := x.Method
 		if method == "" {
 			method = http.MethodGet
 		}
-		answer, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(text)), &http.Request{Method: method})
+		response, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(text)), &http.Request{Method: method})
 		if err != nil {
 			return false, fmt.Errorf("head: %w", err)
 		}
 		in.Discard(end + 1)
-		if answer.StatusCode >= 100 && answer.StatusCode < 200 { // an interim answer; the real one follows
-			x.searched = 0
+		if response.StatusCode >= 100 && response.StatusCode < 200 { // an interim answer; the real one follows
+			x.scanned = 0
 			continue
 		}
-		return x.beginBody(answer)
+		return x.beginBody(response)
 	}
 }
 
 // beginBody hands on the head, and notes how the body's end is told.
-func (x *HTTPExchange) beginBody(answer *http.Response) (bool, error) {
+func (x *HTTPExchange) beginBody(response *http.Response) (bool, error) {
 	switch {
-	case len(answer.TransferEncoding) > 0:
+	case len(response.TransferEncoding) > 0:
 		x.stage = inChunkSize
-	case answer.ContentLength >= 0:
-		x.stage, x.left = inLength, answer.ContentLength
-		if x.MaxBodyBytes > 0 && x.left > x.MaxBodyBytes {
-			return false, errBodyLong
+	case response.ContentLength >= 0:
+		x.stage, x.remaining = inLength, response.ContentLength
+		if x.MaxBodyBytes > 0 && x.remaining > x.MaxBodyBytes {
+			return false, errBodyTooLong
 		}
 	default:
-		x.stage = inRest
+		x.stage = inUntilClose
 	}
-	answer.Body = http.NoBody
-	if err := x.HandleHead(answer); err != nil {
+	response.Body = http.NoBody
+	if err := x.HandleHead(response); err != nil {
 		return false, err
 	}
-	if x.stage == inLength && x.left == 0 {
+	if x.stage == inLength && x.remaining == 0 {
 		return true, x.finish()
 	}
 	return true, nil
@@ -155,23 +155,23 @@
 // body hands on what is there of the body, or of one chunk.
 func (x *HTTPExchange) body(in *ring.Buffer) (bool, error) {
 	piece, _ := in.Peek()
-	if x.stage != inRest && int64(len(piece)) > x.left {
-		piece = piece[:x.left]
+	if x.stage != inUntilClose && int64(len(piece)) > x.remaining {
+		piece = piece[:x.remaining]
 	}
 	if len(piece) == 0 {
 		return false, nil
 	}
-	if x.got += int64(len(piece)); x.MaxBodyBytes > 0 && x.got > x.MaxBodyBytes {
-		return false, errBodyLong
+	if x.received += int64(len(piece)); x.MaxBodyBytes > 0 && x.received > x.MaxBodyBytes {
+		return false, errBodyTooLong
 	}
 	if err := x.HandleBody(piece); err != nil {
 		return false, err
 	}
 	in.Discard(len(piece))
-	if x.stage == inRest {
+	if x.stage == inUntilClose {
 		return true, nil
 	}
-	if x.left -= int64(len(piece)); x.left == 0 {
+	if x.remaining -= int64(len(piece)); x.remaining == 0 {
 		if x.stage == inLength {
 			return true, x.finish()
 		}
@@ -183,7 +183,7 @@
 // chunkLine reads the lines that stand round chunks.
 func (x *HTTPExchange) chunkLine(in *ring.Buffer) (bool, error) {
 	end := in.Index('\n', 0)
-	if end > chunkLine || end < 0 && in.Len() > chunkLine {
+	if end > maxChunkLineBytes || end < 0 && in.Len() > maxChunkLineBytes {
 		return false, errChunk
 	}
 	if end < 0 {
@@ -198,7 +198,7 @@
 		if err != nil {
 			return false, fmt.Errorf("%w: size %.20q", errChunk, text)
 		}
-		if x.stage, x.left = inChunk, int64(size); size == 0 {
+		if x.stage, x.remaining = inChunk, int64(size); size == 0 {
 			x.stage = inTrailer
 		}
 	case inChunkEnd:
--- a/internal/planner/protocol/exchange_test.go
+++ b/internal/planner/protocol/exchange_test.go
@@ -10,8 +10,8 @@
 	"mulleinwood/internal/planner/transport/ring"
 )
 
-// heard is what an exchange handed on.
-type heard struct {
+// exchangeResult is what an exchange handed on.
+type exchangeResult struct {
 	status int
 	body   string
 	done   bool
@@ -19,9 +19,9 @@
 	closed error
 }
 
-// converse feeds pieces to a machine until it fails or is done, then closes the connection.
-func converse(x *HTTPExchange, pieces ...string) heard {
-	var h heard
+// runExchange feeds pieces to a machine until it fails or is done, then closes the connection.
+func runExchange(x *HTTPExchange, pieces ...string) exchangeResult {
+	var h exchangeResult
 	head, body := x.HandleHead, x.HandleBody
 	x.HandleHead = func(r *http.Response) error {
 		h.status = r.StatusCode
@@ -53,53 +53,53 @@
 	return h
 }
 
-// TestAnswers reads answers whole, byte by byte and in every two pieces. Guards against a host that only works
+// TestHTTPExchange reads answers whole, byte by byte and in every two pieces. Guards against a host that only works
 // where bytes come as they were written.
-func TestAnswers(t *testing.T) {
+func TestHTTPExchange(t *testing.T) {
 	for name, tc := range map[string]struct {
 		text string
-		want heard
+		want exchangeResult
 	}{
-		"length": {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", heard{status: 200, body: "hello", done: true}},
-		"empty":  {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", heard{status: 503, done: true}},
+		"length": {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", exchangeResult{status: 200, body: "hello", done: true}},
+		"empty":  {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", exchangeResult{status: 503, done: true}},
 		"chunks": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2;x=y\r\nlo\r\n0\r\nT: v\r\n\r\n",
-			heard{status: 200, body: "hello", done: true}},
-		"bare line ends": {"HTTP/1.1 200 OK\nContent-Length: 2\n\nhi", heard{status: 200, body: "hi", done: true}},
-		"until closed":   {"HTTP/1.0 200 OK\r\n\r\nhello", heard{status: 200, body: "hello"}},
-		"interim":        {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", heard{status: 200, body: "x", done: true}},
-		"no body":        {"HTTP/1.1 204 None\r\n\r\n", heard{status: 204, done: true}},
-		"cut head":       {"HTTP/1.1 200 OK\r\nContent-Le", heard{closed: errShort}},
-		"cut body":       {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel", heard{status: 200, body: "hel", closed: errShort}},
+			exchangeResult{status: 200, body: "hello", done: true}},
+		"bare line ends": {"HTTP/1.1 200 OK\nContent-Length: 2\n\nhi", exchangeResult{status: 200, body: "hi", done: true}},
+		"until closed":   {"HTTP/1.0 200 OK\r\n\r\nhello", exchangeResult{status: 200, body: "hello"}},
+		"interim":        {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", exchangeResult{status: 200, body: "x", done: true}},
+		"no body":        {"HTTP/1.1 204 None\r\n\r\n", exchangeResult{status: 204, done: true}},
+		"cut head":       {"HTTP/1.1 200 OK\r\nContent-Le", exchangeResult{closed: errTruncated}},
+		"cut body":       {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel", exchangeResult{status: 200, body: "hel", closed: errTruncated}},
 		"cut chunk": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel",
-			heard{status: 200, body: "hel", closed: errShort}},
-		"bad chunk size": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", heard{status: 200, err: errChunk}},
-		"negative chunk": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-1\r\n", heard{status: 200, err: errChunk}},
+			exchangeResult{status: 200, body: "hel", closed: errTruncated}},
+		"bad chunk size": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", exchangeResult{status: 200, err: errChunk}},
+		"negative chunk": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-1\r\n", exchangeResult{status: 200, err: errChunk}},
 		"huge chunk": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffff\r\n",
-			heard{status: 200, err: errChunk}},
+			exchangeResult{status: 200, err: errChunk}},
 		"bad chunk end": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nxyz\r\n",
-			heard{status: 200, body: "x", err: errChunk}},
+			exchangeResult{status: 200, body: "x", err: errChunk}},
 		"endless chunk size": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("0", 400),
-			heard{status: 200, err: errChunk}},
-		"endless head": {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", MaxHeadBytes), heard{err: errHeadLong}},
-		"long body":    {"HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n", heard{status: 0, err: errBodyLong}},
+			exchangeResult{status: 200, err: errChunk}},
+		"endless head": {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", MaxHeadBytes), exchangeResult{err: errHeadTooLong}},
+		"long body":    {"HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n", exchangeResult{status: 0, err: errBodyTooLong}},
 		"long chunks": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n7d0\r\n" + strings.Repeat("x", 2000),
-			heard{status: 200, err: errBodyLong}},
+			exchangeResult{status: 200, err: errBodyTooLong}},
 	} {
-		check := func(how string, got heard) {
+		check := func(how string, got exchangeResult) {
 			same := got.status == tc.want.status && got.done == tc.want.done && errors.Is(got.err, tc.want.err) &&
 				errors.Is(got.closed, tc.want.closed)
-			if !same || tc.want.err != errBodyLong && got.body != tc.want.body {
+			if !same || tc.want.err != errBodyTooLong && got.body != tc.want.body {
 				t.Errorf("%s, %s: %+v, want %+v", name, how, got, tc.want)
 			}
 		}
-		check("whole", converse(&HTTPExchange{MaxBodyBytes: 1000}, tc.text))
-		check("byte by byte", converse(&HTTPExchange{MaxBodyBytes: 1000}, strings.Split(tc.text, "")...))
+		check("whole", runExchange(&HTTPExchange{MaxBodyBytes: 1000}, tc.text))
+		check("byte by byte", runExchange(&HTTPExchange{MaxBodyBytes: 1000}, strings.Split(tc.text, "")...))
 		for at := 0; at < len(tc.text) && at < 500; at++ {
-			check("split", converse(&HTTPExchange{MaxBodyBytes: 1000}, tc.text[:at], tc.text[at:]))
+			check("split", runExchange(&HTTPExchange{MaxBodyBytes: 1000}, tc.text[:at], tc.text[at:]))
 		}
 	}
 	for _, garbage := range []string{"\r\n\r\n", "SSH-2.0-x\r\n\r\n", "HTTP/1.1 abc\r\n\r\n", "HTTP/1.1 200 OK\r\nno colon\r\n\r\n"} {
-		if got := converse(&HTTPExchange{}, garbage); got.err == nil {
+		if got := runExchange(&HTTPExchange{}, garbage); got.err == nil {
 			t.Errorf("%q was taken: %+v", garbage, got)
 		}
 	}
@@ -110,7 +110,7 @@
  {"id":"s-2","phase":"up"},{"id":"","phase":"up"},{"id":"s-3","phase":"odd"},{"id":"s-4","phase":"up","size":-1,"cell":-2,"up_since_ms":-3},
  {"id":"s-5","phase":"removed"}]}`
 
-var listed = List{Revision: 43, Members: []Member{
+var decodedList = List{Revision: 43, Members: []Member{
 	{ID: "s-1", Address: "10.1.0.18:8080", Zone: "a", Kind: "m2", Cell: 3, Phase: PhaseDraining, Weight: 1.5, StartedAt: 12},
 	{ID: "s-2", Phase: PhaseUp, Weight: 1},
 	{ID: "s-3", Phase: PhaseDraining, Weight: 1},
@@ -119,8 +119,8 @@
 
 func TestList(t *testing.T) {
 	got, bad, err := DecodeList([]byte(listText))
-	if err != nil || bad != 3 || !reflect.DeepEqual(got, listed) {
-		t.Errorf("%+v, %d bad, %v; want %+v, 3 bad", got, bad, err, listed)
+	if err != nil || bad != 3 || !reflect.DeepEqual(got, decodedList) {
+		t.Errorf("%+v, %d bad, %v; want %+v, 3 bad", got, bad, err, decodedList)
 	}
 	for _, text := range []string{"", "[]", `{"revision":"x"}`, `{"members":{}}`} {
 		if _, _, err := DecodeList([]byte(text)); err == nil {
@@ -135,11 +135,11 @@
 	if want := "GET /v1/endpoints HTTP/1.1\r\nHost: h:1\r\n"; !strings.HasPrefix(string(request), want) {
 		t.Errorf("request %q", request)
 	}
-	if h := converse(x, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabcd"); h.err != nil || got != "abcd" {
+	if h := runExchange(x, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabcd"); h.err != nil || got != "abcd" {
 		t.Errorf("%+v, took %q", h, got)
 	}
 	_, x = FetchRequest("h:1", func([]byte) error { t.Error("an answer of status 503 was taken"); return nil })
-	if h := converse(x, "HTTP/1.1 503 No\r\nContent-Length: 4\r\n\r\nabcd"); h.err != StatusError(503) {
+	if h := runExchange(x, "HTTP/1.1 503 No\r\nContent-Length: 4\r\n\r\nabcd"); h.err != StatusError(503) {
 		t.Errorf("status 503: %+v", h)
 	}
 }
@@ -157,16 +157,16 @@
 		if !strings.HasPrefix(string(request), "GET /v1/endpoints?watch=1&from=41 HTTP/1.1\r\n") {
 			t.Fatalf("request %q", request)
 		}
-		if h := converse(x, watchText[:at], watchText[at:]); h.err != nil || !reflect.DeepEqual(got, want) {
+		if h := runExchange(x, watchText[:at], watchText[at:]); h.err != nil || !reflect.DeepEqual(got, want) {
 			t.Fatalf("split at %d: %v, %+v", at, got, h)
 		}
 	}
 	_, x := WatchRequest("h:1", 0, func() { t.Error("a refused watch has begun") }, nil)
-	if h := converse(x, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"); h.err != StatusError(503) {
+	if h := runExchange(x, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"); h.err != StatusError(503) {
 		t.Errorf("status 503: %+v", h)
 	}
 	_, x = WatchRequest("h:1", 0, func() {}, func([]byte) error { return errMissing })
-	if h := converse(x, watchText); h.err != errMissing {
+	if h := runExchange(x, watchText); h.err != errMissing {
 		t.Errorf("a list that can't be read: %+v", h)
 	}
 }
@@ -186,7 +186,7 @@
 	} {
 		var answer ProbeResponse
 		request, x := ProbeRequest("h:1", tc.load, &answer)
-		if h := converse(x, tc.text); h.err != nil || !h.done || !reflect.DeepEqual(answer, tc.answer) {
+		if h := runExchange(x, tc.text); h.err != nil || !h.done || !reflect.DeepEqual(answer, tc.answer) {
 			t.Errorf("%q: %+v, %+v", tc.text, answer, h)
 		}
 		if !strings.HasPrefix(string(request), "GET "+tc.path+" HTTP/1.1\r\n") {
@@ -201,8 +201,8 @@
 	f.Add([]byte("HTTP/1.0 200 OK\r\n\r\nrest"), 2)
 	f.Fuzz(func(t *testing.T, text []byte, at int) {
 		at = max(0, min(at, len(text)))
-		whole := converse(&HTTPExchange{MaxBodyBytes: 1000}, string(text))
-		split := converse(&HTTPExchange{MaxBodyBytes: 1000}, string(text[:at]), string(text[at:]))
+		whole := runExchange(&HTTPExchange{MaxBodyBytes: 1000}, string(text))
+		split := runExchange(&HTTPExchange{MaxBodyBytes: 1000}, string(text[:at]), string(text[at:]))
 		if whole.status != split.status || whole.done != split.done || (whole.err == nil) != (split.err == nil) ||
 			whole.err == nil && whole.body != split.body {
 			t.Fatalf("whole %+v, split at %d %+v", whole, at, split)
@@ -216,13 +216,13 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+"1f\r\n"+listText), 3)
 	f.Fuzz(func(t *testing.T, text []byte, at int) {
 		at = max(0, min(at, len(text)))
-		run := func(pieces ...string) (got []List, h heard) {
+		run := func(pieces ...string) (got []List, h exchangeResult) {
 			_, x := WatchRequest("h", 0, func() {}, func(text []byte) error {
 				list, _, err := DecodeList(text)
 				got = append(got, list)
 				return err
 			})
-			h = converse(x, pieces...)
+			h = runExchange(x, pieces...)
 			return got, h
 		}
 		whole, a := run(string(text))
--- a/internal/planner/protocol/lines.go
+++ b/internal/planner/protocol/lines.go
@@ -22,52 +22,52 @@
 	HandleMessage func(Message) error
 	HandleInvalid func(error) error
 
-	searched int // bytes of the buffer that hold no LF
-	decoder  decoder
+	scanned int // bytes of the buffer that hold no LF
+	decoder decoder
 }
 
 // Feed takes all complete lines from the buffer.
 func (l *LineDecoder) Feed(in *ring.Buffer) error {
 	for {
-		end := in.Index('\n', l.searched)
+		end := in.Index('\n', l.scanned)
 		if end < 0 {
-			err := hopeless(in, l.searched)
-			l.searched = in.Len()
+			err := checkIncompleteLine(in, l.scanned)
+			l.scanned = in.Len()
 			return err
 		}
 		if end >= MaxLineBytes {
-			return &LineError{Fault: Unreadable, Err: errTooLong}
+			return &LineError{Fault: Unreadable, Err: errLineTooLong}
 		}
 		if err := l.line(in.Front(end)); err != nil {
 			return err
 		}
 		in.Discard(end + 1)
-		l.searched = 0
+		l.scanned = 0
 	}
 }
 
-// hopeless says whether the beginning of a line can become no JSON object however it goes on. It guards against
+// checkIncompleteLine says whether the beginning of a line can become no JSON object however it goes on. It guards against
 // a peer that sends without an end what holds no line: bytes up to from have been looked at before.
-func hopeless(in *ring.Buffer, from int) error {
+func checkIncompleteLine(in *ring.Buffer, scanned int) error {
 	if in.Len() > MaxLineBytes {
-		return &LineError{Fault: Unreadable, Err: errTooLong}
+		return &LineError{Fault: Unreadable, Err: errLineTooLong}
 	}
 	first, second := in.Peek()
-	for _, piece := range [][]byte{first[min(from, len(first)):], second[max(0, min(from-len(first), len(second))):]} {
+	for _, piece := range [][]byte{first[min(scanned, len(first)):], second[max(0, min(scanned-len(first), len(second))):]} {
 		for _, c := range piece {
 			if c < ' ' && c != '\t' && c != '\r' { // JSON has no other control characters
 				return &LineError{Fault: Unreadable, Err: errNotJSON}
 			}
 		}
 	}
-	if text := bytes.TrimLeft(first, " \t\r"); from < len(first) && len(text) > 0 && !bytes.ContainsRune(opening, rune(text[0])) {
+	if text := bytes.TrimLeft(first, " \t\r"); scanned < len(first) && len(text) > 0 && !bytes.ContainsRune(jsonStartBytes, rune(text[0])) {
 		return &LineError{Fault: Unreadable, Err: errNotJSON}
 	}
 	return nil
 }
 
-// opening holds the bytes that a JSON value begins with.
-var opening = []byte(`{["-0123456789tfn`)
+// jsonStartBytes holds the bytes that a JSON value begins with.
+var jsonStartBytes = []byte(`{["-0123456789tfn`)
 
 func (l *LineDecoder) line(text []byte) error {
 	m, err := l.decoder.decode(text, l.Bounds)
--- a/internal/planner/protocol/lines_test.go
+++ b/internal/planner/protocol/lines_test.go
@@ -17,7 +17,7 @@
 {"t":"client_stats","proxy":17,"class":"lookup","tries":19,"failed":0,"span_ms":1000.0}
 `
 
-var spoken = []Message{
+var streamMessages = []Message{
 	Heartbeat{},
 	Collector{Zone: "a"},
 	ServerReport{Zone: "a", Server: "s-5b", Attempts: 212, Failed: 3, Latency: 41.7, Period: 1000,
@@ -27,14 +27,14 @@
 	UsageReport{Proxy: 17, Class: "lookup", Requests: 19, Period: 1000},
 }
 
-// within are the bounds of a deployment of 20 proxies whose clients wait 5 s at most.
-var within = Bounds{Proxies: 20, MaxLatency: 5000, MaxPeriod: 60e3}
+// testBounds are the bounds of a deployment of 20 proxies whose clients wait 5 s at most.
+var testBounds = Bounds{Proxies: 20, MaxLatency: 5000, MaxPeriod: 60e3}
 
-// read feeds pieces to a new machine and returns its messages, the lines it could not use and why it ended, if so.
-func read(t testing.TB, pieces ...string) (got []Message, bad []error, end error) {
+// readLines feeds pieces to a new machine and returns its messages, the lines it could not use and why it ended, if so.
+func readLines(t testing.TB, pieces ...string) (got []Message, bad []error, end error) {
 	t.Helper()
 	in := ring.New(16, 2*MaxLineBytes, nil)
-	m := &LineDecoder{Bounds: within, HandleMessage: func(m Message) error { got = append(got, m); return nil },
+	m := &LineDecoder{Bounds: testBounds, HandleMessage: func(m Message) error { got = append(got, m); return nil },
 		HandleInvalid: func(err error) error { bad = append(bad, err); return nil }}
 	for _, piece := range pieces {
 		if _, err := in.Write([]byte(piece)); err != nil {
@@ -50,34 +50,34 @@
 // TestLinesSplit guards against bytes that come split or joined anywhere.
 func TestLinesSplit(t *testing.T) {
 	for at := range stream {
-		if got, bad, end := read(t, stream[:at], stream[at:]); !reflect.DeepEqual(got, spoken) || len(bad) > 0 || end != nil {
+		if got, bad, end := readLines(t, stream[:at], stream[at:]); !reflect.DeepEqual(got, streamMessages) || len(bad) > 0 || end != nil {
 			t.Fatalf("split at %d: %+v, %v, %v", at, got, bad, end)
 		}
 	}
-	if got, bad, end := read(t, strings.Split(stream, "")...); !reflect.DeepEqual(got, spoken) || len(bad) > 0 || end != nil {
+	if got, bad, end := readLines(t, strings.Split(stream, "")...); !reflect.DeepEqual(got, streamMessages) || len(bad) > 0 || end != nil {
 		t.Fatalf("byte by byte: %+v, %v, %v", got, bad, end)
 	}
 }
 
-// TestSpoiltLines guards against a line that is JSON and can't be true: taken for what it says, it would make a server
+// TestInvalidLines guards against a line that is JSON and can't be true: taken for what it says, it would make a server
 // the fastest of all or lift a proxy's demand; taken for unreadable, it would cost the good lines round it.
-func TestSpoiltLines(t *testing.T) {
+func TestInvalidLines(t *testing.T) {
 	report := func(figures string) string { return `{"t":"upstream_stats","zone":"a","server":"s",` + figures + `}` }
 	usage := func(figures string) string { return `{"t":"client_stats","proxy":1,"class":"c",` + figures + `}` }
 	for _, tc := range []struct {
 		line string
 		want error
 	}{
-		{`{"t":"unheard_of"}`, errKind},
-		{`{}`, errKind},
+		{`{"t":"unheard_of"}`, errUnknownKind},
+		{`{}`, errUnknownKind},
 		{`{"t":"telemetry"}`, errMissing},
 		{`{"t":"telemetry","zone":null}`, errMissing},
 		{`{"t":"attach","proxy":1,"weight":1}`, errMissing},
 		{`{"t":"attach","proxy":1,"zone":"a"}`, errMissing},
 		{`{"t":"done","proxy":1,"took_ms":1}`, errMissing},
 		{`{"t":"done","proxy":1,"mark":1}`, errMissing},
-		{`{"t":"done","proxy":20,"mark":1,"took_ms":1}`, errProxy},
-		{`{"t":"attach","proxy":-1,"zone":"a","weight":1}`, errProxy},
+		{`{"t":"done","proxy":20,"mark":1,"took_ms":1}`, errUnknownProxy},
+		{`{"t":"attach","proxy":-1,"zone":"a","weight":1}`, errUnknownProxy},
 		{`{"t":"attach","proxy":1,"zone":"a","weight":-0.5}`, errNegative},
 		{report(`"tries":1,"failed":0,"span_ms":1000`), errMissing},
 		{report(`"tries":1,"failed":0,"mean_ms":40`), errMissing},
@@ -85,16 +85,16 @@
 		{report(`"failed":0,"mean_ms":40,"span_ms":1000`), errMissing},
 		{report(`"tries":null,"failed":0,"mean_ms":40,"span_ms":1000`), errMissing},
 		{report(`"tries":1,"failed":2,"mean_ms":40,"span_ms":1000`), errMoreFailed},
-		{report(`"tries":1,"failed":0,"mean_ms":40,"span_ms":0`), errSpan},
-		{report(`"tries":1,"failed":0,"mean_ms":0,"span_ms":1000`), errMean},
-		{report(`"tries":1,"failed":0,"mean_ms":5001,"span_ms":1000`), errMean},
-		{report(`"tries":1,"failed":0,"mean_ms":40,"span_ms":60001`), errSpan},
+		{report(`"tries":1,"failed":0,"mean_ms":40,"span_ms":0`), errPeriod},
+		{report(`"tries":1,"failed":0,"mean_ms":0,"span_ms":1000`), errLatency},
+		{report(`"tries":1,"failed":0,"mean_ms":5001,"span_ms":1000`), errLatency},
+		{report(`"tries":1,"failed":0,"mean_ms":40,"span_ms":60001`), errPeriod},
 		{report(`"tries":38654705664,"failed":0,"mean_ms":40,"span_ms":1000`), errRate},
 		{usage(`"tries":200001,"failed":0,"span_ms":2000`), errRate},
 		{usage(`"tries":1,"failed":200001,"span_ms":2000`), errRate},
-		{usage(`"tries":1,"failed":0,"span_ms":38654705664`), errSpan},
+		{usage(`"tries":1,"failed":0,"span_ms":38654705664`), errPeriod},
 		{`{"t":"attach","proxy":1,"zone":"a","weight":200000}`, errRate},
-		{report(`"tries":1e13,"failed":0,"mean_ms":40,"span_ms":1000`), errHuge},
+		{report(`"tries":1e13,"failed":0,"mean_ms":40,"span_ms":1000`), errValueTooLarge},
 		{report(`"tries":1e999,"failed":0,"mean_ms":40,"span_ms":1000`), nil},
 		{report(`"tries":"many","failed":0,"mean_ms":40,"span_ms":1000`), nil},
 		{report(`"tries":1,"failed":0,"mean_ms":40,"span_ms":1000,"load":{"util":-1}`), errLoad},
@@ -104,26 +104,26 @@
 		{usage(`"tries":1,"span_ms":1000`), errMissing},
 		{usage(`"tries":1,"failed":0`), errMissing},
 		{usage(`"tries":1,"failed":-1,"span_ms":1000`), errNegative},
-		{`{"t":"client_stats","proxy":20,"class":"c","tries":1,"failed":0,"span_ms":1000}`, errProxy},
+		{`{"t":"client_stats","proxy":20,"class":"c","tries":1,"failed":0,"span_ms":1000}`, errUnknownProxy},
 		{`{"t":"done","proxy":1,"mark":-4,"took_ms":1}`, nil},
 		{`{"t":"attach","proxy":1.5,"zone":"a","weight":1}`, nil},
 		{`[1,2]`, nil},
 		{`"done"`, nil},
 	} {
-		got, bad, end := read(t, tc.line+"\n"+stream)
+		got, bad, end := readLines(t, tc.line+"\n"+stream)
 		var line *LineError
 		if len(bad) != 1 || !errors.As(bad[0], &line) || line.Fault != Invalid || tc.want != nil && !errors.Is(bad[0], tc.want) {
 			t.Errorf("%.80q: errors %v, want one that is %v", tc.line, bad, tc.want)
 		}
-		if !reflect.DeepEqual(got, spoken) || end != nil {
+		if !reflect.DeepEqual(got, streamMessages) || end != nil {
 			t.Errorf("%.80q: what came after it was read as %+v, %v", tc.line, got, end)
 		}
 	}
-	if got, _, _ := read(t, usage(`"tries":1,"failed":2,"span_ms":1000`)+"\n"); len(got) != 1 {
+	if got, _, _ := readLines(t, usage(`"tries":1,"failed":2,"span_ms":1000`)+"\n"); len(got) != 1 {
 		t.Error("a usage report with failures of an earlier span is not taken")
 	}
 	none := report(`"tries":3,"failed":3,"span_ms":1000`) + "\n" // no answer has no mean
-	if got, _, _ := read(t, none); len(got) != 1 || got[0].(ServerReport).Latency != 0 {
+	if got, _, _ := readLines(t, none); len(got) != 1 || got[0].(ServerReport).Latency != 0 {
 		t.Errorf("a report without an answer was read as %+v", got)
 	}
 }
@@ -137,24 +137,24 @@
 			if len(text) > 9 && len(pieces) > 2 {
 				continue
 			}
-			got, bad, end := read(t, pieces...)
+			got, bad, end := readLines(t, pieces...)
 			var line *LineError
 			if !errors.As(end, &line) || line.Fault != Unreadable || len(bad) > 0 {
 				t.Errorf("%.40q: ended by %v, %v skipped", text, end, bad)
 			}
-			if !reflect.DeepEqual(got, spoken) {
+			if !reflect.DeepEqual(got, streamMessages) {
 				t.Errorf("%.40q: what came before it was read as %+v", text, got)
 			}
 		}
 	}
 	whole := `{"t":"hb","pad":"` + strings.Repeat("z", MaxLineBytes-20) + `"}` + "\n"
-	if got, _, end := read(t, whole); len(whole) != MaxLineBytes || len(got) != 1 || end != nil {
+	if got, _, end := readLines(t, whole); len(whole) != MaxLineBytes || len(got) != 1 || end != nil {
 		t.Errorf("a line of %d bytes: %+v, %v", len(whole), got, end)
 	}
 }
 
-// TestRefused checks that an error of Bad or Take ends the connection and is handed on.
-func TestRefused(t *testing.T) {
+// TestHandlerErrors checks that an error of Bad or Take ends the connection and is handed on.
+func TestHandlerErrors(t *testing.T) {
 	told := errors.New("told to")
 	for _, text := range []string{"{}\n", "{\"t\":\"hb\"}\n"} {
 		in := ring.New(16, 1<<10, nil)
@@ -175,20 +175,20 @@
 		if len(text) > MaxLineBytes {
 			return
 		}
-		whole, badWhole, endWhole := read(t, string(text))
+		whole, badWhole, endWhole := readLines(t, string(text))
 		at = max(0, min(at, len(text)))
-		split, badSplit, endSplit := read(t, string(text[:at]), string(text[at:]))
+		split, badSplit, endSplit := readLines(t, string(text[:at]), string(text[at:]))
 		if !reflect.DeepEqual(whole, split) || len(badWhole) != len(badSplit) || (endWhole == nil) != (endSplit == nil) {
 			t.Fatalf("whole %+v (%d bad, %v), split at %d %+v (%d bad, %v)", whole, len(badWhole), endWhole, at, split, len(badSplit), endSplit)
 		}
 		for _, m := range whole {
 			switch m := m.(type) {
 			case ServerReport:
-				if m.Failed > m.Attempts || m.Period <= 0 || m.Attempts > m.Failed && (m.Latency <= 0 || m.Latency > within.MaxLatency) {
+				if m.Failed > m.Attempts || m.Period <= 0 || m.Attempts > m.Failed && (m.Latency <= 0 || m.Latency > testBounds.MaxLatency) {
 					t.Fatalf("taken: %+v", m)
 				}
 			case UsageReport:
-				if m.Period <= 0 || m.Proxy >= within.Proxies {
+				if m.Period <= 0 || m.Proxy >= testBounds.Proxies {
 					t.Fatalf("taken: %+v", m)
 				}
 			}
--- a/internal/planner/protocol/list.go
+++ b/internal/planner/protocol/list.go
@@ -55,32 +55,32 @@
 	return nil
 }
 
-var errListLong = errors.New("list over 8 MiB")
+var errListTooLong = errors.New("list over 8 MiB")
 
 // DecodeList reads one list and counts the entries that are odd. An entry without an id is left out. Of others
 // what can't be is replaced by what harms least: a size by 1, a cell or a start by 0, and a phase that is not known
 // by draining, since such a server has not said that it wants work. Leaving them out would call them removed.
-func DecodeList(text []byte) (list List, odd int, err error) {
+func DecodeList(text []byte) (list List, invalid int, err error) {
 	if err := json.Unmarshal(text, &list); err != nil {
 		return List{}, 0, fmt.Errorf("list: %w", err)
 	}
 	kept := list.Members[:0]
 	for _, m := range list.Members {
 		if m.ID == "" {
-			odd++
+			invalid++
 			continue
 		}
-		if m.mend() {
-			odd++
+		if m.sanitize() {
+			invalid++
 		}
 		kept = append(kept, m)
 	}
 	list.Members = kept
-	return list, odd, nil
+	return list, invalid, nil
 }
 
-// mend replaces what can't be and says whether there was any of it.
-func (m *Member) mend() bool {
+// sanitize replaces what can't be and says whether there was any of it.
+func (m *Member) sanitize() bool {
 	before := *m
 	if m.Weight < 0 || m.Weight > MaxValue {
 		m.Weight = 1
@@ -103,27 +103,27 @@
 }
 
 // FetchRequest returns the request for the whole list and the machine of its answer, whose text goes to take.
-func FetchRequest(host string, take func(text []byte) error) ([]byte, *HTTPExchange) {
+func FetchRequest(host string, handle func(text []byte) error) ([]byte, *HTTPExchange) {
 	var text []byte
 	x := &HTTPExchange{HandleHead: onlyOK, MaxBodyBytes: MaxListBytes}
 	x.HandleBody = func(p []byte) error {
 		text = append(text, p...)
 		return nil
 	}
-	x.whole = func() error { return take(text) }
+	x.onComplete = func() error { return handle(text) }
 	return Request(host, "/v1/endpoints"), x
 }
 
 // WatchRequest returns the request for the changes after a revision and the machine of its answer, which goes on as
 // long as the connection. Begun is called once the call is answered, take is given each object's text.
-func WatchRequest(host string, from int64, begun func(), take func(text []byte) error) ([]byte, *HTTPExchange) {
+func WatchRequest(host string, from int64, started func(), handle func(text []byte) error) ([]byte, *HTTPExchange) {
 	var text []byte // of a line whose end has not come
 	x := &HTTPExchange{}
 	x.HandleHead = func(r *http.Response) error {
 		if err := onlyOK(r); err != nil {
 			return err
 		}
-		begun()
+		started()
 		return nil
 	}
 	x.HandleBody = func(p []byte) error {
@@ -131,7 +131,7 @@
 			end := bytes.IndexByte(p, '\n')
 			if end < 0 {
 				if text = append(text, p...); len(text) > MaxListBytes {
-					return errListLong
+					return errListTooLong
 				}
 				return nil
 			}
@@ -140,7 +140,7 @@
 			if len(whole) == 0 {
 				continue // nothing has changed
 			}
-			if err := take(whole); err != nil {
+			if err := handle(whole); err != nil {
 				return err
 			}
 		}
--- a/internal/planner/protocol/messages.go
+++ b/internal/planner/protocol/messages.go
@@ -77,19 +77,19 @@
 const MaxRate = 100e3
 
 var (
-	errTooLong    = errors.New("over 1 MiB")
-	errNotJSON    = errors.New("no JSON line")
-	errNegative   = errors.New("a figure is below 0")
-	errHuge       = errors.New("a figure is over 1e12")
-	errMissing    = errors.New("a field is missing")
-	errKind       = errors.New("unknown kind")
-	errProxy      = errors.New("no such proxy")
-	errMoreFailed = errors.New("more failed than tried")
-	errSpan       = errors.New("covers a time that can't be")
-	errMark       = errors.New("a mark that none of ours can be")
-	errRate       = errors.New("more requests than there can be")
-	errMean       = errors.New("a mean that no answer can have")
-	errLoad       = errors.New("a load report outside its units")
+	errLineTooLong   = errors.New("over 1 MiB")
+	errNotJSON       = errors.New("no JSON line")
+	errNegative      = errors.New("a figure is below 0")
+	errValueTooLarge = errors.New("a figure is over 1e12")
+	errMissing       = errors.New("a field is missing")
+	errUnknownKind   = errors.New("unknown kind")
+	errUnknownProxy  = errors.New("no such proxy")
+	errMoreFailed    = errors.New("more failed than tried")
+	errPeriod        = errors.New("covers a time that can't be")
+	errToken         = errors.New("a mark that none of ours can be")
+	errRate          = errors.New("more requests than there can be")
+	errLatency       = errors.New("a mean that no answer can have")
+	errLoad          = errors.New("a load report outside its units")
 )
 
 // heartbeatReply is the answer to a Heartbeat.
@@ -100,20 +100,20 @@
 
 // line has the fields of all messages. Pointers tell what was left out: a figure that is absent is no 0.
 type line struct {
-	Kind   string              `json:"t"`
-	Zone   *string             `json:"zone"`
-	Server *string             `json:"server"`
-	Class  *string             `json:"class"`
-	Proxy  *int                `json:"proxy"`
-	Mark   *int64              `json:"mark"`
-	Fresh  bool                `json:"fresh"` // nothing is decided by it
-	Weight *float64            `json:"weight"`
-	Took   *float64            `json:"took_ms"`
-	Tries  *float64            `json:"tries"`
-	Failed *float64            `json:"failed"`
-	Mean   *float64            `json:"mean_ms"`
-	Span   *float64            `json:"span_ms"`
-	Load   map[string]*float64 `json:"load"`
+	Kind     string              `json:"t"`
+	Zone     *string             `json:"zone"`
+	Server   *string             `json:"server"`
+	Class    *string             `json:"class"`
+	Proxy    *int                `json:"proxy"`
+	Token    *int64              `json:"mark"`
+	Fresh    bool                `json:"fresh"` // nothing is decided by it
+	Weight   *float64            `json:"weight"`
+	Elapsed  *float64            `json:"took_ms"`
+	Attempts *float64            `json:"tries"`
+	Failed   *float64            `json:"failed"`
+	Latency  *float64            `json:"mean_ms"`
+	Period   *float64            `json:"span_ms"`
+	Load     map[string]*float64 `json:"load"`
 
 	Versions bool   `json:"versions"`
 	Whole    bool   `json:"whole"`
@@ -129,28 +129,28 @@
 
 // What stands in a field that a line leaves out. A line that writes one of these leaves it out.
 const (
-	noFigure = -1e300
-	noNumber = math.MinInt64
-	noText   = "\x00"
+	absentFloat = -1e300
+	absentInt   = math.MinInt64
+	absentText  = "\x00"
 )
 
 // decoder reads lines with no memory for each field of each. It holds what the fields of a line point to.
 type decoder struct {
 	texts   [3]string
 	proxy   int
-	mark    int64
-	figures [6]float64
+	token   int64
+	numbers [6]float64
 	line    line
 }
 
 func (d *decoder) decode(text []byte, within Bounds) (Message, error) {
-	d.texts, d.proxy, d.mark = [3]string{noText, noText, noText}, noNumber, noNumber
-	for i := range d.figures {
-		d.figures[i] = noFigure
+	d.texts, d.proxy, d.token = [3]string{absentText, absentText, absentText}, absentInt, absentInt
+	for i := range d.numbers {
+		d.numbers[i] = absentFloat
 	}
 	l := &d.line
-	*l = line{Zone: &d.texts[0], Server: &d.texts[1], Class: &d.texts[2], Proxy: &d.proxy, Mark: &d.mark, Weight: &d.figures[0],
-		Took: &d.figures[1], Tries: &d.figures[2], Failed: &d.figures[3], Mean: &d.figures[4], Span: &d.figures[5]}
+	*l = line{Zone: &d.texts[0], Server: &d.texts[1], Class: &d.texts[2], Proxy: &d.proxy, Token: &d.token, Weight: &d.numbers[0],
+		Elapsed: &d.numbers[1], Attempts: &d.numbers[2], Failed: &d.numbers[3], Latency: &d.numbers[4], Period: &d.numbers[5]}
 	if err := json.Unmarshal(text, l); err != nil {
 		var syntax *json.SyntaxError
 		if errors.As(err, &syntax) {
@@ -158,13 +158,13 @@
 		}
 		return nil, &LineError{Kind: l.Kind, Err: err}
 	}
-	absent(&l.Zone, noText)
-	absent(&l.Server, noText)
-	absent(&l.Class, noText)
-	absent(&l.Proxy, noNumber)
-	absent(&l.Mark, noNumber)
-	for _, figure := range []**float64{&l.Weight, &l.Took, &l.Tries, &l.Failed, &l.Mean, &l.Span} {
-		absent(figure, noFigure)
+	clearAbsent(&l.Zone, absentText)
+	clearAbsent(&l.Server, absentText)
+	clearAbsent(&l.Class, absentText)
+	clearAbsent(&l.Proxy, absentInt)
+	clearAbsent(&l.Token, absentInt)
+	for _, figure := range []**float64{&l.Weight, &l.Elapsed, &l.Attempts, &l.Failed, &l.Latency, &l.Period} {
+		clearAbsent(figure, absentFloat)
 	}
 	m, err := l.message(within)
 	if err != nil {
@@ -173,9 +173,9 @@
 	return m, nil
 }
 
-// absent makes a field that the line left out point to nothing.
-func absent[T comparable](field **T, mark T) {
-	if *field != nil && **field == mark {
+// clearAbsent makes a field that the line left out point to nothing.
+func clearAbsent[T comparable](field **T, absent T) {
+	if *field != nil && **field == absent {
 		*field = nil
 	}
 }
@@ -207,22 +207,22 @@
 	case "client_stats":
 		return l.usageReport(within)
 	}
-	return nil, fmt.Errorf("%w %.40q", errKind, l.Kind)
+	return nil, fmt.Errorf("%w %.40q", errUnknownKind, l.Kind)
 }
 
 // checkNumbers checks the numbers that any kind of line may have. JSON has no way to write one that is not finite.
 func (l *line) checkNumbers(within Bounds) error {
-	for _, figure := range []*float64{l.Weight, l.Took, l.Tries, l.Failed, l.Mean, l.Span} {
+	for _, figure := range []*float64{l.Weight, l.Elapsed, l.Attempts, l.Failed, l.Latency, l.Period} {
 		switch {
 		case figure == nil:
 		case *figure < 0:
 			return errNegative
 		case *figure > MaxValue:
-			return errHuge
+			return errValueTooLarge
 		}
 	}
 	if l.Proxy != nil && (*l.Proxy < 0 || within.Proxies > 0 && *l.Proxy >= within.Proxies) {
-		return errProxy
+		return errUnknownProxy
 	}
 	return nil
 }
@@ -240,34 +240,34 @@
 
 // done reads the answer to a mark.
 func (l *line) done() (Message, error) {
-	if l.Proxy == nil || l.Mark == nil || l.Took == nil {
+	if l.Proxy == nil || l.Token == nil || l.Elapsed == nil {
 		return nil, errMissing
 	}
-	if *l.Mark < 0 || *l.Mark > math.MaxUint32 {
-		return nil, errMark
+	if *l.Token < 0 || *l.Token > math.MaxUint32 {
+		return nil, errToken
 	}
-	return Ack{Proxy: *l.Proxy, Token: uint32(*l.Mark), Elapsed: *l.Took}, nil
+	return Ack{Proxy: *l.Proxy, Token: uint32(*l.Token), Elapsed: *l.Elapsed}, nil
 }
 
 // usageReport reads what came to a proxy of a class.
 func (l *line) usageReport(within Bounds) (Message, error) {
-	if l.Proxy == nil || l.Class == nil || l.Tries == nil || l.Failed == nil || l.Span == nil {
+	if l.Proxy == nil || l.Class == nil || l.Attempts == nil || l.Failed == nil || l.Period == nil {
 		return nil, errMissing
 	}
-	m := UsageReport{Proxy: *l.Proxy, Class: *l.Class, Requests: *l.Tries, Unanswered: *l.Failed, Period: *l.Span}
+	m := UsageReport{Proxy: *l.Proxy, Class: *l.Class, Requests: *l.Attempts, Unanswered: *l.Failed, Period: *l.Period}
 	return m, m.Check(within)
 }
 
-// counts checks what both kinds of report have.
-func counts(tries, failed, span float64, within Bounds) error {
+// checkCounts checks what both kinds of report have.
+func checkCounts(attempts, failed, period float64, within Bounds) error {
 	switch {
-	case !(tries >= 0 && failed >= 0 && span >= 0):
+	case !(attempts >= 0 && failed >= 0 && period >= 0):
 		return errNegative
-	case max(tries, failed, span) > MaxValue:
-		return errHuge
-	case span == 0 || within.MaxPeriod > 0 && span > within.MaxPeriod:
-		return errSpan
-	case max(tries, failed) > MaxRate*max(1, span/1000):
+	case max(attempts, failed, period) > MaxValue:
+		return errValueTooLarge
+	case period == 0 || within.MaxPeriod > 0 && period > within.MaxPeriod:
+		return errPeriod
+	case max(attempts, failed) > MaxRate*max(1, period/1000):
 		return errRate
 	}
 	return nil
@@ -276,13 +276,13 @@
 // Check says whether a report can be true. It may count more requests as not served than came in: they came before its
 // span.
 func (m UsageReport) Check(within Bounds) error {
-	return counts(m.Requests, m.Unanswered, m.Period, within)
+	return checkCounts(m.Requests, m.Unanswered, m.Period, within)
 }
 
 // Check says whether a report can be true. It guards against a server that looks like the fastest of all, or the slowest,
 // by a spoilt report: a mean is needed where there were answers, and no answer takes no time or longer than anybody waits.
 func (m ServerReport) Check(within Bounds) error {
-	if err := counts(m.Attempts, m.Failed, m.Period, within); err != nil {
+	if err := checkCounts(m.Attempts, m.Failed, m.Period, within); err != nil {
 		return err
 	}
 	if m.Failed > m.Attempts {
@@ -290,7 +290,7 @@
 	}
 	if m.Attempts > m.Failed && (!(m.Latency > 0) || m.Latency > MaxValue ||
 		within.MaxLatency > 0 && m.Latency > within.MaxLatency) {
-		return errMean
+		return errLatency
 	}
 	for _, value := range m.Load {
 		if !(value >= 0 && value <= MaxValue) {
@@ -302,15 +302,15 @@
 
 // serverReport reads what a zone's proxies met at a server.
 func (l *line) serverReport(within Bounds) (Message, error) {
-	if l.Zone == nil || l.Server == nil || l.Tries == nil || l.Failed == nil || l.Span == nil {
+	if l.Zone == nil || l.Server == nil || l.Attempts == nil || l.Failed == nil || l.Period == nil {
 		return nil, errMissing
 	}
-	r := ServerReport{Zone: *l.Zone, Server: *l.Server, Attempts: *l.Tries, Failed: *l.Failed, Period: *l.Span}
+	r := ServerReport{Zone: *l.Zone, Server: *l.Server, Attempts: *l.Attempts, Failed: *l.Failed, Period: *l.Period}
 	if r.Attempts > r.Failed {
-		if l.Mean == nil {
+		if l.Latency == nil {
 			return nil, errMissing
 		}
-		r.Latency = *l.Mean
+		r.Latency = *l.Latency
 	}
 	for name, value := range l.Load {
 		if value == nil {
--- a/internal/planner/protocol/orders.go
+++ b/internal/planner/protocol/orders.go
@@ -75,8 +75,8 @@
 }
 
 const (
-	maxParts = 64       // of one message
-	partSize = 64 << 10 // from this size on a part is closed; a part stays far under 1 MiB
+	maxParts    = 64       // of one message
+	maxPartFill = 64 << 10 // from this size on a part is closed; a part stays far under 1 MiB
 )
 
 // ErrTooLarge says that a message doesn't fit into the parts that a proxy takes.
@@ -106,7 +106,7 @@
 		e.quote(s)
 	}
 	for _, g := range o.Gates { // one a part: a part has one level
-		e.part()
+		e.closePart()
 		for _, name := range g.Classes {
 			e.item("for")
 			e.quote(name)
@@ -133,31 +133,31 @@
 
 // encoder writes the parts of one message.
 type encoder struct {
-	out   []byte
-	begun int    // where the present part begins
-	parts int    // begun so far
-	list  string // the list that is open
+	out       []byte
+	partStart int    // where the present part begins
+	parts     int    // begun so far
+	openList  string // the list that is open
 }
 
-// part closes the present part, if it holds anything, so that what follows stands in one of its own.
-func (e *encoder) part() {
-	if e.parts > 0 && len(e.out) > e.begun {
+// closePart closes the present part, if it holds anything, so that what follows stands in one of its own.
+func (e *encoder) closePart() {
+	if e.parts > 0 && len(e.out) > e.partStart {
 		e.endList()
 		e.out = append(e.out, `,"part":true}`+"\n"...)
-		e.begun = len(e.out)
+		e.partStart = len(e.out)
 	}
 }
 
 func (e *encoder) endList() {
-	if e.list != "" {
-		e.out, e.list = append(e.out, ']'), ""
+	if e.openList != "" {
+		e.out, e.openList = append(e.out, ']'), ""
 	}
 }
 
 func (e *encoder) field(name string) {
 	e.endList()
-	if e.parts == 0 || len(e.out) == e.begun {
-		e.begun = len(e.out)
+	if e.parts == 0 || len(e.out) == e.partStart {
+		e.partStart = len(e.out)
 		e.parts++
 		e.out = append(e.out, `{"t":"assign"`...)
 	}
@@ -166,15 +166,15 @@
 
 // item goes to the next place in a list, which it begins where needed.
 func (e *encoder) item(list string) {
-	if e.list == list && len(e.out)-e.begun < partSize {
+	if e.openList == list && len(e.out)-e.partStart < maxPartFill {
 		e.out = append(e.out, ',')
 		return
 	}
-	if len(e.out)-e.begun >= partSize {
-		e.part()
+	if len(e.out)-e.partStart >= maxPartFill {
+		e.closePart()
 	}
 	e.field(list)
-	e.out, e.list = append(e.out, '['), list
+	e.out, e.openList = append(e.out, '['), list
 }
 
 func (e *encoder) quote(s string) {
--- a/internal/planner/protocol/orders_test.go
+++ b/internal/planner/protocol/orders_test.go
@@ -24,8 +24,8 @@
 	Part    bool     `json:"part"`
 }
 
-// parts reads what an encoder wrote and checks that each part but the last says that another follows.
-func parts(t testing.TB, text []byte) []part {
+// decodeParts reads what an encoder wrote and checks that each part but the last says that another follows.
+func decodeParts(t testing.TB, text []byte) []part {
 	t.Helper()
 	lines := strings.SplitAfter(string(text), "\n")
 	if last := lines[len(lines)-1]; last != "" {
@@ -46,11 +46,11 @@
 	return list
 }
 
-func stamp(n uint32) *uint32 { return &n }
+func token(n uint32) *uint32 { return &n }
 
-func TestOrders(t *testing.T) {
+func TestAssignment(t *testing.T) {
 	o := Assignment{Replace: true, Rows: []Row{{Server: "s-1", Weight: 1.5}, {Server: `s-"2`, Weight: 0.25}}, Exclude: []string{"s-3"}, Include: []string{"s-4"},
-		Gates: []Gate{{[]string{"lookup"}, 0.5, 1}, {[]string{"order", "pay"}, 1, 0}}, Token: stamp(905)}
+		Gates: []Gate{{[]string{"lookup"}, 0.5, 1}, {[]string{"order", "pay"}, 1, 0}}, Token: token(905)}
 	text, err := o.Append([]byte("before\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 		want   string
 	}{
 		"nothing":         {Assignment{}, ""},
-		"a mark":          {Assignment{Token: stamp(0)}, `{"t":"assign","stamp":0}` + "\n"},
+		"a mark":          {Assignment{Token: token(0)}, `{"t":"assign","stamp":0}` + "\n"},
 		"an empty table":  {Assignment{Replace: true}, `{"t":"assign","replace":true}` + "\n"},
 		"a level":         {Assignment{Gates: []Gate{{[]string{"a"}, 0, 3}}}, `{"t":"assign","for":["a"],"gate":0,"again":3}` + "\n"},
 		"a line removed":  {Assignment{Rows: []Row{{Server: "s"}}}, `{"t":"assign","rows":[["s",0]]}` + "\n"},
@@ -85,7 +85,7 @@
 
 // TestManyParts guards against messages over 1 MiB: large ones are split, and only the first part replaces.
 func TestManyParts(t *testing.T) {
-	o := Assignment{Replace: true, Gates: []Gate{{[]string{"a"}, 1, 1}}, Token: stamp(7)}
+	o := Assignment{Replace: true, Gates: []Gate{{[]string{"a"}, 1, 1}}, Token: token(7)}
 	for i := range 30000 {
 		o.Rows = append(o.Rows, Row{Server: fmt.Sprintf("server-%08d", i), Weight: float64(i) + 0.5})
 	}
@@ -93,7 +93,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list, rows := parts(t, text), []Row{}
+	list, rows := decodeParts(t, text), []Row{}
 	for i, p := range list {
 		if p.Replace != (i == 0) || (p.Stamp != nil) != (i == len(list)-1) {
 			t.Errorf("part %d: replace %t, stamp %v", i, p.Replace, p.Stamp)
@@ -113,12 +113,12 @@
 	}
 }
 
-// TestFigures guards against figures that a proxy would read as another, or as none.
-func TestFigures(t *testing.T) {
+// TestNumbers guards against figures that a proxy would read as another, or as none.
+func TestNumbers(t *testing.T) {
 	for _, x := range []float64{0, 1e-9, 0.1, 1.0 / 3, 1, 1e6, 123456.789} {
 		o := Assignment{Rows: []Row{{Server: "s", Weight: x}}}
 		text, _ := o.Append(nil)
-		if got := parts(t, text)[0].Rows[0][1].(float64); float32(got) != float32(x) || math.IsNaN(got) {
+		if got := decodeParts(t, text)[0].Rows[0][1].(float64); float32(got) != float32(x) || math.IsNaN(got) {
 			t.Errorf("%v read as %v", x, got)
 		}
 	}
--- a/internal/planner/protocol/probe.go
+++ b/internal/planner/protocol/probe.go
@@ -14,7 +14,7 @@
 }
 
 // ProbeRequest returns the request of a probe and the machine of its answer, which goes to answer.
-func ProbeRequest(host string, load bool, answer *ProbeResponse) ([]byte, *HTTPExchange) {
+func ProbeRequest(host string, load bool, response *ProbeResponse) ([]byte, *HTTPExchange) {
 	path := "/health"
 	if load {
 		path = "/status/load"
@@ -22,15 +22,15 @@
 	var text []byte
 	x := &HTTPExchange{MaxBodyBytes: MaxHeadBytes}
 	x.HandleHead = func(r *http.Response) error {
-		answer.Status = r.StatusCode
+		response.Status = r.StatusCode
 		return nil
 	}
 	x.HandleBody = func(p []byte) error {
 		text = append(text, p...)
 		return nil
 	}
-	x.whole = func() error {
-		answer.Load = decodeLoad(string(text))
+	x.onComplete = func() error {
+		response.Load = decodeLoad(string(text))
 		return nil
 	}
 	return Request(host, path), x
--- a/internal/planner/routing/bench_test.go
+++ b/internal/planner/routing/bench_test.go
@@ -10,19 +10,19 @@
 	"mulleinwood/rules"
 )
 
-// sink is a peer that takes everything.
-type sink struct{ id uint64 }
+// discardPeer is a peer that takes everything.
+type discardPeer struct{ id uint64 }
 
-func (s sink) ID() uint64                         { return s.id }
-func (s sink) Assign(o protocol.Assignment) error { _, err := o.Append(nil); return err }
-func (s sink) AnswerHeartbeat() error             { return nil }
-func (s sink) DeferHeartbeat()                    {}
-func (s sink) Close(error)                        {}
+func (s discardPeer) ID() uint64                         { return s.id }
+func (s discardPeer) Assign(o protocol.Assignment) error { _, err := o.Append(nil); return err }
+func (s discardPeer) AnswerHeartbeat() error             { return nil }
+func (s discardPeer) DeferHeartbeat()                    {}
+func (s discardPeer) Close(error)                        {}
 
 // BenchmarkWholeTables is the dearest step of a grown deployment: 600 proxies get tables of 30 servers at once.
 func BenchmarkWholeTables(b *testing.B) {
 	const proxies, servers, lines = 600, 500, 30
-	set, module, calls := facts(), &script{}, &book{}
+	set, module, calls := testSettings(), &scriptedModule{}, &callLog{}
 	set.Rules.Proxies = proxies
 	known := protocol.List{}
 	for i := range servers {
@@ -31,7 +31,7 @@
 	r := New(set, module, calls, known, zerolog.Nop())
 	var orders []rules.Action
 	for p := range proxies {
-		r.Handle(MessageReceived{Peer: sink{uint64(p + 1)}, Message: attach(p)})
+		r.Handle(MessageReceived{Peer: discardPeer{uint64(p + 1)}, Message: attach(p)})
 		for i := range lines {
 			orders = append(orders, rules.SetWeight{Table: rules.TableID(p), Server: rules.ServerID((p + i) % servers), Weight: 1})
 		}
@@ -39,7 +39,7 @@
 	}
 	orders = append(orders, rules.Mark{Token: 1})
 	for b.Loop() {
-		module.orders = orders
+		module.actions = orders
 		r.pending = append(r.pending, rules.Tick{})
 		if _, _, err := r.Advance(1); err != nil {
 			b.Fatal(err)
--- a/internal/planner/routing/fed.go
+++ b/internal/planner/routing/fed.go
@@ -8,15 +8,15 @@
 	"mulleinwood/rules"
 )
 
-// fed is what a router keeps that is one of several of a planner: a host follows discovery for all of them and must know
+// hostedState is what a router keeps that is one of several of a planner: a host follows discovery for all of them and must know
 // how far each has come.
-type fed struct {
-	on          bool
-	told        uint64 // the newest epoch of the list that was told
-	seen, done  uint64 // see Progress
-	dealt, deal uint64 // the shares of the channel that were told and that the module works with
-	looks       uint64
-	leaving     map[rules.ServerID]bool // servers that may not stay in tables, and may be in one
+type hostedState struct {
+	enabled                  bool
+	receivedEpoch            uint64 // the newest epoch of the list that was told
+	seenEpoch, appliedEpoch  uint64 // see Progress
+	receivedShare, usedShare uint64 // the shares of the channel that were told and that the module works with
+	rounds                   uint64
+	leaving                  map[rules.ServerID]bool // servers that may not stay in tables, and may be in one
 }
 
 // Progress is how far a router that is fed has come.
@@ -34,73 +34,73 @@
 	set.Rules.QueryDiscovery = false // the module need not ask
 	r := New(set, module, calls, known, log)
 	r.timers = nil // nor the router
-	r.fed = fed{on: true, told: epoch, leaving: map[rules.ServerID]bool{}}
+	r.hosted = hostedState{enabled: true, receivedEpoch: epoch, leaving: map[rules.ServerID]bool{}}
 	return r
 }
 
 // Progress is how far the router has come. Tables are looked through for it, so it is for once a look.
 func (r *Router) Progress() Progress {
-	return Progress{Rounds: r.fed.looks, SeenEpoch: r.fed.seen, AppliedEpoch: r.fed.done, ShareNumber: r.fed.deal}
+	return Progress{Rounds: r.hosted.rounds, SeenEpoch: r.hosted.seenEpoch, AppliedEpoch: r.hosted.appliedEpoch, ShareNumber: r.hosted.usedShare}
 }
 
-func (r *Router) told(e ListUpdated) {
-	r.take(e.List)
-	r.fed.told = e.Epoch
+func (r *Router) handleListUpdated(e ListUpdated) {
+	r.addDiscoveryList(e.List)
+	r.hosted.receivedEpoch = e.Epoch
 	for _, m := range e.List.Members {
 		id, known := r.names.ids[m.ID]
-		delete(r.fed.leaving, id)
+		delete(r.hosted.leaving, id)
 		if known && (m.Phase == protocol.PhaseDraining || m.Phase != protocol.PhaseUp && !r.set.Rules.DrainOnly) {
-			r.fed.leaving[id] = true
+			r.hosted.leaving[id] = true
 		}
 	}
 	if e.List.Complete && !r.set.Rules.DrainOnly {
-		for id := range r.names.gone {
-			r.fed.leaving[id] = true
+		for id := range r.names.unlisted {
+			r.hosted.leaving[id] = true
 		}
 	}
 }
 
-// handed takes in a proxy whose stream another router had. It may hold that one's table and what that one shut out.
-func (r *Router) handed(e ProxyHandedOver) {
+// handleHandover takes in a proxy whose stream another router had. It may hold that one's table and what that one shut out.
+func (r *Router) handleHandover(e ProxyHandedOver) {
 	r.attach(e.Peer, e.Attach)
 	s := r.streams[e.Peer.ID()]
 	if s == nil {
 		return
 	}
-	delete(r.tables.shut, s.proxy) // of an earlier stay here
+	delete(r.tables.excluded, s.proxy) // of an earlier stay here
 	for _, name := range e.Excluded {
-		if r.tables.shut[s.proxy] == nil {
-			r.tables.shut[s.proxy] = map[rules.ServerID]bool{}
+		if r.tables.excluded[s.proxy] == nil {
+			r.tables.excluded[s.proxy] = map[rules.ServerID]bool{}
 		}
 		id, known := r.names.ids[name]
 		if !known { // not listed now; its number is given back once the proxy was told to let it in
-			id = r.names.server(name)
-			r.names.gone[id] = true
+			id = r.names.serverID(name)
+			r.names.unlisted[id] = true
 		}
-		r.tables.shut[s.proxy][id] = true
+		r.tables.excluded[s.proxy][id] = true
 	}
 }
 
-// look notes that the module was asked, ordered something and has thus looked at all that it was told: a look orders at least
+// noteRound notes that the module was asked, ordered something and has thus looked at all that it was told: a look orders at least
 // the next one.
-func (f *fed) look() {
-	f.looks++
-	f.seen, f.deal = f.told, f.dealt
+func (f *hostedState) noteRound() {
+	f.rounds++
+	f.seenEpoch, f.usedShare = f.receivedEpoch, f.receivedShare
 }
 
-// confirm notes which changes of the list no table in use contradicts any more. Orders that take a server out have been
+// updateAppliedEpoch notes which changes of the list no table in use contradicts any more. Orders that take a server out have been
 // given to the proxy's stream once its mirror lacks the server.
-func (r *Router) confirm() {
-	if !r.fed.on || r.fed.done == r.fed.seen {
+func (r *Router) updateAppliedEpoch() {
+	if !r.hosted.enabled || r.hosted.appliedEpoch == r.hosted.seenEpoch {
 		return
 	}
-	for id := range r.fed.leaving {
+	for id := range r.hosted.leaving {
 		if r.tables.inUse(id) {
 			return
 		}
-		delete(r.fed.leaving, id)
+		delete(r.hosted.leaving, id)
 	}
-	r.fed.done = r.fed.seen
+	r.hosted.appliedEpoch = r.hosted.seenEpoch
 }
 
 // inUse says whether the table of a joined proxy holds a server.
@@ -109,7 +109,7 @@
 		if !s.bound {
 			continue
 		}
-		if _, holds := t.of[s.table].weights[id]; holds {
+		if _, holds := t.byID[s.table].weights[id]; holds {
 			return true
 		}
 	}
--- a/internal/planner/routing/follower.go
+++ b/internal/planner/routing/follower.go
@@ -3,14 +3,14 @@
 // Follower follows discovery by its calls: one watch, and a fetch where that is needed. It knows which answers count, and
 // leaves open when to ask again.
 type Follower struct {
-	calls    Calls
-	revision int64
-	lastCall uint64
-	watch    uint64 // the call that watches; 0: none
-	begun    bool   // it has been answered
-	heard    bool   // it has told of something
-	older    uint64 // the watch at discovery's former address, while the new one is not answered; 0: none
-	fetch    uint64
+	calls          Calls
+	revision       int64
+	lastCall       uint64
+	watch          uint64 // the call that watches; 0: none
+	watchStarted   bool   // it has been answered
+	watchDelivered bool   // it has told of something
+	previousWatch  uint64 // the watch at discovery's former address, while the new one is not answered; 0: none
+	fetch          uint64
 }
 
 // NewFollower returns one that starts from a revision.
@@ -21,15 +21,15 @@
 // HandleList says whether an answer of discovery counts.
 func (f *Follower) HandleList(e ListReceived) bool {
 	switch e.Call {
-	case f.older:
+	case f.previousWatch:
 	case f.watch:
-		renumbered := !f.heard && e.List.Revision < f.revision
-		if f.heard = true; renumbered && !e.List.Complete && f.fetch == 0 {
+		renumbered := !f.watchDelivered && e.List.Revision < f.revision
+		if f.watchDelivered = true; renumbered && !e.List.Complete && f.fetch == 0 {
 			f.StartFetch() // another service than the one that the list held is from: its changes don't build on that
 		}
 	case f.fetch:
 		f.fetch = 0
-		if f.watch != 0 && f.heard && e.List.Revision < f.revision {
+		if f.watch != 0 && f.watchDelivered && e.List.Revision < f.revision {
 			return false // the watch is ahead of it
 		}
 	default:
@@ -40,13 +40,13 @@
 }
 
 // HandleFailure notes that a call has ended. It says whether that was a call which counted, and whether it was the watch.
-func (f *Follower) HandleFailure(e CallFailed) (counts, watched bool) {
+func (f *Follower) HandleFailure(e CallFailed) (current, wasWatch bool) {
 	switch e.Call {
 	case f.watch:
 		f.watch = 0
 		return true, true
-	case f.older:
-		f.older = 0
+	case f.previousWatch:
+		f.previousWatch = 0
 		return false, false // the one that comes in its place has been asked for
 	case f.fetch:
 		f.fetch = 0
@@ -61,10 +61,10 @@
 	if e.Call != f.watch {
 		return false
 	}
-	f.begun = true
-	if f.older != 0 {
-		f.calls.Cancel(f.older)
-		f.older = 0
+	f.watchStarted = true
+	if f.previousWatch != 0 {
+		f.calls.Cancel(f.previousWatch)
+		f.previousWatch = 0
 	}
 	return true
 }
@@ -74,11 +74,11 @@
 func (f *Follower) HandleMove(e DiscoveryMoved) {
 	f.calls.SetDiscovery(e.Discovery)
 	switch {
-	case f.watch != 0 && f.begun:
-		if f.older != 0 {
-			f.calls.Cancel(f.older)
+	case f.watch != 0 && f.watchStarted:
+		if f.previousWatch != 0 {
+			f.calls.Cancel(f.previousWatch)
 		}
-		f.older = f.watch
+		f.previousWatch = f.watch
 	case f.watch != 0:
 		f.calls.Cancel(f.watch)
 	}
@@ -101,7 +101,7 @@
 func (f *Follower) StartWatch() {
 	if f.watch == 0 {
 		f.lastCall++
-		f.watch, f.begun, f.heard = f.lastCall, false, false
+		f.watch, f.watchStarted, f.watchDelivered = f.lastCall, false, false
 		f.calls.Watch(f.watch, f.revision)
 	}
 }
--- a/internal/planner/routing/names.go
+++ b/internal/planner/routing/names.go
@@ -18,41 +18,41 @@
 // long as it is listed or anything refers to it; then the number is given back, and a later server may get it.
 type names struct {
 	zones, classes, kinds map[string]int
-	className             []string
+	classNames            []string
 	loadFields            []string
 	ids                   map[string]rules.ServerID
-	at                    map[string]rules.ServerID // by address
+	byAddress             map[string]rules.ServerID // by address
 	servers               []serverInfo              // by number
-	free                  []rules.ServerID          // numbers that were given back
-	gone                  map[rules.ServerID]bool   // not listed any more, and not yet given back
+	freeIDs               []rules.ServerID          // numbers that were given back
+	unlisted              map[rules.ServerID]bool   // not listed any more, and not yet given back
 }
 
 func newNames(set settings.Settings) *names {
-	n := &names{zones: index(set.ZoneNames), kinds: index(set.KindNames), loadFields: set.LoadFields,
-		ids: map[string]rules.ServerID{}, at: map[string]rules.ServerID{}, gone: map[rules.ServerID]bool{}}
+	n := &names{zones: indexByName(set.ZoneNames), kinds: indexByName(set.KindNames), loadFields: set.LoadFields,
+		ids: map[string]rules.ServerID{}, byAddress: map[string]rules.ServerID{}, unlisted: map[rules.ServerID]bool{}}
 	for _, c := range set.Rules.Classes {
-		n.className = append(n.className, c.Name)
+		n.classNames = append(n.classNames, c.Name)
 	}
-	n.classes = index(n.className)
+	n.classes = indexByName(n.classNames)
 	return n
 }
 
-func index(list []string) map[string]int {
-	at := map[string]int{}
+func indexByName(list []string) map[string]int {
+	indexes := map[string]int{}
 	for i, name := range list {
-		at[name] = i
+		indexes[name] = i
 	}
-	return at
+	return indexes
 }
 
-// server returns the number of a name, a new one for a name not met before.
-func (n *names) server(name string) rules.ServerID {
+// serverID returns the number of a name, a new one for a name not met before.
+func (n *names) serverID(name string) rules.ServerID {
 	id, known := n.ids[name]
 	if known {
 		return id
 	}
-	if last := len(n.free) - 1; last >= 0 {
-		id, n.free = n.free[last], n.free[:last]
+	if last := len(n.freeIDs) - 1; last >= 0 {
+		id, n.freeIDs = n.freeIDs[last], n.freeIDs[:last]
 	} else {
 		id = rules.ServerID(len(n.servers))
 		n.servers = append(n.servers, serverInfo{})
@@ -61,17 +61,17 @@
 	return id
 }
 
-// leaveAddress forgets where a server was, unless another is there by now.
-func (n *names) leaveAddress(id rules.ServerID) {
-	if address := n.servers[id].address; n.at[address] == id {
-		delete(n.at, address)
+// removeAddress forgets where a server was, unless another is there by now.
+func (n *names) removeAddress(id rules.ServerID) {
+	if address := n.servers[id].address; n.byAddress[address] == id {
+		delete(n.byAddress, address)
 	}
 }
 
-// reported is the server that a report is about: by its name, or by its address if it gives none.
-func (n *names) reported(m protocol.ServerReport) (id rules.ServerID, known bool) {
+// reportedServer is the server that a report is about: by its name, or by its address if it gives none.
+func (n *names) reportedServer(m protocol.ServerReport) (id rules.ServerID, known bool) {
 	if m.Server == "" {
-		id, known = n.at[m.Address]
+		id, known = n.byAddress[m.Address]
 	} else {
 		id, known = n.ids[m.Server]
 	}
@@ -84,36 +84,36 @@
 	return protocol.Row{Server: info.name, Weight: weight, Address: info.address, Zone: info.zone}
 }
 
-// giveBack ends a name. Its number may be given to another from now on.
-func (n *names) giveBack(id rules.ServerID) {
-	n.leaveAddress(id)
+// release ends a name. Its number may be given to another from now on.
+func (n *names) release(id rules.ServerID) {
+	n.removeAddress(id)
 	delete(n.ids, n.servers[id].name)
-	delete(n.gone, id)
+	delete(n.unlisted, id)
 	n.servers[id] = serverInfo{}
-	n.free = append(n.free, id)
+	n.freeIDs = append(n.freeIDs, id)
 }
 
-// left notes which servers a list has dropped: those it calls gone and, where it is whole, those it doesn't name.
-func (n *names) left(list rules.List) {
+// noteRemoved notes which servers a list has dropped: those it calls gone and, where it is whole, those it doesn't name.
+func (n *names) noteRemoved(list rules.List) {
 	if list.Kind != rules.ListChanges {
 		for _, id := range n.ids {
-			n.gone[id] = true
+			n.unlisted[id] = true
 		}
 	}
 	for _, s := range list.Servers {
-		if delete(n.gone, s.ID); s.State == rules.Removed {
-			n.gone[s.ID] = true
+		if delete(n.unlisted, s.ID); s.State == rules.Removed {
+			n.unlisted[s.ID] = true
 		}
 	}
 }
 
-// entry translates an entry of the list. A zone or kind that the settings don't name gets the number after the
+// serverEntry translates an entry of the list. A zone or kind that the settings don't name gets the number after the
 // last, which the module is free to fold.
-func (n *names) entry(m protocol.Member) rules.Server {
-	s := rules.Server{ID: n.server(m.ID), Weight: m.Weight, Cell: m.Cell, StartedAt: m.StartedAt}
+func (n *names) serverEntry(m protocol.Member) rules.Server {
+	s := rules.Server{ID: n.serverID(m.ID), Weight: m.Weight, Cell: m.Cell, StartedAt: m.StartedAt}
 	if info := &n.servers[s.ID]; m.Address != "" && m.Address != info.address {
-		n.leaveAddress(s.ID)
-		info.address, n.at[m.Address] = m.Address, s.ID
+		n.removeAddress(s.ID)
+		info.address, n.byAddress[m.Address] = m.Address, s.ID
 	}
 	n.servers[s.ID].zone = m.Zone
 	var known bool
@@ -134,8 +134,8 @@
 	return s
 }
 
-// load orders a load report as the settings name its fields; values that are missing are 0.
-func (n *names) load(report map[string]float64) []float64 {
+// loadValues orders a load report as the settings name its fields; values that are missing are 0.
+func (n *names) loadValues(report map[string]float64) []float64 {
 	if len(report) == 0 {
 		return nil
 	}
--- a/internal/planner/routing/recorded_test.go
+++ b/internal/planner/routing/recorded_test.go
@@ -16,21 +16,21 @@
 	"mulleinwood/rules"
 )
 
-// recordedOrders is the digest of what one core wrote on the scripted day below before planners could use several.
-const recordedOrders = "09d263b9c0c9bfd4249a70f65c0ac1c6c6eb04ba155198682cf8a0eab89b3bdb"
+// recordedDigest is the digest of what one core wrote on the scripted day below before planners could use several.
+const recordedDigest = "09d263b9c0c9bfd4249a70f65c0ac1c6c6eb04ba155198682cf8a0eab89b3bdb"
 
-// digester is a peer that folds what it is sent into a digest, and keeps the marks it owes an answer.
-type digester struct {
+// digestPeer is a peer that folds what it is sent into a digest, and keeps the marks it owes an answer.
+type digestPeer struct {
 	peer
-	into  hash.Hash
-	marks []uint32
+	digest hash.Hash
+	tokens []uint32
 }
 
-func (d *digester) Assign(o protocol.Assignment) error {
+func (d *digestPeer) Assign(o protocol.Assignment) error {
 	text, err := o.Append(nil)
-	fmt.Fprintf(d.into, "%d:%s", d.id, text)
+	fmt.Fprintf(d.digest, "%d:%s", d.id, text)
 	if o.Token != nil {
-		d.marks = append(d.marks, *o.Token)
+		d.tokens = append(d.tokens, *o.Token)
 	}
 	return err
 }
@@ -56,9 +56,9 @@
 	for i := range servers {
 		known.Members = append(known.Members, entry(i, protocol.PhaseUp, 0))
 	}
-	calls, sum, now := &book{}, sha256.New(), 1e6
+	calls, sum, now := &callLog{}, sha256.New(), 1e6
 	r := New(set, rules.New(set.Rules, 9), calls, known, zerolog.Nop())
-	peers, id := make([]*digester, proxies), uint64(0)
+	peers, id := make([]*digestPeer, proxies), uint64(0)
 	revision := int64(1)
 	change := func(m protocol.Member) {
 		revision++
@@ -69,11 +69,11 @@
 		for p := range peers {
 			if peers[p] == nil && look >= p || peers[p] != nil && rng.IntN(900) == 0 { // joins, or comes back by a newer stream
 				id++
-				peers[p] = &digester{peer: peer{id: id}, into: sum}
+				peers[p] = &digestPeer{peer: peer{id: id}, digest: sum}
 				r.Handle(MessageReceived{peers[p], protocol.Attach{Proxy: p, Zone: set.ZoneNames[p%3], Rate: 1 + float64(p*p%17)}})
 			}
-			for d := peers[p]; d != nil && len(d.marks) > 0 && rng.IntN(3) > 0; d.marks = d.marks[1:] {
-				r.Handle(MessageReceived{d, protocol.Ack{Proxy: p, Token: d.marks[0], Elapsed: 50}})
+			for d := peers[p]; d != nil && len(d.tokens) > 0 && rng.IntN(3) > 0; d.tokens = d.tokens[1:] {
+				r.Handle(MessageReceived{d, protocol.Ack{Proxy: p, Token: d.tokens[0], Elapsed: 50}})
 			}
 			if peers[p] != nil && (look+p)%10 == 0 {
 				for _, c := range classes {
@@ -112,7 +112,7 @@
 			t.Fatal(err)
 		}
 	}
-	if got := hex.EncodeToString(sum.Sum(nil)); got != recordedOrders {
-		t.Errorf("orders with the digest %s, not %s", got, recordedOrders)
+	if got := hex.EncodeToString(sum.Sum(nil)); got != recordedDigest {
+		t.Errorf("orders with the digest %s, not %s", got, recordedDigest)
 	}
 }
--- a/internal/planner/routing/retire_test.go
+++ b/internal/planner/routing/retire_test.go
@@ -8,8 +8,8 @@
 )
 
 // forgotten returns the servers that the module was told to forget since the last call.
-func (g *rig) forgotten() (ids []rules.ServerID) {
-	for _, e := range g.told() {
+func (g *harness) forgotten() (ids []rules.ServerID) {
+	for _, e := range g.takeEvents() {
 		if e, ok := e.(rules.Forgotten); ok {
 			ids = append(ids, e.Server)
 		}
@@ -17,69 +17,69 @@
 	return ids
 }
 
-// TestNumbersGivenBack guards against numbers that are never given back, and against one that is while a table, a
+// TestServerIDsReleased guards against numbers that are never given back, and against one that is while a table, a
 // shut-out or a probe still refers to it: its orders or its answer would be taken for another server's.
-func TestNumbersGivenBack(t *testing.T) {
-	g := newRig(t, member("s-0", "up"), member("s-1", "up"), member("s-2", "up"), member("s-3", "up"))
+func TestServerIDsReleased(t *testing.T) {
+	g := newHarness(t, member("s-0", "up"), member("s-1", "up"), member("s-2", "up"), member("s-3", "up"))
 	p := g.join(1, 3)
-	g.turn(rules.Watch{}, rules.SetWeight{Table: 3, Server: 0, Weight: 1}, rules.SetWeight{Table: 3, Server: 3, Weight: 1},
+	g.advance(rules.Watch{}, rules.SetWeight{Table: 3, Server: 0, Weight: 1}, rules.SetWeight{Table: 3, Server: 3, Weight: 1},
 		rules.SetWeight{Table: 2, Server: 3, Weight: 1}, rules.Bind{Proxy: 3, Table: 3}, rules.Withdraw{Server: 3, Excluded: true},
 		rules.Probe{Server: 1})
 	turns := func() []rules.ServerID {
-		g.turn(rules.Timer{Delay: 100}) // gives back
-		g.turn(rules.Timer{Delay: 100}) // tells
+		g.advance(rules.Timer{Delay: 100}) // gives back
+		g.advance(rules.Timer{Delay: 100}) // tells
 		return g.forgotten()
 	}
 	g.expect("all are listed", turns(), []rules.ServerID(nil))
-	g.r.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 50, Complete: true}})
+	g.router.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 50, Complete: true}})
 	g.expect("the one that nothing refers to", turns(), []rules.ServerID{2})
-	g.r.Handle(Probed{Server: 1})
+	g.router.Handle(Probed{Server: 1})
 	g.expect("the probe has ended", turns(), []rules.ServerID{1})
-	g.turn(rules.SetWeight{Table: 3, Server: 0})
+	g.advance(rules.SetWeight{Table: 3, Server: 0})
 	g.expect("no table has it", turns(), []rules.ServerID{0})
-	g.turn(rules.SetWeight{Table: 3, Server: 3})
+	g.advance(rules.SetWeight{Table: 3, Server: 3})
 	g.expect("shut out still, and in a table not in use", turns(), []rules.ServerID(nil))
-	g.turn(rules.Withdraw{Server: 3})
+	g.advance(rules.Withdraw{Server: 3})
 	g.expect("let in", turns(), []rules.ServerID{3})
-	g.expect("kept of the table not in use", len(g.r.tables.of[2].weights), 0)
+	g.expect("kept of the table not in use", len(g.router.tables.byID[2].weights), 0)
 
-	g.r.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 51, Complete: true, Members: []protocol.Member{
+	g.router.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 51, Complete: true, Members: []protocol.Member{
 		member("s-9", "up"), member("s-2", "up"), member("s-8", "draining"), member("s-7", "up")}}})
-	g.turn()
-	g.expect("numbers in use", len(g.r.names.servers), 4)
-	list := g.told()[0].(rules.List)
+	g.advance()
+	g.expect("numbers in use", len(g.router.names.servers), 4)
+	list := g.takeEvents()[0].(rules.List)
 	seen := map[rules.ServerID]bool{}
 	for _, s := range list.Servers {
 		seen[s.ID] = true
 	}
 	g.expect("each its own", len(seen), 4)
 	p.received()
-	g.turn(rules.SetWeight{Table: 3, Server: g.r.names.ids["s-9"], Weight: 2})
+	g.advance(rules.SetWeight{Table: 3, Server: g.router.names.ids["s-9"], Weight: 2})
 	if text := p.received(); text != `{"t":"assign","rows":[["s-9",2]]}`+"\n" {
 		t.Errorf("ordered %s", text)
 	}
-	g.turn()
-	g.told()
-	g.says(&peer{id: 9}, protocol.ServerReport{Zone: "south", Server: "s-0", Attempts: 1, Period: 1000})
-	g.turn()
-	g.expect("a late report of a server that is gone", g.told(), []rules.Event(nil))
-	g.r.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 52, Members: []protocol.Member{member("s-7", "removed")}}})
-	g.r.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 53, Members: []protocol.Member{member("s-7", "up")}}})
+	g.advance()
+	g.takeEvents()
+	g.deliver(&peer{id: 9}, protocol.ServerReport{Zone: "south", Server: "s-0", Attempts: 1, Period: 1000})
+	g.advance()
+	g.expect("a late report of a server that is gone", g.takeEvents(), []rules.Event(nil))
+	g.router.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 52, Members: []protocol.Member{member("s-7", "removed")}}})
+	g.router.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 53, Members: []protocol.Member{member("s-7", "up")}}})
 	g.expect("back before it was forgotten", turns(), []rules.ServerID(nil))
 }
 
-// TestUnlistedStays guards the sites where a server that the list drops may stay in use: a list that is wrong while no
+// TestUnlistedServerKept guards the sites where a server that the list drops may stay in use: a list that is wrong while no
 // proxy is here would cost the servers for good.
-func TestUnlistedStays(t *testing.T) {
-	g := newRig(t, member("s-0", "up"))
-	g.r.set.Rules.DrainOnly = true
-	g.turn(rules.Watch{})
-	g.r.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 50, Complete: true}})
-	g.turn()
-	g.turn(rules.Timer{Delay: 100})
+func TestUnlistedServerKept(t *testing.T) {
+	g := newHarness(t, member("s-0", "up"))
+	g.router.set.Rules.DrainOnly = true
+	g.advance(rules.Watch{})
+	g.router.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 50, Complete: true}})
+	g.advance()
+	g.advance(rules.Timer{Delay: 100})
 	g.expect("nobody is here", g.forgotten(), []rules.ServerID(nil))
 	g.join(1, 3)
-	g.turn(rules.Timer{Delay: 100})
-	g.turn(rules.Timer{Delay: 100})
-	g.expect("no table of a proxy has it", len(g.r.names.ids), 0)
+	g.advance(rules.Timer{Delay: 100})
+	g.advance(rules.Timer{Delay: 100})
+	g.expect("no table of a proxy has it", len(g.router.names.ids), 0)
 }
--- a/internal/planner/routing/router.go
+++ b/internal/planner/routing/router.go
@@ -17,8 +17,8 @@
 	"mulleinwood/rules"
 )
 
-// maxShown is how much of a name that came from outside goes into the log.
-const maxShown = 80
+// maxLoggedName is how much of a name that came from outside goes into the log.
+const maxLoggedName = 80
 
 // ErrSuperseded ends a stream whose proxy has a newer one.
 var ErrSuperseded = errors.New("the proxy has a newer stream")
@@ -32,23 +32,23 @@
 	module   Stepper
 	log      zerolog.Logger
 
-	pending []rules.Event // for the next Turn
-	timers  timers
-	streams map[uint64]*stream // by peer, current ones only
-	former  map[uint64]bool    // peers whose proxy has a newer stream, until they end
-	waiting map[uint64]Peer    // heartbeats that are answered once orders can be made
-	hasList bool
-	rewatch bool           // a watch that the module didn't ask for has ended since the last turn
-	dropped map[string]int // messages that could not be used, by reason
-	fed     fed
+	pending    []rules.Event // for the next Turn
+	timers     timers
+	streams    map[uint64]*stream // by peer, current ones only
+	superseded map[uint64]bool    // peers whose proxy has a newer stream, until they end
+	heartbeats map[uint64]Peer    // heartbeats that are answered once orders can be made
+	hasList    bool
+	watchEnded bool           // a watch that the module didn't ask for has ended since the last turn
+	dropped    map[string]int // messages that could not be used, by reason
+	hosted     hostedState
 }
 
 // New returns a router that starts from the list as it was last known.
 func New(set settings.Settings, module Stepper, calls Calls, known protocol.List, log zerolog.Logger) *Router {
 	n := newNames(set)
 	r := &Router{follower: NewFollower(calls, 0), set: set, names: n, tables: newTables(n), module: module, log: log,
-		streams: map[uint64]*stream{}, former: map[uint64]bool{}, dropped: map[string]int{}, waiting: map[uint64]Peer{}}
-	r.list(known, rules.ListCached)
+		streams: map[uint64]*stream{}, superseded: map[uint64]bool{}, dropped: map[string]int{}, heartbeats: map[uint64]Peer{}}
+	r.addList(known, rules.ListCached)
 	if !set.Rules.QueryDiscovery {
 		r.timers = timers{{watch: true}}
 	}
@@ -62,71 +62,71 @@
 		if p := recover(); p != nil {
 			r.log.Error().Str("event", fmt.Sprintf("%T", e)).Str("panic", fmt.Sprint(p)).Bytes("stack", debug.Stack()).
 				Msg("event not handled")
-			if said, ok := e.(MessageReceived); ok {
-				said.Peer.Close(fmt.Errorf("panic: %v", p))
+			if received, ok := e.(MessageReceived); ok {
+				received.Peer.Close(fmt.Errorf("panic: %v", p))
 			}
 		}
 	}()
 	switch e := e.(type) {
 	case MessageReceived:
-		r.said(e.Peer, e.Message)
+		r.handleMessage(e.Peer, e.Message)
 	case Disconnected:
-		r.ended(e.Peer)
+		r.handleDisconnected(e.Peer)
 	case WatchStarted:
-		r.watchStarted(e)
+		r.handleWatchStarted(e)
 	case ListReceived:
-		r.listed(e)
+		r.handleList(e)
 	case CallFailed:
-		r.callFailed(e)
+		r.handleCallFailed(e)
 	case DiscoveryMoved:
-		r.moved(e)
+		r.handleMoved(e)
 	case ListUpdated:
-		r.told(e)
+		r.handleListUpdated(e)
 	case ProxyHandedOver:
-		r.handed(e)
+		r.handleHandover(e)
 	case ShareAllocated:
-		r.fed.dealt = e.Number
+		r.hosted.receivedShare = e.Number
 		r.pending = append(r.pending, e.Part)
 	case Probed:
 		info := &r.names.servers[e.Server]
 		info.probing = false
 		r.pending = append(r.pending, rules.Probed{Server: e.Server, OK: e.OK, Refused: e.Refused,
-			Elapsed: milliseconds(e.Elapsed), Load: r.names.load(e.Load)})
+			Elapsed: milliseconds(e.Elapsed), Load: r.names.loadValues(e.Load)})
 	}
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// said takes a message of a peer.
-func (r *Router) said(from Peer, m protocol.Message) {
-	if r.former[from.ID()] { // what it tells of is over, and partly told again by the new stream
-		r.drop("message of a stream that has been replaced", fmt.Sprintf("%T", m))
+// handleMessage takes a message of a peer.
+func (r *Router) handleMessage(from Peer, m protocol.Message) {
+	if r.superseded[from.ID()] { // what it tells of is over, and partly told again by the new stream
+		r.countDropped("message of a stream that has been replaced", fmt.Sprintf("%T", m))
 		return
 	}
 	switch m := m.(type) {
 	case protocol.Heartbeat:
 		if !r.hasList {
-			r.waiting[from.ID()] = from
+			r.heartbeats[from.ID()] = from
 			from.DeferHeartbeat()
 			return
 		}
-		r.answer(from)
+		r.answerHeartbeat(from)
 	case protocol.Collector:
 		if _, known := r.names.zones[m.Zone]; !known {
-			r.drop("collector of an unknown zone", m.Zone)
+			r.countDropped("collector of an unknown zone", m.Zone)
 		}
 	case protocol.Attach:
 		r.attach(from, m)
 	case protocol.Ack:
 		if s := r.streams[from.ID()]; s == nil || int(s.proxy) != m.Proxy {
-			r.drop("answer that is not from the proxy's stream", strconv.Itoa(m.Proxy))
+			r.countDropped("answer that is not from the proxy's stream", strconv.Itoa(m.Proxy))
 			return
 		}
 		r.pending = append(r.pending, rules.Ack{Proxy: rules.ProxyID(m.Proxy), Token: m.Token, Elapsed: m.Elapsed})
 	case protocol.Nack: // to the module it has left and joined again: it gets a whole table, which counts as any
 		s := r.streams[from.ID()]
 		if s == nil || int(s.proxy) != m.Proxy {
-			r.drop("refusal that is not from the proxy's stream", strconv.Itoa(m.Proxy))
+			r.countDropped("refusal that is not from the proxy's stream", strconv.Itoa(m.Proxy))
 			return
 		}
 		r.tables.leave(s)
@@ -134,17 +134,17 @@
 		r.pending = append(r.pending, rules.Left{Proxy: s.proxy}, s.joined)
 	case protocol.ServerReport:
 		zone, zoneKnown := r.names.zones[m.Zone]
-		server, serverKnown := r.names.reported(m)
+		server, serverKnown := r.names.reportedServer(m)
 		if !zoneKnown || !serverKnown {
-			r.drop("report of an unknown zone or server", m.Zone+" "+m.Server+m.Address)
+			r.countDropped("report of an unknown zone or server", m.Zone+" "+m.Server+m.Address)
 			return
 		}
 		r.pending = append(r.pending, rules.Heard{Zone: zone, Server: server, Attempts: m.Attempts,
-			Failed: m.Failed, Latency: m.Latency, Period: m.Period, Load: r.names.load(m.Load)})
+			Failed: m.Failed, Latency: m.Latency, Period: m.Period, Load: r.names.loadValues(m.Load)})
 	case protocol.UsageReport:
 		class, known := r.names.classes[m.Class]
 		if !known || m.Proxy >= r.set.Rules.Proxies {
-			r.drop("usage of an unknown class or proxy", m.Class)
+			r.countDropped("usage of an unknown class or proxy", m.Class)
 			return
 		}
 		r.pending = append(r.pending, rules.Demand{Proxy: rules.ProxyID(m.Proxy), Class: class,
@@ -156,13 +156,13 @@
 func (r *Router) attach(from Peer, m protocol.Attach) {
 	zone, known := r.names.zones[m.Zone]
 	if !known || m.Proxy >= r.set.Rules.Proxies {
-		r.drop("unknown proxy or zone", strconv.Itoa(m.Proxy)+" "+m.Zone)
+		r.countDropped("unknown proxy or zone", strconv.Itoa(m.Proxy)+" "+m.Zone)
 		return
 	}
 	proxy := rules.ProxyID(m.Proxy)
 	if r.streams[from.ID()] != nil {
 		// A joining costs a whole table of the channel that all proxies share; so a stream has one.
-		r.drop("second joining on one stream", strconv.Itoa(m.Proxy))
+		r.countDropped("second joining on one stream", strconv.Itoa(m.Proxy))
 		return
 	}
 	if old := r.tables.joined[proxy]; old != nil {
@@ -183,13 +183,13 @@
 
 // supersede ends a connection whose proxy has a newer one; nothing that it still says counts.
 func (r *Router) supersede(peer Peer) {
-	r.former[peer.ID()] = true
+	r.superseded[peer.ID()] = true
 	peer.Close(ErrSuperseded)
 }
 
-func (r *Router) ended(peer Peer) {
-	delete(r.waiting, peer.ID())
-	delete(r.former, peer.ID())
+func (r *Router) handleDisconnected(peer Peer) {
+	delete(r.heartbeats, peer.ID())
+	delete(r.superseded, peer.ID())
 	if s := r.streams[peer.ID()]; s != nil {
 		r.leave(s)
 		r.log.Info().Int("proxy", int(s.proxy)).Msg("proxy left")
@@ -202,16 +202,16 @@
 	r.pending = append(r.pending, rules.Left{Proxy: s.proxy})
 }
 
-func (r *Router) answer(to Peer) {
+func (r *Router) answerHeartbeat(to Peer) {
 	if err := to.AnswerHeartbeat(); err != nil {
-		r.drop("heartbeat of a peer that is gone", err.Error())
+		r.countDropped("heartbeat of a peer that is gone", err.Error())
 	}
 }
 
-// drop counts a message that can't be used, and tells of the first, the tenth, the hundredth and so on.
-func (r *Router) drop(reason, what string) {
+// countDropped counts a message that can't be used, and tells of the first, the tenth, the hundredth and so on.
+func (r *Router) countDropped(reason, detail string) {
 	if r.dropped[reason]++; ShouldLog(r.dropped[reason]) {
-		r.log.Warn().Str("reason", reason).Str("last", what[:min(len(what), maxShown)]).Int("count",
+		r.log.Warn().Str("reason", reason).Str("last", detail[:min(len(detail), maxLoggedName)]).Int("count",
 			r.dropped[reason]).Msg("message not used")
 	}
 }
@@ -226,7 +226,7 @@
 
 // Advance tells the module what has happened up to now and carries out what it orders. The result is when it
 // wants to be called again at the latest, if it wants to. An error says that the module can't go on.
-func (r *Router) Advance(now float64) (next float64, wants bool, err error) {
+func (r *Router) Advance(now float64) (next float64, scheduled bool, err error) {
 	for len(r.timers) > 0 && r.timers[0].due <= now {
 		if due := heap.Pop(&r.timers).(timer); due.watch {
 			r.follower.StartWatch()
@@ -234,8 +234,8 @@
 			r.pending = append(r.pending, rules.Tick{Token: due.token})
 		}
 	}
-	if r.rewatch { // an event has no clock, a turn has
-		r.rewatch = false
+	if r.watchEnded { // an event has no clock, a turn has
+		r.watchEnded = false
 		heap.Push(&r.timers, timer{due: now + WatchBackoff, watch: true})
 	}
 	if len(r.pending) > 0 {
@@ -247,8 +247,8 @@
 		r.tables.flush(func(s *stream, err error) {
 			r.log.Warn().Int("proxy", int(s.proxy)).Err(err).Msg("orders not sent")
 		})
-		r.retire()
-		r.confirm()
+		r.releaseUnusedIDs()
+		r.updateAppliedEpoch()
 	}
 	if len(r.timers) == 0 {
 		return 0, false, nil
@@ -259,31 +259,31 @@
 // step guards against a panic of the module, or an order that can't be carried out: what either side remembers
 // can't be trusted afterwards, so the program must end.
 func (r *Router) step(now float64, events []rules.Event) (err error) {
-	doing := "decision module"
+	activity := "decision module"
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("%s panicked: %v\n%s", doing, p, debug.Stack())
+			err = fmt.Errorf("%s panicked: %v\n%s", activity, p, debug.Stack())
 		}
 	}()
 	actions := r.module.Step(now, events)
 	if len(actions) > 0 {
-		r.fed.look()
+		r.hosted.noteRound()
 	}
 	for _, a := range actions {
-		doing = "carrying out an order"
-		if err := r.act(now, a); err != nil {
+		activity = "carrying out an order"
+		if err := r.execute(now, a); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *Router) act(now float64, a rules.Action) error {
-	switch a := a.(type) {
+func (r *Router) execute(now float64, action rules.Action) error {
+	switch action := action.(type) {
 	case rules.Timer:
-		heap.Push(&r.timers, timer{due: now + max(0, a.Delay), token: a.Token})
+		heap.Push(&r.timers, timer{due: now + max(0, action.Delay), token: action.Token})
 	case rules.Probe:
-		r.probe(a.Server)
+		r.probe(action.Server)
 	case rules.Watch:
 		r.follower.StartWatch()
 	case rules.Fetch:
@@ -291,25 +291,25 @@
 			r.follower.StartFetch()
 		}
 	case rules.Log:
-		r.say(a.Text)
+		r.logModuleText(action.Text)
 	case rules.SetWeight:
-		r.tables.setWeight(a)
+		r.tables.setWeight(action)
 	case rules.Bind:
-		r.tables.bind(a)
+		r.tables.bind(action)
 	case rules.Withdraw:
-		r.tables.withdraw(a)
+		r.tables.withdraw(action)
 	case rules.Admit:
-		r.tables.admit(a)
+		r.tables.admit(action)
 	case rules.Mark:
-		r.tables.mark(a)
+		r.tables.mark(action)
 	default:
-		return fmt.Errorf("no order for action %T", a)
+		return fmt.Errorf("no order for action %T", action)
 	}
 	return nil
 }
 
-// say logs a line of the module. The module knows servers by number, people by name.
-func (r *Router) say(text string) {
+// logModuleText logs a line of the module. The module knows servers by number, people by name.
+func (r *Router) logModuleText(text string) {
 	line := r.log.Info().Str("by", "rules")
 	var id int
 	if n, _ := fmt.Sscanf(text, "server %d ", &id); n == 1 && id >= 0 && id < len(r.names.servers) {
--- a/internal/planner/routing/router_test.go
+++ b/internal/planner/routing/router_test.go
@@ -17,7 +17,7 @@
 	"mulleinwood/rules"
 )
 
-func facts() settings.Settings {
+func testSettings() settings.Settings {
 	return settings.Settings{
 		Rules: rules.Settings{Instances: 1, Zones: 2, Proxies: 4, Probes: true, QueryDiscovery: true, QueueLines: 1000, LinesPerSec: 1000,
 			Classes: []rules.Class{{Name: "view", LatencyTarget: 1, Deadline: 1}, {Name: "post", LatencyTarget: 1, Deadline: 1}}},
@@ -26,36 +26,36 @@
 	}
 }
 
-// script is a module that notes what it is told and orders what the test wants next.
-type script struct {
-	times  []float64
-	events []rules.Event
-	orders []rules.Action
-	panics bool
+// scriptedModule is a module that notes what it is told and orders what the test wants next.
+type scriptedModule struct {
+	times   []float64
+	events  []rules.Event
+	actions []rules.Action
+	panics  bool
 }
 
-func (s *script) Step(now float64, events []rules.Event) []rules.Action {
+func (s *scriptedModule) Step(now float64, events []rules.Event) []rules.Action {
 	if s.panics {
 		panic("out of order")
 	}
 	s.times, s.events = append(s.times, now), append(s.events, events...)
-	orders := s.orders
-	s.orders = nil
-	return orders
+	actions := s.actions
+	s.actions = nil
+	return actions
 }
 
 // peer is a connection that keeps what it was sent.
 type peer struct {
-	id     uint64
-	sent   []string
-	closed error
-	gone   bool
-	awaits bool
+	id       uint64
+	sent     []string
+	closed   error
+	gone     bool
+	deferred bool
 }
 
 func (p *peer) ID() uint64             { return p.id }
 func (p *peer) Close(reason error)     { p.closed = reason }
-func (p *peer) DeferHeartbeat()        { p.awaits = true }
+func (p *peer) DeferHeartbeat()        { p.deferred = true }
 func (p *peer) AnswerHeartbeat() error { return p.send(protocol.HeartbeatReply(), nil) }
 func (p *peer) Assign(o protocol.Assignment) error {
 	return p.send(o.Append(nil))
@@ -69,25 +69,25 @@
 	return err
 }
 
-// book notes the calls that are made.
-type book []string
+// callLog notes the calls that are made.
+type callLog []string
 
-func (b *book) Watch(call uint64, from int64) {
+func (b *callLog) Watch(call uint64, from int64) {
 	*b = append(*b, fmt.Sprintf("watch %d from %d", call, from))
 }
-func (b *book) Cancel(call uint64)            { *b = append(*b, fmt.Sprintf("cancel %d", call)) }
-func (b *book) SetDiscovery(discovery string) { *b = append(*b, "move to "+discovery) }
-func (b *book) Fetch(call uint64)             { *b = append(*b, fmt.Sprintf("fetch %d", call)) }
-func (b *book) Probe(server rules.ServerID, address string, load bool) {
+func (b *callLog) Cancel(call uint64)            { *b = append(*b, fmt.Sprintf("cancel %d", call)) }
+func (b *callLog) SetDiscovery(discovery string) { *b = append(*b, "move to "+discovery) }
+func (b *callLog) Fetch(call uint64)             { *b = append(*b, fmt.Sprintf("fetch %d", call)) }
+func (b *callLog) Probe(server rules.ServerID, address string, load bool) {
 	*b = append(*b, fmt.Sprintf("probe %d at %s, load %t", server, address, load))
 }
 
-// rig is a router on a clock that the test moves.
-type rig struct {
+// harness is a router on a clock that the test moves.
+type harness struct {
 	t      *testing.T
-	r      *Router
-	module *script
-	calls  *book
+	router *Router
+	module *scriptedModule
+	calls  *callLog
 	now    float64
 }
 
@@ -95,34 +95,34 @@
 	return protocol.Member{ID: id, Address: id + ":80", Zone: "south", Kind: "m2", Cell: 3, Phase: phase, Weight: 1}
 }
 
-func newRig(t *testing.T, members ...protocol.Member) *rig {
+func newHarness(t *testing.T, members ...protocol.Member) *harness {
 	t.Helper()
-	g := &rig{t: t, module: &script{}, calls: &book{}, now: 1000}
+	g := &harness{t: t, module: &scriptedModule{}, calls: &callLog{}, now: 1000}
 	known := protocol.List{Revision: 41, Complete: true, Members: members}
-	g.r = New(facts(), g.module, g.calls, known, zerolog.Nop())
+	g.router = New(testSettings(), g.module, g.calls, known, zerolog.Nop())
 	return g
 }
 
-// turn lets the module order and the router carry it out.
-func (g *rig) turn(orders ...rules.Action) {
+// advance lets the module order and the router carry it out.
+func (g *harness) advance(actions ...rules.Action) {
 	g.t.Helper()
-	g.module.orders = orders
-	if len(orders) > 0 && len(g.r.pending) == 0 {
-		g.r.pending = append(g.r.pending, rules.Tick{}) // something must have happened
+	g.module.actions = actions
+	if len(actions) > 0 && len(g.router.pending) == 0 {
+		g.router.pending = append(g.router.pending, rules.Tick{}) // something must have happened
 	}
-	if _, _, err := g.r.Advance(g.now); err != nil {
+	if _, _, err := g.router.Advance(g.now); err != nil {
 		g.t.Fatal(err)
 	}
 }
 
-func (g *rig) says(p *peer, m ...protocol.Message) {
+func (g *harness) deliver(p *peer, m ...protocol.Message) {
 	for _, m := range m {
-		g.r.Handle(MessageReceived{Peer: p, Message: m})
+		g.router.Handle(MessageReceived{Peer: p, Message: m})
 	}
 }
 
-// told returns what the module was told since the last call.
-func (g *rig) told() []rules.Event {
+// takeEvents returns what the module was told since the last call.
+func (g *harness) takeEvents() []rules.Event {
 	events := g.module.events
 	g.module.events = nil
 	return events
@@ -132,11 +132,11 @@
 	return protocol.Attach{Proxy: proxy, Zone: "south", Rate: 2.5}
 }
 
-func (g *rig) join(id uint64, proxy int) *peer {
+func (g *harness) join(id uint64, proxy int) *peer {
 	p := &peer{id: id}
-	g.says(p, attach(proxy))
-	g.turn()
-	g.told()
+	g.deliver(p, attach(proxy))
+	g.advance()
+	g.takeEvents()
 	return p
 }
 
@@ -147,7 +147,7 @@
 	return text
 }
 
-func (g *rig) expect(what string, got, want any) {
+func (g *harness) expect(what string, got, want any) {
 	g.t.Helper()
 	if !reflect.DeepEqual(got, want) {
 		g.t.Errorf("%s:\n got %+v\nwant %+v", what, got, want)
@@ -155,89 +155,89 @@
 }
 
 func TestMessagesBecomeEvents(t *testing.T) {
-	g := newRig(t, member("s-1", "up"), member("s-2", "draining"))
-	g.turn()
+	g := newHarness(t, member("s-1", "up"), member("s-2", "draining"))
+	g.advance()
 	row := rules.Server{Weight: 1, Kind: 1, Zone: 1, Cell: 3, State: rules.Ready}
 	second := row
 	second.ID, second.State = 1, rules.Draining
-	g.expect("start", g.told(), []rules.Event{rules.List{Kind: rules.ListCached, Servers: []rules.Server{row, second}}})
+	g.expect("start", g.takeEvents(), []rules.Event{rules.List{Kind: rules.ListCached, Servers: []rules.Server{row, second}}})
 
 	p, c := &peer{id: 1}, &peer{id: 2}
-	g.says(p, protocol.Attach{Proxy: 3, Zone: "south", Rate: 2.5, Fresh: true}, protocol.Ack{Proxy: 3, Token: 9, Elapsed: 310})
-	g.says(c, protocol.Collector{Zone: "north"},
+	g.deliver(p, protocol.Attach{Proxy: 3, Zone: "south", Rate: 2.5, Fresh: true}, protocol.Ack{Proxy: 3, Token: 9, Elapsed: 310})
+	g.deliver(c, protocol.Collector{Zone: "north"},
 		protocol.ServerReport{Zone: "north", Server: "s-2", Attempts: 9, Failed: 1, Latency: 40, Period: 1000,
 			Load: map[string]float64{"inflight": 7, "util": 0.5, "other": 3}},
 		protocol.UsageReport{Proxy: 3, Class: "post", Requests: 5, Unanswered: 1, Period: 2000})
-	g.turn()
-	g.expect("reports", g.told(), []rules.Event{
+	g.advance()
+	g.expect("reports", g.takeEvents(), []rules.Event{
 		rules.Joined{Proxy: 3, Zone: 1, Rate: 2.5, Fresh: true},
 		rules.Ack{Proxy: 3, Token: 9, Elapsed: 310},
 		rules.Heard{Zone: 0, Server: 1, Attempts: 9, Failed: 1, Latency: 40, Period: 1000, Load: []float64{0.5, 7}},
 		rules.Demand{Proxy: 3, Class: 1, Requests: 5, Unanswered: 1, Period: 2000}})
-	g.r.Handle(Disconnected{Peer: c})
-	g.r.Handle(Disconnected{Peer: p})
-	g.turn()
-	g.expect("end of the stream", g.told(), []rules.Event{rules.Left{Proxy: 3}})
+	g.router.Handle(Disconnected{Peer: c})
+	g.router.Handle(Disconnected{Peer: p})
+	g.advance()
+	g.expect("end of the stream", g.takeEvents(), []rules.Event{rules.Left{Proxy: 3}})
 }
 
 // TestUnknownNames guards against reports and proxies that the settings or the list don't know.
 func TestUnknownNames(t *testing.T) {
-	g := newRig(t, member("s-1", "up"))
-	g.turn()
-	g.told()
+	g := newHarness(t, member("s-1", "up"))
+	g.advance()
+	g.takeEvents()
 	p := &peer{id: 1}
-	g.says(p, protocol.Collector{Zone: "west"}, protocol.Attach{Proxy: 4, Zone: "south"}, protocol.Attach{Proxy: 1, Zone: "west"},
+	g.deliver(p, protocol.Collector{Zone: "west"}, protocol.Attach{Proxy: 4, Zone: "south"}, protocol.Attach{Proxy: 1, Zone: "west"},
 		protocol.ServerReport{Zone: "west", Server: "s-1", Attempts: 1}, protocol.ServerReport{Zone: "north", Server: "s-9", Attempts: 1},
 		protocol.UsageReport{Proxy: 1, Class: "odd"}, protocol.UsageReport{Proxy: 70000, Class: "view"}, protocol.Ack{Proxy: 1, Token: 1})
-	g.turn()
-	if got := g.told(); len(got) != 0 {
+	g.advance()
+	if got := g.takeEvents(); len(got) != 0 {
 		t.Errorf("the module was told %+v", got)
 	}
 	g.expect("the peer stays", p.closed, error(nil))
 	odd := member("s-8", "up")
 	odd.Zone, odd.Kind = "west", "m9"
-	g.r.listed(ListReceived{Call: 0, List: protocol.List{Members: []protocol.Member{odd}}})
-	g.turn()
-	g.expect("an entry of an unknown zone", g.told(), []rules.Event{rules.List{Servers: []rules.Server{
+	g.router.handleList(ListReceived{Call: 0, List: protocol.List{Members: []protocol.Member{odd}}})
+	g.advance()
+	g.expect("an entry of an unknown zone", g.takeEvents(), []rules.Event{rules.List{Servers: []rules.Server{
 		{ID: 1, Weight: 1, Kind: 2, Zone: 2, Cell: 3, State: rules.Ready}}}})
 }
 
 // TestSupersededStream guards against a new stream that comes before the old one closes: the proxy leaves and
 // joins, and nothing that the old connection still says or does counts.
 func TestSupersededStream(t *testing.T) {
-	g := newRig(t, member("s-1", "up"))
+	g := newHarness(t, member("s-1", "up"))
 	old := g.join(1, 2)
-	g.turn(rules.SetWeight{Table: 2, Server: 0, Weight: 1}, rules.Bind{Proxy: 2, Table: 2}, rules.Mark{Token: 7})
+	g.advance(rules.SetWeight{Table: 2, Server: 0, Weight: 1}, rules.Bind{Proxy: 2, Table: 2}, rules.Mark{Token: 7})
 	old.received()
-	g.told()
+	g.takeEvents()
 
 	now := &peer{id: 5}
-	g.says(now, attach(2))
-	g.turn()
-	g.expect("events", g.told(), []rules.Event{rules.Left{Proxy: 2}, rules.Joined{Proxy: 2, Zone: 1, Rate: 2.5}})
+	g.deliver(now, attach(2))
+	g.advance()
+	g.expect("events", g.takeEvents(), []rules.Event{rules.Left{Proxy: 2}, rules.Joined{Proxy: 2, Zone: 1, Rate: 2.5}})
 	g.expect("the old connection", old.closed, ErrSuperseded)
 
-	g.says(old, protocol.Ack{Proxy: 2, Token: 7}, attach(2), attach(3),
+	g.deliver(old, protocol.Ack{Proxy: 2, Token: 7}, attach(2), attach(3),
 		protocol.UsageReport{Proxy: 2, Class: "view", Requests: 9, Period: 1000})
-	g.r.Handle(Disconnected{Peer: old})
-	g.turn()
-	if got := g.told(); len(got) != 0 {
+	g.router.Handle(Disconnected{Peer: old})
+	g.advance()
+	if got := g.takeEvents(); len(got) != 0 {
 		t.Errorf("the old stream was heard: %+v", got)
 	}
 	older := &peer{id: 3} // accepted between the two, its bytes come late
-	g.says(older, attach(2), protocol.Ack{Proxy: 2, Token: 7})
+	g.deliver(older, attach(2), protocol.Ack{Proxy: 2, Token: 7})
 	g.expect("a connection older than the stream", older.closed, ErrSuperseded)
-	g.says(now, protocol.Ack{Proxy: 2, Token: 7, Elapsed: 1})
-	g.turn(rules.SetWeight{Table: 2, Server: 0, Weight: 2})
-	g.expect("the new stream's answer", g.told(), []rules.Event{rules.Ack{Proxy: 2, Token: 7, Elapsed: 1}})
+	g.deliver(now, protocol.Ack{Proxy: 2, Token: 7, Elapsed: 1})
+	g.advance(rules.SetWeight{Table: 2, Server: 0, Weight: 2})
+	g.expect("the new stream's answer", g.takeEvents(), []rules.Event{rules.Ack{Proxy: 2, Token: 7, Elapsed: 1}})
 	g.expect("changes before the table is bound", now.received()+old.received(), "")
-	g.turn(rules.Bind{Proxy: 2, Table: 2})
+	g.advance(rules.Bind{Proxy: 2, Table: 2})
 	g.expect("table", now.received(), `{"t":"assign","replace":true,"rows":[["s-1",2]]}`+"\n")
 
-	g.told()
-	g.says(now, attach(2), attach(1))
-	g.turn()
-	if got := g.told(); len(got) != 0 || now.closed != nil {
+	g.takeEvents()
+	g.deliver(now, attach(2), attach(1))
+	g.advance()
+	if got := g.takeEvents(); len(got) != 0 || now.closed != nil {
 		t.Errorf("more joinings on one stream: %+v, %v", got, now.closed)
 	}
 }
@@ -245,9 +245,9 @@
 // TestOrders follows a table from its binding over changes to a rejoining. Guards against a proxy that is left
 // with lines of another planner, or with a part of its table.
 func TestOrders(t *testing.T) {
-	g := newRig(t, member("s-1", "up"), member("s-2", "up"), member("s-3", "up"))
+	g := newHarness(t, member("s-1", "up"), member("s-2", "up"), member("s-3", "up"))
 	one, two := g.join(1, 0), g.join(2, 1)
-	g.turn(rules.Admit{Table: 0, Mask: 1, Level: 0.5, Retry: rules.RetryIfNotRun},
+	g.advance(rules.Admit{Table: 0, Mask: 1, Level: 0.5, Retry: rules.RetryIfNotRun},
 		rules.SetWeight{Table: 0, Server: 2, Weight: 1}, rules.SetWeight{Table: 0, Server: 0, Weight: 1.5},
 		rules.Bind{Proxy: 0, Table: 0}, rules.Mark{Token: 8})
 	g.expect("the whole table", one.received(),
@@ -255,64 +255,64 @@
 			`{"t":"assign","for":["view"],"gate":0.5,"again":1,"stamp":8}`+"\n")
 	g.expect("a proxy that nothing reached", two.received(), "")
 
-	g.turn(rules.SetWeight{Table: 0, Server: 1, Weight: 3}, rules.SetWeight{Table: 0, Server: 0, Weight: 0},
+	g.advance(rules.SetWeight{Table: 0, Server: 1, Weight: 3}, rules.SetWeight{Table: 0, Server: 0, Weight: 0},
 		rules.SetWeight{Table: 1, Server: 0, Weight: 1}, rules.Mark{Token: 9})
 	g.expect("changes", one.received(), `{"t":"assign","rows":[["s-2",3],["s-1",0]],"stamp":9}`+"\n")
 	g.expect("a proxy without a table", two.received(), "")
 
-	g.r.Handle(Disconnected{Peer: one})
-	g.turn(rules.SetWeight{Table: 0, Server: 2, Weight: 0})
+	g.router.Handle(Disconnected{Peer: one})
+	g.advance(rules.SetWeight{Table: 0, Server: 2, Weight: 0})
 	again := g.join(3, 0)
-	g.turn(rules.Bind{Proxy: 0, Table: 0}, rules.SetWeight{Table: 0, Server: 0, Weight: 4}, rules.Mark{Token: 10})
+	g.advance(rules.Bind{Proxy: 0, Table: 0}, rules.SetWeight{Table: 0, Server: 0, Weight: 4}, rules.Mark{Token: 10})
 	g.expect("the whole table after changes", again.received(),
 		`{"t":"assign","replace":true,"rows":[["s-1",4],["s-2",3]],"part":true}`+"\n"+
 			`{"t":"assign","for":["view"],"gate":0.5,"again":1,"stamp":10}`+"\n")
-	g.turn(rules.SetWeight{Table: 5, Server: 1, Weight: 1}, rules.Bind{Proxy: 0, Table: 5}, rules.Bind{Proxy: 1, Table: 5})
+	g.advance(rules.SetWeight{Table: 5, Server: 1, Weight: 1}, rules.Bind{Proxy: 0, Table: 5}, rules.Bind{Proxy: 1, Table: 5})
 	const other = `{"t":"assign","replace":true,"rows":[["s-2",1]]}` + "\n"
 	g.expect("another table, for two", again.received()+two.received(), other+other)
-	g.turn(rules.SetWeight{Table: 0, Server: 0, Weight: 9}, rules.SetWeight{Table: 5, Server: 1, Weight: 2})
+	g.advance(rules.SetWeight{Table: 0, Server: 0, Weight: 9}, rules.SetWeight{Table: 5, Server: 1, Weight: 2})
 	const change = `{"t":"assign","rows":[["s-2",2]]}` + "\n"
 	g.expect("changes of it, and none of the first", again.received()+two.received(), change+change)
-	g.turn(rules.Bind{Proxy: 3, Table: 0}, rules.Mark{Token: 11}) // not joined
+	g.advance(rules.Bind{Proxy: 3, Table: 0}, rules.Mark{Token: 11}) // not joined
 	g.expect("sent to a proxy that has left", one.received()+again.received()+two.received(), "")
 }
 
 // TestWithdrawAndLevelsForAll covers the actions that the present module does not use.
 func TestWithdrawAndLevelsForAll(t *testing.T) {
-	g := newRig(t, member("s-1", "up"), member("s-2", "up"))
+	g := newHarness(t, member("s-1", "up"), member("s-2", "up"))
 	one, two := g.join(1, 0), g.join(2, 1)
-	g.turn(rules.SetWeight{Table: 0, Server: 0, Weight: 1}, rules.Bind{Proxy: 0, Table: 0},
+	g.advance(rules.SetWeight{Table: 0, Server: 0, Weight: 1}, rules.Bind{Proxy: 0, Table: 0},
 		rules.SetWeight{Table: 1, Server: 1, Weight: 1}, rules.Bind{Proxy: 1, Table: 1})
 	one.received()
 	two.received()
-	g.turn(rules.Withdraw{Server: 0, Excluded: true}, rules.Withdraw{Server: 0, Excluded: true})
+	g.advance(rules.Withdraw{Server: 0, Excluded: true}, rules.Withdraw{Server: 0, Excluded: true})
 	g.expect("shut out", one.received(), `{"t":"assign","drop":["s-1"]}`+"\n")
 	g.expect("a table without it", two.received(), "")
 
-	g.r.Handle(Disconnected{Peer: one})
+	g.router.Handle(Disconnected{Peer: one})
 	one = g.join(6, 0)
-	g.turn(rules.Bind{Proxy: 0, Table: 0})
+	g.advance(rules.Bind{Proxy: 0, Table: 0})
 	g.expect("shut out again after a rejoining", one.received(),
 		`{"t":"assign","replace":true,"rows":[["s-1",1]],"drop":["s-1"]}`+"\n")
-	g.r.Handle(Disconnected{Peer: one})
-	g.turn(rules.Withdraw{Server: 0, Excluded: false})
+	g.router.Handle(Disconnected{Peer: one})
+	g.advance(rules.Withdraw{Server: 0, Excluded: false})
 	one = g.join(7, 0)
-	g.turn(rules.Bind{Proxy: 0, Table: 0})
+	g.advance(rules.Bind{Proxy: 0, Table: 0})
 	g.expect("let in while the proxy was away", one.received(),
 		`{"t":"assign","replace":true,"rows":[["s-1",1]],"undrop":["s-1"]}`+"\n")
-	g.turn(rules.Withdraw{Server: 0, Excluded: true})
-	g.turn(rules.Withdraw{Server: 0, Excluded: false})
+	g.advance(rules.Withdraw{Server: 0, Excluded: true})
+	g.advance(rules.Withdraw{Server: 0, Excluded: false})
 	g.expect("out and in", one.received(), `{"t":"assign","drop":["s-1"]}`+"\n"+`{"t":"assign","undrop":["s-1"]}`+"\n")
 
-	g.turn(rules.Admit{Table: 1, Mask: 3, Level: 0.7, Retry: rules.RetryOnce})
+	g.advance(rules.Admit{Table: 1, Mask: 3, Level: 0.7, Retry: rules.RetryOnce})
 	g.expect("one level for two classes", two.received(), `{"t":"assign","for":["view","post"],"gate":0.7,"again":2}`+"\n")
-	g.turn(rules.Admit{Table: rules.AllTables, Mask: 1, Level: 0.2, Retry: rules.RetryNever})
+	g.advance(rules.Admit{Table: rules.AllTables, Mask: 1, Level: 0.2, Retry: rules.RetryNever})
 	g.expect("all tables", one.received(), `{"t":"assign","for":["view"],"gate":0.2,"again":0}`+"\n")
 	g.expect("all tables, with the table's own way of trying again", two.received(),
 		`{"t":"assign","for":["view"],"gate":0.2,"again":2}`+"\n")
-	g.r.Handle(Disconnected{Peer: two})
+	g.router.Handle(Disconnected{Peer: two})
 	two = g.join(4, 1)
-	g.turn(rules.Bind{Proxy: 1, Table: 1})
+	g.advance(rules.Bind{Proxy: 1, Table: 1})
 	g.expect("levels after a rejoining", two.received(),
 		`{"t":"assign","replace":true,"rows":[["s-2",1]],"part":true}`+"\n"+
 			`{"t":"assign","for":["view"],"gate":0.2,"again":2,"part":true}`+"\n"+
@@ -322,63 +322,63 @@
 // TestDiscovery follows calls through answers and failures. Guards against changes of a call that has ended, a
 // list that is lost with a failed call, and a module that waits for an answer that never comes.
 func TestDiscovery(t *testing.T) {
-	g := newRig(t, member("s-1", "up"))
-	g.turn(rules.Watch{}, rules.Watch{})
-	g.expect("one watch, from the revision known at the start", *g.calls, book{"watch 1 from 41"})
-	g.told()
-	g.r.Handle(WatchStarted{Call: 1})
-	g.turn()
-	g.expect("a watch without changes", g.told(), []rules.Event{rules.List{Kind: rules.ListChanges}})
+	g := newHarness(t, member("s-1", "up"))
+	g.advance(rules.Watch{}, rules.Watch{})
+	g.expect("one watch, from the revision known at the start", *g.calls, callLog{"watch 1 from 41"})
+	g.takeEvents()
+	g.router.Handle(WatchStarted{Call: 1})
+	g.advance()
+	g.expect("a watch without changes", g.takeEvents(), []rules.Event{rules.List{Kind: rules.ListChanges}})
 	changed := member("s-1", "draining")
 	changed.Address = "s-1:81"
-	g.r.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 45, Members: []protocol.Member{changed}}})
-	g.r.Handle(CallFailed{Call: 1, Err: errors.New("reset")})
-	g.r.Handle(CallFailed{Call: 1, Err: errors.New("again")})
-	g.r.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 50}})
-	g.r.Handle(WatchStarted{Call: 1})
-	g.turn(rules.Watch{})
+	g.router.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 45, Members: []protocol.Member{changed}}})
+	g.router.Handle(CallFailed{Call: 1, Err: errors.New("reset")})
+	g.router.Handle(CallFailed{Call: 1, Err: errors.New("again")})
+	g.router.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 50}})
+	g.router.Handle(WatchStarted{Call: 1})
+	g.advance(rules.Watch{})
 	drains := rules.Server{Weight: 1, Kind: 1, Zone: 1, Cell: 3, State: rules.Draining}
-	g.expect("a change and a failure", g.told(), []rules.Event{
+	g.expect("a change and a failure", g.takeEvents(), []rules.Event{
 		rules.List{Servers: []rules.Server{drains}}, rules.List{Kind: rules.ListFailed}})
-	g.expect("the watch goes on", (*g.calls)[1:], book{"watch 2 from 45"})
-	g.expect("the changed address", g.r.names.servers[0].address, "s-1:81")
-
-	g.r.Handle(ListReceived{Call: 2, List: protocol.List{Revision: 47, Complete: true, Members: []protocol.Member{member("s-2", "up")}}})
-	g.turn(rules.Fetch{}, rules.Fetch{})
-	g.expect("one fetch", (*g.calls)[2:], book{"fetch 3"})
-	g.r.Handle(ListReceived{Call: 3, List: protocol.List{Revision: 44, Complete: true}})
-	g.r.Handle(CallFailed{Call: 3, Err: errors.New("late")})
-	g.turn()
+	g.expect("the watch goes on", (*g.calls)[1:], callLog{"watch 2 from 45"})
+	g.expect("the changed address", g.router.names.servers[0].address, "s-1:81")
+
+	g.router.Handle(ListReceived{Call: 2, List: protocol.List{Revision: 47, Complete: true, Members: []protocol.Member{member("s-2", "up")}}})
+	g.advance(rules.Fetch{}, rules.Fetch{})
+	g.expect("one fetch", (*g.calls)[2:], callLog{"fetch 3"})
+	g.router.Handle(ListReceived{Call: 3, List: protocol.List{Revision: 44, Complete: true}})
+	g.router.Handle(CallFailed{Call: 3, Err: errors.New("late")})
+	g.advance()
 	up := rules.Server{ID: 1, Weight: 1, Kind: 1, Zone: 1, Cell: 3, State: rules.Ready}
-	g.expect("a whole list, and a fetched one that the watch is ahead of", g.told(),
+	g.expect("a whole list, and a fetched one that the watch is ahead of", g.takeEvents(),
 		[]rules.Event{rules.List{Kind: rules.ListFull, Servers: []rules.Server{up}}, rules.Forgotten{Server: 0}})
-	g.turn(rules.Fetch{})
-	g.told()
-	g.r.Handle(CallFailed{Call: 4, Err: errors.New("503")})
-	g.turn()
-	g.expect("a failed fetch", g.told(), []rules.Event{rules.List{Kind: rules.ListFailed}})
+	g.advance(rules.Fetch{})
+	g.takeEvents()
+	g.router.Handle(CallFailed{Call: 4, Err: errors.New("503")})
+	g.advance()
+	g.expect("a failed fetch", g.takeEvents(), []rules.Event{rules.List{Kind: rules.ListFailed}})
 }
 
 // TestPushedDiscovery: where changes come unsolicited the module never asks, so the router watches by itself.
 // Guards against a list that is never heard of again after the start, or after a watch has ended.
 func TestPushedDiscovery(t *testing.T) {
-	set, module, calls := facts(), &script{}, &book{}
+	set, module, calls := testSettings(), &scriptedModule{}, &callLog{}
 	set.Rules.QueryDiscovery = false
 	r := New(set, module, calls, protocol.List{Revision: 41, Members: []protocol.Member{member("s-1", "up")}}, zerolog.Nop())
-	turn := func(now, want float64) {
+	advance := func(now, want float64) {
 		t.Helper()
-		if next, wants, err := r.Advance(now); err != nil || wants != (want > 0) || wants && next != want {
-			t.Errorf("at %v the next turn is wanted at %v, %t, %v; want %v", now, next, wants, err, want)
+		if next, scheduled, err := r.Advance(now); err != nil || scheduled != (want > 0) || scheduled && next != want {
+			t.Errorf("at %v the next turn is wanted at %v, %t, %v; want %v", now, next, scheduled, err, want)
 		}
 	}
-	turn(5000, 0)
+	advance(5000, 0)
 	r.Handle(WatchStarted{Call: 1})
 	r.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 43}})
 	r.Handle(CallFailed{Call: 1, Err: errors.New("reset")})
-	turn(6000, 6000+WatchBackoff)
-	turn(6000+WatchBackoff/2, 6000+WatchBackoff)
-	turn(6000+WatchBackoff, 0)
-	if want := (book{"watch 1 from 41", "watch 2 from 43"}); !reflect.DeepEqual(*calls, want) {
+	advance(6000, 6000+WatchBackoff)
+	advance(6000+WatchBackoff/2, 6000+WatchBackoff)
+	advance(6000+WatchBackoff, 0)
+	if want := (callLog{"watch 1 from 41", "watch 2 from 43"}); !reflect.DeepEqual(*calls, want) {
 		t.Errorf("calls %v, want %v", *calls, want)
 	}
 	for _, e := range module.events {
@@ -392,84 +392,84 @@
 func TestProbes(t *testing.T) {
 	unknown := member("s-2", "up")
 	unknown.Address = ""
-	g := newRig(t, member("s-1", "up"), unknown)
-	g.turn(rules.Probe{Server: 0}, rules.Probe{Server: 0}, rules.Probe{Server: 1})
-	g.expect("calls", *g.calls, book{"probe 0 at s-1:80, load true"})
-	g.told()
-	g.r.Handle(Probed{Server: 0, OK: true, Elapsed: 3 * time.Millisecond, Load: map[string]float64{"util": 0.5}})
-	g.turn()
-	g.expect("result", g.told(), []rules.Event{rules.Probed{Server: 0, OK: true, Elapsed: 3, Load: []float64{0.5, 0}}})
-	g.turn(rules.Probe{Server: 0})
+	g := newHarness(t, member("s-1", "up"), unknown)
+	g.advance(rules.Probe{Server: 0}, rules.Probe{Server: 0}, rules.Probe{Server: 1})
+	g.expect("calls", *g.calls, callLog{"probe 0 at s-1:80, load true"})
+	g.takeEvents()
+	g.router.Handle(Probed{Server: 0, OK: true, Elapsed: 3 * time.Millisecond, Load: map[string]float64{"util": 0.5}})
+	g.advance()
+	g.expect("result", g.takeEvents(), []rules.Event{rules.Probed{Server: 0, OK: true, Elapsed: 3, Load: []float64{0.5, 0}}})
+	g.advance(rules.Probe{Server: 0})
 	g.expect("the next one", len(*g.calls), 2)
-	g.r.set.Rules.Probes = false
-	g.r.Handle(Probed{Server: 0, Refused: true})
-	g.turn(rules.Probe{Server: 0})
+	g.router.set.Rules.Probes = false
+	g.router.Handle(Probed{Server: 0, Refused: true})
+	g.advance(rules.Probe{Server: 0})
 	g.expect("forbidden", len(*g.calls), 2)
 }
 
 // TestTimers guards against timers that are lost, early, or all at once after the process stood still.
 func TestTimers(t *testing.T) {
-	g := newRig(t, member("s-1", "up"))
-	g.module.orders = []rules.Action{rules.Timer{Delay: 100, Token: 1}, rules.Timer{Delay: 50, Token: 2}, rules.Timer{Delay: 90, Token: 3}}
-	if next, wants, _ := g.r.Advance(1000); next != 1050 || !wants {
+	g := newHarness(t, member("s-1", "up"))
+	g.module.actions = []rules.Action{rules.Timer{Delay: 100, Token: 1}, rules.Timer{Delay: 50, Token: 2}, rules.Timer{Delay: 90, Token: 3}}
+	if next, wants, _ := g.router.Advance(1000); next != 1050 || !wants {
 		t.Errorf("next turn at %v, %t", next, wants)
 	}
-	g.told()
-	if next, wants, _ := g.r.Advance(1049.9); next != 1050 || !wants || len(g.told()) > 0 {
+	g.takeEvents()
+	if next, wants, _ := g.router.Advance(1049.9); next != 1050 || !wants || len(g.takeEvents()) > 0 {
 		t.Errorf("early: next turn at %v, %t", next, wants)
 	}
 	g.now = 1095
-	g.turn()
-	g.expect("two are due", g.told(), []rules.Event{rules.Tick{Token: 2}, rules.Tick{Token: 3}})
+	g.advance()
+	g.expect("two are due", g.takeEvents(), []rules.Event{rules.Tick{Token: 2}, rules.Tick{Token: 3}})
 	g.expect("one turn for both", len(g.module.times), 2)
-	if _, wants, _ := g.r.Advance(5000); wants {
+	if _, wants, _ := g.router.Advance(5000); wants {
 		t.Error("no timer is left")
 	}
-	g.expect("the last", g.told(), []rules.Event{rules.Tick{Token: 1}})
+	g.expect("the last", g.takeEvents(), []rules.Event{rules.Tick{Token: 1}})
 }
 
 // TestHeartbeat guards against a planner that is put to use before it can order anything.
 func TestHeartbeat(t *testing.T) {
 	const answer = `{"t":"hb_ok"}` + "\n"
-	g, p, q, r := newRig(t), &peer{id: 1}, &peer{id: 2}, &peer{id: 3}
-	g.says(p, protocol.Heartbeat{}, protocol.Heartbeat{})
-	g.says(q, protocol.Heartbeat{})
-	g.says(r, protocol.Heartbeat{})
-	g.r.Handle(Disconnected{Peer: q})
+	g, p, q, r := newHarness(t), &peer{id: 1}, &peer{id: 2}, &peer{id: 3}
+	g.deliver(p, protocol.Heartbeat{}, protocol.Heartbeat{})
+	g.deliver(q, protocol.Heartbeat{})
+	g.deliver(r, protocol.Heartbeat{})
+	g.router.Handle(Disconnected{Peer: q})
 	r.gone = true
 	g.expect("without a list", p.received(), "")
-	g.turn(rules.Watch{})
-	g.r.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 1, Complete: true, Members: []protocol.Member{member("s", "up")}}})
+	g.advance(rules.Watch{})
+	g.router.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 1, Complete: true, Members: []protocol.Member{member("s", "up")}}})
 	g.expect("with one", p.received(), answer)
 	g.expect("to one that has left", q.received(), "")
-	g.says(p, protocol.Heartbeat{})
+	g.deliver(p, protocol.Heartbeat{})
 	g.expect("afterwards", p.received(), answer)
 
-	known, p := newRig(t, member("s-1", "up")), &peer{id: 1}
-	known.says(p, protocol.Heartbeat{})
+	known, p := newHarness(t, member("s-1", "up")), &peer{id: 1}
+	known.deliver(p, protocol.Heartbeat{})
 	known.expect("a list known at the start", p.received(), answer)
 }
 
 // TestPanics: one in the handling of a message costs that peer; one of the module ends the program, since what
 // it remembers can't be trusted. So does an order that can't be carried out.
 func TestPanics(t *testing.T) {
-	g := newRig(t, member("s-1", "up"))
+	g := newHarness(t, member("s-1", "up"))
 	p := &peer{id: 1}
-	streams := g.r.streams
-	g.r.streams = nil // a write to it panics
-	g.says(p, attach(1))
+	streams := g.router.streams
+	g.router.streams = nil // a write to it panics
+	g.deliver(p, attach(1))
 	if p.closed == nil {
 		t.Error("the peer stays after a panic")
 	}
-	g.r.streams = streams
+	g.router.streams = streams
 	g.module.panics = true
-	if _, _, err := g.r.Advance(1); err == nil || !strings.Contains(err.Error(), "out of order") {
+	if _, _, err := g.router.Advance(1); err == nil || !strings.Contains(err.Error(), "out of order") {
 		t.Errorf("error %v", err)
 	}
 	for _, unheard := range []rules.Action{rules.Probe{Server: 99}, nil} {
-		g = newRig(t, member("s-1", "up"))
-		g.module.orders = []rules.Action{unheard}
-		if _, _, err := g.r.Advance(1); err == nil || !strings.Contains(err.Error(), "order") {
+		g = newHarness(t, member("s-1", "up"))
+		g.module.actions = []rules.Action{unheard}
+		if _, _, err := g.router.Advance(1); err == nil || !strings.Contains(err.Error(), "order") {
 			t.Errorf("order %v: error %v", unheard, err)
 		}
 	}
@@ -477,9 +477,9 @@
 
 // TestLogNamesServers: the module's lines number servers, on-call staff know them by name.
 func TestLogNamesServers(t *testing.T) {
-	g, out := newRig(t, member("s-1", "up"), member("s-2", "up")), &bytes.Buffer{}
-	g.r.log = zerolog.New(out)
-	g.turn(rules.Log{Text: "server 1 back"}, rules.Log{Text: "server 7 back"}, rules.Log{Text: "shedding"})
+	g, out := newHarness(t, member("s-1", "up"), member("s-2", "up")), &bytes.Buffer{}
+	g.router.log = zerolog.New(out)
+	g.advance(rules.Log{Text: "server 1 back"}, rules.Log{Text: "server 7 back"}, rules.Log{Text: "shedding"})
 	want := `{"level":"info","by":"rules","server":"s-2","message":"server 1 back"}
 {"level":"info","by":"rules","message":"server 7 back"}
 {"level":"info","by":"rules","message":"shedding"}
@@ -489,10 +489,10 @@
 
 // TestDeadPeer guards against a proxy that can't be written to: others get their orders.
 func TestDeadPeer(t *testing.T) {
-	g := newRig(t, member("s-1", "up"))
+	g := newHarness(t, member("s-1", "up"))
 	one, two := g.join(1, 0), g.join(2, 1)
 	one.gone = true
-	g.turn(rules.SetWeight{Table: 0, Server: 0, Weight: 1}, rules.Bind{Proxy: 0, Table: 0}, rules.Bind{Proxy: 1, Table: 0})
+	g.advance(rules.SetWeight{Table: 0, Server: 0, Weight: 1}, rules.Bind{Proxy: 0, Table: 0}, rules.Bind{Proxy: 1, Table: 0})
 	var order map[string]any
 	if err := json.Unmarshal([]byte(two.received()), &order); err != nil || order["replace"] != true {
 		t.Errorf("orders of the other proxy: %v, %v", order, err)
--- a/internal/planner/routing/tables.go
+++ b/internal/planner/routing/tables.go
@@ -14,7 +14,7 @@
 type level struct {
 	set   bool
 	value float64
-	again rules.Retry
+	retry rules.Retry
 }
 
 // table mirrors a table of the module: the module writes changes, and a proxy that is bound needs all of it.
@@ -26,45 +26,45 @@
 
 // stream is a joined proxy.
 type stream struct {
-	peer    Peer
-	proxy   rules.ProxyID
-	joined  rules.Joined // as the module was told
-	bound   bool
-	table   rules.TableID
-	orders  protocol.Assignment // of the step that is being carried out
-	replace bool
-	touched bool
+	peer       Peer
+	proxy      rules.ProxyID
+	joined     rules.Joined // as the module was told
+	bound      bool
+	table      rules.TableID
+	assignment protocol.Assignment // of the step that is being carried out
+	replace    bool
+	changed    bool
 }
 
 // tables holds the mirrors and turns the actions of one step into one message for each proxy.
 type tables struct {
-	names   *names
-	of      map[rules.TableID]*table
-	all     []level                                   // levels for all joined proxies
-	out     map[rules.ServerID]bool                   // servers withdrawn
-	shut    map[rules.ProxyID]map[rules.ServerID]bool // what each proxy was told to shut out, over its streams
-	joined  map[rules.ProxyID]*stream
-	touched []*stream // by this step, in order
+	names     *names
+	byID      map[rules.TableID]*table
+	allLevels []level                                   // levels for all joined proxies
+	withdrawn map[rules.ServerID]bool                   // servers withdrawn
+	excluded  map[rules.ProxyID]map[rules.ServerID]bool // what each proxy was told to shut out, over its streams
+	joined    map[rules.ProxyID]*stream
+	changed   []*stream // by this step, in order
 }
 
 func newTables(n *names) *tables {
-	return &tables{names: n, of: map[rules.TableID]*table{}, all: make([]level, len(n.className)),
-		out: map[rules.ServerID]bool{}, shut: map[rules.ProxyID]map[rules.ServerID]bool{},
+	return &tables{names: n, byID: map[rules.TableID]*table{}, allLevels: make([]level, len(n.classNames)),
+		withdrawn: map[rules.ServerID]bool{}, excluded: map[rules.ProxyID]map[rules.ServerID]bool{},
 		joined: map[rules.ProxyID]*stream{}}
 }
 
 func (t *tables) table(id rules.TableID) *table {
-	if t.of[id] == nil {
-		t.of[id] = &table{weights: map[rules.ServerID]float64{}, levels: make([]level, len(t.names.className))}
+	if t.byID[id] == nil {
+		t.byID[id] = &table{weights: map[rules.ServerID]float64{}, levels: make([]level, len(t.names.classNames))}
 	}
-	return t.of[id]
+	return t.byID[id]
 }
 
-// reach puts a proxy among those that get a message from this step.
-func (t *tables) reach(s *stream) {
-	if !s.touched {
-		s.touched = true
-		t.touched = append(t.touched, s)
+// markChanged puts a proxy among those that get a message from this step.
+func (t *tables) markChanged(s *stream) {
+	if !s.changed {
+		s.changed = true
+		t.changed = append(t.changed, s)
 	}
 }
 
@@ -80,20 +80,20 @@
 // forget ends what is kept of a server, if no table that is in use holds it and no proxy has to shut it out. Tables of
 // proxies that are not here are sent whole before they are in use again.
 func (t *tables) forget(id rules.ServerID) bool {
-	if t.out[id] {
+	if t.withdrawn[id] {
 		return false
 	}
-	for _, shut := range t.shut {
+	for _, shut := range t.excluded {
 		if shut[id] {
 			return false
 		}
 	}
-	for _, tab := range t.of {
+	for _, tab := range t.byID {
 		if _, holds := tab.weights[id]; holds && len(tab.users) > 0 {
 			return false
 		}
 	}
-	for _, tab := range t.of {
+	for _, tab := range t.byID {
 		delete(tab.weights, id)
 	}
 	return true
@@ -107,8 +107,8 @@
 	}
 }
 
-// each calls f for each joined proxy, in the order of their numbers, so that messages are the same each time.
-func (t *tables) each(f func(*stream)) {
+// forEachJoined calls f for each joined proxy, in the order of their numbers, so that messages are the same each time.
+func (t *tables) forEachJoined(f func(*stream)) {
 	for _, proxy := range slices.Sorted(maps.Keys(t.joined)) {
 		f(t.joined[proxy])
 	}
@@ -122,8 +122,8 @@
 		delete(tab.weights, a.Server)
 	}
 	for _, s := range tab.users {
-		t.reach(s)
-		s.orders.Rows = append(s.orders.Rows, t.names.row(a.Server, a.Weight))
+		t.markChanged(s)
+		s.assignment.Rows = append(s.assignment.Rows, t.names.row(a.Server, a.Weight))
 	}
 }
 
@@ -132,7 +132,7 @@
 	if s == nil {
 		return
 	}
-	t.reach(s)
+	t.markChanged(s)
 	t.unbind(s)
 	s.bound, s.table, s.replace = true, a.Table, true
 	tab := t.table(a.Table)
@@ -145,54 +145,54 @@
 // withdraw shuts a server out at each proxy whose table holds it, or lets it in where it was shut out.
 func (t *tables) withdraw(a rules.Withdraw) {
 	if a.Excluded {
-		t.out[a.Server] = true
+		t.withdrawn[a.Server] = true
 	} else {
-		delete(t.out, a.Server)
+		delete(t.withdrawn, a.Server)
 	}
-	t.each(func(s *stream) {
+	t.forEachJoined(func(s *stream) {
 		if !s.bound {
 			return
 		}
-		shut := t.shut[s.proxy][a.Server]
+		shut := t.excluded[s.proxy][a.Server]
 		if _, holds := t.table(s.table).weights[a.Server]; a.Excluded && holds && !shut {
-			t.reach(s)
-			t.drop(s, a.Server)
+			t.markChanged(s)
+			t.exclude(s, a.Server)
 		} else if !a.Excluded && shut {
-			t.reach(s)
-			t.undrop(s, a.Server)
+			t.markChanged(s)
+			t.include(s, a.Server)
 		}
 	})
 }
 
-func (t *tables) drop(s *stream, id rules.ServerID) {
-	if t.shut[s.proxy] == nil {
-		t.shut[s.proxy] = map[rules.ServerID]bool{}
+func (t *tables) exclude(s *stream, id rules.ServerID) {
+	if t.excluded[s.proxy] == nil {
+		t.excluded[s.proxy] = map[rules.ServerID]bool{}
 	}
-	t.shut[s.proxy][id] = true
-	s.orders.Exclude = append(s.orders.Exclude, t.names.servers[id].name)
+	t.excluded[s.proxy][id] = true
+	s.assignment.Exclude = append(s.assignment.Exclude, t.names.servers[id].name)
 }
 
-func (t *tables) undrop(s *stream, id rules.ServerID) {
-	delete(t.shut[s.proxy], id)
-	s.orders.Include = append(s.orders.Include, t.names.servers[id].name)
+func (t *tables) include(s *stream, id rules.ServerID) {
+	delete(t.excluded[s.proxy], id)
+	s.assignment.Include = append(s.assignment.Include, t.names.servers[id].name)
 }
 
 func (t *tables) admit(a rules.Admit) {
-	levels := t.all
+	levels := t.allLevels
 	if a.Table != rules.AllTables {
 		levels = t.table(a.Table).levels
 	}
 	for mask := a.Mask; mask != 0; mask &= mask - 1 {
 		if k := bits.TrailingZeros16(mask); k < len(levels) {
-			levels[k] = level{set: true, value: a.Level, again: a.Retry}
+			levels[k] = level{set: true, value: a.Level, retry: a.Retry}
 		}
 	}
 	write := func(s *stream) {
-		t.reach(s)
-		s.orders.Gates = append(s.orders.Gates, merged(t.gates(s, a.Mask))...)
+		t.markChanged(s)
+		s.assignment.Gates = append(s.assignment.Gates, mergeGates(t.gates(s, a.Mask))...)
 	}
 	if a.Table == rules.AllTables {
-		t.each(write)
+		t.forEachJoined(write)
 		return
 	}
 	for _, s := range t.table(a.Table).users {
@@ -203,80 +203,80 @@
 // gates returns what holds at a proxy for the classes in a mask, one by one. Where its table and all tables
 // have a level, the lower one counts, with the table's own way of trying again.
 func (t *tables) gates(s *stream, mask uint16) []protocol.Gate {
-	var list []protocol.Gate
-	for k, now := range t.all {
+	var gates []protocol.Gate
+	for k, effective := range t.allLevels {
 		if mask&(1<<k) == 0 {
 			continue
 		}
 		if s.bound {
 			if own := t.table(s.table).levels[k]; own.set {
-				if now.set {
-					own.value = min(own.value, now.value)
+				if effective.set {
+					own.value = min(own.value, effective.value)
 				}
-				now = own
+				effective = own
 			}
 		}
-		if now.set {
-			list = append(list, protocol.Gate{Classes: []string{t.names.className[k]}, Level: now.value,
-				Retry: int(now.again)})
+		if effective.set {
+			gates = append(gates, protocol.Gate{Classes: []string{t.names.classNames[k]}, Level: effective.value,
+				Retry: int(effective.retry)})
 		}
 	}
-	return list
+	return gates
 }
 
-// merged joins gates that say the same, since an order for several classes counts as one line.
-func merged(list []protocol.Gate) []protocol.Gate {
-	var out []protocol.Gate
+// mergeGates joins gates that say the same, since an order for several classes counts as one line.
+func mergeGates(gates []protocol.Gate) []protocol.Gate {
+	var merged []protocol.Gate
 next:
-	for _, g := range list {
-		for i := range out {
-			if out[i].Level == g.Level && out[i].Retry == g.Retry {
-				out[i].Classes = append(out[i].Classes, g.Classes...)
+	for _, g := range gates {
+		for i := range merged {
+			if merged[i].Level == g.Level && merged[i].Retry == g.Retry {
+				merged[i].Classes = append(merged[i].Classes, g.Classes...)
 				continue next
 			}
 		}
-		out = append(out, g)
+		merged = append(merged, g)
 	}
-	return out
+	return merged
 }
 
-// all is the mask of every class.
-const all = ^uint16(0)
+// allClasses is the mask of every class.
+const allClasses = ^uint16(0)
 
 func (t *tables) mark(a rules.Mark) {
-	for _, s := range t.touched {
-		s.orders.Token = &a.Token
+	for _, s := range t.changed {
+		s.assignment.Token = &a.Token
 	}
 }
 
 // flush sends each proxy its message of this step. A proxy that was bound gets its whole table as it stands,
 // since it may hold anything: the table of another planner, or one of an earlier life of this one.
 func (t *tables) flush(failed func(*stream, error)) {
-	for _, s := range t.touched {
+	for _, s := range t.changed {
 		if s.replace {
-			t.whole(s)
+			t.assignWholeTable(s)
 		}
-		err := s.peer.Assign(s.orders)
-		s.orders, s.replace, s.touched = protocol.Assignment{}, false, false
+		err := s.peer.Assign(s.assignment)
+		s.assignment, s.replace, s.changed = protocol.Assignment{}, false, false
 		if err != nil {
 			failed(s, err)
 		}
 	}
-	t.touched = t.touched[:0]
+	t.changed = t.changed[:0]
 }
 
-func (t *tables) whole(s *stream) {
+func (t *tables) assignWholeTable(s *stream) {
 	tab := t.table(s.table)
-	s.orders = protocol.Assignment{Replace: true, Token: s.orders.Token, Gates: t.gates(s, all)}
+	s.assignment = protocol.Assignment{Replace: true, Token: s.assignment.Token, Gates: t.gates(s, allClasses)}
 	for _, id := range slices.Sorted(maps.Keys(tab.weights)) {
-		s.orders.Rows = append(s.orders.Rows, t.names.row(id, tab.weights[id]))
-		if t.out[id] {
-			t.drop(s, id) // again: which of our words a proxy still has is not known
+		s.assignment.Rows = append(s.assignment.Rows, t.names.row(id, tab.weights[id]))
+		if t.withdrawn[id] {
+			t.exclude(s, id) // again: which of our words a proxy still has is not known
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(t.shut[s.proxy])) {
-		if !t.out[id] {
-			t.undrop(s, id)
+	for _, id := range slices.Sorted(maps.Keys(t.excluded[s.proxy])) {
+		if !t.withdrawn[id] {
+			t.include(s, id)
 		}
 	}
 }
--- a/internal/planner/settings/settings.go
+++ b/internal/planner/settings/settings.go
@@ -99,7 +99,7 @@
 	if err := json.Unmarshal(text, &parsed); err != nil {
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	if err := parsed.checkParts(); err != nil {
+	if err := parsed.checkRequired(); err != nil {
 		return Settings{}, err
 	}
 	ruleSettings, err := parsed.ruleSettings()
@@ -115,8 +115,8 @@
 		MaxConnectTime: connect, Granularity: max(0, parsed.Granularity)}, nil
 }
 
-// checkParts says which part of the settings is missing or too large.
-func (d document) checkParts() error {
+// checkRequired says which part of the settings is missing or too large.
+func (d document) checkRequired() error {
 	switch {
 	case len(d.Classes) == 0:
 		return errors.New("settings: no classes")
--- a/internal/planner/settings/settings_test.go
+++ b/internal/planner/settings/settings_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestBadSettings(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for _, tc := range []struct{ old, new, says string }{
 		{settingsText, `{"classes": [`, "settings: "},
 		{settingsText, `{}`, "no classes"},
