--- a/internal/planner/protocol/exchange.go
+++ b/internal/planner/protocol/exchange.go
@@ -12,26 +12,26 @@
 	"mulleinwood/internal/planner/transport/ring"
 )
 
-// Bounds of what another party may answer.
+// Limits of an HTTP response, in bytes.
 const (
-	MaxHeadBytes      = 16 << 10 // of a head
-	maxChunkLineBytes = 256      // of the line before a chunk, and of a trailer
+	MaxHeadBytes      = 16 << 10 // of the head
+	maxChunkLineBytes = 256      // of the line before a chunk, and of a line of the trailer
 )
 
 var (
-	errHeadTooLong = errors.New("head over 16 KiB")
-	errBodyTooLong = errors.New("body over its bound")
-	errChunk       = errors.New("broken chunk")
-	errTruncated   = errors.New("ended within the answer")
+	errHeadTooLong = errors.New("response head exceeds 16 KiB")
+	errBodyTooLong = errors.New("response body exceeds its limit")
+	errChunk       = errors.New("malformed chunk")
+	errTruncated   = errors.New("connection closed within the response")
 )
 
-// stage of an exchange.
+// stage is the part of a response that an exchange reads next.
 type stage int
 
 const (
 	inHead stage = iota
 	inLength
-	inUntilClose // until the peer closes
+	inUntilClose // the body extends until the peer closes the connection
 	inChunkSize
 	inChunk
 	inChunkEnd
@@ -39,27 +39,27 @@
 	complete
 )
 
-// HTTPExchange is the machine of one answer over HTTP/1.1.
+// HTTPExchange decodes one HTTP/1.1 response from bytes that arrive in any pieces.
 type HTTPExchange struct {
-	Method string // of the request; GET if empty
-	// Head is given the head of the answer, without a body. An error ends the exchange.
+	Method string // method of the request; GET if empty
+	// HandleHead is called with the head of the response, without a body. An error ends the exchange.
 	HandleHead func(*http.Response) error
-	// Body is given the body as it comes. An error ends the exchange.
+	// HandleBody is called with each piece of the body as it arrives. An error ends the exchange.
 	HandleBody func([]byte) error
-	// BodyMost bounds the body; 0: no bound, for answers that go on as long as their connection.
+	// MaxBodyBytes limits the body; 0: no limit, for responses that last as long as their connection.
 	MaxBodyBytes int64
 
-	onComplete func() error // called once the answer is complete
+	onComplete func() error // called once the response is complete; may be nil
 	stage      stage
-	scanned    int
-	remaining  int64 // bytes of the body, or of the chunk
+	scanned    int   // bytes of the head that have been searched for its end
+	remaining  int64 // bytes left of the body, or of the chunk
 	received   int64 // bytes of the body so far
 }
 
-// Done says whether the answer is complete.
+// Done reports whether the response is complete.
 func (x *HTTPExchange) Done() bool { return x.stage == complete }
 
-// Close says whether the answer is complete now that the peer has closed the connection.
+// Close handles the end of the connection. It returns an error if the response is incomplete.
 func (x *HTTPExchange) Close() error {
 	if x.stage == inUntilClose {
 		return x.finish()
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// Feed takes from the buffer what can be understood.
+// Feed consumes the part of the buffer that can be decoded.
 func (x *HTTPExchange) Feed(in *ring.Buffer) error {
 	for x.stage != complete {
 		var progressed bool
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// head waits for the whole head, then reads it.
+// head decodes the head once it is complete.
 func (x *HTTPExchange) head(in *ring.Buffer) (bool, error) {
 	for {
 		end := in.Index('\n', x.scanned)
@@ -121,7 +121,7 @@
 			return false, fmt.Errorf("head: %w", err)
 		}
 		in.Discard(end + 1)
-		if response.StatusCode >= 100 && response.StatusCode < 200 { // an interim answer; the real one follows
+		if response.StatusCode >= 100 && response.StatusCode < 200 { // an interim response; the final one follows
 			x.scanned = 0
 			continue
 		}
@@ -129,7 +129,7 @@
 	}
 }
 
-// beginBody hands on the head, and notes how the body's end is told.
+// beginBody passes on the head and determines how the body is delimited.
 func (x *HTTPExchange) beginBody(response *http.Response) (bool, error) {
 	switch {
 	case len(response.TransferEncoding) > 0:
@@ -152,7 +152,7 @@
 	return true, nil
 }
 
-// body hands on what is there of the body, or of one chunk.
+// body passes on the buffered bytes of the body, or of one chunk.
 func (x *HTTPExchange) body(in *ring.Buffer) (bool, error) {
 	piece, _ := in.Peek()
 	if x.stage != inUntilClose && int64(len(piece)) > x.remaining {
@@ -180,7 +180,7 @@
 	return true, nil
 }
 
-// chunkLine reads the lines that stand round chunks.
+// chunkLine reads a line with a chunk's size, the line end after a chunk, or a line of the trailer.
 func (x *HTTPExchange) chunkLine(in *ring.Buffer) (bool, error) {
 	end := in.Index('\n', 0)
 	if end > maxChunkLineBytes || end < 0 && in.Len() > maxChunkLineBytes {
@@ -203,7 +203,7 @@
 		}
 	case inChunkEnd:
 		if text != "" {
-			return false, fmt.Errorf("%w: %.20q after it", errChunk, text)
+			return false, fmt.Errorf("%w: %.20q after its data", errChunk, text)
 		}
 		x.stage = inChunkSize
 	case inTrailer:
@@ -214,7 +214,7 @@
 	return true, nil
 }
 
-// Request returns the bytes of a request for a path at a host.
+// Request returns a GET request for a path at a host.
 func Request(host, path string) []byte {
 	return []byte("GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\nAccept: */*\r\n\r\n")
 }
--- a/internal/planner/protocol/lines.go
+++ b/internal/planner/protocol/lines.go
@@ -1,4 +1,5 @@
-// Package protocol turns bytes into messages and orders into bytes. It knows no socket and no clock.
+// Package protocol decodes messages of peers and encodes assignments to proxies, and decodes the HTTP responses of discovery
+// and servers. It uses no sockets and no clock.
 package protocol
 
 import (
@@ -9,24 +10,24 @@
 	"mulleinwood/internal/planner/transport/ring"
 )
 
-// MaxLineBytes is the most that one line may hold, its LF included.
+// MaxLineBytes limits the length of a line, its LF included.
 const MaxLineBytes = 1 << 20
 
-// LineDecoder is the machine of a connection at the planner's address: one JSON object a line.
+// LineDecoder decodes the input of a connection to the planner's address: one JSON object per line.
 //
-// Take is given each message. Bad is given each line that is JSON but can't be used. An error that either returns
-// ends the connection; nil goes on. What is no JSON line ends it in any case: where one line ends and the next
-// begins can't be known any more.
+// HandleMessage is called with each message, HandleInvalid with a LineError for each line that is JSON but not a valid
+// message. An error that either returns ends the connection. A line that is not JSON always ends it, since line boundaries
+// can't be trusted any more.
 type LineDecoder struct {
 	Bounds        Bounds
 	HandleMessage func(Message) error
 	HandleInvalid func(error) error
 
-	scanned int // bytes of the buffer that hold no LF
+	scanned int // bytes at the start of the buffer that are known to contain no LF
 	decoder decoder
 }
 
-// Feed takes all complete lines from the buffer.
+// Feed consumes all complete lines of the buffer.
 func (l *LineDecoder) Feed(in *ring.Buffer) error {
 	for {
 		end := in.Index('\n', l.scanned)
@@ -46,8 +47,8 @@
 	}
 }
 
-// checkIncompleteLine says whether the beginning of a line can become no JSON object however it goes on. It guards against
-// a peer that sends without an end what holds no line: bytes up to from have been looked at before.
+// checkIncompleteLine returns an error if the beginning of a line can't be continued to a JSON line. It detects a peer that
+// sends endless data without a line end. The first scanned bytes have been checked before.
 func checkIncompleteLine(in *ring.Buffer, scanned int) error {
 	if in.Len() > MaxLineBytes {
 		return &LineError{Fault: Unreadable, Err: errLineTooLong}
@@ -60,13 +61,14 @@
 			}
 		}
 	}
-	if text := bytes.TrimLeft(first, " \t\r"); scanned < len(first) && len(text) > 0 && !bytes.ContainsRune(jsonStartBytes, rune(text[0])) {
+	if text := bytes.TrimLeft(first, " \t\r"); scanned < len(first) && len(text) > 0 &&
+		!bytes.ContainsRune(jsonStartBytes, rune(text[0])) {
 		return &LineError{Fault: Unreadable, Err: errNotJSON}
 	}
 	return nil
 }
 
-// jsonStartBytes holds the bytes that a JSON value begins with.
+// jsonStartBytes are the bytes that a JSON value may begin with.
 var jsonStartBytes = []byte(`{["-0123456789tfn`)
 
 func (l *LineDecoder) line(text []byte) error {
@@ -82,18 +84,18 @@
 	}
 }
 
-// Fault is how much a line that can't be used says of what follows it.
+// Fault tells whether the lines after a faulty one can be decoded.
 type Fault int
 
-// The faults.
+// The faults of a line.
 const (
-	Invalid    Fault = iota // JSON; the lines after it may be good
-	Unreadable              // no JSON line; neither is what follows
+	Invalid    Fault = iota // JSON, but not a valid message; the lines after it can be decoded
+	Unreadable              // not JSON; the input after it can't be decoded either
 )
 
-// LineError says why a line can't be used.
+// LineError is the reason for rejecting a line.
 type LineError struct {
-	Kind  string // of the message, as far as known
+	Kind  string // kind of the message; empty if unknown
 	Fault Fault
 	Err   error
 }
--- a/internal/planner/protocol/list.go
+++ b/internal/planner/protocol/list.go
@@ -9,7 +9,7 @@
 	"strconv"
 )
 
-// MaxListBytes bounds one list, and one line of a watch.
+// MaxListBytes limits one list, and one line of a watch.
 const MaxListBytes = 8 << 20
 
 // Member is an entry of discovery's list.
@@ -20,7 +20,7 @@
 	Kind      string  `json:"flavor"`
 	Cell      int     `json:"cell"`
 	Phase     string  `json:"phase"`
-	Weight    float64 `json:"size"`        // 1 where the list doesn't say
+	Weight    float64 `json:"size"`        // 1 if the list has none
 	StartedAt float64 `json:"up_since_ms"` // Unix time in milliseconds; 0: long ago
 }
 
@@ -31,20 +31,20 @@
 	PhaseRemoved  = "removed"
 )
 
-// List is the whole list, or its changes.
+// List is the complete list of servers, or the changes since a revision.
 type List struct {
 	Revision int64    `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []Member `json:"members"`
 }
 
-// StatusError says that a party answered with a status that is no answer.
+// StatusError is the HTTP status of a response other than 200.
 type StatusError int
 
 // Error implements error.
 func (s StatusError) Error() string { return fmt.Sprintf("status %d", int(s)) }
 
-// UnmarshalJSON reads a member; a size that is left out is 1, as for servers that all count the same.
+// UnmarshalJSON decodes a member. A missing size is 1, so that servers without sizes have equal weights.
 func (m *Member) UnmarshalJSON(text []byte) error {
 	type plain Member
 	read := plain{Weight: 1}
@@ -55,11 +55,11 @@
 	return nil
 }
 
-var errListTooLong = errors.New("list over 8 MiB")
+var errListTooLong = errors.New("list exceeds 8 MiB")
 
-// DecodeList reads one list and counts the entries that are odd. An entry without an id is left out. Of others
-// what can't be is replaced by what harms least: a size by 1, a cell or a start by 0, and a phase that is not known
-// by draining, since such a server has not said that it wants work. Leaving them out would call them removed.
+// DecodeList decodes a list and counts its invalid entries. An entry without an id is dropped. In other entries an invalid
+// value is replaced by the least harmful one: a size by 1, a cell or a start time by 0, and an unknown phase by draining,
+// since the server hasn't declared that it accepts work. Dropping these entries would mark their servers as removed.
 func DecodeList(text []byte) (list List, invalid int, err error) {
 	if err := json.Unmarshal(text, &list); err != nil {
 		return List{}, 0, fmt.Errorf("list: %w", err)
@@ -79,7 +79,7 @@
 	return list, invalid, nil
 }
 
-// sanitize replaces what can't be and says whether there was any of it.
+// sanitize replaces invalid values and reports whether there were any.
 func (m *Member) sanitize() bool {
 	before := *m
 	if m.Weight < 0 || m.Weight > MaxValue {
@@ -102,7 +102,8 @@
 	return nil
 }
 
-// FetchRequest returns the request for the whole list and the machine of its answer, whose text goes to take.
+// FetchRequest returns the request for the complete list and the exchange that decodes its response. handle is called with
+// the body.
 func FetchRequest(host string, handle func(text []byte) error) ([]byte, *HTTPExchange) {
 	var text []byte
 	x := &HTTPExchange{HandleHead: onlyOK, MaxBodyBytes: MaxListBytes}
@@ -114,10 +115,10 @@
 	return Request(host, "/v1/endpoints"), x
 }
 
-// WatchRequest returns the request for the changes after a revision and the machine of its answer, which goes on as
-// long as the connection. Begun is called once the call is answered, take is given each object's text.
+// WatchRequest returns the request for the changes after a revision and the exchange that decodes its response, which lasts
+// as long as the connection. started is called once the request is accepted, handle with the text of each JSON object.
 func WatchRequest(host string, from int64, started func(), handle func(text []byte) error) ([]byte, *HTTPExchange) {
-	var text []byte // of a line whose end has not come
+	var text []byte // of an incomplete line
 	x := &HTTPExchange{}
 	x.HandleHead = func(r *http.Response) error {
 		if err := onlyOK(r); err != nil {
@@ -138,7 +139,7 @@
 			whole := bytes.TrimSpace(append(text, p[:end]...))
 			text, p = text[:0], p[end+1:]
 			if len(whole) == 0 {
-				continue // nothing has changed
+				continue // a keepalive: nothing has changed
 			}
 			if err := handle(whole); err != nil {
 				return err
--- a/internal/planner/protocol/messages.go
+++ b/internal/planner/protocol/messages.go
@@ -7,12 +7,12 @@
 	"math"
 )
 
-// Message is what a proxy or a collector says.
+// Message is a message from a proxy or a collector.
 type Message interface{ message() }
 
-// The messages. Figures are finite and not negative; times are in milliseconds.
+// The messages. Numbers are finite and not negative; times are in milliseconds.
 type (
-	// Heartbeat is answered once orders can be made.
+	// Heartbeat is answered once the planner can make assignments.
 	Heartbeat struct{}
 	// Collector is the first message of a zone's collector.
 	Collector struct{ Zone string }
@@ -23,29 +23,30 @@
 		Rate  float64
 		Fresh bool
 
-		Versions bool // it asks for versioned updates
+		Versions bool // the proxy requests versioned updates
 	}
-	// Ack says that a proxy applied all up to a mark.
+	// Ack reports that a proxy has applied everything up to a token.
 	Ack struct {
 		Proxy   int
 		Token   uint32
 		Elapsed float64
 	}
-	// ResyncRequest asks for versioned updates that a proxy has missed: those after a number, or the whole table.
+	// ResyncRequest requests versioned updates that a proxy has missed: those after a version, or the whole table.
 	ResyncRequest struct {
 		Proxy int
 		Full  bool
 		After uint64
 	}
-	// Nack says that a proxy could not use what it was sent: what it holds isn't known.
+	// Nack reports that a proxy has rejected an assignment; the state of its table is unknown.
 	Nack struct{ Proxy int }
-	// ServerReport is what the proxies of a zone met at a server. One without a name is known by its address.
+	// ServerReport aggregates the attempts of a zone's proxies at a server. A server without a name is identified by its
+	// address.
 	ServerReport struct {
 		Zone, Server, Address             string
 		Attempts, Failed, Latency, Period float64
 		Load                              map[string]float64
 	}
-	// UsageReport counts the requests of a class that came to a proxy.
+	// UsageReport counts the requests of a class that a proxy received.
 	UsageReport struct {
 		Proxy                        int
 		Class                        string
@@ -62,43 +63,43 @@
 func (ServerReport) message()  {}
 func (UsageReport) message()   {}
 
-// MaxValue bounds every figure that is taken, so that sums of them stay finite.
+// MaxValue limits every number that is accepted, so that their sums stay finite.
 const MaxValue = 1e12
 
-// Bounds are what the figures of one deployment's messages keep within. 0 stands for not known.
+// Bounds are the limits of the numbers in one deployment's messages. 0 means no limit.
 type Bounds struct {
-	Proxies    int     // their numbers are below it
-	MaxLatency float64 // milliseconds; an answer that came later than any deadline is no answer
-	MaxPeriod  float64 // milliseconds; a report that covers more tells nothing of now
+	Proxies    int     // number of proxies; their IDs are below it
+	MaxLatency float64 // milliseconds; a response after the longest deadline doesn't count as one
+	MaxPeriod  float64 // milliseconds; a report over a longer period doesn't describe the current state
 }
 
-// MaxRate is the most requests a second that a report or a joining may tell of: far more than a proxy forwards, or a
-// server does.
+// MaxRate is the highest rate, in requests per second, that a report or an Attach may contain: far more than a proxy
+// forwards or a server handles.
 const MaxRate = 100e3
 
 var (
-	errLineTooLong   = errors.New("over 1 MiB")
-	errNotJSON       = errors.New("no JSON line")
-	errNegative      = errors.New("a figure is below 0")
-	errValueTooLarge = errors.New("a figure is over 1e12")
-	errMissing       = errors.New("a field is missing")
-	errUnknownKind   = errors.New("unknown kind")
-	errUnknownProxy  = errors.New("no such proxy")
-	errMoreFailed    = errors.New("more failed than tried")
-	errPeriod        = errors.New("covers a time that can't be")
-	errToken         = errors.New("a mark that none of ours can be")
-	errRate          = errors.New("more requests than there can be")
-	errLatency       = errors.New("a mean that no answer can have")
-	errLoad          = errors.New("a load report outside its units")
+	errLineTooLong   = errors.New("line exceeds 1 MiB")
+	errNotJSON       = errors.New("line is not JSON")
+	errNegative      = errors.New("number is negative")
+	errValueTooLarge = errors.New("number exceeds 1e12")
+	errMissing       = errors.New("field is missing")
+	errUnknownKind   = errors.New("unknown message kind")
+	errUnknownProxy  = errors.New("unknown proxy")
+	errMoreFailed    = errors.New("more failures than attempts")
+	errPeriod        = errors.New("period is 0 or too long")
+	errToken         = errors.New("mark is out of range")
+	errRate          = errors.New("request rate is too high")
+	errLatency       = errors.New("mean latency is out of range")
+	errLoad          = errors.New("load value is out of range")
 )
 
-// heartbeatReply is the answer to a Heartbeat.
+// heartbeatReply is the line that answers a Heartbeat.
 const heartbeatReply = `{"t":"hb_ok"}` + "\n"
 
 // HeartbeatReply returns the line that answers a Heartbeat.
 func HeartbeatReply() []byte { return []byte(heartbeatReply) }
 
-// line has the fields of all messages. Pointers tell what was left out: a figure that is absent is no 0.
+// line has the fields of all messages. A nil pointer is a missing field, which differs from 0.
 type line struct {
 	Kind     string              `json:"t"`
 	Zone     *string             `json:"zone"`
@@ -106,7 +107,7 @@
 	Class    *string             `json:"class"`
 	Proxy    *int                `json:"proxy"`
 	Token    *int64              `json:"mark"`
-	Fresh    bool                `json:"fresh"` // nothing is decided by it
+	Fresh    bool                `json:"fresh"` // optional, since no decision depends on it
 	Weight   *float64            `json:"weight"`
 	Elapsed  *float64            `json:"took_ms"`
 	Attempts *float64            `json:"tries"`
@@ -120,21 +121,21 @@
 	After    uint64 `json:"after"`
 }
 
-// Decode reads one line. Unknown fields are skipped. Its error is a LineError: either the line is JSON and can't be
-// used, or it is none, and then neither can what follows it.
+// Decode decodes one line. Unknown fields are ignored. Its error is a *LineError, whose Fault tells whether the lines after
+// it can be decoded.
 func Decode(text []byte, within Bounds) (Message, error) {
 	var d decoder
 	return d.decode(text, within)
 }
 
-// What stands in a field that a line leaves out. A line that writes one of these leaves it out.
+// Placeholders for missing fields. A line that contains one of these values counts as without the field.
 const (
 	absentFloat = -1e300
 	absentInt   = math.MinInt64
 	absentText  = "\x00"
 )
 
-// decoder reads lines with no memory for each field of each. It holds what the fields of a line point to.
+// decoder decodes lines without an allocation for each field. It holds the values that the fields of a line point to.
 type decoder struct {
 	texts   [3]string
 	proxy   int
@@ -173,14 +174,14 @@
 	return m, nil
 }
 
-// clearAbsent makes a field that the line left out point to nothing.
+// clearAbsent sets a field to nil if it still has its placeholder.
 func clearAbsent[T comparable](field **T, absent T) {
 	if *field != nil && **field == absent {
 		*field = nil
 	}
 }
 
-// message checks the fields that the line's kind has.
+// message returns the line's message after checking the fields of its kind.
 func (l *line) message(within Bounds) (Message, error) {
 	if err := l.checkNumbers(within); err != nil {
 		return nil, err
@@ -210,7 +211,7 @@
 	return nil, fmt.Errorf("%w %.40q", errUnknownKind, l.Kind)
 }
 
-// checkNumbers checks the numbers that any kind of line may have. JSON has no way to write one that is not finite.
+// checkNumbers checks the numbers that any kind of line may have. JSON can't represent infinities or NaN.
 func (l *line) checkNumbers(within Bounds) error {
 	for _, figure := range []*float64{l.Weight, l.Elapsed, l.Attempts, l.Failed, l.Latency, l.Period} {
 		switch {
@@ -227,7 +228,7 @@
 	return nil
 }
 
-// attach reads a proxy's joining.
+// attach returns the message that joins a proxy.
 func (l *line) attach() (Message, error) {
 	if l.Proxy == nil || l.Zone == nil || l.Weight == nil {
 		return nil, errMissing
@@ -238,7 +239,7 @@
 	return Attach{Proxy: *l.Proxy, Zone: *l.Zone, Rate: *l.Weight, Fresh: l.Fresh, Versions: l.Versions}, nil
 }
 
-// done reads the answer to a mark.
+// done returns the acknowledgement of a token.
 func (l *line) done() (Message, error) {
 	if l.Proxy == nil || l.Token == nil || l.Elapsed == nil {
 		return nil, errMissing
@@ -249,7 +250,7 @@
 	return Ack{Proxy: *l.Proxy, Token: uint32(*l.Token), Elapsed: *l.Elapsed}, nil
 }
 
-// usageReport reads what came to a proxy of a class.
+// usageReport returns the report of the requests of a class at a proxy.
 func (l *line) usageReport(within Bounds) (Message, error) {
 	if l.Proxy == nil || l.Class == nil || l.Attempts == nil || l.Failed == nil || l.Period == nil {
 		return nil, errMissing
@@ -258,7 +259,7 @@
 	return m, m.Check(within)
 }
 
-// checkCounts checks what both kinds of report have.
+// checkCounts checks the fields that both kinds of report have.
 func checkCounts(attempts, failed, period float64, within Bounds) error {
 	switch {
 	case !(attempts >= 0 && failed >= 0 && period >= 0):
@@ -273,14 +274,14 @@
 	return nil
 }
 
-// Check says whether a report can be true. It may count more requests as not served than came in: they came before its
-// span.
+// Check returns an error if the report is implausible. Unanswered may exceed Requests, as those requests may have arrived
+// before the period.
 func (m UsageReport) Check(within Bounds) error {
 	return checkCounts(m.Requests, m.Unanswered, m.Period, within)
 }
 
-// Check says whether a report can be true. It guards against a server that looks like the fastest of all, or the slowest,
-// by a spoilt report: a mean is needed where there were answers, and no answer takes no time or longer than anybody waits.
+// Check returns an error if the report is implausible, so that a corrupt report can't make a server look like the fastest or
+// the slowest. Reports with responses need a mean latency above 0 and not above the longest deadline.
 func (m ServerReport) Check(within Bounds) error {
 	if err := checkCounts(m.Attempts, m.Failed, m.Period, within); err != nil {
 		return err
@@ -300,7 +301,7 @@
 	return nil
 }
 
-// serverReport reads what a zone's proxies met at a server.
+// serverReport returns the report of a zone's proxies about a server.
 func (l *line) serverReport(within Bounds) (Message, error) {
 	if l.Zone == nil || l.Server == nil || l.Attempts == nil || l.Failed == nil || l.Period == nil {
 		return nil, errMissing
--- a/internal/planner/protocol/orders.go
+++ b/internal/planner/protocol/orders.go
@@ -8,8 +8,8 @@
 	"mulleinwood/tables"
 )
 
-// Row is a line of a table. Weight 0 removes it. Where a server is and in which zone isn't written in lines, since proxies
-// know both from discovery.
+// Row is a row of a table. Weight 0 removes the server. Address and Zone aren't encoded in lines, since proxies of that
+// protocol know both from discovery.
 type Row struct {
 	Server  string
 	Weight  float64
@@ -17,24 +17,24 @@
 	Zone    string
 }
 
-// Gate is a level and the manner of trying again for some classes.
+// Gate is an admission level and a retry method for some classes. Retry is a rules.Retry.
 type Gate struct {
 	Classes []string
 	Level   float64
 	Retry   int
 }
 
-// Assignment is one message to one proxy.
+// Assignment is one message to one proxy: changes to its table, or a whole table.
 type Assignment struct {
-	Replace bool // the rows form the whole table, levels are forgotten
+	Replace bool // Rows and Gates replace the whole table
 	Rows    []Row
 	Gates   []Gate
-	Exclude []string // servers to shut out
-	Include []string // servers to let in again
-	Token   *uint32  // to be answered
+	Exclude []string // servers that must get no requests
+	Include []string // servers that are no longer excluded
+	Token   *uint32  // the proxy acknowledges it; nil: no acknowledgement
 }
 
-// LineCount is what the message counts in the channel, its head left aside.
+// LineCount returns the number of lines that the message uses of the outgoing channel, without its fixed overhead.
 func (o *Assignment) LineCount() int {
 	n := len(o.Rows) + len(o.Gates) + len(o.Exclude) + len(o.Include)
 	if o.Replace {
@@ -46,7 +46,7 @@
 	return n
 }
 
-// ApplyTo is the table that a proxy holds once it has applied the message to the one given.
+// ApplyTo returns the table that results from applying the message to t, which isn't modified.
 func (o *Assignment) ApplyTo(t tables.Table) tables.Table {
 	next := t.Clone()
 	if o.Replace {
@@ -75,14 +75,14 @@
 }
 
 const (
-	maxParts    = 64       // of one message
-	maxPartFill = 64 << 10 // from this size on a part is closed; a part stays far under 1 MiB
+	maxParts    = 64       // limit of parts of one message
+	maxPartFill = 64 << 10 // bytes after which a part is closed; keeps parts far below 1 MiB
 )
 
-// ErrTooLarge says that a message doesn't fit into the parts that a proxy takes.
-var ErrTooLarge = errors.New("orders need over 64 parts")
+// ErrTooLarge reports that a message needs more parts than a proxy accepts.
+var ErrTooLarge = errors.New("assignment needs more than 64 parts")
 
-// Append writes the message in as many parts as it needs. An empty message writes nothing.
+// Append appends the encoded message to out, in as many parts as it needs. An empty message appends nothing.
 func (o *Assignment) Append(out []byte) ([]byte, error) {
 	e := encoder{out: out}
 	if o.Replace {
@@ -105,7 +105,7 @@
 		e.item("undrop")
 		e.quote(s)
 	}
-	for _, g := range o.Gates { // one a part: a part has one level
+	for _, g := range o.Gates { // one part each: a part has one level
 		e.closePart()
 		for _, name := range g.Classes {
 			e.item("for")
@@ -131,15 +131,15 @@
 	return e.out, nil
 }
 
-// encoder writes the parts of one message.
+// encoder encodes the parts of one message.
 type encoder struct {
 	out       []byte
-	partStart int    // where the present part begins
-	parts     int    // begun so far
-	openList  string // the list that is open
+	partStart int    // offset of the current part in out
+	parts     int    // number of parts started
+	openList  string // name of the JSON list that is being written; empty: none
 }
 
-// closePart closes the present part, if it holds anything, so that what follows stands in one of its own.
+// closePart ends the current part unless it is empty, so that the next field starts a new part.
 func (e *encoder) closePart() {
 	if e.parts > 0 && len(e.out) > e.partStart {
 		e.endList()
@@ -164,7 +164,7 @@
 	e.out = append(append(append(e.out, ',', '"'), name...), '"', ':')
 }
 
-// item goes to the next place in a list, which it begins where needed.
+// item prepares for the next element of a list, and opens the list if needed.
 func (e *encoder) item(list string) {
 	if e.openList == list && len(e.out)-e.partStart < maxPartFill {
 		e.out = append(e.out, ',')
@@ -178,9 +178,9 @@
 }
 
 func (e *encoder) quote(s string) {
-	text, _ := json.Marshal(s) // a string always has a JSON form
+	text, _ := json.Marshal(s) // encoding a string can't fail
 	e.out = append(e.out, text...)
 }
 
-// number writes a figure as exactly as the simulator's wire carries it.
+// number writes a number as a float32, the precision of the simulator's wire format.
 func (e *encoder) number(x float64) { e.out = strconv.AppendFloat(e.out, x, 'g', -1, 32) }
--- a/internal/planner/protocol/probe.go
+++ b/internal/planner/protocol/probe.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// ProbeResponse is what a server said to a probe.
+// ProbeResponse is a server's response to a probe.
 type ProbeResponse struct {
 	Status int
-	Load   map[string]float64 // its load report, if it sent one
+	Load   map[string]float64 // the load report; nil if there is none
 }
 
-// ProbeRequest returns the request of a probe and the machine of its answer, which goes to answer.
+// ProbeRequest returns the request of a probe and the exchange that decodes its answer into response.
 func ProbeRequest(host string, load bool, response *ProbeResponse) ([]byte, *HTTPExchange) {
 	path := "/health"
 	if load {
@@ -36,7 +36,7 @@
 	return Request(host, path), x
 }
 
-// decodeLoad reads a load report such as inflight=7,util=0.61. What is no figure is left out.
+// decodeLoad parses a load report such as inflight=7,util=0.61. Fields without a finite number are skipped.
 func decodeLoad(text string) map[string]float64 {
 	var load map[string]float64
 	for field := range strings.SplitSeq(strings.TrimSpace(text), ",") {
--- a/internal/planner/routing/events.go
+++ b/internal/planner/routing/events.go
@@ -7,73 +7,75 @@
 	"mulleinwood/rules"
 )
 
-// Stepper is the part of a rules.Controller that is driven here.
+// Stepper is the part of rules.Controller that a Router uses. Times are in milliseconds.
 type Stepper interface {
 	Step(now float64, events []rules.Event) []rules.Action
 }
 
-// Peer is a connection at the planner's address, as far as routing uses it. How an order is written is the
-// peer's affair, so that peers of another protocol can stand beside those of this one.
+// Peer is a connection to the planner's address. Each implementation encodes assignments for its own protocol, so that
+// peers of several protocols can be connected at the same time.
 type Peer interface {
-	ID() uint64 // larger for connections accepted later
+	ID() uint64 // increases with the order in which connections were accepted
 	Assign(protocol.Assignment) error
 	AnswerHeartbeat() error // answers a heartbeat
 	DeferHeartbeat()        // its heartbeat will be answered later
 	Close(reason error)
 }
 
-// Calls are the questions that routing puts to others. Each is answered by an event; none waits.
+// Calls sends requests to discovery and to servers. No method blocks; the results arrive as events.
 type Calls interface {
-	Watch(call uint64, from int64) // answers: WatchBegun, Listed, CallFailed
-	Fetch(call uint64)             // answers: Listed, CallFailed
-	Cancel(call uint64)            // its answers are of no use any more
-	SetDiscovery(discovery string) // the address of all calls to discovery from now on
+	Watch(call uint64, from int64) // results: WatchStarted, ListReceived, CallFailed
+	Fetch(call uint64)             // results: ListReceived, CallFailed
+	Cancel(call uint64)            // its results are no longer needed
+	SetDiscovery(discovery string) // sets the address of all later calls to discovery
 	Probe(server rules.ServerID, address string, load bool)
 }
 
-// Event is something that routing is told.
+// Event is an input of Router.Handle.
 type Event interface{ event() }
 
-// The events.
+// The events that a Router or a Follower handles.
 type (
-	// MessageReceived is a message of a peer.
+	// MessageReceived is a decoded message from a peer.
 	MessageReceived struct {
 		Peer    Peer
 		Message protocol.Message
 	}
-	// Disconnected says that a peer's connection has ended.
+	// Disconnected reports that a peer's connection has ended.
 	Disconnected struct{ Peer Peer }
-	// WatchStarted says that discovery has taken a watch on.
+	// WatchStarted reports that discovery has accepted a watch.
 	WatchStarted struct{ Call uint64 }
-	// ListReceived is a list, or changes of it.
+	// ListReceived is a complete list from discovery, or changes to it.
 	ListReceived struct {
 		Call uint64
 		List protocol.List
 	}
-	// CallFailed says that a call to discovery, or a watch, has come to its end.
+	// CallFailed reports that a call to discovery, or a watch, has ended.
 	CallFailed struct {
 		Call uint64
 		Err  error
 	}
-	// DiscoveryMoved says that discovery has another address.
+	// DiscoveryMoved reports that discovery has another address.
 	DiscoveryMoved struct{ Discovery string }
-	// ListUpdated is a list, or changes of it, from the host that follows discovery for several routers. Epochs count them.
+	// ListUpdated is a complete list, or changes to it, from the host that follows discovery for several routers. Epoch
+	// numbers these updates.
 	ListUpdated struct {
 		List  protocol.List
 		Epoch uint64
 	}
-	// ProxyHandedOver is a joined proxy whose stream another router had. Shut are the servers that it was told to shut out.
+	// ProxyHandedOver assigns to this router a joined proxy whose stream another router had. Excluded names the servers
+	// that the proxy was told to exclude.
 	ProxyHandedOver struct {
 		Peer     Peer
 		Attach   protocol.Attach
 		Excluded []string
 	}
-	// ShareAllocated says what of the planner is this router's, where several share one.
+	// ShareAllocated sets the router's share of the planner's capacity, where several routers share one planner.
 	ShareAllocated struct {
 		Part   rules.Part
-		Number uint64 // of its share of the channel
+		Number uint64 // identifies the share of the outgoing channel
 	}
-	// Probed is the end of a probe.
+	// Probed is the result of a probe.
 	Probed struct {
 		Server  rules.ServerID
 		OK      bool
--- a/internal/planner/routing/fed.go
+++ b/internal/planner/routing/fed.go
@@ -8,39 +8,40 @@
 	"mulleinwood/rules"
 )
 
-// hostedState is what a router keeps that is one of several of a planner: a host follows discovery for all of them and must know
-// how far each has come.
+// hostedState is the additional state of a router that is one of several in a planner. A host follows discovery for all of
+// them and tracks the progress of each.
 type hostedState struct {
 	enabled                  bool
-	receivedEpoch            uint64 // the newest epoch of the list that was told
+	receivedEpoch            uint64 // the newest list epoch received from the host
 	seenEpoch, appliedEpoch  uint64 // see Progress
-	receivedShare, usedShare uint64 // the shares of the channel that were told and that the module works with
+	receivedShare, usedShare uint64 // numbers of the channel share last received, and of the one in use by the module
 	rounds                   uint64
-	leaving                  map[rules.ServerID]bool // servers that may not stay in tables, and may be in one
+	leaving                  map[rules.ServerID]bool // servers that must leave all tables and may still be in one
 }
 
-// Progress is how far a router that is fed has come.
+// Progress describes which updates from its host a router has processed.
 type Progress struct {
-	Rounds       uint64 // of its module, so far
-	SeenEpoch    uint64 // the newest epoch of the list that its module has looked at
-	AppliedEpoch uint64 // the newest epoch that no table of its joined proxies contradicts
-	ShareNumber  uint64 // the number of the share of the channel that its module worked with in its last look
+	Rounds       uint64 // number of the module's steps so far that returned actions
+	SeenEpoch    uint64 // the newest list epoch that the module has processed
+	AppliedEpoch uint64 // the newest list epoch that the tables of all joined proxies comply with
+	ShareNumber  uint64 // number of the channel share that the module used in its last round
 }
 
-// NewHosted returns a router that asks discovery nothing: the host tells it the list, of which known is the whole as of the
-// epoch, and which proxies it has.
+// NewHosted returns a router that doesn't call discovery: its host sends it the list and the proxies. known is the complete
+// list as of the given epoch.
 func NewHosted(set settings.Settings, module Stepper, calls Calls, known protocol.List, epoch uint64,
 	log zerolog.Logger) *Router {
-	set.Rules.QueryDiscovery = false // the module need not ask
+	set.Rules.QueryDiscovery = false // the host calls discovery instead of the module
 	r := New(set, module, calls, known, log)
-	r.timers = nil // nor the router
+	r.timers = nil // no watch by the router either
 	r.hosted = hostedState{enabled: true, receivedEpoch: epoch, leaving: map[rules.ServerID]bool{}}
 	return r
 }
 
-// Progress is how far the router has come. Tables are looked through for it, so it is for once a look.
+// Progress returns the router's progress as of the last call of Advance.
 func (r *Router) Progress() Progress {
-	return Progress{Rounds: r.hosted.rounds, SeenEpoch: r.hosted.seenEpoch, AppliedEpoch: r.hosted.appliedEpoch, ShareNumber: r.hosted.usedShare}
+	return Progress{Rounds: r.hosted.rounds, SeenEpoch: r.hosted.seenEpoch, AppliedEpoch: r.hosted.appliedEpoch,
+		ShareNumber: r.hosted.usedShare}
 }
 
 func (r *Router) handleListUpdated(e ListUpdated) {
@@ -60,20 +61,21 @@
 	}
 }
 
-// handleHandover takes in a proxy whose stream another router had. It may hold that one's table and what that one shut out.
+// handleHandover adds a proxy whose stream another router had. The proxy may still hold the other router's table and
+// exclusions.
 func (r *Router) handleHandover(e ProxyHandedOver) {
 	r.attach(e.Peer, e.Attach)
 	s := r.streams[e.Peer.ID()]
 	if s == nil {
 		return
 	}
-	delete(r.tables.excluded, s.proxy) // of an earlier stay here
+	delete(r.tables.excluded, s.proxy) // left from an earlier stay of the proxy on this router
 	for _, name := range e.Excluded {
 		if r.tables.excluded[s.proxy] == nil {
 			r.tables.excluded[s.proxy] = map[rules.ServerID]bool{}
 		}
 		id, known := r.names.ids[name]
-		if !known { // not listed now; its number is given back once the proxy was told to let it in
+		if !known { // not listed now; its ID is released once the proxy was told to include it again
 			id = r.names.serverID(name)
 			r.names.unlisted[id] = true
 		}
@@ -81,15 +83,15 @@
 	}
 }
 
-// noteRound notes that the module was asked, ordered something and has thus looked at all that it was told: a look orders at least
-// the next one.
-func (f *hostedState) noteRound() {
-	f.rounds++
-	f.seenEpoch, f.usedShare = f.receivedEpoch, f.receivedShare
+// noteRound records that a step of the module returned actions. Such a step has processed all events so far, since a
+// decision round always returns at least the timer of the next one.
+func (h *hostedState) noteRound() {
+	h.rounds++
+	h.seenEpoch, h.usedShare = h.receivedEpoch, h.receivedShare
 }
 
-// updateAppliedEpoch notes which changes of the list no table in use contradicts any more. Orders that take a server out have been
-// given to the proxy's stream once its mirror lacks the server.
+// updateAppliedEpoch advances the applied epoch once no table in use contains a server that must leave. A server that is
+// absent from the mirror of a table has also been removed in the assignments given to the proxies' streams.
 func (r *Router) updateAppliedEpoch() {
 	if !r.hosted.enabled || r.hosted.appliedEpoch == r.hosted.seenEpoch {
 		return
@@ -103,7 +105,7 @@
 	r.hosted.appliedEpoch = r.hosted.seenEpoch
 }
 
-// inUse says whether the table of a joined proxy holds a server.
+// inUse reports whether the table of a joined proxy contains a server.
 func (t *tables) inUse(id rules.ServerID) bool {
 	for _, s := range t.joined {
 		if !s.bound {
--- a/internal/planner/routing/follower.go
+++ b/internal/planner/routing/follower.go
@@ -1,36 +1,36 @@
 package routing
 
-// Follower follows discovery by its calls: one watch, and a fetch where that is needed. It knows which answers count, and
-// leaves open when to ask again.
+// Follower tracks the calls to discovery: one watch, and a fetch when needed. It decides which results are current; its
+// caller decides when to retry.
 type Follower struct {
 	calls          Calls
 	revision       int64
 	lastCall       uint64
-	watch          uint64 // the call that watches; 0: none
-	watchStarted   bool   // it has been answered
-	watchDelivered bool   // it has told of something
-	previousWatch  uint64 // the watch at discovery's former address, while the new one is not answered; 0: none
+	watch          uint64 // call number of the current watch; 0: none
+	watchStarted   bool   // discovery has accepted the watch
+	watchDelivered bool   // the watch has delivered a list or a change
+	previousWatch  uint64 // the watch at discovery's previous address, until the new one is accepted; 0: none
 	fetch          uint64
 }
 
-// NewFollower returns one that starts from a revision.
+// NewFollower returns a Follower whose first watch starts from a revision.
 func NewFollower(calls Calls, revision int64) *Follower {
 	return &Follower{calls: calls, revision: revision}
 }
 
-// HandleList says whether an answer of discovery counts.
+// HandleList reports whether a list from discovery is current and must be applied.
 func (f *Follower) HandleList(e ListReceived) bool {
 	switch e.Call {
 	case f.previousWatch:
 	case f.watch:
 		renumbered := !f.watchDelivered && e.List.Revision < f.revision
 		if f.watchDelivered = true; renumbered && !e.List.Complete && f.fetch == 0 {
-			f.StartFetch() // another service than the one that the list held is from: its changes don't build on that
+			f.StartFetch() // another service with its own revisions: its changes don't apply to the list that is held
 		}
 	case f.fetch:
 		f.fetch = 0
 		if f.watch != 0 && f.watchDelivered && e.List.Revision < f.revision {
-			return false // the watch is ahead of it
+			return false // the watch has delivered a newer revision
 		}
 	default:
 		return false
@@ -39,7 +39,7 @@
 	return true
 }
 
-// HandleFailure notes that a call has ended. It says whether that was a call which counted, and whether it was the watch.
+// HandleFailure records that a call has ended. It returns whether the call was current, and whether it was the watch.
 func (f *Follower) HandleFailure(e CallFailed) (current, wasWatch bool) {
 	switch e.Call {
 	case f.watch:
@@ -47,7 +47,7 @@
 		return true, true
 	case f.previousWatch:
 		f.previousWatch = 0
-		return false, false // the one that comes in its place has been asked for
+		return false, false // its replacement has already been requested
 	case f.fetch:
 		f.fetch = 0
 		return true, false
@@ -69,8 +69,8 @@
 	return true
 }
 
-// HandleMove asks at discovery's new address at once. A watch that stands at the former one is believed until the new one
-// is answered, or the former one ends: guards against drains that are missed in between.
+// HandleMove repeats the calls at discovery's new address at once. An accepted watch at the previous address remains valid
+// until the new one is accepted or the previous one ends, so that no drain is missed in between.
 func (f *Follower) HandleMove(e DiscoveryMoved) {
 	f.calls.SetDiscovery(e.Discovery)
 	switch {
@@ -90,14 +90,14 @@
 	}
 }
 
-// StartFetch asks for the whole list.
+// StartFetch requests the complete list.
 func (f *Follower) StartFetch() {
 	f.lastCall++
 	f.fetch = f.lastCall
 	f.calls.Fetch(f.fetch)
 }
 
-// StartWatch asks for the changes after the last revision, unless a watch stands.
+// StartWatch requests the changes after the last revision, unless there is a watch.
 func (f *Follower) StartWatch() {
 	if f.watch == 0 {
 		f.lastCall++
@@ -106,5 +106,5 @@
 	}
 }
 
-// Revision is that of the list last taken.
+// Revision returns the revision of the last list that was applied.
 func (f *Follower) Revision() int64 { return f.revision }
--- a/internal/planner/routing/lists.go
+++ b/internal/planner/routing/lists.go
@@ -8,19 +8,19 @@
 	"mulleinwood/rules"
 )
 
-// WatchBackoff is how long after a watch has ended the next is asked for where the settings say that changes come
-// unsolicited. The module doesn't ask there, and a watch is how they come on sockets. It is half the time after
-// which the protocol gives a sign of life.
+// WatchBackoff is the delay in milliseconds between the end of a watch and the next one where the settings say that
+// changes are pushed. The module doesn't request them there, and over sockets they arrive through a watch. It is half of the
+// protocol's keepalive interval.
 const WatchBackoff = 1000.0
 
-// handleList takes an answer of discovery, unless its call no longer counts.
+// handleList applies a list from discovery, unless its call is no longer current.
 func (r *Router) handleList(e ListReceived) {
 	if r.follower.HandleList(e) {
 		r.addDiscoveryList(e.List)
 	}
 }
 
-// addDiscoveryList tells the module of what discovery says.
+// addDiscoveryList queues a list from discovery for the module.
 func (r *Router) addDiscoveryList(l protocol.List) {
 	kind := rules.ListChanges
 	if l.Complete {
@@ -29,7 +29,8 @@
 	r.addList(l, kind)
 }
 
-// addList tells the module of a list. The first one that holds anything puts the planner to use.
+// addList queues a list for the module. From the first one on the planner answers heartbeats, except that an empty cached
+// list doesn't count.
 func (r *Router) addList(l protocol.List, kind rules.ListKind) {
 	list := rules.List{Kind: kind}
 	for _, m := range l.Members {
@@ -39,7 +40,7 @@
 	r.follower.revision = l.Revision
 	r.pending = append(r.pending, list)
 	if kind == rules.ListCached && len(l.Members) == 0 {
-		return // nothing can be ordered before discovery has been heard
+		return // nothing can be assigned before discovery has answered
 	}
 	r.hasList = true
 	for _, peer := range r.heartbeats {
@@ -48,10 +49,11 @@
 	clear(r.heartbeats)
 }
 
-// releaseUnusedIDs gives back the numbers of servers that the list has dropped and nothing refers to: no table of a joined proxy,
-// no shut-out, no probe under way. It guards against memory and work that grow with all servers ever met, where new
-// ones come for good. A server that comes back later starts clean. Where a dropped server may stay in use, tables tell
-// whether it does, so there must be some.
+// releaseUnusedIDs releases the IDs of servers that the list has dropped and that nothing refers to: no table of a joined
+// proxy, no exclusion, no probe in flight. Without it, memory and work would grow with every server ever listed in
+// deployments where servers are replaced by new ones. A server that is listed again later starts without history. Where a
+// dropped server may stay in use, only the tables of joined proxies show whether it does, so nothing is released while no
+// proxy has joined.
 func (r *Router) releaseUnusedIDs() {
 	if r.set.Rules.DrainOnly && len(r.tables.joined) == 0 {
 		return
@@ -65,13 +67,13 @@
 	}
 }
 
-// handleCallFailed tells the module that its call has ended, so that it asks again.
+// handleCallFailed reports a failed call to the module, so that it calls again.
 func (r *Router) handleCallFailed(e CallFailed) {
 	current, wasWatch := r.follower.HandleFailure(e)
 	if !current {
 		return
 	}
-	requested := !wasWatch || r.set.Rules.QueryDiscovery // by the module, which is told of a failure only then
+	requested := !wasWatch || r.set.Rules.QueryDiscovery // by the module: only then does it get a failure event
 	r.watchEnded = r.watchEnded || !requested
 	r.log.Warn().Err(e.Err).Int64("revision", r.follower.revision).Msg("discovery call ended")
 	if requested {
@@ -79,14 +81,14 @@
 	}
 }
 
-// handleWatchStarted tells the module that its call was answered, even if nothing has changed.
+// handleWatchStarted reports to the module that its call was accepted, even if nothing has changed.
 func (r *Router) handleWatchStarted(e WatchStarted) {
 	if r.follower.HandleWatchStarted(e) {
 		r.pending = append(r.pending, rules.List{Kind: rules.ListChanges})
 	}
 }
 
-// handleMoved asks at discovery's new address.
+// handleMoved repeats the calls at discovery's new address.
 func (r *Router) handleMoved(e DiscoveryMoved) {
 	r.watchEnded = false
 	r.follower.HandleMove(e)
--- a/internal/planner/routing/names.go
+++ b/internal/planner/routing/names.go
@@ -6,7 +6,7 @@
 	"mulleinwood/rules"
 )
 
-// serverInfo is what the host knows of a server and the module doesn't need.
+// serverInfo holds the facts about a server that the module doesn't need.
 type serverInfo struct {
 	name    string
 	address string
@@ -14,17 +14,17 @@
 	probing bool
 }
 
-// names translates between the protocol's names and the module's numbers. A server keeps its number for as
-// long as it is listed or anything refers to it; then the number is given back, and a later server may get it.
+// names translates between the protocol's names and the module's numeric IDs. A server keeps its ID as long as it is listed
+// or anything refers to it; then the ID is released and may be reused for another server.
 type names struct {
 	zones, classes, kinds map[string]int
 	classNames            []string
 	loadFields            []string
 	ids                   map[string]rules.ServerID
-	byAddress             map[string]rules.ServerID // by address
-	servers               []serverInfo              // by number
-	freeIDs               []rules.ServerID          // numbers that were given back
-	unlisted              map[rules.ServerID]bool   // not listed any more, and not yet given back
+	byAddress             map[string]rules.ServerID
+	servers               []serverInfo            // by ID
+	freeIDs               []rules.ServerID        // released IDs
+	unlisted              map[rules.ServerID]bool // no longer listed, and not yet released
 }
 
 func newNames(set settings.Settings) *names {
@@ -45,7 +45,7 @@
 	return indexes
 }
 
-// serverID returns the number of a name, a new one for a name not met before.
+// serverID returns the ID of a name; an unknown name gets a new one.
 func (n *names) serverID(name string) rules.ServerID {
 	id, known := n.ids[name]
 	if known {
@@ -61,14 +61,14 @@
 	return id
 }
 
-// removeAddress forgets where a server was, unless another is there by now.
+// removeAddress removes the entry of a server's address, unless another server has the address now.
 func (n *names) removeAddress(id rules.ServerID) {
 	if address := n.servers[id].address; n.byAddress[address] == id {
 		delete(n.byAddress, address)
 	}
 }
 
-// reportedServer is the server that a report is about: by its name, or by its address if it gives none.
+// reportedServer returns the server that a report is about: by its name, or by its address if it has no name.
 func (n *names) reportedServer(m protocol.ServerReport) (id rules.ServerID, known bool) {
 	if m.Server == "" {
 		id, known = n.byAddress[m.Address]
@@ -78,13 +78,13 @@
 	return id, known
 }
 
-// row is a line of a table.
+// row returns the table row of a server.
 func (n *names) row(id rules.ServerID, weight float64) protocol.Row {
 	info := &n.servers[id]
 	return protocol.Row{Server: info.name, Weight: weight, Address: info.address, Zone: info.zone}
 }
 
-// release ends a name. Its number may be given to another from now on.
+// release removes a server. Its ID may be reused from now on.
 func (n *names) release(id rules.ServerID) {
 	n.removeAddress(id)
 	delete(n.ids, n.servers[id].name)
@@ -93,7 +93,8 @@
 	n.freeIDs = append(n.freeIDs, id)
 }
 
-// noteRemoved notes which servers a list has dropped: those it calls gone and, where it is whole, those it doesn't name.
+// noteRemoved records the servers that a list has dropped: those it marks as removed and, where the list is complete, those
+// it doesn't contain.
 func (n *names) noteRemoved(list rules.List) {
 	if list.Kind != rules.ListChanges {
 		for _, id := range n.ids {
@@ -108,7 +109,7 @@
 }
 
 // serverEntry translates an entry of the list. A zone or kind that the settings don't name gets the number after the
-// last, which the module is free to fold.
+// last known one, which the module may merge with another.
 func (n *names) serverEntry(m protocol.Member) rules.Server {
 	s := rules.Server{ID: n.serverID(m.ID), Weight: m.Weight, Cell: m.Cell, StartedAt: m.StartedAt}
 	if info := &n.servers[s.ID]; m.Address != "" && m.Address != info.address {
@@ -134,7 +135,7 @@
 	return s
 }
 
-// loadValues orders a load report as the settings name its fields; values that are missing are 0.
+// loadValues returns the values of a load report in the order of the settings' fields; missing values are 0.
 func (n *names) loadValues(report map[string]float64) []float64 {
 	if len(report) == 0 {
 		return nil
--- a/internal/planner/routing/router.go
+++ b/internal/planner/routing/router.go
@@ -1,5 +1,5 @@
-// Package routing stands between the protocol and the decision module: messages become events, actions become
-// messages. It takes no decision. One goroutine owns a Router and all it touches; there are no locks.
+// Package routing connects the planner's protocol with the decision module: it translates messages into events and actions
+// into messages, and takes no decisions. One goroutine owns a Router and its state; there are no locks.
 package routing
 
 import (
@@ -17,13 +17,14 @@
 	"mulleinwood/rules"
 )
 
-// maxLoggedName is how much of a name that came from outside goes into the log.
+// maxLoggedName limits the bytes of a peer's message that are logged.
 const maxLoggedName = 80
 
-// ErrSuperseded ends a stream whose proxy has a newer one.
+// ErrSuperseded is the reason for closing a stream whose proxy has a newer one.
 var ErrSuperseded = errors.New("the proxy has a newer stream")
 
-// Router translates. Handle takes what happened; Turn lets the module act.
+// Router translates between peers, discovery and the decision module. Handle takes an event; Advance runs the module and
+// carries out its actions.
 type Router struct {
 	follower *Follower
 	set      settings.Settings
@@ -32,18 +33,18 @@
 	module   Stepper
 	log      zerolog.Logger
 
-	pending    []rules.Event // for the next Turn
+	pending    []rules.Event // for the next Advance
 	timers     timers
-	streams    map[uint64]*stream // by peer, current ones only
-	superseded map[uint64]bool    // peers whose proxy has a newer stream, until they end
-	heartbeats map[uint64]Peer    // heartbeats that are answered once orders can be made
+	streams    map[uint64]*stream // by peer ID, current ones only
+	superseded map[uint64]bool    // peers whose proxy has a newer stream, until they disconnect
+	heartbeats map[uint64]Peer    // peers whose heartbeat is answered once there is a list
 	hasList    bool
-	watchEnded bool           // a watch that the module didn't ask for has ended since the last turn
-	dropped    map[string]int // messages that could not be used, by reason
+	watchEnded bool           // a watch that the module didn't request has ended since the last Advance
+	dropped    map[string]int // number of rejected messages, by reason
 	hosted     hostedState
 }
 
-// New returns a router that starts from the list as it was last known.
+// New returns a router that starts from the last known list.
 func New(set settings.Settings, module Stepper, calls Calls, known protocol.List, log zerolog.Logger) *Router {
 	n := newNames(set)
 	r := &Router{follower: NewFollower(calls, 0), set: set, names: n, tables: newTables(n), module: module, log: log,
@@ -55,8 +56,8 @@
 	return r
 }
 
-// Handle takes one event. What the module must know of it waits for the next Turn. An event that can't be
-// handled harms at most the peer that sent it.
+// Handle takes one event. Events for the module are queued for the next Advance. A panic is logged and closes at most the
+// peer that sent the message.
 func (r *Router) Handle(e Event) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -97,9 +98,9 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// handleMessage takes a message of a peer.
+// handleMessage handles a message of a peer.
 func (r *Router) handleMessage(from Peer, m protocol.Message) {
-	if r.superseded[from.ID()] { // what it tells of is over, and partly told again by the new stream
+	if r.superseded[from.ID()] { // its state is outdated, and the new stream repeats part of it
 		r.countDropped("message of a stream that has been replaced", fmt.Sprintf("%T", m))
 		return
 	}
@@ -123,7 +124,7 @@
 			return
 		}
 		r.pending = append(r.pending, rules.Ack{Proxy: rules.ProxyID(m.Proxy), Token: m.Token, Elapsed: m.Elapsed})
-	case protocol.Nack: // to the module it has left and joined again: it gets a whole table, which counts as any
+	case protocol.Nack: // reported to the module as leaving and joining again: a whole table follows, at its usual cost
 		s := r.streams[from.ID()]
 		if s == nil || int(s.proxy) != m.Proxy {
 			r.countDropped("refusal that is not from the proxy's stream", strconv.Itoa(m.Proxy))
@@ -152,7 +153,7 @@
 	}
 }
 
-// attach takes a proxy in. A stream that comes before the old one was seen to close replaces it.
+// attach adds a proxy. A new stream replaces the proxy's old one, even if the old one hasn't disconnected yet.
 func (r *Router) attach(from Peer, m protocol.Attach) {
 	zone, known := r.names.zones[m.Zone]
 	if !known || m.Proxy >= r.set.Rules.Proxies {
@@ -161,12 +162,12 @@
 	}
 	proxy := rules.ProxyID(m.Proxy)
 	if r.streams[from.ID()] != nil {
-		// A joining costs a whole table of the channel that all proxies share; so a stream has one.
+		// Each attach costs a whole table on the channel that all proxies share, so a stream may attach once.
 		r.countDropped("second joining on one stream", strconv.Itoa(m.Proxy))
 		return
 	}
 	if old := r.tables.joined[proxy]; old != nil {
-		if old.peer.ID() > from.ID() { // bytes of an older connection that were late
+		if old.peer.ID() > from.ID() { // delayed bytes of an older connection
 			r.supersede(from)
 			return
 		}
@@ -181,7 +182,7 @@
 		Msg("proxy joined")
 }
 
-// supersede ends a connection whose proxy has a newer one; nothing that it still says counts.
+// supersede closes a connection whose proxy has a newer one and ignores its further messages.
 func (r *Router) supersede(peer Peer) {
 	r.superseded[peer.ID()] = true
 	peer.Close(ErrSuperseded)
@@ -208,7 +209,7 @@
 	}
 }
 
-// countDropped counts a message that can't be used, and tells of the first, the tenth, the hundredth and so on.
+// countDropped counts a rejected message, and logs the first, the tenth, the hundredth and so on of each reason.
 func (r *Router) countDropped(reason, detail string) {
 	if r.dropped[reason]++; ShouldLog(r.dropped[reason]) {
 		r.log.Warn().Str("reason", reason).Str("last", detail[:min(len(detail), maxLoggedName)]).Int("count",
@@ -216,7 +217,7 @@
 	}
 }
 
-// ShouldLog says whether the nth of a kind is worth a line of log: the first, the tenth, the hundredth and so on.
+// ShouldLog reports whether the nth event of a kind is logged: the first, the tenth, the hundredth and so on.
 func ShouldLog(n int) bool {
 	for n > 1 && n%10 == 0 {
 		n /= 10
@@ -224,8 +225,8 @@
 	return n == 1
 }
 
-// Advance tells the module what has happened up to now and carries out what it orders. The result is when it
-// wants to be called again at the latest, if it wants to. An error says that the module can't go on.
+// Advance passes all events up to now, in milliseconds, to the module and carries out its actions. It returns the time at
+// which it must be called again at the latest, if scheduled is true. After an error the router can't be used any more.
 func (r *Router) Advance(now float64) (next float64, scheduled bool, err error) {
 	for len(r.timers) > 0 && r.timers[0].due <= now {
 		if due := heap.Pop(&r.timers).(timer); due.watch {
@@ -234,7 +235,7 @@
 			r.pending = append(r.pending, rules.Tick{Token: due.token})
 		}
 	}
-	if r.watchEnded { // an event has no clock, a turn has
+	if r.watchEnded { // Handle doesn't know the time
 		r.watchEnded = false
 		heap.Push(&r.timers, timer{due: now + WatchBackoff, watch: true})
 	}
@@ -256,8 +257,8 @@
 	return r.timers[0].due, true, nil
 }
 
-// step guards against a panic of the module, or an order that can't be carried out: what either side remembers
-// can't be trusted afterwards, so the program must end.
+// step runs the module and carries out its actions. It returns an error if the module panics or an action can't be carried
+// out: the state of both can't be trusted afterwards, so the program must end.
 func (r *Router) step(now float64, events []rules.Event) (err error) {
 	activity := "decision module"
 	defer func() {
@@ -308,7 +309,7 @@
 	return nil
 }
 
-// logModuleText logs a line of the module. The module knows servers by number, people by name.
+// logModuleText logs a line of the module. The module knows servers by ID only, so the server's name is added for operators.
 func (r *Router) logModuleText(text string) {
 	line := r.log.Info().Str("by", "rules")
 	var id int
@@ -318,7 +319,7 @@
 	line.Msg(text)
 }
 
-// probe tests a server, one probe at a time, never where the settings forbid it.
+// probe probes a server, unless a probe of it is in flight or the settings forbid probes.
 func (r *Router) probe(id rules.ServerID) {
 	info := &r.names.servers[id]
 	if !r.set.Rules.Probes || info.probing || info.address == "" {
--- a/internal/planner/routing/tables.go
+++ b/internal/planner/routing/tables.go
@@ -10,41 +10,41 @@
 	"mulleinwood/rules"
 )
 
-// level is what was ordered of a class.
+// level is the admission level and retry method of a class.
 type level struct {
 	set   bool
 	value float64
 	retry rules.Retry
 }
 
-// table mirrors a table of the module: the module writes changes, and a proxy that is bound needs all of it.
+// table mirrors a table of the module: the module sends changes only, and a newly bound proxy needs the whole table.
 type table struct {
 	weights map[rules.ServerID]float64
 	levels  []level
-	users   []*stream // joined proxies that are bound to it, by number
+	users   []*stream // joined proxies that are bound to it, ordered by ID
 }
 
 // stream is a joined proxy.
 type stream struct {
 	peer       Peer
 	proxy      rules.ProxyID
-	joined     rules.Joined // as the module was told
+	joined     rules.Joined // the event that the module got
 	bound      bool
 	table      rules.TableID
-	assignment protocol.Assignment // of the step that is being carried out
+	assignment protocol.Assignment // collected during the current step
 	replace    bool
 	changed    bool
 }
 
-// tables holds the mirrors and turns the actions of one step into one message for each proxy.
+// tables holds the mirrors and combines the actions of one step into one message for each proxy.
 type tables struct {
 	names     *names
 	byID      map[rules.TableID]*table
-	allLevels []level                                   // levels for all joined proxies
-	withdrawn map[rules.ServerID]bool                   // servers withdrawn
-	excluded  map[rules.ProxyID]map[rules.ServerID]bool // what each proxy was told to shut out, over its streams
+	allLevels []level                                   // levels that hold for all tables, by class
+	withdrawn map[rules.ServerID]bool                   // servers that the module has withdrawn
+	excluded  map[rules.ProxyID]map[rules.ServerID]bool // servers that each proxy was told to exclude, kept across its streams
 	joined    map[rules.ProxyID]*stream
-	changed   []*stream // by this step, in order
+	changed   []*stream // streams with a message in this step, in order
 }
 
 func newTables(n *names) *tables {
@@ -60,7 +60,7 @@
 	return t.byID[id]
 }
 
-// markChanged puts a proxy among those that get a message from this step.
+// markChanged adds a proxy to those that get a message in this step.
 func (t *tables) markChanged(s *stream) {
 	if !s.changed {
 		s.changed = true
@@ -68,17 +68,17 @@
 	}
 }
 
-// join takes a proxy among those that may be bound to tables.
+// join adds a proxy to those that may be bound to tables.
 func (t *tables) join(s *stream) { t.joined[s.proxy] = s }
 
-// leave forgets a proxy but for what it was told to shut out, which it keeps.
+// leave removes a proxy. Its exclusions are kept, since the proxy keeps them too.
 func (t *tables) leave(s *stream) {
 	delete(t.joined, s.proxy)
 	t.unbind(s)
 }
 
-// forget ends what is kept of a server, if no table that is in use holds it and no proxy has to shut it out. Tables of
-// proxies that are not here are sent whole before they are in use again.
+// forget removes a server's state and returns true, unless a table in use contains the server, the module has withdrawn it
+// or a proxy excludes it. Tables that no joined proxy uses don't matter: they are sent whole before they are used again.
 func (t *tables) forget(id rules.ServerID) bool {
 	if t.withdrawn[id] {
 		return false
@@ -107,7 +107,7 @@
 	}
 }
 
-// forEachJoined calls f for each joined proxy, in the order of their numbers, so that messages are the same each time.
+// forEachJoined calls f for each joined proxy in the order of their IDs, so that messages are deterministic.
 func (t *tables) forEachJoined(f func(*stream)) {
 	for _, proxy := range slices.Sorted(maps.Keys(t.joined)) {
 		f(t.joined[proxy])
@@ -142,7 +142,7 @@
 	tab.users = slices.Insert(tab.users, at, s)
 }
 
-// withdraw shuts a server out at each proxy whose table holds it, or lets it in where it was shut out.
+// withdraw excludes a server at each proxy whose table contains it, or includes it again where it was excluded.
 func (t *tables) withdraw(a rules.Withdraw) {
 	if a.Excluded {
 		t.withdrawn[a.Server] = true
@@ -200,8 +200,8 @@
 	}
 }
 
-// gates returns what holds at a proxy for the classes in a mask, one by one. Where its table and all tables
-// have a level, the lower one counts, with the table's own way of trying again.
+// gates returns the effective admission levels of a proxy for the classes in a mask, one class each. Where a class has a
+// level in the proxy's table and one for all tables, the lower one applies, with the retry method of the proxy's table.
 func (t *tables) gates(s *stream, mask uint16) []protocol.Gate {
 	var gates []protocol.Gate
 	for k, effective := range t.allLevels {
@@ -224,7 +224,7 @@
 	return gates
 }
 
-// mergeGates joins gates that say the same, since an order for several classes counts as one line.
+// mergeGates merges gates with equal level and retry method, since a gate for several classes counts as one line.
 func mergeGates(gates []protocol.Gate) []protocol.Gate {
 	var merged []protocol.Gate
 next:
@@ -249,8 +249,8 @@
 	}
 }
 
-// flush sends each proxy its message of this step. A proxy that was bound gets its whole table as it stands,
-// since it may hold anything: the table of another planner, or one of an earlier life of this one.
+// flush sends each proxy its message of this step. A newly bound proxy gets its whole table, since it may hold any other:
+// the table of another planner, or one from before a restart of this planner.
 func (t *tables) flush(failed func(*stream, error)) {
 	for _, s := range t.changed {
 		if s.replace {
@@ -271,7 +271,7 @@
 	for _, id := range slices.Sorted(maps.Keys(tab.weights)) {
 		s.assignment.Rows = append(s.assignment.Rows, t.names.row(id, tab.weights[id]))
 		if t.withdrawn[id] {
-			t.exclude(s, id) // again: which of our words a proxy still has is not known
+			t.exclude(s, id) // sent again: it isn't known which earlier exclusions the proxy still has
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(t.excluded[s.proxy])) {
--- a/internal/planner/routing/timers.go
+++ b/internal/planner/routing/timers.go
@@ -1,13 +1,13 @@
 package routing
 
-// timer is a Tick to come, or a watch to ask for.
+// timer is a pending Tick, or a pending request for a watch. due is in milliseconds.
 type timer struct {
 	due   float64
 	token uint32
 	watch bool
 }
 
-// timers is a heap, the next one first.
+// timers is a heap ordered by due time.
 type timers []timer
 
 func (t timers) Len() int           { return len(t) }
--- a/internal/planner/settings/settings.go
+++ b/internal/planner/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the facts that a controller is given when it starts. Both hosts use it: the adapter
-// finds the text in a record, the planner in its configuration.
+// Package settings parses the settings that a controller gets at its start. Both hosts use it: the simulator's adapter reads
+// the text from a record, the planner from its configuration.
 package settings
 
 import (
@@ -11,21 +11,21 @@
 	"mulleinwood/rules"
 )
 
-// Settings are the module's settings and what only a host on sockets needs.
+// Settings are the decision module's settings and those that only a host on sockets needs.
 type Settings struct {
 	Rules          rules.Settings
 	ZoneNames      []string
 	KindNames      []string
-	LoadFields     []string      // names of a load report's values, in the order the module gets them
-	LoadReports    bool          // servers attach a load report to the answer of a probe
-	MaxConnectTime time.Duration // a connection that takes longer has failed
-	Granularity    float64       // of the clock that the module sees, in milliseconds; 0: as fine as it gets
+	LoadFields     []string      // names of a load report's values, in the order in which the module gets them
+	LoadReports    bool          // servers attach a load report to the response to a probe
+	MaxConnectTime time.Duration // timeout of connection attempts
+	Granularity    float64       // of the module's clock, in milliseconds; 0: the finest available
 }
 
-// AdmitsByRate says whether levels are requests a second rather than shares.
+// AdmitsByRate reports whether admission levels are requests per second rather than shares.
 func (s Settings) AdmitsByRate() bool { return s.Rules.Admission == rules.AdmitRate }
 
-// LongestDeadline is how long any client waits at most, in milliseconds.
+// LongestDeadline returns the longest deadline of any class, in milliseconds.
 func (s Settings) LongestDeadline() float64 {
 	longest := 0.0
 	for _, class := range s.Rules.Classes {
@@ -34,7 +34,7 @@
 	return longest
 }
 
-// defaultMaxConnectTime is taken where the settings don't say how long a connection may take to come up.
+// defaultMaxConnectTime is the timeout of connection attempts if the settings have none.
 const defaultMaxConnectTime = time.Second
 
 type document struct {
@@ -90,10 +90,10 @@
 	} `json:"rules"`
 }
 
-// maxClasses is how many classes fit the mask that requests carry.
+// maxClasses is the number of classes that fit the mask in requests.
 const maxClasses = 16
 
-// Parse reads the JSON text. Unknown keys are skipped.
+// Parse decodes the JSON text and checks it. Unknown keys are ignored.
 func Parse(text []byte) (Settings, error) {
 	var parsed document
 	if err := json.Unmarshal(text, &parsed); err != nil {
@@ -115,7 +115,7 @@
 		MaxConnectTime: connect, Granularity: max(0, parsed.Granularity)}, nil
 }
 
-// checkRequired says which part of the settings is missing or too large.
+// checkRequired returns an error if a part of the settings is missing or too large.
 func (d document) checkRequired() error {
 	switch {
 	case len(d.Classes) == 0:
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// ruleSettings are the settings of the decision module.
+// ruleSettings returns the settings of the decision module.
 func (d document) ruleSettings() (rules.Settings, error) {
 	extra, limits := d.Extra, d.Rules
 	settings := rules.Settings{
@@ -170,7 +170,7 @@
 	return settings, nil
 }
 
-// The settings' words for values of the decision module.
+// The names that the settings use for values of the decision module.
 var (
 	admissionKinds = map[string]rules.AdmitKind{
 		"ratio": rules.AdmitShare, "rps": rules.AdmitRate, "silent": rules.AdmitNone,
