--- a/internal/planner/settings/settings.go
+++ b/internal/planner/settings/settings.go
@@ -39,32 +39,32 @@
 
 type document struct {
 	Classes []struct {
-		Name        string  `json:"name"`
-		Aim         float64 `json:"slo"`
-		Deadline    float64 `json:"deadline"`
-		Idempotency string  `json:"idempotency"`
-		Group       string  `json:"group"`
-		Window      float64 `json:"repeat-window"`
-		Worth       float64 `json:"importance"`
-		LateWorth   float64 `json:"late-worth"`
+		Name          string  `json:"name"`
+		LatencyTarget float64 `json:"slo"`
+		Deadline      float64 `json:"deadline"`
+		Idempotency   string  `json:"idempotency"`
+		Group         string  `json:"group"`
+		Window        float64 `json:"repeat-window"`
+		Value         float64 `json:"importance"`
+		LateValue     float64 `json:"late-worth"`
 	} `json:"classes"`
 	Discovery string `json:"discovery"`
 	Extra     *struct {
-		LevelKind    string  `json:"level-kind"`
-		PendingMax   float64 `json:"pending-max"`
-		PerMessage   float64 `json:"per-message"`
-		EgressPerS   float64 `json:"egress-per-s"`
-		ReloadsMax   int     `json:"reloads-max"`
-		CountedOver  float64 `json:"counted-over"`
-		Interval     float64 `json:"interval"`
-		Bare         float64 `json:"bare"`
-		ConnsLeast   float64 `json:"min-conn-cap"`
-		LocalFirst   bool    `json:"local-first"`
-		ProxyCount   int     `json:"proxy-count"`
-		Ranges       int     `json:"ranges"`
-		RetryDefault int     `json:"retry-default"`
-		TryAims      float64 `json:"try-aims"`
-		StaysLocal   []bool  `json:"stays-local"`
+		Admission            string  `json:"level-kind"`
+		QueueLines           float64 `json:"pending-max"`
+		MessageCost          float64 `json:"per-message"`
+		LinesPerSec          float64 `json:"egress-per-s"`
+		MaxMessages          int     `json:"reloads-max"`
+		MessageWindow        float64 `json:"counted-over"`
+		ReportPeriod         float64 `json:"interval"`
+		MaxTimeWithoutServer float64 `json:"bare"`
+		MinConnections       float64 `json:"min-conn-cap"`
+		LocalFirst           bool    `json:"local-first"`
+		Proxies              int     `json:"proxy-count"`
+		KeyRanges            int     `json:"ranges"`
+		RetryDefault         int     `json:"retry-default"`
+		AttemptTimeoutFactor float64 `json:"try-aims"`
+		OwnZone              []bool  `json:"stays-local"`
 	} `json:"extra"`
 	Granularity float64  `json:"granularity"`
 	Localities  []string `json:"localities"`
@@ -74,19 +74,19 @@
 		Via    string   `json:"via"`
 	} `json:"report"`
 	Me          int `json:"me"`
-	MyZone      int `json:"my-zone"`
+	Zone        int `json:"my-zone"`
 	Instances   int `json:"replicas-of-me"`
 	Permissions struct {
 		Probes      bool    `json:"probes"`
 		DialTimeout float64 `json:"dial-timeout"`
 	} `json:"permissions"`
 	Rules *struct {
-		Cold         float64 `json:"cold"`
-		StartCap     float64 `json:"start-capacity"`
-		Grace        float64 `json:"stop-sending-within"`
-		FallMultiple float64 `json:"fall-multiple"`
-		TipAfter     float64 `json:"tip-after"`
-		DrainOnly    bool    `json:"drain-binds-alone"`
+		WarmupTime     float64 `json:"cold"`
+		StartCapacity  float64 `json:"start-capacity"`
+		DrainGrace     float64 `json:"stop-sending-within"`
+		OverloadFactor float64 `json:"fall-multiple"`
+		OverloadTime   float64 `json:"tip-after"`
+		DrainOnly      bool    `json:"drain-binds-alone"`
 	} `json:"rules"`
 }
 
@@ -136,28 +136,29 @@
 func (d document) ruleSettings() (rules.Settings, error) {
 	extra, limits := d.Extra, d.Rules
 	settings := rules.Settings{
-		Instances: d.Instances, Zone: d.MyZone, Zones: len(d.Localities), Proxies: extra.ProxyCount,
-		QueryDiscovery: d.Discovery == "on_request", Probes: d.Permissions.Probes, KeyRanges: extra.Ranges,
-		AttemptTimeoutFactor: extra.TryAims, ReportPeriod: extra.Interval, QueueLines: extra.PendingMax,
-		LinesPerSec: extra.EgressPerS, MessageCost: extra.PerMessage, MaxMessages: extra.ReloadsMax,
-		MessageWindow: extra.CountedOver, DrainGrace: limits.Grace, MaxTimeWithoutServer: extra.Bare, WarmupTime: limits.Cold,
-		StartCapacity: limits.StartCap, OverloadFactor: limits.FallMultiple, OverloadTime: limits.TipAfter,
-		MinConnections: extra.ConnsLeast, LocalFirst: extra.LocalFirst, DrainOnly: limits.DrainOnly,
+		Instances: d.Instances, Zone: d.Zone, Zones: len(d.Localities), Proxies: extra.Proxies,
+		QueryDiscovery: d.Discovery == "on_request", Probes: d.Permissions.Probes, KeyRanges: extra.KeyRanges,
+		AttemptTimeoutFactor: extra.AttemptTimeoutFactor, ReportPeriod: extra.ReportPeriod, QueueLines: extra.QueueLines,
+		LinesPerSec: extra.LinesPerSec, MessageCost: extra.MessageCost, MaxMessages: extra.MaxMessages,
+		MessageWindow: extra.MessageWindow, DrainGrace: limits.DrainGrace, MaxTimeWithoutServer: extra.MaxTimeWithoutServer,
+		WarmupTime: limits.WarmupTime, StartCapacity: limits.StartCapacity, OverloadFactor: limits.OverloadFactor,
+		OverloadTime: limits.OverloadTime,
+		MinConnections: extra.MinConnections, LocalFirst: extra.LocalFirst, DrainOnly: limits.DrainOnly,
 	}
 	if extra.RetryDefault < 0 || extra.RetryDefault > int(rules.RetryTwice) {
 		return settings, fmt.Errorf("settings: extra.retry-default %d is not a retry method", extra.RetryDefault)
 	}
 	settings.RetryDefault = rules.Retry(extra.RetryDefault)
-	admission, known := admissionKinds[extra.LevelKind]
+	admission, known := admissionKinds[extra.Admission]
 	if !known {
-		return settings, fmt.Errorf("settings: extra.level-kind %q is unknown", extra.LevelKind)
+		return settings, fmt.Errorf("settings: extra.level-kind %q is unknown", extra.Admission)
 	}
 	settings.Admission = admission
 	for i, c := range d.Classes {
-		class := rules.Class{Name: c.Name, LatencyTarget: c.Aim, Deadline: c.Deadline, Value: c.Worth,
-			LateValue: c.LateWorth, Window: c.Window, OwnZone: i < len(extra.StaysLocal) && extra.StaysLocal[i]}
-		if !(c.Aim > 0) || !(c.Deadline > 0) {
-			return settings, fmt.Errorf("settings: class %q lacks its aim or its deadline", c.Name)
+		class := rules.Class{Name: c.Name, LatencyTarget: c.LatencyTarget, Deadline: c.Deadline, Value: c.Value,
+			LateValue: c.LateValue, Window: c.Window, OwnZone: i < len(extra.OwnZone) && extra.OwnZone[i]}
+		if !(c.LatencyTarget > 0) || !(c.Deadline > 0) {
+			return settings, fmt.Errorf("settings: class %q has no slo or no deadline", c.Name)
 		}
 		if class.Effect, known = effects[c.Idempotency]; !known {
 			return settings, fmt.Errorf("settings: class %q has unknown idempotency %q", c.Name, c.Idempotency)
--- a/internal/planner/settings/settings_test.go
+++ b/internal/planner/settings/settings_test.go
@@ -37,12 +37,12 @@
 	host := Settings{ZoneNames: []string{"n", "s"}, KindNames: []string{"big", "small"},
 		LoadFields: []string{"load_share", "concurrent"}, LoadReports: true, MaxConnectTime: 250 * time.Millisecond, Granularity: 4}
 	if !reflect.DeepEqual(got, host) {
-		t.Fatalf("the host's part %+v, want %+v", got, host)
+		t.Fatalf("the host's settings %+v, want %+v", got, host)
 	}
 }
 
 func TestInvalidSettings(t *testing.T) {
-	for _, tc := range []struct{ old, new, says string }{
+	for _, tc := range []struct{ old, new, want string }{
 		{settingsText, `{"classes": [`, "settings: "},
 		{settingsText, `{}`, "no classes"},
 		{`"localities": ["n", "s"]`, `"localities": []`, "no localities"},
@@ -52,11 +52,11 @@
 		{`"read_like"`, `"odd"`, `idempotency "odd"`},
 		{`"group": "cell"`, `"group": "odd"`, `group "odd"`},
 		{`"retry-default": 1`, `"retry-default": 9`, "retry-default 9"},
-		{`"slo": 500.0`, `"slo": 0`, "aim"},
+		{`"slo": 500.0`, `"slo": 0`, "slo"},
 	} {
 		text := strings.Replace(settingsText, tc.old, tc.new, 1)
-		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), tc.says) {
-			t.Errorf("with %s: error %v, want one that says %q", tc.new, err, tc.says)
+		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), tc.want) {
+			t.Errorf("with %s: error %v, want one with %q", tc.new, err, tc.want)
 		}
 	}
 }
