--- a/internal/planner/protocol/decode_bench_test.go
+++ b/internal/planner/protocol/decode_bench_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// BenchmarkDecode is the two lines that come most often.
+// BenchmarkDecode decodes the two most frequent kinds of lines.
 func BenchmarkDecode(b *testing.B) {
 	lines := [][]byte{
 		[]byte(`{"t":"client_stats","proxy":17,"class":"lookup","tries":19,"failed":0,"span_ms":1000.0}`),
--- a/internal/planner/protocol/exchange_test.go
+++ b/internal/planner/protocol/exchange_test.go
@@ -10,7 +10,7 @@
 	"mulleinwood/internal/planner/transport/ring"
 )
 
-// exchangeResult is what an exchange handed on.
+// exchangeResult is the outcome of an exchange.
 type exchangeResult struct {
 	status int
 	body   string
@@ -19,7 +19,7 @@
 	closed error
 }
 
-// runExchange feeds pieces to a machine until it fails or is done, then closes the connection.
+// runExchange feeds pieces to an exchange until it fails or is done, then closes the connection.
 func runExchange(x *HTTPExchange, pieces ...string) exchangeResult {
 	var h exchangeResult
 	head, body := x.HandleHead, x.HandleBody
@@ -53,8 +53,8 @@
 	return h
 }
 
-// TestHTTPExchange reads answers whole, byte by byte and in every two pieces. Guards against a host that only works
-// where bytes come as they were written.
+// TestHTTPExchange decodes responses at once, byte by byte and split in two at each offset, since bytes needn't arrive as they
+// were written.
 func TestHTTPExchange(t *testing.T) {
 	for name, tc := range map[string]struct {
 		text string
@@ -100,7 +100,7 @@
 	}
 	for _, garbage := range []string{"\r\n\r\n", "SSH-2.0-x\r\n\r\n", "HTTP/1.1 abc\r\n\r\n", "HTTP/1.1 200 OK\r\nno colon\r\n\r\n"} {
 		if got := runExchange(&HTTPExchange{}, garbage); got.err == nil {
-			t.Errorf("%q was taken: %+v", garbage, got)
+			t.Errorf("%q was accepted: %+v", garbage, got)
 		}
 	}
 }
@@ -124,7 +124,7 @@
 	}
 	for _, text := range []string{"", "[]", `{"revision":"x"}`, `{"members":{}}`} {
 		if _, _, err := DecodeList([]byte(text)); err == nil {
-			t.Errorf("%q was taken for a list", text)
+			t.Errorf("%q was accepted as a list", text)
 		}
 	}
 }
@@ -136,9 +136,9 @@
 		t.Errorf("request %q", request)
 	}
 	if h := runExchange(x, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabcd"); h.err != nil || got != "abcd" {
-		t.Errorf("%+v, took %q", h, got)
+		t.Errorf("%+v, body %q", h, got)
 	}
-	_, x = FetchRequest("h:1", func([]byte) error { t.Error("an answer of status 503 was taken"); return nil })
+	_, x = FetchRequest("h:1", func([]byte) error { t.Error("a response with status 503 was accepted"); return nil })
 	if h := runExchange(x, "HTTP/1.1 503 No\r\nContent-Length: 4\r\n\r\nabcd"); h.err != StatusError(503) {
 		t.Errorf("status 503: %+v", h)
 	}
@@ -147,7 +147,7 @@
 const watchText = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
 	"1\r\n\n\r\n" + "a\r\n{\"x\":1}\n\n\n\r\n" + "4\r\n{\"y\"\r\n" + "5\r\n:2}\n{\r\n" + "2\r\n}\n\r\n"
 
-// TestWatch guards against objects that are split over chunks, and chunks that hold several.
+// TestWatch checks objects that are split over chunks, and chunks with several objects.
 func TestWatch(t *testing.T) {
 	want := []string{"begun", `{"x":1}`, `{"y":2}`, `{}`}
 	for at := range watchText {
@@ -161,13 +161,13 @@
 			t.Fatalf("split at %d: %v, %+v", at, got, h)
 		}
 	}
-	_, x := WatchRequest("h:1", 0, func() { t.Error("a refused watch has begun") }, nil)
+	_, x := WatchRequest("h:1", 0, func() { t.Error("a rejected watch has started") }, nil)
 	if h := runExchange(x, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"); h.err != StatusError(503) {
 		t.Errorf("status 503: %+v", h)
 	}
 	_, x = WatchRequest("h:1", 0, func() {}, func([]byte) error { return errMissing })
 	if h := runExchange(x, watchText); h.err != errMissing {
-		t.Errorf("a list that can't be read: %+v", h)
+		t.Errorf("an invalid list: %+v", h)
 	}
 }
 
--- a/internal/planner/protocol/lines_test.go
+++ b/internal/planner/protocol/lines_test.go
@@ -27,10 +27,10 @@
 	UsageReport{Proxy: 17, Class: "lookup", Requests: 19, Period: 1000},
 }
 
-// testBounds are the bounds of a deployment of 20 proxies whose clients wait 5 s at most.
+// testBounds are the bounds of a deployment of 20 proxies whose longest deadline is 5 s.
 var testBounds = Bounds{Proxies: 20, MaxLatency: 5000, MaxPeriod: 60e3}
 
-// readLines feeds pieces to a new machine and returns its messages, the lines it could not use and why it ended, if so.
+// readLines feeds pieces to a new decoder. It returns the messages, the errors of invalid lines and the error that ended it.
 func readLines(t testing.TB, pieces ...string) (got []Message, bad []error, end error) {
 	t.Helper()
 	in := ring.New(16, 2*MaxLineBytes, nil)
@@ -47,7 +47,7 @@
 	return got, bad, end
 }
 
-// TestLinesSplit guards against bytes that come split or joined anywhere.
+// TestLinesSplit checks that bytes may be split or joined anywhere.
 func TestLinesSplit(t *testing.T) {
 	for at := range stream {
 		if got, bad, end := readLines(t, stream[:at], stream[at:]); !reflect.DeepEqual(got, streamMessages) || len(bad) > 0 || end != nil {
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestInvalidLines guards against a line that is JSON and can't be true: taken for what it says, it would make a server
-// the fastest of all or lift a proxy's demand; taken for unreadable, it would cost the good lines round it.
+// TestInvalidLines checks lines that are JSON but implausible. If such a line were accepted, it could make a server look the
+// fastest or raise a proxy's demand; if it were treated as unreadable, the valid lines around it would be lost.
 func TestInvalidLines(t *testing.T) {
 	report := func(figures string) string { return `{"t":"upstream_stats","zone":"a","server":"s",` + figures + `}` }
 	usage := func(figures string) string { return `{"t":"client_stats","proxy":1,"class":"c",` + figures + `}` }
@@ -116,20 +116,20 @@
 			t.Errorf("%.80q: errors %v, want one that is %v", tc.line, bad, tc.want)
 		}
 		if !reflect.DeepEqual(got, streamMessages) || end != nil {
-			t.Errorf("%.80q: what came after it was read as %+v, %v", tc.line, got, end)
+			t.Errorf("%.80q: the lines after it were read as %+v, %v", tc.line, got, end)
 		}
 	}
 	if got, _, _ := readLines(t, usage(`"tries":1,"failed":2,"span_ms":1000`)+"\n"); len(got) != 1 {
-		t.Error("a usage report with failures of an earlier span is not taken")
+		t.Error("a usage report with failures of an earlier period is rejected")
 	}
-	none := report(`"tries":3,"failed":3,"span_ms":1000`) + "\n" // no answer has no mean
+	none := report(`"tries":3,"failed":3,"span_ms":1000`) + "\n" // no mean without responses
 	if got, _, _ := readLines(t, none); len(got) != 1 || got[0].(ServerReport).Latency != 0 {
-		t.Errorf("a report without an answer was read as %+v", got)
+		t.Errorf("a report without responses was read as %+v", got)
 	}
 }
 
-// TestUnreadable guards against a connection that goes on with bytes that are no lines: it ends at once where
-// that is certain, whether or not a line end comes, and what was good before it counts.
+// TestUnreadable checks that a connection ends as soon as its input can't be a JSON line, with or without a line end, and that
+// the messages before it are kept.
 func TestUnreadable(t *testing.T) {
 	for _, text := range []string{"not JSON\n", "\n", "{\"t\":\n", "GET / HTTP/1.1\r\n", "GET /", "\x00\x01\x02", "{\"t\":\"hb\x00",
 		"  x", strings.Repeat(" ", MaxLineBytes+1), `{"t":"` + strings.Repeat("x", MaxLineBytes), "\xff\xfe"} {
@@ -140,10 +140,10 @@
 			got, bad, end := readLines(t, pieces...)
 			var line *LineError
 			if !errors.As(end, &line) || line.Fault != Unreadable || len(bad) > 0 {
-				t.Errorf("%.40q: ended by %v, %v skipped", text, end, bad)
+				t.Errorf("%.40q: ended with %v, invalid lines %v", text, end, bad)
 			}
 			if !reflect.DeepEqual(got, streamMessages) {
-				t.Errorf("%.40q: what came before it was read as %+v", text, got)
+				t.Errorf("%.40q: the lines before it were read as %+v", text, got)
 			}
 		}
 	}
@@ -153,14 +153,14 @@
 	}
 }
 
-// TestHandlerErrors checks that an error of Bad or Take ends the connection and is handed on.
+// TestHandlerErrors checks that an error of HandleMessage or HandleInvalid ends the connection and is returned.
 func TestHandlerErrors(t *testing.T) {
-	told := errors.New("told to")
+	refused := errors.New("refused")
 	for _, text := range []string{"{}\n", "{\"t\":\"hb\"}\n"} {
 		in := ring.New(16, 1<<10, nil)
 		in.Write([]byte(text))
-		m := &LineDecoder{HandleMessage: func(Message) error { return told }, HandleInvalid: func(error) error { return told }}
-		if err := m.Feed(in); !errors.Is(err, told) {
+		m := &LineDecoder{HandleMessage: func(Message) error { return refused }, HandleInvalid: func(error) error { return refused }}
+		if err := m.Feed(in); !errors.Is(err, refused) {
 			t.Errorf("%q: error %v", text, err)
 		}
 	}
--- a/internal/planner/protocol/orders_test.go
+++ b/internal/planner/protocol/orders_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// part is an order as a proxy reads it.
+// part is a part of an assignment as a proxy decodes it.
 type part struct {
 	Kind    string   `json:"t"`
 	For     []string `json:"for"`
@@ -24,12 +24,12 @@
 	Part    bool     `json:"part"`
 }
 
-// decodeParts reads what an encoder wrote and checks that each part but the last says that another follows.
+// decodeParts decodes encoded parts and checks that all but the last announce another part.
 func decodeParts(t testing.TB, text []byte) []part {
 	t.Helper()
 	lines := strings.SplitAfter(string(text), "\n")
 	if last := lines[len(lines)-1]; last != "" {
-		t.Fatalf("the last line has no end: %.60q", last)
+		t.Fatalf("the last line has no line end: %.60q", last)
 	}
 	lines = lines[:len(lines)-1]
 	var list []part
@@ -61,7 +61,7 @@
 {"t":"assign","for":["order","pay"],"gate":1,"again":0,"stamp":905}
 `
 	if string(text) != want {
-		t.Errorf("orders\n%swant\n%s", text, want)
+		t.Errorf("encoded\n%swant\n%s", text, want)
 	}
 	if o.LineCount() != 8 {
 		t.Errorf("%d lines counted, want 8: replace, 2 rows, 2 servers, 2 levels, a mark", o.LineCount())
@@ -83,7 +83,8 @@
 	}
 }
 
-// TestManyParts guards against messages over 1 MiB: large ones are split, and only the first part replaces.
+// TestManyParts checks that large messages are split into parts of at most 1 MiB, and that only the first replaces
+// the table.
 func TestManyParts(t *testing.T) {
 	o := Assignment{Replace: true, Gates: []Gate{{[]string{"a"}, 1, 1}}, Token: token(7)}
 	for i := range 30000 {
@@ -113,7 +114,7 @@
 	}
 }
 
-// TestNumbers guards against figures that a proxy would read as another, or as none.
+// TestNumbers checks that a proxy decodes the same numbers that were encoded.
 func TestNumbers(t *testing.T) {
 	for _, x := range []float64{0, 1e-9, 0.1, 1.0 / 3, 1, 1e6, 123456.789} {
 		o := Assignment{Rows: []Row{{Server: "s", Weight: x}}}
--- a/internal/planner/routing/bench_test.go
+++ b/internal/planner/routing/bench_test.go
@@ -10,7 +10,7 @@
 	"mulleinwood/rules"
 )
 
-// discardPeer is a peer that takes everything.
+// discardPeer is a peer that discards everything.
 type discardPeer struct{ id uint64 }
 
 func (s discardPeer) ID() uint64                         { return s.id }
@@ -19,7 +19,7 @@
 func (s discardPeer) DeferHeartbeat()                    {}
 func (s discardPeer) Close(error)                        {}
 
-// BenchmarkWholeTables is the dearest step of a grown deployment: 600 proxies get tables of 30 servers at once.
+// BenchmarkWholeTables measures the most expensive step of a large deployment: 600 proxies get tables of 30 servers at once.
 func BenchmarkWholeTables(b *testing.B) {
 	const proxies, servers, lines = 600, 500, 30
 	set, module, calls := testSettings(), &scriptedModule{}, &callLog{}
--- a/internal/planner/routing/recorded_test.go
+++ b/internal/planner/routing/recorded_test.go
@@ -16,10 +16,11 @@
 	"mulleinwood/rules"
 )
 
-// recordedDigest is the digest of what one core wrote on the scripted day below before planners could use several.
+// recordedDigest is the digest of the messages that a planner sent in the scenario below before planners could use several
+// cores.
 const recordedDigest = "09d263b9c0c9bfd4249a70f65c0ac1c6c6eb04ba155198682cf8a0eab89b3bdb"
 
-// digestPeer is a peer that folds what it is sent into a digest, and keeps the marks it owes an answer.
+// digestPeer is a peer that adds what it is sent to a digest, and keeps the tokens that it has to acknowledge.
 type digestPeer struct {
 	peer
 	digest hash.Hash
@@ -35,11 +36,12 @@
 	return err
 }
 
-// TestOneCoreIsWhatItWas guards against one core that decides, orders or encodes otherwise than before planners could use
-// several: a day of joins, reports, drains, restarts, doubts and broken streams gives the same orders, byte for byte.
+// TestOneCoreIsWhatItWas checks that a planner with one core decides and encodes as before planners could use several: a
+// scenario of joins, reports, drains, restarts, suspected servers and broken streams must give the same messages, byte for
+// byte.
 func TestOneCoreIsWhatItWas(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
-		t.Skip("recorded on amd64: other processors may round a product and a sum at once")
+		t.Skip("recorded on amd64: other processors may fuse a multiplication and an addition")
 	}
 	const proxies, servers, looks = 24, 40, 600
 	rng := rand.New(rand.NewPCG(16, 7))
@@ -67,7 +69,7 @@
 	for look := range looks {
 		now += 100
 		for p := range peers {
-			if peers[p] == nil && look >= p || peers[p] != nil && rng.IntN(900) == 0 { // joins, or comes back by a newer stream
+			if peers[p] == nil && look >= p || peers[p] != nil && rng.IntN(900) == 0 { // joins, or reconnects with a newer stream
 				id++
 				peers[p] = &digestPeer{peer: peer{id: id}, digest: sum}
 				r.Handle(MessageReceived{peers[p], protocol.Attach{Proxy: p, Zone: set.ZoneNames[p%3], Rate: 1 + float64(p*p%17)}})
@@ -85,7 +87,7 @@
 			if (look+i)%10 == 0 {
 				tries, mean := float64(5+rng.IntN(20)), 60+40*rng.Float64()+float64(i%7)*20
 				failed := 0.0
-				if i == 11 && look > 200 && look < 260 { // answers nothing for six seconds
+				if i == 11 && look > 200 && look < 260 { // doesn't respond for six seconds
 					failed = tries
 				}
 				if look > 400 && look < 460 { // all slow
@@ -113,6 +115,6 @@
 		}
 	}
 	if got := hex.EncodeToString(sum.Sum(nil)); got != recordedDigest {
-		t.Errorf("orders with the digest %s, not %s", got, recordedDigest)
+		t.Errorf("digest of the messages %s, want %s", got, recordedDigest)
 	}
 }
--- a/internal/planner/routing/router_test.go
+++ b/internal/planner/routing/router_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// scriptedModule is a module that notes what it is told and orders what the test wants next.
+// scriptedModule is a module that records its events and returns the actions that the test sets.
 type scriptedModule struct {
 	times   []float64
 	events  []rules.Event
@@ -44,7 +44,7 @@
 	return actions
 }
 
-// peer is a connection that keeps what it was sent.
+// peer is a connection that records what it was sent.
 type peer struct {
 	id       uint64
 	sent     []string
@@ -69,7 +69,7 @@
 	return err
 }
 
-// callLog notes the calls that are made.
+// callLog records the calls that are made.
 type callLog []string
 
 func (b *callLog) Watch(call uint64, from int64) {
@@ -82,7 +82,7 @@
 	*b = append(*b, fmt.Sprintf("probe %d at %s, load %t", server, address, load))
 }
 
-// harness is a router on a clock that the test moves.
+// harness is a router with a clock that the test controls.
 type harness struct {
 	t      *testing.T
 	router *Router
@@ -103,12 +103,12 @@
 	return g
 }
 
-// advance lets the module order and the router carry it out.
+// advance makes the module return actions and the router carry them out.
 func (g *harness) advance(actions ...rules.Action) {
 	g.t.Helper()
 	g.module.actions = actions
 	if len(actions) > 0 && len(g.router.pending) == 0 {
-		g.router.pending = append(g.router.pending, rules.Tick{}) // something must have happened
+		g.router.pending = append(g.router.pending, rules.Tick{}) // the module runs only if there are events
 	}
 	if _, _, err := g.router.Advance(g.now); err != nil {
 		g.t.Fatal(err)
@@ -121,7 +121,7 @@
 	}
 }
 
-// takeEvents returns what the module was told since the last call.
+// takeEvents returns the events that the module got since the last call.
 func (g *harness) takeEvents() []rules.Event {
 	events := g.module.events
 	g.module.events = nil
@@ -140,7 +140,7 @@
 	return p
 }
 
-// received returns and forgets what a proxy was sent.
+// received returns what a proxy was sent since the last call.
 func (p *peer) received() string {
 	text := strings.Join(p.sent, "")
 	p.sent = nil
@@ -177,10 +177,10 @@
 	g.router.Handle(Disconnected{Peer: c})
 	g.router.Handle(Disconnected{Peer: p})
 	g.advance()
-	g.expect("end of the stream", g.takeEvents(), []rules.Event{rules.Left{Proxy: 3}})
+	g.expect("disconnected stream", g.takeEvents(), []rules.Event{rules.Left{Proxy: 3}})
 }
 
-// TestUnknownNames guards against reports and proxies that the settings or the list don't know.
+// TestUnknownNames checks that reports and proxies with names missing from the settings or the list are rejected.
 func TestUnknownNames(t *testing.T) {
 	g := newHarness(t, member("s-1", "up"))
 	g.advance()
@@ -191,19 +191,19 @@
 		protocol.UsageReport{Proxy: 1, Class: "odd"}, protocol.UsageReport{Proxy: 70000, Class: "view"}, protocol.Ack{Proxy: 1, Token: 1})
 	g.advance()
 	if got := g.takeEvents(); len(got) != 0 {
-		t.Errorf("the module was told %+v", got)
+		t.Errorf("the module got %+v", got)
 	}
-	g.expect("the peer stays", p.closed, error(nil))
-	odd := member("s-8", "up")
-	odd.Zone, odd.Kind = "west", "m9"
-	g.router.handleList(ListReceived{Call: 0, List: protocol.List{Members: []protocol.Member{odd}}})
+	g.expect("the peer stays connected", p.closed, error(nil))
+	unknown := member("s-8", "up")
+	unknown.Zone, unknown.Kind = "west", "m9"
+	g.router.handleList(ListReceived{Call: 0, List: protocol.List{Members: []protocol.Member{unknown}}})
 	g.advance()
 	g.expect("an entry of an unknown zone", g.takeEvents(), []rules.Event{rules.List{Servers: []rules.Server{
 		{ID: 1, Weight: 1, Kind: 2, Zone: 2, Cell: 3, State: rules.Ready}}}})
 }
 
-// TestSupersededStream guards against a new stream that comes before the old one closes: the proxy leaves and
-// joins, and nothing that the old connection still says or does counts.
+// TestSupersededStream opens a new stream of a proxy before the old one closes. The module must see the proxy leave and join,
+// and all later messages and the end of the old connection must be ignored.
 func TestSupersededStream(t *testing.T) {
 	g := newHarness(t, member("s-1", "up"))
 	old := g.join(1, 2)
@@ -222,14 +222,14 @@
 	g.router.Handle(Disconnected{Peer: old})
 	g.advance()
 	if got := g.takeEvents(); len(got) != 0 {
-		t.Errorf("the old stream was heard: %+v", got)
+		t.Errorf("events from the old stream: %+v", got)
 	}
-	older := &peer{id: 3} // accepted between the two, its bytes come late
+	older := &peer{id: 3} // accepted between the two, its bytes arrive late
 	g.deliver(older, attach(2), protocol.Ack{Proxy: 2, Token: 7})
 	g.expect("a connection older than the stream", older.closed, ErrSuperseded)
 	g.deliver(now, protocol.Ack{Proxy: 2, Token: 7, Elapsed: 1})
 	g.advance(rules.SetWeight{Table: 2, Server: 0, Weight: 2})
-	g.expect("the new stream's answer", g.takeEvents(), []rules.Event{rules.Ack{Proxy: 2, Token: 7, Elapsed: 1}})
+	g.expect("the new stream's acknowledgement", g.takeEvents(), []rules.Event{rules.Ack{Proxy: 2, Token: 7, Elapsed: 1}})
 	g.expect("changes before the table is bound", now.received()+old.received(), "")
 	g.advance(rules.Bind{Proxy: 2, Table: 2})
 	g.expect("table", now.received(), `{"t":"assign","replace":true,"rows":[["s-1",2]]}`+"\n")
@@ -238,12 +238,12 @@
 	g.deliver(now, attach(2), attach(1))
 	g.advance()
 	if got := g.takeEvents(); len(got) != 0 || now.closed != nil {
-		t.Errorf("more joinings on one stream: %+v, %v", got, now.closed)
+		t.Errorf("second attach on one stream: %+v, %v", got, now.closed)
 	}
 }
 
-// TestOrders follows a table from its binding over changes to a rejoining. Guards against a proxy that is left
-// with lines of another planner, or with a part of its table.
+// TestOrders checks the assignments of a table from its binding through changes to a reconnect. A proxy must not be left with
+// rows of another planner, or with a part of its table.
 func TestOrders(t *testing.T) {
 	g := newHarness(t, member("s-1", "up"), member("s-2", "up"), member("s-3", "up"))
 	one, two := g.join(1, 0), g.join(2, 1)
@@ -253,7 +253,7 @@
 	g.expect("the whole table", one.received(),
 		`{"t":"assign","replace":true,"rows":[["s-1",1.5],["s-3",1]],"part":true}`+"\n"+
 			`{"t":"assign","for":["view"],"gate":0.5,"again":1,"stamp":8}`+"\n")
-	g.expect("a proxy that nothing reached", two.received(), "")
+	g.expect("a proxy without changes", two.received(), "")
 
 	g.advance(rules.SetWeight{Table: 0, Server: 1, Weight: 3}, rules.SetWeight{Table: 0, Server: 0, Weight: 0},
 		rules.SetWeight{Table: 1, Server: 0, Weight: 1}, rules.Mark{Token: 9})
@@ -262,22 +262,22 @@
 
 	g.router.Handle(Disconnected{Peer: one})
 	g.advance(rules.SetWeight{Table: 0, Server: 2, Weight: 0})
-	again := g.join(3, 0)
+	rejoined := g.join(3, 0)
 	g.advance(rules.Bind{Proxy: 0, Table: 0}, rules.SetWeight{Table: 0, Server: 0, Weight: 4}, rules.Mark{Token: 10})
-	g.expect("the whole table after changes", again.received(),
+	g.expect("the whole table after changes", rejoined.received(),
 		`{"t":"assign","replace":true,"rows":[["s-1",4],["s-2",3]],"part":true}`+"\n"+
 			`{"t":"assign","for":["view"],"gate":0.5,"again":1,"stamp":10}`+"\n")
 	g.advance(rules.SetWeight{Table: 5, Server: 1, Weight: 1}, rules.Bind{Proxy: 0, Table: 5}, rules.Bind{Proxy: 1, Table: 5})
 	const other = `{"t":"assign","replace":true,"rows":[["s-2",1]]}` + "\n"
-	g.expect("another table, for two", again.received()+two.received(), other+other)
+	g.expect("another table, for two proxies", rejoined.received()+two.received(), other+other)
 	g.advance(rules.SetWeight{Table: 0, Server: 0, Weight: 9}, rules.SetWeight{Table: 5, Server: 1, Weight: 2})
 	const change = `{"t":"assign","rows":[["s-2",2]]}` + "\n"
-	g.expect("changes of it, and none of the first", again.received()+two.received(), change+change)
+	g.expect("changes of it, and none of the first", rejoined.received()+two.received(), change+change)
 	g.advance(rules.Bind{Proxy: 3, Table: 0}, rules.Mark{Token: 11}) // not joined
-	g.expect("sent to a proxy that has left", one.received()+again.received()+two.received(), "")
+	g.expect("sent to a proxy that has left", one.received()+rejoined.received()+two.received(), "")
 }
 
-// TestWithdrawAndLevelsForAll covers the actions that the present module does not use.
+// TestWithdrawAndLevelsForAll covers the actions that the current module does not use.
 func TestWithdrawAndLevelsForAll(t *testing.T) {
 	g := newHarness(t, member("s-1", "up"), member("s-2", "up"))
 	one, two := g.join(1, 0), g.join(2, 1)
@@ -286,41 +286,41 @@
 	one.received()
 	two.received()
 	g.advance(rules.Withdraw{Server: 0, Excluded: true}, rules.Withdraw{Server: 0, Excluded: true})
-	g.expect("shut out", one.received(), `{"t":"assign","drop":["s-1"]}`+"\n")
+	g.expect("excluded", one.received(), `{"t":"assign","drop":["s-1"]}`+"\n")
 	g.expect("a table without it", two.received(), "")
 
 	g.router.Handle(Disconnected{Peer: one})
 	one = g.join(6, 0)
 	g.advance(rules.Bind{Proxy: 0, Table: 0})
-	g.expect("shut out again after a rejoining", one.received(),
+	g.expect("excluded again after a reconnect", one.received(),
 		`{"t":"assign","replace":true,"rows":[["s-1",1]],"drop":["s-1"]}`+"\n")
 	g.router.Handle(Disconnected{Peer: one})
 	g.advance(rules.Withdraw{Server: 0, Excluded: false})
 	one = g.join(7, 0)
 	g.advance(rules.Bind{Proxy: 0, Table: 0})
-	g.expect("let in while the proxy was away", one.received(),
+	g.expect("included while the proxy was disconnected", one.received(),
 		`{"t":"assign","replace":true,"rows":[["s-1",1]],"undrop":["s-1"]}`+"\n")
 	g.advance(rules.Withdraw{Server: 0, Excluded: true})
 	g.advance(rules.Withdraw{Server: 0, Excluded: false})
-	g.expect("out and in", one.received(), `{"t":"assign","drop":["s-1"]}`+"\n"+`{"t":"assign","undrop":["s-1"]}`+"\n")
+	g.expect("excluded and included", one.received(), `{"t":"assign","drop":["s-1"]}`+"\n"+`{"t":"assign","undrop":["s-1"]}`+"\n")
 
 	g.advance(rules.Admit{Table: 1, Mask: 3, Level: 0.7, Retry: rules.RetryOnce})
 	g.expect("one level for two classes", two.received(), `{"t":"assign","for":["view","post"],"gate":0.7,"again":2}`+"\n")
 	g.advance(rules.Admit{Table: rules.AllTables, Mask: 1, Level: 0.2, Retry: rules.RetryNever})
 	g.expect("all tables", one.received(), `{"t":"assign","for":["view"],"gate":0.2,"again":0}`+"\n")
-	g.expect("all tables, with the table's own way of trying again", two.received(),
+	g.expect("all tables, with the table's own retry method", two.received(),
 		`{"t":"assign","for":["view"],"gate":0.2,"again":2}`+"\n")
 	g.router.Handle(Disconnected{Peer: two})
 	two = g.join(4, 1)
 	g.advance(rules.Bind{Proxy: 1, Table: 1})
-	g.expect("levels after a rejoining", two.received(),
+	g.expect("levels after a reconnect", two.received(),
 		`{"t":"assign","replace":true,"rows":[["s-2",1]],"part":true}`+"\n"+
 			`{"t":"assign","for":["view"],"gate":0.2,"again":2,"part":true}`+"\n"+
 			`{"t":"assign","for":["post"],"gate":0.7,"again":2}`+"\n")
 }
 
-// TestDiscovery follows calls through answers and failures. Guards against changes of a call that has ended, a
-// list that is lost with a failed call, and a module that waits for an answer that never comes.
+// TestDiscovery plays results and failures of calls. It detects changes accepted from a call that has ended, a list that is
+// lost with a failed call, and a module that waits forever for a result.
 func TestDiscovery(t *testing.T) {
 	g := newHarness(t, member("s-1", "up"))
 	g.advance(rules.Watch{}, rules.Watch{})
@@ -359,8 +359,8 @@
 	g.expect("a failed fetch", g.takeEvents(), []rules.Event{rules.List{Kind: rules.ListFailed}})
 }
 
-// TestPushedDiscovery: where changes come unsolicited the module never asks, so the router watches by itself.
-// Guards against a list that is never heard of again after the start, or after a watch has ended.
+// TestPushedDiscovery checks that the router watches by itself where changes are pushed and the module makes no calls.
+// Otherwise the list would never be updated after the start, or after a watch has ended.
 func TestPushedDiscovery(t *testing.T) {
 	set, module, calls := testSettings(), &scriptedModule{}, &callLog{}
 	set.Rules.QueryDiscovery = false
@@ -368,7 +368,7 @@
 	advance := func(now, want float64) {
 		t.Helper()
 		if next, scheduled, err := r.Advance(now); err != nil || scheduled != (want > 0) || scheduled && next != want {
-			t.Errorf("at %v the next turn is wanted at %v, %t, %v; want %v", now, next, scheduled, err, want)
+			t.Errorf("at %v the next call is due at %v, %t, %v; want %v", now, next, scheduled, err, want)
 		}
 	}
 	advance(5000, 0)
@@ -383,12 +383,12 @@
 	}
 	for _, e := range module.events {
 		if l, ok := e.(rules.List); ok && l.Kind == rules.ListFailed {
-			t.Error("the module was told of a failure of a call that it had not made")
+			t.Error("the module got a failure of a call that it had not made")
 		}
 	}
 }
 
-// TestProbes guards against two probes of one server at a time, and against any where they are forbidden.
+// TestProbes checks that a server has at most one probe in flight, and none if the settings forbid probes.
 func TestProbes(t *testing.T) {
 	unknown := member("s-2", "up")
 	unknown.Address = ""
@@ -407,28 +407,28 @@
 	g.expect("forbidden", len(*g.calls), 2)
 }
 
-// TestTimers guards against timers that are lost, early, or all at once after the process stood still.
+// TestTimers detects timers that are lost, fire early, or fire all at once after the process was paused.
 func TestTimers(t *testing.T) {
 	g := newHarness(t, member("s-1", "up"))
 	g.module.actions = []rules.Action{rules.Timer{Delay: 100, Token: 1}, rules.Timer{Delay: 50, Token: 2}, rules.Timer{Delay: 90, Token: 3}}
-	if next, wants, _ := g.router.Advance(1000); next != 1050 || !wants {
-		t.Errorf("next turn at %v, %t", next, wants)
+	if next, scheduled, _ := g.router.Advance(1000); next != 1050 || !scheduled {
+		t.Errorf("next call at %v, %t", next, scheduled)
 	}
 	g.takeEvents()
-	if next, wants, _ := g.router.Advance(1049.9); next != 1050 || !wants || len(g.takeEvents()) > 0 {
-		t.Errorf("early: next turn at %v, %t", next, wants)
+	if next, scheduled, _ := g.router.Advance(1049.9); next != 1050 || !scheduled || len(g.takeEvents()) > 0 {
+		t.Errorf("early: next call at %v, %t", next, scheduled)
 	}
 	g.now = 1095
 	g.advance()
 	g.expect("two are due", g.takeEvents(), []rules.Event{rules.Tick{Token: 2}, rules.Tick{Token: 3}})
-	g.expect("one turn for both", len(g.module.times), 2)
-	if _, wants, _ := g.router.Advance(5000); wants {
-		t.Error("no timer is left")
+	g.expect("one step for both", len(g.module.times), 2)
+	if _, scheduled, _ := g.router.Advance(5000); scheduled {
+		t.Error("a call is scheduled without a timer")
 	}
 	g.expect("the last", g.takeEvents(), []rules.Event{rules.Tick{Token: 1}})
 }
 
-// TestHeartbeat guards against a planner that is put to use before it can order anything.
+// TestHeartbeat checks that heartbeats are answered only once the planner can make assignments.
 func TestHeartbeat(t *testing.T) {
 	const answer = `{"t":"hb_ok"}` + "\n"
 	g, p, q, r := newHarness(t), &peer{id: 1}, &peer{id: 2}, &peer{id: 3}
@@ -441,7 +441,7 @@
 	g.advance(rules.Watch{})
 	g.router.Handle(ListReceived{Call: 1, List: protocol.List{Revision: 1, Complete: true, Members: []protocol.Member{member("s", "up")}}})
 	g.expect("with one", p.received(), answer)
-	g.expect("to one that has left", q.received(), "")
+	g.expect("to a disconnected peer", q.received(), "")
 	g.deliver(p, protocol.Heartbeat{})
 	g.expect("afterwards", p.received(), answer)
 
@@ -450,8 +450,8 @@
 	known.expect("a list known at the start", p.received(), answer)
 }
 
-// TestPanics: one in the handling of a message costs that peer; one of the module ends the program, since what
-// it remembers can't be trusted. So does an order that can't be carried out.
+// TestPanics checks that a panic while a message is handled closes that peer only. A panic of the module, or an action that
+// can't be carried out, must return an error that ends the program, since the module's state can't be trusted.
 func TestPanics(t *testing.T) {
 	g := newHarness(t, member("s-1", "up"))
 	p := &peer{id: 1}
@@ -459,23 +459,23 @@
 	g.router.streams = nil // a write to it panics
 	g.deliver(p, attach(1))
 	if p.closed == nil {
-		t.Error("the peer stays after a panic")
+		t.Error("the peer stays connected after a panic")
 	}
 	g.router.streams = streams
 	g.module.panics = true
 	if _, _, err := g.router.Advance(1); err == nil || !strings.Contains(err.Error(), "out of order") {
 		t.Errorf("error %v", err)
 	}
-	for _, unheard := range []rules.Action{rules.Probe{Server: 99}, nil} {
+	for _, invalid := range []rules.Action{rules.Probe{Server: 99}, nil} {
 		g = newHarness(t, member("s-1", "up"))
-		g.module.actions = []rules.Action{unheard}
+		g.module.actions = []rules.Action{invalid}
 		if _, _, err := g.router.Advance(1); err == nil || !strings.Contains(err.Error(), "order") {
-			t.Errorf("order %v: error %v", unheard, err)
+			t.Errorf("action %v: error %v", invalid, err)
 		}
 	}
 }
 
-// TestLogNamesServers: the module's lines number servers, on-call staff know them by name.
+// TestLogNamesServers checks that log lines of the module, which contain server IDs, get the server's name.
 func TestLogNamesServers(t *testing.T) {
 	g, out := newHarness(t, member("s-1", "up"), member("s-2", "up")), &bytes.Buffer{}
 	g.router.log = zerolog.New(out)
@@ -487,14 +487,14 @@
 	g.expect("log", out.String(), want)
 }
 
-// TestDeadPeer guards against a proxy that can't be written to: others get their orders.
+// TestDeadPeer checks that other proxies get their assignments if writing to one fails.
 func TestDeadPeer(t *testing.T) {
 	g := newHarness(t, member("s-1", "up"))
 	one, two := g.join(1, 0), g.join(2, 1)
 	one.gone = true
 	g.advance(rules.SetWeight{Table: 0, Server: 0, Weight: 1}, rules.Bind{Proxy: 0, Table: 0}, rules.Bind{Proxy: 1, Table: 0})
-	var order map[string]any
-	if err := json.Unmarshal([]byte(two.received()), &order); err != nil || order["replace"] != true {
-		t.Errorf("orders of the other proxy: %v, %v", order, err)
+	var message map[string]any
+	if err := json.Unmarshal([]byte(two.received()), &message); err != nil || message["replace"] != true {
+		t.Errorf("assignment of the other proxy: %v, %v", message, err)
 	}
 }
--- a/internal/planner/settings/settings.go
+++ b/internal/planner/settings/settings.go
@@ -142,7 +142,7 @@
 		LinesPerSec: extra.LinesPerSec, MessageCost: extra.MessageCost, MaxMessages: extra.MaxMessages,
 		MessageWindow: extra.MessageWindow, DrainGrace: limits.DrainGrace, MaxTimeWithoutServer: extra.MaxTimeWithoutServer,
 		WarmupTime: limits.WarmupTime, StartCapacity: limits.StartCapacity, OverloadFactor: limits.OverloadFactor,
-		OverloadTime: limits.OverloadTime,
+		OverloadTime:   limits.OverloadTime,
 		MinConnections: extra.MinConnections, LocalFirst: extra.LocalFirst, DrainOnly: limits.DrainOnly,
 	}
 	if extra.RetryDefault < 0 || extra.RetryDefault > int(rules.RetryTwice) {
