--- a/internal/planner/protocol/lines_test.go
+++ b/internal/planner/protocol/lines_test.go
@@ -62,8 +62,8 @@
 // TestInvalidLines checks lines that are JSON but implausible. If such a line were accepted, it could make a server look the
 // fastest or raise a proxy's demand; if it were treated as unreadable, the valid lines around it would be lost.
 func TestInvalidLines(t *testing.T) {
-	report := func(figures string) string { return `{"t":"upstream_stats","zone":"a","server":"s",` + figures + `}` }
-	usage := func(figures string) string { return `{"t":"client_stats","proxy":1,"class":"c",` + figures + `}` }
+	report := func(fields string) string { return `{"t":"upstream_stats","zone":"a","server":"s",` + fields + `}` }
+	usage := func(fields string) string { return `{"t":"client_stats","proxy":1,"class":"c",` + fields + `}` }
 	for _, tc := range []struct {
 		line string
 		want error
--- a/internal/planner/protocol/list.go
+++ b/internal/planner/protocol/list.go
@@ -136,12 +136,12 @@
 				}
 				return nil
 			}
-			whole := bytes.TrimSpace(append(text, p[:end]...))
+			object := bytes.TrimSpace(append(text, p[:end]...))
 			text, p = text[:0], p[end+1:]
-			if len(whole) == 0 {
+			if len(object) == 0 {
 				continue // a keepalive: nothing has changed
 			}
-			if err := handle(whole); err != nil {
+			if err := handle(object); err != nil {
 				return err
 			}
 		}
--- a/internal/planner/protocol/messages.go
+++ b/internal/planner/protocol/messages.go
@@ -20,7 +20,7 @@
 	Attach struct {
 		Proxy int
 		Zone  string
-		Rate  float64
+		Rate  float64 // requests per second
 		Fresh bool
 
 		Versions bool // the proxy requests versioned updates
@@ -40,7 +40,7 @@
 	// Nack reports that a proxy has rejected an assignment; the state of its table is unknown.
 	Nack struct{ Proxy int }
 	// ServerReport aggregates the attempts of a zone's proxies at a server. A server without a name is identified by its
-	// address.
+	// address. Latency is the mean of the attempts that did not fail.
 	ServerReport struct {
 		Zone, Server, Address             string
 		Attempts, Failed, Latency, Period float64
@@ -117,7 +117,7 @@
 	Load     map[string]*float64 `json:"load"`
 
 	Versions bool   `json:"versions"`
-	Whole    bool   `json:"whole"`
+	Full     bool   `json:"whole"`
 	After    uint64 `json:"after"`
 }
 
@@ -200,7 +200,7 @@
 		if l.Proxy == nil {
 			return nil, errMissing
 		}
-		return ResyncRequest{Proxy: *l.Proxy, Full: l.Whole, After: l.After}, nil
+		return ResyncRequest{Proxy: *l.Proxy, Full: l.Full, After: l.After}, nil
 	case "done":
 		return l.done()
 	case "upstream_stats":
--- a/internal/planner/routing/events.go
+++ b/internal/planner/routing/events.go
@@ -17,8 +17,8 @@
 type Peer interface {
 	ID() uint64 // increases with the order in which connections were accepted
 	Assign(protocol.Assignment) error
-	AnswerHeartbeat() error // answers a heartbeat
-	DeferHeartbeat()        // its heartbeat will be answered later
+	AnswerHeartbeat() error
+	DeferHeartbeat() // notes that the heartbeat is answered later
 	Close(reason error)
 }
 
--- a/internal/planner/routing/fed.go
+++ b/internal/planner/routing/fed.go
@@ -111,7 +111,7 @@
 		if !s.bound {
 			continue
 		}
-		if _, holds := t.byID[s.table].weights[id]; holds {
+		if _, found := t.byID[s.table].weights[id]; found {
 			return true
 		}
 	}
--- a/internal/planner/routing/recorded_test.go
+++ b/internal/planner/routing/recorded_test.go
@@ -43,7 +43,7 @@
 	if runtime.GOARCH != "amd64" {
 		t.Skip("recorded on amd64: other processors may fuse a multiplication and an addition")
 	}
-	const proxies, servers, looks = 24, 40, 600
+	const proxies, servers, rounds = 24, 40, 600
 	rng := rand.New(rand.NewPCG(16, 7))
 	classes := []rules.Class{{Name: "view", LatencyTarget: 1000, Deadline: 4000, Value: 1},
 		{Name: "post", LatencyTarget: 500, Deadline: 2000, Value: 5, Effect: rules.Keyed}, {Name: "pay", LatencyTarget: 500, Deadline: 1500, Value: 2, Effect: rules.Unsafe}}
@@ -66,10 +66,10 @@
 		revision++
 		r.Handle(ListReceived{Call: 1, List: protocol.List{Revision: revision, Members: []protocol.Member{m}}})
 	}
-	for look := range looks {
+	for round := range rounds {
 		now += 100
 		for p := range peers {
-			if peers[p] == nil && look >= p || peers[p] != nil && rng.IntN(900) == 0 { // joins, or reconnects with a newer stream
+			if peers[p] == nil && round >= p || peers[p] != nil && rng.IntN(900) == 0 { // joins, or reconnects with a newer stream
 				id++
 				peers[p] = &digestPeer{peer: peer{id: id}, digest: sum}
 				r.Handle(MessageReceived{peers[p], protocol.Attach{Proxy: p, Zone: set.ZoneNames[p%3], Rate: 1 + float64(p*p%17)}})
@@ -77,37 +77,37 @@
 			for d := peers[p]; d != nil && len(d.tokens) > 0 && rng.IntN(3) > 0; d.tokens = d.tokens[1:] {
 				r.Handle(MessageReceived{d, protocol.Ack{Proxy: p, Token: d.tokens[0], Elapsed: 50}})
 			}
-			if peers[p] != nil && (look+p)%10 == 0 {
+			if peers[p] != nil && (round+p)%10 == 0 {
 				for _, c := range classes {
 					r.Handle(MessageReceived{peers[p], protocol.UsageReport{Proxy: p, Class: c.Name, Requests: float64(rng.IntN(30)), Period: 1000}})
 				}
 			}
 		}
 		for i := range servers {
-			if (look+i)%10 == 0 {
+			if (round+i)%10 == 0 {
 				tries, mean := float64(5+rng.IntN(20)), 60+40*rng.Float64()+float64(i%7)*20
 				failed := 0.0
-				if i == 11 && look > 200 && look < 260 { // doesn't respond for six seconds
+				if i == 11 && round > 200 && round < 260 { // doesn't respond for six seconds
 					failed = tries
 				}
-				if look > 400 && look < 460 { // all slow
+				if round > 400 && round < 460 { // all slow
 					mean *= 12
 				}
 				r.Handle(MessageReceived{&peer{}, protocol.ServerReport{Zone: set.ZoneNames[rng.IntN(3)], Server: fmt.Sprint("s-", i), Attempts: tries,
 					Failed: failed, Latency: mean, Period: 1000}})
 			}
 		}
-		switch i := look / 10 % servers; {
-		case look%50 == 10:
+		switch i := round / 10 % servers; {
+		case round%50 == 10:
 			change(entry(i, protocol.PhaseDraining, 0))
-		case look%50 == 30:
+		case round%50 == 30:
 			change(entry(i-2, protocol.PhaseRemoved, 0))
-		case look%50 == 45:
+		case round%50 == 45:
 			change(entry(i-3, protocol.PhaseUp, now-100))
 		}
 		for _, s := range r.names.servers {
 			if s.probing {
-				r.Handle(Probed{Server: r.names.ids[s.name], OK: look%3 > 0})
+				r.Handle(Probed{Server: r.names.ids[s.name], OK: round%3 > 0})
 			}
 		}
 		if _, _, err := r.Advance(now); err != nil {
--- a/internal/planner/routing/router.go
+++ b/internal/planner/routing/router.go
@@ -17,8 +17,8 @@
 	"mulleinwood/rules"
 )
 
-// maxLoggedName limits the bytes of a peer's message that are logged.
-const maxLoggedName = 80
+// maxLoggedDetail limits the bytes of a peer's message that are logged.
+const maxLoggedDetail = 80
 
 // ErrSuperseded is the reason for closing a stream whose proxy has a newer one.
 var ErrSuperseded = errors.New("the proxy has a newer stream")
@@ -212,7 +212,7 @@
 // countDropped counts a rejected message, and logs the first, the tenth, the hundredth and so on of each reason.
 func (r *Router) countDropped(reason, detail string) {
 	if r.dropped[reason]++; ShouldLog(r.dropped[reason]) {
-		r.log.Warn().Str("reason", reason).Str("last", detail[:min(len(detail), maxLoggedName)]).Int("count",
+		r.log.Warn().Str("reason", reason).Str("last", detail[:min(len(detail), maxLoggedDetail)]).Int("count",
 			r.dropped[reason]).Msg("message not used")
 	}
 }
--- a/internal/planner/routing/router_test.go
+++ b/internal/planner/routing/router_test.go
@@ -72,14 +72,14 @@
 // callLog records the calls that are made.
 type callLog []string
 
-func (b *callLog) Watch(call uint64, from int64) {
-	*b = append(*b, fmt.Sprintf("watch %d from %d", call, from))
+func (c *callLog) Watch(call uint64, from int64) {
+	*c = append(*c, fmt.Sprintf("watch %d from %d", call, from))
 }
-func (b *callLog) Cancel(call uint64)            { *b = append(*b, fmt.Sprintf("cancel %d", call)) }
-func (b *callLog) SetDiscovery(discovery string) { *b = append(*b, "move to "+discovery) }
-func (b *callLog) Fetch(call uint64)             { *b = append(*b, fmt.Sprintf("fetch %d", call)) }
-func (b *callLog) Probe(server rules.ServerID, address string, load bool) {
-	*b = append(*b, fmt.Sprintf("probe %d at %s, load %t", server, address, load))
+func (c *callLog) Cancel(call uint64)            { *c = append(*c, fmt.Sprintf("cancel %d", call)) }
+func (c *callLog) SetDiscovery(discovery string) { *c = append(*c, "move to "+discovery) }
+func (c *callLog) Fetch(call uint64)             { *c = append(*c, fmt.Sprintf("fetch %d", call)) }
+func (c *callLog) Probe(server rules.ServerID, address string, load bool) {
+	*c = append(*c, fmt.Sprintf("probe %d at %s, load %t", server, address, load))
 }
 
 // harness is a router with a clock that the test controls.
@@ -211,8 +211,8 @@
 	old.received()
 	g.takeEvents()
 
-	now := &peer{id: 5}
-	g.deliver(now, attach(2))
+	current := &peer{id: 5}
+	g.deliver(current, attach(2))
 	g.advance()
 	g.expect("events", g.takeEvents(), []rules.Event{rules.Left{Proxy: 2}, rules.Joined{Proxy: 2, Zone: 1, Rate: 2.5}})
 	g.expect("the old connection", old.closed, ErrSuperseded)
@@ -227,18 +227,18 @@
 	older := &peer{id: 3} // accepted between the two, its bytes arrive late
 	g.deliver(older, attach(2), protocol.Ack{Proxy: 2, Token: 7})
 	g.expect("a connection older than the stream", older.closed, ErrSuperseded)
-	g.deliver(now, protocol.Ack{Proxy: 2, Token: 7, Elapsed: 1})
+	g.deliver(current, protocol.Ack{Proxy: 2, Token: 7, Elapsed: 1})
 	g.advance(rules.SetWeight{Table: 2, Server: 0, Weight: 2})
 	g.expect("the new stream's acknowledgement", g.takeEvents(), []rules.Event{rules.Ack{Proxy: 2, Token: 7, Elapsed: 1}})
-	g.expect("changes before the table is bound", now.received()+old.received(), "")
+	g.expect("changes before the table is bound", current.received()+old.received(), "")
 	g.advance(rules.Bind{Proxy: 2, Table: 2})
-	g.expect("table", now.received(), `{"t":"assign","replace":true,"rows":[["s-1",2]]}`+"\n")
+	g.expect("table", current.received(), `{"t":"assign","replace":true,"rows":[["s-1",2]]}`+"\n")
 
 	g.takeEvents()
-	g.deliver(now, attach(2), attach(1))
+	g.deliver(current, attach(2), attach(1))
 	g.advance()
-	if got := g.takeEvents(); len(got) != 0 || now.closed != nil {
-		t.Errorf("second attach on one stream: %+v, %v", got, now.closed)
+	if got := g.takeEvents(); len(got) != 0 || current.closed != nil {
+		t.Errorf("second attach on one stream: %+v, %v", got, current.closed)
 	}
 }
 
--- a/internal/planner/routing/tables.go
+++ b/internal/planner/routing/tables.go
@@ -83,13 +83,13 @@
 	if t.withdrawn[id] {
 		return false
 	}
-	for _, shut := range t.excluded {
-		if shut[id] {
+	for _, excluded := range t.excluded {
+		if excluded[id] {
 			return false
 		}
 	}
 	for _, tab := range t.byID {
-		if _, holds := tab.weights[id]; holds && len(tab.users) > 0 {
+		if _, found := tab.weights[id]; found && len(tab.users) > 0 {
 			return false
 		}
 	}
@@ -153,11 +153,11 @@
 		if !s.bound {
 			return
 		}
-		shut := t.excluded[s.proxy][a.Server]
-		if _, holds := t.table(s.table).weights[a.Server]; a.Excluded && holds && !shut {
+		excluded := t.excluded[s.proxy][a.Server]
+		if _, found := t.table(s.table).weights[a.Server]; a.Excluded && found && !excluded {
 			t.markChanged(s)
 			t.exclude(s, a.Server)
-		} else if !a.Excluded && shut {
+		} else if !a.Excluded && excluded {
 			t.markChanged(s)
 			t.include(s, a.Server)
 		}
