--- a/internal/planner/protocol/lines_test.go
+++ b/internal/planner/protocol/lines_test.go
@@ -17,7 +17,7 @@
 {"t":"client_stats","proxy":17,"class":"lookup","tries":19,"failed":0,"span_ms":1000.0}
 `
 
-var spoken = []Message{
+var streamMessages = []Message{
 	Heartbeat{},
 	Collector{Zone: "a"},
 	ServerReport{Zone: "a", Server: "s-5b", Attempts: 212, Failed: 3, Latency: 41.7, Period: 1000,
@@ -27,14 +27,14 @@
 	UsageReport{Proxy: 17, Class: "lookup", Requests: 19, Period: 1000},
 }
 
-// within are the bounds of a deployment of 20 proxies whose clients wait 5 s at most.
-var within = Bounds{Proxies: 20, MaxLatency: 5000, MaxPeriod: 60e3}
+// testBounds are the bounds of a deployment of 20 proxies whose longest deadline is 5 s.
+var testBounds = Bounds{Proxies: 20, MaxLatency: 5000, MaxPeriod: 60e3}
 
-// read feeds pieces to a new machine and returns its messages, the lines it could not use and why it ended, if so.
-func read(t testing.TB, pieces ...string) (got []Message, bad []error, end error) {
+// readLines feeds pieces to a new decoder. It returns the messages, the errors of invalid lines and the error that ended it.
+func readLines(t testing.TB, pieces ...string) (got []Message, bad []error, end error) {
 	t.Helper()
 	in := ring.New(16, 2*MaxLineBytes, nil)
-	m := &LineDecoder{Bounds: within, HandleMessage: func(m Message) error { got = append(got, m); return nil },
+	m := &LineDecoder{Bounds: testBounds, HandleMessage: func(m Message) error { got = append(got, m); return nil },
 		HandleInvalid: func(err error) error { bad = append(bad, err); return nil }}
 	for _, piece := range pieces {
 		if _, err := in.Write([]byte(piece)); err != nil {
@@ -47,37 +47,37 @@
 	return got, bad, end
 }
 
-// TestLinesSplit guards against bytes that come split or joined anywhere.
+// TestLinesSplit checks that bytes may be split or joined anywhere.
 func TestLinesSplit(t *testing.T) {
 	for at := range stream {
-		if got, bad, end := read(t, stream[:at], stream[at:]); !reflect.DeepEqual(got, spoken) || len(bad) > 0 || end != nil {
+		if got, bad, end := readLines(t, stream[:at], stream[at:]); !reflect.DeepEqual(got, streamMessages) || len(bad) > 0 || end != nil {
 			t.Fatalf("split at %d: %+v, %v, %v", at, got, bad, end)
 		}
 	}
-	if got, bad, end := read(t, strings.Split(stream, "")...); !reflect.DeepEqual(got, spoken) || len(bad) > 0 || end != nil {
+	if got, bad, end := readLines(t, strings.Split(stream, "")...); !reflect.DeepEqual(got, streamMessages) || len(bad) > 0 || end != nil {
 		t.Fatalf("byte by byte: %+v, %v, %v", got, bad, end)
 	}
 }
 
-// TestSpoiltLines guards against a line that is JSON and can't be true: taken for what it says, it would make a server
-// the fastest of all or lift a proxy's demand; taken for unreadable, it would cost the good lines round it.
-func TestSpoiltLines(t *testing.T) {
-	report := func(figures string) string { return `{"t":"upstream_stats","zone":"a","server":"s",` + figures + `}` }
-	usage := func(figures string) string { return `{"t":"client_stats","proxy":1,"class":"c",` + figures + `}` }
+// TestInvalidLines checks lines that are JSON but implausible. If such a line were accepted, it could make a server look the
+// fastest or raise a proxy's demand; if it were treated as unreadable, the valid lines around it would be lost.
+func TestInvalidLines(t *testing.T) {
+	report := func(fields string) string { return `{"t":"upstream_stats","zone":"a","server":"s",` + fields + `}` }
+	usage := func(fields string) string { return `{"t":"client_stats","proxy":1,"class":"c",` + fields + `}` }
 	for _, tc := range []struct {
 		line string
 		want error
 	}{
-		{`{"t":"unheard_of"}`, errKind},
-		{`{}`, errKind},
+		{`{"t":"unheard_of"}`, errUnknownKind},
+		{`{}`, errUnknownKind},
 		{`{"t":"telemetry"}`, errMissing},
 		{`{"t":"telemetry","zone":null}`, errMissing},
 		{`{"t":"attach","proxy":1,"weight":1}`, errMissing},
 		{`{"t":"attach","proxy":1,"zone":"a"}`, errMissing},
 		{`{"t":"done","proxy":1,"took_ms":1}`, errMissing},
 		{`{"t":"done","proxy":1,"mark":1}`, errMissing},
-		{`{"t":"done","proxy":20,"mark":1,"took_ms":1}`, errProxy},
-		{`{"t":"attach","proxy":-1,"zone":"a","weight":1}`, errProxy},
+		{`{"t":"done","proxy":20,"mark":1,"took_ms":1}`, errUnknownProxy},
+		{`{"t":"attach","proxy":-1,"zone":"a","weight":1}`, errUnknownProxy},
 		{`{"t":"attach","proxy":1,"zone":"a","weight":-0.5}`, errNegative},
 		{report(`"tries":1,"failed":0,"span_ms":1000`), errMissing},
 		{report(`"tries":1,"failed":0,"mean_ms":40`), errMissing},
@@ -85,16 +85,16 @@
 		{report(`"failed":0,"mean_ms":40,"span_ms":1000`), errMissing},
 		{report(`"tries":null,"failed":0,"mean_ms":40,"span_ms":1000`), errMissing},
 		{report(`"tries":1,"failed":2,"mean_ms":40,"span_ms":1000`), errMoreFailed},
-		{report(`"tries":1,"failed":0,"mean_ms":40,"span_ms":0`), errSpan},
-		{report(`"tries":1,"failed":0,"mean_ms":0,"span_ms":1000`), errMean},
-		{report(`"tries":1,"failed":0,"mean_ms":5001,"span_ms":1000`), errMean},
-		{report(`"tries":1,"failed":0,"mean_ms":40,"span_ms":60001`), errSpan},
+		{report(`"tries":1,"failed":0,"mean_ms":40,"span_ms":0`), errPeriod},
+		{report(`"tries":1,"failed":0,"mean_ms":0,"span_ms":1000`), errLatency},
+		{report(`"tries":1,"failed":0,"mean_ms":5001,"span_ms":1000`), errLatency},
+		{report(`"tries":1,"failed":0,"mean_ms":40,"span_ms":60001`), errPeriod},
 		{report(`"tries":38654705664,"failed":0,"mean_ms":40,"span_ms":1000`), errRate},
 		{usage(`"tries":200001,"failed":0,"span_ms":2000`), errRate},
 		{usage(`"tries":1,"failed":200001,"span_ms":2000`), errRate},
-		{usage(`"tries":1,"failed":0,"span_ms":38654705664`), errSpan},
+		{usage(`"tries":1,"failed":0,"span_ms":38654705664`), errPeriod},
 		{`{"t":"attach","proxy":1,"zone":"a","weight":200000}`, errRate},
-		{report(`"tries":1e13,"failed":0,"mean_ms":40,"span_ms":1000`), errHuge},
+		{report(`"tries":1e13,"failed":0,"mean_ms":40,"span_ms":1000`), errValueTooLarge},
 		{report(`"tries":1e999,"failed":0,"mean_ms":40,"span_ms":1000`), nil},
 		{report(`"tries":"many","failed":0,"mean_ms":40,"span_ms":1000`), nil},
 		{report(`"tries":1,"failed":0,"mean_ms":40,"span_ms":1000,"load":{"util":-1}`), errLoad},
@@ -104,32 +104,32 @@
 		{usage(`"tries":1,"span_ms":1000`), errMissing},
 		{usage(`"tries":1,"failed":0`), errMissing},
 		{usage(`"tries":1,"failed":-1,"span_ms":1000`), errNegative},
-		{`{"t":"client_stats","proxy":20,"class":"c","tries":1,"failed":0,"span_ms":1000}`, errProxy},
+		{`{"t":"client_stats","proxy":20,"class":"c","tries":1,"failed":0,"span_ms":1000}`, errUnknownProxy},
 		{`{"t":"done","proxy":1,"mark":-4,"took_ms":1}`, nil},
 		{`{"t":"attach","proxy":1.5,"zone":"a","weight":1}`, nil},
 		{`[1,2]`, nil},
 		{`"done"`, nil},
 	} {
-		got, bad, end := read(t, tc.line+"\n"+stream)
+		got, bad, end := readLines(t, tc.line+"\n"+stream)
 		var line *LineError
 		if len(bad) != 1 || !errors.As(bad[0], &line) || line.Fault != Invalid || tc.want != nil && !errors.Is(bad[0], tc.want) {
 			t.Errorf("%.80q: errors %v, want one that is %v", tc.line, bad, tc.want)
 		}
-		if !reflect.DeepEqual(got, spoken) || end != nil {
-			t.Errorf("%.80q: what came after it was read as %+v, %v", tc.line, got, end)
+		if !reflect.DeepEqual(got, streamMessages) || end != nil {
+			t.Errorf("%.80q: the lines after it were read as %+v, %v", tc.line, got, end)
 		}
 	}
-	if got, _, _ := read(t, usage(`"tries":1,"failed":2,"span_ms":1000`)+"\n"); len(got) != 1 {
-		t.Error("a usage report with failures of an earlier span is not taken")
+	if got, _, _ := readLines(t, usage(`"tries":1,"failed":2,"span_ms":1000`)+"\n"); len(got) != 1 {
+		t.Error("a usage report with failures of an earlier period is rejected")
 	}
-	none := report(`"tries":3,"failed":3,"span_ms":1000`) + "\n" // no answer has no mean
-	if got, _, _ := read(t, none); len(got) != 1 || got[0].(ServerReport).Latency != 0 {
-		t.Errorf("a report without an answer was read as %+v", got)
+	none := report(`"tries":3,"failed":3,"span_ms":1000`) + "\n" // no mean without responses
+	if got, _, _ := readLines(t, none); len(got) != 1 || got[0].(ServerReport).Latency != 0 {
+		t.Errorf("a report without responses was read as %+v", got)
 	}
 }
 
-// TestUnreadable guards against a connection that goes on with bytes that are no lines: it ends at once where
-// that is certain, whether or not a line end comes, and what was good before it counts.
+// TestUnreadable checks that a connection ends as soon as its input can't be a JSON line, with or without a line end, and that
+// the messages before it are kept.
 func TestUnreadable(t *testing.T) {
 	for _, text := range []string{"not JSON\n", "\n", "{\"t\":\n", "GET / HTTP/1.1\r\n", "GET /", "\x00\x01\x02", "{\"t\":\"hb\x00",
 		"  x", strings.Repeat(" ", MaxLineBytes+1), `{"t":"` + strings.Repeat("x", MaxLineBytes), "\xff\xfe"} {
@@ -137,30 +137,30 @@
 			if len(text) > 9 && len(pieces) > 2 {
 				continue
 			}
-			got, bad, end := read(t, pieces...)
+			got, bad, end := readLines(t, pieces...)
 			var line *LineError
 			if !errors.As(end, &line) || line.Fault != Unreadable || len(bad) > 0 {
-				t.Errorf("%.40q: ended by %v, %v skipped", text, end, bad)
+				t.Errorf("%.40q: ended with %v, invalid lines %v", text, end, bad)
 			}
-			if !reflect.DeepEqual(got, spoken) {
-				t.Errorf("%.40q: what came before it was read as %+v", text, got)
+			if !reflect.DeepEqual(got, streamMessages) {
+				t.Errorf("%.40q: the lines before it were read as %+v", text, got)
 			}
 		}
 	}
 	whole := `{"t":"hb","pad":"` + strings.Repeat("z", MaxLineBytes-20) + `"}` + "\n"
-	if got, _, end := read(t, whole); len(whole) != MaxLineBytes || len(got) != 1 || end != nil {
+	if got, _, end := readLines(t, whole); len(whole) != MaxLineBytes || len(got) != 1 || end != nil {
 		t.Errorf("a line of %d bytes: %+v, %v", len(whole), got, end)
 	}
 }
 
-// TestRefused checks that an error of Bad or Take ends the connection and is handed on.
-func TestRefused(t *testing.T) {
-	told := errors.New("told to")
+// TestHandlerErrors checks that an error of HandleMessage or HandleInvalid ends the connection and is returned.
+func TestHandlerErrors(t *testing.T) {
+	refused := errors.New("refused")
 	for _, text := range []string{"{}\n", "{\"t\":\"hb\"}\n"} {
 		in := ring.New(16, 1<<10, nil)
 		in.Write([]byte(text))
-		m := &LineDecoder{HandleMessage: func(Message) error { return told }, HandleInvalid: func(error) error { return told }}
-		if err := m.Feed(in); !errors.Is(err, told) {
+		m := &LineDecoder{HandleMessage: func(Message) error { return refused }, HandleInvalid: func(error) error { return refused }}
+		if err := m.Feed(in); !errors.Is(err, refused) {
 			t.Errorf("%q: error %v", text, err)
 		}
 	}
@@ -175,20 +175,20 @@
 		if len(text) > MaxLineBytes {
 			return
 		}
-		whole, badWhole, endWhole := read(t, string(text))
+		whole, badWhole, endWhole := readLines(t, string(text))
 		at = max(0, min(at, len(text)))
-		split, badSplit, endSplit := read(t, string(text[:at]), string(text[at:]))
+		split, badSplit, endSplit := readLines(t, string(text[:at]), string(text[at:]))
 		if !reflect.DeepEqual(whole, split) || len(badWhole) != len(badSplit) || (endWhole == nil) != (endSplit == nil) {
 			t.Fatalf("whole %+v (%d bad, %v), split at %d %+v (%d bad, %v)", whole, len(badWhole), endWhole, at, split, len(badSplit), endSplit)
 		}
 		for _, m := range whole {
 			switch m := m.(type) {
 			case ServerReport:
-				if m.Failed > m.Attempts || m.Period <= 0 || m.Attempts > m.Failed && (m.Latency <= 0 || m.Latency > within.MaxLatency) {
+				if m.Failed > m.Attempts || m.Period <= 0 || m.Attempts > m.Failed && (m.Latency <= 0 || m.Latency > testBounds.MaxLatency) {
 					t.Fatalf("taken: %+v", m)
 				}
 			case UsageReport:
-				if m.Period <= 0 || m.Proxy >= within.Proxies {
+				if m.Period <= 0 || m.Proxy >= testBounds.Proxies {
 					t.Fatalf("taken: %+v", m)
 				}
 			}
--- a/internal/planner/routing/fed.go
+++ b/internal/planner/routing/fed.go
@@ -8,108 +8,110 @@
 	"mulleinwood/rules"
 )
 
-// fed is what a router keeps that is one of several of a planner: a host follows discovery for all of them and must know
-// how far each has come.
-type fed struct {
-	on          bool
-	told        uint64 // the newest epoch of the list that was told
-	seen, done  uint64 // see Progress
-	dealt, deal uint64 // the shares of the channel that were told and that the module works with
-	looks       uint64
-	leaving     map[rules.ServerID]bool // servers that may not stay in tables, and may be in one
+// hostedState is the additional state of a router that is one of several in a planner. A host follows discovery for all of
+// them and tracks the progress of each.
+type hostedState struct {
+	enabled                  bool
+	receivedEpoch            uint64 // the newest list epoch received from the host
+	seenEpoch, appliedEpoch  uint64 // see Progress
+	receivedShare, usedShare uint64 // numbers of the channel share last received, and of the one in use by the module
+	rounds                   uint64
+	leaving                  map[rules.ServerID]bool // servers that must leave all tables and may still be in one
 }
 
-// Progress is how far a router that is fed has come.
+// Progress describes which updates from its host a router has processed.
 type Progress struct {
-	Rounds       uint64 // of its module, so far
-	SeenEpoch    uint64 // the newest epoch of the list that its module has looked at
-	AppliedEpoch uint64 // the newest epoch that no table of its joined proxies contradicts
-	ShareNumber  uint64 // the number of the share of the channel that its module worked with in its last look
+	Rounds       uint64 // number of the module's steps so far that returned actions
+	SeenEpoch    uint64 // the newest list epoch that the module has processed
+	AppliedEpoch uint64 // the newest list epoch that the tables of all joined proxies comply with
+	ShareNumber  uint64 // number of the channel share that the module used in its last round
 }
 
-// NewHosted returns a router that asks discovery nothing: the host tells it the list, of which known is the whole as of the
-// epoch, and which proxies it has.
+// NewHosted returns a router that doesn't call discovery: its host sends it the list and the proxies. known is the complete
+// list as of the given epoch.
 func NewHosted(set settings.Settings, module Stepper, calls Calls, known protocol.List, epoch uint64,
 	log zerolog.Logger) *Router {
-	set.Rules.QueryDiscovery = false // the module need not ask
+	set.Rules.QueryDiscovery = false // the host calls discovery instead of the module
 	r := New(set, module, calls, known, log)
-	r.timers = nil // nor the router
-	r.fed = fed{on: true, told: epoch, leaving: map[rules.ServerID]bool{}}
+	r.timers = nil // no watch by the router either
+	r.hosted = hostedState{enabled: true, receivedEpoch: epoch, leaving: map[rules.ServerID]bool{}}
 	return r
 }
 
-// Progress is how far the router has come. Tables are looked through for it, so it is for once a look.
+// Progress returns the router's progress as of the last call of Advance.
 func (r *Router) Progress() Progress {
-	return Progress{Rounds: r.fed.looks, SeenEpoch: r.fed.seen, AppliedEpoch: r.fed.done, ShareNumber: r.fed.deal}
+	return Progress{Rounds: r.hosted.rounds, SeenEpoch: r.hosted.seenEpoch, AppliedEpoch: r.hosted.appliedEpoch,
+		ShareNumber: r.hosted.usedShare}
 }
 
-func (r *Router) told(e ListUpdated) {
-	r.take(e.List)
-	r.fed.told = e.Epoch
+func (r *Router) handleListUpdated(e ListUpdated) {
+	r.addDiscoveryList(e.List)
+	r.hosted.receivedEpoch = e.Epoch
 	for _, m := range e.List.Members {
 		id, known := r.names.ids[m.ID]
-		delete(r.fed.leaving, id)
+		delete(r.hosted.leaving, id)
 		if known && (m.Phase == protocol.PhaseDraining || m.Phase != protocol.PhaseUp && !r.set.Rules.DrainOnly) {
-			r.fed.leaving[id] = true
+			r.hosted.leaving[id] = true
 		}
 	}
 	if e.List.Complete && !r.set.Rules.DrainOnly {
-		for id := range r.names.gone {
-			r.fed.leaving[id] = true
+		for id := range r.names.unlisted {
+			r.hosted.leaving[id] = true
 		}
 	}
 }
 
-// handed takes in a proxy whose stream another router had. It may hold that one's table and what that one shut out.
-func (r *Router) handed(e ProxyHandedOver) {
+// handleHandover adds a proxy whose stream another router had. The proxy may still hold the other router's table and
+// exclusions.
+func (r *Router) handleHandover(e ProxyHandedOver) {
 	r.attach(e.Peer, e.Attach)
 	s := r.streams[e.Peer.ID()]
 	if s == nil {
 		return
 	}
-	delete(r.tables.shut, s.proxy) // of an earlier stay here
+	delete(r.tables.excluded, s.proxy) // left from an earlier stay of the proxy on this router
 	for _, name := range e.Excluded {
-		if r.tables.shut[s.proxy] == nil {
-			r.tables.shut[s.proxy] = map[rules.ServerID]bool{}
+		if r.tables.excluded[s.proxy] == nil {
+			r.tables.excluded[s.proxy] = map[rules.ServerID]bool{}
 		}
 		id, known := r.names.ids[name]
-		if !known { // not listed now; its number is given back once the proxy was told to let it in
-			id = r.names.server(name)
-			r.names.gone[id] = true
+		if !known { // not listed now; its ID is released once the proxy was told to include it again
+			id = r.names.serverID(name)
+			r.names.unlisted[id] = true
 		}
-		r.tables.shut[s.proxy][id] = true
+		r.tables.excluded[s.proxy][id] = true
 	}
 }
 
-// look notes that the module was asked, ordered something and has thus looked at all that it was told: a look orders at least
-// the next one.
-func (f *fed) look() {
-	f.looks++
-	f.seen, f.deal = f.told, f.dealt
+// noteRound records that a step of the module returned actions. Such a step has processed all events so far, since a
+// decision round always returns at least the timer of the next one.
+func (h *hostedState) noteRound() {
+	h.rounds++
+	h.seenEpoch, h.usedShare = h.receivedEpoch, h.receivedShare
 }
 
-// confirm notes which changes of the list no table in use contradicts any more. Orders that take a server out have been
-// given to the proxy's stream once its mirror lacks the server.
-func (r *Router) confirm() {
-	if !r.fed.on || r.fed.done == r.fed.seen {
+// updateAppliedEpoch advances the applied epoch once no table in use contains a server that must leave. A server that is
+// absent from the mirror of a table has also been removed in the assignments given to the proxies' streams.
+func (r *Router) updateAppliedEpoch() {
+	if !r.hosted.enabled || r.hosted.appliedEpoch == r.hosted.seenEpoch {
 		return
 	}
-	for id := range r.fed.leaving {
+	for id := range r.hosted.leaving {
 		if r.tables.inUse(id) {
 			return
 		}
-		delete(r.fed.leaving, id)
+		delete(r.hosted.leaving, id)
 	}
-	r.fed.done = r.fed.seen
+	r.hosted.appliedEpoch = r.hosted.seenEpoch
 }
 
-// inUse says whether the table of a joined proxy holds a server.
+// inUse reports whether the table of a joined proxy contains a server.
 func (t *tables) inUse(id rules.ServerID) bool {
 	for _, s := range t.joined {
 		if !s.bound {
 			continue
 		}
-		if _, holds := t.of[s.table].weights[id]; holds {
+		if _, found := t.byID[s.table].weights[id]; found {
 			return true
 		}
 	}
--- a/internal/planner/routing/names.go
+++ b/internal/planner/routing/names.go
@@ -6,7 +6,7 @@
 	"mulleinwood/rules"
 )
 
-// serverInfo is what the host knows of a server and the module doesn't need.
+// serverInfo holds the facts about a server that the module doesn't need.
 type serverInfo struct {
 	name    string
 	address string
@@ -14,45 +14,45 @@
 	probing bool
 }
 
-// names translates between the protocol's names and the module's numbers. A server keeps its number for as
-// long as it is listed or anything refers to it; then the number is given back, and a later server may get it.
+// names translates between the protocol's names and the module's numeric IDs. A server keeps its ID as long as it is listed
+// or anything refers to it; then the ID is released and may be reused for another server.
 type names struct {
 	zones, classes, kinds map[string]int
-	className             []string
+	classNames            []string
 	loadFields            []string
 	ids                   map[string]rules.ServerID
-	at                    map[string]rules.ServerID // by address
-	servers               []serverInfo              // by number
-	free                  []rules.ServerID          // numbers that were given back
-	gone                  map[rules.ServerID]bool   // not listed any more, and not yet given back
+	byAddress             map[string]rules.ServerID
+	servers               []serverInfo            // by ID
+	freeIDs               []rules.ServerID        // released IDs
+	unlisted              map[rules.ServerID]bool // no longer listed, and not yet released
 }
 
 func newNames(set settings.Settings) *names {
-	n := &names{zones: index(set.ZoneNames), kinds: index(set.KindNames), loadFields: set.LoadFields,
-		ids: map[string]rules.ServerID{}, at: map[string]rules.ServerID{}, gone: map[rules.ServerID]bool{}}
+	n := &names{zones: indexByName(set.ZoneNames), kinds: indexByName(set.KindNames), loadFields: set.LoadFields,
+		ids: map[string]rules.ServerID{}, byAddress: map[string]rules.ServerID{}, unlisted: map[rules.ServerID]bool{}}
 	for _, c := range set.Rules.Classes {
-		n.className = append(n.className, c.Name)
+		n.classNames = append(n.classNames, c.Name)
 	}
-	n.classes = index(n.className)
+	n.classes = indexByName(n.classNames)
 	return n
 }
 
-func index(list []string) map[string]int {
-	at := map[string]int{}
+func indexByName(list []string) map[string]int {
+	indexes := map[string]int{}
 	for i, name := range list {
-		at[name] = i
+		indexes[name] = i
 	}
-	return at
+	return indexes
 }
 
-// server returns the number of a name, a new one for a name not met before.
-func (n *names) server(name string) rules.ServerID {
+// serverID returns the ID of a name; an unknown name gets a new one.
+func (n *names) serverID(name string) rules.ServerID {
 	id, known := n.ids[name]
 	if known {
 		return id
 	}
-	if last := len(n.free) - 1; last >= 0 {
-		id, n.free = n.free[last], n.free[:last]
+	if last := len(n.freeIDs) - 1; last >= 0 {
+		id, n.freeIDs = n.freeIDs[last], n.freeIDs[:last]
 	} else {
 		id = rules.ServerID(len(n.servers))
 		n.servers = append(n.servers, serverInfo{})
@@ -61,59 +61,60 @@
 	return id
 }
 
-// leaveAddress forgets where a server was, unless another is there by now.
-func (n *names) leaveAddress(id rules.ServerID) {
-	if address := n.servers[id].address; n.at[address] == id {
-		delete(n.at, address)
+// removeAddress removes the entry of a server's address, unless another server has the address now.
+func (n *names) removeAddress(id rules.ServerID) {
+	if address := n.servers[id].address; n.byAddress[address] == id {
+		delete(n.byAddress, address)
 	}
 }
 
-// reported is the server that a report is about: by its name, or by its address if it gives none.
-func (n *names) reported(m protocol.ServerReport) (id rules.ServerID, known bool) {
+// reportedServer returns the server that a report is about: by its name, or by its address if it has no name.
+func (n *names) reportedServer(m protocol.ServerReport) (id rules.ServerID, known bool) {
 	if m.Server == "" {
-		id, known = n.at[m.Address]
+		id, known = n.byAddress[m.Address]
 	} else {
 		id, known = n.ids[m.Server]
 	}
 	return id, known
 }
 
-// row is a line of a table.
+// row returns the table row of a server.
 func (n *names) row(id rules.ServerID, weight float64) protocol.Row {
 	info := &n.servers[id]
 	return protocol.Row{Server: info.name, Weight: weight, Address: info.address, Zone: info.zone}
 }
 
-// giveBack ends a name. Its number may be given to another from now on.
-func (n *names) giveBack(id rules.ServerID) {
-	n.leaveAddress(id)
+// release removes a server. Its ID may be reused from now on.
+func (n *names) release(id rules.ServerID) {
+	n.removeAddress(id)
 	delete(n.ids, n.servers[id].name)
-	delete(n.gone, id)
+	delete(n.unlisted, id)
 	n.servers[id] = serverInfo{}
-	n.free = append(n.free, id)
+	n.freeIDs = append(n.freeIDs, id)
 }
 
-// left notes which servers a list has dropped: those it calls gone and, where it is whole, those it doesn't name.
-func (n *names) left(list rules.List) {
+// noteRemoved records the servers that a list has dropped: those it marks as removed and, where the list is complete, those
+// it doesn't contain.
+func (n *names) noteRemoved(list rules.List) {
 	if list.Kind != rules.ListChanges {
 		for _, id := range n.ids {
-			n.gone[id] = true
+			n.unlisted[id] = true
 		}
 	}
 	for _, s := range list.Servers {
-		if delete(n.gone, s.ID); s.State == rules.Removed {
-			n.gone[s.ID] = true
+		if delete(n.unlisted, s.ID); s.State == rules.Removed {
+			n.unlisted[s.ID] = true
 		}
 	}
 }
 
-// entry translates an entry of the list. A zone or kind that the settings don't name gets the number after the
-// last, which the module is free to fold.
-func (n *names) entry(m protocol.Member) rules.Server {
-	s := rules.Server{ID: n.server(m.ID), Weight: m.Weight, Cell: m.Cell, StartedAt: m.StartedAt}
+// serverEntry translates an entry of the list. A zone or kind that the settings don't name gets the number after the
+// last known one, which the module may merge with another.
+func (n *names) serverEntry(m protocol.Member) rules.Server {
+	s := rules.Server{ID: n.serverID(m.ID), Weight: m.Weight, Cell: m.Cell, StartedAt: m.StartedAt}
 	if info := &n.servers[s.ID]; m.Address != "" && m.Address != info.address {
-		n.leaveAddress(s.ID)
-		info.address, n.at[m.Address] = m.Address, s.ID
+		n.removeAddress(s.ID)
+		info.address, n.byAddress[m.Address] = m.Address, s.ID
 	}
 	n.servers[s.ID].zone = m.Zone
 	var known bool
@@ -134,8 +135,8 @@
 	return s
 }
 
-// load orders a load report as the settings name its fields; values that are missing are 0.
-func (n *names) load(report map[string]float64) []float64 {
+// loadValues returns the values of a load report in the order of the settings' fields; missing values are 0.
+func (n *names) loadValues(report map[string]float64) []float64 {
 	if len(report) == 0 {
 		return nil
 	}
--- a/internal/planner/routing/tables.go
+++ b/internal/planner/routing/tables.go
@@ -10,90 +10,90 @@
 	"mulleinwood/rules"
 )
 
-// level is what was ordered of a class.
+// level is the admission level and retry method of a class.
 type level struct {
 	set   bool
 	value float64
-	again rules.Retry
+	retry rules.Retry
 }
 
-// table mirrors a table of the module: the module writes changes, and a proxy that is bound needs all of it.
+// table mirrors a table of the module: the module sends changes only, and a newly bound proxy needs the whole table.
 type table struct {
 	weights map[rules.ServerID]float64
 	levels  []level
-	users   []*stream // joined proxies that are bound to it, by number
+	users   []*stream // joined proxies that are bound to it, ordered by ID
 }
 
 // stream is a joined proxy.
 type stream struct {
-	peer    Peer
-	proxy   rules.ProxyID
-	joined  rules.Joined // as the module was told
-	bound   bool
-	table   rules.TableID
-	orders  protocol.Assignment // of the step that is being carried out
-	replace bool
-	touched bool
+	peer       Peer
+	proxy      rules.ProxyID
+	joined     rules.Joined // the event that the module got
+	bound      bool
+	table      rules.TableID
+	assignment protocol.Assignment // collected during the current step
+	replace    bool
+	changed    bool
 }
 
-// tables holds the mirrors and turns the actions of one step into one message for each proxy.
+// tables holds the mirrors and combines the actions of one step into one message for each proxy.
 type tables struct {
-	names   *names
-	of      map[rules.TableID]*table
-	all     []level                                   // levels for all joined proxies
-	out     map[rules.ServerID]bool                   // servers withdrawn
-	shut    map[rules.ProxyID]map[rules.ServerID]bool // what each proxy was told to shut out, over its streams
-	joined  map[rules.ProxyID]*stream
-	touched []*stream // by this step, in order
+	names     *names
+	byID      map[rules.TableID]*table
+	allLevels []level                                   // levels that hold for all tables, by class
+	withdrawn map[rules.ServerID]bool                   // servers that the module has withdrawn
+	excluded  map[rules.ProxyID]map[rules.ServerID]bool // servers that each proxy was told to exclude, kept across its streams
+	joined    map[rules.ProxyID]*stream
+	changed   []*stream // streams with a message in this step, in order
 }
 
 func newTables(n *names) *tables {
-	return &tables{names: n, of: map[rules.TableID]*table{}, all: make([]level, len(n.className)),
-		out: map[rules.ServerID]bool{}, shut: map[rules.ProxyID]map[rules.ServerID]bool{},
+	return &tables{names: n, byID: map[rules.TableID]*table{}, allLevels: make([]level, len(n.classNames)),
+		withdrawn: map[rules.ServerID]bool{}, excluded: map[rules.ProxyID]map[rules.ServerID]bool{},
 		joined: map[rules.ProxyID]*stream{}}
 }
 
 func (t *tables) table(id rules.TableID) *table {
-	if t.of[id] == nil {
-		t.of[id] = &table{weights: map[rules.ServerID]float64{}, levels: make([]level, len(t.names.className))}
+	if t.byID[id] == nil {
+		t.byID[id] = &table{weights: map[rules.ServerID]float64{}, levels: make([]level, len(t.names.classNames))}
 	}
-	return t.of[id]
+	return t.byID[id]
 }
 
-// reach puts a proxy among those that get a message from this step.
-func (t *tables) reach(s *stream) {
-	if !s.touched {
-		s.touched = true
-		t.touched = append(t.touched, s)
+// markChanged adds a proxy to those that get a message in this step.
+func (t *tables) markChanged(s *stream) {
+	if !s.changed {
+		s.changed = true
+		t.changed = append(t.changed, s)
 	}
 }
 
-// join takes a proxy among those that may be bound to tables.
+// join adds a proxy to those that may be bound to tables.
 func (t *tables) join(s *stream) { t.joined[s.proxy] = s }
 
-// leave forgets a proxy but for what it was told to shut out, which it keeps.
+// leave removes a proxy. Its exclusions are kept, since the proxy keeps them too.
 func (t *tables) leave(s *stream) {
 	delete(t.joined, s.proxy)
 	t.unbind(s)
 }
 
-// forget ends what is kept of a server, if no table that is in use holds it and no proxy has to shut it out. Tables of
-// proxies that are not here are sent whole before they are in use again.
+// forget removes a server's state and returns true, unless a table in use contains the server, the module has withdrawn it
+// or a proxy excludes it. Tables that no joined proxy uses don't matter: they are sent whole before they are used again.
 func (t *tables) forget(id rules.ServerID) bool {
-	if t.out[id] {
+	if t.withdrawn[id] {
 		return false
 	}
-	for _, shut := range t.shut {
-		if shut[id] {
+	for _, excluded := range t.excluded {
+		if excluded[id] {
 			return false
 		}
 	}
-	for _, tab := range t.of {
-		if _, holds := tab.weights[id]; holds && len(tab.users) > 0 {
+	for _, tab := range t.byID {
+		if _, found := tab.weights[id]; found && len(tab.users) > 0 {
 			return false
 		}
 	}
-	for _, tab := range t.of {
+	for _, tab := range t.byID {
 		delete(tab.weights, id)
 	}
 	return true
@@ -107,8 +107,8 @@
 	}
 }
 
-// each calls f for each joined proxy, in the order of their numbers, so that messages are the same each time.
-func (t *tables) each(f func(*stream)) {
+// forEachJoined calls f for each joined proxy in the order of their IDs, so that messages are deterministic.
+func (t *tables) forEachJoined(f func(*stream)) {
 	for _, proxy := range slices.Sorted(maps.Keys(t.joined)) {
 		f(t.joined[proxy])
 	}
@@ -122,8 +122,8 @@
 		delete(tab.weights, a.Server)
 	}
 	for _, s := range tab.users {
-		t.reach(s)
-		s.orders.Rows = append(s.orders.Rows, t.names.row(a.Server, a.Weight))
+		t.markChanged(s)
+		s.assignment.Rows = append(s.assignment.Rows, t.names.row(a.Server, a.Weight))
 	}
 }
 
@@ -132,7 +132,7 @@
 	if s == nil {
 		return
 	}
-	t.reach(s)
+	t.markChanged(s)
 	t.unbind(s)
 	s.bound, s.table, s.replace = true, a.Table, true
 	tab := t.table(a.Table)
@@ -142,57 +142,57 @@
 	tab.users = slices.Insert(tab.users, at, s)
 }
 
-// withdraw shuts a server out at each proxy whose table holds it, or lets it in where it was shut out.
+// withdraw excludes a server at each proxy whose table contains it, or includes it again where it was excluded.
 func (t *tables) withdraw(a rules.Withdraw) {
 	if a.Excluded {
-		t.out[a.Server] = true
+		t.withdrawn[a.Server] = true
 	} else {
-		delete(t.out, a.Server)
+		delete(t.withdrawn, a.Server)
 	}
-	t.each(func(s *stream) {
+	t.forEachJoined(func(s *stream) {
 		if !s.bound {
 			return
 		}
-		shut := t.shut[s.proxy][a.Server]
-		if _, holds := t.table(s.table).weights[a.Server]; a.Excluded && holds && !shut {
-			t.reach(s)
-			t.drop(s, a.Server)
-		} else if !a.Excluded && shut {
-			t.reach(s)
-			t.undrop(s, a.Server)
+		excluded := t.excluded[s.proxy][a.Server]
+		if _, found := t.table(s.table).weights[a.Server]; a.Excluded && found && !excluded {
+			t.markChanged(s)
+			t.exclude(s, a.Server)
+		} else if !a.Excluded && excluded {
+			t.markChanged(s)
+			t.include(s, a.Server)
 		}
 	})
 }
 
-func (t *tables) drop(s *stream, id rules.ServerID) {
-	if t.shut[s.proxy] == nil {
-		t.shut[s.proxy] = map[rules.ServerID]bool{}
+func (t *tables) exclude(s *stream, id rules.ServerID) {
+	if t.excluded[s.proxy] == nil {
+		t.excluded[s.proxy] = map[rules.ServerID]bool{}
 	}
-	t.shut[s.proxy][id] = true
-	s.orders.Exclude = append(s.orders.Exclude, t.names.servers[id].name)
+	t.excluded[s.proxy][id] = true
+	s.assignment.Exclude = append(s.assignment.Exclude, t.names.servers[id].name)
 }
 
-func (t *tables) undrop(s *stream, id rules.ServerID) {
-	delete(t.shut[s.proxy], id)
-	s.orders.Include = append(s.orders.Include, t.names.servers[id].name)
+func (t *tables) include(s *stream, id rules.ServerID) {
+	delete(t.excluded[s.proxy], id)
+	s.assignment.Include = append(s.assignment.Include, t.names.servers[id].name)
 }
 
 func (t *tables) admit(a rules.Admit) {
-	levels := t.all
+	levels := t.allLevels
 	if a.Table != rules.AllTables {
 		levels = t.table(a.Table).levels
 	}
 	for mask := a.Mask; mask != 0; mask &= mask - 1 {
 		if k := bits.TrailingZeros16(mask); k < len(levels) {
-			levels[k] = level{set: true, value: a.Level, again: a.Retry}
+			levels[k] = level{set: true, value: a.Level, retry: a.Retry}
 		}
 	}
 	write := func(s *stream) {
-		t.reach(s)
-		s.orders.Gates = append(s.orders.Gates, merged(t.gates(s, a.Mask))...)
+		t.markChanged(s)
+		s.assignment.Gates = append(s.assignment.Gates, mergeGates(t.gates(s, a.Mask))...)
 	}
 	if a.Table == rules.AllTables {
-		t.each(write)
+		t.forEachJoined(write)
 		return
 	}
 	for _, s := range t.table(a.Table).users {
@@ -200,83 +200,83 @@
 	}
 }
 
-// gates returns what holds at a proxy for the classes in a mask, one by one. Where its table and all tables
-// have a level, the lower one counts, with the table's own way of trying again.
+// gates returns the effective admission levels of a proxy for the classes in a mask, one class each. Where a class has a
+// level in the proxy's table and one for all tables, the lower one applies, with the retry method of the proxy's table.
 func (t *tables) gates(s *stream, mask uint16) []protocol.Gate {
-	var list []protocol.Gate
-	for k, now := range t.all {
+	var gates []protocol.Gate
+	for k, effective := range t.allLevels {
 		if mask&(1<<k) == 0 {
 			continue
 		}
 		if s.bound {
 			if own := t.table(s.table).levels[k]; own.set {
-				if now.set {
-					own.value = min(own.value, now.value)
+				if effective.set {
+					own.value = min(own.value, effective.value)
 				}
-				now = own
+				effective = own
 			}
 		}
-		if now.set {
-			list = append(list, protocol.Gate{Classes: []string{t.names.className[k]}, Level: now.value,
-				Retry: int(now.again)})
+		if effective.set {
+			gates = append(gates, protocol.Gate{Classes: []string{t.names.classNames[k]}, Level: effective.value,
+				Retry: int(effective.retry)})
 		}
 	}
-	return list
+	return gates
 }
 
-// merged joins gates that say the same, since an order for several classes counts as one line.
-func merged(list []protocol.Gate) []protocol.Gate {
-	var out []protocol.Gate
+// mergeGates merges gates with equal level and retry method, since a gate for several classes counts as one line.
+func mergeGates(gates []protocol.Gate) []protocol.Gate {
+	var merged []protocol.Gate
 next:
-	for _, g := range list {
-		for i := range out {
-			if out[i].Level == g.Level && out[i].Retry == g.Retry {
-				out[i].Classes = append(out[i].Classes, g.Classes...)
+	for _, g := range gates {
+		for i := range merged {
+			if merged[i].Level == g.Level && merged[i].Retry == g.Retry {
+				merged[i].Classes = append(merged[i].Classes, g.Classes...)
 				continue next
 			}
 		}
-		out = append(out, g)
+		merged = append(merged, g)
 	}
-	return out
+	return merged
 }
 
-// all is the mask of every class.
-const all = ^uint16(0)
+// allClasses is the mask of every class.
+const allClasses = ^uint16(0)
 
 func (t *tables) mark(a rules.Mark) {
-	for _, s := range t.touched {
-		s.orders.Token = &a.Token
+	for _, s := range t.changed {
+		s.assignment.Token = &a.Token
 	}
 }
 
-// flush sends each proxy its message of this step. A proxy that was bound gets its whole table as it stands,
-// since it may hold anything: the table of another planner, or one of an earlier life of this one.
+// flush sends each proxy its message of this step. A newly bound proxy gets its whole table, since it may hold any other:
+// the table of another planner, or one from before a restart of this planner.
 func (t *tables) flush(failed func(*stream, error)) {
-	for _, s := range t.touched {
+	for _, s := range t.changed {
 		if s.replace {
-			t.whole(s)
+			t.assignWholeTable(s)
 		}
-		err := s.peer.Assign(s.orders)
-		s.orders, s.replace, s.touched = protocol.Assignment{}, false, false
+		err := s.peer.Assign(s.assignment)
+		s.assignment, s.replace, s.changed = protocol.Assignment{}, false, false
 		if err != nil {
 			failed(s, err)
 		}
 	}
-	t.touched = t.touched[:0]
+	t.changed = t.changed[:0]
 }
 
-func (t *tables) whole(s *stream) {
+func (t *tables) assignWholeTable(s *stream) {
 	tab := t.table(s.table)
-	s.orders = protocol.Assignment{Replace: true, Token: s.orders.Token, Gates: t.gates(s, all)}
+	s.assignment = protocol.Assignment{Replace: true, Token: s.assignment.Token, Gates: t.gates(s, allClasses)}
 	for _, id := range slices.Sorted(maps.Keys(tab.weights)) {
-		s.orders.Rows = append(s.orders.Rows, t.names.row(id, tab.weights[id]))
-		if t.out[id] {
-			t.drop(s, id) // again: which of our words a proxy still has is not known
+		s.assignment.Rows = append(s.assignment.Rows, t.names.row(id, tab.weights[id]))
+		if t.withdrawn[id] {
+			t.exclude(s, id) // sent again: it isn't known which earlier exclusions the proxy still has
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(t.shut[s.proxy])) {
-		if !t.out[id] {
-			t.undrop(s, id)
+	for _, id := range slices.Sorted(maps.Keys(t.excluded[s.proxy])) {
+		if !t.withdrawn[id] {
+			t.include(s, id)
 		}
 	}
 }
