--- a/internal/control/consensus/membership.go
+++ b/internal/control/consensus/membership.go
@@ -156,12 +156,12 @@
 
 // The reasons for which a membership change is rejected.
 const (
-	ErrNotLeader          ChangeError = "this replica is not the leader"
-	ErrTermNotCommitted   ChangeError = "the leader has not committed an entry of its own term yet"
+	ErrNotLeader          ChangeError = "this replica does not lead"
+	ErrTermNotCommitted   ChangeError = "no entry of the leader's own term is committed yet"
 	ErrChangeInProgress   ChangeError = "another change of the membership is under way"
 	ErrNoChangeInProgress ChangeError = "no change of the membership is under way"
-	ErrSameVoters         ChangeError = "the change leaves the voters as they are"
-	ErrLeaderRemoved      ChangeError = "the leader would lose its vote: leadership has to be transferred first"
+	ErrSameVoters         ChangeError = "the change leads to no other voters"
+	ErrLeaderRemoved      ChangeError = "the leader itself would lose its vote: leadership is transferred first"
 )
 
 // BeginChange appends a joint membership for a change to the voters next. It takes effect at once. Once it is committed, the
--- a/internal/control/membership/manager.go
+++ b/internal/control/membership/manager.go
@@ -333,7 +333,7 @@
 // The reasons for which a replacement is rejected.
 const (
 	ErrChangeInProgress ReplaceError = "another change of the membership is under way"
-	ErrVoterIsLeader    ReplaceError = "the voter is the leader: leadership is transferred first"
+	ErrVoterIsLeader    ReplaceError = "the voter leads: leadership is transferred first"
 	ErrUnknownVoter     ReplaceError = "no such voter"
 	ErrNoStandby        ReplaceError = "there is no standby that could take the vote"
 )
