--- a/internal/planner/protocol/messages.go
+++ b/internal/planner/protocol/messages.go
@@ -79,7 +79,7 @@
 
 var (
 	errLineTooLong   = errors.New("line exceeds 1 MiB")
-	errNotJSON       = errors.New("line is not JSON")
+	errNotJSON       = errors.New("no JSON line")
 	errNegative      = errors.New("number is negative")
 	errValueTooLarge = errors.New("number exceeds 1e12")
 	errMissing       = errors.New("field is missing")
--- a/internal/planner/protocol/orders.go
+++ b/internal/planner/protocol/orders.go
@@ -80,7 +80,7 @@
 )
 
 // ErrTooLarge reports that a message needs more parts than a proxy accepts.
-var ErrTooLarge = errors.New("assignment needs more than 64 parts")
+var ErrTooLarge = errors.New("orders need over 64 parts")
 
 // Append appends the encoded message to out, in as many parts as it needs. An empty message appends nothing.
 func (o *Assignment) Append(out []byte) ([]byte, error) {
