--- a/internal/edge/proxy/shutdown.go
+++ b/internal/edge/proxy/shutdown.go
@@ -143,7 +143,7 @@
 		return "grace is over"
 	case !mayClose || !drain.Quiet() || p.shutdown.inFlight.Load() > 0:
 	case now > schedule.admitAllUntil && p.sinceLastClientActivity(now) > quietBeforeExit:
-		return "no further requests"
+		return "no request comes"
 	case stopped:
 		return "all requests are answered"
 	}
