--- a/cmd/simulate/busy.go
+++ b/cmd/simulate/busy.go
@@ -31,13 +31,14 @@
 // busyCase is one kind of busy day.
 type busyCase struct {
 	name string
-	busy simulation.Busy
+	busy simulation.BookingLoad
 }
 
 func busyCases(cmd *cli.Command) []busyCase {
 	surge, booked := cmd.Float("crowd"), cmd.Float("booked")
-	busy := func(surge, booked float64) simulation.Busy {
-		return simulation.Busy{Rate: cmd.Float("rate"), Crowd: surge, Booked: booked, OneIn: cmd.Bool("one-edge")}
+	busy := func(surge, booked float64) simulation.BookingLoad {
+		return simulation.BookingLoad{Rate: cmd.Float("rate"), SurgeFactor: surge, BookedShare: booked,
+			SingleEdge: cmd.Bool("one-edge")}
 	}
 	return []busyCase{
 		{"quiet morning", busy(1, 0)},
--- a/cmd/simulate/main.go
+++ b/cmd/simulate/main.go
@@ -76,18 +76,18 @@
 	fmt.Printf("%d changes acknowledged, %d operations run, %d repeats\n", r.Changes, r.Runs, r.Repeats)
 	if r.Requests > 0 {
 		fmt.Printf("%d requests: %d served (%d late), %d refused, %d broken off; %d further arrivals; %d servers left in order\n",
-			r.Requests, r.Served, r.Late, r.Refused, r.Unknown, r.RetriedRequests, r.Drains)
+			r.Requests, r.Served, r.Late, r.Rejected, r.Unknown, r.RetriedRequests, r.Drains)
 	}
 	if r.Reads > 0 {
 		fmt.Printf("%d memberships, %d reads, %d acknowledged orders made again, %d answers of controllers that left\n",
 			r.Memberships, r.Reads, r.Retries, r.HandedOver)
 	}
-	if n := len(r.Restored); n > 0 {
-		recoveries := slices.Sorted(slices.Values(r.Restored))
+	if n := len(r.RecoveryTimes); n > 0 {
+		recoveries := slices.Sorted(slices.Values(r.RecoveryTimes))
 		fmt.Printf("full tolerance again after %s in the median, %s in 99 of 100, %s at most (%d times)\n", recoveries[n/2],
 			recoveries[n*99/100], recoveries[n-1], n)
 	}
-	fmt.Printf("%d events\n", r.Steps)
+	fmt.Printf("%d events\n", r.Events)
 }
 
 func run(_ context.Context, cmd *cli.Command) error {
@@ -182,18 +182,19 @@
 
 func explore(_ context.Context, cmd *cli.Command) error {
 	startedAt := time.Now()
-	result := simulation.Explore(simulation.Bounds{States: cmd.Int("states"), Wipes: cmd.Int("wipes"), Powers: cmd.Int("powers"),
-		Withdrawals: cmd.Int("withdrawals"), Changes: cmd.Int("changes"), Losses: cmd.Int("losses"), Fault: cmd.String("fault")})
+	result := simulation.Explore(simulation.Bounds{States: cmd.Int("states"), Wipes: cmd.Int("wipes"),
+		PowerLosses: cmd.Int("powers"), Revocations: cmd.Int("withdrawals"), MembershipChanges: cmd.Int("changes"),
+		MessageLosses: cmd.Int("losses"), PlantedFault: cmd.String("fault")})
 	coverage := "all there are"
-	if result.Deeper {
+	if result.Truncated {
 		coverage = "there are more"
 	}
 	fmt.Printf("%d states in %s, %s\n", result.States, time.Since(startedAt).Round(time.Millisecond), coverage)
-	if result.Broken == "" {
+	if result.Violation == "" {
 		return nil
 	}
-	for _, c := range result.Way {
+	for _, c := range result.Trace {
 		fmt.Println(c)
 	}
-	return fmt.Errorf("%s after %d events", result.Broken, len(result.Way))
+	return fmt.Errorf("%s after %d events", result.Violation, len(result.Trace))
 }
--- a/cmd/simulate/sweep.go
+++ b/cmd/simulate/sweep.go
@@ -24,7 +24,7 @@
 	"rate":    func(scenario *simulation.Scenario, value float64) { scenario.Rate = value },
 	"servers": func(scenario *simulation.Scenario, value float64) { scenario.Servers = int(value) },
 	"edges":   func(scenario *simulation.Scenario, value float64) { scenario.Edges = int(value) },
-	"every":   func(scenario *simulation.Scenario, value float64) { scenario.Every = max(1, int(value)) },
+	"every":   func(scenario *simulation.Scenario, value float64) { scenario.ChangeIntervalTicks = max(1, int(value)) },
 }
 
 // sweepCommand measures service days over values of a setting, the same seeds at each.
@@ -127,7 +127,7 @@
 // scenario is the service day of a seed with the point's value.
 func (run sweepRun) scenario(point *sweepPoint, seed uint64) simulation.Scenario {
 	scenario := simulation.NewServiceScenario(seed, run.members, run.lost)
-	scenario.Latency = true
+	scenario.MeasureLatency = true
 	if run.rate > 0 {
 		scenario.Rate = run.rate
 	}
@@ -144,7 +144,7 @@
 	requests := float64(max(1, result.Requests))
 	point.served = append(point.served, float64(result.Served)/requests)
 	point.late = append(point.late, float64(result.Late)/requests)
-	for _, took := range result.Took {
+	for _, took := range result.Latencies {
 		_ = point.latency.RecordValue(min(took, maxLatency).Microseconds()) // within its bounds
 	}
 }
--- a/cmd/simulate/sweep_report.go
+++ b/cmd/simulate/sweep_report.go
@@ -89,7 +89,7 @@
 		served, servedHalf := confidenceInterval(point.served)
 		difference, differenceHalf := pairedDifference(point.served, points[0].served)
 		late, _ := confidenceInterval(point.late)
-		beside := point.total.Beside / max(1, point.total.Work+point.total.Beside)
+		beside := point.total.AvoidableWaitSeconds / max(1, point.total.WorkSeconds+point.total.AvoidableWaitSeconds)
 		rows = append(rows, []string{point.label, number(served), number(servedHalf), number(difference), number(differenceHalf),
 			number(late), number(point.quantileMs(50)), number(point.quantileMs(99)), number(point.quantileMs(99.9)),
 			number(beside), strconv.Itoa(len(point.violations))})
--- a/internal/simulation/audit_membership.go
+++ b/internal/simulation/audit_membership.go
@@ -154,7 +154,7 @@
 	}
 	if w.membershipAudit.completeSince == 0 {
 		if w.membershipAudit.completeSince = w.now; w.now > w.membershipAudit.endedAt && w.membershipAudit.endedAt > 0 {
-			w.result.Restored = append(w.result.Restored, w.now-w.membershipAudit.endedAt)
+			w.result.RecoveryTimes = append(w.result.RecoveryTimes, w.now-w.membershipAudit.endedAt)
 		}
 	}
 }
--- a/internal/simulation/bookings.go
+++ b/internal/simulation/bookings.go
@@ -18,19 +18,19 @@
 	"mulleinwood/internal/platform/apierror"
 )
 
-// Busy is a busy day that was known beforehand: one tenant's traffic at the first service, and that of all others, which
+// BookingLoad is a busy day that was known beforehand: one tenant's traffic at the first service, and that of all others, which
 // for a while come at many times their usual rate and repeat at once what is refused.
-type Busy struct {
-	Rate   float64 // requests a second and edge of the tenant, and of the others
-	Crowd  float64 // times the usual that others come at
-	Booked float64 // share of the service's slots that the tenant books; 0: nothing
-	OneIn  bool    // all of the tenant's clients come in at one edge
+type BookingLoad struct {
+	Rate        float64 // requests a second and edge of the tenant, and of the others
+	SurgeFactor float64 // times the usual that others come at
+	BookedShare float64 // share of the service's slots that the tenant books; 0: nothing
+	SingleEdge  bool    // all of the tenant's clients come in at one edge
 }
 
-// Tenant is what one side of a busy day met, from when the crowd is there.
-type Tenant struct {
-	Asked, Served, Late, Refused int
-	Took                         []time.Duration
+// TrafficStats is what one side of a busy day met, from when the crowd is there.
+type TrafficStats struct {
+	Requests, Served, Late, Rejected int
+	Latencies                        []time.Duration
 }
 
 const (
@@ -44,14 +44,14 @@
 )
 
 // NewBookingScenario draws a busy day on which processes end, servers leave and crash, and edges are cut off now and then.
-func NewBookingScenario(seed uint64, members, lost int, busy Busy) Scenario {
+func NewBookingScenario(seed uint64, members, lost int, busy BookingLoad) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 14))
-	d := Scenario{Seed: seed, Members: members, MaxLostDisks: lost, Edges: 4, Services: 2, Servers: 12, Rate: 2, Every: 300,
-		Length: 22 * time.Second, Busy: busy, Latency: true}
+	d := Scenario{Seed: seed, Members: members, MaxLostDisks: lost, Edges: 4, Services: 2, Servers: 12, Rate: 2,
+		ChangeIntervalTicks: 300, Length: 22 * time.Second, BookingLoad: busy, MeasureLatency: true}
 	kinds := []string{Kill, KillEdge, PartitionEdge, Drain, Drain, Crash, SlowDisk, Freeze, PowerAll}
 	for at := 2 * time.Second; at < d.Length-2*time.Second; at += time.Duration(1000+rng.IntN(3000)) * time.Millisecond {
 		d.Faults = append(d.Faults, Fault{At: at, Kind: kinds[rng.IntN(len(kinds))], Node: rng.IntN(1000),
-			For: time.Duration(200+rng.IntN(1200)) * time.Millisecond})
+			Duration: time.Duration(200+rng.IntN(1200)) * time.Millisecond})
 	}
 	return d
 }
@@ -101,8 +101,8 @@
 
 // manageBooking has an operator book the tenant's slots, until it is acknowledged.
 func (w *cluster) manageBooking() {
-	busy := w.scenario.Busy
-	if busy.Booked == 0 || w.now < time.Second || w.bookingAcked || w.now%(200*time.Millisecond) != 0 {
+	busy := w.scenario.BookingLoad
+	if busy.BookedShare == 0 || w.now < time.Second || w.bookingAcked || w.now%(200*time.Millisecond) != 0 {
 		return
 	}
 	n := w.controllers[w.anyController()]
@@ -116,7 +116,7 @@
 		}
 	}
 	b := reservation.Booking{ID: "busy", Tenant: "tenant", Service: w.services[0], Start: 1e6 + bookedFrom.Seconds(),
-		End: 2e6, Slots: float64(int(capacity * busy.Booked)), Owner: "hall"}
+		End: 2e6, Slots: float64(int(capacity * busy.BookedShare)), Owner: "hall"}
 	data, err := cbor.Marshal(statemachine.Change{Bookings: &reservation.Op{Call: "busy", Base: n.state.Bookings.Version,
 		Puts: []reservation.Booking{b}, Now: n.reservations.clock.Now(w.now)}})
 	if err != nil {
@@ -224,7 +224,7 @@
 // updateGate has an edge follow its controller on reservations, say what it wants, and let in what its leases allow.
 func (w *cluster) updateGate(e *edge) {
 	r := &e.reservations
-	if w.scenario.Busy.Booked == 0 || w.now < r.nextDemand || e.frozenUntil > w.now {
+	if w.scenario.BookingLoad.BookedShare == 0 || w.now < r.nextDemand || e.frozenUntil > w.now {
 		return
 	}
 	r.nextDemand = w.now + allocateInterval
@@ -278,7 +278,7 @@
 // auditReservations holds the parts of a reservation at all edges against the most that was allocated while their leases may
 // last.
 func (w *cluster) auditReservations() {
-	if w.scenario.Busy.Booked == 0 || w.now%allocateInterval != 0 {
+	if w.scenario.BookingLoad.BookedShare == 0 || w.now%allocateInterval != 0 {
 		return
 	}
 	capacity, total := 0, 0
@@ -306,19 +306,19 @@
 
 // sendHerd lets the tenant's and the others' clients ask at an edge.
 func (w *cluster) sendHerd(e *edge) {
-	busy := w.scenario.Busy
+	busy := w.scenario.BookingLoad
 	if busy.Rate == 0 || e.frozenUntil > w.now {
 		return
 	}
 	tenant, others := busy.Rate, busy.Rate
-	if busy.OneIn {
+	if busy.SingleEdge {
 		tenant = 0
 		if e.n == 0 {
 			tenant = busy.Rate * float64(len(w.edges))
 		}
 	}
 	if w.now >= herdFrom && w.now < herdTo {
-		others *= max(1, busy.Crowd)
+		others *= max(1, busy.SurgeFactor)
 	}
 	for i, rate := range []float64{tenant, others} {
 		for expected := rate * tickLength.Seconds(); expected > 0; expected-- {
@@ -334,13 +334,13 @@
 }
 
 // startBookedRequest is one request of a busy day's clients: of the tenant that booked capacity, or of the others.
-func (w *cluster) startBookedRequest(e *edge, group *Tenant, resends int) {
+func (w *cluster) startBookedRequest(e *edge, group *TrafficStats, resends int) {
 	w.nextKey++
 	q := &request{id: w.nextKey, safe: true, service: w.services[0], edge: e, incarnation: e.incarnation, startedAt: w.now,
 		calm: w.isCalm() && e.calmSince <= w.now, tenant: group, resends: resends}
 	q.measured = w.now >= measuredFrom && w.now < herdTo
 	if q.measured {
-		q.tenant.Asked++
+		q.tenant.Requests++
 	}
 	q.retries = attempt.Retries{Safe: true, MaxServers: maxAttempts}
 	w.result.Requests++
@@ -416,22 +416,22 @@
 	switch took := w.now - q.startedAt; ending {
 	case bookedServed:
 		q.tenant.Served++
-		q.tenant.Took = append(q.tenant.Took, took)
+		q.tenant.Latencies = append(q.tenant.Latencies, took)
 		if took > latencyTarget {
 			q.tenant.Late++
 		}
 	case bookedRefused:
-		q.tenant.Refused++
+		q.tenant.Rejected++
 	}
 }
 
-func (t *Tenant) add(o Tenant) {
-	t.Asked, t.Served, t.Late, t.Refused = t.Asked+o.Asked, t.Served+o.Served, t.Late+o.Late, t.Refused+o.Refused
-	t.Took = append(t.Took, o.Took...)
+func (t *TrafficStats) add(o TrafficStats) {
+	t.Requests, t.Served, t.Late, t.Rejected = t.Requests+o.Requests, t.Served+o.Served, t.Late+o.Late, t.Rejected+o.Rejected
+	t.Latencies = append(t.Latencies, o.Latencies...)
 }
 
-func (t Tenant) String() string {
-	took := slices.Clone(t.Took)
+func (t TrafficStats) String() string {
+	took := slices.Clone(t.Latencies)
 	slices.Sort(took)
 	at := func(share float64) time.Duration {
 		if len(took) == 0 {
@@ -439,7 +439,8 @@
 		}
 		return took[min(len(took)-1, int(share*float64(len(took))))]
 	}
-	return fmt.Sprintf("%d asked, %.4f served, %.4f late, %.4f refused; p50 %s, p99 %s, p99.9 %s", t.Asked,
-		float64(t.Served)/float64(max(1, t.Asked)),
-		float64(t.Late)/float64(max(1, t.Asked)), float64(t.Refused)/float64(max(1, t.Asked)), at(0.5), at(0.99), at(0.999))
+	return fmt.Sprintf("%d asked, %.4f served, %.4f late, %.4f refused; p50 %s, p99 %s, p99.9 %s", t.Requests,
+		float64(t.Served)/float64(max(1, t.Requests)),
+		float64(t.Late)/float64(max(1, t.Requests)), float64(t.Rejected)/float64(max(1, t.Requests)),
+		at(0.5), at(0.99), at(0.999))
 }
--- a/internal/simulation/bounded_model.go
+++ b/internal/simulation/bounded_model.go
@@ -11,10 +11,10 @@
 
 // Bounds of an exploration: how often each kind of loss may strike.
 type Bounds struct {
-	States, Wipes, Powers, Withdrawals int
-	Changes                            int // of the membership, by which a learner takes the place of the third voter
-	Losses                             int // single messages
-	Fault                              string
+	States, Wipes, PowerLosses, Revocations int
+	MembershipChanges                       int // of the membership, by which a learner takes the place of the third voter
+	MessageLosses                           int // single messages
+	PlantedFault                            string
 }
 
 // boundedModel is a core of three claim stores, perhaps a fourth that stands by, and two edges that claim one key, the first at
@@ -95,7 +95,7 @@
 	founders := consensus.Membership{Epoch: 1, Voters: []string{"0", "1", third}}
 	s := &boundedModel{Log: []consensus.Membership{founders}, Messages: make([][]modelMessage, places*places), bounds: b}
 	count := 3
-	if b.Changes > 0 {
+	if b.MembershipChanges > 0 {
 		count = smallNodes
 	}
 	s.Nodes = make([]smallNode, count)
@@ -156,7 +156,7 @@
 	for i, e := range s.Edges {
 		if !e.Began {
 			all = append(all, fmt.Sprint("claim ", i))
-		} else if !e.Over && s.Spent.Withdrawals < s.bounds.Withdrawals {
+		} else if !e.Over && s.Spent.Revocations < s.bounds.Revocations {
 			all = append(all, fmt.Sprint("withdraw ", i))
 		}
 	}
@@ -175,7 +175,7 @@
 // deliveries are what may become of the next message from one place to another.
 func (s *boundedModel) deliveries(from, to int) []string {
 	all := []string{fmt.Sprint("deliver ", from, " ", to)}
-	if s.Spent.Losses < s.bounds.Losses && from < len(s.Nodes) && to < len(s.Nodes) {
+	if s.Spent.MessageLosses < s.bounds.MessageLosses && from < len(s.Nodes) && to < len(s.Nodes) {
 		all = append(all, fmt.Sprint("lose ", from, " ", to))
 	}
 	return all
@@ -191,7 +191,7 @@
 			all = append(all, fmt.Sprint("wipe ", i))
 		}
 	}
-	if s.Spent.Powers < s.bounds.Powers {
+	if s.Spent.PowerLosses < s.bounds.PowerLosses {
 		all = append(all, "power")
 	}
 	return all
@@ -208,7 +208,7 @@
 	if s.entering(i) && !n.Asked {
 		all = append(all, fmt.Sprint("copy ", i))
 	}
-	if n.Coordinator.HasPending() && !n.Hedged && s.bounds.Changes > 0 {
+	if n.Coordinator.HasPending() && !n.Hedged && s.bounds.MembershipChanges > 0 {
 		all = append(all, fmt.Sprint("hedge ", i))
 	}
 	return all
@@ -222,7 +222,7 @@
 	}
 	for v, id := range newest.Voters {
 		lost := s.nodeOf(id) < 0
-		if !lost && (id != third || s.Spent.Changes >= s.bounds.Changes) {
+		if !lost && (id != third || s.Spent.MembershipChanges >= s.bounds.MembershipChanges) {
 			continue
 		}
 		for i, n := range s.Nodes {
@@ -281,14 +281,14 @@
 		s.Edges[x].Began = true
 		s.send(smallNodes+x, claimAt[x], modelMessage{Kind: "claim", Record: s.record(x)})
 	case "withdraw":
-		s.Spent.Withdrawals++
+		s.Spent.Revocations++
 		s.revoke(x)
 	case "deliver", "lose":
 		c := x*places + y
 		m := s.Messages[c][0]
 		s.Messages[c] = s.Messages[c][1:]
 		if what == "lose" {
-			s.Spent.Losses++
+			s.Spent.MessageLosses++
 		} else {
 			s.handleMessage(y, m)
 		}
@@ -308,7 +308,7 @@
 		s.Spent.Wipes++
 		s.wipe(x)
 	case "power":
-		s.Spent.Powers++
+		s.Spent.PowerLosses++
 		for i := range s.Nodes {
 			s.start(i)
 		}
@@ -321,7 +321,7 @@
 	n.Disks++
 	previous := n.Identity
 	n.Disk = smallDisk{Identity: membership.Identity(fmt.Sprint(i), uint64(n.Disks)), Blank: true}
-	if s.bounds.Fault == "grants with an empty disk" {
+	if s.bounds.PlantedFault == "grants with an empty disk" {
 		n.Disk = smallDisk{Identity: previous}
 	}
 	s.start(i)
@@ -336,7 +336,7 @@
 	next := consensus.Membership{Epoch: newest.Epoch + 1, Voters: newest.Voters}
 	switch what {
 	case "begin":
-		s.Spent.Changes += oneIf[s.nodeOf(newest.Voters[v]) >= 0]
+		s.Spent.MembershipChanges += oneIf[s.nodeOf(newest.Voters[v]) >= 0]
 		next.Next = slices.Clone(newest.Voters)
 		next.Next[v] = s.Nodes[standby].Identity
 		slices.Sort(next.Next)
--- a/internal/simulation/bounded_model_claims.go
+++ b/internal/simulation/bounded_model_claims.go
@@ -48,7 +48,7 @@
 	if s.Runs++; s.Runs > 1 {
 		s.Broken = "TWICE: both edges run the key"
 	}
-	if s.bounds.Fault == "withdraws what ran" {
+	if s.bounds.PlantedFault == "withdraws what ran" {
 		s.revoke(edge)
 	}
 }
@@ -56,7 +56,7 @@
 func (s *boundedModel) sendCopy(at int, m modelMessage) {
 	n := &s.Nodes[at]
 	early := s.membership(at).Epoch != m.Epoch || n.Epoch < m.Epoch
-	if early && s.bounds.Fault != "copies are sent before the joint membership" || n.Store.Recovering() ||
+	if early && s.bounds.PlantedFault != "copies are sent before the joint membership" || n.Store.Recovering() ||
 		!slices.Contains(s.membership(at).Voters, n.Identity) {
 		s.Nodes[m.From].Asked = false // it asks again
 		return
@@ -79,7 +79,7 @@
 	slices.Sort(n.Copied)
 	previous := consensus.Membership{Voters: s.membership(at).Voters}
 	w.Restored = previous.HasQuorum(func(id string) bool { return slices.Contains(n.Copied, id) }) ||
-		s.bounds.Fault == "restored from one"
+		s.bounds.PlantedFault == "restored from one"
 	n.Writes = append(n.Writes, w)
 }
 
@@ -99,12 +99,12 @@
 
 func (s *boundedModel) requestGrant(at, asker int, r idempotency.Record, epoch uint64) {
 	n := &s.Nodes[at]
-	if epoch < n.Epoch && s.bounds.Fault != "a store without the epoch fence" {
+	if epoch < n.Epoch && s.bounds.PlantedFault != "a store without the epoch fence" {
 		s.sendGrantReply(at, asker, r, idempotency.ReplyStaleEpoch, idempotency.Record{})
 		return
 	}
 	v, holder, store := n.Store.Grant(r, 0)
-	if !store || s.bounds.Fault == "grants before storing" {
+	if !store || s.bounds.PlantedFault == "grants before storing" {
 		s.sendGrantReply(at, asker, r, v, holder)
 	}
 	if store {
@@ -146,7 +146,7 @@
 		n.Disk.Blank = false
 		n.Store.FinishRecovery()
 	}
-	if w.Claim && s.bounds.Fault != "grants before storing" {
+	if w.Claim && s.bounds.PlantedFault != "grants before storing" {
 		v := idempotency.ReplyGranted
 		if !n.Store.MarkDurable(w.Record.Key, w.Record.Token) {
 			v = idempotency.ReplyUnavailable
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -144,8 +144,8 @@
 // setUp puts everything in its place, as it is when a day begins.
 func (w *cluster) setUp() {
 	d := w.scenario
-	if d.Latency {
-		w.result.Took = []time.Duration{}
+	if d.MeasureLatency {
+		w.result.Latencies = []time.Duration{}
 	}
 	for i := range d.Members {
 		w.newController(i)
@@ -209,7 +209,7 @@
 		w.startReads()
 	}
 	w.auditRecovery()
-	if w.scenario.Latency {
+	if w.scenario.MeasureLatency {
 		w.weighIdle()
 	}
 }
--- a/internal/simulation/explore.go
+++ b/internal/simulation/explore.go
@@ -6,24 +6,24 @@
 	"slices"
 )
 
-// Explored is what an exploration saw.
-type Explored struct {
-	States int
-	Deeper bool     // there were states beyond the bound
-	Broken string   // the first rule that was broken
-	Way    []string // the events that lead to it
+// ExploreResult is what an exploration saw.
+type ExploreResult struct {
+	States    int
+	Truncated bool     // there were states beyond the bound
+	Violation string   // the first rule that was broken
+	Trace     []string // the events that lead to it
 }
 
 // Explore goes through every order of events of the small core, as far as the bounds allow: states that were met before
 // are not gone through again.
-func Explore(b Bounds) Explored {
+func Explore(b Bounds) ExploreResult {
 	seed := maphash.MakeSeed()
 	met := map[uint64]bool{}
-	var out Explored
+	var out ExploreResult
 	var walk func(way []string)
 	walk = func(way []string) {
-		if out.Broken != "" || out.States >= b.States {
-			out.Deeper = out.Deeper || out.Broken == ""
+		if out.Violation != "" || out.States >= b.States {
+			out.Truncated = out.Truncated || out.Violation == ""
 			return
 		}
 		s := newBoundedModel(b)
@@ -31,7 +31,7 @@
 			s.do(c)
 		}
 		if s.Broken != "" {
-			out.Broken, out.Way = s.Broken, slices.Clone(way)
+			out.Violation, out.Trace = s.Broken, slices.Clone(way)
 			return
 		}
 		f := fingerprint(seed, reflect.ValueOf(s))
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -12,7 +12,7 @@
 func (w *cluster) applyFault(t Fault) {
 	switch t.Kind {
 	case Kill, Wipe, PowerAll, Partition, OutboundPartition, InboundPartition, SlowDisk, FullDisk, Freeze:
-		w.extendRecovery(w.now + t.For)
+		w.extendRecovery(w.now + t.Duration)
 		w.applyControllerFault(t, w.controllerAt(t.Node))
 	case Replace, ReplaceBack, StandbyFirst, StandbyAfter, Restart, JumpClock:
 		w.applyMembershipFault(t, w.controllerAt(t.Node))
@@ -28,25 +28,25 @@
 func (w *cluster) applyControllerFault(t Fault, n *controller) {
 	switch t.Kind {
 	case Kill:
-		w.stopController(n, t.For)
+		w.stopController(n, t.Duration)
 	case Wipe:
-		w.wipeController(n, t.For)
+		w.wipeController(n, t.Duration)
 	case PowerAll:
 		for _, n := range w.activeControllers() {
-			w.stopController(n, max(t.For, n.downUntil-w.now))
+			w.stopController(n, max(t.Duration, n.downUntil-w.now))
 		}
 	case Partition:
-		n.outboundCutUntil, n.inboundCutUntil = w.now+t.For, w.now+t.For
+		n.outboundCutUntil, n.inboundCutUntil = w.now+t.Duration, w.now+t.Duration
 	case OutboundPartition:
-		n.outboundCutUntil = w.now + t.For
+		n.outboundCutUntil = w.now + t.Duration
 	case InboundPartition:
-		n.inboundCutUntil = w.now + t.For
+		n.inboundCutUntil = w.now + t.Duration
 	case Freeze:
-		n.frozenUntil = w.now + t.For
+		n.frozenUntil = w.now + t.Duration
 	case SlowDisk:
-		n.slowDiskUntil = w.now + t.For
+		n.slowDiskUntil = w.now + t.Duration
 	case FullDisk:
-		n.fullDiskUntil = w.now + t.For
+		n.fullDiskUntil = w.now + t.Duration
 	}
 }
 
@@ -54,28 +54,28 @@
 func (w *cluster) applyMembershipFault(t Fault, n *controller) {
 	switch t.Kind {
 	case JumpClock:
-		n.clockOffset = t.For
+		n.clockOffset = t.Duration
 	case Replace:
-		w.extendRecovery(w.now + t.For)
+		w.extendRecovery(w.now + t.Duration)
 		w.replaceAfter(t, n)
 	case ReplaceBack:
-		w.extendRecovery(w.now + t.For + backAfter)
+		w.extendRecovery(w.now + t.Duration + backAfter)
 		w.replaceAfter(t, n)
 	case StandbyFirst, StandbyAfter, Restart:
-		w.extendRecovery(w.now + t.For + maxShutdown)
+		w.extendRecovery(w.now + t.Duration + maxShutdown)
 		w.shutDownAndReplace(t, n)
 	}
 }
 
 func (w *cluster) applyEdgeFault(t Fault, e *edge) {
-	e.calmSince = max(e.calmSince, w.now+t.For+contact)
+	e.calmSince = max(e.calmSince, w.now+t.Duration+contact)
 	switch t.Kind {
 	case KillEdge:
 		w.restart(e)
 	case PartitionEdge:
-		e.cutUntil = w.now + t.For
+		e.cutUntil = w.now + t.Duration
 	case FreezeEdge:
-		e.frozenUntil = w.now + t.For
+		e.frozenUntil = w.now + t.Duration
 	}
 }
 
@@ -96,15 +96,15 @@
 	case Crash:
 		w.endServer(s, t.Node%2 == 0)
 	case LoseReplies:
-		s.losing = w.now + t.For
+		s.losing = w.now + t.Duration
 	case Garble:
-		s.garbling = w.now + t.For
+		s.garbling = w.now + t.Duration
 	case SlowServer:
-		w.slowed[s] = w.now + t.For
+		w.slowed[s] = w.now + t.Duration
 	case FailingServer:
 		for _, o := range alive {
 			if o.service == s.service {
-				o.failing = w.now + 2*t.For
+				o.failing = w.now + 2*t.Duration
 			}
 		}
 	}
--- a/internal/simulation/membership_scenarios.go
+++ b/internal/simulation/membership_scenarios.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Leading as a trouble's Node means the controller that leads.
-const Leading = -1
+// LeaderNode as a trouble's Node means the controller that leads.
+const LeaderNode = -1
 
 // ofMembers are the troubles of member days; each may strike as many machines at once as are borne.
 var ofMembers = []string{Replace, Replace, ReplaceBack, StandbyFirst, StandbyFirst, StandbyAfter, Restart, Wipe, Wipe,
@@ -26,7 +26,7 @@
 		at = d.addLoss(rng, at, lost)
 		if rng.IntN(6) == 0 { // the whole core loses power, perhaps together with the next loss
 			span := time.Duration(200+rng.IntN(1500)) * time.Millisecond
-			d.addFault(Fault{At: at, Kind: PowerAll, For: span})
+			d.addFault(Fault{At: at, Kind: PowerAll, Duration: span})
 			at += span
 			if rng.IntN(2) == 0 {
 				at += recoverWithin
@@ -47,19 +47,19 @@
 	kinds := []string{Replace, Replace, StandbyFirst, StandbyAfter, ReplaceBack}
 	for i := range 2 * members {
 		t := Fault{At: at, Kind: kinds[rng.IntN(len(kinds))], Node: i % members,
-			For: time.Duration(100+rng.IntN(3000)) * time.Millisecond}
+			Duration: time.Duration(100+rng.IntN(3000)) * time.Millisecond}
 		d.addFault(t)
 		at = t.endsAt() + recoverWithin
 		if i%3 == 2 {
 			at = d.addLoss(rng, at, lost)
 		}
 		if i == members {
-			d.addFault(Fault{At: at, Kind: PowerAll, For: time.Second})
+			d.addFault(Fault{At: at, Kind: PowerAll, Duration: time.Second})
 			at += time.Second + recoverWithin
 		}
 	}
 	for _, place := range rng.Perm(members)[:lost] {
-		d.addFault(Fault{At: at, Kind: []string{Wipe, Replace}[rng.IntN(2)], Node: place, For: time.Second})
+		d.addFault(Fault{At: at, Kind: []string{Wipe, Replace}[rng.IntN(2)], Node: place, Duration: time.Second})
 	}
 	d.addSideFaults(rng, at)
 	d.sortFaults()
@@ -67,8 +67,8 @@
 }
 
 func membershipScenario(seed uint64, members, lost int) Scenario {
-	return Scenario{Seed: seed, Members: members, MaxLostDisks: lost, Edges: 3, Every: 100, Writers: 8, ReplyLoss: 3,
-		MustRecover: true}
+	return Scenario{Seed: seed, Members: members, MaxLostDisks: lost, Edges: 3, ChangeIntervalTicks: 100, Operators: 8,
+		ReplyLossInterval: 3, MustRecover: true}
 }
 
 func (d *Scenario) addFault(t Fault) { d.Faults = append(d.Faults, t) }
@@ -79,11 +79,11 @@
 	case JumpClock:
 		return t.At
 	case ReplaceBack:
-		return t.At + t.For + backAfter
+		return t.At + t.Duration + backAfter
 	case StandbyFirst, StandbyAfter, Restart:
-		return t.At + t.For + maxShutdown
+		return t.At + t.Duration + maxShutdown
 	}
-	return t.At + t.For
+	return t.At + t.Duration
 }
 
 // addLoss draws a loss of as many machines as are borne, at most, about at once. It gives when the next loss may come.
@@ -91,13 +91,13 @@
 	next := at
 	for i, place := range rng.Perm(d.Members)[:1+rng.IntN(lost)] {
 		t := Fault{At: at + time.Duration(rng.IntN(400))*time.Millisecond, Kind: ofMembers[rng.IntN(len(ofMembers))], Node: place,
-			For: time.Duration(100+rng.IntN(4000)) * time.Millisecond}
+			Duration: time.Duration(100+rng.IntN(4000)) * time.Millisecond}
 		if i == 0 && d.MaxLostDisks == 1 && rng.IntN(3) == 0 {
-			t.Node = Leading
+			t.Node = LeaderNode
 		}
 		d.addFault(t)
 		if t.Kind == Wipe && rng.IntN(3) == 0 { // just as the others lose power
-			d.addFault(Fault{At: t.At, Kind: PowerAll, For: t.For})
+			d.addFault(Fault{At: t.At, Kind: PowerAll, Duration: t.Duration})
 		}
 		next = max(next, t.endsAt())
 	}
@@ -108,10 +108,10 @@
 func (d *Scenario) addSideFaults(rng *rand.Rand, until time.Duration) {
 	for at := 2 * time.Second; at < until; at += time.Duration(500+rng.IntN(5000)) * time.Millisecond {
 		t := Fault{At: at, Kind: []string{KillEdge, PartitionEdge, FreezeEdge, JumpClock}[rng.IntN(4)],
-			Node: rng.IntN(d.Members * d.Edges),
-			For:  time.Duration(100+rng.IntN(2000)) * time.Millisecond}
+			Node:     rng.IntN(d.Members * d.Edges),
+			Duration: time.Duration(100+rng.IntN(2000)) * time.Millisecond}
 		if t.Kind == JumpClock {
-			t.For = time.Duration(rng.IntN(7200)-3600) * time.Second
+			t.Duration = time.Duration(rng.IntN(7200)-3600) * time.Second
 		}
 		d.addFault(t)
 	}
--- a/internal/simulation/membership_test.go
+++ b/internal/simulation/membership_test.go
@@ -20,7 +20,7 @@
 		Expect(all.Memberships).To(BeNumerically(">", 3*int(days)))
 		Expect(all.Reads).To(BeNumerically(">", 500*int(days)))
 		Expect(all.Retries).To(BeNumerically(">", 50*int(days)))
-		Expect(slices.Max(all.Restored)).To(BeNumerically("<", 6*time.Second))
+		Expect(slices.Max(all.RecoveryTimes)).To(BeNumerically("<", 6*time.Second))
 	})
 	It("break no rule while every controller in turn is replaced, twice over", func() {
 		if raced {
@@ -59,6 +59,7 @@
 		if raced {
 			states = 200
 		}
-		Expect(simulation.Explore(simulation.Bounds{States: states, Changes: 1, Wipes: 1, Losses: 1}).Broken).To(BeEmpty())
+		Expect(simulation.Explore(simulation.Bounds{States: states, MembershipChanges: 1, Wipes: 1,
+			MessageLosses: 1}).Violation).To(BeEmpty())
 	})
 })
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -45,7 +45,7 @@
 			continue
 		}
 		if l.scheduled {
-			w.result.Steps++
+			w.result.Events++
 			l.deliver()
 			continue
 		}
@@ -59,7 +59,7 @@
 		case l.betweenControllers && (w.controllers[l.from].outboundCutUntil > w.now ||
 			w.controllers[l.to].inboundCutUntil > w.now):
 		default:
-			w.result.Steps++
+			w.result.Events++
 			l.deliver()
 		}
 	}
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -60,7 +60,7 @@
 		}
 		return
 	}
-	if w.rng.IntN(w.scenario.Every) != 0 {
+	if w.rng.IntN(w.scenario.ChangeIntervalTicks) != 0 {
 		return
 	}
 	from := w.controllers[w.anyController()]
--- a/internal/simulation/policies.go
+++ b/internal/simulation/policies.go
@@ -68,7 +68,7 @@
 		if s.ended {
 			continue
 		}
-		w.result.Work += tickLength.Seconds() * float64(len(s.running))
+		w.result.WorkSeconds += tickLength.Seconds() * float64(len(s.running))
 		waits[s.service] += len(s.queue)
 		if !s.draining && len(s.running) < s.capacity {
 			free[s.service] = true
@@ -76,7 +76,7 @@
 	}
 	for service, n := range waits {
 		if free[service] {
-			w.result.Beside += tickLength.Seconds() * float64(n)
+			w.result.AvoidableWaitSeconds += tickLength.Seconds() * float64(n)
 		}
 	}
 }
--- a/internal/simulation/replacement.go
+++ b/internal/simulation/replacement.go
@@ -11,7 +11,7 @@
 
 // controllerAt is the machine that stands at a place now; Leading means where the leader is.
 func (w *cluster) controllerAt(place int) *controller {
-	if place == Leading {
+	if place == LeaderNode {
 		for _, n := range w.machines {
 			if w.running(n.n) && n.replica.Role() == consensus.Leader {
 				return n
@@ -50,9 +50,9 @@
 // replaceAfter takes a machine away and has its successor start some time later.
 func (w *cluster) replaceAfter(t Fault, old *controller) {
 	w.removeController(old)
-	w.scheduleAfter(t.For, func() { w.replaceController(old) })
+	w.scheduleAfter(t.Duration, func() { w.replaceController(old) })
 	if t.Kind == ReplaceBack {
-		w.scheduleAfter(t.For+backAfter, func() { w.returnController(old) })
+		w.scheduleAfter(t.Duration+backAfter, func() { w.returnController(old) })
 	}
 }
 
@@ -63,12 +63,12 @@
 	switch t.Kind {
 	case StandbyFirst:
 		w.replaceController(old)
-		w.scheduleAfter(t.For, func() { w.beginShutdown(old, 0) })
+		w.scheduleAfter(t.Duration, func() { w.beginShutdown(old, 0) })
 	case StandbyAfter:
 		w.beginShutdown(old, 0)
-		w.scheduleAfter(t.For, func() { w.replaceController(old) })
+		w.scheduleAfter(t.Duration, func() { w.replaceController(old) })
 	case Restart:
-		w.beginShutdown(old, t.For)
+		w.beginShutdown(old, t.Duration)
 	}
 }
 
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -35,7 +35,7 @@
 	over        bool
 
 	admission *admission // of busy days
-	tenant    *Tenant
+	tenant    *TrafficStats
 	measured  bool
 	resends   int
 }
@@ -227,7 +227,7 @@
 		}
 		w.result.took(took)
 	case outcome == attempt.NotSent || outcome == attempt.NotRun:
-		w.result.Refused++
+		w.result.Rejected++
 		if !q.safe { // a promise
 			if w.runsByRequest[q.id] > 0 {
 				w.fail("REFUSED: request %d is refused and has run", q.id)
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -15,14 +15,14 @@
 
 // Fault is one thing that goes wrong.
 type Fault struct {
-	At   time.Duration
-	Kind string
-	Node int // a controller; for a kill of an edge, the edge
-	For  time.Duration
+	At       time.Duration
+	Kind     string
+	Node     int // a controller; for a kill of an edge, the edge
+	Duration time.Duration
 }
 
 func (t Fault) String() string {
-	return fmt.Sprintf("%7.3fs %-10s %d for %.3fs", t.At.Seconds(), t.Kind, t.Node, t.For.Seconds())
+	return fmt.Sprintf("%7.3fs %-10s %d for %.3fs", t.At.Seconds(), t.Kind, t.Node, t.Duration.Seconds())
 }
 
 // The kinds of trouble.
@@ -63,38 +63,38 @@
 
 // Scenario is what is played.
 type Scenario struct {
-	Seed         uint64
-	Members      int // controllers with a vote
-	MaxLostDisks int // disks that may be lost at once
-	Edges        int
-	Services     int
-	Servers      int
-	Rate         float64 // requests a second at each edge
-	Every        int     // ticks of a leader between changes, in the mean
-	Length       time.Duration
-	Faults       []Fault
-	PlantedFault string // planted, to see that the auditor sees
-	Latency      bool   // times of answers, and of waiting beside idle servers, are wanted
-	Busy         Busy
-	Writers      int    // operators at once; 0: two
-	ReplyLoss    int    // one answer to an operator in so many is lost; 0: one in ten
-	Seeds        int    // machines that are known at the first start, too few to be all voters; 0: all
-	MustRecover  bool   // the core has to be whole again some time after each trouble
-	Policy       string // by which edges pick, to compare with; empty: as they do
+	Seed                uint64
+	Members             int // controllers with a vote
+	MaxLostDisks        int // disks that may be lost at once
+	Edges               int
+	Services            int
+	Servers             int
+	Rate                float64 // requests a second at each edge
+	ChangeIntervalTicks int     // ticks of a leader between changes, in the mean
+	Length              time.Duration
+	Faults              []Fault
+	PlantedFault        string // planted, to see that the auditor sees
+	MeasureLatency      bool   // times of answers, and of waiting beside idle servers, are wanted
+	BookingLoad         BookingLoad
+	Operators           int    // operators at once; 0: two
+	ReplyLossInterval   int    // one answer to an operator in so many is lost; 0: one in ten
+	Seeds               int    // machines that are known at the first start, too few to be all voters; 0: all
+	MustRecover         bool   // the core has to be whole again some time after each trouble
+	Policy              string // by which edges pick, to compare with; empty: as they do
 }
 
 func (d Scenario) operatorCount() int {
-	if d.Writers == 0 {
+	if d.Operators == 0 {
 		return 2
 	}
-	return d.Writers
+	return d.Operators
 }
 
 func (d Scenario) replyLoss() int {
-	if d.ReplyLoss == 0 {
+	if d.ReplyLossInterval == 0 {
 		return 10
 	}
-	return d.ReplyLoss
+	return d.ReplyLossInterval
 }
 
 // maxDrain is the rule's: how long after its acknowledgement a server that leaves may still be sent to. The rehearsal
@@ -104,10 +104,10 @@
 // NewScenario draws a day. Losses of disks stay within what is borne, and are far enough apart to be made good.
 func NewScenario(seed uint64, members, lost int) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 11))
-	d := Scenario{Seed: seed, Members: members, MaxLostDisks: lost, Edges: 3, Length: 14 * time.Second, Every: 20}
+	d := Scenario{Seed: seed, Members: members, MaxLostDisks: lost, Edges: 3, Length: 14 * time.Second, ChangeIntervalTicks: 20}
 	wiped := time.Duration(-1)
 	for at := 2 * time.Second; at < d.Length-4*time.Second; at += time.Duration(rng.IntN(1500)) * time.Millisecond {
-		t := Fault{At: at, Node: rng.IntN(members), For: time.Duration(200+rng.IntN(1500)) * time.Millisecond}
+		t := Fault{At: at, Node: rng.IntN(members), Duration: time.Duration(200+rng.IntN(1500)) * time.Millisecond}
 		switch n := rng.IntN(16); {
 		case n < 4:
 			t.Kind = Kill
@@ -127,10 +127,10 @@
 			}
 			wiped = at
 			for _, node := range rng.Perm(members)[:1+rng.IntN(lost)] {
-				d.Faults = append(d.Faults, Fault{At: at, Kind: Wipe, Node: node, For: t.For})
+				d.Faults = append(d.Faults, Fault{At: at, Kind: Wipe, Node: node, Duration: t.Duration})
 			}
 			if rng.IntN(2) == 0 {
-				d.Faults = append(d.Faults, Fault{At: at, Kind: PowerAll, For: t.For})
+				d.Faults = append(d.Faults, Fault{At: at, Kind: PowerAll, Duration: t.Duration})
 			}
 			continue
 		}
@@ -144,14 +144,14 @@
 func NewServiceScenario(seed uint64, members, lost int) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 12))
 	d := Scenario{Seed: seed, Members: members, MaxLostDisks: lost, Edges: 3 + rng.IntN(3), Services: 3, Servers: 9 +
-		rng.IntN(6), Rate: 25, Every: 300, Length: 24 * time.Second}
+		rng.IntN(6), Rate: 25, ChangeIntervalTicks: 300, Length: 24 * time.Second}
 	for at := 3 * time.Second; at < d.Length-3*time.Second; at += time.Duration(100+rng.IntN(900)) * time.Millisecond {
 		d.Faults = append(d.Faults, Fault{At: at, Kind: serverFaults[rng.IntN(len(serverFaults))], Node: rng.IntN(1000),
-			For: time.Duration(500+rng.IntN(3000)) * time.Millisecond})
+			Duration: time.Duration(500+rng.IntN(3000)) * time.Millisecond})
 	}
 	for at := 3 * time.Second; at < d.Length-3*time.Second; at += time.Duration(2000+rng.IntN(7000)) * time.Millisecond {
 		d.Faults = append(d.Faults, Fault{At: at, Kind: controlFaults[rng.IntN(len(controlFaults))], Node: rng.IntN(1000),
-			For: time.Duration(200+rng.IntN(1800)) * time.Millisecond})
+			Duration: time.Duration(200+rng.IntN(1800)) * time.Millisecond})
 	}
 	slices.SortStableFunc(d.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	return d
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -33,7 +33,7 @@
 }
 
 func busyDay(seed uint64, members, lost int) simulation.Scenario {
-	return simulation.NewBookingScenario(seed, members, lost, simulation.Busy{Rate: 20, Crowd: 10, Booked: 0.5})
+	return simulation.NewBookingScenario(seed, members, lost, simulation.BookingLoad{Rate: 20, SurgeFactor: 10, BookedShare: 0.5})
 }
 
 var _ = Describe("days of a core and its edges", func() {
@@ -53,10 +53,10 @@
 			return
 		}
 		all := playAll(simulation.NewServiceScenario, 10)
-		Expect(all.Steps).To(BeNumerically(">", 1_000_000))
+		Expect(all.Events).To(BeNumerically(">", 1_000_000))
 		Expect(all.Served).To(BeNumerically(">", 20_000))
 		Expect(all.Drains).To(BeNumerically(">", 100))
-		Expect(all.Refused).To(BeNumerically(">", 100))
+		Expect(all.Rejected).To(BeNumerically(">", 100))
 		Expect(all.Unknown).To(BeNumerically(">", 100))
 		Expect(all.RetriedRequests).To(BeNumerically(">", 100))
 	})
@@ -65,15 +65,15 @@
 		if raced {
 			days = 1
 		}
-		play := func(busy simulation.Busy) (all simulation.Result) {
+		play := func(busy simulation.BookingLoad) (all simulation.Result) {
 			return playAll(func(seed uint64, members, lost int) simulation.Scenario {
 				return simulation.NewBookingScenario(seed, members, lost, busy)
 			}, days)
 		}
-		share := func(t simulation.Tenant) float64 { return float64(t.Served) / float64(t.Asked) }
-		crowd := simulation.Busy{Rate: 20, Crowd: 10}
+		share := func(t simulation.TrafficStats) float64 { return float64(t.Served) / float64(t.Requests) }
+		crowd := simulation.BookingLoad{Rate: 20, SurgeFactor: 10}
 		without := play(crowd)
-		crowd.Booked = 0.5
+		crowd.BookedShare = 0.5
 		with := play(crowd)
 		Expect(share(without.Tenant)).To(BeNumerically("<", 0.3))
 		Expect(share(with.Tenant)).To(BeNumerically(">", 0.9))
@@ -84,33 +84,33 @@
 		d.Faults = troubles
 		r := simulation.Run(d)
 		Expect(r.Violation).To(BeEmpty())
-		Expect(float64(r.Tenant.Served) / float64(r.Tenant.Asked)).To(BeNumerically(">", 0.85))
+		Expect(float64(r.Tenant.Served) / float64(r.Tenant.Requests)).To(BeNumerically(">", 0.85))
 		Expect(r.Runs).To(BeNumerically(">", 200), "keyed operations go on, each once")
 	},
 		Entry("nothing"),
 		Entry("the loss of the whole core a second before the start",
-			simulation.Fault{At: 9 * time.Second, Kind: simulation.PowerAll, For: 3 * time.Second}),
+			simulation.Fault{At: 9 * time.Second, Kind: simulation.PowerAll, Duration: 3 * time.Second}),
 		Entry("a leader that dies as it acknowledges", simulation.Fault{At: 1100 * time.Millisecond, Kind: simulation.Kill,
-			Node: 0, For: time.Second},
+			Node: 0, Duration: time.Second},
 			simulation.Fault{At: 1150 * time.Millisecond, Kind: simulation.Kill, Node: 1,
-				For: time.Second},
-			simulation.Fault{At: 1200 * time.Millisecond, Kind: simulation.Kill, Node: 2, For: time.Second}),
+				Duration: time.Second},
+			simulation.Fault{At: 1200 * time.Millisecond, Kind: simulation.Kill, Node: 2, Duration: time.Second}),
 		Entry("a disk that is lost right after, and power on the others",
-			simulation.Fault{At: 1300 * time.Millisecond, Kind: simulation.Wipe, Node: 1, For: time.Second},
-			simulation.Fault{At: 1300 * time.Millisecond, Kind: simulation.PowerAll, For: time.Second}),
+			simulation.Fault{At: 1300 * time.Millisecond, Kind: simulation.Wipe, Node: 1, Duration: time.Second},
+			simulation.Fault{At: 1300 * time.Millisecond, Kind: simulation.PowerAll, Duration: time.Second}),
 		Entry("half of the edges replaced in the middle",
 			simulation.Fault{At: 12 * time.Second, Kind: simulation.KillEdge, Node: 0}, simulation.Fault{At: 13 * time.Second,
 				Kind: simulation.KillEdge, Node: 2}),
 		Entry("an edge that is cut off for long", simulation.Fault{At: 9 * time.Second, Kind: simulation.PartitionEdge,
-			Node: 1, For: 9 * time.Second}),
+			Node: 1, Duration: 9 * time.Second}),
 		Entry("servers that crash in the middle", simulation.Fault{At: 12 * time.Second, Kind: simulation.Crash, Node: 0},
 			simulation.Fault{At: 12 * time.Second, Kind: simulation.Crash, Node: 2},
 			simulation.Fault{At: 12100 * time.Millisecond, Kind: simulation.Crash, Node: 4}),
 		Entry("controllers that stand still by turns", simulation.Fault{At: 10 * time.Second, Kind: simulation.Freeze,
-			Node: 0, For: 2 * time.Second},
+			Node: 0, Duration: 2 * time.Second},
 			simulation.Fault{At: 13 * time.Second, Kind: simulation.Freeze, Node: 1,
-				For: 2 * time.Second},
-			simulation.Fault{At: 16 * time.Second, Kind: simulation.Freeze, Node: 2, For: 2 * time.Second}),
+				Duration: 2 * time.Second},
+			simulation.Fault{At: 16 * time.Second, Kind: simulation.Freeze, Node: 2, Duration: 2 * time.Second}),
 	)
 	It("are the same again from the same seed", func() {
 		Expect(simulation.Run(simulation.NewScenario(7, 5, 2))).To(Equal(simulation.Run(simulation.NewScenario(7, 5, 2))))
@@ -162,23 +162,23 @@
 var _ = Describe("every order of a small core's events", func() {
 	It("lets a key run once through a loss of power, and, as far as is gone, of a disk", func() {
 		if raced {
-			Expect(simulation.Explore(simulation.Bounds{States: 300, Powers: 1, Wipes: 1}).Broken).To(BeEmpty())
+			Expect(simulation.Explore(simulation.Bounds{States: 300, PowerLosses: 1, Wipes: 1}).Violation).To(BeEmpty())
 			return
 		}
-		r := simulation.Explore(simulation.Bounds{States: 5000, Powers: 1})
-		Expect(r.Broken).To(BeEmpty())
-		Expect(r.Deeper).To(BeFalse(), "all there are")
+		r := simulation.Explore(simulation.Bounds{States: 5000, PowerLosses: 1})
+		Expect(r.Violation).To(BeEmpty())
+		Expect(r.Truncated).To(BeFalse(), "all there are")
 		Expect(r.States).To(BeNumerically(">", 1000))
-		r = simulation.Explore(simulation.Bounds{States: 3000, Powers: 1, Wipes: 1, Withdrawals: 1})
-		Expect(r.Broken).To(BeEmpty())
+		r = simulation.Explore(simulation.Bounds{States: 3000, PowerLosses: 1, Wipes: 1, Revocations: 1})
+		Expect(r.Violation).To(BeEmpty())
 	})
 	DescribeTable("shows a planted fault", func(fault string, powers, wipes int) {
 		if raced {
 			Skip("too slow under the race detector; .ci/run plays them without it")
 		}
-		r := simulation.Explore(simulation.Bounds{States: 8000, Powers: powers, Wipes: wipes, Fault: fault})
-		Expect(r.Broken).To(HavePrefix("TWICE"))
-		Expect(r.Way).NotTo(BeEmpty())
+		r := simulation.Explore(simulation.Bounds{States: 8000, PowerLosses: powers, Wipes: wipes, PlantedFault: fault})
+		Expect(r.Violation).To(HavePrefix("TWICE"))
+		Expect(r.Trace).NotTo(BeEmpty())
 	},
 		Entry("a ledger that grants before storing", "grants before storing", 1, 0),
 		Entry("a ledger that grants with an empty disk", "grants with an empty disk", 0, 1),
