--- a/internal/simulation/audit_membership.go
+++ b/internal/simulation/audit_membership.go
@@ -10,19 +10,19 @@
 )
 
 // settle is the users' settle_s: so long after a trouble's end, or a successor's start, the core has to be whole again.
-const recoverWithin = 6 * time.Second
+const recoveryTimeout = 6 * time.Second
 
 // membershipAudit are what the auditor notes of memberships, leaders, reads and kept answers.
 type membershipAudit struct {
-	voters        consensus.Membership
-	removed       map[string]uint64 // replicas that were voted out, and in which term
-	leaders       map[uint64]string // of a term
-	recoverBy     time.Duration     // when the core has to be whole
-	endedAt       time.Duration     // when the last trouble ended
-	completeSince time.Duration     // 0: it is not
-	lastOrder     time.Duration     // acknowledged
-	lastRun       time.Duration     // of a keyed operation
-	newest        uint64            // version that was acknowledged
+	voters           consensus.Membership
+	removed          map[string]uint64 // replicas that were voted out, and in which term
+	leaders          map[uint64]string // of a term
+	recoveryDeadline time.Duration     // when the core has to be whole
+	faultsEndAt      time.Duration     // when the last trouble ended
+	completeSince    time.Duration     // 0: it is not
+	lastChangeAt     time.Duration     // acknowledged
+	lastRunAt        time.Duration     // of a keyed operation
+	newestVersion    uint64            // version that was acknowledged
 }
 
 // auditMembership holds a committed membership against those before it.
@@ -86,7 +86,7 @@
 // auditHandOver holds a controller that ends in order, and was replaced, against its promise: the answers that it kept
 // are kept elsewhere.
 func (w *cluster) auditHandOver(n *controller) {
-	if !n.retired || n.shutdown.handedOver > 0 && !n.shutdown.synced {
+	if !n.retired || n.shutdown.handOverStartedAt > 0 && !n.shutdown.synced {
 		return // nobody took them in time
 	}
 	for _, r := range n.keptResponses() {
@@ -103,21 +103,21 @@
 func (w *cluster) missingVoters() string {
 	var leader *controller
 	for _, n := range w.controllers {
-		if w.running(n.n) && n.replica.Role() == consensus.Leader && n.replica.HasQuorumContact(w.now) {
+		if w.isRunning(n.number) && n.replica.Role() == consensus.Leader && n.replica.HasQuorumContact(w.now) {
 			leader = n
 		}
 	}
 	if leader == nil {
 		return "nobody leads"
 	}
-	m := leader.replica.Membership()
+	membership := leader.replica.Membership()
 	switch {
-	case m.Joint() || !leader.replica.MembershipCommitted():
+	case membership.Joint() || !leader.replica.MembershipCommitted():
 		return "a change of the membership is under way"
-	case len(m.Voters) != w.scenario.Members:
-		return fmt.Sprintf("%d voters", len(m.Voters))
+	case len(membership.Voters) != w.scenario.Members:
+		return fmt.Sprintf("%d voters", len(membership.Voters))
 	}
-	for _, id := range m.Voters {
+	for _, id := range membership.Voters {
 		n := leader
 		if id != leader.identity {
 			n = w.replicaAt(leader, id)
@@ -125,15 +125,15 @@
 		switch {
 		case n == nil:
 			return id + " is not linked"
-		case !w.running(n.n):
+		case !w.isRunning(n.number):
 			return id + " is down"
 		case n.shuttingDown:
 			return id + " leaves"
 		case n.claimStore.Recovering():
 			return id + "'s store of claims is not ready"
-		case n.epoch != m.Epoch:
+		case n.epoch != membership.Epoch:
 			return id + " has not applied the membership"
-		case n.replica.CommitIndex()+caughtUpLag < leader.replica.CommitIndex():
+		case n.replica.CommitIndex()+maxCaughtUpLag < leader.replica.CommitIndex():
 			return id + " lags"
 		}
 	}
@@ -145,16 +145,16 @@
 	if !w.scenario.MustRecover || w.now%(50*time.Millisecond) != 0 {
 		return
 	}
-	wants := w.missingVoters()
-	if wants != "" {
-		if w.membershipAudit.completeSince = 0; w.now >= w.membershipAudit.recoverBy {
-			w.fail("WHOLE: %s, %s after the last trouble", wants, w.now-w.membershipAudit.endedAt)
+	missing := w.missingVoters()
+	if missing != "" {
+		if w.membershipAudit.completeSince = 0; w.now >= w.membershipAudit.recoveryDeadline {
+			w.fail("WHOLE: %s, %s after the last trouble", missing, w.now-w.membershipAudit.faultsEndAt)
 		}
 		return
 	}
 	if w.membershipAudit.completeSince == 0 {
-		if w.membershipAudit.completeSince = w.now; w.now > w.membershipAudit.endedAt && w.membershipAudit.endedAt > 0 {
-			w.result.RecoveryTimes = append(w.result.RecoveryTimes, w.now-w.membershipAudit.endedAt)
+		if w.membershipAudit.completeSince = w.now; w.now > w.membershipAudit.faultsEndAt && w.membershipAudit.faultsEndAt > 0 {
+			w.result.RecoveryTimes = append(w.result.RecoveryTimes, w.now-w.membershipAudit.faultsEndAt)
 		}
 	}
 }
@@ -165,16 +165,16 @@
 		return
 	}
 	switch {
-	case w.membershipAudit.lastOrder < w.membershipAudit.recoverBy:
+	case w.membershipAudit.lastChangeAt < w.membershipAudit.recoveryDeadline:
 		w.fail("STUCK: no order was acknowledged after the last trouble")
-	case w.membershipAudit.lastRun < w.membershipAudit.recoverBy:
+	case w.membershipAudit.lastRunAt < w.membershipAudit.recoveryDeadline:
 		w.fail("STUCK: no keyed operation ran after the last trouble")
 	}
 }
 
-// extendRecovery notes until when a trouble lasts.
-func (w *cluster) extendRecovery(until time.Duration) {
-	w.membershipAudit.endedAt = max(w.membershipAudit.endedAt, until)
-	w.membershipAudit.recoverBy = max(w.membershipAudit.recoverBy, until+recoverWithin)
-	w.calmSince = max(w.calmSince, until+contact)
+// extendRecoveryDeadline notes until when a trouble lasts.
+func (w *cluster) extendRecoveryDeadline(until time.Duration) {
+	w.membershipAudit.faultsEndAt = max(w.membershipAudit.faultsEndAt, until)
+	w.membershipAudit.recoveryDeadline = max(w.membershipAudit.recoveryDeadline, until+recoveryTimeout)
+	w.stableSince = max(w.stableSince, until+stabilizationTime)
 }
--- a/internal/simulation/bookings.go
+++ b/internal/simulation/bookings.go
@@ -34,26 +34,26 @@
 }
 
 const (
-	bookedFrom       = 10 * time.Second // its room opens five seconds before
-	herdFrom         = 8 * time.Second
-	herdTo           = 20 * time.Second
-	measuredFrom     = 9 * time.Second // from a second after the crowd came
-	maxRetries       = 3               // times that others repeat
+	bookingStart     = 10 * time.Second // its room opens five seconds before
+	surgeStart       = 8 * time.Second
+	surgeEnd         = 20 * time.Second
+	measurementStart = 9 * time.Second // from a second after the crowd came
+	maxResends       = 3               // times that others repeat
 	allocateInterval = 250 * time.Millisecond
-	aheadBy          = 2 * time.Hour // of the first controller's clock
+	clockSkew        = 2 * time.Hour // of the first controller's clock
 )
 
 // NewBookingScenario draws a busy day on which processes end, servers leave and crash, and edges are cut off now and then.
 func NewBookingScenario(seed uint64, members, lost int, busy BookingLoad) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 14))
-	d := Scenario{Seed: seed, Members: members, MaxLostDisks: lost, Edges: 4, Services: 2, Servers: 12, Rate: 2,
+	scenario := Scenario{Seed: seed, Members: members, MaxLostDisks: lost, Edges: 4, Services: 2, Servers: 12, Rate: 2,
 		ChangeIntervalTicks: 300, Length: 22 * time.Second, BookingLoad: busy, MeasureLatency: true}
 	kinds := []string{Kill, KillEdge, PartitionEdge, Drain, Drain, Crash, SlowDisk, Freeze, PowerAll}
-	for at := 2 * time.Second; at < d.Length-2*time.Second; at += time.Duration(1000+rng.IntN(3000)) * time.Millisecond {
-		d.Faults = append(d.Faults, Fault{At: at, Kind: kinds[rng.IntN(len(kinds))], Node: rng.IntN(1000),
+	for at := 2 * time.Second; at < scenario.Length-2*time.Second; at += time.Duration(1000+rng.IntN(3000)) * time.Millisecond {
+		scenario.Faults = append(scenario.Faults, Fault{At: at, Kind: kinds[rng.IntN(len(kinds))], Node: rng.IntN(1000),
 			Duration: time.Duration(200+rng.IntN(1200)) * time.Millisecond})
 	}
-	return d
+	return scenario
 }
 
 // controllerReservations is a controller's part of booked slots.
@@ -66,7 +66,7 @@
 	nextAllocation time.Duration
 	announced      []reservation.Reservation
 	term           uint64
-	announcedBy    int
+	announcer      int
 }
 
 // edgeReservations is an edge's.
@@ -87,14 +87,14 @@
 }
 
 func (w *cluster) newReservations(n *controller) {
-	n.reservations = controllerReservations{clock: reservation.NewClock(), announcedBy: n.n}
+	n.reservations = controllerReservations{clock: reservation.NewClock(), announcer: n.number}
 }
 
-// wallOf is a controller's time of day: the first's is hours off.
-func (w *cluster) wallOf(n *controller) float64 {
+// wallClock is a controller's time of day: the first's is hours off.
+func (w *cluster) wallClock(n *controller) float64 {
 	wall := w.now + n.clockOffset
-	if n.n == 0 {
-		wall += aheadBy
+	if n.number == 0 {
+		wall += clockSkew
 	}
 	return wall.Seconds() + 1e6
 }
@@ -106,16 +106,16 @@
 		return
 	}
 	n := w.controllers[w.anyController()]
-	if !w.running(n.n) || n.replica.Role() != consensus.Leader {
+	if !w.isRunning(n.number) || n.replica.Role() != consensus.Leader {
 		return
 	}
 	capacity := 0.0
 	for _, s := range w.servers {
-		if s.service == w.services[0] && !s.ended {
+		if s.service == w.services[0] && !s.stopped {
 			capacity += float64(s.capacity)
 		}
 	}
-	b := reservation.Booking{ID: "busy", Tenant: "tenant", Service: w.services[0], Start: 1e6 + bookedFrom.Seconds(),
+	b := reservation.Booking{ID: "busy", Tenant: "tenant", Service: w.services[0], Start: 1e6 + bookingStart.Seconds(),
 		End: 2e6, Slots: float64(int(capacity * busy.BookedShare)), Owner: "hall"}
 	data, err := cbor.Marshal(statemachine.Change{Bookings: &reservation.Op{Call: "busy", Base: n.state.Bookings.Version,
 		Puts: []reservation.Booking{b}, Now: n.reservations.clock.Now(w.now)}})
@@ -123,7 +123,7 @@
 		panic(err) // plain values
 	}
 	index, term, _ := n.replica.Propose(data, w.now)
-	n.proposals[index] = waiter{term, w.now + callOver, func(err error) {
+	n.proposals[index] = pendingProposal{term, w.now + callTimeout, func(err error) {
 		if err == nil {
 			w.bookingAcked = true
 		} else if apierror.For(err).Status < 500 {
@@ -160,7 +160,7 @@
 	leases := r.allocator.Allocate(w.now)
 	for i := range w.edges {
 		if lease, ok := leases[linkName(-1-i)]; ok {
-			w.relay(n.n, w.edges[i].controller, i, func(e *edge) { e.reservations.leases.Accept(lease) })
+			w.relay(n.number, w.edges[i].controller, i, func(e *edge) { e.reservations.leases.Accept(lease) })
 		}
 	}
 }
@@ -179,13 +179,13 @@
 func (w *cluster) announceReservations(n *controller) {
 	r := &n.reservations
 	r.announced = n.state.Bookings.ReservationsAt(w.readyCapacity(n), r.clock.Now(w.now))
-	r.term, r.announcedBy = n.replica.Term(), n.n
+	r.term, r.announcer = n.replica.Term(), n.number
 	announced, term := r.announced, r.term
 	for _, o := range w.controllers {
-		if k := w.linkBetween(n.n, o.n); o != n && k != nil {
-			w.sendOnLink(k, n.n, func() {
+		if k := w.linkBetween(n.number, o.number); o != n && k != nil {
+			w.sendOnLink(k, n.number, func() {
 				if term >= o.reservations.term {
-					o.reservations.announced, o.reservations.term, o.reservations.announcedBy = announced, term, n.n
+					o.reservations.announced, o.reservations.term, o.reservations.announcer = announced, term, n.number
 				}
 			})
 		}
@@ -228,7 +228,7 @@
 		return
 	}
 	r.nextDemand = w.now + allocateInterval
-	if k := w.linkBetween(e.controller, -1-e.n); e.controller != nowhere && k != nil {
+	if k := w.linkBetween(e.controller, -1-e.number); e.controller != nowhere && k != nil {
 		controller := w.controllers[e.controller]
 		if controller.reservations.term > 0 {
 			r.announced = controller.reservations.announced
@@ -260,17 +260,17 @@
 // sendDemand brings what an edge wants to the leader, by the edge's controller.
 func (w *cluster) sendDemand(e *edge, controller *controller, k *link) {
 	demand := e.reservations.leases.Demand(maps.Clone(e.reservations.wanted), w.now)
-	w.sendOnLink(k, -1-e.n, func() {
-		leader := controller.reservations.announcedBy
+	w.sendOnLink(k, -1-e.number, func() {
+		leader := controller.reservations.announcer
 		deliver := func() {
-			if a := w.controllers[controller.reservations.announcedBy].reservations.allocator; a != nil {
-				a.HandleDemand(linkName(-1-e.n), demand, w.now)
+			if a := w.controllers[controller.reservations.announcer].reservations.allocator; a != nil {
+				a.HandleDemand(linkName(-1-e.number), demand, w.now)
 			}
 		}
-		if leader == controller.n {
+		if leader == controller.number {
 			deliver()
-		} else if k := w.linkBetween(controller.n, leader); k != nil {
-			w.sendOnLink(k, controller.n, deliver)
+		} else if k := w.linkBetween(controller.number, leader); k != nil {
+			w.sendOnLink(k, controller.number, deliver)
 		}
 	})
 }
@@ -293,19 +293,19 @@
 		}
 	}
 	w.admittedShares = append(w.admittedShares, capacity)
-	const lasts = 44 // of these looks: a lease and the time that a proof is good for
-	limit := slices.Max(w.admittedShares[max(0, len(w.admittedShares)-lasts):])
+	const leaseSamples = 44 // of these looks: a lease and the time that a proof is good for
+	limit := slices.Max(w.admittedShares[max(0, len(w.admittedShares)-leaseSamples):])
 	for _, e := range w.edges {
-		part, _, _ := e.reservations.leases.Share("busy", w.now)
-		total += part
+		share, _, _ := e.reservations.leases.Share("busy", w.now)
+		total += share
 	}
 	if total > limit {
 		w.fail("ROOM: edges hold %d slots of a booking of %d", total, limit)
 	}
 }
 
-// sendHerd lets the tenant's and the others' clients ask at an edge.
-func (w *cluster) sendHerd(e *edge) {
+// generateBookedTraffic lets the tenant's and the others' clients ask at an edge.
+func (w *cluster) generateBookedTraffic(e *edge) {
 	busy := w.scenario.BookingLoad
 	if busy.Rate == 0 || e.frozenUntil > w.now {
 		return
@@ -313,34 +313,34 @@
 	tenant, others := busy.Rate, busy.Rate
 	if busy.SingleEdge {
 		tenant = 0
-		if e.n == 0 {
+		if e.number == 0 {
 			tenant = busy.Rate * float64(len(w.edges))
 		}
 	}
-	if w.now >= herdFrom && w.now < herdTo {
+	if w.now >= surgeStart && w.now < surgeEnd {
 		others *= max(1, busy.SurgeFactor)
 	}
 	for i, rate := range []float64{tenant, others} {
-		for expected := rate * tickLength.Seconds(); expected > 0; expected-- {
+		for expected := rate * tickInterval.Seconds(); expected > 0; expected-- {
 			if w.rng.Float64() < expected {
-				group := &w.result.Others
+				stats := &w.result.Others
 				if i == 0 {
-					group = &w.result.Tenant
+					stats = &w.result.Tenant
 				}
-				w.startBookedRequest(e, group, 0)
+				w.startBookedRequest(e, stats, 0)
 			}
 		}
 	}
 }
 
 // startBookedRequest is one request of a busy day's clients: of the tenant that booked capacity, or of the others.
-func (w *cluster) startBookedRequest(e *edge, group *TrafficStats, resends int) {
+func (w *cluster) startBookedRequest(e *edge, stats *TrafficStats, resends int) {
 	w.nextKey++
 	q := &request{id: w.nextKey, safe: true, service: w.services[0], edge: e, incarnation: e.incarnation, startedAt: w.now,
-		calm: w.isCalm() && e.calmSince <= w.now, tenant: group, resends: resends}
-	q.measured = w.now >= measuredFrom && w.now < herdTo
+		stable: w.isStable() && e.stableSince <= w.now, trafficStats: stats, resends: resends}
+	q.measured = w.now >= measurementStart && w.now < surgeEnd
 	if q.measured {
-		q.tenant.Requests++
+		q.trafficStats.Requests++
 	}
 	q.retries = attempt.Retries{Safe: true, MaxServers: maxAttempts}
 	w.result.Requests++
@@ -349,7 +349,7 @@
 	e.budget(q.service, len(w.edges)).Earn()
 	if len(e.reservations.announced) > 0 {
 		q.admission = &admission{gate: e.reservations.gate, reservation: reservation.UnreservedID(q.service)}
-		if group == &w.result.Tenant {
+		if stats == &w.result.Tenant {
 			q.admission.reservation = "busy"
 		}
 		e.reservations.wanted[q.admission.reservation]++
@@ -365,7 +365,7 @@
 		}
 		p.at = w.now
 	}
-	if u = w.pick(e, q); u == nil && q.admission != nil && q.retries.SentAttempts == 0 {
+	if u = w.pickServer(e, q); u == nil && q.admission != nil && q.retries.SentAttempts == 0 {
 		q.admission.gate.Release(q.admission.admittedAs, 0)
 		q.admission.admitted = false
 	}
@@ -399,10 +399,10 @@
 			p.gate.Release(p.admittedAs, max(1, w.now-p.at))
 		}
 	}
-	if q.tenant == nil {
+	if q.trafficStats == nil {
 		return
 	}
-	if ending == bookedRefused && q.tenant == &w.result.Others && q.resends < maxRetries {
+	if ending == bookedRefused && q.trafficStats == &w.result.Others && q.resends < maxResends {
 		e := w.edges[w.rng.IntN(len(w.edges))]
 		w.scheduleMillis(1+w.rng.IntN(20), func() {
 			if e.frozenUntil <= w.now {
@@ -415,13 +415,13 @@
 	}
 	switch took := w.now - q.startedAt; ending {
 	case bookedServed:
-		q.tenant.Served++
-		q.tenant.Latencies = append(q.tenant.Latencies, took)
+		q.trafficStats.Served++
+		q.trafficStats.Latencies = append(q.trafficStats.Latencies, took)
 		if took > latencyTarget {
-			q.tenant.Late++
+			q.trafficStats.Late++
 		}
 	case bookedRefused:
-		q.tenant.Rejected++
+		q.trafficStats.Rejected++
 	}
 }
 
--- a/internal/simulation/bootstrap.go
+++ b/internal/simulation/bootstrap.go
@@ -8,24 +8,24 @@
 
 // bootstrap makes a machine one of the first start's voters.
 func (n *controller) bootstrap(voters []string) {
-	n.disk.identity, n.disk.founders, n.disk.blank = membership.Identity(n.name, 0), voters, false
+	n.disk.identity, n.disk.bootstrapVoters, n.disk.recovering = membership.Identity(n.name, 0), voters, false
 }
 
 // awaitBootstrap makes a machine one of a first start whose voters are not known yet.
 func (n *controller) awaitBootstrap() {
-	n.disk.identity, n.disk.blank = membership.Identity(n.name, 0), true
+	n.disk.identity, n.disk.recovering = membership.Identity(n.name, 0), true
 }
 
 // chooseBootstrapVoters names the voters of a system that starts for the first time, where the seeds are too few to be all
 // of them. One alone decides, the first of the seeds; the others learn it from each other.
 func (w *cluster) chooseBootstrapVoters(n *controller) {
-	if w.scenario.Seeds == 0 || n.n != 0 || n.identity != n.name || len(n.bootstrapVoters) > 0 ||
+	if w.scenario.Seeds == 0 || n.number != 0 || n.identity != n.name || len(n.bootstrapVoters) > 0 ||
 		1+len(n.replicaStatuses) < w.scenario.Members {
 		return
 	}
 	voters := []string{n.name}
 	for i := range n.replicaStatuses {
-		voters = append(voters, w.names[i])
+		voters = append(voters, w.controllerNames[i])
 	}
 	slices.Sort(voters)
 	w.handleBootstrapVoters(n, voters[:w.scenario.Members])
@@ -33,13 +33,13 @@
 
 // handleBootstrapVoters takes the voters of a first start over, and tells all linked controllers once that is durable.
 func (w *cluster) handleBootstrapVoters(n *controller, voters []string) {
-	if n.identity != n.name || n.n >= w.scenario.Members || len(n.bootstrapVoters) > 0 || !n.replica.Bootstrap(voters) {
+	if n.identity != n.name || n.number >= w.scenario.Members || len(n.bootstrapVoters) > 0 || !n.replica.Bootstrap(voters) {
 		return
 	}
 	n.bootstrapVoters = voters
-	w.persistSurely(n, func(d *disk) { d.founders = voters }, func() {
+	w.persistRetrying(n, func(d *disk) { d.bootstrapVoters = voters }, func() {
 		for _, k := range w.links {
-			if k.up && k.a >= 0 && (k.a == n.n || k.b == n.n) {
+			if k.up && k.a >= 0 && (k.a == n.number || k.b == n.number) {
 				w.sendBootstrapVoters(n, k)
 			}
 		}
@@ -48,9 +48,9 @@
 }
 
 func (w *cluster) sendBootstrapVoters(n *controller, k *link) {
-	voters, to := n.bootstrapVoters, w.controllers[k.a+k.b-n.n]
+	voters, to := n.bootstrapVoters, w.controllers[k.a+k.b-n.number]
 	if len(voters) > 0 {
-		w.sendOnLink(k, n.n, func() { w.handleBootstrapVoters(to, voters) })
+		w.sendOnLink(k, n.number, func() { w.handleBootstrapVoters(to, voters) })
 	}
 }
 
@@ -59,6 +59,6 @@
 func (w *cluster) finishRecoveryOfBootstrapVoter(n *controller) {
 	if n.identity == n.name && slices.Contains(n.membership.Voters, n.identity) {
 		n.claimStore.FinishRecovery()
-		w.persistSurely(n, func(d *disk) { d.blank = false }, func() {})
+		w.persistRetrying(n, func(d *disk) { d.recovering = false }, func() {})
 	}
 }
--- a/internal/simulation/bounded_model.go
+++ b/internal/simulation/bounded_model.go
@@ -22,50 +22,50 @@
 // anything may come next. The log is modelled as the list of memberships that are committed, which every node applies when
 // it likes: what internal/control/consensus does to commit them is explored by its own tests.
 type boundedModel struct {
-	Log      []consensus.Membership
-	Nodes    []smallNode
-	Messages [][]modelMessage // by channel
-	Edges    [2]smallEdge
-	Runs     int
-	Broken   string
-	Spent    Bounds // of the bounds
-	bounds   Bounds
+	Log       []consensus.Membership
+	Nodes     []modelNode
+	Messages  [][]modelMessage // by channel
+	Edges     [2]modelEdge
+	Runs      int
+	Violation string
+	Spent     Bounds // of the bounds
+	bounds    Bounds
 }
 
-type smallNode struct {
-	Disk        smallDisk
-	Disks       int // that were lost
-	Identity    string
-	Applied     int    // the newest membership of the log that was applied
-	Epoch       uint64 // of the newest that is durable
-	Store       *idempotency.Store
-	Coordinator *idempotency.Coordinator
-	Writes      []modelWrite
-	Copied      []string // identities of sources
-	Asked       bool
-	Hedged      bool
+type modelNode struct {
+	Disk          modelDisk
+	DisksLost     int // that were lost
+	Identity      string
+	Applied       int    // the newest membership of the log that was applied
+	Epoch         uint64 // of the newest that is durable
+	Store         *idempotency.Store
+	Coordinator   *idempotency.Coordinator
+	Writes        []modelWrite
+	Copied        []string // identities of sources
+	CopyRequested bool
+	Hedged        bool
 }
 
-type smallDisk struct {
-	Identity string
-	Applied  int
-	Records  []idempotency.Record
-	Blank    bool
+type modelDisk struct {
+	Identity   string
+	Applied    int
+	Records    []idempotency.Record
+	Recovering bool
 }
 
 // modelWrite is a batch on its way to a disk, and what is to be done once it is durable.
 type modelWrite struct {
-	Records  []idempotency.Record
-	Restored bool
-	Applied  int // 0: no membership
-	Retired  bool
-	Claim    bool // From tells whom
-	From     int
-	Record   idempotency.Record
+	Records          []idempotency.Record
+	RecoveryComplete bool
+	Applied          int // 0: no membership
+	Retired          bool
+	Claim            bool // From tells whom
+	Requester        int
+	Record           idempotency.Record
 }
 
-type smallEdge struct {
-	Began, Over bool
+type modelEdge struct {
+	Started, Finished bool
 }
 
 // modelMessage is a message: between an edge and a coordinator, or between nodes.
@@ -75,32 +75,33 @@
 	Identity string // that the sender has
 	Epoch    uint64
 	Record   idempotency.Record
-	Verdict  idempotency.GrantReply
+	Reply    idempotency.GrantReply
 	Holder   idempotency.Record
-	Ruling   idempotency.Outcome
+	Outcome  idempotency.Outcome
 	Records  []idempotency.Record
 }
 
 const (
-	smallNodes = 4
-	places     = smallNodes + 2 // then the edges
-	smallKey   = "k"
-	third      = "2" // the voter whose place a learner takes
+	modelNodes     = 4
+	modelProcesses = modelNodes + 2 // then the edges
+	modelKey       = "k"
+	replacedVoter  = "2" // the voter whose place a learner takes
 )
 
-// claimAt are the nodes whose coordinators the edges ask.
-var claimAt = [2]int{0, 2}
+// claimCoordinators are the nodes whose coordinators the edges ask.
+var claimCoordinators = [2]int{0, 2}
 
 func newBoundedModel(b Bounds) *boundedModel {
-	founders := consensus.Membership{Epoch: 1, Voters: []string{"0", "1", third}}
-	s := &boundedModel{Log: []consensus.Membership{founders}, Messages: make([][]modelMessage, places*places), bounds: b}
+	founders := consensus.Membership{Epoch: 1, Voters: []string{"0", "1", replacedVoter}}
+	s := &boundedModel{Log: []consensus.Membership{founders},
+		Messages: make([][]modelMessage, modelProcesses*modelProcesses), bounds: b}
 	count := 3
 	if b.MembershipChanges > 0 {
-		count = smallNodes
+		count = modelNodes
 	}
-	s.Nodes = make([]smallNode, count)
+	s.Nodes = make([]modelNode, count)
 	for i := range s.Nodes {
-		s.Nodes[i].Disk = smallDisk{Identity: fmt.Sprint(i), Blank: i >= 3}
+		s.Nodes[i].Disk = modelDisk{Identity: fmt.Sprint(i), Recovering: i >= 3}
 		s.start(i)
 	}
 	return s
@@ -109,7 +110,7 @@
 // start starts a node with what its disk holds.
 func (s *boundedModel) start(i int) {
 	n := &s.Nodes[i]
-	n.Store = idempotency.NewStore(window, n.Disk.Blank)
+	n.Store = idempotency.NewStore(keyWindow, n.Disk.Recovering)
 	for _, r := range n.Disk.Records {
 		n.Store.Load(r, 0)
 	}
@@ -117,14 +118,14 @@
 	n.Epoch = s.Log[n.Applied].Epoch
 	n.Coordinator = idempotency.NewCoordinator(nil, hedgeDelay, claimTimeout)
 	s.setStores(i)
-	n.Writes, n.Copied, n.Asked, n.Hedged = nil, nil, false, false
-	for j := range places {
-		s.Messages[i*places+j], s.Messages[j*places+i] = nil, nil
+	n.Writes, n.Copied, n.CopyRequested, n.Hedged = nil, nil, false, false
+	for j := range modelProcesses {
+		s.Messages[i*modelProcesses+j], s.Messages[j*modelProcesses+i] = nil, nil
 	}
 }
 
-// forget has the others' coordinators take back what a replica granted that is no more.
-func (s *boundedModel) forget(identity string) {
+// discardGrants has the others' coordinators take back what a replica granted that is no more.
+func (s *boundedModel) discardGrants(identity string) {
 	for j := range s.Nodes {
 		for _, out := range s.Nodes[j].Coordinator.DiscardGrants(identity) {
 			s.finishClaim(j, out)
@@ -148,32 +149,32 @@
 	if from < len(s.Nodes) {
 		n.Identity = s.Nodes[from].Identity
 	}
-	s.Messages[from*places+to] = append(s.Messages[from*places+to], n)
+	s.Messages[from*modelProcesses+to] = append(s.Messages[from*modelProcesses+to], n)
 }
 
 // choices are the events that may come next.
 func (s *boundedModel) choices() (all []string) {
 	for i, e := range s.Edges {
-		if !e.Began {
+		if !e.Started {
 			all = append(all, fmt.Sprint("claim ", i))
-		} else if !e.Over && s.Spent.Revocations < s.bounds.Revocations {
+		} else if !e.Finished && s.Spent.Revocations < s.bounds.Revocations {
 			all = append(all, fmt.Sprint("withdraw ", i))
 		}
 	}
 	for c, m := range s.Messages {
 		if len(m) > 0 {
-			all = append(all, s.deliveries(c/places, c%places)...)
+			all = append(all, s.deliveryChoices(c/modelProcesses, c%modelProcesses)...)
 		}
 	}
 	for i := range s.Nodes {
-		all = append(all, s.choicesOf(i)...)
+		all = append(all, s.nodeChoices(i)...)
 	}
-	all = append(all, s.changes()...)
-	return append(all, s.losses()...)
+	all = append(all, s.membershipChoices()...)
+	return append(all, s.lossChoices()...)
 }
 
-// deliveries are what may become of the next message from one place to another.
-func (s *boundedModel) deliveries(from, to int) []string {
+// deliveryChoices are what may become of the next message from one place to another.
+func (s *boundedModel) deliveryChoices(from, to int) []string {
 	all := []string{fmt.Sprint("deliver ", from, " ", to)}
 	if s.Spent.MessageLosses < s.bounds.MessageLosses && from < len(s.Nodes) && to < len(s.Nodes) {
 		all = append(all, fmt.Sprint("lose ", from, " ", to))
@@ -181,12 +182,12 @@
 	return all
 }
 
-// losses are the disks and the power that may be lost, once a claim was made.
-func (s *boundedModel) losses() (all []string) {
-	if !s.Edges[0].Began && !s.Edges[1].Began {
+// lossChoices are the disks and the power that may be lost, once a claim was made.
+func (s *boundedModel) lossChoices() (all []string) {
+	if !s.Edges[0].Started && !s.Edges[1].Started {
 		return nil
 	}
-	if s.Spent.Wipes < s.bounds.Wipes && s.complete() {
+	if s.Spent.Wipes < s.bounds.Wipes && s.allStoresReady() {
 		for i := range s.Nodes {
 			all = append(all, fmt.Sprint("wipe ", i))
 		}
@@ -197,7 +198,7 @@
 	return all
 }
 
-func (s *boundedModel) choicesOf(i int) (all []string) {
+func (s *boundedModel) nodeChoices(i int) (all []string) {
 	n := &s.Nodes[i]
 	if len(n.Writes) > 0 {
 		all = append(all, fmt.Sprint("write ", i))
@@ -205,7 +206,7 @@
 	if n.Applied < len(s.Log)-1 {
 		all = append(all, fmt.Sprint("apply ", i))
 	}
-	if s.entering(i) && !n.Asked {
+	if s.isEntering(i) && !n.CopyRequested {
 		all = append(all, fmt.Sprint("copy ", i))
 	}
 	if n.Coordinator.HasPending() && !n.Hedged && s.bounds.MembershipChanges > 0 {
@@ -214,19 +215,19 @@
 	return all
 }
 
-// changes are the steps that a leader may take: as internal/control/membership decides them.
-func (s *boundedModel) changes() (all []string) {
+// membershipChoices are the steps that a leader may take: as internal/control/membership decides them.
+func (s *boundedModel) membershipChoices() (all []string) {
 	newest := s.Log[len(s.Log)-1]
 	if newest.Joint() {
 		return s.jointChoices(newest)
 	}
 	for v, id := range newest.Voters {
 		lost := s.nodeOf(id) < 0
-		if !lost && (id != third || s.Spent.MembershipChanges >= s.bounds.MembershipChanges) {
+		if !lost && (id != replacedVoter || s.Spent.MembershipChanges >= s.bounds.MembershipChanges) {
 			continue
 		}
 		for i, n := range s.Nodes {
-			if n.Epoch == newest.Epoch && !newest.Contains(n.Identity) && (lost || i == smallNodes-1) {
+			if n.Epoch == newest.Epoch && !newest.Contains(n.Identity) && (lost || i == modelNodes-1) {
 				all = append(all, fmt.Sprint("begin ", v, " ", i))
 			}
 		}
@@ -255,11 +256,11 @@
 
 // nodeOf finds the node that a replica runs on; -1: none.
 func (s *boundedModel) nodeOf(identity string) int {
-	return slices.IndexFunc(s.Nodes, func(n smallNode) bool { return n.Identity == identity })
+	return slices.IndexFunc(s.Nodes, func(n modelNode) bool { return n.Identity == identity })
 }
 
-// complete tells that all voters' stores are sound: one may be lost.
-func (s *boundedModel) complete() bool {
+// allStoresReady tells that all voters' stores are sound: one may be lost.
+func (s *boundedModel) allStoresReady() bool {
 	newest := s.Log[len(s.Log)-1]
 	return !slices.ContainsFunc(newest.Voters, func(id string) bool {
 		return s.nodeOf(id) < 0 ||
@@ -267,27 +268,27 @@
 	})
 }
 
-func (s *boundedModel) entering(i int) bool {
+func (s *boundedModel) isEntering(i int) bool {
 	m, id := s.membership(i), s.Nodes[i].Identity
 	return s.Nodes[i].Store.Recovering() && slices.Contains(m.Next, id) && !slices.Contains(m.Voters, id)
 }
 
-func (s *boundedModel) do(choice string) {
-	var what string
+func (s *boundedModel) perform(choice string) {
+	var action string
 	var x, y int
-	_, _ = fmt.Sscan(choice, &what, &x, &y) // some have fewer
-	switch what {
+	_, _ = fmt.Sscan(choice, &action, &x, &y) // some have fewer
+	switch action {
 	case "claim":
-		s.Edges[x].Began = true
-		s.send(smallNodes+x, claimAt[x], modelMessage{Kind: "claim", Record: s.record(x)})
+		s.Edges[x].Started = true
+		s.send(modelNodes+x, claimCoordinators[x], modelMessage{Kind: "claim", Record: s.record(x)})
 	case "withdraw":
 		s.Spent.Revocations++
 		s.revoke(x)
 	case "deliver", "lose":
-		c := x*places + y
+		c := x*modelProcesses + y
 		m := s.Messages[c][0]
 		s.Messages[c] = s.Messages[c][1:]
-		if what == "lose" {
+		if action == "lose" {
 			s.Spent.MessageLosses++
 		} else {
 			s.handleMessage(y, m)
@@ -303,7 +304,7 @@
 	case "copy":
 		s.requestCopies(x)
 	case "begin", "adopt", "abandon":
-		s.change(what, x, y)
+		s.change(action, x, y)
 	case "wipe":
 		s.Spent.Wipes++
 		s.wipe(x)
@@ -318,23 +319,23 @@
 // wipe loses a node's disk: what comes back is another replica.
 func (s *boundedModel) wipe(i int) {
 	n := &s.Nodes[i]
-	n.Disks++
+	n.DisksLost++
 	previous := n.Identity
-	n.Disk = smallDisk{Identity: membership.Identity(fmt.Sprint(i), uint64(n.Disks)), Blank: true}
+	n.Disk = modelDisk{Identity: membership.Identity(fmt.Sprint(i), uint64(n.DisksLost)), Recovering: true}
 	if s.bounds.PlantedFault == "grants with an empty disk" {
-		n.Disk = smallDisk{Identity: previous}
+		n.Disk = modelDisk{Identity: previous}
 	}
 	s.start(i)
 	if n.Identity != previous {
-		s.forget(previous)
+		s.discardGrants(previous)
 	}
 }
 
 // change commits the next membership.
-func (s *boundedModel) change(what string, v, standby int) {
+func (s *boundedModel) change(action string, v, standby int) {
 	newest := s.Log[len(s.Log)-1]
 	next := consensus.Membership{Epoch: newest.Epoch + 1, Voters: newest.Voters}
-	switch what {
+	switch action {
 	case "begin":
 		s.Spent.MembershipChanges += oneIf[s.nodeOf(newest.Voters[v]) >= 0]
 		next.Next = slices.Clone(newest.Voters)
@@ -356,13 +357,13 @@
 	if retired {
 		n.Store.BeginRecovery()
 	}
-	n.Copied, n.Asked = nil, false
+	n.Copied, n.CopyRequested = nil, false
 	n.Writes = append(n.Writes, modelWrite{Applied: n.Applied, Retired: retired})
 	s.setStores(i)
 }
 
 func (s *boundedModel) requestCopies(i int) {
-	s.Nodes[i].Asked = true
+	s.Nodes[i].CopyRequested = true
 	for _, id := range s.membership(i).Voters {
 		if j := s.nodeOf(id); j >= 0 && !slices.Contains(s.Nodes[i].Copied, id) {
 			s.send(i, j, modelMessage{Kind: "copy", Epoch: s.membership(i).Epoch})
@@ -371,14 +372,14 @@
 }
 
 func (s *boundedModel) record(edge int) idempotency.Record {
-	return idempotency.Record{Key: idempotency.KeyOf("t", smallKey),
+	return idempotency.Record{Key: idempotency.KeyOf("t", modelKey),
 		Token: idempotency.Token{Incarnation: uint64(edge + 1), Sequence: 1}}
 }
 
 // revoke withdraws an edge's claim everywhere.
 func (s *boundedModel) revoke(edge int) {
-	s.Edges[edge].Over = true
+	s.Edges[edge].Finished = true
 	for j := range s.Nodes {
-		s.send(smallNodes+edge, j, modelMessage{Kind: "void", Record: s.record(edge)})
+		s.send(modelNodes+edge, j, modelMessage{Kind: "void", Record: s.record(edge)})
 	}
 }
--- a/internal/simulation/bounded_model_claims.go
+++ b/internal/simulation/bounded_model_claims.go
@@ -11,8 +11,8 @@
 
 // handleMessage gives a message to its receiver.
 func (s *boundedModel) handleMessage(to int, m modelMessage) {
-	if to >= smallNodes {
-		s.handleOutcome(to-smallNodes, m.Ruling)
+	if to >= modelNodes {
+		s.handleOutcome(to-modelNodes, m.Outcome)
 		return
 	}
 	n := &s.Nodes[to]
@@ -22,7 +22,7 @@
 	case "ask":
 		s.requestGrant(to, m.From, m.Record, m.Epoch)
 	case "verdict":
-		s.handleGrantReply(to, m.Identity, m.Record, m.Verdict, m.Holder)
+		s.handleGrantReply(to, m.Identity, m.Record, m.Reply, m.Holder)
 	case "void":
 		if line, store := n.Store.Revoke(m.Record.Key, m.Record.Token, 0); store {
 			n.Writes = append(n.Writes, modelWrite{Records: []idempotency.Record{line}})
@@ -37,16 +37,16 @@
 // handleOutcome gives an edge a ruling.
 func (s *boundedModel) handleOutcome(edge int, ruling idempotency.Outcome) {
 	e := &s.Edges[edge]
-	if e.Over {
+	if e.Finished {
 		return
 	}
 	if ruling != idempotency.OutcomeGranted {
 		s.revoke(edge)
 		return
 	}
-	e.Over = true
+	e.Finished = true
 	if s.Runs++; s.Runs > 1 {
-		s.Broken = "TWICE: both edges run the key"
+		s.Violation = "TWICE: both edges run the key"
 	}
 	if s.bounds.PlantedFault == "withdraws what ran" {
 		s.revoke(edge)
@@ -58,7 +58,7 @@
 	early := s.membership(at).Epoch != m.Epoch || n.Epoch < m.Epoch
 	if early && s.bounds.PlantedFault != "copies are sent before the joint membership" || n.Store.Recovering() ||
 		!slices.Contains(s.membership(at).Voters, n.Identity) {
-		s.Nodes[m.From].Asked = false // it asks again
+		s.Nodes[m.From].CopyRequested = false // it asks again
 		return
 	}
 	var all []idempotency.Record
@@ -68,7 +68,7 @@
 
 func (s *boundedModel) importCopy(at int, m modelMessage) {
 	n := &s.Nodes[at]
-	if !s.entering(at) || m.Epoch != s.membership(at).Epoch || slices.Contains(n.Copied, m.Identity) {
+	if !s.isEntering(at) || m.Epoch != s.membership(at).Epoch || slices.Contains(n.Copied, m.Identity) {
 		return
 	}
 	w := modelWrite{}
@@ -78,13 +78,13 @@
 	n.Copied = append(slices.Clip(n.Copied), m.Identity)
 	slices.Sort(n.Copied)
 	previous := consensus.Membership{Voters: s.membership(at).Voters}
-	w.Restored = previous.HasQuorum(func(id string) bool { return slices.Contains(n.Copied, id) }) ||
+	w.RecoveryComplete = previous.HasQuorum(func(id string) bool { return slices.Contains(n.Copied, id) }) ||
 		s.bounds.PlantedFault == "restored from one"
 	n.Writes = append(n.Writes, w)
 }
 
-func (s *boundedModel) sendGrantRequests(from int, asks []idempotency.GrantRequest) {
-	for _, a := range asks {
+func (s *boundedModel) sendGrantRequests(from int, requests []idempotency.GrantRequest) {
+	for _, a := range requests {
 		epoch, to := s.membership(from).Epoch, s.nodeOf(a.To)
 		switch {
 		case to == from:
@@ -97,26 +97,27 @@
 	}
 }
 
-func (s *boundedModel) requestGrant(at, asker int, r idempotency.Record, epoch uint64) {
+func (s *boundedModel) requestGrant(at, requester int, r idempotency.Record, epoch uint64) {
 	n := &s.Nodes[at]
 	if epoch < n.Epoch && s.bounds.PlantedFault != "a store without the epoch fence" {
-		s.sendGrantReply(at, asker, r, idempotency.ReplyStaleEpoch, idempotency.Record{})
+		s.sendGrantReply(at, requester, r, idempotency.ReplyStaleEpoch, idempotency.Record{})
 		return
 	}
 	v, holder, store := n.Store.Grant(r, 0)
 	if !store || s.bounds.PlantedFault == "grants before storing" {
-		s.sendGrantReply(at, asker, r, v, holder)
+		s.sendGrantReply(at, requester, r, v, holder)
 	}
 	if store {
-		n.Writes = append(n.Writes, modelWrite{Records: []idempotency.Record{r}, Claim: true, From: asker, Record: r})
+		n.Writes = append(n.Writes, modelWrite{Records: []idempotency.Record{r}, Claim: true, Requester: requester, Record: r})
 	}
 }
 
-func (s *boundedModel) sendGrantReply(at, asker int, r idempotency.Record, v idempotency.GrantReply, holder idempotency.Record) {
-	if asker == at {
+func (s *boundedModel) sendGrantReply(at, requester int, r idempotency.Record, v idempotency.GrantReply,
+	holder idempotency.Record) {
+	if requester == at {
 		s.handleGrantReply(at, s.Nodes[at].Identity, r, v, holder)
 	} else {
-		s.send(at, asker, modelMessage{Kind: "verdict", Record: r, Verdict: v, Holder: holder})
+		s.send(at, requester, modelMessage{Kind: "verdict", Record: r, Reply: v, Holder: holder})
 	}
 }
 
@@ -130,7 +131,7 @@
 }
 
 func (s *boundedModel) finishClaim(at int, o idempotency.Result) {
-	s.send(at, smallNodes-1+int(o.Token.Incarnation), modelMessage{Kind: "ruling", Ruling: o.Outcome})
+	s.send(at, modelNodes-1+int(o.Token.Incarnation), modelMessage{Kind: "ruling", Outcome: o.Outcome})
 }
 
 // handleWritten makes the first batch that waits for a node's disk durable.
@@ -142,8 +143,8 @@
 	if w.Applied > 0 {
 		s.appliedDurably(at, w)
 	}
-	if w.Restored && n.Store.Recovering() && s.entering(at) {
-		n.Disk.Blank = false
+	if w.RecoveryComplete && n.Store.Recovering() && s.isEntering(at) {
+		n.Disk.Recovering = false
 		n.Store.FinishRecovery()
 	}
 	if w.Claim && s.bounds.PlantedFault != "grants before storing" {
@@ -151,7 +152,7 @@
 		if !n.Store.MarkDurable(w.Record.Key, w.Record.Token) {
 			v = idempotency.ReplyUnavailable
 		}
-		s.sendGrantReply(at, w.From, w.Record, v, idempotency.Record{})
+		s.sendGrantReply(at, w.Requester, w.Record, v, idempotency.Record{})
 	}
 }
 
@@ -163,9 +164,9 @@
 		return
 	}
 	previous := n.Identity
-	n.Disks++
-	n.Identity = membership.Identity(fmt.Sprint(at), uint64(n.Disks))
-	n.Disk.Identity, n.Disk.Blank = n.Identity, true
-	s.forget(previous)
+	n.DisksLost++
+	n.Identity = membership.Identity(fmt.Sprint(at), uint64(n.DisksLost))
+	n.Disk.Identity, n.Disk.Recovering = n.Identity, true
+	s.discardGrants(previous)
 	s.setStores(at)
 }
--- a/internal/simulation/claims.go
+++ b/internal/simulation/claims.go
@@ -12,35 +12,35 @@
 // requestGrant puts a claim to a node's claim store; a grant is told once it is durable. One that is asked under a membership
 // older than the newest that is durable here is granted nothing.
 func (w *cluster) requestGrant(n *controller, r idempotency.Record, epoch uint64,
-	tell func(idempotency.GrantReply, idempotency.Record)) {
-	if w.fenced(n, epoch) {
-		tell(idempotency.ReplyStaleEpoch, idempotency.Record{})
+	reply func(idempotency.GrantReply, idempotency.Record)) {
+	if w.isFenced(n, epoch) {
+		reply(idempotency.ReplyStaleEpoch, idempotency.Record{})
 		return
 	}
-	v, holder, store := n.claimStore.Grant(r, w.now)
+	verdict, holder, store := n.claimStore.Grant(r, w.now)
 	if !store {
-		tell(v, holder)
+		reply(verdict, holder)
 		return
 	}
 	if w.scenario.PlantedFault == "grants before storing" {
-		tell(v, holder)
+		reply(verdict, holder)
 	}
 	w.persist(n, func(d *disk) { d.records = append(d.records, r) }, func(ok bool) {
 		if !ok {
 			n.claimStore.MarkFailed(r.Key, r.Token)
 		}
 		if !ok || !n.claimStore.MarkDurable(r.Key, r.Token) {
-			v = idempotency.ReplyUnavailable
+			verdict = idempotency.ReplyUnavailable
 		}
 		if w.scenario.PlantedFault != "grants before storing" {
-			w.auditGrant(n, v)
-			tell(v, holder)
+			w.auditGrant(n, verdict)
+			reply(verdict, holder)
 		}
 	})
 }
 
-// fenced tells whether a store grants nothing under an epoch.
-func (w *cluster) fenced(n *controller, epoch uint64) bool {
+// isFenced tells whether a store grants nothing under an epoch.
+func (w *cluster) isFenced(n *controller, epoch uint64) bool {
 	switch w.scenario.PlantedFault {
 	case "a store without the epoch fence":
 		return false
@@ -65,10 +65,10 @@
 			w.handleGrantReply(n, a.To, r.Token, idempotency.ReplyUnavailable, idempotency.Record{})
 			continue
 		}
-		w.send(n.n, to.n, func() {
+		w.send(n.number, to.number, func() {
 			w.requestGrant(to, r, epoch, func(v idempotency.GrantReply, holder idempotency.Record) {
 				from := to.identity
-				w.send(to.n, n.n, func() { w.handleGrantReply(n, from, r.Token, v, holder) })
+				w.send(to.number, n.number, func() { w.handleGrantReply(n, from, r.Token, v, holder) })
 			})
 		})
 	}
@@ -84,9 +84,9 @@
 }
 
 func (w *cluster) finishClaim(n *controller, o idempotency.Result) {
-	if tell := n.claims[o.Token]; tell != nil {
+	if reply := n.claims[o.Token]; reply != nil {
 		delete(n.claims, o.Token)
-		tell(o.Outcome)
+		reply(o.Outcome)
 	}
 }
 
@@ -102,25 +102,25 @@
 		}
 		w.attempted[key] = true
 		w.nextKey++
-		r := idempotency.Record{Key: key, Token: idempotency.Token{Incarnation: uint64(e.n + 1), Sequence: w.nextKey}}
-		e.pendingClaims[r.Token] = &claim{record: r, since: w.now}
-		w.requestClaim(e, r, w.controllerOr(e, w.anyController()))
+		r := idempotency.Record{Key: key, Token: idempotency.Token{Incarnation: uint64(e.number + 1), Sequence: w.nextKey}}
+		e.pendingClaims[r.Token] = &claim{record: r, startedAt: w.now}
+		w.requestClaim(e, r, w.controllerOrDefault(e, w.anyController()))
 	}
-	var open []*claim
+	var pending []*claim
 	for _, c := range e.pendingClaims {
-		open = append(open, c)
+		pending = append(pending, c)
 	}
-	slices.SortFunc(open, func(a, b *claim) int { return cmp.Compare(a.record.Token.Sequence, b.record.Token.Sequence) })
-	for _, c := range open {
-		switch age := w.now - c.since; {
-		case age > edgeGiveUp:
+	slices.SortFunc(pending, func(a, b *claim) int { return cmp.Compare(a.record.Token.Sequence, b.record.Token.Sequence) })
+	for _, c := range pending {
+		switch age := w.now - c.startedAt; {
+		case age > edgeClaimTimeout:
 			w.revokeClaim(e, c)
-		case age > edgeHedgeDelay && !c.second:
-			c.second = true
-			w.requestClaim(e, c.record, w.otherController(w.controllerOr(e, nowhere)))
+		case age > edgeHedgeDelay && !c.hedged:
+			c.hedged = true
+			w.requestClaim(e, c.record, w.otherController(w.controllerOrDefault(e, nowhere)))
 		}
 	}
-	e.revocations = slices.DeleteFunc(e.revocations, func(v revocation) bool { return w.now-v.at > revocationRepeat })
+	e.revocations = slices.DeleteFunc(e.revocations, func(v revocation) bool { return w.now-v.revokedAt > revocationRetention })
 	for i := range e.revocations {
 		if v := &e.revocations[i]; w.now-v.sentAt > time.Second {
 			v.sentAt = w.now
@@ -130,23 +130,23 @@
 }
 
 // homeOr is the controller that an edge asks first.
-func (w *cluster) controllerOr(e *edge, otherwise int) int {
+func (w *cluster) controllerOrDefault(e *edge, fallback int) int {
 	if e.controller == nowhere {
-		return otherwise
+		return fallback
 	}
 	return e.controller
 }
 
 // requestClaim asks a controller for the right to run a key's operation.
 func (w *cluster) requestClaim(e *edge, r idempotency.Record, at int) {
-	e.pendingClaims[r.Token].requested++
+	e.pendingClaims[r.Token].outstanding++
 	n := w.controllers[at]
-	w.send(-1-e.n, at, func() {
+	w.send(-1-e.number, at, func() {
 		incarnation := e.incarnation
-		n.claims[r.Token] = func(ruling idempotency.Outcome) {
-			w.send(at, -1-e.n, func() {
+		n.claims[r.Token] = func(outcome idempotency.Outcome) {
+			w.send(at, -1-e.number, func() {
 				if e.incarnation == incarnation {
-					w.handleOutcome(e, r, ruling)
+					w.handleOutcome(e, r, outcome)
 				}
 			})
 		}
@@ -164,7 +164,7 @@
 	if c == nil {
 		return
 	}
-	if c.requested--; outcome == idempotency.OutcomeUndecided && c.requested > 0 {
+	if c.outstanding--; outcome == idempotency.OutcomeUndecided && c.outstanding > 0 {
 		return
 	}
 	if outcome != idempotency.OutcomeGranted {
@@ -180,7 +180,7 @@
 	if w.runs[r.Key]++; w.runs[r.Key] > 1 {
 		w.result.Violation = fmt.Sprintf("TWICE: a key runs twice, the second time at %s", w.now)
 	}
-	w.membershipAudit.lastRun = w.now
+	w.membershipAudit.lastRunAt = w.now
 	w.scheduleAfter(time.Duration(20+w.rng.IntN(60))*time.Millisecond, func() { w.keepResponse(e, r) })
 	if w.scenario.PlantedFault == "withdraws what ran" && w.rng.IntN(4) == 0 {
 		e.revocations = append(e.revocations, revocation{r, w.now, 0})
@@ -194,7 +194,7 @@
 
 func (w *cluster) sendRevocation(e *edge, r idempotency.Record) {
 	for _, n := range w.controllers {
-		w.send(-1-e.n, n.n, func() {
+		w.send(-1-e.number, n.number, func() {
 			if line, store := n.claimStore.Revoke(r.Key, r.Token, w.now); store {
 				w.persist(n, func(d *disk) { d.records = append(d.records, line) }, func(bool) {})
 			}
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	tickLength       = 5 * time.Millisecond
-	window           = time.Minute
-	hedgeDelay       = 20 * time.Millisecond
-	claimTimeout     = 900 * time.Millisecond
-	edgeHedgeDelay   = 60 * time.Millisecond // until an edge asks a second controller
-	edgeGiveUp       = 400 * time.Millisecond
-	revocationRepeat = 4 * time.Second
+	tickInterval        = 5 * time.Millisecond
+	keyWindow           = time.Minute
+	hedgeDelay          = 20 * time.Millisecond
+	claimTimeout        = 900 * time.Millisecond
+	edgeHedgeDelay      = 60 * time.Millisecond // until an edge asks a second controller
+	edgeClaimTimeout    = 400 * time.Millisecond
+	revocationRetention = 4 * time.Second
 )
 
 // cluster is everything of a scenario while it runs. One goroutine plays it; every draw comes from rng.
@@ -27,8 +27,8 @@
 	now      time.Duration
 	result   Result
 
-	machinery
-	networkState
+	clusterProcesses
+	clusterNetwork
 	operatorAudit
 	keyAudit
 	trafficAudit
@@ -36,23 +36,23 @@
 	membershipAudit membershipAudit
 }
 
-// machinery is the machines and the processes that run on them.
-type machinery struct {
-	machines    []*controller // those that stand where the first ones stood
-	names       []string      // addresses of controllers, by number
-	controllers []*controller
-	edges       []*edge
-	services    []string
-	servers     []*server
-	processAt   map[string]*server // the process at an address
-	slowed      map[*server]time.Duration
-	serverCount int
-	addresses   int
-	calmSince   time.Duration // from when the controllers have been without a fault for long enough
+// clusterProcesses is the machines and the processes that run on them.
+type clusterProcesses struct {
+	positions       []*controller // those that stand where the first ones stood
+	controllerNames []string      // addresses of controllers, by number
+	controllers     []*controller
+	edges           []*edge
+	services        []string
+	servers         []*server
+	serverByAddress map[string]*server // the process at an address
+	slowUntil       map[*server]time.Duration
+	serverCount     int
+	addressCount    int
+	stableSince     time.Duration // from when the controllers have been without a fault for long enough
 }
 
-// networkState is what is on its way, and the links.
-type networkState struct {
+// clusterNetwork is what is on its way, and the links.
+type clusterNetwork struct {
 	network    []message
 	links      []*link
 	linkByEnds map[[2]int]*link
@@ -61,13 +61,13 @@
 // operatorAudit holds the operators, and what the auditor knows of their changes.
 type operatorAudit struct {
 	history          []consensus.Entry
-	writers          []*operatorState
-	ackTimes         []ackedAt
-	committedChanges map[string]force  // by call
-	versionAt        []uint64          // the version in force after each entry of the history
-	currentVersion   uint64            // after the last entry
-	acknowledgedBase map[uint64]string // by the version that it was built on, the call that was acknowledged
-	rejectedChanges  map[string]bool   // by call
+	operators        []*operatorState
+	acknowledgements []acknowledgement
+	committedChanges map[string]committedChange // by call
+	versionAt        []uint64                   // the version in force after each entry of the history
+	currentVersion   uint64                     // after the last entry
+	acknowledgedBase map[uint64]string          // by the version that it was built on, the call that was acknowledged
+	rejectedChanges  map[string]bool            // by call
 }
 
 // keyAudit counts the runs of keyed operations.
@@ -81,7 +81,7 @@
 type trafficAudit struct {
 	arrivalCounts   map[uint64]int // by request
 	runsByRequest   map[uint64]int
-	refused         map[uint64]bool
+	rejected        map[uint64]bool
 	attemptsReached map[*attemptState]bool
 	requestTimes    map[string][]time.Duration // by service
 	retryTimes      map[string][]time.Duration
@@ -94,35 +94,37 @@
 	admittedShares []int // of the booking, at each look
 }
 
-type ackedAt struct {
+type acknowledgement struct {
 	version uint64
-	at      time.Duration
+	ackedAt time.Duration
 }
 
-func newCluster(d Scenario) *cluster {
-	w := &cluster{scenario: d, rng: rand.New(rand.NewPCG(d.Seed, 13))}
-	w.processAt, w.slowed, w.linkByEnds = map[string]*server{}, map[*server]time.Duration{}, map[[2]int]*link{}
-	w.committedChanges, w.acknowledgedBase, w.rejectedChanges = map[string]force{}, map[uint64]string{}, map[string]bool{}
+func newCluster(scenario Scenario) *cluster {
+	w := &cluster{scenario: scenario, rng: rand.New(rand.NewPCG(scenario.Seed, 13))}
+	w.serverByAddress, w.slowUntil, w.linkByEnds = map[string]*server{}, map[*server]time.Duration{}, map[[2]int]*link{}
+	w.committedChanges, w.acknowledgedBase, w.rejectedChanges = map[string]committedChange{},
+		map[uint64]string{}, map[string]bool{}
 	w.runs, w.attempted = map[idempotency.Key]int{}, map[idempotency.Key]bool{}
-	w.trafficAudit = trafficAudit{arrivalCounts: map[uint64]int{}, runsByRequest: map[uint64]int{}, refused: map[uint64]bool{},
+	w.trafficAudit = trafficAudit{arrivalCounts: map[uint64]int{}, runsByRequest: map[uint64]int{}, rejected: map[uint64]bool{},
 		attemptsReached: map[*attemptState]bool{}, requestTimes: map[string][]time.Duration{},
 		retryTimes: map[string][]time.Duration{}, appliedVersions: map[[2]int]uint64{}}
-	w.membershipAudit = membershipAudit{removed: map[string]uint64{}, leaders: map[uint64]string{}, recoverBy: recoverWithin}
+	w.membershipAudit = membershipAudit{removed: map[string]uint64{}, leaders: map[uint64]string{},
+		recoveryDeadline: recoveryTimeout}
 	return w
 }
 
 // Run plays a scenario. A decider that panics ends it, as it would end its process.
-func Run(d Scenario) (result Result) {
-	w := newCluster(d)
+func Run(scenario Scenario) (result Result) {
+	w := newCluster(scenario)
 	defer func() {
 		if r := recover(); r != nil {
 			w.fail("FAULT: a decider ends: %v", r)
 			result = w.result
 		}
 	}()
-	w.setUp()
-	faults := slices.Clone(d.Faults)
-	for n := 0; w.now < d.Length && w.result.Violation == ""; n, w.now = n+1, w.now+tickLength {
+	w.initialize()
+	faults := slices.Clone(scenario.Faults)
+	for n := 0; w.now < scenario.Length && w.result.Violation == ""; n, w.now = n+1, w.now+tickInterval {
 		for len(faults) > 0 && faults[0].At <= w.now {
 			w.applyFault(faults[0])
 			faults = faults[1:]
@@ -135,45 +137,46 @@
 		w.tick()
 	}
 	w.auditBudget()
-	w.readBack()
+	w.auditFinalState()
 	w.auditEnd()
 	w.summarizeResult()
 	return w.result
 }
 
-// setUp puts everything in its place, as it is when a day begins.
-func (w *cluster) setUp() {
-	d := w.scenario
-	if d.MeasureLatency {
+// initialize puts everything in its place, as it is when a day begins.
+func (w *cluster) initialize() {
+	scenario := w.scenario
+	if scenario.MeasureLatency {
 		w.result.Latencies = []time.Duration{}
 	}
-	for i := range d.Members {
+	for i := range scenario.Members {
 		w.newController(i)
 	}
 	for _, n := range w.controllers {
-		w.machines = append(w.machines, n)
-		if d.Seeds == 0 {
-			n.bootstrap(slices.Clone(w.names))
+		w.positions = append(w.positions, n)
+		if scenario.Seeds == 0 {
+			n.bootstrap(slices.Clone(w.controllerNames))
 		} else {
 			n.awaitBootstrap()
 		}
 		w.startController(n)
 	}
-	for i := range d.Edges {
-		w.edges = append(w.edges, &edge{n: i, controller: i % d.Members, zones: d.Members, policyTurn: map[string]int{}})
-		w.restart(w.edges[i])
+	for i := range scenario.Edges {
+		w.edges = append(w.edges, &edge{number: i, controller: i % scenario.Members, zoneCount: scenario.Members,
+			roundRobinNext: map[string]int{}})
+		w.restartEdge(w.edges[i])
 	}
-	for i := range d.operatorCount() {
-		w.writers = append(w.writers, &operatorState{n: i})
+	for i := range scenario.operatorCount() {
+		w.operators = append(w.operators, &operatorState{number: i})
 	}
 	w.connectAll()
-	for i := range d.Services {
+	for i := range scenario.Services {
 		w.services = append(w.services, fmt.Sprint("service-", i))
 	}
-	for i := range d.Servers {
+	for i := range scenario.Servers {
 		if len(w.services) > 0 {
-			w.addresses++
-			w.addServer(w.services[i%len(w.services)], fmt.Sprint("a-", w.addresses), i%d.Members)
+			w.addressCount++
+			w.addServer(w.services[i%len(w.services)], fmt.Sprint("a-", w.addressCount), i%scenario.Members)
 		}
 	}
 }
@@ -181,7 +184,7 @@
 // tick lets every process act once.
 func (w *cluster) tick() {
 	for _, n := range w.controllers {
-		if w.running(n.n) {
+		if w.isRunning(n.number) {
 			w.tickController(n)
 		}
 	}
@@ -194,13 +197,13 @@
 		}
 		w.serveClients(e)
 		if len(w.services) > 0 {
-			w.arrivals(e)
-			w.report(e)
+			w.generateRequest(e)
+			w.sendReport(e)
 			w.updateGate(e)
-			w.sendHerd(e)
+			w.generateBookedTraffic(e)
 		}
 	}
-	for _, o := range w.writers {
+	for _, o := range w.operators {
 		w.tickOperator(o)
 	}
 	w.manageBooking()
@@ -210,7 +213,7 @@
 	}
 	w.auditRecovery()
 	if w.scenario.MeasureLatency {
-		w.weighIdle()
+		w.recordAvoidableWait()
 	}
 }
 
--- a/internal/simulation/controllers.go
+++ b/internal/simulation/controllers.go
@@ -17,17 +17,17 @@
 
 // controller is a controller's machine, with the process that runs on it.
 type controller struct {
-	n           int // its number
-	name        string
-	zone        int
-	incarnation int
-	disk        disk
-	queue       []write // that the disk has not done
-
-	machineFaults
-	consensusPart
-	claimPart
-	serverPart
+	number        int // its number
+	name          string
+	zone          int
+	incarnation   int
+	disk          disk
+	pendingWrites []write // that the disk has not done
+
+	controllerFaults
+	consensusState
+	claimState
+	serverState
 	reservations controllerReservations
 	shuttingDown bool
 	shutdown     shutdown
@@ -35,8 +35,8 @@
 	summaries    int
 }
 
-// machineFaults is what a machine suffers, and until when.
-type machineFaults struct {
+// controllerFaults is what a machine suffers, and until when.
+type controllerFaults struct {
 	downUntil        time.Duration
 	removed          bool          // for good, or until it comes back although it was replaced
 	outboundCutUntil time.Duration // nothing of it reaches other controllers
@@ -47,27 +47,27 @@
 	clockOffset      time.Duration // of its time of day
 }
 
-// consensusPart is the replica with its state, and who votes.
-type consensusPart struct {
-	identity        string
-	bootstrapVoters []string // as on the disk
-	replica         *consensus.Replica
-	membership      consensus.Membership // the newest that was applied
-	epoch           uint64               // of the newest that was applied durably
-	manager         membership.Manager
-	seenReplicas    map[string]membership.Controller // that were linked at some time
-	replicaStatuses map[int]replicaStatus            // of the controllers that are linked
-	retired         bool                             // voted out since the process started
-	state           *statemachine.StateMachine
-	proposals       map[uint64]waiter
-	reads           []read
-	delayedReads    []func()      // calls that came while the process stood still
-	leaseUntil      time.Duration // for a planted fault
-	saved           []byte        // the last snapshot but one, for a planted fault
+// consensusState is the replica with its state, and who votes.
+type consensusState struct {
+	identity         string
+	bootstrapVoters  []string // as on the disk
+	replica          *consensus.Replica
+	membership       consensus.Membership // the newest that was applied
+	epoch            uint64               // of the newest that was applied durably
+	manager          membership.Manager
+	seenReplicas     map[string]membership.Controller // that were linked at some time
+	replicaStatuses  map[int]replicaStatus            // of the controllers that are linked
+	retired          bool                             // voted out since the process started
+	state            *statemachine.StateMachine
+	proposals        map[uint64]pendingProposal
+	reads            []read
+	unreadCalls      []func()      // calls that came while the process stood still
+	leaseUntil       time.Duration // for a planted fault
+	previousSnapshot []byte        // the last snapshot but one, for a planted fault
 }
 
-// claimPart is the claim store and the coordinator.
-type claimPart struct {
+// claimState is the claim store and the coordinator.
+type claimState struct {
 	claimStore  *idempotency.Store
 	coordinator *idempotency.Coordinator
 	claims      map[idempotency.Token]func(idempotency.Outcome)
@@ -75,8 +75,8 @@
 	nextCopy    time.Duration
 }
 
-// serverPart is the register of servers and the weight tables.
-type serverPart struct {
+// serverState is the register of servers and the weight tables.
+type serverState struct {
 	tables           *weights.Tables
 	peerTraffic      map[int]weights.PeerTraffic // what other controllers' edges bring, as last told
 	registry         *registry.Registry
@@ -90,8 +90,8 @@
 
 // newController adds a machine with an empty disk. Wires to it are laid by the caller.
 func (w *cluster) newController(zone int) *controller {
-	n := &controller{n: len(w.controllers), name: fmt.Sprint("c", len(w.controllers)), zone: zone, disk: emptyDisk()}
-	w.controllers, w.names = append(w.controllers, n), append(w.names, n.name)
+	n := &controller{number: len(w.controllers), name: fmt.Sprint("c", len(w.controllers)), zone: zone, disk: emptyDisk()}
+	w.controllers, w.controllerNames = append(w.controllers, n), append(w.controllerNames, n.name)
 	return n
 }
 
@@ -119,26 +119,27 @@
 	n.disk = emptyDisk()
 	switch w.scenario.PlantedFault {
 	case "votes with an empty disk":
-		n.disk.identity, n.disk.founders, n.disk.blank = previous.identity, previous.founders, true
+		n.disk.identity, n.disk.bootstrapVoters, n.disk.recovering = previous.identity, previous.bootstrapVoters, true
 	case "an identity is used again":
-		n.disk.identity, n.disk.founders = previous.identity, previous.founders
+		n.disk.identity, n.disk.bootstrapVoters = previous.identity, previous.bootstrapVoters
 	case "grants with an empty disk":
-		w.identify(n)
-		n.disk.blank = false
+		w.ensureIdentity(n)
+		n.disk.recovering = false
 	}
 }
 
 // startController gives a controller's process what its disk held.
 func (w *cluster) startController(n *controller) {
-	w.identify(n)
-	w.join(n)
-	n.claimStore = idempotency.NewStore(window, n.disk.blank)
+	w.ensureIdentity(n)
+	w.startReplica(n)
+	n.claimStore = idempotency.NewStore(keyWindow, n.disk.recovering)
 	for _, r := range n.disk.records {
 		n.claimStore.Load(r, w.now)
 	}
 	n.coordinator = idempotency.NewCoordinator(nil, hedgeDelay, claimTimeout)
-	n.state, n.proposals, n.claims = statemachine.New(), map[uint64]waiter{}, map[idempotency.Token]func(idempotency.Outcome){}
-	n.shuttingDown, n.retired, n.reads, n.delayedReads, n.leaseUntil = false, false, nil, nil, 0
+	n.state, n.proposals, n.claims = statemachine.New(), map[uint64]pendingProposal{},
+		map[idempotency.Token]func(idempotency.Outcome){}
+	n.shuttingDown, n.retired, n.reads, n.unreadCalls, n.leaseUntil = false, false, nil, nil, 0
 	w.setStores(n)
 	n.registry = registry.New(90 * time.Second)
 	n.broadcaster, n.calls = broadcast.New(n.registry), map[uint64]func(){}
@@ -158,7 +159,7 @@
 	n.replica.Tick(w.now)
 	w.expireProposals(n)
 	w.chooseBootstrapVoters(n)
-	w.manage(n)
+	w.manageMembership(n)
 	w.processOutput(n)
 	w.completeReads(n)
 	w.auditLeader(n)
@@ -170,7 +171,7 @@
 	w.requestCopies(n)
 	n.broadcaster.Tick(w.now)
 	lost := func(owner string) bool {
-		since, gone := n.unreachableSince[slices.Index(w.names, owner)]
+		since, gone := n.unreachableSince[slices.Index(w.controllerNames, owner)]
 		return gone && w.now-since > 2500*time.Millisecond
 	}
 	if changed := n.registry.MarkTimedOut(n.name, lost, 5*heartbeatInterval/2, w.now); len(changed) > 0 {
@@ -180,7 +181,7 @@
 	w.pushWeights(n)
 	w.allocateReservations(n)
 	if w.now >= n.nextSummary {
-		n.nextSummary = w.now + summaryOf
+		n.nextSummary = w.now + summaryInterval
 		w.summarize(n)
 	}
 	w.continueShutdown(n)
--- a/internal/simulation/edges.go
+++ b/internal/simulation/edges.go
@@ -12,50 +12,51 @@
 
 // edge is one edge: its process's life and what that knows.
 type edge struct {
-	n, incarnation int
-	controller     int
-	pendingClaims  map[idempotency.Token]*claim
-	revocations    []revocation
+	number, incarnation int
+	controller          int
+	pendingClaims       map[idempotency.Token]*claim
+	revocations         []revocation
 
 	frozenUntil, cutUntil time.Duration
-	calmSince             time.Duration // from when it has been without trouble for long enough
+	stableSince           time.Duration // from when it has been without trouble for long enough
 	nextSearch            time.Duration
 	inContact             bool
 	version               uint64
 	registry              *registry.Registry
 	picker                *picker.Picker
 	budgets               map[string]*retrybudget.Budget
-	stats                 map[string]bool
-	zones                 int
-	policyTurn            map[string]int // of a policy that goes round
+	contacted             map[string]bool
+	zoneCount             int
+	roundRobinNext        map[string]int // of a policy that goes round
 	serviceRequests       map[string]int // requests for a service since the last report
 	nextReport            time.Duration  // when the next one is due
 	attachedAt            time.Duration  // at its controller
 	reservations          edgeReservations
-	withoutTable          map[string]time.Duration // services without a table, since when
+	withoutTableSince     map[string]time.Duration // services without a table, since when
 }
 
 type claim struct {
-	record    idempotency.Record
-	since     time.Duration
-	requested int
-	second    bool
+	record      idempotency.Record
+	startedAt   time.Duration
+	outstanding int
+	hedged      bool
 }
 
 type revocation struct {
-	record idempotency.Record
-	at     time.Duration
-	sentAt time.Duration
+	record    idempotency.Record
+	revokedAt time.Duration
+	sentAt    time.Duration
 }
 
-// restart gives an edge's process a new life.
-func (w *cluster) restart(e *edge) {
+// restartEdge gives an edge's process a new life.
+func (w *cluster) restartEdge(e *edge) {
 	e.incarnation++
 	e.pendingClaims, e.revocations = map[idempotency.Token]*claim{}, nil
-	e.registry, e.serviceRequests, e.withoutTable = registry.New(90*time.Second), map[string]int{}, map[string]time.Duration{}
+	e.registry, e.serviceRequests, e.withoutTableSince = registry.New(90*time.Second), map[string]int{},
+		map[string]time.Duration{}
 	e.reservations = edgeReservations{leases: reservation.LeaseHolder{Incarnation: uint64(e.incarnation)},
 		gate: reservation.NewAdmissionGate(), wanted: map[string]int{}}
 	e.attachedAt = w.now // as a new life, which holds nothing
 	e.picker = picker.New(zoneName(e.zone()), w.rng.Float64)
-	e.budgets, e.stats, e.version = map[string]*retrybudget.Budget{}, map[string]bool{}, 0
+	e.budgets, e.contacted, e.version = map[string]*retrybudget.Budget{}, map[string]bool{}, 0
 }
--- a/internal/simulation/explore.go
+++ b/internal/simulation/explore.go
@@ -18,34 +18,34 @@
 // are not gone through again.
 func Explore(b Bounds) ExploreResult {
 	seed := maphash.MakeSeed()
-	met := map[uint64]bool{}
-	var out ExploreResult
-	var walk func(way []string)
-	walk = func(way []string) {
-		if out.Violation != "" || out.States >= b.States {
-			out.Truncated = out.Truncated || out.Violation == ""
+	visited := map[uint64]bool{}
+	var result ExploreResult
+	var walk func(trace []string)
+	walk = func(trace []string) {
+		if result.Violation != "" || result.States >= b.States {
+			result.Truncated = result.Truncated || result.Violation == ""
 			return
 		}
 		s := newBoundedModel(b)
-		for _, c := range way {
-			s.do(c)
+		for _, c := range trace {
+			s.perform(c)
 		}
-		if s.Broken != "" {
-			out.Violation, out.Trace = s.Broken, slices.Clone(way)
+		if s.Violation != "" {
+			result.Violation, result.Trace = s.Violation, slices.Clone(trace)
 			return
 		}
 		f := fingerprint(seed, reflect.ValueOf(s))
-		if met[f] {
+		if visited[f] {
 			return
 		}
-		met[f] = true
-		out.States++
+		visited[f] = true
+		result.States++
 		for _, c := range s.choices() {
-			walk(append(slices.Clip(way), c))
+			walk(append(slices.Clip(trace), c))
 		}
 	}
 	walk(nil)
-	return out
+	return result
 }
 
 // fingerprint hashes a value with all that it holds, whatever is exported, and maps whatever their order.
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -2,109 +2,109 @@
 
 import "time"
 
-// contact is how long ago the last trouble has to be for what a rule bounds by time.
-const contact = 3 * time.Second
+// stabilizationTime is how long ago the last trouble has to be for what a rule bounds by time.
+const stabilizationTime = 3 * time.Second
 
-// isCalm tells whether the core is settled.
-func (w *cluster) isCalm() bool { return w.now >= w.calmSince }
+// isStable tells whether the core is settled.
+func (w *cluster) isStable() bool { return w.now >= w.stableSince }
 
 // applyFault lets something go wrong.
-func (w *cluster) applyFault(t Fault) {
-	switch t.Kind {
+func (w *cluster) applyFault(fault Fault) {
+	switch fault.Kind {
 	case Kill, Wipe, PowerAll, Partition, OutboundPartition, InboundPartition, SlowDisk, FullDisk, Freeze:
-		w.extendRecovery(w.now + t.Duration)
-		w.applyControllerFault(t, w.controllerAt(t.Node))
+		w.extendRecoveryDeadline(w.now + fault.Duration)
+		w.applyControllerFault(fault, w.controllerAt(fault.Node))
 	case Replace, ReplaceBack, StandbyFirst, StandbyAfter, Restart, JumpClock:
-		w.applyMembershipFault(t, w.controllerAt(t.Node))
+		w.applyMembershipFault(fault, w.controllerAt(fault.Node))
 	case KillEdge, PartitionEdge, FreezeEdge:
-		w.applyEdgeFault(t, w.edges[t.Node%len(w.edges)])
+		w.applyEdgeFault(fault, w.edges[fault.Node%len(w.edges)])
 	default:
 		if len(w.servers) > 0 {
-			w.applyServerFault(t)
+			w.applyServerFault(fault)
 		}
 	}
 }
 
-func (w *cluster) applyControllerFault(t Fault, n *controller) {
-	switch t.Kind {
+func (w *cluster) applyControllerFault(fault Fault, n *controller) {
+	switch fault.Kind {
 	case Kill:
-		w.stopController(n, t.Duration)
+		w.stopController(n, fault.Duration)
 	case Wipe:
-		w.wipeController(n, t.Duration)
+		w.wipeController(n, fault.Duration)
 	case PowerAll:
 		for _, n := range w.activeControllers() {
-			w.stopController(n, max(t.Duration, n.downUntil-w.now))
+			w.stopController(n, max(fault.Duration, n.downUntil-w.now))
 		}
 	case Partition:
-		n.outboundCutUntil, n.inboundCutUntil = w.now+t.Duration, w.now+t.Duration
+		n.outboundCutUntil, n.inboundCutUntil = w.now+fault.Duration, w.now+fault.Duration
 	case OutboundPartition:
-		n.outboundCutUntil = w.now + t.Duration
+		n.outboundCutUntil = w.now + fault.Duration
 	case InboundPartition:
-		n.inboundCutUntil = w.now + t.Duration
+		n.inboundCutUntil = w.now + fault.Duration
 	case Freeze:
-		n.frozenUntil = w.now + t.Duration
+		n.frozenUntil = w.now + fault.Duration
 	case SlowDisk:
-		n.slowDiskUntil = w.now + t.Duration
+		n.slowDiskUntil = w.now + fault.Duration
 	case FullDisk:
-		n.fullDiskUntil = w.now + t.Duration
+		n.fullDiskUntil = w.now + fault.Duration
 	}
 }
 
 // applyMembershipFault replaces a machine, or has it end in order.
-func (w *cluster) applyMembershipFault(t Fault, n *controller) {
-	switch t.Kind {
+func (w *cluster) applyMembershipFault(fault Fault, n *controller) {
+	switch fault.Kind {
 	case JumpClock:
-		n.clockOffset = t.Duration
+		n.clockOffset = fault.Duration
 	case Replace:
-		w.extendRecovery(w.now + t.Duration)
-		w.replaceAfter(t, n)
+		w.extendRecoveryDeadline(w.now + fault.Duration)
+		w.replaceAfter(fault, n)
 	case ReplaceBack:
-		w.extendRecovery(w.now + t.Duration + backAfter)
-		w.replaceAfter(t, n)
+		w.extendRecoveryDeadline(w.now + fault.Duration + returnDelay)
+		w.replaceAfter(fault, n)
 	case StandbyFirst, StandbyAfter, Restart:
-		w.extendRecovery(w.now + t.Duration + maxShutdown)
-		w.shutDownAndReplace(t, n)
+		w.extendRecoveryDeadline(w.now + fault.Duration + maxShutdown)
+		w.shutDownAndReplace(fault, n)
 	}
 }
 
-func (w *cluster) applyEdgeFault(t Fault, e *edge) {
-	e.calmSince = max(e.calmSince, w.now+t.Duration+contact)
-	switch t.Kind {
+func (w *cluster) applyEdgeFault(fault Fault, e *edge) {
+	e.stableSince = max(e.stableSince, w.now+fault.Duration+stabilizationTime)
+	switch fault.Kind {
 	case KillEdge:
-		w.restart(e)
+		w.restartEdge(e)
 	case PartitionEdge:
-		e.cutUntil = w.now + t.Duration
+		e.cutUntil = w.now + fault.Duration
 	case FreezeEdge:
-		e.frozenUntil = w.now + t.Duration
+		e.frozenUntil = w.now + fault.Duration
 	}
 }
 
-func (w *cluster) applyServerFault(t Fault) {
+func (w *cluster) applyServerFault(fault Fault) {
 	var alive []*server
 	for _, s := range w.servers {
-		if !s.ended && !s.draining {
+		if !s.stopped && !s.draining {
 			alive = append(alive, s)
 		}
 	}
 	if len(alive) == 0 {
 		return
 	}
-	s := alive[t.Node%len(alive)]
-	switch t.Kind {
+	s := alive[fault.Node%len(alive)]
+	switch fault.Kind {
 	case Drain:
 		w.drainServer(s)
 	case Crash:
-		w.endServer(s, t.Node%2 == 0)
+		w.endServer(s, fault.Node%2 == 0)
 	case LoseReplies:
-		s.losing = w.now + t.Duration
+		s.losesRepliesUntil = w.now + fault.Duration
 	case Garble:
-		s.garbling = w.now + t.Duration
+		s.garblesUntil = w.now + fault.Duration
 	case SlowServer:
-		w.slowed[s] = w.now + t.Duration
+		w.slowUntil[s] = w.now + fault.Duration
 	case FailingServer:
 		for _, o := range alive {
 			if o.service == s.service {
-				o.failing = w.now + 2*t.Duration
+				o.failsUntil = w.now + 2*fault.Duration
 			}
 		}
 	}
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -14,25 +14,25 @@
 
 // Spans of links and controllers, as the programs have them.
 const (
-	linkTimeout    = 800 * time.Millisecond
-	redial         = 300 * time.Millisecond
-	summaryOf      = 250 * time.Millisecond
-	fullOf         = 4 // summaries, of which one is full
-	searchInterval = 60 * time.Millisecond
+	linkTimeout      = 800 * time.Millisecond
+	redialDelay      = 300 * time.Millisecond
+	summaryInterval  = 250 * time.Millisecond
+	fullSummaryEvery = 4 // summaries, of which one is full
+	searchInterval   = 60 * time.Millisecond
 )
 
 // link is a connection between two processes: in order, and without loss while it holds. A cut holds its bytes up; one
 // that lasts for longer than silence breaks it, and so does the end of a process.
 type link struct {
-	a, b        int // b is a controller; a another one, or an edge
-	up          bool
-	lives       [2]int
-	mute        time.Duration // since when nothing passes
-	silentSince bool
-	redialAt    time.Duration // not made anew before
-	epoch       int
-	free        [2]time.Duration
-	digests     [2]peer.DigestComparison
+	a, b         int // b is a controller; a another one, or an edge
+	up           bool
+	incarnations [2]int
+	silentSince  time.Duration // since when nothing passes
+	silent       bool
+	redialAt     time.Duration // not made anew before
+	epoch        int
+	nextDelivery [2]time.Duration
+	digests      [2]peer.DigestComparison
 }
 
 func linkName(who int) string {
@@ -42,16 +42,16 @@
 	return fmt.Sprint("exchange ", who)
 }
 
-// running tells whether a process is up, and not standing still.
-func (w *cluster) running(who int) bool {
+// isRunning tells whether a process is up, and not standing still.
+func (w *cluster) isRunning(who int) bool {
 	if who < 0 {
 		return w.edges[-1-who].frozenUntil <= w.now
 	}
 	return w.controllers[who].downUntil <= w.now && w.controllers[who].frozenUntil <= w.now
 }
 
-// reachable tells whether bytes get from one process to another.
-func (w *cluster) reachable(a, b int) bool {
+// isReachable tells whether bytes get from one process to another.
+func (w *cluster) isReachable(a, b int) bool {
 	for _, who := range []int{a, b} {
 		if who < 0 && w.edges[-1-who].cutUntil > w.now || who >= 0 && w.controllers[who].downUntil > w.now {
 			return false
@@ -63,20 +63,20 @@
 // maintainLinks makes and breaks wires. It is called every few steps.
 func (w *cluster) maintainLinks() {
 	for _, k := range w.links {
-		alive := [2]int{w.incarnationOf(k.a), w.incarnationOf(k.b)}
-		passes := w.reachable(k.a, k.b) && w.reachable(k.b, k.a) && w.running(k.a) && w.running(k.b)
+		incarnations := [2]int{w.incarnationOf(k.a), w.incarnationOf(k.b)}
+		passes := w.isReachable(k.a, k.b) && w.isReachable(k.b, k.a) && w.isRunning(k.a) && w.isRunning(k.b)
 		wanted := k.a >= 0 || w.edges[-1-k.a].controller == k.b
 		switch {
-		case k.up && alive != k.lives, k.up && !wanted:
+		case k.up && incarnations != k.incarnations, k.up && !wanted:
 			w.breakLink(k)
 		case k.up && !passes:
-			if !k.silentSince {
-				k.silentSince, k.mute = true, w.now
-			} else if w.now-k.mute > linkTimeout {
+			if !k.silent {
+				k.silent, k.silentSince = true, w.now
+			} else if w.now-k.silentSince > linkTimeout {
 				w.breakLink(k)
 			}
 		case k.up:
-			k.silentSince = false
+			k.silent = false
 		case wanted && passes && w.now >= k.redialAt:
 			w.connect(k)
 		}
@@ -85,11 +85,11 @@
 
 // breakLink breaks a wire: both ends that still live hear of it.
 func (w *cluster) breakLink(k *link) {
-	k.up, k.redialAt = false, w.now+redial
+	k.up, k.redialAt = false, w.now+redialDelay
 	k.epoch++
 	for i, who := range []int{k.a, k.b} {
 		other := []int{k.b, k.a}[i]
-		if who >= 0 && w.incarnationOf(who) == k.lives[i] {
+		if who >= 0 && w.incarnationOf(who) == k.incarnations[i] {
 			n := w.controllers[who]
 			n.broadcaster.RemovePeer(linkName(other))
 			delete(n.peerTraffic, other)
@@ -108,9 +108,9 @@
 
 // connect makes a wire: each end sends what it knows, and then what changes.
 func (w *cluster) connect(k *link) {
-	k.up, k.silentSince, k.lives = true, false, [2]int{w.incarnationOf(k.a), w.incarnationOf(k.b)}
+	k.up, k.silent, k.incarnations = true, false, [2]int{w.incarnationOf(k.a), w.incarnationOf(k.b)}
 	k.epoch++
-	k.free = [2]time.Duration{}
+	k.nextDelivery = [2]time.Duration{}
 	for i, who := range []int{k.a, k.b} {
 		other := []int{k.b, k.a}[i]
 		if who < 0 {
@@ -125,8 +125,8 @@
 		delete(n.unreachableSince, other)
 		all, version := n.registry.All(w.now), n.state.Version()
 		if w.scenario.PlantedFault == "an edge takes any version" { // and its controller lags behind at first
-			if version = 0; n.disk.snap.Index > 0 {
-				version = w.versionAt[n.disk.snap.Index-1]
+			if version = 0; n.disk.snapshot.Index > 0 {
+				version = w.versionAt[n.disk.snapshot.Index-1]
 			}
 		}
 		if other < 0 {
@@ -147,14 +147,14 @@
 
 // sendOnLink sends over a wire.
 func (w *cluster) sendOnLink(k *link, from int, do func()) {
-	servers := 0
+	direction := 0
 	if from == k.b {
-		servers = 1
+		direction = 1
 	}
-	at := max(k.free[servers], w.now+time.Duration(1+w.rng.IntN(5))*time.Millisecond)
-	k.free[servers] = at
+	at := max(k.nextDelivery[direction], w.now+time.Duration(1+w.rng.IntN(5))*time.Millisecond)
+	k.nextDelivery[direction] = at
 	to := k.a + k.b - from
-	w.network = append(w.network, message{at: at, from: from, to: to,
+	w.network = append(w.network, message{deliverAt: at, from: from, to: to,
 		incarnations: [2]int{w.incarnationOf(from), w.incarnationOf(to)}, deliver: do, link: k, epoch: k.epoch})
 }
 
@@ -190,13 +190,13 @@
 	}
 	for _, message := range out.Messages {
 		to := parseLinkName(message.To)
-		k := w.linkBetween(n.n, to)
+		k := w.linkBetween(n.number, to)
 		switch {
 		case k == nil:
 		case to >= 0:
-			w.sendOnLink(k, n.n, func() { w.receiveUpdate(w.controllers[to], n, message) })
+			w.sendOnLink(k, n.number, func() { w.receiveUpdate(w.controllers[to], n, message) })
 		default:
-			w.sendOnLink(k, n.n, func() {
+			w.sendOnLink(k, n.number, func() {
 				w.updateEdgeServers(w.edges[-1-to], message.Entries)
 				if message.AckID != 0 {
 					w.sendOnLink(k, to, func() {
@@ -218,9 +218,9 @@
 // receiveUpdate takes another controller's message on servers.
 func (w *cluster) receiveUpdate(n, from *controller, message broadcast.Message) {
 	if message.Acked != 0 {
-		n.broadcaster.HandleAck(linkName(from.n), message.Acked)
+		n.broadcaster.HandleAck(linkName(from.number), message.Acked)
 	}
-	w.applyUpdate(n, from.n, message.Entries, message.AckID)
+	w.applyUpdate(n, from.number, message.Entries, message.AckID)
 }
 
 // parseLinkName is the reverse of linkName.
@@ -242,31 +242,31 @@
 	inContact bool
 	digest    uint64 // of the registry
 	links     []string
-	wall      float64
+	wallClock float64
 	traffic   weights.PeerTraffic
 }
 
 // summarize sends a controller's summary on all its links.
 func (w *cluster) summarize(n *controller) {
 	n.summaries++
-	sent := summary{full: n.summaries%fullOf == 0, inContact: n.replica.HasQuorumContact(w.now) && !n.shuttingDown,
-		digest: n.registry.Digest(), wall: w.wallOf(n)}
+	sent := summary{full: n.summaries%fullSummaryEvery == 0, inContact: n.replica.HasQuorumContact(w.now) && !n.shuttingDown,
+		digest: n.registry.Digest(), wallClock: w.wallClock(n)}
 	for _, k := range w.links {
-		if k.up && k.a >= 0 && (k.a == n.n || k.b == n.n) {
-			sent.links = append(sent.links, linkName(k.a+k.b-n.n))
+		if k.up && k.a >= 0 && (k.a == n.number || k.b == n.number) {
+			sent.links = append(sent.links, linkName(k.a+k.b-n.number))
 		}
 	}
-	n.reservations.clock.Observe(n.name, sent.wall, w.now)
+	n.reservations.clock.Observe(n.name, sent.wallClock, w.now)
 	sent.traffic = weights.PeerTraffic{TrafficByZone: n.tables.OwnTraffic()}
 	for _, k := range w.links {
-		sent.traffic.Edges += oneIf[k.up && k.a < 0 && k.b == n.n]
+		sent.traffic.Edges += oneIf[k.up && k.a < 0 && k.b == n.number]
 	}
 	for _, k := range w.links {
-		if !k.up || k.a != n.n && k.b != n.n {
+		if !k.up || k.a != n.number && k.b != n.number {
 			continue
 		}
-		other := k.a + k.b - n.n
-		w.sendOnLink(k, n.n, func() {
+		other := k.a + k.b - n.number
+		w.sendOnLink(k, n.number, func() {
 			if other >= 0 {
 				w.receiveSummary(w.controllers[other], n, k, sent)
 			} else {
@@ -281,18 +281,18 @@
 	if !sent.full {
 		return
 	}
-	to.peerTraffic[from.n] = sent.traffic
-	to.reservations.clock.Observe(from.name, sent.wall, w.now)
-	to.broadcaster.SetPeerLinks(linkName(from.n), sent.links)
-	if k.digests[oneIf[to.n == k.b]].Due(sent.digest, to.registry.Digest(), w.now) {
-		w.compare(k, to.n, from.n, &peer.Digests{ByZone: to.registry.ZoneDigests()})
+	to.peerTraffic[from.number] = sent.traffic
+	to.reservations.clock.Observe(from.name, sent.wallClock, w.now)
+	to.broadcaster.SetPeerLinks(linkName(from.number), sent.links)
+	if k.digests[oneIf[to.number == k.b]].Due(sent.digest, to.registry.Digest(), w.now) {
+		w.compareDigests(k, to.number, from.number, &peer.Digests{ByZone: to.registry.ZoneDigests()})
 	}
 }
 
 // receiveSummaryAtEdge is a summary that comes to an edge. One whose controller is not in contact looks for another.
 func (w *cluster) receiveSummaryAtEdge(e *edge, from *controller, k *link, sent summary) {
 	if w.scenario.Policy == "" {
-		e.picker.AssignSlots(w.zoneEdges(e.zone()), uint32(e.n))
+		e.picker.AssignSlots(w.zoneEdges(e.zone()), uint32(e.number))
 	}
 	e.inContact = sent.inContact
 	if !sent.inContact && w.now > e.nextSearch {
@@ -303,25 +303,25 @@
 		}
 	}
 	if sent.full && k.digests[0].Due(sent.digest, e.registry.Digest(), w.now) {
-		w.compare(k, -1-e.n, from.n, &peer.Digests{ByZone: e.registry.ZoneDigests()})
+		w.compareDigests(k, -1-e.number, from.number, &peer.Digests{ByZone: e.registry.ZoneDigests()})
 	}
 }
 
 // zone is where an edge stands.
-func (e *edge) zone() int { return e.n % e.zones }
+func (e *edge) zone() int { return e.number % e.zoneCount }
 
 // zoneEdges is the edges of a zone, as the controllers that are in touch know them.
 func (w *cluster) zoneEdges(zone int) (all []uint32) {
 	for _, e := range w.edges {
 		if e.zone() == zone && e.controller != nowhere {
-			all = append(all, uint32(e.n))
+			all = append(all, uint32(e.number))
 		}
 	}
 	return all
 }
 
-// compare carries one step of comparing cells.
-func (w *cluster) compare(k *link, from, to int, digests *peer.Digests) {
+// compareDigests carries one step of comparing cells.
+func (w *cluster) compareDigests(k *link, from, to int, digests *peer.Digests) {
 	w.sendOnLink(k, from, func() {
 		servers := w.registryOf(to)
 		reply := digests.Compare(servers, w.now)
@@ -361,12 +361,12 @@
 func (w *cluster) bestController(e *edge) int {
 	best, score := nowhere, -1
 	for i := range w.controllers {
-		n := w.controllers[(e.n+i)%len(w.controllers)]
-		if !w.reachable(-1-e.n, n.n) || !w.running(n.n) {
+		n := w.controllers[(e.number+i)%len(w.controllers)]
+		if !w.isReachable(-1-e.number, n.number) || !w.isRunning(n.number) {
 			continue
 		}
 		if s := 1 + oneIf[n.replica.HasQuorumContact(w.now) && !n.shuttingDown]; s > score {
-			best, score = n.n, s
+			best, score = n.number, s
 		}
 	}
 	return best
@@ -387,8 +387,8 @@
 
 // connectController lays wires from a new controller to all that are there.
 func (w *cluster) connectController(n *controller) {
-	for a := -len(w.edges); a < n.n; a++ {
-		w.addLink(a, n.n)
+	for a := -len(w.edges); a < n.number; a++ {
+		w.addLink(a, n.number)
 	}
 }
 
--- a/internal/simulation/membership.go
+++ b/internal/simulation/membership.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	copyEvery   = 200 * time.Millisecond // between two requests for the claims of other stores
-	caughtUpLag = 16                     // entries by which a controller may lag and still count as level with the log
+	copyInterval   = 200 * time.Millisecond // between two requests for the claims of other stores
+	maxCaughtUpLag = 16                     // entries by which a controller may lag and still count as level with the log
 )
 
 // replicaStatus is what a controller says of its part in the consensus.
@@ -22,24 +22,24 @@
 	ready, leaving bool
 }
 
-// identify gives a disk that has no identity yet its own, before anything else is written to it.
-func (w *cluster) identify(n *controller) {
+// ensureIdentity gives a disk that has no identity yet its own, before anything else is written to it.
+func (w *cluster) ensureIdentity(n *controller) {
 	if n.disk.identity == "" {
-		n.disk.identity, n.disk.blank = membership.Identity(n.name, w.rng.Uint64()|1), true
+		n.disk.identity, n.disk.recovering = membership.Identity(n.name, w.rng.Uint64()|1), true
 	}
 }
 
-// join starts a controller's part in the consensus, with what its disk held.
-func (w *cluster) join(n *controller) {
+// startReplica starts a controller's part in the consensus, with what its disk held.
+func (w *cluster) startReplica(n *controller) {
 	d := &n.disk
 	started := consensus.Membership{}
-	if len(d.founders) > 0 {
-		started = consensus.Membership{Epoch: 1, Voters: d.founders}
+	if len(d.bootstrapVoters) > 0 {
+		started = consensus.Membership{Epoch: 1, Voters: d.bootstrapVoters}
 	}
-	n.identity, n.bootstrapVoters = d.identity, d.founders
+	n.identity, n.bootstrapVoters = d.identity, d.bootstrapVoters
 	n.replica = consensus.New(consensus.Config{ID: n.identity, Timing: timing, Seed: w.rng.Uint64(), Membership: started,
-		HardState: d.hard,
-		Snapshot:  d.snap, Log: slices.Clone(d.log), Now: w.now})
+		HardState: d.hardState,
+		Snapshot:  d.snapshot, Log: slices.Clone(d.log), Now: w.now})
 	if n.membership = d.membership; n.membership.Epoch == 0 {
 		n.membership = started
 	}
@@ -56,7 +56,7 @@
 	}
 	previous := n.membership
 	n.membership = m
-	drawn := "" // the next identity of a replica that is voted out
+	newIdentity := "" // the next identity of a replica that is voted out
 	retired := previous.Contains(n.identity) && !m.Contains(n.identity)
 	switch {
 	case retired && w.scenario.PlantedFault == "a retired identity is kept", retired &&
@@ -65,20 +65,20 @@
 	case retired:
 		n.claimStore.BeginRecovery()
 		n.retired = true
-		drawn = membership.Identity(n.name, w.rng.Uint64()|1)
+		newIdentity = membership.Identity(n.name, w.rng.Uint64()|1)
 	case m.Contains(n.identity) && n.claimStore.Recovering():
 		n.copiedFrom, n.nextCopy = map[string]bool{}, 0
 		w.finishRecoveryOfBootstrapVoter(n)
 	}
-	w.persistSurely(n, func(d *disk) {
+	w.persistRetrying(n, func(d *disk) {
 		if d.membership = m; retired {
-			d.identity, d.blank = drawn, true
+			d.identity, d.recovering = newIdentity, true
 		}
 	}, func() {
 		n.epoch = max(n.epoch, m.Epoch)
-		if drawn != "" {
-			n.identity = drawn
-			n.replica.SetID(drawn)
+		if newIdentity != "" {
+			n.identity = newIdentity
+			n.replica.SetID(newIdentity)
 		}
 		w.announceStatus(n)
 	})
@@ -105,24 +105,24 @@
 // announceStatus tells all linked controllers of this one's part.
 func (w *cluster) announceStatus(n *controller) {
 	for _, k := range w.links {
-		if k.up && k.a >= 0 && (k.a == n.n || k.b == n.n) {
+		if k.up && k.a >= 0 && (k.a == n.number || k.b == n.number) {
 			w.sendStatus(n, k)
 		}
 	}
 }
 
 func (w *cluster) sendStatus(n *controller, k *link) {
-	s, to := n.replicaStatus(), w.controllers[k.a+k.b-n.n]
-	w.sendOnLink(k, n.n, func() { w.handleStatus(to, n, s) })
+	s, to := n.replicaStatus(), w.controllers[k.a+k.b-n.number]
+	w.sendOnLink(k, n.number, func() { w.handleStatus(to, n, s) })
 }
 
 // handleStatus takes a controller's word. Another identity at its address means that its disk was lost, or that it was
 // voted out: what it granted to claims that are still open is not relied on.
 func (w *cluster) handleStatus(n, from *controller, s replicaStatus) {
-	if previous, linked := n.replicaStatuses[from.n]; linked && previous.identity != s.identity {
+	if previous, linked := n.replicaStatuses[from.number]; linked && previous.identity != s.identity {
 		w.forgetGrants(n, previous.identity)
 	}
-	n.replicaStatuses[from.n] = s
+	n.replicaStatuses[from.number] = s
 	for _, id := range slices.Sorted(maps.Keys(n.seenReplicas)) {
 		if membership.Address(id) == from.name && id != s.identity {
 			w.forgetGrants(n, id)
@@ -139,15 +139,15 @@
 
 // replicaAt finds the linked controller that runs a replica; nil while another one, or none, runs at its address.
 func (w *cluster) replicaAt(n *controller, identity string) *controller {
-	at := slices.Index(w.names, membership.Address(identity))
+	at := slices.Index(w.controllerNames, membership.Address(identity))
 	if s, linked := n.replicaStatuses[at]; linked && s.identity == identity {
 		return w.controllers[at]
 	}
 	return nil
 }
 
-// manage lets a leader change the membership.
-func (w *cluster) manage(n *controller) {
+// manageMembership lets a leader change the membership.
+func (w *cluster) manageMembership(n *controller) {
 	var linked []string
 	for _, s := range n.replicaStatuses {
 		linked = append(linked, s.identity)
@@ -157,15 +157,15 @@
 	if n.replica.Role() != consensus.Leader {
 		return
 	}
-	switch d := n.manager.Decide(w.view(n), w.now); d.Action {
+	switch decision := n.manager.Decide(w.view(n), w.now); decision.Action {
 	case membership.ActionBegin:
-		_ = n.replica.BeginChange(d.Next, w.now) // an error: it may not begin yet
+		_ = n.replica.BeginChange(decision.Next, w.now) // an error: it may not begin yet
 	case membership.ActionAdopt:
 		_ = n.replica.AdoptChange(w.now) // an error: it may not end yet
 	case membership.ActionAbandon:
 		_ = n.replica.AbandonChange(w.now) // an error: it may not end yet
 	case membership.ActionTransferLeadership:
-		n.replica.TransferLeadership(d.To, w.now)
+		n.replica.TransferLeadership(decision.To, w.now)
 	}
 }
 
@@ -178,16 +178,16 @@
 		Connected: true, CaughtUp: true,
 		ShuttingDown: own.leaving, Epoch: own.epoch, Ready: own.ready})
 	for _, id := range slices.Sorted(maps.Keys(n.seenReplicas)) {
-		met := n.seenReplicas[id]
+		controller := n.seenReplicas[id]
 		if p := w.replicaAt(n, id); p != nil {
-			s := n.replicaStatuses[p.n]
-			met.Connected, met.ShuttingDown, met.Epoch, met.Ready = true, s.leaving, s.epoch, s.ready
+			s := n.replicaStatuses[p.number]
+			controller.Connected, controller.ShuttingDown, controller.Epoch, controller.Ready = true, s.leaving, s.epoch, s.ready
 			match, _, known := n.replica.Match(id)
-			met.CaughtUp = known && match+caughtUpLag >= n.replica.CommitIndex()
+			controller.CaughtUp = known && match+maxCaughtUpLag >= n.replica.CommitIndex()
 		} else if !v.Membership.Contains(id) {
 			continue
 		}
-		v.Controllers = append(v.Controllers, met)
+		v.Controllers = append(v.Controllers, controller)
 	}
 	return v
 }
@@ -203,11 +203,11 @@
 	if !n.mustCopy() || w.now < n.nextCopy {
 		return
 	}
-	n.nextCopy = w.now + copyEvery
+	n.nextCopy = w.now + copyInterval
 	epoch := n.membership.Epoch
 	for _, id := range n.membership.Voters {
 		if from := w.replicaAt(n, id); from != nil && !n.copiedFrom[id] {
-			w.send(n.n, from.n, func() { w.sendCopy(from, n, epoch) })
+			w.send(n.number, from.number, func() { w.sendCopy(from, n, epoch) })
 		}
 	}
 }
@@ -224,7 +224,7 @@
 	n.claimStore.EachClaim(func(r idempotency.Record) { all = append(all, r) })
 	sortRecords(all)
 	from := n.identity
-	w.send(n.n, to.n, func() { w.importCopy(to, from, all, epoch) })
+	w.send(n.number, to.number, func() { w.importCopy(to, from, all, epoch) })
 }
 
 func sortRecords(all []idempotency.Record) {
@@ -240,13 +240,13 @@
 	for i, r := range all {
 		records[i] = n.claimStore.Import(r, w.now)
 	}
-	w.persistSurely(n, func(d *disk) { d.records = append(d.records, records...) }, func() {})
+	w.persistRetrying(n, func(d *disk) { d.records = append(d.records, records...) }, func() {})
 	n.copiedFrom[from] = true
 	previous := consensus.Membership{Voters: n.membership.Voters}
 	if !previous.HasQuorum(func(id string) bool { return n.copiedFrom[id] }) && w.scenario.PlantedFault != "restored from one" {
 		return
 	}
-	w.persistSurely(n, func(d *disk) { d.blank = false }, func() {
+	w.persistRetrying(n, func(d *disk) { d.recovering = false }, func() {
 		if n.membership.Epoch != epoch || !n.claimStore.Recovering() {
 			return // the change is over meanwhile, or this was said before
 		}
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -4,7 +4,7 @@
 
 // message is a message on its way. It is lost with the life of either end.
 type message struct {
-	at                 time.Duration
+	deliverAt          time.Duration
 	from, to           int // controllers; edges are -1 - number
 	incarnations       [2]int
 	deliver            func()
@@ -16,7 +16,7 @@
 
 // scheduleMillis has something happen some milliseconds from now.
 func (w *cluster) scheduleMillis(ms int, do func()) {
-	w.network = append(w.network, message{at: w.now + time.Duration(ms)*time.Millisecond, deliver: do, scheduled: true})
+	w.network = append(w.network, message{deliverAt: w.now + time.Duration(ms)*time.Millisecond, deliver: do, scheduled: true})
 }
 
 func (w *cluster) incarnationOf(who int) int {
@@ -31,7 +31,7 @@
 	if w.rng.IntN(40) == 0 {
 		return
 	}
-	w.network = append(w.network, message{at: w.now + time.Duration(1+w.rng.IntN(9))*time.Millisecond, from: from, to: to,
+	w.network = append(w.network, message{deliverAt: w.now + time.Duration(1+w.rng.IntN(9))*time.Millisecond, from: from, to: to,
 		incarnations: [2]int{w.incarnationOf(from), w.incarnationOf(to)}, deliver: do, betweenControllers: from >= 0 && to >= 0})
 }
 
@@ -40,7 +40,7 @@
 	w.network = nil
 	var kept []message
 	for _, l := range pending {
-		if l.at > w.now {
+		if l.deliverAt > w.now {
 			kept = append(kept, l)
 			continue
 		}
@@ -52,7 +52,7 @@
 		switch {
 		case w.incarnationOf(l.from) != l.incarnations[0] || w.incarnationOf(l.to) != l.incarnations[1]:
 		case l.link != nil && (!l.link.up || l.link.epoch != l.epoch):
-		case l.link != nil && !w.reachable(l.from, l.to), !w.running(l.to) &&
+		case l.link != nil && !w.isReachable(l.from, l.to), !w.isRunning(l.to) &&
 			(l.to < 0 || w.controllers[l.to].downUntil <= w.now):
 			kept = append(kept, l) // held up by a cut, or unread by a process that stands still
 		case l.to >= 0 && w.controllers[l.to].downUntil > w.now:
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	resendAfter  = time.Second
-	retryPause   = 200 * time.Millisecond
-	maxRedirects = 2
-	callOver     = 1500 * time.Millisecond
-	maxNames     = 4 // that changes add or replace
+	resendInterval = time.Second
+	retryDelay     = 200 * time.Millisecond
+	maxRedirects   = 2
+	callTimeout    = 1500 * time.Millisecond
+	serviceNames   = 4 // that changes add or replace
 )
 
 // operatorState is an operator: it reads the version in force, from whoever says so, and puts a change on top of it. Without a
 // clear answer it makes the same call again, at any controller.
 type operatorState struct {
-	n     int
-	call  *call
-	calls int
+	number int
+	call   *call
+	calls  int
 }
 
 // call is one change that an operator asks for.
@@ -36,26 +36,26 @@
 	version  uint64
 	at       int
 	resendAt time.Duration // when it is made once more
-	over     bool
+	finished bool
 	repeated bool // although it was acknowledged
 }
 
-// waiter is a call that waits for its entry.
-type waiter struct {
-	term   uint64
-	until  time.Duration
-	answer func(err error)
+// pendingProposal is a call that waits for its entry.
+type pendingProposal struct {
+	term     uint64
+	deadline time.Duration
+	respond  func(err error)
 }
 
-// force is a change that came into force, by the auditor's reading of the history alone.
-type force struct{ base, version uint64 }
+// committedChange is a change that came into force, by the auditor's reading of the history alone.
+type committedChange struct{ base, version uint64 }
 
 // tickOperator lets an operator act.
 func (w *cluster) tickOperator(o *operatorState) {
 	if c := o.call; c != nil {
 		if w.now >= c.resendAt {
-			c.resendAt = w.now + resendAfter
-			c.at = w.following(c.at)
+			c.resendAt = w.now + resendInterval
+			c.at = w.nextController(c.at)
 			w.sendChange(o, c, c.at, maxRedirects)
 		}
 		return
@@ -64,13 +64,13 @@
 		return
 	}
 	from := w.controllers[w.anyController()]
-	if !w.running(from.n) {
+	if !w.isRunning(from.number) {
 		return
 	}
 	base := from.state.Version()
 	o.calls++
 	c := &call{version: base + 1 + uint64(w.rng.IntN(4)), at: w.anyController()}
-	item := fmt.Sprintf(`{"name":"s-%d","health_path":"/%d/%d"}`, w.rng.IntN(maxNames), o.n, o.calls)
+	item := fmt.Sprintf(`{"name":"s-%d","health_path":"/%d/%d"}`, w.rng.IntN(serviceNames), o.number, o.calls)
 	switch {
 	case base == 0 || w.rng.IntN(4) == 0:
 		c.change = statemachine.Change{Base: base, Body: fmt.Appendf(nil,
@@ -86,7 +86,7 @@
 	if err != nil {
 		panic(err) // plain numbers and bytes
 	}
-	c.data, c.resendAt, o.call = data, w.now+resendAfter, c
+	c.data, c.resendAt, o.call = data, w.now+resendInterval, c
 	w.sendChange(o, c, c.at, maxRedirects)
 }
 
@@ -94,18 +94,18 @@
 func (w *cluster) sendChange(o *operatorState, c *call, address, redirects int) {
 	w.scheduleMillis(1+w.rng.IntN(5), func() {
 		n := w.controllers[address]
-		if !w.running(address) || c.over {
+		if !w.isRunning(address) || c.finished {
 			return
 		}
 		if n.replica.Role() == consensus.Leader {
 			w.proposeChange(o, c, n)
 			return
 		}
-		leader := slices.Index(w.names, membership.Address(n.replica.Leader()))
+		leader := slices.Index(w.controllerNames, membership.Address(n.replica.Leader()))
 		if leader >= 0 && leader != address && redirects > 0 {
 			w.sendChange(o, c, leader, redirects-1)
 		} else {
-			c.resendAt = min(c.resendAt, w.now+retryPause)
+			c.resendAt = min(c.resendAt, w.now+retryDelay)
 		}
 	})
 }
@@ -127,13 +127,13 @@
 		}
 	}
 	index, term, _ := n.replica.Propose(c.data, w.now)
-	n.proposals[index] = waiter{term, w.now + callOver, respond}
+	n.proposals[index] = pendingProposal{term, w.now + callTimeout, respond}
 	w.processOutput(n)
 }
 
 // handleChangeReply is what an operator hears; only a clear answer ends a call.
 func (w *cluster) handleChangeReply(o *operatorState, c *call, err error) {
-	if c.over {
+	if c.finished {
 		return
 	}
 	status := 200
@@ -141,17 +141,17 @@
 		status = apierror.For(err).Status
 	}
 	if status >= 500 {
-		c.resendAt = min(c.resendAt, w.now+retryPause)
+		c.resendAt = min(c.resendAt, w.now+retryDelay)
 		return
 	}
 	if c.repeated {
 		w.result.Retries++
-		if c.over = true; status != 200 {
+		if c.finished = true; status != 200 {
 			w.fail("AGAIN: an order to r%d was acknowledged, and is refused with %d when it comes again", c.version, status)
 		}
 		return
 	}
-	c.over, o.call = true, nil
+	c.finished, o.call = true, nil
 	if status != 200 {
 		w.rejectedChanges[string(c.data)] = true
 		if position, committed := w.committedChanges[string(c.data)]; committed {
@@ -168,8 +168,9 @@
 		w.fail("CONFIG: two changes on r%d are both acknowledged", position.base)
 	}
 	w.acknowledgedBase[position.base] = string(c.data)
-	w.ackTimes = append(w.ackTimes, ackedAt{position.version, w.now})
-	w.membershipAudit.newest, w.membershipAudit.lastOrder = max(w.membershipAudit.newest, position.version), w.now
+	w.acknowledgements = append(w.acknowledgements, acknowledgement{position.version, w.now})
+	w.membershipAudit.newestVersion, w.membershipAudit.lastChangeAt = max(w.membershipAudit.newestVersion, position.version),
+		w.now
 	w.resendChange(o, c)
 }
 
@@ -180,7 +181,7 @@
 		return
 	}
 	w.scheduleAfter(time.Duration(w.rng.IntN(8000))*time.Millisecond, func() {
-		repeated := &call{data: c.data, change: c.change, version: c.version, resendAt: forGood, repeated: true}
+		repeated := &call{data: c.data, change: c.change, version: c.version, resendAt: forever, repeated: true}
 		w.sendChange(o, repeated, w.anyController(), maxRedirects)
 	})
 }
@@ -197,9 +198,10 @@
 			w.auditMembership(e)
 		}
 	default:
-		have := w.history[at-1]
-		same := (have.Membership == nil) == (e.Membership == nil) && (e.Membership == nil || have.Membership.Equal(*e.Membership))
-		if have.Term != e.Term || string(have.Data) != string(e.Data) || !same {
+		recorded := w.history[at-1]
+		same := (recorded.Membership == nil) == (e.Membership == nil) &&
+			(e.Membership == nil || recorded.Membership.Equal(*e.Membership))
+		if recorded.Term != e.Term || string(recorded.Data) != string(e.Data) || !same {
 			w.fail("CONFIG: %s holds another change at %d", n.name, at)
 		}
 	}
@@ -224,7 +226,7 @@
 	if _, known := w.committedChanges[data]; known || c.Base != w.currentVersion || version <= w.currentVersion {
 		return
 	}
-	w.committedChanges[data] = force{c.Base, version}
+	w.committedChanges[data] = committedChange{c.Base, version}
 	w.currentVersion = version
 	if w.rejectedChanges[data] {
 		w.fail("CONFIG: a change to r%d was refused and comes into force", version)
@@ -240,9 +242,9 @@
 			e.Data, _ = cbor.Marshal(c)
 		}
 	}
-	had := len(n.state.Bookings.Active)
+	bookingsBefore := len(n.state.Bookings.Active)
 	_, err := n.state.Apply(e)
-	if len(n.state.Bookings.Active) < had {
+	if len(n.state.Bookings.Active) < bookingsBefore {
 		w.fail("LOST: a booking is gone from %s", n.name)
 	}
 	if w.scenario.PlantedFault == "calls are forgotten" {
@@ -256,22 +258,23 @@
 		if wait.term != e.Term {
 			err = apierror.Unconfirmed.New("another change took its place")
 		}
-		wait.answer(err)
+		wait.respond(err)
 	}
 }
 
-// readBack holds what the leader holds when the day is over against what was acknowledged.
-func (w *cluster) readBack() {
+// auditFinalState holds what the leader holds when the day is over against what was acknowledged.
+func (w *cluster) auditFinalState() {
 	for _, n := range w.controllers {
-		if !w.running(n.n) {
+		if !w.isRunning(n.number) {
 			continue
 		}
 		if n.replica.Role() == consensus.Leader && n.replica.HasQuorumContact(w.now) && w.bookingAcked &&
 			len(n.state.Bookings.Active) == 0 {
 			w.fail("LOST: a booking was acknowledged and %s, which leads, has none", n.name)
 		}
-		if n.replica.Role() == consensus.Leader && n.replica.HasQuorumContact(w.now) && len(w.ackTimes) > 0 {
-			if newest := w.ackTimes[len(w.ackTimes)-1]; n.state.Version() < newest.version && w.now-newest.at > contact {
+		if n.replica.Role() == consensus.Leader && n.replica.HasQuorumContact(w.now) && len(w.acknowledgements) > 0 {
+			if newest := w.acknowledgements[len(w.acknowledgements)-1]; n.state.Version() < newest.version &&
+				w.now-newest.ackedAt > stabilizationTime {
 				w.fail("LOST: r%d is read back, r%d was acknowledged", n.state.Version(), newest.version)
 			}
 		}
@@ -281,9 +284,9 @@
 // expireProposals answers calls that waited for too long.
 func (w *cluster) expireProposals(n *controller) {
 	for _, index := range sortedKeys(n.proposals) {
-		if wait := n.proposals[index]; w.now > wait.until || n.replica.Role() != consensus.Leader {
+		if wait := n.proposals[index]; w.now > wait.deadline || n.replica.Role() != consensus.Leader {
 			delete(n.proposals, index)
-			wait.answer(apierror.Unconfirmed.New("no agreement in time"))
+			wait.respond(apierror.Unconfirmed.New("no agreement in time"))
 		}
 	}
 }
--- a/internal/simulation/policies.go
+++ b/internal/simulation/policies.go
@@ -10,73 +10,73 @@
 // Policies by which edges can pick, beside their own: what is common in the field, and one that sees what nobody can.
 var Policies = []string{"", "tables", "round robin", "least outstanding", "two choices", "oracle"}
 
-// pick chooses a server for a request.
-func (w *cluster) pick(e *edge, q *request) *picker.Upstream {
-	not := func(u *picker.Upstream) bool { return slices.Contains(q.tried, u) }
+// pickServer chooses a server for a request.
+func (w *cluster) pickServer(e *edge, q *request) *picker.Upstream {
+	excluded := func(u *picker.Upstream) bool { return slices.Contains(q.tried, u) }
 	if w.scenario.Policy == "" || w.scenario.Policy == "tables" { // the latter without parts: nothing is dealt
-		return e.picker.Pick(q.service, not, w.now)
+		return e.picker.Pick(q.service, excluded, w.now)
 	}
-	var fit []*picker.Upstream
+	var candidates []*picker.Upstream
 	for _, u := range e.picker.Upstreams(q.service) {
-		if !not(u) {
-			fit = append(fit, u)
+		if !excluded(u) {
+			candidates = append(candidates, u)
 		}
 	}
-	if len(fit) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	least := func(of func(*picker.Upstream) float64) *picker.Upstream {
-		return slices.MinFunc(fit, func(a, b *picker.Upstream) int { return cmp.Compare(of(a), of(b)) })
+	least := func(cost func(*picker.Upstream) float64) *picker.Upstream {
+		return slices.MinFunc(candidates, func(a, b *picker.Upstream) int { return cmp.Compare(cost(a), cost(b)) })
 	}
 	var u *picker.Upstream
 	switch w.scenario.Policy {
 	case "round robin":
-		e.policyTurn[q.service]++
-		u = fit[e.policyTurn[q.service]%len(fit)]
+		e.roundRobinNext[q.service]++
+		u = candidates[e.roundRobinNext[q.service]%len(candidates)]
 	case "least outstanding":
 		u = least(func(u *picker.Upstream) float64 { return float64(u.InFlight()) / float64(u.Capacity) })
 	case "two choices":
-		a, b := fit[w.rng.IntN(len(fit))], fit[w.rng.IntN(len(fit))]
+		a, b := candidates[w.rng.IntN(len(candidates))], candidates[w.rng.IntN(len(candidates))]
 		if u = a; b.InFlight()*a.Capacity < a.InFlight()*b.Capacity {
 			u = b
 		}
 	default:
-		u = least(w.trulyTakes)
+		u = least(w.actualDuration)
 	}
 	e.picker.Reserve(u)
 	return u
 }
 
-// trulyTakes is how long a request would take at a server, in units of its usual work: what an oracle sees.
-func (w *cluster) trulyTakes(u *picker.Upstream) float64 {
-	s := w.processAt[u.Attachment.(string)]
-	if s == nil || s.ended || s.id != u.ID {
+// actualDuration is how long a request would take at a server, in units of its usual work: what an oracle sees.
+func (w *cluster) actualDuration(u *picker.Upstream) float64 {
+	s := w.serverByAddress[u.Attachment.(string)]
+	if s == nil || s.stopped || s.id != u.ID {
 		return 1e9
 	}
-	pace := s.speed * w.slowFactor(s)
-	if s.losing > w.now || s.garbling > w.now || s.failing > w.now {
-		pace *= 3
+	factor := s.workFactor * w.slowFactor(s)
+	if s.losesRepliesUntil > w.now || s.garblesUntil > w.now || s.failsUntil > w.now {
+		factor *= 3
 	}
 	ahead := len(s.running) + len(s.queue) + 1 - s.capacity
-	return pace * (1 + max(0, float64(ahead))/float64(s.capacity))
+	return factor * (1 + max(0, float64(ahead))/float64(s.capacity))
 }
 
-// weighIdle counts work, and waiting that nobody had to do.
-func (w *cluster) weighIdle() {
-	waits, free := map[string]int{}, map[string]bool{}
+// recordAvoidableWait counts work, and waiting that nobody had to do.
+func (w *cluster) recordAvoidableWait() {
+	waiting, hasFreeSlot := map[string]int{}, map[string]bool{}
 	for _, s := range w.servers {
-		if s.ended {
+		if s.stopped {
 			continue
 		}
-		w.result.WorkSeconds += tickLength.Seconds() * float64(len(s.running))
-		waits[s.service] += len(s.queue)
+		w.result.WorkSeconds += tickInterval.Seconds() * float64(len(s.running))
+		waiting[s.service] += len(s.queue)
 		if !s.draining && len(s.running) < s.capacity {
-			free[s.service] = true
+			hasFreeSlot[s.service] = true
 		}
 	}
-	for service, n := range waits {
-		if free[service] {
-			w.result.AvoidableWaitSeconds += tickLength.Seconds() * float64(n)
+	for service, n := range waiting {
+		if hasFreeSlot[service] {
+			w.result.AvoidableWaitSeconds += tickInterval.Seconds() * float64(n)
 		}
 	}
 }
--- a/internal/simulation/reads.go
+++ b/internal/simulation/reads.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	readLease = 150 * time.Millisecond // of a planted fault
-	readEvery = 300 * time.Millisecond // in the mean, by each operator
+	plantedReadLease = 150 * time.Millisecond // of a planted fault
+	readInterval     = 300 * time.Millisecond // in the mean, by each operator
 )
 
 // read is an operator's call that reads the configuration in force, at a controller that waits for the proof that it leads.
 type read struct {
 	round        uint64
-	until        time.Duration
+	deadline     time.Duration
 	acknowledged uint64 // the newest version that was acknowledged when the call began
 }
 
 // startReads lets operators read, each at any controller.
 func (w *cluster) startReads() {
-	if w.rng.Float64() >= float64(len(w.writers))*tickLength.Seconds()/readEvery.Seconds() {
+	if w.rng.Float64() >= float64(len(w.operators))*tickInterval.Seconds()/readInterval.Seconds() {
 		return
 	}
-	n, acknowledged := w.readsFrom(), w.membershipAudit.newest
+	n, acknowledged := w.readTarget(), w.membershipAudit.newestVersion
 	incarnation := n.incarnation
-	way := time.Duration(1+w.rng.IntN(5)) * time.Millisecond
+	delay := time.Duration(1+w.rng.IntN(5)) * time.Millisecond
 	if w.rng.IntN(4) == 0 {
-		way += time.Duration(w.rng.IntN(400)) * time.Millisecond
+		delay += time.Duration(w.rng.IntN(400)) * time.Millisecond
 	}
-	w.scheduleAfter(way, func() { w.readFrom(n, incarnation, acknowledged) })
+	w.scheduleAfter(delay, func() { w.readFrom(n, incarnation, acknowledged) })
 }
 
-// readsFrom is whom an operator asks: any controller, or one that holds itself for the leader.
-func (w *cluster) readsFrom() *controller {
+// readTarget is whom an operator asks: any controller, or one that holds itself for the leader.
+func (w *cluster) readTarget() *controller {
 	if w.rng.IntN(2) == 0 {
 		for _, n := range w.activeControllers() {
 			if n.downUntil <= w.now && n.replica.Role() == consensus.Leader {
@@ -48,9 +48,9 @@
 // resumeFrozen has processes that stood still read the calls that came meanwhile, before anything else.
 func (w *cluster) resumeFrozen() {
 	for _, n := range w.controllers {
-		if len(n.delayedReads) > 0 && n.frozenUntil <= w.now {
-			unread := n.delayedReads
-			n.delayedReads = nil
+		if len(n.unreadCalls) > 0 && n.frozenUntil <= w.now {
+			unread := n.unreadCalls
+			n.unreadCalls = nil
 			for _, do := range unread {
 				do()
 			}
@@ -58,12 +58,12 @@
 	}
 }
 
-func (w *cluster) readFrom(n *controller, life int, acknowledged uint64) {
+func (w *cluster) readFrom(n *controller, incarnation int, acknowledged uint64) {
 	switch {
-	case n.incarnation != life || n.downUntil > w.now:
+	case n.incarnation != incarnation || n.downUntil > w.now:
 		return
 	case n.frozenUntil > w.now:
-		n.delayedReads = append(n.delayedReads, func() { w.readFrom(n, life, acknowledged) })
+		n.unreadCalls = append(n.unreadCalls, func() { w.readFrom(n, incarnation, acknowledged) })
 		return
 	case n.replica.Role() != consensus.Leader:
 		return
@@ -73,22 +73,22 @@
 		w.auditRead(n, n.state.Version(), acknowledged)
 		return
 	}
-	n.reads = append(n.reads, read{n.replica.ReadIndex(w.now), w.now + callOver, acknowledged})
+	n.reads = append(n.reads, read{n.replica.ReadIndex(w.now), w.now + callTimeout, acknowledged})
 	w.processOutput(n)
 }
 
 // completeReads answers the reads whose round is confirmed.
 func (w *cluster) completeReads(n *controller) {
 	n.reads = slices.DeleteFunc(n.reads, func(r read) bool {
-		if n.replica.Role() != consensus.Leader || w.now > r.until {
+		if n.replica.Role() != consensus.Leader || w.now > r.deadline {
 			return true
 		}
 		if !n.replica.ReadConfirmed(r.round) {
 			return false
 		}
-		n.leaseUntil = readLease
+		n.leaseUntil = plantedReadLease
 		w.auditRead(n, n.state.Version(), r.acknowledged)
 		return true
 	})
-	n.leaseUntil -= tickLength // a clock that stands still with its process
+	n.leaseUntil -= tickInterval // a clock that stands still with its process
 }
--- a/internal/simulation/replacement.go
+++ b/internal/simulation/replacement.go
@@ -7,26 +7,26 @@
 	"mulleinwood/internal/control/consensus"
 )
 
-const forGood = time.Duration(math.MaxInt64)
+const forever = time.Duration(math.MaxInt64)
 
 // controllerAt is the machine that stands at a place now; Leading means where the leader is.
 func (w *cluster) controllerAt(place int) *controller {
 	if place == LeaderNode {
-		for _, n := range w.machines {
-			if w.running(n.n) && n.replica.Role() == consensus.Leader {
+		for _, n := range w.positions {
+			if w.isRunning(n.number) && n.replica.Role() == consensus.Leader {
 				return n
 			}
 		}
 		place = 0
 	}
-	return w.machines[place%len(w.machines)]
+	return w.positions[place%len(w.positions)]
 }
 
 // removeController takes a machine away for good.
 func (w *cluster) removeController(n *controller) {
 	w.losePower(n)
 	n.incarnation++
-	n.downUntil, n.removed, n.shuttingDown = forGood, true, false
+	n.downUntil, n.removed, n.shuttingDown = forever, true, false
 }
 
 // replaceController has an empty machine with another address start in an old one's place.
@@ -34,9 +34,9 @@
 	n := w.newController(old.zone)
 	w.connectController(n)
 	w.startController(n)
-	for i, o := range w.machines {
+	for i, o := range w.positions {
 		if o == old {
-			w.machines[i] = n
+			w.positions[i] = n
 		}
 	}
 }
@@ -48,27 +48,27 @@
 }
 
 // replaceAfter takes a machine away and has its successor start some time later.
-func (w *cluster) replaceAfter(t Fault, old *controller) {
+func (w *cluster) replaceAfter(fault Fault, old *controller) {
 	w.removeController(old)
-	w.scheduleAfter(t.Duration, func() { w.replaceController(old) })
-	if t.Kind == ReplaceBack {
-		w.scheduleAfter(t.Duration+backAfter, func() { w.returnController(old) })
+	w.scheduleAfter(fault.Duration, func() { w.replaceController(old) })
+	if fault.Kind == ReplaceBack {
+		w.scheduleAfter(fault.Duration+returnDelay, func() { w.returnController(old) })
 	}
 }
 
-const backAfter = 2 * time.Second // after its successor's start, an old machine comes back
+const returnDelay = 2 * time.Second // after its successor's start, an old machine comes back
 
 // shutDownAndReplace has a machine end in order, its successor there before or after.
-func (w *cluster) shutDownAndReplace(t Fault, old *controller) {
-	switch t.Kind {
+func (w *cluster) shutDownAndReplace(fault Fault, old *controller) {
+	switch fault.Kind {
 	case StandbyFirst:
 		w.replaceController(old)
-		w.scheduleAfter(t.Duration, func() { w.beginShutdown(old, 0) })
+		w.scheduleAfter(fault.Duration, func() { w.beginShutdown(old, 0) })
 	case StandbyAfter:
 		w.beginShutdown(old, 0)
-		w.scheduleAfter(t.Duration, func() { w.replaceController(old) })
+		w.scheduleAfter(fault.Duration, func() { w.replaceController(old) })
 	case Restart:
-		w.beginShutdown(old, t.Duration)
+		w.beginShutdown(old, fault.Duration)
 	}
 }
 
@@ -91,25 +91,25 @@
 // anyController is any controller that is not gone for good.
 func (w *cluster) anyController() int {
 	all := w.activeControllers()
-	return all[w.rng.IntN(len(all))].n
+	return all[w.rng.IntN(len(all))].number
 }
 
 // otherController is any controller that is not gone for good, but for one.
-func (w *cluster) otherController(but int) int {
+func (w *cluster) otherController(excluded int) int {
 	var all []int
 	for _, n := range w.activeControllers() {
-		if n.n != but {
-			all = append(all, n.n)
+		if n.number != excluded {
+			all = append(all, n.number)
 		}
 	}
 	if len(all) == 0 {
-		return but
+		return excluded
 	}
 	return all[w.rng.IntN(len(all))]
 }
 
-// following is the controller after one, of those that are not gone for good.
-func (w *cluster) following(i int) int {
+// nextController is the controller after one, of those that are not gone for good.
+func (w *cluster) nextController(i int) int {
 	for range w.controllers {
 		if i = (i + 1) % len(w.controllers); !w.controllers[i].removed {
 			break
--- a/internal/simulation/replication.go
+++ b/internal/simulation/replication.go
@@ -4,7 +4,7 @@
 	"mulleinwood/internal/control/consensus"
 )
 
-const snapAfter = 30 // entries
+const snapshotThreshold = 30 // entries
 
 // processOutput does what the consensus wants done.
 func (w *cluster) processOutput(n *controller) {
@@ -17,7 +17,7 @@
 		w.persistOutput(n, out)
 	}
 	w.commit(n, out)
-	if n.state.EntriesSinceSnapshot > snapAfter {
+	if n.state.EntriesSinceSnapshot > snapshotThreshold {
 		w.compact(n)
 	}
 }
@@ -28,10 +28,10 @@
 	if err != nil {
 		return
 	}
-	if w.scenario.PlantedFault == "a snapshot is older than its log" && n.saved != nil {
-		data, n.saved = n.saved, data
+	if w.scenario.PlantedFault == "a snapshot is older than its log" && n.previousSnapshot != nil {
+		data, n.previousSnapshot = n.previousSnapshot, data
 	} else {
-		n.saved = data
+		n.previousSnapshot = data
 	}
 	n.replica.Compact(n.state.Index, data)
 	n.state.EntriesSinceSnapshot = 0
@@ -44,7 +44,7 @@
 		if to == nil {
 			continue
 		}
-		w.send(n.n, to.n, func() {
+		w.send(n.number, to.number, func() {
 			to.replica.Step(m, w.now)
 			w.processOutput(to)
 		})
@@ -54,7 +54,7 @@
 // persistOutput makes an output durable; what has to wait for that is told then.
 func (w *cluster) persistOutput(n *controller, out consensus.Output) {
 	index, term := out.LastEntry()
-	w.persistSurely(n, func(d *disk) { d.storeOutput(out, w.scenario.PlantedFault) }, func() {
+	w.persistRetrying(n, func(d *disk) { d.storeOutput(out, w.scenario.PlantedFault) }, func() {
 		if w.scenario.PlantedFault != "tells before storing" {
 			w.sendAll(n, out.AfterSync)
 		}
@@ -68,7 +68,7 @@
 func (w *cluster) commit(n *controller, out consensus.Output) {
 	before := n.state.Version()
 	if out.Install != nil {
-		w.restores(n, *out.Install)
+		w.restoreSnapshot(n, *out.Install)
 		w.applyMembership(n, out.Install.Membership)
 	}
 	for _, e := range out.Committed {
@@ -80,15 +80,15 @@
 	}
 	if version := n.state.Version(); version != before || out.Install != nil {
 		for _, k := range w.links {
-			if k.up && k.a < 0 && k.b == n.n {
-				w.sendOnLink(k, n.n, func() { w.applyEdgeConfig(w.edges[-1-k.a], version) })
+			if k.up && k.a < 0 && k.b == n.number {
+				w.sendOnLink(k, n.number, func() { w.applyEdgeConfig(w.edges[-1-k.a], version) })
 			}
 		}
 	}
 }
 
-// restores gives a node what a snapshot holds.
-func (w *cluster) restores(n *controller, s consensus.Snapshot) {
+// restoreSnapshot gives a node what a snapshot holds.
+func (w *cluster) restoreSnapshot(n *controller, s consensus.Snapshot) {
 	if err := n.state.Restore(s); err != nil {
 		w.fail("FAULT: %s can't read a snapshot: %v", n.name, err)
 	} else if want := w.versionAt[s.Index-1]; n.state.Version() != want {
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -18,7 +18,7 @@
 	retryRatio     = 0.2
 	retrySlack     = 20.0
 	maxAttempts    = 2
-	pooledOfTen    = 7 // of ten requests to a server that is known go on a connection that is there
+	pooledTenths   = 7 // of ten requests to a server that is known go on a connection that is there
 )
 
 // request is one try of a client at an edge.
@@ -29,32 +29,32 @@
 	edge        *edge
 	incarnation int
 	startedAt   time.Duration
-	calm        bool // the edge was in touch when it came
+	stable      bool // the edge was in touch when it came
 	retries     attempt.Retries
 	tried       []*picker.Upstream
-	over        bool
+	finished    bool
 
-	admission *admission // of busy days
-	tenant    *TrafficStats
-	measured  bool
-	resends   int
+	admission    *admission // of busy days
+	trafficStats *TrafficStats
+	measured     bool
+	resends      int
 }
 
 // updateEdgeServers takes news of servers.
 func (w *cluster) updateEdgeServers(e *edge, entries []registry.Entry) {
 	for _, entry := range entries {
-		now, _ := e.registry.Apply(entry, w.now)
+		applied, _ := e.registry.Apply(entry, w.now)
 		if w.scenario.PlantedFault == "a late beat undoes a drain" {
-			now = entry
+			applied = entry
 		}
 		switch {
-		case now.State != registry.Ready:
-			e.picker.Remove(now.ID)
-		case e.picker.Get(now.ID) == nil && now.Address != "":
-			e.picker.Add(&picker.Upstream{ID: now.ID, Service: now.Service, Zone: now.Zone, Capacity: now.Capacity,
-				Attachment: now.Address})
+		case applied.State != registry.Ready:
+			e.picker.Remove(applied.ID)
+		case e.picker.Get(applied.ID) == nil && applied.Address != "":
+			e.picker.Add(&picker.Upstream{ID: applied.ID, Service: applied.Service, Zone: applied.Zone,
+				Capacity: applied.Capacity, Attachment: applied.Address})
 		}
-		e.picker.SetTimedOut(now.ID, now.TimedOut)
+		e.picker.SetTimedOut(applied.ID, applied.TimedOut)
 	}
 }
 
@@ -65,21 +65,21 @@
 	}
 }
 
-// arrivals lets clients ask at an edge.
-func (w *cluster) arrivals(e *edge) {
-	if e.frozenUntil > w.now || w.rng.Float64() >= w.scenario.Rate*tickLength.Seconds() {
+// generateRequest lets clients ask at an edge.
+func (w *cluster) generateRequest(e *edge) {
+	if e.frozenUntil > w.now || w.rng.Float64() >= w.scenario.Rate*tickInterval.Seconds() {
 		return
 	}
 	w.nextKey++
 	q := &request{id: w.nextKey, safe: w.rng.IntN(2) == 0, service: w.services[w.rng.IntN(len(w.services))], edge: e,
 		incarnation: e.incarnation, startedAt: w.now,
-		calm: w.isCalm() && e.calmSince <= w.now}
+		stable: w.isStable() && e.stableSince <= w.now}
 	q.retries = attempt.Retries{Safe: q.safe, MaxServers: maxAttempts}
 	w.result.Requests++
 	w.requestTimes[q.service] = append(w.requestTimes[q.service], w.now)
 	e.serviceRequests[q.service]++
 	w.auditVersion(e)
-	if q.calm {
+	if q.stable {
 		w.auditAppliedVersion(e)
 	}
 	w.auditTables(e)
@@ -100,14 +100,14 @@
 // startAttempt finds a server with room for a request, waiting a little for one.
 func (w *cluster) startAttempt(q *request) {
 	e := q.edge
-	if e.incarnation != q.incarnation || q.over {
+	if e.incarnation != q.incarnation || q.finished {
 		return
 	}
 	if e.frozenUntil > w.now {
 		w.whenResumed(e, func() { w.startAttempt(q) })
 		return
 	}
-	if w.now > q.startedAt+clientDeadline-tickLength {
+	if w.now > q.startedAt+clientDeadline-tickInterval {
 		w.finishRequest(q, attempt.NotSent, 0)
 		return
 	}
@@ -134,13 +134,13 @@
 func (w *cluster) sendAttempt(q *request, u *picker.Upstream) {
 	e := q.edge
 	q.tried = append(q.tried, u)
-	t := &attemptState{request: q, upstream: u, expect: u.ID, sent: w.now}
+	t := &attemptState{request: q, upstream: u, expectedID: u.ID, sentAt: w.now}
 	if w.scenario.PlantedFault == "connections belong to an address" {
-		t.expect = ""
+		t.expectedID = ""
 	}
-	connected := e.stats[u.ID]
-	e.stats[u.ID] = true
-	t.pooled = connected && w.rng.IntN(10) < pooledOfTen
+	connected := e.contacted[u.ID]
+	e.contacted[u.ID] = true
+	t.pooled = connected && w.rng.IntN(10) < pooledTenths
 	t.respond = func(response attempt.Response, status int, load [2]float64) {
 		if t.abandoned || e.incarnation != q.incarnation {
 			return
@@ -157,8 +157,8 @@
 	limit := q.startedAt + clientDeadline - w.now
 	// Nobody takes a new connection at an address that is silent.
 	unreachable := func() bool {
-		s := w.processAt[address]
-		return !t.pooled && s != nil && s.ended && s.timedOut
+		s := w.serverByAddress[address]
+		return !t.pooled && s != nil && s.stopped && s.unresponsive
 	}
 	if unreachable() {
 		limit = min(limit, dialTimeout)
@@ -176,7 +176,7 @@
 func (w *cluster) handleAttemptEnd(q *request, t *attemptState, response attempt.Response, status int, load [2]float64) {
 	e := q.edge
 	outcome := response.Outcome()
-	if !response.Received && status == 0 && !t.pooled && t.sent+dialTimeout >= w.now && !w.attemptsReached[t] {
+	if !response.Received && status == 0 && !t.pooled && t.sentAt+dialTimeout >= w.now && !w.attemptsReached[t] {
 		outcome = attempt.NotSent // the connection was refused
 	}
 	if w.scenario.PlantedFault == "answers aren't told apart" && response.Received && !response.IDMatches {
@@ -187,7 +187,7 @@
 	}
 	switch outcome {
 	case attempt.Ran:
-		e.picker.Succeeded(t.upstream, w.now-t.sent, w.now)
+		e.picker.Succeeded(t.upstream, w.now-t.sentAt, w.now)
 	case attempt.NotSent:
 		e.picker.Unreachable(t.upstream, w.now)
 	default:
@@ -216,7 +216,7 @@
 
 // finishRequest is what a client hears.
 func (w *cluster) finishRequest(q *request, outcome attempt.Outcome, status int) {
-	q.over = true
+	q.finished = true
 	w.finishBookedRequest(q, bookedEndingOf(outcome, status))
 	took := w.now - q.startedAt
 	switch {
@@ -225,14 +225,14 @@
 		if took > latencyTarget {
 			w.result.Late++
 		}
-		w.result.took(took)
+		w.result.recordLatency(took)
 	case outcome == attempt.NotSent || outcome == attempt.NotRun:
 		w.result.Rejected++
 		if !q.safe { // a promise
 			if w.runsByRequest[q.id] > 0 {
 				w.fail("REFUSED: request %d is refused and has run", q.id)
 			}
-			w.refused[q.id] = true
+			w.rejected[q.id] = true
 		}
 	default:
 		w.result.Unknown++
@@ -248,8 +248,8 @@
 	if s.service != t.request.service {
 		w.fail("ROUTE: a request for %s reaches %s of %s", t.request.service, s.id, s.service)
 	}
-	if s.drainAckedAt > 0 && s.ackedCalm && w.now > s.drainAckedAt+w.scenario.maxDrain() && t.request.calm && w.isCalm() &&
-		t.request.edge.calmSince <= w.now {
+	if s.drainAckedAt > 0 && s.ackedWhileStable && w.now > s.drainAckedAt+w.scenario.maxDrain() &&
+		t.request.stable && w.isStable() && t.request.edge.stableSince <= w.now {
 		w.fail("DRAIN: %s gets a request %s after its leaving was acknowledged", s.id, w.now-s.drainAckedAt)
 	}
 }
@@ -261,27 +261,28 @@
 	if !t.request.safe && w.runsByRequest[id] > 1 {
 		w.fail("TWICE: request %d may not be repeated and runs twice", id)
 	}
-	if w.refused[id] {
+	if w.rejected[id] {
 		w.fail("REFUSED: request %d runs after it was refused", id)
 	}
 }
 
 // auditVersion holds the version that an edge works by against those that it worked by before in this life.
 func (w *cluster) auditVersion(e *edge) {
-	process := [2]int{e.n, e.incarnation}
+	process := [2]int{e.number, e.incarnation}
 	if e.version < w.appliedVersions[process] {
-		w.fail("CONFIG: edge %d goes back from %d to %d", e.n, w.appliedVersions[process], e.version)
+		w.fail("CONFIG: edge %d goes back from %d to %d", e.number, w.appliedVersions[process], e.version)
 	}
 	w.appliedVersions[process] = e.version
 }
 
 // auditAppliedVersion holds the version that an edge in touch works by against those that were acknowledged a while ago.
 func (w *cluster) auditAppliedVersion(e *edge) {
-	const apply = 2 * time.Second
-	for i := len(w.ackTimes) - 1; i >= 0; i-- {
-		if a := w.ackTimes[i]; w.now-a.at > apply {
+	const applyTimeout = 2 * time.Second
+	for i := len(w.acknowledgements) - 1; i >= 0; i-- {
+		if a := w.acknowledgements[i]; w.now-a.ackedAt > applyTimeout {
 			if a.version > e.version {
-				w.fail("CONFIG: edge %d works by r%d, r%d was acknowledged %s ago", e.n, e.version, a.version, w.now-a.at)
+				w.fail("CONFIG: edge %d works by r%d, r%d was acknowledged %s ago",
+					e.number, e.version, a.version, w.now-a.ackedAt)
 			}
 			return
 		}
@@ -297,8 +298,8 @@
 			from := end - span
 			n := i + 1 - lowerBound(retries, from)
 			limit := 0
-			for _, begin := range []time.Duration{from, from - span/2, from - span} {
-				limit = max(limit, lowerBound(requests, begin+span)-lowerBound(requests, begin))
+			for _, start := range []time.Duration{from, from - span/2, from - span} {
+				limit = max(limit, lowerBound(requests, start+span)-lowerBound(requests, start))
 			}
 			if float64(n) > retryRatio*float64(limit)+retrySlack {
 				w.fail("BUDGET: %d further arrivals at %s in ten seconds for %d requests", n, service, limit)
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -47,7 +47,7 @@
 	r.WorkSeconds, r.AvoidableWaitSeconds = r.WorkSeconds+o.WorkSeconds, r.AvoidableWaitSeconds+o.AvoidableWaitSeconds
 }
 
-func (r *Result) took(d time.Duration) {
+func (r *Result) recordLatency(d time.Duration) {
 	if r.Latencies != nil {
 		r.Latencies = append(r.Latencies, d)
 	}
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -21,8 +21,8 @@
 	Duration time.Duration
 }
 
-func (t Fault) String() string {
-	return fmt.Sprintf("%7.3fs %-10s %d for %.3fs", t.At.Seconds(), t.Kind, t.Node, t.Duration.Seconds())
+func (fault Fault) String() string {
+	return fmt.Sprintf("%7.3fs %-10s %d for %.3fs", fault.At.Seconds(), fault.Kind, fault.Node, fault.Duration.Seconds())
 }
 
 // The kinds of trouble.
@@ -83,96 +83,97 @@
 	Policy              string // by which edges pick, to compare with; empty: as they do
 }
 
-func (d Scenario) operatorCount() int {
-	if d.Operators == 0 {
+func (scenario Scenario) operatorCount() int {
+	if scenario.Operators == 0 {
 		return 2
 	}
-	return d.Operators
+	return scenario.Operators
 }
 
-func (d Scenario) replyLoss() int {
-	if d.ReplyLossInterval == 0 {
+func (scenario Scenario) replyLoss() int {
+	if scenario.ReplyLossInterval == 0 {
 		return 10
 	}
-	return d.ReplyLossInterval
+	return scenario.ReplyLossInterval
 }
 
 // maxDrain is the rule's: how long after its acknowledgement a server that leaves may still be sent to. The rehearsal
 // holds the system to half of what the first deployments allow.
-func (d Scenario) maxDrain() time.Duration { return time.Second }
+func (scenario Scenario) maxDrain() time.Duration { return time.Second }
 
 // NewScenario draws a day. Losses of disks stay within what is borne, and are far enough apart to be made good.
 func NewScenario(seed uint64, members, lost int) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 11))
-	d := Scenario{Seed: seed, Members: members, MaxLostDisks: lost, Edges: 3, Length: 14 * time.Second, ChangeIntervalTicks: 20}
+	scenario := Scenario{Seed: seed, Members: members, MaxLostDisks: lost, Edges: 3, Length: 14 * time.Second,
+		ChangeIntervalTicks: 20}
 	wiped := time.Duration(-1)
-	for at := 2 * time.Second; at < d.Length-4*time.Second; at += time.Duration(rng.IntN(1500)) * time.Millisecond {
-		t := Fault{At: at, Node: rng.IntN(members), Duration: time.Duration(200+rng.IntN(1500)) * time.Millisecond}
+	for at := 2 * time.Second; at < scenario.Length-4*time.Second; at += time.Duration(rng.IntN(1500)) * time.Millisecond {
+		fault := Fault{At: at, Node: rng.IntN(members), Duration: time.Duration(200+rng.IntN(1500)) * time.Millisecond}
 		switch n := rng.IntN(16); {
 		case n < 4:
-			t.Kind = Kill
+			fault.Kind = Kill
 		case n < 6:
-			t.Kind = PowerAll
+			fault.Kind = PowerAll
 		case n < 8:
-			t.Kind = []string{Partition, OutboundPartition, InboundPartition}[rng.IntN(3)]
+			fault.Kind = []string{Partition, OutboundPartition, InboundPartition}[rng.IntN(3)]
 		case n < 10:
-			t.Kind = SlowDisk
+			fault.Kind = SlowDisk
 		case n < 11:
-			t.Kind = FullDisk
+			fault.Kind = FullDisk
 		case n < 13:
-			t.Kind, t.Node = KillEdge, rng.IntN(d.Edges)
+			fault.Kind, fault.Node = KillEdge, rng.IntN(scenario.Edges)
 		default:
 			if wiped >= 0 && at < wiped+5*time.Second {
 				continue
 			}
 			wiped = at
 			for _, node := range rng.Perm(members)[:1+rng.IntN(lost)] {
-				d.Faults = append(d.Faults, Fault{At: at, Kind: Wipe, Node: node, Duration: t.Duration})
+				scenario.Faults = append(scenario.Faults, Fault{At: at, Kind: Wipe, Node: node, Duration: fault.Duration})
 			}
 			if rng.IntN(2) == 0 {
-				d.Faults = append(d.Faults, Fault{At: at, Kind: PowerAll, Duration: t.Duration})
+				scenario.Faults = append(scenario.Faults, Fault{At: at, Kind: PowerAll, Duration: fault.Duration})
 			}
 			continue
 		}
-		d.Faults = append(d.Faults, t)
+		scenario.Faults = append(scenario.Faults, fault)
 	}
-	return d
+	return scenario
 }
 
 // NewServiceScenario draws a day on which the core's troubles are far enough apart for the rules that hold between them, and
 // servers come, leave, crash, lose and spoil answers all the time.
 func NewServiceScenario(seed uint64, members, lost int) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 12))
-	d := Scenario{Seed: seed, Members: members, MaxLostDisks: lost, Edges: 3 + rng.IntN(3), Services: 3, Servers: 9 +
+	scenario := Scenario{Seed: seed, Members: members, MaxLostDisks: lost, Edges: 3 + rng.IntN(3), Services: 3, Servers: 9 +
 		rng.IntN(6), Rate: 25, ChangeIntervalTicks: 300, Length: 24 * time.Second}
-	for at := 3 * time.Second; at < d.Length-3*time.Second; at += time.Duration(100+rng.IntN(900)) * time.Millisecond {
-		d.Faults = append(d.Faults, Fault{At: at, Kind: serverFaults[rng.IntN(len(serverFaults))], Node: rng.IntN(1000),
-			Duration: time.Duration(500+rng.IntN(3000)) * time.Millisecond})
+	for at := 3 * time.Second; at < scenario.Length-3*time.Second; at += time.Duration(100+rng.IntN(900)) * time.Millisecond {
+		scenario.Faults = append(scenario.Faults, Fault{At: at, Kind: serverFaults[rng.IntN(len(serverFaults))],
+			Node: rng.IntN(1000), Duration: time.Duration(500+rng.IntN(3000)) * time.Millisecond})
 	}
-	for at := 3 * time.Second; at < d.Length-3*time.Second; at += time.Duration(2000+rng.IntN(7000)) * time.Millisecond {
-		d.Faults = append(d.Faults, Fault{At: at, Kind: controlFaults[rng.IntN(len(controlFaults))], Node: rng.IntN(1000),
-			Duration: time.Duration(200+rng.IntN(1800)) * time.Millisecond})
+	for at := 3 * time.Second; at < scenario.Length-3*time.Second; at += time.Duration(2000+rng.IntN(7000)) * time.Millisecond {
+		scenario.Faults = append(scenario.Faults, Fault{At: at, Kind: controlFaults[rng.IntN(len(controlFaults))],
+			Node: rng.IntN(1000), Duration: time.Duration(200+rng.IntN(1800)) * time.Millisecond})
 	}
-	slices.SortStableFunc(d.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
-	return d
+	slices.SortStableFunc(scenario.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
+	return scenario
 }
 
 // Shrink drops troubles that a bad day doesn't need to stay bad, one after the other, with so many days played at most.
-func Shrink(d Scenario, plays int) Scenario {
-	rule, _, _ := strings.Cut(Run(d).Violation, ":")
-	for again := true; again; {
-		again = false
-		for i := range d.Faults {
-			if plays--; plays < 0 {
-				return d
+func Shrink(scenario Scenario, maxRuns int) Scenario {
+	violation, _, _ := strings.Cut(Run(scenario).Violation, ":")
+	for shrunk := true; shrunk; {
+		shrunk = false
+		for i := range scenario.Faults {
+			if maxRuns--; maxRuns < 0 {
+				return scenario
 			}
-			less := d
-			less.Faults = append(append([]Fault{}, d.Faults[:i]...), d.Faults[i+1:]...)
-			if strings.HasPrefix(Run(less).Violation, rule+":") {
-				d, again = less, true
+			candidate := scenario
+			candidate.Faults = append(append([]Fault{}, scenario.Faults[:i]...), scenario.Faults[i+1:]...)
+			if strings.HasPrefix(Run(candidate).Violation, violation+":") {
+				scenario, shrunk = candidate, true
 				break
 			}
 		}
 	}
-	return d
+	return scenario
 }
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -14,40 +14,40 @@
 
 const (
 	heartbeatInterval = 1500 * time.Millisecond
-	callWait          = time.Second
-	drainTime         = 2 * time.Second // that a server serves on after its leaving is acknowledged, and the rule's bound
-	maxDrain          = 5 * time.Second // after which one that nobody acknowledges ends anyway
-	reuseAfter        = 2 * time.Second
+	heartbeatTimeout  = time.Second
+	drainDuration     = 2 * time.Second // that a server serves on after its leaving is acknowledged, and the rule's bound
+	drainTimeout      = 5 * time.Second // after which one that nobody acknowledges ends anyway
+	addressReuseDelay = 2 * time.Second
 	queuePerSlot      = 2 // waiting requests a slot
 )
 
 // server is one life of a server, on an address that others had before it and will have after it.
 type server struct {
-	id, service, address string
-	zone                 int
-	capacity             int
-	speed                float64 // times as long as usual
-	seq                  uint64
-	nextHeartbeat        time.Duration // beat
-	heartbeatTarget      int
-	draining             bool
-	calling              bool
-	drainRequestedAt     time.Duration // when it began to leave
-	drainAckedAt         time.Duration // when that was acknowledged
-	ackedCalm            bool          // by a controller in touch
-	ended                bool          // its process is gone
-	timedOut             bool          // and its machine says nothing
-	losing, garbling     time.Duration
-	failing              time.Duration // until when most of what it runs breaks off
-	running, queue       []*attemptState
+	id, service, address            string
+	zone                            int
+	capacity                        int
+	workFactor                      float64 // times as long as usual
+	seq                             uint64
+	nextHeartbeat                   time.Duration // beat
+	heartbeatTarget                 int
+	draining                        bool
+	heartbeatPending                bool
+	drainRequestedAt                time.Duration // when it began to leave
+	drainAckedAt                    time.Duration // when that was acknowledged
+	ackedWhileStable                bool          // by a controller in touch
+	stopped                         bool          // its process is gone
+	unresponsive                    bool          // and its machine says nothing
+	losesRepliesUntil, garblesUntil time.Duration
+	failsUntil                      time.Duration // until when most of what it runs breaks off
+	running, queue                  []*attemptState
 }
 
 // attemptState is a request at a server.
 type attemptState struct {
 	request    *request
 	upstream   *picker.Upstream
-	expect     string
-	sent       time.Duration
+	expectedID string
+	sentAt     time.Duration
 	respond    func(attempt.Response, int, [2]float64)
 	responseTo uint64 // the request that the answer belongs to
 	abandoned  bool   // the edge has stopped listening
@@ -57,23 +57,23 @@
 func (w *cluster) addServer(service, address string, zone int) {
 	w.serverCount++
 	s := &server{id: fmt.Sprint("i-", w.serverCount), service: service, address: address, zone: zone, capacity: 2 + w.rng.IntN(3),
-		speed: 0.6 + w.rng.Float64(), heartbeatTarget: w.anyController(), nextHeartbeat: w.now}
-	w.processAt[address] = s
+		workFactor: 0.6 + w.rng.Float64(), heartbeatTarget: w.anyController(), nextHeartbeat: w.now}
+	w.serverByAddress[address] = s
 	w.servers = append(w.servers, s)
 }
 
 // tickServer does what a server does by the clock.
 func (w *cluster) tickServer(s *server) {
-	if s.ended {
+	if s.stopped {
 		return
 	}
-	if s.draining && (s.drainAckedAt > 0 && w.now > s.drainAckedAt+drainTime+100*time.Millisecond ||
-		w.now > s.drainRequestedAt+maxDrain) {
+	if s.draining && (s.drainAckedAt > 0 && w.now > s.drainAckedAt+drainDuration+100*time.Millisecond ||
+		w.now > s.drainRequestedAt+drainTimeout) {
 		w.sendHeartbeat(s, registry.Removed)
 		w.endServer(s, false)
 		return
 	}
-	if w.now >= s.nextHeartbeat && !s.calling {
+	if w.now >= s.nextHeartbeat && !s.heartbeatPending {
 		s.nextHeartbeat = w.now + heartbeatInterval
 		state := registry.Ready
 		if s.draining {
@@ -86,7 +86,7 @@
 // sendHeartbeat tells a controller, and another one if that doesn't answer.
 func (w *cluster) sendHeartbeat(s *server, state registry.State) {
 	s.seq++
-	s.calling = true
+	s.heartbeatPending = true
 	entry := registry.Entry{ID: s.id, Service: s.service, Address: s.address, Zone: fmt.Sprint("z", s.zone),
 		Capacity: s.capacity, Seq: s.seq, State: state}
 	if state == registry.Removed {
@@ -99,10 +99,10 @@
 		delay += w.rng.IntN(3000) // a late one: the connection was slow
 	}
 	w.scheduleMillis(delay, func() { w.receiveHeartbeat(n, s, entry, &acked) })
-	w.scheduleMillis(int(callWait/time.Millisecond), func() {
+	w.scheduleMillis(int(heartbeatTimeout/time.Millisecond), func() {
 		if !acked {
-			acked, s.calling = true, false
-			s.heartbeatTarget, s.nextHeartbeat = w.following(s.heartbeatTarget), w.now
+			acked, s.heartbeatPending = true, false
+			s.heartbeatTarget, s.nextHeartbeat = w.nextController(s.heartbeatTarget), w.now
 		}
 	})
 }
@@ -112,21 +112,21 @@
 	if w.scenario.PlantedFault == "a late beat undoes a drain" && entry.State == registry.Ready {
 		w.undoDrain(n, entry.ID)
 	}
-	if !w.running(n.n) || entry.State > registry.Ready && !n.replica.HasQuorumContact(w.now) {
+	if !w.isRunning(n.number) || entry.State > registry.Ready && !n.replica.HasQuorumContact(w.now) {
 		return
 	}
 	entry.Owner = n.name
 	n.nextCall++
 	incarnation := n.incarnation
 	n.calls[n.nextCall] = func() {
-		calm := w.isCalm()
+		calm := w.isStable()
 		w.scheduleMillis(1+w.rng.IntN(5), func() {
 			if n.incarnation != incarnation || *acked {
 				return
 			}
-			*acked, s.calling = true, false
+			*acked, s.heartbeatPending = true, false
 			if entry.State == registry.Draining && s.drainAckedAt == 0 {
-				s.drainAckedAt, s.ackedCalm = w.now, calm
+				s.drainAckedAt, s.ackedWhileStable = w.now, calm
 			}
 		})
 	}
@@ -153,8 +153,8 @@
 		}
 	}
 	for _, k := range w.links {
-		if k.up && (k.a == n.n || k.b == n.n) {
-			other := k.a + k.b - n.n
+		if k.up && (k.a == n.number || k.b == n.number) {
+			other := k.a + k.b - n.number
 			n.broadcaster.AddPeer(linkName(other), other < 0)
 		}
 	}
@@ -162,41 +162,41 @@
 
 // drainServer begins a planned end.
 func (w *cluster) drainServer(s *server) {
-	if !s.draining && !s.ended {
+	if !s.draining && !s.stopped {
 		s.draining, s.drainRequestedAt, s.nextHeartbeat = true, w.now, w.now
 	}
 }
 
 // endServer is the end of a server's process. Its address goes to a server of another service.
-func (w *cluster) endServer(s *server, silent bool) {
-	s.ended, s.timedOut = true, silent
+func (w *cluster) endServer(s *server, unresponsive bool) {
+	s.stopped, s.unresponsive = true, unresponsive
 	for _, t := range append(s.running, s.queue...) {
 		w.scheduleMillis(1, func() { t.respond(attempt.Response{}, 0, [2]float64{}) }) // the connection breaks
 	}
 	s.running, s.queue = nil, nil
 	service := w.services[w.rng.IntN(len(w.services))]
-	w.scheduleMillis(int(reuseAfter/time.Millisecond), func() {
-		if w.processAt[s.address] == s {
+	w.scheduleMillis(int(addressReuseDelay/time.Millisecond), func() {
+		if w.serverByAddress[s.address] == s {
 			w.addServer(service, s.address, s.zone)
 		}
 		if service != s.service { // and a new one takes its place
-			w.addresses++
-			w.addServer(s.service, fmt.Sprint("a-", w.addresses), s.zone)
+			w.addressCount++
+			w.addServer(s.service, fmt.Sprint("a-", w.addressCount), s.zone)
 		}
 	})
 }
 
 // arriveAtServer is a request that comes to an address.
 func (w *cluster) arriveAtServer(t *attemptState, address string) {
-	s := w.processAt[address]
+	s := w.serverByAddress[address]
 	load := func() [2]float64 { return [2]float64{float64(len(s.running)), float64(len(s.queue))} }
-	if s == nil || s.ended {
-		if s == nil || !s.timedOut {
+	if s == nil || s.stopped {
+		if s == nil || !s.unresponsive {
 			t.respond(attempt.Response{}, 0, [2]float64{})
 		}
 		return
 	}
-	if s.id != t.expect && w.scenario.PlantedFault != "connections belong to an address" {
+	if s.id != t.expectedID && w.scenario.PlantedFault != "connections belong to an address" {
 		t.respond(attempt.Response{Received: true, IDMatches: true, Delimited: true, Complete: true, NotRun: true}, 421, load())
 		return
 	}
@@ -215,7 +215,7 @@
 func (w *cluster) beginWork(s *server, t *attemptState) {
 	s.running = append(s.running, t)
 	w.countRun(t, s)
-	work := 0.04 * math.Exp(0.5*w.rng.NormFloat64()) * s.speed * w.slowFactor(s)
+	work := 0.04 * math.Exp(0.5*w.rng.NormFloat64()) * s.workFactor * w.slowFactor(s)
 	w.scheduleMillis(int(work*1000), func() { w.endWork(s, t) })
 }
 
@@ -224,7 +224,7 @@
 	if i := slices.Index(s.running, t); i >= 0 {
 		s.running = slices.Delete(s.running, i, i+1)
 	}
-	if s.ended {
+	if s.stopped {
 		return
 	}
 	for len(s.queue) > 0 && len(s.running) < s.capacity {
@@ -238,16 +238,16 @@
 	response := attempt.Response{Received: true, IDMatches: true, Delimited: true, Complete: true, Success: true, Sealed: true}
 	t.responseTo = t.request.id
 	switch {
-	case s.garbling > w.now && w.rng.IntN(8) == 0:
+	case s.garblesUntil > w.now && w.rng.IntN(8) == 0:
 		if response.IDMatches = w.rng.IntN(2) == 0; response.IDMatches {
 			response.Complete = false
 		} else {
 			t.responseTo-- // one that came late, in this one's place
 		}
-	case s.failing > w.now && w.rng.IntN(5) > 0:
+	case s.failsUntil > w.now && w.rng.IntN(5) > 0:
 		response.Complete = false
 	}
-	if s.losing > w.now && w.rng.IntN(8) == 0 {
+	if s.losesRepliesUntil > w.now && w.rng.IntN(8) == 0 {
 		return
 	}
 	w.scheduleMillis(1+w.rng.IntN(4), func() { t.respond(response, 200, load) })
@@ -255,7 +255,7 @@
 
 // slowFactor is how much slower than usual a server is now.
 func (w *cluster) slowFactor(s *server) float64 {
-	if until, ok := w.slowed[s]; ok && w.now < until {
+	if until, ok := w.slowUntil[s]; ok && w.now < until {
 		return 8
 	}
 	return 1
--- a/internal/simulation/shutdown.go
+++ b/internal/simulation/shutdown.go
@@ -9,27 +9,27 @@
 
 // Spans of an end in order, as the programs have them with a grace of 6 s.
 const (
-	maxShutdown = 5 * time.Second
-	minShutdown = 400 * time.Millisecond // for edges to find another controller
-	handOverFor = 1500 * time.Millisecond
+	maxShutdown     = 5 * time.Second
+	minShutdown     = 400 * time.Millisecond // for edges to find another controller
+	handOverTimeout = 1500 * time.Millisecond
 )
 
 // shutdown is the state of a controller that was told to end.
 type shutdown struct {
-	since      time.Duration
-	handedOver time.Duration // since when answers are on their way to another controller; 0: not yet
-	heir       int           // that they were sent to; nowhere: nobody
-	synced     bool          // they are durable there
-	back       time.Duration // until the process starts again, on the same disk; 0: it doesn't
+	startedAt         time.Duration
+	handOverStartedAt time.Duration // since when answers are on their way to another controller; 0: not yet
+	target            int           // that they were sent to; nowhere: nobody
+	synced            bool          // they are durable there
+	restartDelay      time.Duration // until the process starts again, on the same disk; 0: it doesn't
 }
 
 // beginShutdown tells a controller to end.
-func (w *cluster) beginShutdown(n *controller, back time.Duration) {
-	if n.shuttingDown || !w.running(n.n) {
+func (w *cluster) beginShutdown(n *controller, restartDelay time.Duration) {
+	if n.shuttingDown || !w.isRunning(n.number) {
 		return
 	}
 	n.shuttingDown = true
-	n.shutdown = shutdown{since: w.now, heir: nowhere, back: back}
+	n.shutdown = shutdown{startedAt: w.now, target: nowhere, restartDelay: restartDelay}
 	w.announceStatus(n)
 	n.nextSummary = 0
 }
@@ -40,22 +40,22 @@
 		return
 	}
 	n.nextSummary = 0 // edges that are still here look for another controller at each summary
-	d := &n.shutdown
+	shutdown := &n.shutdown
 	switch {
-	case w.now-d.since > maxShutdown:
+	case w.now-shutdown.startedAt > maxShutdown:
 	case n.replica.Role() == consensus.Leader && w.otherVoterLinked(n):
 		return
 	case n.replica.IsVoter() && w.standbyLinked(n):
 		return
 	case n.retired && !w.handedOver(n):
 		return
-	case w.now-d.since < minShutdown, len(n.proposals) > 0:
+	case w.now-shutdown.startedAt < minShutdown, len(n.proposals) > 0:
 		return
 	default:
 		w.auditHandOver(n)
 	}
-	if d.back > 0 {
-		w.stopController(n, d.back)
+	if shutdown.restartDelay > 0 {
+		w.stopController(n, shutdown.restartDelay)
 		return
 	}
 	w.removeController(n)
@@ -64,7 +64,7 @@
 // otherVoterLinked tells whether leadership can be passed to a linked voter.
 func (w *cluster) otherVoterLinked(n *controller) bool {
 	for _, id := range n.replica.Membership().All() {
-		if p := w.replicaAt(n, id); p != nil && !n.replicaStatuses[p.n].leaving {
+		if p := w.replicaAt(n, id); p != nil && !n.replicaStatuses[p.number].leaving {
 			return true
 		}
 	}
@@ -86,24 +86,24 @@
 
 // handedOver sends the answers that are kept here to another controller, and tells whether they are durable there.
 func (w *cluster) handedOver(n *controller) bool {
-	d := &n.shutdown
+	shutdown := &n.shutdown
 	if w.scenario.PlantedFault == "a leaving controller keeps its answers" {
 		return true
 	}
-	if d.handedOver == 0 {
-		d.handedOver = w.now
-		if d.heir = w.handOverTarget(n); d.heir == nowhere {
-			d.synced = true
+	if shutdown.handOverStartedAt == 0 {
+		shutdown.handOverStartedAt = w.now
+		if shutdown.target = w.handOverTarget(n); shutdown.target == nowhere {
+			shutdown.synced = true
 		} else {
-			w.handOverResponses(n, w.controllers[d.heir])
+			w.handOverResponses(n, w.controllers[shutdown.target])
 		}
 	}
-	return d.synced || w.now-d.handedOver > handOverFor
+	return shutdown.synced || w.now-shutdown.handOverStartedAt > handOverTimeout
 }
 
 // handOverTarget is who takes the kept answers over: a controller of the own zone, else any.
 func (w *cluster) handOverTarget(n *controller) int {
-	heir := nowhere
+	target := nowhere
 	for i, o := range w.controllers {
 		if s, linked := n.replicaStatuses[i]; !linked || s.leaving {
 			continue
@@ -111,26 +111,26 @@
 		if o.zone == n.zone {
 			return i
 		}
-		if heir == nowhere {
-			heir = i
+		if target == nowhere {
+			target = i
 		}
 	}
-	return heir
+	return target
 }
 
 func (w *cluster) handOverResponses(n, to *controller) {
-	k := w.linkBetween(n.n, to.n)
+	k := w.linkBetween(n.number, to.number)
 	if k == nil {
 		return
 	}
 	responses := n.keptResponses()
-	w.sendOnLink(k, n.n, func() {
+	w.sendOnLink(k, n.number, func() {
 		for _, r := range responses {
 			to.claimStore.Complete(r, w.now)
 		}
-		w.persistSurely(to, func(d *disk) { d.records = append(d.records, responses...) }, func() {
+		w.persistRetrying(to, func(d *disk) { d.records = append(d.records, responses...) }, func() {
 			if k.up {
-				w.sendOnLink(k, to.n, func() { n.shutdown.synced = true })
+				w.sendOnLink(k, to.number, func() { n.shutdown.synced = true })
 			}
 		})
 	})
@@ -148,10 +148,10 @@
 	if e.controller == nowhere {
 		return
 	}
-	if k := w.linkBetween(e.controller, -1-e.n); k != nil {
+	if k := w.linkBetween(e.controller, -1-e.number); k != nil {
 		n := w.controllers[e.controller]
 		r.ResponseHolder, r.Response = n.name, &idempotency.Response{Status: 200}
-		w.sendOnLink(k, -1-e.n, func() {
+		w.sendOnLink(k, -1-e.number, func() {
 			n.claimStore.Complete(r, w.now)
 			w.persist(n, func(d *disk) { d.records = append(d.records, r) }, func(bool) {})
 		})
--- a/internal/simulation/tables.go
+++ b/internal/simulation/tables.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	reportOf  = time.Second
-	tableWait = 3 * time.Second // in which an edge at its controller has a table
+	reportInterval = time.Second
+	tableTimeout   = 3 * time.Second // in which an edge at its controller has a table
 )
 
 // newGroups gives a controller's life its tables, which hold nothing yet.
@@ -30,7 +30,7 @@
 
 // pushWeights sends a controller's edges what its tables order.
 func (w *cluster) pushWeights(n *controller) {
-	orders := n.tables.Tick(w.now, func() (all []weights.PeerTraffic) {
+	updates := n.tables.Tick(w.now, func() (all []weights.PeerTraffic) {
 		for i := range w.controllers {
 			if o, heard := n.peerTraffic[i]; heard {
 				all = append(all, o)
@@ -40,35 +40,35 @@
 	})
 	for i, e := range w.edges {
 		name := linkName(-1 - i)
-		k, order := w.linkBetween(n.n, -1-i), orders[name]
-		if k == nil || order == nil || w.scenario.PlantedFault == "a whole table is kept back" && len(order.Replaced) > 0 {
+		k, update := w.linkBetween(n.number, -1-i), updates[name]
+		if k == nil || update == nil || w.scenario.PlantedFault == "a whole table is kept back" && len(update.Replaced) > 0 {
 			continue
 		}
-		w.sendOnLink(k, n.n, func() {
-			for _, service := range order.Replaced {
+		w.sendOnLink(k, n.number, func() {
+			for _, service := range update.Replaced {
 				e.picker.ClearWeights(service)
 			}
-			for _, l := range order.Changed {
+			for _, l := range update.Changed {
 				e.picker.SetWeight(l.Server, l.Weight)
 			}
-			if len(order.Tokens) > 0 {
-				w.sendOnLink(k, -1-i, func() { n.tables.HandleReport(name, &peer.Report{Applied: order.Tokens}, nil) })
+			if len(update.Tokens) > 0 {
+				w.sendOnLink(k, -1-i, func() { n.tables.HandleReport(name, &peer.Report{Applied: update.Tokens}, nil) })
 			}
 		})
 	}
 }
 
-// report has an edge say what it met, once a second.
-func (w *cluster) report(e *edge) {
+// sendReport has an edge say what it met, once a second.
+func (w *cluster) sendReport(e *edge) {
 	if w.now < e.nextReport || e.frozenUntil > w.now || e.controller == nowhere {
 		return
 	}
-	e.nextReport = w.now + reportOf
-	k := w.linkBetween(e.controller, -1-e.n)
+	e.nextReport = w.now + reportInterval
+	k := w.linkBetween(e.controller, -1-e.number)
 	if k == nil {
 		return
 	}
-	r := &peer.Report{Period: reportOf.Seconds()}
+	r := &peer.Report{Period: reportInterval.Seconds()}
 	for _, service := range w.services {
 		for _, u := range e.picker.Upstreams(service) {
 			if m := e.picker.TakeStats(u); m.Attempts > 0 {
@@ -82,8 +82,8 @@
 	}
 	clear(e.serviceRequests)
 	n := w.controllers[e.controller]
-	w.sendOnLink(k, -1-e.n, func() {
-		n.tables.HandleReport(linkName(-1-e.n), r, func(server string) (string, bool) {
+	w.sendOnLink(k, -1-e.number, func() {
+		n.tables.HandleReport(linkName(-1-e.number), r, func(server string) (string, bool) {
 			entry, known := n.registry.Get(server)
 			return entry.Service, known
 		})
@@ -93,22 +93,22 @@
 // auditTables holds an edge that has been at its controller, and in touch, for a while against what its controller ordered
 // for it: of each service's lines it knows, a table has spoken.
 func (w *cluster) auditTables(e *edge) {
-	if !w.isCalm() || e.calmSince > w.now || e.controller == nowhere || w.now < e.attachedAt+tableWait {
+	if !w.isStable() || e.stableSince > w.now || e.controller == nowhere || w.now < e.attachedAt+tableTimeout {
 		return
 	}
 	n := w.controllers[e.controller]
 	for _, service := range w.services {
-		ordered := n.tables.WeightsFor(linkName(-1-e.n), service)
+		weights := n.tables.WeightsFor(linkName(-1-e.number), service)
 		upstreams := e.picker.Upstreams(service)
-		meant := slices.ContainsFunc(upstreams, func(u *picker.Upstream) bool { return ordered[u.ID] > 0 })
-		if !meant || slices.ContainsFunc(upstreams, (*picker.Upstream).HasWeight) {
-			delete(e.withoutTable, service)
+		expected := slices.ContainsFunc(upstreams, func(u *picker.Upstream) bool { return weights[u.ID] > 0 })
+		if !expected || slices.ContainsFunc(upstreams, (*picker.Upstream).HasWeight) {
+			delete(e.withoutTableSince, service)
 			continue
 		}
-		if since, seen := e.withoutTable[service]; !seen { // it may be on its way
-			e.withoutTable[service] = w.now
-		} else if w.now-since > tableWait {
-			w.fail("TABLE: edge %d has been at controller %d for %s and holds nothing of its table of %s", e.n, n.n,
+		if since, seen := e.withoutTableSince[service]; !seen { // it may be on its way
+			e.withoutTableSince[service] = w.now
+		} else if w.now-since > tableTimeout {
+			w.fail("TABLE: edge %d has been at controller %d for %s and holds nothing of its table of %s", e.number, n.number,
 				w.now-e.attachedAt, service)
 		}
 	}
