--- a/internal/simulation/claims.go
+++ b/internal/simulation/claims.go
@@ -9,8 +9,8 @@
 	"mulleinwood/internal/control/idempotency"
 )
 
-// requestGrant puts a claim to a node's claim store; a grant is told once it is durable. One that is asked under a membership
-// older than the newest that is durable here is granted nothing.
+// requestGrant submits a claim to a controller's claim store. A grant is reported once it is durable. A request under an
+// epoch older than the newest durable one is rejected as stale.
 func (w *cluster) requestGrant(n *controller, r idempotency.Record, epoch uint64,
 	reply func(idempotency.GrantReply, idempotency.Record)) {
 	if w.isFenced(n, epoch) {
@@ -39,7 +39,7 @@
 	})
 }
 
-// isFenced tells whether a store grants nothing under an epoch.
+// isFenced reports whether a store rejects requests under an epoch.
 func (w *cluster) isFenced(n *controller, epoch uint64) bool {
 	switch w.scenario.PlantedFault {
 	case "a store without the epoch fence":
@@ -50,7 +50,8 @@
 	return epoch < n.epoch
 }
 
-// sendGrantRequests puts claims to claim stores. A verdict counts for the replica that the store's machine is when it tells it.
+// sendGrantRequests sends claims to claim stores. A reply counts for the replica identity that the store has when it
+// replies.
 func (w *cluster) sendGrantRequests(n *controller, requests []idempotency.GrantRequest) {
 	for _, a := range requests {
 		r, epoch := a.Record, n.membership.Epoch
@@ -90,7 +91,8 @@
 	}
 }
 
-// serveClients try operations at an edge: new keys, and keys that were tried before, here or elsewhere.
+// serveClients starts keyed operations at an edge, with new keys and with keys that were attempted before, here or at
+// another edge. It also hedges, gives up and revokes pending claims.
 func (w *cluster) serveClients(e *edge) {
 	if e.frozenUntil > w.now {
 		return
@@ -129,7 +131,7 @@
 	}
 }
 
-// homeOr is the controller that an edge asks first.
+// controllerOrDefault returns the controller that an edge is attached to, or fallback if there is none.
 func (w *cluster) controllerOrDefault(e *edge, fallback int) int {
 	if e.controller == nowhere {
 		return fallback
@@ -137,7 +139,7 @@
 	return e.controller
 }
 
-// requestClaim asks a controller for the right to run a key's operation.
+// requestClaim asks a controller for a claim on a key.
 func (w *cluster) requestClaim(e *edge, r idempotency.Record, at int) {
 	e.pendingClaims[r.Token].outstanding++
 	n := w.controllers[at]
@@ -158,7 +160,7 @@
 	})
 }
 
-// handleOutcome takes a ruling as an edge does: the first to decide is believed.
+// handleOutcome handles the outcome of a claim at an edge. The first decisive outcome counts.
 func (w *cluster) handleOutcome(e *edge, r idempotency.Record, outcome idempotency.Outcome) {
 	c := e.pendingClaims[r.Token]
 	if c == nil {
@@ -172,7 +174,7 @@
 		return
 	}
 	delete(e.pendingClaims, r.Token)
-	if w.rng.IntN(10) == 0 { // the server proves that it didn't run
+	if w.rng.IntN(10) == 0 { // the server proves that the operation didn't run
 		e.revocations = append(e.revocations, revocation{r, w.now, 0})
 		return
 	}
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -15,12 +15,12 @@
 	keyWindow           = time.Minute
 	hedgeDelay          = 20 * time.Millisecond
 	claimTimeout        = 900 * time.Millisecond
-	edgeHedgeDelay      = 60 * time.Millisecond // until an edge asks a second controller
+	edgeHedgeDelay      = 60 * time.Millisecond // after which an edge asks a second controller
 	edgeClaimTimeout    = 400 * time.Millisecond
 	revocationRetention = 4 * time.Second
 )
 
-// cluster is everything of a scenario while it runs. One goroutine plays it; every draw comes from rng.
+// cluster holds the state of one simulated scenario. A single goroutine advances it, and every random value comes from rng.
 type cluster struct {
 	scenario Scenario
 	rng      *rand.Rand
@@ -36,62 +36,62 @@
 	membershipAudit membershipAudit
 }
 
-// clusterProcesses is the machines and the processes that run on them.
+// clusterProcesses holds the simulated processes: controllers, edges and servers.
 type clusterProcesses struct {
-	positions       []*controller // those that stand where the first ones stood
-	controllerNames []string      // addresses of controllers, by number
+	positions       []*controller // the controller that currently occupies each position of the cluster
+	controllerNames []string      // controller addresses, by controller number
 	controllers     []*controller
 	edges           []*edge
 	services        []string
 	servers         []*server
-	serverByAddress map[string]*server // the process at an address
+	serverByAddress map[string]*server // the server that currently runs at each address
 	slowUntil       map[*server]time.Duration
 	serverCount     int
 	addressCount    int
-	stableSince     time.Duration // from when the controllers have been without a fault for long enough
+	stableSince     time.Duration // from when the controllers count as stable: stabilizationTime after the last fault
 }
 
-// clusterNetwork is what is on its way, and the links.
+// clusterNetwork holds the messages in flight and the links.
 type clusterNetwork struct {
 	network    []message
 	links      []*link
 	linkByEnds map[[2]int]*link
 }
 
-// operatorAudit holds the operators, and what the auditor knows of their changes.
+// operatorAudit holds the simulated operators and the auditor's record of their changes.
 type operatorAudit struct {
 	history          []consensus.Entry
 	operators        []*operatorState
 	acknowledgements []acknowledgement
-	committedChanges map[string]committedChange // by call
-	versionAt        []uint64                   // the version in force after each entry of the history
-	currentVersion   uint64                     // after the last entry
-	acknowledgedBase map[uint64]string          // by the version that it was built on, the call that was acknowledged
-	rejectedChanges  map[string]bool            // by call
+	committedChanges map[string]committedChange // by encoded change
+	versionAt        []uint64                   // the active version after each entry of the history
+	currentVersion   uint64                     // the active version after the last entry
+	acknowledgedBase map[uint64]string          // by base version: the encoded change that was acknowledged
+	rejectedChanges  map[string]bool            // by encoded change
 }
 
-// keyAudit counts the runs of keyed operations.
+// keyAudit counts the runs of idempotent (keyed) operations.
 type keyAudit struct {
 	runs      map[idempotency.Key]int
 	attempted map[idempotency.Key]bool
 	nextKey   uint64
 }
 
-// trafficAudit is what the auditor sees of requests at the servers.
+// trafficAudit records the requests that arrive at and run on servers.
 type trafficAudit struct {
-	arrivalCounts   map[uint64]int // by request
+	arrivalCounts   map[uint64]int // by request ID
 	runsByRequest   map[uint64]int
 	rejected        map[uint64]bool
 	attemptsReached map[*attemptState]bool
 	requestTimes    map[string][]time.Duration // by service
 	retryTimes      map[string][]time.Duration
-	appliedVersions map[[2]int]uint64 // by which an incarnation of an edge worked last
+	appliedVersions map[[2]int]uint64 // by edge number and incarnation: the last version that it applied
 }
 
-// bookingAudit is what the auditor sees of booked capacity.
+// bookingAudit records the capacity that was booked and granted.
 type bookingAudit struct {
 	bookingAcked   bool
-	admittedShares []int // of the booking, at each look
+	admittedShares []int // slots of the booking, one sample per audit
 }
 
 type acknowledgement struct {
@@ -113,7 +113,8 @@
 	return w
 }
 
-// Run plays a scenario. A decider that panics ends it, as it would end its process.
+// Run simulates a scenario and returns its result. A panic in a component ends the run and is reported as a FAULT violation,
+// because it would end the real process.
 func Run(scenario Scenario) (result Result) {
 	w := newCluster(scenario)
 	defer func() {
@@ -143,7 +144,7 @@
 	return w.result
 }
 
-// initialize puts everything in its place, as it is when a day begins.
+// initialize creates the controllers, edges, operators, links and servers with which the scenario starts.
 func (w *cluster) initialize() {
 	scenario := w.scenario
 	if scenario.MeasureLatency {
@@ -181,7 +182,7 @@
 	}
 }
 
-// tick lets every process act once.
+// tick advances every process by one tick interval.
 func (w *cluster) tick() {
 	for _, n := range w.controllers {
 		if w.isRunning(n.number) {
--- a/internal/simulation/controllers.go
+++ b/internal/simulation/controllers.go
@@ -15,14 +15,14 @@
 	"mulleinwood/internal/control/weights"
 )
 
-// controller is a controller's machine, with the process that runs on it.
+// controller is a controller's machine and the process that runs on it.
 type controller struct {
-	number        int // its number
+	number        int // index in cluster.controllers
 	name          string
 	zone          int
 	incarnation   int
 	disk          disk
-	pendingWrites []write // that the disk has not done
+	pendingWrites []write // writes that the disk has not completed, in order
 
 	controllerFaults
 	consensusState
@@ -35,73 +35,73 @@
 	summaries    int
 }
 
-// controllerFaults is what a machine suffers, and until when.
+// controllerFaults holds the active faults of a controller and their end times.
 type controllerFaults struct {
 	downUntil        time.Duration
-	removed          bool          // for good, or until it comes back although it was replaced
-	outboundCutUntil time.Duration // nothing of it reaches other controllers
-	inboundCutUntil  time.Duration // and nothing of theirs it
+	removed          bool          // permanently, or until it returns after it was replaced
+	outboundCutUntil time.Duration // its messages don't reach other controllers
+	inboundCutUntil  time.Duration // messages of other controllers don't reach it
 	frozenUntil      time.Duration
 	slowDiskUntil    time.Duration
 	fullDiskUntil    time.Duration
-	clockOffset      time.Duration // of its time of day
+	clockOffset      time.Duration // of its wall clock
 }
 
-// consensusState is the replica with its state, and who votes.
+// consensusState holds the consensus replica, its state machine and its view of the membership.
 type consensusState struct {
 	identity         string
-	bootstrapVoters  []string // as on the disk
+	bootstrapVoters  []string // as stored on the disk
 	replica          *consensus.Replica
-	membership       consensus.Membership // the newest that was applied
-	epoch            uint64               // of the newest that was applied durably
+	membership       consensus.Membership // the newest applied membership
+	epoch            uint64               // of the newest membership that was applied durably
 	manager          membership.Manager
-	seenReplicas     map[string]membership.Controller // that were linked at some time
-	replicaStatuses  map[int]replicaStatus            // of the controllers that are linked
-	retired          bool                             // voted out since the process started
+	seenReplicas     map[string]membership.Controller // by identity: replicas that were linked at any time
+	replicaStatuses  map[int]replicaStatus            // by controller number: status of linked controllers
+	retired          bool                             // removed from the voters since the process started
 	state            *statemachine.StateMachine
 	proposals        map[uint64]pendingProposal
 	reads            []read
-	unreadCalls      []func()      // calls that came while the process stood still
-	leaseUntil       time.Duration // for a planted fault
-	previousSnapshot []byte        // the last snapshot but one, for a planted fault
+	unreadCalls      []func()      // calls that arrived while the process was suspended
+	leaseUntil       time.Duration // only used by a planted fault
+	previousSnapshot []byte        // the snapshot before the last; only used by a planted fault
 }
 
-// claimState is the claim store and the coordinator.
+// claimState holds the claim store and the coordinator.
 type claimState struct {
 	claimStore  *idempotency.Store
 	coordinator *idempotency.Coordinator
 	claims      map[idempotency.Token]func(idempotency.Outcome)
-	copiedFrom  map[string]bool // replicas whose claims were copied for the change under way
+	copiedFrom  map[string]bool // replicas whose claims were copied for the current membership change
 	nextCopy    time.Duration
 }
 
-// serverState is the register of servers and the weight tables.
+// serverState holds the server registry and the weight tables.
 type serverState struct {
 	tables           *weights.Tables
-	peerTraffic      map[int]weights.PeerTraffic // what other controllers' edges bring, as last told
+	peerTraffic      map[int]weights.PeerTraffic // by controller number: traffic of its edges, as last reported
 	registry         *registry.Registry
 	broadcaster      *broadcast.Broadcaster
 	calls            map[uint64]func()
 	nextCall         uint64
-	unreachableSince map[int]time.Duration // controllers
+	unreachableSince map[int]time.Duration // by number: controllers whose link is down, and since when
 }
 
 var timing = consensus.Timing{Heartbeat: 50 * time.Millisecond, ElectionTimeout: 150 * time.Millisecond}
 
-// newController adds a machine with an empty disk. Wires to it are laid by the caller.
+// newController adds a controller with an empty disk. The caller adds its links.
 func (w *cluster) newController(zone int) *controller {
 	n := &controller{number: len(w.controllers), name: fmt.Sprint("c", len(w.controllers)), zone: zone, disk: emptyDisk()}
 	w.controllers, w.controllerNames = append(w.controllers, n), append(w.controllerNames, n.name)
 	return n
 }
 
-// stopController ends a controller's process for a while.
+// stopController ends a controller's process for the given time, then starts it with its disk.
 func (w *cluster) stopController(n *controller, down time.Duration) {
 	w.endController(n, down)
 	w.startController(n)
 }
 
-// wipeController ends a controller's process for a while, and its disk is lost.
+// wipeController ends a controller's process for the given time, and its disk is lost.
 func (w *cluster) wipeController(n *controller, down time.Duration) {
 	w.endController(n, down)
 	w.loseDisk(n)
@@ -128,7 +128,7 @@
 	}
 }
 
-// startController gives a controller's process what its disk held.
+// startController starts a controller's process with the contents of its disk.
 func (w *cluster) startController(n *controller) {
 	w.ensureIdentity(n)
 	w.startReplica(n)
@@ -153,7 +153,7 @@
 	w.newReservations(n)
 }
 
-// tickController does what a controller does by the clock.
+// tickController runs the periodic work of a controller.
 func (w *cluster) tickController(n *controller) {
 	w.writeDue(n)
 	n.replica.Tick(w.now)
--- a/internal/simulation/edges.go
+++ b/internal/simulation/edges.go
@@ -10,7 +10,7 @@
 	"mulleinwood/internal/edge/retrybudget"
 )
 
-// edge is one edge: its process's life and what that knows.
+// edge is an edge process and its state.
 type edge struct {
 	number, incarnation int
 	controller          int
@@ -18,7 +18,7 @@
 	revocations         []revocation
 
 	frozenUntil, cutUntil time.Duration
-	stableSince           time.Duration // from when it has been without trouble for long enough
+	stableSince           time.Duration // from when it counts as stable: stabilizationTime after its last fault
 	nextSearch            time.Duration
 	inContact             bool
 	version               uint64
@@ -27,12 +27,12 @@
 	budgets               map[string]*retrybudget.Budget
 	contacted             map[string]bool
 	zoneCount             int
-	roundRobinNext        map[string]int // of a policy that goes round
+	roundRobinNext        map[string]int // by service: next index of the round robin policy
 	serviceRequests       map[string]int // requests for a service since the last report
-	nextReport            time.Duration  // when the next one is due
-	attachedAt            time.Duration  // at its controller
+	nextReport            time.Duration  // when the next report is due
+	attachedAt            time.Duration  // to its current controller
 	reservations          edgeReservations
-	withoutTableSince     map[string]time.Duration // services without a table, since when
+	withoutTableSince     map[string]time.Duration // by service: since when no weight table was received
 }
 
 type claim struct {
@@ -48,7 +48,7 @@
 	sentAt    time.Duration
 }
 
-// restartEdge gives an edge's process a new life.
+// restartEdge starts a new incarnation of an edge, without state.
 func (w *cluster) restartEdge(e *edge) {
 	e.incarnation++
 	e.pendingClaims, e.revocations = map[idempotency.Token]*claim{}, nil
@@ -56,7 +56,7 @@
 		map[string]time.Duration{}
 	e.reservations = edgeReservations{leases: reservation.LeaseHolder{Incarnation: uint64(e.incarnation)},
 		gate: reservation.NewAdmissionGate(), wanted: map[string]int{}}
-	e.attachedAt = w.now // as a new life, which holds nothing
+	e.attachedAt = w.now // the new incarnation holds no weight table yet
 	e.picker = picker.New(zoneName(e.zone()), w.rng.Float64)
 	e.budgets, e.contacted, e.version = map[string]*retrybudget.Budget{}, map[string]bool{}, 0
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// stabilizationTime is how long ago the last trouble has to be for what a rule bounds by time.
+// stabilizationTime is the time that must have passed since the last fault before time-bounded rules are checked.
 const stabilizationTime = 3 * time.Second
 
-// isStable tells whether the core is settled.
+// isStable reports whether the controllers have had no fault for stabilizationTime.
 func (w *cluster) isStable() bool { return w.now >= w.stableSince }
 
-// applyFault lets something go wrong.
+// applyFault injects a fault.
 func (w *cluster) applyFault(fault Fault) {
 	switch fault.Kind {
 	case Kill, Wipe, PowerAll, Partition, OutboundPartition, InboundPartition, SlowDisk, FullDisk, Freeze:
@@ -50,7 +50,7 @@
 	}
 }
 
-// applyMembershipFault replaces a machine, or has it end in order.
+// applyMembershipFault injects a fault that replaces, shuts down or restarts a controller, or that changes its wall clock.
 func (w *cluster) applyMembershipFault(fault Fault, n *controller) {
 	switch fault.Kind {
 	case JumpClock:
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -12,16 +12,16 @@
 
 const (
 	latencyTarget  = 250 * time.Millisecond
-	clientDeadline = 800 * time.Millisecond // a client's deadline
-	queueTimeout   = latencyTarget / 5      // for room
+	clientDeadline = 800 * time.Millisecond
+	queueTimeout   = latencyTarget / 5 // maximum wait for a free slot at a server
 	dialTimeout    = 400 * time.Millisecond
 	retryRatio     = 0.2
 	retrySlack     = 20.0
 	maxAttempts    = 2
-	pooledTenths   = 7 // of ten requests to a server that is known go on a connection that is there
+	pooledTenths   = 7 // of ten requests to a server that was contacted before, the number that reuse a connection
 )
 
-// request is one try of a client at an edge.
+// request is one client request at an edge.
 type request struct {
 	id          uint64
 	safe        bool
@@ -29,18 +29,18 @@
 	edge        *edge
 	incarnation int
 	startedAt   time.Duration
-	stable      bool // the edge was in touch when it came
+	stable      bool // the controllers and the edge were stable at startedAt
 	retries     attempt.Retries
 	tried       []*picker.Upstream
 	finished    bool
 
-	admission    *admission // of busy days
+	admission    *admission // only in scenarios with a BookingLoad
 	trafficStats *TrafficStats
 	measured     bool
 	resends      int
 }
 
-// updateEdgeServers takes news of servers.
+// updateEdgeServers applies registry entries at an edge and updates its picker.
 func (w *cluster) updateEdgeServers(e *edge, entries []registry.Entry) {
 	for _, entry := range entries {
 		applied, _ := e.registry.Apply(entry, w.now)
@@ -58,14 +58,14 @@
 	}
 }
 
-// applyEdgeConfig takes a version of the configuration.
+// applyEdgeConfig applies a configuration version at an edge, unless it is older than the current one.
 func (w *cluster) applyEdgeConfig(e *edge, version uint64) {
 	if version > e.version || w.scenario.PlantedFault == "an edge takes any version" {
 		e.version = version
 	}
 }
 
-// generateRequest lets clients ask at an edge.
+// generateRequest draws whether a client request arrives at an edge during this tick, and starts it.
 func (w *cluster) generateRequest(e *edge) {
 	if e.frozenUntil > w.now || w.rng.Float64() >= w.scenario.Rate*tickInterval.Seconds() {
 		return
@@ -97,7 +97,8 @@
 	return budget
 }
 
-// startAttempt finds a server with room for a request, waiting a little for one.
+// startAttempt picks a server with a free slot for a request and sends it. Before the first attempt it waits up to
+// queueTimeout for a slot.
 func (w *cluster) startAttempt(q *request) {
 	e := q.edge
 	if e.incarnation != q.incarnation || q.finished {
@@ -125,12 +126,12 @@
 	w.scheduleMillis(10, func() { w.startAttempt(q) })
 }
 
-// whenResumed does something once a process that stands still goes on.
+// whenResumed runs do once a suspended edge has resumed.
 func (w *cluster) whenResumed(e *edge, do func()) {
 	w.scheduleMillis(int((e.frozenUntil-w.now)/time.Millisecond)+1, do)
 }
 
-// sendAttempt sends a request to a server, on a connection that is there or on a new one.
+// sendAttempt sends a request to a server over a pooled or a new connection.
 func (w *cluster) sendAttempt(q *request, u *picker.Upstream) {
 	e := q.edge
 	q.tried = append(q.tried, u)
@@ -155,7 +156,7 @@
 	address, _ := u.Attachment.(string)
 	w.scheduleMillis(1+w.rng.IntN(4), func() { w.arriveAtServer(t, address) })
 	limit := q.startedAt + clientDeadline - w.now
-	// Nobody takes a new connection at an address that is silent.
+	// An unresponsive address accepts no new connection.
 	unreachable := func() bool {
 		s := w.serverByAddress[address]
 		return !t.pooled && s != nil && s.stopped && s.unresponsive
@@ -172,7 +173,7 @@
 	})
 }
 
-// handleAttemptEnd takes how a try went, and goes on as the attempt's table says.
+// handleAttemptEnd records the outcome of an attempt and retries or finishes the request as attempt.Retries decides.
 func (w *cluster) handleAttemptEnd(q *request, t *attemptState, response attempt.Response, status int, load [2]float64) {
 	e := q.edge
 	outcome := response.Outcome()
@@ -214,7 +215,7 @@
 	}
 }
 
-// finishRequest is what a client hears.
+// finishRequest ends a request and counts what its client receives.
 func (w *cluster) finishRequest(q *request, outcome attempt.Outcome, status int) {
 	q.finished = true
 	w.finishBookedRequest(q, bookedEndingOf(outcome, status))
@@ -228,7 +229,7 @@
 		w.result.recordLatency(took)
 	case outcome == attempt.NotSent || outcome == attempt.NotRun:
 		w.result.Rejected++
-		if !q.safe { // a promise
+		if !q.safe { // the client is told that the request did not run
 			if w.runsByRequest[q.id] > 0 {
 				w.fail("REFUSED: request %d is refused and has run", q.id)
 			}
@@ -239,7 +240,7 @@
 	}
 }
 
-// countArrival counts what comes to a server of the right life.
+// countArrival audits a request that arrives at the server process it was meant for.
 func (w *cluster) countArrival(t *attemptState, s *server) {
 	w.attemptsReached[t] = true
 	if w.arrivalCounts[t.request.id]++; w.arrivalCounts[t.request.id] > 1 {
@@ -254,7 +255,7 @@
 	}
 }
 
-// countRun counts runs.
+// countRun audits a request that starts to run.
 func (w *cluster) countRun(t *attemptState, _ *server) {
 	id := t.request.id
 	w.runsByRequest[id]++
@@ -266,7 +267,7 @@
 	}
 }
 
-// auditVersion holds the version that an edge works by against those that it worked by before in this life.
+// auditVersion checks that an edge doesn't return to an older version within one incarnation.
 func (w *cluster) auditVersion(e *edge) {
 	process := [2]int{e.number, e.incarnation}
 	if e.version < w.appliedVersions[process] {
@@ -275,7 +276,7 @@
 	w.appliedVersions[process] = e.version
 }
 
-// auditAppliedVersion holds the version that an edge in touch works by against those that were acknowledged a while ago.
+// auditAppliedVersion checks that a connected edge applies an acknowledged version within applyTimeout.
 func (w *cluster) auditAppliedVersion(e *edge) {
 	const applyTimeout = 2 * time.Second
 	for i := len(w.acknowledgements) - 1; i >= 0; i-- {
@@ -289,7 +290,7 @@
 	}
 }
 
-// auditBudget counts arrivals beyond the first in every window.
+// auditBudget checks the retries to each service against the retry budget, in every window of ten seconds.
 func (w *cluster) auditBudget() {
 	const span = 10 * time.Second
 	for _, service := range w.services {
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -1,7 +1,7 @@
-// Package simulation plays the controllers of the gateway and its edges in simulated time from one seed: the real deciders
-// (consensus, claim stores, coordinators) over modelled messages, disks and losses. An auditor that knows nothing of their books
-// holds what servers ran and what operators were told against the rules. What goes wrong in a day is a script, so that a
-// bad day can be cut down to the few troubles that it needs.
+// Package simulation runs the gateway's controllers and edges in simulated time from one seed: the production decision code
+// (consensus, claim stores, coordinators) over modelled messages, disks and faults. An independent auditor, which doesn't
+// read the state of these components, checks the runs at servers and the replies to operators against the rules. Faults are
+// a script, so that a failing scenario can be shrunk to the few faults that it needs.
 package simulation
 
 import (
@@ -13,11 +13,11 @@
 	"time"
 )
 
-// Fault is one thing that goes wrong.
+// Fault is one scheduled fault of a scenario.
 type Fault struct {
 	At       time.Duration
 	Kind     string
-	Node     int // a controller; for a kill of an edge, the edge
+	Node     int // controller number; for faults of edges and servers, an index that is reduced to one of them
 	Duration time.Duration
 }
 
@@ -25,62 +25,63 @@
 	return fmt.Sprintf("%7.3fs %-10s %d for %.3fs", fault.At.Seconds(), fault.Kind, fault.Node, fault.Duration.Seconds())
 }
 
-// The kinds of trouble.
+// The kinds of faults.
 const (
-	Kill              = "kill"      // a controller's process ends; its disk stays
-	Wipe              = "wipe"      // it loses its disk with it
-	PowerAll          = "power_all" // all controllers end; writes that were not done are lost
-	Partition         = "cut"       // a controller is cut off from the other controllers
-	OutboundPartition = "cut_out"   // it hears the other controllers, and they don't hear it
-	InboundPartition  = "cut_in"    // they hear it, and it doesn't hear them
-	SlowDisk          = "slow_disk" // its writes take 25 times as long
-	FullDisk          = "full_disk" // its writes fail
-	KillEdge          = "kill_edge" // an edge forgets all
+	Kill              = "kill"      // a controller's process ends and restarts; its disk is kept
+	Wipe              = "wipe"      // a controller's process ends and its disk is lost
+	PowerAll          = "power_all" // all controllers end; incomplete writes are lost
+	Partition         = "cut"       // a controller is partitioned from the other controllers in both directions
+	OutboundPartition = "cut_out"   // a controller receives from the other controllers but can't send to them
+	InboundPartition  = "cut_in"    // a controller sends to the other controllers but can't receive from them
+	SlowDisk          = "slow_disk" // a controller's writes take 25 times as long
+	FullDisk          = "full_disk" // a controller's writes fail
+	KillEdge          = "kill_edge" // an edge restarts without state
 
-	Replace      = "replace"         // a machine is gone for good, and its successor starts after the span
-	ReplaceBack  = "replace_back"    // and some seconds later the old one comes back with its disk
-	StandbyFirst = "successor_first" // the successor starts, and the old one is told to end after the span
-	StandbyAfter = "successor_after" // the old one is told to end, and the successor starts after the span
-	Restart      = "restart"         // a controller is told to end, and starts again on its disk
-	JumpClock    = "jump_clock"      // its time of day jumps by the span
+	Replace      = "replace"         // a controller is removed permanently; a replacement starts after Duration
+	ReplaceBack  = "replace_back"    // Replace, and the removed controller returns with its disk after another returnDelay
+	StandbyFirst = "successor_first" // a replacement starts; the old controller is shut down after Duration
+	StandbyAfter = "successor_after" // a controller is shut down; its replacement starts after Duration
+	Restart      = "restart"         // a controller is shut down and restarts on its disk
+	JumpClock    = "jump_clock"      // a controller's wall clock is offset by Duration
 
-	Freeze        = "freeze"      // a controller stands still, and goes on
-	PartitionEdge = "cut_edge"    // an edge is cut off from all controllers
-	FreezeEdge    = "freeze_edge" // an edge stands still
-	Drain         = "drain"       // a server leaves in order, and its address goes to another service
-	Crash         = "crash"       // a server ends, half of them with their machine
-	LoseReplies   = "lose"        // a server runs requests and their answers are lost
-	Garble        = "garble"      // a server's answers break off, or belong to another request
+	Freeze        = "freeze"      // a controller's process is suspended, then resumes
+	PartitionEdge = "cut_edge"    // an edge is partitioned from all controllers
+	FreezeEdge    = "freeze_edge" // an edge's process is suspended, then resumes
+	Drain         = "drain"       // a server drains; its address may go to another service
+	Crash         = "crash"       // a server crashes; for an even Node its machine becomes unreachable as well
+	LoseReplies   = "lose"        // a server runs requests, and some of its responses are lost
+	Garble        = "garble"      // some of a server's responses are truncated or belong to another request
 	SlowServer    = "slow_server"
-	FailingServer = "sick" // most answers of all servers of a service break off
+	FailingServer = "sick" // most responses of all servers of a service are truncated
 )
 
-// core are the troubles of controllers and edges, service those of servers.
+// controlFaults are the faults of controllers and edges, serverFaults those of servers. A kind that is listed several times
+// is drawn more often.
 var (
 	controlFaults = []string{Kill, Kill, PowerAll, Partition, SlowDisk, FullDisk, KillEdge, Freeze, PartitionEdge, FreezeEdge}
 	serverFaults  = []string{Drain, Drain, Drain, Crash, LoseReplies, Garble, SlowServer, FailingServer}
 )
 
-// Scenario is what is played.
+// Scenario describes one simulation run.
 type Scenario struct {
 	Seed                uint64
-	Members             int // controllers with a vote
-	MaxLostDisks        int // disks that may be lost at once
+	Members             int // voting controllers
+	MaxLostDisks        int // disks that may be lost at the same time
 	Edges               int
 	Services            int
 	Servers             int
-	Rate                float64 // requests a second at each edge
-	ChangeIntervalTicks int     // ticks of a leader between changes, in the mean
+	Rate                float64 // requests per second at each edge
+	ChangeIntervalTicks int     // mean number of ticks between two configuration changes of an operator
 	Length              time.Duration
 	Faults              []Fault
-	PlantedFault        string // planted, to see that the auditor sees
-	MeasureLatency      bool   // times of answers, and of waiting beside idle servers, are wanted
+	PlantedFault        string // deliberate defect, to verify that the auditor detects it; empty: none
+	MeasureLatency      bool   // record response times and the time that requests wait while another server has a free slot
 	BookingLoad         BookingLoad
-	Operators           int    // operators at once; 0: two
-	ReplyLossInterval   int    // one answer to an operator in so many is lost; 0: one in ten
-	Seeds               int    // machines that are known at the first start, too few to be all voters; 0: all
-	MustRecover         bool   // the core has to be whole again some time after each trouble
-	Policy              string // by which edges pick, to compare with; empty: as they do
+	Operators           int    // concurrent operators; 0: two
+	ReplyLossInterval   int    // one of this many replies to operators is lost; 0: one in ten
+	Seeds               int    // number of controllers known at bootstrap if they are too few to be all voters; 0: all are known
+	MustRecover         bool   // require that the controllers regain full fault tolerance within recoveryTimeout of each fault
+	Policy              string // server selection policy of edges, one of Policies; empty: the production policy
 }
 
 func (scenario Scenario) operatorCount() int {
@@ -97,11 +98,12 @@
 	return scenario.ReplyLossInterval
 }
 
-// maxDrain is the rule's: how long after its acknowledgement a server that leaves may still be sent to. The rehearsal
-// holds the system to half of what the first deployments allow.
+// maxDrain is how long after the acknowledgement of its drain a server may still receive requests. The simulation requires
+// half of what the first deployments allow.
 func (scenario Scenario) maxDrain() time.Duration { return time.Second }
 
-// NewScenario draws a day. Losses of disks stay within what is borne, and are far enough apart to be made good.
+// NewScenario generates a scenario with faults of controllers and edges. Disk losses stay within the tolerated number, and
+// are far enough apart for the stores to recover in between.
 func NewScenario(seed uint64, members, lost int) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	scenario := Scenario{Seed: seed, Members: members, MaxLostDisks: lost, Edges: 3, Length: 14 * time.Second,
@@ -140,8 +142,8 @@
 	return scenario
 }
 
-// NewServiceScenario draws a day on which the core's troubles are far enough apart for the rules that hold between them, and
-// servers come, leave, crash, lose and spoil answers all the time.
+// NewServiceScenario generates a scenario in which controller faults are far enough apart for the rules that hold between
+// them, while servers start, drain, crash, and lose or corrupt responses all the time.
 func NewServiceScenario(seed uint64, members, lost int) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 12))
 	scenario := Scenario{Seed: seed, Members: members, MaxLostDisks: lost, Edges: 3 + rng.IntN(3), Services: 3, Servers: 9 +
@@ -158,7 +160,8 @@
 	return scenario
 }
 
-// Shrink drops troubles that a bad day doesn't need to stay bad, one after the other, with so many days played at most.
+// Shrink removes faults one at a time from a failing scenario as long as the same rule is still violated. It runs at most
+// maxRuns simulations.
 func Shrink(scenario Scenario, maxRuns int) Scenario {
 	violation, _, _ := strings.Cut(Run(scenario).Violation, ":")
 	for shrunk := true; shrunk; {
