--- a/internal/simulation/controllers.go
+++ b/internal/simulation/controllers.go
@@ -101,7 +101,7 @@
 	w.startController(n)
 }
 
-// wipeController ends a controller's process for the given time, and its disk is lost.
+// wipeController ends a controller's process for the given time, then starts it with an empty disk.
 func (w *cluster) wipeController(n *controller, down time.Duration) {
 	w.endController(n, down)
 	w.loseDisk(n)
--- a/internal/simulation/disks.go
+++ b/internal/simulation/disks.go
@@ -10,35 +10,35 @@
 	"mulleinwood/internal/control/registry"
 )
 
-// disk is what a controller's machine holds durably.
+// disk is the durable state of a controller.
 type disk struct {
 	identity        string
-	bootstrapVoters []string // the voters that the cluster started with, where the disk knows them
+	bootstrapVoters []string // the voters at bootstrap, if known
 	membership      consensus.Membership
 	hardState       consensus.HardState
 	snapshot        consensus.Snapshot
 	log             []consensus.Entry
 	records         []idempotency.Record
-	recovering      bool // the store of claims grants nothing yet
+	recovering      bool // the claim store grants nothing until it has recovered
 	servers         map[string]registry.Entry
 }
 
 func emptyDisk() disk { return disk{servers: map[string]registry.Entry{}} }
 
-// write is a batch on its way to a disk: durable as a whole or not at all, and in order.
+// write is a batch that waits for a disk. It becomes durable as a whole or not at all, and in order.
 type write struct {
 	completesAt time.Duration
 	store       func(*disk)
 	done        func(ok bool)
-	mustSucceed bool // waits until the disk takes it, while the disk is full
+	mustSucceed bool // retried until it succeeds while the disk is full
 }
 
-// persist puts a write behind those that wait for the disk. A full disk refuses it.
+// persist queues a write. It fails if the disk is full.
 func (w *cluster) persist(n *controller, store func(*disk), done func(ok bool)) {
 	w.enqueue(n, write{store: store, done: done})
 }
 
-// persistRetrying is persist for what must not be refused: it waits until the disk takes it.
+// persistRetrying queues a write that is retried until it succeeds.
 func (w *cluster) persistRetrying(n *controller, store func(*disk), then func()) {
 	w.enqueue(n, write{store: store, done: func(bool) { then() }, mustSucceed: true})
 }
@@ -55,7 +55,7 @@
 	n.pendingWrites = append(n.pendingWrites, pending)
 }
 
-// writeDue does the writes whose time has come.
+// writeDue completes the writes that are due.
 func (w *cluster) writeDue(n *controller) {
 	for len(n.pendingWrites) > 0 && n.pendingWrites[0].completesAt <= w.now {
 		one := n.pendingWrites[0]
@@ -73,7 +73,7 @@
 	}
 }
 
-// losePower drops the writes that wait for the disk. The first of them may have become durable although nobody was told.
+// losePower drops the pending writes. A random number of the first ones may have become durable without confirmation.
 func (w *cluster) losePower(n *controller) {
 	if n.fullDiskUntil <= w.now && len(n.pendingWrites) > 0 {
 		for _, one := range n.pendingWrites[:w.rng.IntN(len(n.pendingWrites)+1)] {
@@ -83,7 +83,7 @@
 	n.pendingWrites = nil
 }
 
-// storeOutput brings what the consensus says onto the disk.
+// storeOutput applies an output of the consensus to the disk.
 func (d *disk) storeOutput(out consensus.Output, fault string) {
 	if out.HardState != nil {
 		d.hardState = *out.HardState
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -12,24 +12,24 @@
 	"mulleinwood/internal/peer"
 )
 
-// Spans of links and controllers, as the programs have them.
+// Intervals and timeouts of links and controllers, as in the programs.
 const (
 	linkTimeout      = 800 * time.Millisecond
 	redialDelay      = 300 * time.Millisecond
 	summaryInterval  = 250 * time.Millisecond
-	fullSummaryEvery = 4 // summaries, of which one is full
+	fullSummaryEvery = 4 // number of summaries of which one is full
 	searchInterval   = 60 * time.Millisecond
 )
 
-// link is a connection between two processes: in order, and without loss while it holds. A cut holds its bytes up; one
-// that lasts for longer than silence breaks it, and so does the end of a process.
+// link is a connection between two processes. It delivers in order and without loss while it is up. A partition delays its
+// messages; one that lasts longer than linkTimeout breaks the link, and so does the end of a process.
 type link struct {
-	a, b         int // b is a controller; a another one, or an edge
+	a, b         int // b is a controller; a is another controller or an edge
 	up           bool
 	incarnations [2]int
-	silentSince  time.Duration // since when nothing passes
+	silentSince  time.Duration // when it became silent
 	silent       bool
-	redialAt     time.Duration // not made anew before
+	redialAt     time.Duration // time before which the link isn't reconnected
 	epoch        int
 	nextDelivery [2]time.Duration
 	digests      [2]peer.DigestComparison
@@ -42,7 +42,7 @@
 	return fmt.Sprint("exchange ", who)
 }
 
-// isRunning tells whether a process is up, and not standing still.
+// isRunning reports whether a process is up and not suspended.
 func (w *cluster) isRunning(who int) bool {
 	if who < 0 {
 		return w.edges[-1-who].frozenUntil <= w.now
@@ -50,7 +50,7 @@
 	return w.controllers[who].downUntil <= w.now && w.controllers[who].frozenUntil <= w.now
 }
 
-// isReachable tells whether bytes get from one process to another.
+// isReachable reports whether messages pass from a to b.
 func (w *cluster) isReachable(a, b int) bool {
 	for _, who := range []int{a, b} {
 		if who < 0 && w.edges[-1-who].cutUntil > w.now || who >= 0 && w.controllers[who].downUntil > w.now {
@@ -60,7 +60,7 @@
 	return a < 0 || b < 0 || w.controllers[a].outboundCutUntil <= w.now && w.controllers[b].inboundCutUntil <= w.now
 }
 
-// maintainLinks makes and breaks wires. It is called every few steps.
+// maintainLinks connects and breaks links. It is called every few ticks.
 func (w *cluster) maintainLinks() {
 	for _, k := range w.links {
 		incarnations := [2]int{w.incarnationOf(k.a), w.incarnationOf(k.b)}
@@ -83,7 +83,7 @@
 	}
 }
 
-// breakLink breaks a wire: both ends that still live hear of it.
+// breakLink breaks a link. Each controller at its ends that still runs is notified.
 func (w *cluster) breakLink(k *link) {
 	k.up, k.redialAt = false, w.now+redialDelay
 	k.epoch++
@@ -106,7 +106,7 @@
 	}
 }
 
-// connect makes a wire: each end sends what it knows, and then what changes.
+// connect brings a link up. Each end sends its state, and from then on its changes.
 func (w *cluster) connect(k *link) {
 	k.up, k.silent, k.incarnations = true, false, [2]int{w.incarnationOf(k.a), w.incarnationOf(k.b)}
 	k.epoch++
@@ -124,7 +124,7 @@
 		n.broadcaster.AddPeer(linkName(other), other < 0)
 		delete(n.unreachableSince, other)
 		all, version := n.registry.All(w.now), n.state.Version()
-		if w.scenario.PlantedFault == "an edge takes any version" { // and its controller lags behind at first
+		if w.scenario.PlantedFault == "an edge takes any version" { // its controller starts with an older version
 			if version = 0; n.disk.snapshot.Index > 0 {
 				version = w.versionAt[n.disk.snapshot.Index-1]
 			}
@@ -145,7 +145,7 @@
 	}
 }
 
-// sendOnLink sends over a wire.
+// sendOnLink sends a message over a link, after all earlier ones in the same direction.
 func (w *cluster) sendOnLink(k *link, from int, do func()) {
 	direction := 0
 	if from == k.b {
@@ -158,7 +158,7 @@
 		incarnations: [2]int{w.incarnationOf(from), w.incarnationOf(to)}, deliver: do, link: k, epoch: k.epoch})
 }
 
-// linkBetween finds the wire of two processes.
+// linkBetween returns the link of two processes, or nil if it is down.
 func (w *cluster) linkBetween(a, b int) *link {
 	if a > b {
 		a, b = b, a
@@ -169,14 +169,14 @@
 	return nil
 }
 
-// applyUpdate hands a controller what another process knows of servers.
+// applyUpdate applies registry entries from another process at a controller.
 func (w *cluster) applyUpdate(n *controller, from int, entries []registry.Entry, receipt uint64) {
 	n.broadcaster.HandleUpdate(linkName(from), entries, receipt, w.now)
 	w.publishUpdates(n)
 }
 
-// publishUpdates sends what a controller's broadcaster wants told, and answers the servers' calls that everybody in reach
-// has acknowledged.
+// publishUpdates sends the pending messages of a controller's broadcaster and replies to server calls that all reachable
+// processes have acknowledged.
 func (w *cluster) publishUpdates(n *controller) {
 	out := n.broadcaster.DrainOutput()
 	if len(out.Updates) > 0 {
@@ -215,7 +215,7 @@
 	}
 }
 
-// receiveUpdate takes another controller's message on servers.
+// receiveUpdate handles a registry message from another controller.
 func (w *cluster) receiveUpdate(n, from *controller, message broadcast.Message) {
 	if message.Acked != 0 {
 		n.broadcaster.HandleAck(linkName(from.number), message.Acked)
@@ -223,7 +223,7 @@
 	w.applyUpdate(n, from.number, message.Entries, message.AckID)
 }
 
-// parseLinkName is the reverse of linkName.
+// parseLinkName is the inverse of linkName.
 func parseLinkName(name string) int {
 	var kind string
 	var number int
@@ -236,9 +236,9 @@
 	return number
 }
 
-// summary is what a controller tells its peers of itself.
+// summary is the periodic status message of a controller to its peers.
 type summary struct {
-	full      bool // with what changes slowly
+	full      bool // whether it includes the slowly changing fields
 	inContact bool
 	digest    uint64 // of the registry
 	links     []string
@@ -276,7 +276,7 @@
 	}
 }
 
-// receiveSummary is a summary that comes to another controller.
+// receiveSummary handles a summary at another controller.
 func (w *cluster) receiveSummary(to, from *controller, k *link, sent summary) {
 	if !sent.full {
 		return
@@ -289,7 +289,7 @@
 	}
 }
 
-// receiveSummaryAtEdge is a summary that comes to an edge. One whose controller is not in contact looks for another.
+// receiveSummaryAtEdge handles a summary at an edge. An edge whose controller has lost its quorum looks for another one.
 func (w *cluster) receiveSummaryAtEdge(e *edge, from *controller, k *link, sent summary) {
 	if w.scenario.Policy == "" {
 		e.picker.AssignSlots(w.zoneEdges(e.zone()), uint32(e.number))
@@ -307,10 +307,10 @@
 	}
 }
 
-// zone is where an edge stands.
+// zone returns the edge's zone number.
 func (e *edge) zone() int { return e.number % e.zoneCount }
 
-// zoneEdges is the edges of a zone, as the controllers that are in touch know them.
+// zoneEdges returns the connected edges of a zone.
 func (w *cluster) zoneEdges(zone int) (all []uint32) {
 	for _, e := range w.edges {
 		if e.zone() == zone && e.controller != nowhere {
@@ -320,7 +320,7 @@
 	return all
 }
 
-// compareDigests carries one step of comparing cells.
+// compareDigests sends registry digests from one process to another and exchanges the entries that differ.
 func (w *cluster) compareDigests(k *link, from, to int, digests *peer.Digests) {
 	w.sendOnLink(k, from, func() {
 		servers := w.registryOf(to)
@@ -357,7 +357,8 @@
 
 const nowhere = -1000
 
-// bestController is where an edge would belong: a controller that it reaches and that hears more than half of the core.
+// bestController returns the controller that an edge should attach to: a reachable one, preferably one that has contact with
+// a quorum and isn't shutting down. It returns nowhere if none is reachable.
 func (w *cluster) bestController(e *edge) int {
 	best, score := nowhere, -1
 	for i := range w.controllers {
@@ -372,10 +373,10 @@
 	return best
 }
 
-// oneIf counts a condition.
+// oneIf maps true to 1 and false to 0.
 var oneIf = map[bool]int{true: 1}
 
-// connectAll lays a wire between each two controllers, and from each edge to each controller.
+// connectAll adds a link between every two controllers and between every edge and every controller.
 func (w *cluster) connectAll() {
 	for b := range w.controllers {
 		for a := -len(w.edges); a < b; a++ {
@@ -385,7 +386,7 @@
 	slices.SortFunc(w.links, func(x, y *link) int { return cmp.Or(cmp.Compare(x.a, y.a), cmp.Compare(x.b, y.b)) })
 }
 
-// connectController lays wires from a new controller to all that are there.
+// connectController adds links from a new controller to all existing controllers and edges.
 func (w *cluster) connectController(n *controller) {
 	for a := -len(w.edges); a < n.number; a++ {
 		w.addLink(a, n.number)
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// message is a message on its way. It is lost with the life of either end.
+// message is a message in flight. It is dropped if the process at either end restarts.
 type message struct {
 	deliverAt          time.Duration
-	from, to           int // controllers; edges are -1 - number
+	from, to           int // controller number, or -1 - number for an edge
 	incarnations       [2]int
 	deliver            func()
-	betweenControllers bool // between controllers: a cut stops it
+	betweenControllers bool // between controllers outside a link: dropped by a partition
 	link               *link
 	epoch              int
-	scheduled          bool // something that the clock brings
+	scheduled          bool // a scheduled event, not a message
 }
 
-// scheduleMillis has something happen some milliseconds from now.
+// scheduleMillis runs do after the given number of milliseconds.
 func (w *cluster) scheduleMillis(ms int, do func()) {
 	w.network = append(w.network, message{deliverAt: w.now + time.Duration(ms)*time.Millisecond, deliver: do, scheduled: true})
 }
@@ -26,7 +26,7 @@
 	return w.controllers[who].incarnation
 }
 
-// send delivers later, or never.
+// send delivers an unreliable message after a random delay, or drops it.
 func (w *cluster) send(from, to int, do func()) {
 	if w.rng.IntN(40) == 0 {
 		return
@@ -54,7 +54,7 @@
 		case l.link != nil && (!l.link.up || l.link.epoch != l.epoch):
 		case l.link != nil && !w.isReachable(l.from, l.to), !w.isRunning(l.to) &&
 			(l.to < 0 || w.controllers[l.to].downUntil <= w.now):
-			kept = append(kept, l) // held up by a cut, or unread by a process that stands still
+			kept = append(kept, l) // delayed by a partition, or unread by a suspended process
 		case l.to >= 0 && w.controllers[l.to].downUntil > w.now:
 		case l.betweenControllers && (w.controllers[l.from].outboundCutUntil > w.now ||
 			w.controllers[l.to].inboundCutUntil > w.now):
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -18,39 +18,39 @@
 	retryDelay     = 200 * time.Millisecond
 	maxRedirects   = 2
 	callTimeout    = 1500 * time.Millisecond
-	serviceNames   = 4 // that changes add or replace
+	serviceNames   = 4 // number of service names that changes add or replace
 )
 
-// operatorState is an operator: it reads the version in force, from whoever says so, and puts a change on top of it. Without a
-// clear answer it makes the same call again, at any controller.
+// operatorState is an operator. It reads the active version from any controller and submits a change based on it. Without a
+// definite reply it repeats the same call at any controller.
 type operatorState struct {
 	number int
 	call   *call
 	calls  int
 }
 
-// call is one change that an operator asks for.
+// call is one configuration change that an operator requests.
 type call struct {
 	data     []byte
 	change   statemachine.Change
 	version  uint64
 	at       int
-	resendAt time.Duration // when it is made once more
+	resendAt time.Duration // when it is sent again
 	finished bool
-	repeated bool // although it was acknowledged
+	repeated bool // sent again after it was acknowledged
 }
 
-// pendingProposal is a call that waits for its entry.
+// pendingProposal is a call that waits for its log entry to be applied.
 type pendingProposal struct {
 	term     uint64
 	deadline time.Duration
 	respond  func(err error)
 }
 
-// committedChange is a change that came into force, by the auditor's reading of the history alone.
+// committedChange is a change that became active according to the committed history alone.
 type committedChange struct{ base, version uint64 }
 
-// tickOperator lets an operator act.
+// tickOperator resends an operator's open call or starts a new one.
 func (w *cluster) tickOperator(o *operatorState) {
 	if c := o.call; c != nil {
 		if w.now >= c.resendAt {
@@ -75,7 +75,7 @@
 	case base == 0 || w.rng.IntN(4) == 0:
 		c.change = statemachine.Change{Base: base, Body: fmt.Appendf(nil,
 			`{"version":"r%d","services":[%s],"limits":{},"plants":[]}`, c.version, item)}
-	case w.rng.IntN(8) == 0: // one that can't be
+	case w.rng.IntN(8) == 0: // an invalid change: its version doesn't exceed its base
 		c.version = base
 		fallthrough
 	default:
@@ -84,13 +84,13 @@
 	}
 	data, err := cbor.Marshal(c.change)
 	if err != nil {
-		panic(err) // plain numbers and bytes
+		panic(err) // can't fail: numbers and bytes only
 	}
 	c.data, c.resendAt, o.call = data, w.now+resendInterval, c
 	w.sendChange(o, c, c.at, maxRedirects)
 }
 
-// sendChange brings a call to a controller, which sends it on to the leader that it knows.
+// sendChange sends a call to a controller. A controller that isn't the leader redirects it to the leader that it knows.
 func (w *cluster) sendChange(o *operatorState, c *call, address, redirects int) {
 	w.scheduleMillis(1+w.rng.IntN(5), func() {
 		n := w.controllers[address]
@@ -110,7 +110,7 @@
 	})
 }
 
-// proposeChange is a call that has come to a leader. Its reply may be lost.
+// proposeChange handles a call at the leader. The reply may be lost.
 func (w *cluster) proposeChange(o *operatorState, c *call, n *controller) {
 	incarnation := n.incarnation
 	respond := func(err error) {
@@ -131,7 +131,7 @@
 	w.processOutput(n)
 }
 
-// handleChangeReply is what an operator hears; only a clear answer ends a call.
+// handleChangeReply handles the reply to a call. Only a definite reply ends the call.
 func (w *cluster) handleChangeReply(o *operatorState, c *call, err error) {
 	if c.finished {
 		return
@@ -174,8 +174,8 @@
 	w.resendChange(o, c)
 }
 
-// resendChange makes a call that was acknowledged again, now and then, at any controller: that may be acknowledged or unclear,
-// and never refused.
+// resendChange occasionally repeats an acknowledged call at any controller. The repeated call may be acknowledged or remain
+// unconfirmed, but must not be rejected.
 func (w *cluster) resendChange(o *operatorState, c *call) {
 	if w.rng.IntN(4) > 0 {
 		return
@@ -186,7 +186,7 @@
 	})
 }
 
-// auditEntry holds an entry that a node takes for committed against the history.
+// auditEntry checks an entry that a controller considers committed against the history.
 func (w *cluster) auditEntry(n *controller, e consensus.Entry) {
 	switch at := int(e.Index); {
 	case at > len(w.history)+1:
@@ -207,8 +207,8 @@
 	}
 }
 
-// recordCommitted notes a new entry of the history. It judges by the numbers alone: a change counts if it is built on the
-// version in force, is above it and wasn't taken before.
+// recordCommitted records a new entry of the history. It decides by the versions alone: a change becomes active if its base
+// is the active version, its own version is higher and the same change wasn't committed before.
 func (w *cluster) recordCommitted(e consensus.Entry) {
 	var c statemachine.Change
 	if len(e.Data) > 0 && cbor.Unmarshal(e.Data, &c) == nil {
@@ -217,7 +217,7 @@
 	w.versionAt = append(w.versionAt, w.currentVersion)
 }
 
-// recordChange notes a committed change, by its bytes.
+// recordChange records a committed change under its encoded bytes.
 func (w *cluster) recordChange(data string, c statemachine.Change) {
 	var version uint64
 	if _, err := fmt.Sscanf(string(c.Body), `{"version":"r%d"`, &version); err != nil {
@@ -233,7 +233,8 @@
 	}
 }
 
-// auditApplied feeds a node's state machine with an entry, and answers who waits for it.
+// auditApplied applies an entry to a controller's state machine, checks the resulting version and replies to the waiting
+// call.
 func (w *cluster) auditApplied(n *controller, e consensus.Entry) {
 	if w.scenario.PlantedFault == "a base isn't looked at" && len(e.Data) > 0 {
 		var c statemachine.Change
@@ -262,7 +263,7 @@
 	}
 }
 
-// auditFinalState holds what the leader holds when the day is over against what was acknowledged.
+// auditFinalState checks the leader's state at the end against the acknowledged changes and bookings.
 func (w *cluster) auditFinalState() {
 	for _, n := range w.controllers {
 		if !w.isRunning(n.number) {
@@ -281,7 +282,7 @@
 	}
 }
 
-// expireProposals answers calls that waited for too long.
+// expireProposals replies to calls that have timed out or whose controller no longer leads.
 func (w *cluster) expireProposals(n *controller) {
 	for _, index := range sortedKeys(n.proposals) {
 		if wait := n.proposals[index]; w.now > wait.deadline || n.replica.Role() != consensus.Leader {
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -15,43 +15,43 @@
 const (
 	heartbeatInterval = 1500 * time.Millisecond
 	heartbeatTimeout  = time.Second
-	drainDuration     = 2 * time.Second // that a server serves on after its leaving is acknowledged, and the rule's bound
-	drainTimeout      = 5 * time.Second // after which one that nobody acknowledges ends anyway
+	drainDuration     = 2 * time.Second // time that a server continues to serve after its drain is acknowledged
+	drainTimeout      = 5 * time.Second // after which a server whose drain isn't acknowledged stops anyway
 	addressReuseDelay = 2 * time.Second
-	queuePerSlot      = 2 // waiting requests a slot
+	queuePerSlot      = 2 // maximum waiting requests per slot
 )
 
-// server is one life of a server, on an address that others had before it and will have after it.
+// server is one incarnation of a server. Its address is used by other servers before and after it.
 type server struct {
 	id, service, address            string
 	zone                            int
 	capacity                        int
-	workFactor                      float64 // times as long as usual
+	workFactor                      float64 // multiple of the usual duration of a request
 	seq                             uint64
-	nextHeartbeat                   time.Duration // beat
+	nextHeartbeat                   time.Duration
 	heartbeatTarget                 int
 	draining                        bool
 	heartbeatPending                bool
-	drainRequestedAt                time.Duration // when it began to leave
-	drainAckedAt                    time.Duration // when that was acknowledged
-	ackedWhileStable                bool          // by a controller in touch
-	stopped                         bool          // its process is gone
-	unresponsive                    bool          // and its machine says nothing
+	drainRequestedAt                time.Duration // when it began to drain
+	drainAckedAt                    time.Duration // when its drain was acknowledged
+	ackedWhileStable                bool          // the controllers were stable at the acknowledgement
+	stopped                         bool          // its process has ended
+	unresponsive                    bool          // its machine doesn't respond either, not even with a connection reset
 	losesRepliesUntil, garblesUntil time.Duration
-	failsUntil                      time.Duration // until when most of what it runs breaks off
+	failsUntil                      time.Duration // until when most of its responses are truncated
 	running, queue                  []*attemptState
 }
 
-// attemptState is a request at a server.
+// attemptState is one attempt of a request at a server.
 type attemptState struct {
 	request    *request
 	upstream   *picker.Upstream
 	expectedID string
 	sentAt     time.Duration
 	respond    func(attempt.Response, int, [2]float64)
-	responseTo uint64 // the request that the answer belongs to
-	abandoned  bool   // the edge has stopped listening
-	pooled     bool   // on a connection that was there
+	responseTo uint64 // ID of the request that the response belongs to
+	abandoned  bool   // the edge no longer waits for the response
+	pooled     bool   // sent on a reused connection
 }
 
 func (w *cluster) addServer(service, address string, zone int) {
@@ -62,7 +62,7 @@
 	w.servers = append(w.servers, s)
 }
 
-// tickServer does what a server does by the clock.
+// tickServer runs the periodic work of a server.
 func (w *cluster) tickServer(s *server) {
 	if s.stopped {
 		return
@@ -83,7 +83,8 @@
 	}
 }
 
-// sendHeartbeat tells a controller, and another one if that doesn't answer.
+// sendHeartbeat sends a server's state to a controller. If it doesn't reply in time, the next heartbeat goes to another one
+// at once.
 func (w *cluster) sendHeartbeat(s *server, state registry.State) {
 	s.seq++
 	s.heartbeatPending = true
@@ -96,7 +97,7 @@
 	acked := false
 	delay := 1 + w.rng.IntN(5)
 	if state == registry.Ready && w.rng.IntN(8) == 0 {
-		delay += w.rng.IntN(3000) // a late one: the connection was slow
+		delay += w.rng.IntN(3000) // a late heartbeat on a slow connection
 	}
 	w.scheduleMillis(delay, func() { w.receiveHeartbeat(n, s, entry, &acked) })
 	w.scheduleMillis(int(heartbeatTimeout/time.Millisecond), func() {
@@ -107,7 +108,7 @@
 	})
 }
 
-// receiveHeartbeat is a heartbeat that comes to a controller. It sets acked once the server knows that it was heard.
+// receiveHeartbeat handles a heartbeat at a controller. It sets acked once the server has received the acknowledgement.
 func (w *cluster) receiveHeartbeat(n *controller, s *server, entry registry.Entry, acked *bool) {
 	if w.scenario.PlantedFault == "a late beat undoes a drain" && entry.State == registry.Ready {
 		w.undoDrain(n, entry.ID)
@@ -139,7 +140,7 @@
 	w.publishUpdates(n)
 }
 
-// undoDrain has a controller forget that a server leaves.
+// undoDrain removes a draining server from a controller's registry, for a planted fault.
 func (w *cluster) undoDrain(n *controller, id string) {
 	if e, known := n.registry.Get(id); !known || e.State != registry.Draining {
 		return
@@ -160,18 +161,18 @@
 	}
 }
 
-// drainServer begins a planned end.
+// drainServer begins to drain a server.
 func (w *cluster) drainServer(s *server) {
 	if !s.draining && !s.stopped {
 		s.draining, s.drainRequestedAt, s.nextHeartbeat = true, w.now, w.now
 	}
 }
 
-// endServer is the end of a server's process. Its address goes to a server of another service.
+// endServer ends a server's process. Its address goes to a new server of a random service.
 func (w *cluster) endServer(s *server, unresponsive bool) {
 	s.stopped, s.unresponsive = true, unresponsive
 	for _, t := range append(s.running, s.queue...) {
-		w.scheduleMillis(1, func() { t.respond(attempt.Response{}, 0, [2]float64{}) }) // the connection breaks
+		w.scheduleMillis(1, func() { t.respond(attempt.Response{}, 0, [2]float64{}) }) // the connection is closed
 	}
 	s.running, s.queue = nil, nil
 	service := w.services[w.rng.IntN(len(w.services))]
@@ -179,14 +180,14 @@
 		if w.serverByAddress[s.address] == s {
 			w.addServer(service, s.address, s.zone)
 		}
-		if service != s.service { // and a new one takes its place
+		if service != s.service { // a replacement of the original service starts at a new address
 			w.addressCount++
 			w.addServer(s.service, fmt.Sprint("a-", w.addressCount), s.zone)
 		}
 	})
 }
 
-// arriveAtServer is a request that comes to an address.
+// arriveAtServer handles a request that arrives at an address.
 func (w *cluster) arriveAtServer(t *attemptState, address string) {
 	s := w.serverByAddress[address]
 	load := func() [2]float64 { return [2]float64{float64(len(s.running)), float64(len(s.queue))} }
@@ -211,7 +212,7 @@
 	}
 }
 
-// beginWork runs a request.
+// beginWork starts to run a request at a server.
 func (w *cluster) beginWork(s *server, t *attemptState) {
 	s.running = append(s.running, t)
 	w.countRun(t, s)
@@ -219,7 +220,7 @@
 	w.scheduleMillis(int(work*1000), func() { w.endWork(s, t) })
 }
 
-// endWork responds, and begins what waits. What a server does wrong for a while is drawn for each response.
+// endWork responds to a request and starts waiting requests. The active faults of a server are drawn for each response.
 func (w *cluster) endWork(s *server, t *attemptState) {
 	if i := slices.Index(s.running, t); i >= 0 {
 		s.running = slices.Delete(s.running, i, i+1)
@@ -230,7 +231,7 @@
 	for len(s.queue) > 0 && len(s.running) < s.capacity {
 		next := s.queue[0]
 		s.queue = s.queue[1:]
-		if !next.abandoned { // its connection was closed
+		if !next.abandoned { // the edge has closed its connection
 			w.beginWork(s, next)
 		}
 	}
@@ -242,7 +243,7 @@
 		if response.IDMatches = w.rng.IntN(2) == 0; response.IDMatches {
 			response.Complete = false
 		} else {
-			t.responseTo-- // one that came late, in this one's place
+			t.responseTo-- // a late response to another request
 		}
 	case s.failsUntil > w.now && w.rng.IntN(5) > 0:
 		response.Complete = false
@@ -253,7 +254,7 @@
 	w.scheduleMillis(1+w.rng.IntN(4), func() { t.respond(response, 200, load) })
 }
 
-// slowFactor is how much slower than usual a server is now.
+// slowFactor returns the current slowdown of a server.
 func (w *cluster) slowFactor(s *server) float64 {
 	if until, ok := w.slowUntil[s]; ok && w.now < until {
 		return 8
