--- a/internal/simulation/audit_membership.go
+++ b/internal/simulation/audit_membership.go
@@ -9,23 +9,24 @@
 	"mulleinwood/internal/control/idempotency"
 )
 
-// settle is the users' settle_s: so long after a trouble's end, or a successor's start, the core has to be whole again.
+// recoveryTimeout is the time after the end of a fault, or the start of a replacement, within which full fault tolerance
+// must be restored. It equals the setting settle_s.
 const recoveryTimeout = 6 * time.Second
 
-// membershipAudit are what the auditor notes of memberships, leaders, reads and kept answers.
+// membershipAudit records memberships, leaders, reads and handed-over responses.
 type membershipAudit struct {
 	voters           consensus.Membership
-	removed          map[string]uint64 // replicas that were voted out, and in which term
-	leaders          map[uint64]string // of a term
-	recoveryDeadline time.Duration     // when the core has to be whole
-	faultsEndAt      time.Duration     // when the last trouble ended
-	completeSince    time.Duration     // 0: it is not
-	lastChangeAt     time.Duration     // acknowledged
-	lastRunAt        time.Duration     // of a keyed operation
-	newestVersion    uint64            // version that was acknowledged
+	removed          map[string]uint64 // by identity: the term in which the replica was voted out
+	leaders          map[uint64]string // by term
+	recoveryDeadline time.Duration     // when full fault tolerance must be restored
+	faultsEndAt      time.Duration     // when the last fault ends
+	completeSince    time.Duration     // 0: full fault tolerance isn't restored
+	lastChangeAt     time.Duration     // when the last change was acknowledged
+	lastRunAt        time.Duration     // when the last keyed operation ran
+	newestVersion    uint64            // newest acknowledged version
 }
 
-// auditMembership holds a committed membership against those before it.
+// auditMembership checks a committed membership against the previous one.
 func (w *cluster) auditMembership(e consensus.Entry) {
 	m, previous := *e.Membership, w.membershipAudit.voters
 	switch {
@@ -52,7 +53,7 @@
 	w.result.Memberships += oneIf[!m.Joint()]
 }
 
-// auditLeader holds a leader against the others of its term, and against what was voted out before.
+// auditLeader checks that a term has one leader, and that a removed replica doesn't lead in a later term.
 func (w *cluster) auditLeader(n *controller) {
 	if n.replica.Role() != consensus.Leader {
 		return
@@ -67,7 +68,7 @@
 	}
 }
 
-// auditGrant holds a grant against what the store itself has applied durably: one that was voted out grants nothing.
+// auditGrant checks that a replica grants no claim once it has durably applied a membership without it.
 func (w *cluster) auditGrant(n *controller, v idempotency.GrantReply) {
 	if v == idempotency.ReplyGranted && !n.disk.membership.Contains(n.identity) && n.disk.membership.Epoch > 0 {
 		w.fail("REMOVED: %s has applied membership %d, which it is no part of, and grants a claim", n.identity,
@@ -75,7 +76,7 @@
 	}
 }
 
-// auditRead holds what a read answered against what was acknowledged before it began.
+// auditRead checks that a read returns at least the version that was acknowledged before it began.
 func (w *cluster) auditRead(n *controller, version, acknowledged uint64) {
 	w.result.Reads++
 	if version < acknowledged {
@@ -83,11 +84,11 @@
 	}
 }
 
-// auditHandOver holds a controller that ends in order, and was replaced, against its promise: the answers that it kept
-// are kept elsewhere.
+// auditHandOver checks that the stored responses of a controller that shuts down after it was replaced also exist on another
+// controller.
 func (w *cluster) auditHandOver(n *controller) {
 	if !n.retired || n.shutdown.handOverStartedAt > 0 && !n.shutdown.synced {
-		return // nobody took them in time
+		return // no controller accepted them in time
 	}
 	for _, r := range n.keptResponses() {
 		kept := slices.ContainsFunc(w.controllers, func(o *controller) bool {
@@ -99,7 +100,7 @@
 	}
 }
 
-// missingVoters says what the core lacks to bear its losses again; empty: nothing.
+// missingVoters describes what is missing for full fault tolerance; empty: nothing.
 func (w *cluster) missingVoters() string {
 	var leader *controller
 	for _, n := range w.controllers {
@@ -140,7 +141,7 @@
 	return ""
 }
 
-// auditRecovery looks whether the core is whole again in time after the last trouble.
+// auditRecovery checks that full fault tolerance is restored in time after the last fault.
 func (w *cluster) auditRecovery() {
 	if !w.scenario.MustRecover || w.now%(50*time.Millisecond) != 0 {
 		return
@@ -159,7 +160,7 @@
 	}
 }
 
-// auditEnd looks whether orders and claims were taken once all troubles were over.
+// auditEnd checks that a change was acknowledged and a keyed operation ran after the deadline for recovery.
 func (w *cluster) auditEnd() {
 	if !w.scenario.MustRecover {
 		return
@@ -172,7 +173,7 @@
 	}
 }
 
-// extendRecoveryDeadline notes until when a trouble lasts.
+// extendRecoveryDeadline records the end of a fault and extends the deadline for recovery.
 func (w *cluster) extendRecoveryDeadline(until time.Duration) {
 	w.membershipAudit.faultsEndAt = max(w.membershipAudit.faultsEndAt, until)
 	w.membershipAudit.recoveryDeadline = max(w.membershipAudit.recoveryDeadline, until+recoveryTimeout)
--- a/internal/simulation/bootstrap.go
+++ b/internal/simulation/bootstrap.go
@@ -6,18 +6,18 @@
 	"mulleinwood/internal/control/membership"
 )
 
-// bootstrap makes a machine one of the first start's voters.
+// bootstrap initializes a disk as one of the given bootstrap voters.
 func (n *controller) bootstrap(voters []string) {
 	n.disk.identity, n.disk.bootstrapVoters, n.disk.recovering = membership.Identity(n.name, 0), voters, false
 }
 
-// awaitBootstrap makes a machine one of a first start whose voters are not known yet.
+// awaitBootstrap initializes a disk for a bootstrap whose voters aren't known yet.
 func (n *controller) awaitBootstrap() {
 	n.disk.identity, n.disk.recovering = membership.Identity(n.name, 0), true
 }
 
-// chooseBootstrapVoters names the voters of a system that starts for the first time, where the seeds are too few to be all
-// of them. One alone decides, the first of the seeds; the others learn it from each other.
+// chooseBootstrapVoters selects the voters of a new cluster when there are too few seeds. Only the first seed decides; the
+// other controllers learn the voters from their peers.
 func (w *cluster) chooseBootstrapVoters(n *controller) {
 	if w.scenario.Seeds == 0 || n.number != 0 || n.identity != n.name || len(n.bootstrapVoters) > 0 ||
 		1+len(n.replicaStatuses) < w.scenario.Members {
@@ -31,7 +31,7 @@
 	w.handleBootstrapVoters(n, voters[:w.scenario.Members])
 }
 
-// handleBootstrapVoters takes the voters of a first start over, and tells all linked controllers once that is durable.
+// handleBootstrapVoters adopts the bootstrap voters and sends them to all linked controllers once they are durable.
 func (w *cluster) handleBootstrapVoters(n *controller, voters []string) {
 	if n.identity != n.name || n.number >= w.scenario.Members || len(n.bootstrapVoters) > 0 || !n.replica.Bootstrap(voters) {
 		return
@@ -54,8 +54,8 @@
 	}
 }
 
-// finishRecoveryOfBootstrapVoter lets the store of a bootstrap voter grant: under the identity of a first start it never granted
-// anything before.
+// finishRecoveryOfBootstrapVoter lets the claim store of a bootstrap voter grant. Under its initial identity it has granted
+// nothing before.
 func (w *cluster) finishRecoveryOfBootstrapVoter(n *controller) {
 	if n.identity == n.name && slices.Contains(n.membership.Voters, n.identity) {
 		n.claimStore.FinishRecovery()
--- a/internal/simulation/bounded_model.go
+++ b/internal/simulation/bounded_model.go
@@ -9,39 +9,39 @@
 	"mulleinwood/internal/control/membership"
 )
 
-// Bounds of an exploration: how often each kind of loss may strike.
+// Bounds limits an exploration: the number of states, and how often each kind of fault may occur.
 type Bounds struct {
 	States, Wipes, PowerLosses, Revocations int
-	MembershipChanges                       int // of the membership, by which a learner takes the place of the third voter
-	MessageLosses                           int // single messages
+	MembershipChanges                       int // membership changes by which a learner replaces the third voter
+	MessageLosses                           int // lost messages between controllers
 	PlantedFault                            string
 }
 
-// boundedModel is a core of three claim stores, perhaps a fourth that stands by, and two edges that claim one key, the first at
-// the first store's coordinator, the second at the third's. All messages between two processes keep their order; else
-// anything may come next. The log is modelled as the list of memberships that are committed, which every node applies when
-// it likes: what internal/control/consensus does to commit them is explored by its own tests.
+// boundedModel is a model of three claim stores, optionally with a fourth as standby, and two edges that claim one key: the
+// first edge through the first store's coordinator, the second through the third's. Messages between two processes stay in
+// order; apart from that, any event may come next. The log is modelled as the list of committed memberships, which every
+// node applies at any time. How internal/control/consensus commits them is explored by its own tests.
 type boundedModel struct {
 	Log       []consensus.Membership
 	Nodes     []modelNode
-	Messages  [][]modelMessage // by channel
+	Messages  [][]modelMessage // by sender and receiver
 	Edges     [2]modelEdge
 	Runs      int
 	Violation string
-	Spent     Bounds // of the bounds
+	Spent     Bounds // faults used so far
 	bounds    Bounds
 }
 
 type modelNode struct {
 	Disk          modelDisk
-	DisksLost     int // that were lost
+	DisksLost     int // disks lost so far
 	Identity      string
-	Applied       int    // the newest membership of the log that was applied
-	Epoch         uint64 // of the newest that is durable
+	Applied       int    // index in Log of the newest applied membership
+	Epoch         uint64 // of the newest durable membership
 	Store         *idempotency.Store
 	Coordinator   *idempotency.Coordinator
 	Writes        []modelWrite
-	Copied        []string // identities of sources
+	Copied        []string // identities of the replicas whose claims were imported
 	CopyRequested bool
 	Hedged        bool
 }
@@ -53,13 +53,13 @@
 	Recovering bool
 }
 
-// modelWrite is a batch on its way to a disk, and what is to be done once it is durable.
+// modelWrite is a batch that waits for a disk, and the actions to take once it is durable.
 type modelWrite struct {
 	Records          []idempotency.Record
 	RecoveryComplete bool
-	Applied          int // 0: no membership
+	Applied          int // index in Log of the applied membership; 0: none
 	Retired          bool
-	Claim            bool // From tells whom
+	Claim            bool // a grant, to be reported to Requester
 	Requester        int
 	Record           idempotency.Record
 }
@@ -68,11 +68,11 @@
 	Started, Finished bool
 }
 
-// modelMessage is a message: between an edge and a coordinator, or between nodes.
+// modelMessage is a message between an edge and a coordinator, or between two nodes.
 type modelMessage struct {
 	Kind     string
 	From     int
-	Identity string // that the sender has
+	Identity string // identity of the sender
 	Epoch    uint64
 	Record   idempotency.Record
 	Reply    idempotency.GrantReply
@@ -83,12 +83,12 @@
 
 const (
 	modelNodes     = 4
-	modelProcesses = modelNodes + 2 // then the edges
+	modelProcesses = modelNodes + 2 // nodes, then edges
 	modelKey       = "k"
-	replacedVoter  = "2" // the voter whose place a learner takes
+	replacedVoter  = "2" // identity of the voter that a learner replaces
 )
 
-// claimCoordinators are the nodes whose coordinators the edges ask.
+// claimCoordinators are the nodes whose coordinators the edges call.
 var claimCoordinators = [2]int{0, 2}
 
 func newBoundedModel(b Bounds) *boundedModel {
@@ -107,7 +107,7 @@
 	return s
 }
 
-// start starts a node with what its disk holds.
+// start starts a node with the contents of its disk.
 func (s *boundedModel) start(i int) {
 	n := &s.Nodes[i]
 	n.Store = idempotency.NewStore(keyWindow, n.Disk.Recovering)
@@ -124,7 +124,7 @@
 	}
 }
 
-// discardGrants has the others' coordinators take back what a replica granted that is no more.
+// discardGrants makes all coordinators discard the grants of a replica that no longer exists.
 func (s *boundedModel) discardGrants(identity string) {
 	for j := range s.Nodes {
 		for _, out := range s.Nodes[j].Coordinator.DiscardGrants(identity) {
@@ -152,7 +152,7 @@
 	s.Messages[from*modelProcesses+to] = append(s.Messages[from*modelProcesses+to], n)
 }
 
-// choices are the events that may come next.
+// choices returns the events that may come next.
 func (s *boundedModel) choices() (all []string) {
 	for i, e := range s.Edges {
 		if !e.Started {
@@ -173,7 +173,7 @@
 	return append(all, s.lossChoices()...)
 }
 
-// deliveryChoices are what may become of the next message from one place to another.
+// deliveryChoices returns the possible outcomes of the next message from one process to another.
 func (s *boundedModel) deliveryChoices(from, to int) []string {
 	all := []string{fmt.Sprint("deliver ", from, " ", to)}
 	if s.Spent.MessageLosses < s.bounds.MessageLosses && from < len(s.Nodes) && to < len(s.Nodes) {
@@ -182,7 +182,7 @@
 	return all
 }
 
-// lossChoices are the disks and the power that may be lost, once a claim was made.
+// lossChoices returns the possible losses of disks and of power. They occur only after a claim has started.
 func (s *boundedModel) lossChoices() (all []string) {
 	if !s.Edges[0].Started && !s.Edges[1].Started {
 		return nil
@@ -215,7 +215,7 @@
 	return all
 }
 
-// membershipChoices are the steps that a leader may take: as internal/control/membership decides them.
+// membershipChoices returns the steps that a leader may take, as internal/control/membership decides them.
 func (s *boundedModel) membershipChoices() (all []string) {
 	newest := s.Log[len(s.Log)-1]
 	if newest.Joint() {
@@ -235,7 +235,8 @@
 	return all
 }
 
-// jointChoices are the steps out of a joint membership: back if an entrant is lost, on once all of them are ready.
+// jointChoices returns the steps out of a joint membership: abandon if a replica that is being added is lost, adopt once all
+// of them are ready.
 func (s *boundedModel) jointChoices(joint consensus.Membership) []string {
 	ready := true
 	for _, id := range joint.Next {
@@ -254,12 +255,12 @@
 	return nil
 }
 
-// nodeOf finds the node that a replica runs on; -1: none.
+// nodeOf returns the node that runs a replica, or -1.
 func (s *boundedModel) nodeOf(identity string) int {
 	return slices.IndexFunc(s.Nodes, func(n modelNode) bool { return n.Identity == identity })
 }
 
-// allStoresReady tells that all voters' stores are sound: one may be lost.
+// allStoresReady reports whether no voter's store is lost or recovering, so that one disk may be lost.
 func (s *boundedModel) allStoresReady() bool {
 	newest := s.Log[len(s.Log)-1]
 	return !slices.ContainsFunc(newest.Voters, func(id string) bool {
@@ -276,7 +277,7 @@
 func (s *boundedModel) perform(choice string) {
 	var action string
 	var x, y int
-	_, _ = fmt.Sscan(choice, &action, &x, &y) // some have fewer
+	_, _ = fmt.Sscan(choice, &action, &x, &y) // some choices have fewer arguments
 	switch action {
 	case "claim":
 		s.Edges[x].Started = true
@@ -316,7 +317,7 @@
 	}
 }
 
-// wipe loses a node's disk: what comes back is another replica.
+// wipe loses a node's disk. The node restarts as another replica.
 func (s *boundedModel) wipe(i int) {
 	n := &s.Nodes[i]
 	n.DisksLost++
@@ -347,7 +348,7 @@
 	s.Log = append(slices.Clip(s.Log), next)
 }
 
-// apply takes the next committed membership over.
+// apply applies the next committed membership at a node.
 func (s *boundedModel) apply(i int) {
 	n := &s.Nodes[i]
 	previous := s.membership(i)
@@ -376,7 +377,7 @@
 		Token: idempotency.Token{Incarnation: uint64(edge + 1), Sequence: 1}}
 }
 
-// revoke withdraws an edge's claim everywhere.
+// revoke revokes an edge's claim at all nodes.
 func (s *boundedModel) revoke(edge int) {
 	s.Edges[edge].Finished = true
 	for j := range s.Nodes {
--- a/internal/simulation/bounded_model_claims.go
+++ b/internal/simulation/bounded_model_claims.go
@@ -9,7 +9,7 @@
 	"mulleinwood/internal/control/membership"
 )
 
-// handleMessage gives a message to its receiver.
+// handleMessage delivers a message to its receiver.
 func (s *boundedModel) handleMessage(to int, m modelMessage) {
 	if to >= modelNodes {
 		s.handleOutcome(to-modelNodes, m.Outcome)
@@ -34,7 +34,7 @@
 	}
 }
 
-// handleOutcome gives an edge a ruling.
+// handleOutcome delivers the outcome of a claim to an edge.
 func (s *boundedModel) handleOutcome(edge int, ruling idempotency.Outcome) {
 	e := &s.Edges[edge]
 	if e.Finished {
@@ -58,7 +58,7 @@
 	early := s.membership(at).Epoch != m.Epoch || n.Epoch < m.Epoch
 	if early && s.bounds.PlantedFault != "copies are sent before the joint membership" || n.Store.Recovering() ||
 		!slices.Contains(s.membership(at).Voters, n.Identity) {
-		s.Nodes[m.From].CopyRequested = false // it asks again
+		s.Nodes[m.From].CopyRequested = false // the replica repeats its request
 		return
 	}
 	var all []idempotency.Record
@@ -156,7 +156,7 @@
 	}
 }
 
-// appliedDurably ends the taking over of a membership. A replica that was voted out draws a new identity.
+// appliedDurably completes the application of a membership. A replica that was voted out draws a new identity.
 func (s *boundedModel) appliedDurably(at int, w modelWrite) {
 	n := &s.Nodes[at]
 	n.Disk.Applied, n.Epoch = w.Applied, s.Log[w.Applied].Epoch
--- a/internal/simulation/explore.go
+++ b/internal/simulation/explore.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// ExploreResult is what an exploration saw.
+// ExploreResult is the result of an exploration.
 type ExploreResult struct {
 	States    int
-	Truncated bool     // there were states beyond the bound
-	Violation string   // the first rule that was broken
-	Trace     []string // the events that lead to it
+	Truncated bool     // whether states beyond the limit were left out
+	Violation string   // the first rule that was violated; empty: none
+	Trace     []string // the events that lead to the violation
 }
 
-// Explore goes through every order of events of the small core, as far as the bounds allow: states that were met before
-// are not gone through again.
+// Explore visits every order of events of the bounded model within the bounds. It doesn't continue from a state that was
+// visited before.
 func Explore(b Bounds) ExploreResult {
 	seed := maphash.MakeSeed()
 	visited := map[uint64]bool{}
@@ -48,7 +48,7 @@
 	return result
 }
 
-// fingerprint hashes a value with all that it holds, whatever is exported, and maps whatever their order.
+// fingerprint hashes a value with all its fields, exported or not. Maps are hashed independently of their order.
 func fingerprint(seed maphash.Seed, v reflect.Value) uint64 {
 	mix := func(parts ...uint64) uint64 {
 		h := uint64(1469598103934665603)
--- a/internal/simulation/membership.go
+++ b/internal/simulation/membership.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	copyInterval   = 200 * time.Millisecond // between two requests for the claims of other stores
-	maxCaughtUpLag = 16                     // entries by which a controller may lag and still count as level with the log
+	copyInterval   = 200 * time.Millisecond // interval of requests for the claims of other stores
+	maxCaughtUpLag = 16                     // log entries by which a caught-up replica may lag behind the commit index
 )
 
-// replicaStatus is what a controller says of its part in the consensus.
+// replicaStatus is the status of a replica that a controller announces to its peers.
 type replicaStatus struct {
 	identity       string
 	epoch          uint64
 	ready, leaving bool
 }
 
-// ensureIdentity gives a disk that has no identity yet its own, before anything else is written to it.
+// ensureIdentity assigns an identity to a disk without one, before anything else is written to it.
 func (w *cluster) ensureIdentity(n *controller) {
 	if n.disk.identity == "" {
 		n.disk.identity, n.disk.recovering = membership.Identity(n.name, w.rng.Uint64()|1), true
 	}
 }
 
-// startReplica starts a controller's part in the consensus, with what its disk held.
+// startReplica starts a controller's consensus replica with the contents of its disk.
 func (w *cluster) startReplica(n *controller) {
 	d := &n.disk
 	started := consensus.Membership{}
@@ -48,15 +48,14 @@
 	n.copiedFrom, n.nextCopy = map[string]bool{}, 0
 }
 
-// applyMembership takes over a membership that is committed. From when it is durable, this store of claims grants nothing
-// that is asked under an older one.
+// applyMembership applies a committed membership. Once it is durable, the claim store rejects requests under an older epoch.
 func (w *cluster) applyMembership(n *controller, m consensus.Membership) {
 	if m.Epoch <= n.membership.Epoch {
-		return // the log is applied again after a start
+		return // the log is replayed after a restart
 	}
 	previous := n.membership
 	n.membership = m
-	newIdentity := "" // the next identity of a replica that is voted out
+	newIdentity := "" // new identity of a replica that was voted out; empty: unchanged
 	retired := previous.Contains(n.identity) && !m.Contains(n.identity)
 	switch {
 	case retired && w.scenario.PlantedFault == "a retired identity is kept", retired &&
@@ -85,7 +84,7 @@
 	w.setStores(n)
 }
 
-// setStores lets the coordinator ask the stores of the membership in force.
+// setStores sets the claim stores of the active membership at the coordinator.
 func (w *cluster) setStores(n *controller) {
 	voters, next := n.membership.Voters, n.membership.Next
 	if w.scenario.PlantedFault == "one ledger is enough" && len(voters) > 0 {
@@ -102,7 +101,7 @@
 	return replicaStatus{identity: n.identity, epoch: n.epoch, ready: !n.claimStore.Recovering(), leaving: n.shuttingDown}
 }
 
-// announceStatus tells all linked controllers of this one's part.
+// announceStatus sends this controller's status to all linked controllers.
 func (w *cluster) announceStatus(n *controller) {
 	for _, k := range w.links {
 		if k.up && k.a >= 0 && (k.a == n.number || k.b == n.number) {
@@ -116,8 +115,8 @@
 	w.sendOnLink(k, n.number, func() { w.handleStatus(to, n, s) })
 }
 
-// handleStatus takes a controller's word. Another identity at its address means that its disk was lost, or that it was
-// voted out: what it granted to claims that are still open is not relied on.
+// handleStatus handles a controller's status. A changed identity at its address means that its disk was lost or that it was
+// voted out: its grants to pending claims are discarded.
 func (w *cluster) handleStatus(n, from *controller, s replicaStatus) {
 	if previous, linked := n.replicaStatuses[from.number]; linked && previous.identity != s.identity {
 		w.forgetGrants(n, previous.identity)
@@ -137,7 +136,8 @@
 	}
 }
 
-// replicaAt finds the linked controller that runs a replica; nil while another one, or none, runs at its address.
+// replicaAt returns the linked controller that runs a replica. It returns nil if another replica, or none, runs at its
+// address.
 func (w *cluster) replicaAt(n *controller, identity string) *controller {
 	at := slices.Index(w.controllerNames, membership.Address(identity))
 	if s, linked := n.replicaStatuses[at]; linked && s.identity == identity {
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// manageMembership lets a leader change the membership.
+// manageMembership takes the next step of a membership change on a leader.
 func (w *cluster) manageMembership(n *controller) {
 	var linked []string
 	for _, s := range n.replicaStatuses {
@@ -159,17 +159,17 @@
 	}
 	switch decision := n.manager.Decide(w.view(n), w.now); decision.Action {
 	case membership.ActionBegin:
-		_ = n.replica.BeginChange(decision.Next, w.now) // an error: it may not begin yet
+		_ = n.replica.BeginChange(decision.Next, w.now) // an error means that the change can't begin yet
 	case membership.ActionAdopt:
-		_ = n.replica.AdoptChange(w.now) // an error: it may not end yet
+		_ = n.replica.AdoptChange(w.now) // an error means that the change can't complete yet
 	case membership.ActionAbandon:
-		_ = n.replica.AbandonChange(w.now) // an error: it may not end yet
+		_ = n.replica.AbandonChange(w.now) // an error means that the change can't be abandoned yet
 	case membership.ActionTransferLeadership:
 		n.replica.TransferLeadership(decision.To, w.now)
 	}
 }
 
-// view is what the membership manager decides by.
+// view returns the input of the membership manager.
 func (w *cluster) view(n *controller) membership.View {
 	own := n.replicaStatus()
 	v := membership.View{Self: n.identity, Term: n.replica.Term(), Membership: n.replica.Membership(),
@@ -192,13 +192,14 @@
 	return v
 }
 
-// mustCopy tells that this replica is an entrant of the change under way whose store doesn't hold the others' claims yet.
+// mustCopy reports whether this replica is being added by the current membership change and its store doesn't hold the
+// claims of the previous voters yet.
 func (n *controller) mustCopy() bool {
 	return n.claimStore.Recovering() && n.membership.Joint() && slices.Contains(n.membership.Next, n.identity) &&
 		!slices.Contains(n.membership.Voters, n.identity)
 }
 
-// requestCopies asks the former voters' stores for what they hold, while this replica enters.
+// requestCopies requests the claims of the previous voters' stores while this replica is being added.
 func (w *cluster) requestCopies(n *controller) {
 	if !n.mustCopy() || w.now < n.nextCopy {
 		return
@@ -212,10 +213,11 @@
 	}
 }
 
-// sendCopy hands an entrant all claims that this store holds, once it grants nothing under the former membership.
+// sendCopy sends all claims of this store to a replica that is being added, once this store grants nothing under the
+// previous membership.
 func (w *cluster) sendCopy(n, to *controller, epoch uint64) {
 	if (n.membership.Epoch != epoch || n.epoch < epoch) && w.scenario.PlantedFault != "copies are sent early" {
-		return // it asks again
+		return // the replica repeats its request
 	}
 	if n.claimStore.Recovering() || !slices.Contains(n.membership.Voters, n.identity) {
 		return
@@ -231,7 +233,8 @@
 	slices.SortFunc(all, func(a, b idempotency.Record) int { return slices.Compare(a.Key[:], b.Key[:]) })
 }
 
-// importCopy takes over what another store holds. Once a majority of the former voters is here and durable, this one grants.
+// importCopy imports the claims of another store. Once a majority of the previous voters has been imported durably, this
+// store starts to grant.
 func (w *cluster) importCopy(n *controller, from string, all []idempotency.Record, epoch uint64) {
 	if !n.mustCopy() || epoch != n.membership.Epoch {
 		return
@@ -248,7 +251,7 @@
 	}
 	w.persistRetrying(n, func(d *disk) { d.recovering = false }, func() {
 		if n.membership.Epoch != epoch || !n.claimStore.Recovering() {
-			return // the change is over meanwhile, or this was said before
+			return // the change has ended, or recovery has already finished
 		}
 		n.claimStore.FinishRecovery()
 		w.announceStatus(n)
--- a/internal/simulation/replacement.go
+++ b/internal/simulation/replacement.go
@@ -9,7 +9,7 @@
 
 const forever = time.Duration(math.MaxInt64)
 
-// controllerAt is the machine that stands at a place now; Leading means where the leader is.
+// controllerAt returns the controller that occupies a position. LeaderNode selects the position of the leader.
 func (w *cluster) controllerAt(place int) *controller {
 	if place == LeaderNode {
 		for _, n := range w.positions {
@@ -22,14 +22,14 @@
 	return w.positions[place%len(w.positions)]
 }
 
-// removeController takes a machine away for good.
+// removeController removes a controller permanently.
 func (w *cluster) removeController(n *controller) {
 	w.losePower(n)
 	n.incarnation++
 	n.downUntil, n.removed, n.shuttingDown = forever, true, false
 }
 
-// replaceController has an empty machine with another address start in an old one's place.
+// replaceController starts a controller with a new address and an empty disk at the position of an old one.
 func (w *cluster) replaceController(old *controller) {
 	n := w.newController(old.zone)
 	w.connectController(n)
@@ -41,13 +41,13 @@
 	}
 }
 
-// returnController starts a machine again that was replaced, with its disk. Nobody's place is its own any more.
+// returnController restarts a replaced controller with its disk. It occupies no position any more.
 func (w *cluster) returnController(n *controller) {
 	n.removed, n.downUntil = false, w.now
 	w.startController(n)
 }
 
-// replaceAfter takes a machine away and has its successor start some time later.
+// replaceAfter removes a controller and starts its replacement after the fault's duration.
 func (w *cluster) replaceAfter(fault Fault, old *controller) {
 	w.removeController(old)
 	w.scheduleAfter(fault.Duration, func() { w.replaceController(old) })
@@ -56,9 +56,9 @@
 	}
 }
 
-const returnDelay = 2 * time.Second // after its successor's start, an old machine comes back
+const returnDelay = 2 * time.Second // from the start of the replacement to the return of the removed controller
 
-// shutDownAndReplace has a machine end in order, its successor there before or after.
+// shutDownAndReplace shuts a controller down, with its replacement started before or after, or restarts it.
 func (w *cluster) shutDownAndReplace(fault Fault, old *controller) {
 	switch fault.Kind {
 	case StandbyFirst:
@@ -72,12 +72,12 @@
 	}
 }
 
-// scheduleAfter has something happen after a span.
+// scheduleAfter runs do after a delay of at least one millisecond.
 func (w *cluster) scheduleAfter(span time.Duration, do func()) {
 	w.scheduleMillis(max(1, int(span/time.Millisecond)), do)
 }
 
-// activeControllers are the controllers that are not gone for good.
+// activeControllers returns the controllers that are not removed.
 func (w *cluster) activeControllers() []*controller {
 	var all []*controller
 	for _, n := range w.controllers {
@@ -88,13 +88,13 @@
 	return all
 }
 
-// anyController is any controller that is not gone for good.
+// anyController returns the number of a random controller that isn't removed.
 func (w *cluster) anyController() int {
 	all := w.activeControllers()
 	return all[w.rng.IntN(len(all))].number
 }
 
-// otherController is any controller that is not gone for good, but for one.
+// otherController returns the number of a random controller that isn't removed, other than excluded.
 func (w *cluster) otherController(excluded int) int {
 	var all []int
 	for _, n := range w.activeControllers() {
@@ -108,7 +108,7 @@
 	return all[w.rng.IntN(len(all))]
 }
 
-// nextController is the controller after one, of those that are not gone for good.
+// nextController returns the number of the next controller that isn't removed.
 func (w *cluster) nextController(i int) int {
 	for range w.controllers {
 		if i = (i + 1) % len(w.controllers); !w.controllers[i].removed {
--- a/internal/simulation/shutdown.go
+++ b/internal/simulation/shutdown.go
@@ -7,23 +7,23 @@
 	"mulleinwood/internal/control/idempotency"
 )
 
-// Spans of an end in order, as the programs have them with a grace of 6 s.
+// Time limits of a graceful shutdown, as in the programs with a grace period of 6 s.
 const (
 	maxShutdown     = 5 * time.Second
-	minShutdown     = 400 * time.Millisecond // for edges to find another controller
+	minShutdown     = 400 * time.Millisecond // time for edges to attach to another controller
 	handOverTimeout = 1500 * time.Millisecond
 )
 
-// shutdown is the state of a controller that was told to end.
+// shutdown is the state of a graceful shutdown.
 type shutdown struct {
 	startedAt         time.Duration
-	handOverStartedAt time.Duration // since when answers are on their way to another controller; 0: not yet
-	target            int           // that they were sent to; nowhere: nobody
-	synced            bool          // they are durable there
-	restartDelay      time.Duration // until the process starts again, on the same disk; 0: it doesn't
+	handOverStartedAt time.Duration // when the hand-over of stored responses began; 0: not yet
+	target            int           // controller that receives them; nowhere: none
+	synced            bool          // the target has stored them durably
+	restartDelay      time.Duration // delay until the process restarts on the same disk; 0: it doesn't restart
 }
 
-// beginShutdown tells a controller to end.
+// beginShutdown starts the graceful shutdown of a controller.
 func (w *cluster) beginShutdown(n *controller, restartDelay time.Duration) {
 	if n.shuttingDown || !w.isRunning(n.number) {
 		return
@@ -34,12 +34,13 @@
 	n.nextSummary = 0
 }
 
-// continueShutdown goes on with the end of a controller that was told to end.
+// continueShutdown ends a controller that is shutting down once leadership, vote and stored responses are handed over, or
+// after maxShutdown.
 func (w *cluster) continueShutdown(n *controller) {
 	if !n.shuttingDown {
 		return
 	}
-	n.nextSummary = 0 // edges that are still here look for another controller at each summary
+	n.nextSummary = 0 // attached edges look for another controller at each summary
 	shutdown := &n.shutdown
 	switch {
 	case w.now-shutdown.startedAt > maxShutdown:
@@ -61,7 +62,7 @@
 	w.removeController(n)
 }
 
-// otherVoterLinked tells whether leadership can be passed to a linked voter.
+// otherVoterLinked reports whether leadership can be transferred to a linked voter.
 func (w *cluster) otherVoterLinked(n *controller) bool {
 	for _, id := range n.replica.Membership().All() {
 		if p := w.replicaAt(n, id); p != nil && !n.replicaStatuses[p.number].leaving {
@@ -71,7 +72,7 @@
 	return false
 }
 
-// standbyLinked tells whether a linked controller could take this one's vote.
+// standbyLinked reports whether a linked controller could take over this one's vote.
 func (w *cluster) standbyLinked(n *controller) bool {
 	if n.replica.Membership().Joint() {
 		return true
@@ -84,7 +85,8 @@
 	return false
 }
 
-// handedOver sends the answers that are kept here to another controller, and tells whether they are durable there.
+// handedOver sends the stored responses to another controller and reports whether they are durable there. It gives up after
+// handOverTimeout.
 func (w *cluster) handedOver(n *controller) bool {
 	shutdown := &n.shutdown
 	if w.scenario.PlantedFault == "a leaving controller keeps its answers" {
@@ -101,7 +103,7 @@
 	return shutdown.synced || w.now-shutdown.handOverStartedAt > handOverTimeout
 }
 
-// handOverTarget is who takes the kept answers over: a controller of the own zone, else any.
+// handOverTarget returns the controller that receives the stored responses, preferably one in the same zone, or nowhere.
 func (w *cluster) handOverTarget(n *controller) int {
 	target := nowhere
 	for i, o := range w.controllers {
@@ -136,14 +138,14 @@
 	})
 }
 
-// keptResponses are those that a controller keeps, with their claims.
+// keptResponses returns the stored responses of a controller with their claims, ordered by key.
 func (n *controller) keptResponses() (all []idempotency.Record) {
 	n.claimStore.EachResponse(func(r idempotency.Record) { all = append(all, r) })
 	sortRecords(all)
 	return all
 }
 
-// keepResponse has an edge tell its controller what a key's run answered.
+// keepResponse sends the response of a keyed operation from an edge to its controller, which stores it.
 func (w *cluster) keepResponse(e *edge, r idempotency.Record) {
 	if e.controller == nowhere {
 		return
