--- a/internal/simulation/bookings.go
+++ b/internal/simulation/bookings.go
@@ -18,32 +18,34 @@
 	"mulleinwood/internal/platform/apierror"
 )
 
-// BookingLoad is a busy day that was known beforehand: one tenant's traffic at the first service, and that of all others, which
-// for a while come at many times their usual rate and repeat at once what is refused.
+// BookingLoad is the traffic of one tenant and of all other clients to the first service. For a while the others send a
+// multiple of their usual rate and immediately repeat rejected requests. The surge is known beforehand, so that the tenant
+// can book capacity for it.
 type BookingLoad struct {
-	Rate        float64 // requests a second and edge of the tenant, and of the others
-	SurgeFactor float64 // times the usual that others come at
-	BookedShare float64 // share of the service's slots that the tenant books; 0: nothing
-	SingleEdge  bool    // all of the tenant's clients come in at one edge
+	Rate        float64 // requests per second and edge, for the tenant and for the others each
+	SurgeFactor float64 // multiple of the usual rate that the others send during the surge
+	BookedShare float64 // share of the service's slots that the tenant books; 0: no booking
+	SingleEdge  bool    // whether all clients of the tenant use one edge
 }
 
-// TrafficStats is what one side of a busy day met, from when the crowd is there.
+// TrafficStats counts the requests of the tenant or of the others during the measurement.
 type TrafficStats struct {
 	Requests, Served, Late, Rejected int
 	Latencies                        []time.Duration
 }
 
 const (
-	bookingStart     = 10 * time.Second // its room opens five seconds before
+	bookingStart     = 10 * time.Second // start of the booking; its slots are reserved from five seconds before
 	surgeStart       = 8 * time.Second
 	surgeEnd         = 20 * time.Second
-	measurementStart = 9 * time.Second // from a second after the crowd came
-	maxResends       = 3               // times that others repeat
+	measurementStart = 9 * time.Second // one second after the surge starts
+	maxResends       = 3               // repetitions of a rejected request by the others
 	allocateInterval = 250 * time.Millisecond
-	clockSkew        = 2 * time.Hour // of the first controller's clock
+	clockSkew        = 2 * time.Hour // offset of the first controller's wall clock
 )
 
-// NewBookingScenario draws a busy day on which processes end, servers leave and crash, and edges are cut off now and then.
+// NewBookingScenario generates a scenario with the given load in which processes end, servers drain and crash, and edges are
+// partitioned occasionally.
 func NewBookingScenario(seed uint64, members, lost int, busy BookingLoad) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 14))
 	scenario := Scenario{Seed: seed, Members: members, MaxLostDisks: lost, Edges: 4, Services: 2, Servers: 12, Rate: 2,
@@ -56,7 +58,7 @@
 	return scenario
 }
 
-// controllerReservations is a controller's part of booked slots.
+// controllerReservations is the reservation state of a controller.
 type controllerReservations struct {
 	clock          *reservation.Clock
 	allocator      *reservation.Allocator
@@ -69,7 +71,7 @@
 	announcer      int
 }
 
-// edgeReservations is an edge's.
+// edgeReservations is the reservation state of an edge.
 type edgeReservations struct {
 	leases     reservation.LeaseHolder
 	announced  []reservation.Reservation
@@ -78,7 +80,7 @@
 	nextDemand time.Duration
 }
 
-// admission is what a request holds of a gate.
+// admission is a request's use of an admission gate.
 type admission struct {
 	gate                    *reservation.AdmissionGate
 	reservation, admittedAs string
@@ -90,7 +92,7 @@
 	n.reservations = controllerReservations{clock: reservation.NewClock(), announcer: n.number}
 }
 
-// wallClock is a controller's time of day: the first's is hours off.
+// wallClock returns a controller's wall clock in seconds. The first controller's is off by clockSkew.
 func (w *cluster) wallClock(n *controller) float64 {
 	wall := w.now + n.clockOffset
 	if n.number == 0 {
@@ -99,7 +101,7 @@
 	return wall.Seconds() + 1e6
 }
 
-// manageBooking has an operator book the tenant's slots, until it is acknowledged.
+// manageBooking makes an operator book the tenant's slots until the booking is acknowledged.
 func (w *cluster) manageBooking() {
 	busy := w.scenario.BookingLoad
 	if busy.BookedShare == 0 || w.now < time.Second || w.bookingAcked || w.now%(200*time.Millisecond) != 0 {
@@ -120,7 +122,7 @@
 	data, err := cbor.Marshal(statemachine.Change{Bookings: &reservation.Op{Call: "busy", Base: n.state.Bookings.Version,
 		Puts: []reservation.Booking{b}, Now: n.reservations.clock.Now(w.now)}})
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // can't fail: plain values only
 	}
 	index, term, _ := n.replica.Propose(data, w.now)
 	n.proposals[index] = pendingProposal{term, w.now + callTimeout, func(err error) {
@@ -133,8 +135,8 @@
 	w.processOutput(n)
 }
 
-// allocateReservations is what a leader does for booked slots, as the program does: it proves that it leads, says which
-// reservations are held, and gives the edges their leases.
+// allocateReservations runs the leader's part of reservations, as the program does: it confirms its leadership, announces
+// the active reservations and gives the edges their leases.
 func (w *cluster) allocateReservations(n *controller) {
 	r := &n.reservations
 	if w.now < r.nextAllocation || n.replica.Role() != consensus.Leader || n.state.Bookings.Version == 0 {
@@ -165,7 +167,8 @@
 	}
 }
 
-// newAllocator begins a term. A former leader's leases have to run out before their slots are allocated anew.
+// newAllocator creates the allocator of a term. The leases of the previous leader have to expire before their slots are
+// allocated again.
 func (w *cluster) newAllocator(n *controller) {
 	startedAt := w.now
 	if w.scenario.PlantedFault == "a new dealer deals at once" {
@@ -175,7 +178,7 @@
 	r.allocator, r.readIndex, r.leaderProvenAt = reservation.NewAllocator(n.replica.Term(), startedAt), 0, 0
 }
 
-// announceReservations tells all controllers which reservations are held now.
+// announceReservations sends the active reservations to all controllers.
 func (w *cluster) announceReservations(n *controller) {
 	r := &n.reservations
 	r.announced = n.state.Bookings.ReservationsAt(w.readyCapacity(n), r.clock.Now(w.now))
@@ -192,7 +195,7 @@
 	}
 }
 
-// readyCapacity is the slots of the ready servers that a controller knows, by service and zone.
+// readyCapacity returns the slots of the ready servers that a controller knows, by service and zone.
 func (w *cluster) readyCapacity(n *controller) map[string]reservation.Capacity {
 	capacity := map[string]reservation.Capacity{}
 	for _, e := range n.registry.All(w.now) {
@@ -207,7 +210,7 @@
 	return capacity
 }
 
-// relay brings something from a controller to an edge, by the edge's controller.
+// relay delivers do from a controller to an edge through the edge's controller.
 func (w *cluster) relay(from, controller, edge int, do func(*edge)) {
 	last := func() {
 		if k := w.linkBetween(controller, -1-edge); k != nil {
@@ -221,7 +224,8 @@
 	}
 }
 
-// updateGate has an edge follow its controller on reservations, say what it wants, and let in what its leases allow.
+// updateGate makes an edge take over its controller's reservations, report its demand and set its admission gate to the
+// shares of its leases.
 func (w *cluster) updateGate(e *edge) {
 	r := &e.reservations
 	if w.scenario.BookingLoad.BookedShare == 0 || w.now < r.nextDemand || e.frozenUntil > w.now {
@@ -251,13 +255,13 @@
 			r.gate.SetShare(held.ID, share, held.Slots, full)
 		case known:
 			r.gate.LimitUnreserved(share, held.Slots, full)
-		default: // without a lease: an even share
+		default: // no lease: an equal share
 			r.gate.LimitUnreserved((held.Slots+len(w.edges)-1)/len(w.edges), held.Slots, true)
 		}
 	}
 }
 
-// sendDemand brings what an edge wants to the leader, by the edge's controller.
+// sendDemand sends an edge's demand to the leader through the edge's controller.
 func (w *cluster) sendDemand(e *edge, controller *controller, k *link) {
 	demand := e.reservations.leases.Demand(maps.Clone(e.reservations.wanted), w.now)
 	w.sendOnLink(k, -1-e.number, func() {
@@ -275,8 +279,8 @@
 	})
 }
 
-// auditReservations holds the parts of a reservation at all edges against the most that was allocated while their leases may
-// last.
+// auditReservations checks that the shares of the booking at all edges don't exceed the largest capacity that was reserved
+// for it while their leases may still be valid.
 func (w *cluster) auditReservations() {
 	if w.scenario.BookingLoad.BookedShare == 0 || w.now%allocateInterval != 0 {
 		return
@@ -293,7 +297,7 @@
 		}
 	}
 	w.admittedShares = append(w.admittedShares, capacity)
-	const leaseSamples = 44 // of these looks: a lease and the time that a proof is good for
+	const leaseSamples = 44 // number of audits that cover the lifetime of a lease and of a proof of leadership
 	limit := slices.Max(w.admittedShares[max(0, len(w.admittedShares)-leaseSamples):])
 	for _, e := range w.edges {
 		share, _, _ := e.reservations.leases.Share("busy", w.now)
@@ -304,7 +308,7 @@
 	}
 }
 
-// generateBookedTraffic lets the tenant's and the others' clients ask at an edge.
+// generateBookedTraffic starts the requests of the tenant's and the others' clients at an edge.
 func (w *cluster) generateBookedTraffic(e *edge) {
 	busy := w.scenario.BookingLoad
 	if busy.Rate == 0 || e.frozenUntil > w.now {
@@ -333,7 +337,7 @@
 	}
 }
 
-// startBookedRequest is one request of a busy day's clients: of the tenant that booked capacity, or of the others.
+// startBookedRequest starts a request of the tenant or of the others.
 func (w *cluster) startBookedRequest(e *edge, stats *TrafficStats, resends int) {
 	w.nextKey++
 	q := &request{id: w.nextKey, safe: true, service: w.services[0], edge: e, incarnation: e.incarnation, startedAt: w.now,
@@ -357,7 +361,7 @@
 	w.startAttempt(q)
 }
 
-// pickForBooking picks a server, if the request may have room.
+// pickForBooking picks a server if the admission gate admits the request.
 func (w *cluster) pickForBooking(e *edge, q *request) (u *picker.Upstream) {
 	if p := q.admission; p != nil && !p.admitted {
 		if p.admittedAs, p.admitted = p.gate.Admit(p.reservation); !p.admitted {
@@ -372,7 +376,7 @@
 	return u
 }
 
-// bookedEnding is how a busy day's request ended.
+// bookedEnding is the result of a request of the tenant or of the others.
 type bookedEnding uint8
 
 const (
@@ -381,7 +385,7 @@
 	bookedRefused
 )
 
-// bookedEndingOf tells the ending from what is known after the last attempt, and its status.
+// bookedEndingOf returns the ending for the outcome of the last attempt and its status.
 func bookedEndingOf(outcome attempt.Outcome, status int) bookedEnding {
 	switch {
 	case outcome == attempt.Ran && status < 500:
@@ -392,7 +396,7 @@
 	return bookedFailed
 }
 
-// finishBookedRequest ends a busy day's request.
+// finishBookedRequest releases the admission of a request, counts its ending and repeats rejected requests of the others.
 func (w *cluster) finishBookedRequest(q *request, ending bookedEnding) {
 	if p := q.admission; p != nil {
 		if q.edge.reservations.wanted[p.reservation]--; p.admitted {
--- a/internal/simulation/membership_scenarios.go
+++ b/internal/simulation/membership_scenarios.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// LeaderNode as a trouble's Node means the controller that leads.
+// LeaderNode as the Node of a fault selects the controller that leads when the fault begins.
 const LeaderNode = -1
 
-// membershipFaults are the troubles of member days; each may strike as many machines at once as are borne.
+// membershipFaults are the fault kinds of membership scenarios. Each may affect as many controllers at the same time as are
+// tolerated. A kind that is listed several times is drawn more often.
 var membershipFaults = []string{Replace, Replace, ReplaceBack, StandbyFirst, StandbyFirst, StandbyAfter, Restart, Wipe, Wipe,
 	Kill, Partition, OutboundPartition, InboundPartition, SlowDisk, FullDisk, Freeze}
 
-// NewMembershipScenario draws a day on which machines are replaced, end in order, lose their disks, are cut off, killed and
-// stand still, never more at once than are borne: a lost machine counts as lost until the core has had its time to settle
-// after the machine's, or its successor's, start.
+// NewMembershipScenario generates a scenario in which controllers are replaced, shut down, wiped, partitioned, killed and
+// suspended, never more at the same time than are tolerated: a lost controller counts as lost until recoveryTimeout after
+// its own or its replacement's start.
 func NewMembershipScenario(seed uint64, members, lost int) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 15))
 	scenario := membershipScenario(seed, members, lost)
@@ -24,7 +25,7 @@
 	at := 4 * time.Second
 	for range 5 + rng.IntN(3) {
 		at = scenario.addLoss(rng, at, lost)
-		if rng.IntN(6) == 0 { // the whole core loses power, perhaps together with the next loss
+		if rng.IntN(6) == 0 { // all controllers lose power, possibly together with the next loss
 			span := time.Duration(200+rng.IntN(1500)) * time.Millisecond
 			scenario.addFault(Fault{At: at, Kind: PowerAll, Duration: span})
 			at += span
@@ -38,8 +39,8 @@
 	return scenario
 }
 
-// NewReplacementChainScenario draws a day on which every machine in turn is replaced, twice over, with lost disks, cuts,
-// kills and losses of power between, and a loss of as many as are borne at the end.
+// NewReplacementChainScenario generates a scenario in which every controller in turn is replaced, twice over, with wipes,
+// partitions, kills and power losses in between, and at the end a loss of as many controllers as are tolerated.
 func NewReplacementChainScenario(seed uint64, members, lost int) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 16))
 	scenario := membershipScenario(seed, members, lost)
@@ -73,7 +74,7 @@
 
 func (scenario *Scenario) addFault(fault Fault) { scenario.Faults = append(scenario.Faults, fault) }
 
-// endsAt is when a trouble is over.
+// endsAt returns the time at which a fault is over.
 func (fault Fault) endsAt() time.Duration {
 	switch fault.Kind {
 	case JumpClock:
@@ -86,7 +87,8 @@
 	return fault.At + fault.Duration
 }
 
-// addLoss draws a loss of as many machines as are borne, at most, about at once. It gives when the next loss may come.
+// addLoss adds faults of at most as many controllers as are tolerated, about the same time. It returns when the next loss
+// may begin.
 func (scenario *Scenario) addLoss(rng *rand.Rand, at time.Duration, lost int) time.Duration {
 	next := at
 	for i, place := range rng.Perm(scenario.Members)[:1+rng.IntN(lost)] {
@@ -97,7 +99,7 @@
 			fault.Node = LeaderNode
 		}
 		scenario.addFault(fault)
-		if fault.Kind == Wipe && rng.IntN(3) == 0 { // just as the others lose power
+		if fault.Kind == Wipe && rng.IntN(3) == 0 { // together with a power loss of the other controllers
 			scenario.addFault(Fault{At: fault.At, Kind: PowerAll, Duration: fault.Duration})
 		}
 		next = max(next, fault.endsAt())
@@ -105,7 +107,8 @@
 	return next + recoveryTimeout
 }
 
-// addSideFaults draws what costs the core nothing: troubles of edges, and jumps of the time of day.
+// addSideFaults adds faults that don't reduce the fault tolerance of the controllers: faults of edges, and jumps of wall
+// clocks.
 func (scenario *Scenario) addSideFaults(rng *rand.Rand, until time.Duration) {
 	for at := 2 * time.Second; at < until; at += time.Duration(500+rng.IntN(5000)) * time.Millisecond {
 		fault := Fault{At: at, Kind: []string{KillEdge, PartitionEdge, FreezeEdge, JumpClock}[rng.IntN(4)],
@@ -118,7 +121,7 @@
 	}
 }
 
-// sortFaults puts the troubles in order and ends the day some seconds after the core has settled from the last.
+// sortFaults sorts the faults by time and ends the scenario some seconds after the deadline for recovery from the last one.
 func (scenario *Scenario) sortFaults() {
 	last := time.Duration(0)
 	for _, fault := range scenario.Faults {
--- a/internal/simulation/policies.go
+++ b/internal/simulation/policies.go
@@ -7,13 +7,14 @@
 	"mulleinwood/internal/edge/picker"
 )
 
-// Policies by which edges can pick, beside their own: what is common in the field, and one that sees what nobody can.
+// Policies are the server selection policies: the production one (empty), common alternatives, and an oracle that knows the
+// actual state of the servers.
 var Policies = []string{"", "tables", "round robin", "least outstanding", "two choices", "oracle"}
 
-// pickServer chooses a server for a request.
+// pickServer chooses a server for a request according to the scenario's policy.
 func (w *cluster) pickServer(e *edge, q *request) *picker.Upstream {
 	excluded := func(u *picker.Upstream) bool { return slices.Contains(q.tried, u) }
-	if w.scenario.Policy == "" || w.scenario.Policy == "tables" { // the latter without parts: nothing is dealt
+	if w.scenario.Policy == "" || w.scenario.Policy == "tables" { // with tables, edges are assigned no slots
 		return e.picker.Pick(q.service, excluded, w.now)
 	}
 	var candidates []*picker.Upstream
@@ -47,7 +48,8 @@
 	return u
 }
 
-// actualDuration is how long a request would take at a server, in units of its usual work: what an oracle sees.
+// actualDuration returns how long a request would take at a server, in units of its usual duration, as only the oracle knows
+// it.
 func (w *cluster) actualDuration(u *picker.Upstream) float64 {
 	s := w.serverByAddress[u.Attachment.(string)]
 	if s == nil || s.stopped || s.id != u.ID {
@@ -61,7 +63,8 @@
 	return factor * (1 + max(0, float64(ahead))/float64(s.capacity))
 }
 
-// recordAvoidableWait counts work, and waiting that nobody had to do.
+// recordAvoidableWait adds up the running time of requests, and the time that requests wait while another server of their
+// service has a free slot.
 func (w *cluster) recordAvoidableWait() {
 	waiting, hasFreeSlot := map[string]int{}, map[string]bool{}
 	for _, s := range w.servers {
--- a/internal/simulation/reads.go
+++ b/internal/simulation/reads.go
@@ -8,18 +8,19 @@
 )
 
 const (
-	plantedReadLease = 150 * time.Millisecond // of a planted fault
-	readInterval     = 300 * time.Millisecond // in the mean, by each operator
+	plantedReadLease = 150 * time.Millisecond // only used by a planted fault
+	readInterval     = 300 * time.Millisecond // mean interval between two reads of one operator
 )
 
-// read is an operator's call that reads the configuration in force, at a controller that waits for the proof that it leads.
+// read is an operator's call that reads the active configuration and waits for the confirmation that the controller still
+// leads.
 type read struct {
 	round        uint64
 	deadline     time.Duration
-	acknowledged uint64 // the newest version that was acknowledged when the call began
+	acknowledged uint64 // the newest acknowledged version when the call began
 }
 
-// startReads lets operators read, each at any controller.
+// startReads draws whether an operator starts a read, at any controller.
 func (w *cluster) startReads() {
 	if w.rng.Float64() >= float64(len(w.operators))*tickInterval.Seconds()/readInterval.Seconds() {
 		return
@@ -33,7 +34,7 @@
 	w.scheduleAfter(delay, func() { w.readFrom(n, incarnation, acknowledged) })
 }
 
-// readTarget is whom an operator asks: any controller, or one that holds itself for the leader.
+// readTarget returns the controller that an operator reads from: any controller, or one that considers itself the leader.
 func (w *cluster) readTarget() *controller {
 	if w.rng.IntN(2) == 0 {
 		for _, n := range w.activeControllers() {
@@ -45,7 +46,7 @@
 	return w.controllers[w.anyController()]
 }
 
-// resumeFrozen has processes that stood still read the calls that came meanwhile, before anything else.
+// resumeFrozen makes resumed processes handle the calls that arrived while they were suspended, before anything else.
 func (w *cluster) resumeFrozen() {
 	for _, n := range w.controllers {
 		if len(n.unreadCalls) > 0 && n.frozenUntil <= w.now {
@@ -77,7 +78,7 @@
 	w.processOutput(n)
 }
 
-// completeReads answers the reads whose round is confirmed.
+// completeReads completes the reads whose round is confirmed.
 func (w *cluster) completeReads(n *controller) {
 	n.reads = slices.DeleteFunc(n.reads, func(r read) bool {
 		if n.replica.Role() != consensus.Leader || w.now > r.deadline {
@@ -90,5 +91,5 @@
 		w.auditRead(n, n.state.Version(), r.acknowledged)
 		return true
 	})
-	n.leaseUntil -= tickInterval // a clock that stands still with its process
+	n.leaseUntil -= tickInterval // a clock that stops while its process is suspended
 }
--- a/internal/simulation/replication.go
+++ b/internal/simulation/replication.go
@@ -4,9 +4,9 @@
 	"mulleinwood/internal/control/consensus"
 )
 
-const snapshotThreshold = 30 // entries
+const snapshotThreshold = 30 // log entries after a snapshot
 
-// processOutput does what the consensus wants done.
+// processOutput carries out the output of the consensus replica.
 func (w *cluster) processOutput(n *controller) {
 	out := n.replica.DrainOutput()
 	w.sendAll(n, out.Immediate)
@@ -22,7 +22,7 @@
 	}
 }
 
-// compact replaces the log by a snapshot of the state.
+// compact replaces the log by a snapshot of the state machine.
 func (w *cluster) compact(n *controller) {
 	data, err := n.state.Save()
 	if err != nil {
@@ -37,7 +37,7 @@
 	n.state.EntriesSinceSnapshot = 0
 }
 
-// sendAll sends messages of the consensus to those who are linked under the identity that is meant.
+// sendAll sends consensus messages to the linked replicas with the identities that they name.
 func (w *cluster) sendAll(n *controller, ms []consensus.Message) {
 	for _, m := range ms {
 		to := w.replicaAt(n, m.To)
@@ -51,7 +51,7 @@
 	}
 }
 
-// persistOutput makes an output durable; what has to wait for that is told then.
+// persistOutput makes an output durable, then sends the messages that have to wait for it.
 func (w *cluster) persistOutput(n *controller, out consensus.Output) {
 	index, term := out.LastEntry()
 	w.persistRetrying(n, func(d *disk) { d.storeOutput(out, w.scenario.PlantedFault) }, func() {
@@ -64,7 +64,7 @@
 	})
 }
 
-// commit takes what is committed: into the auditor's history, the state machine and the membership.
+// commit passes committed entries to the auditor's history, the state machine and the membership.
 func (w *cluster) commit(n *controller, out consensus.Output) {
 	before := n.state.Version()
 	if out.Install != nil {
@@ -87,7 +87,7 @@
 	}
 }
 
-// restoreSnapshot gives a node what a snapshot holds.
+// restoreSnapshot restores a controller's state machine from a snapshot and checks its version.
 func (w *cluster) restoreSnapshot(n *controller, s consensus.Snapshot) {
 	if err := n.state.Restore(s); err != nil {
 		w.fail("FAULT: %s can't read a snapshot: %v", n.name, err)
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// Result is what a day showed.
+// Result is the outcome of one or several simulation runs.
 type Result struct {
-	Violation string // the first rule that was broken, and how
-	Changes   int    // acknowledged
+	Violation string // the first rule that was violated, and how; empty: none
+	Changes   int    // acknowledged configuration changes
 	Runs      int    // keyed operations that ran
-	Repeats   int    // tries of keys that had been tried before
+	Repeats   int    // attempts with a key that had been attempted before
 
-	Requests        int // safe and unsafe ones, of clients
+	Requests        int // client requests, safe and unsafe
 	Served          int
-	Late            int // of those served, after their aim
+	Late            int // served requests whose latency exceeded the target
 	Rejected        int
-	Unknown         int // broken off, or without an answer in time
-	Drains          int // that were acknowledged
-	RetriedRequests int // arrivals at servers beyond the first of a request
-	Events          int // events that deciders were fed
-
-	Memberships   int             // that were adopted or given up
-	Reads         int             // that were confirmed
-	Retries       int             // acknowledged orders that came again and were answered
-	HandedOver    int             // answers that were kept by controllers that ended in order
-	RecoveryTimes []time.Duration // from a trouble's end to full tolerance
-
-	Tenant, Others TrafficStats // of busy days
-
-	Latencies            []time.Duration // of those served, if the day asks for it
-	WorkSeconds          float64         // seconds that requests ran
-	AvoidableWaitSeconds float64         // and waited at a server while another of the service had a free slot
+	Unknown         int // truncated, or without a response in time
+	Drains          int // acknowledged drains of servers
+	RetriedRequests int // arrivals at servers after the first one of each request
+	Events          int // delivered messages and scheduled events
+
+	Memberships   int             // completed or abandoned membership changes
+	Reads         int             // confirmed reads
+	Retries       int             // acknowledged changes that were sent again and replied to
+	HandedOver    int             // stored responses of controllers that shut down
+	RecoveryTimes []time.Duration // from the end of a fault to full fault tolerance
+
+	Tenant, Others TrafficStats // only with a BookingLoad
+
+	Latencies            []time.Duration // of served requests, only with MeasureLatency
+	WorkSeconds          float64         // running time of requests, in seconds
+	AvoidableWaitSeconds float64         // time that requests waited while another server of the service had a free slot
 }
 
-// Add sums up.
+// Add adds the counts, recovery times and traffic statistics of another result. Latencies are not added.
 func (r *Result) Add(o Result) {
 	r.Changes, r.Runs, r.Repeats = r.Changes+o.Changes, r.Runs+o.Runs, r.Repeats+o.Repeats
 	r.Requests, r.Served, r.Late = r.Requests+o.Requests, r.Served+o.Served, r.Late+o.Late
--- a/internal/simulation/tables.go
+++ b/internal/simulation/tables.go
@@ -11,10 +11,10 @@
 
 const (
 	reportInterval = time.Second
-	tableTimeout   = 3 * time.Second // in which an edge at its controller has a table
+	tableTimeout   = 3 * time.Second // time within which an attached edge receives a weight table
 )
 
-// newGroups gives a controller's life its tables, which hold nothing yet.
+// newTables creates the weight tables of a starting controller.
 func (w *cluster) newTables(n *controller) {
 	var zones []string
 	for i := range w.scenario.Members {
@@ -28,7 +28,7 @@
 	}
 }
 
-// pushWeights sends a controller's edges what its tables order.
+// pushWeights sends the weight updates of a controller's tables to its edges.
 func (w *cluster) pushWeights(n *controller) {
 	updates := n.tables.Tick(w.now, func() (all []weights.PeerTraffic) {
 		for i := range w.controllers {
@@ -58,7 +58,7 @@
 	}
 }
 
-// sendReport has an edge say what it met, once a second.
+// sendReport sends an edge's statistics to its controller once per reportInterval.
 func (w *cluster) sendReport(e *edge) {
 	if w.now < e.nextReport || e.frozenUntil > w.now || e.controller == nowhere {
 		return
@@ -90,8 +90,8 @@
 	})
 }
 
-// auditTables holds an edge that has been at its controller, and in touch, for a while against what its controller ordered
-// for it: of each service's lines it knows, a table has spoken.
+// auditTables checks that a stable edge which has been attached to its controller for tableTimeout holds weights for every
+// service for which the controller has assigned some to servers that the edge knows.
 func (w *cluster) auditTables(e *edge) {
 	if !w.isStable() || e.stableSince > w.now || e.controller == nowhere || w.now < e.attachedAt+tableTimeout {
 		return
@@ -105,7 +105,7 @@
 			delete(e.withoutTableSince, service)
 			continue
 		}
-		if since, seen := e.withoutTableSince[service]; !seen { // it may be on its way
+		if since, seen := e.withoutTableSince[service]; !seen { // the table may be in flight
 			e.withoutTableSince[service] = w.now
 		} else if w.now-since > tableTimeout {
 			w.fail("TABLE: edge %d has been at controller %d for %s and holds nothing of its table of %s", e.number, n.number,
