--- a/internal/simulation/audit_membership.go
+++ b/internal/simulation/audit_membership.go
@@ -33,7 +33,7 @@
 	case m.Epoch != previous.Epoch+1 && previous.Epoch > 0:
 		w.fail("MEMBERS: epoch %d follows %d", m.Epoch, previous.Epoch)
 	case previous.Joint() && (m.Joint() || !slices.Equal(m.Voters, previous.Voters) && !slices.Equal(m.Voters, previous.Next)):
-		w.fail("MEMBERS: %v follows the change to %v", m, previous.Next)
+		w.fail("MEMBERS: %v doesn't end the change to %v", m, previous.Next)
 	case previous.Epoch > 0 && !previous.Joint() && !slices.Equal(m.Voters, previous.Voters):
 		w.fail("MEMBERS: voters change from %v to %v without a joint membership", previous.Voters, m.Voters)
 	case len(m.Voters) < w.scenario.Members:
@@ -41,7 +41,7 @@
 	}
 	for _, id := range m.All() {
 		if _, removed := w.membershipAudit.removed[id]; removed {
-			w.fail("MEMBERS: %s was voted out and is voted in again", id)
+			w.fail("MEMBERS: %s was removed and is added again", id)
 		}
 	}
 	for _, id := range previous.All() {
@@ -64,14 +64,14 @@
 	}
 	w.membershipAudit.leaders[term] = id
 	if at, removed := w.membershipAudit.removed[id]; removed && term > at {
-		w.fail("REMOVED: %s was voted out in term %d and leads in term %d", id, at, term)
+		w.fail("REMOVED: %s was removed in term %d and leads in term %d", id, at, term)
 	}
 }
 
 // auditGrant checks that a replica grants no claim once it has durably applied a membership without it.
 func (w *cluster) auditGrant(n *controller, v idempotency.GrantReply) {
 	if v == idempotency.ReplyGranted && !n.disk.membership.Contains(n.identity) && n.disk.membership.Epoch > 0 {
-		w.fail("REMOVED: %s has applied membership %d, which it is no part of, and grants a claim", n.identity,
+		w.fail("REMOVED: %s has applied membership %d, which doesn't contain it, and granted a claim", n.identity,
 			n.disk.membership.Epoch)
 	}
 }
@@ -80,7 +80,7 @@
 func (w *cluster) auditRead(n *controller, version, acknowledged uint64) {
 	w.result.Reads++
 	if version < acknowledged {
-		w.fail("READ: %s answers r%d, r%d was acknowledged before the call began", n.name, version, acknowledged)
+		w.fail("READ: %s returned r%d although r%d was acknowledged before the call began", n.name, version, acknowledged)
 	}
 }
 
@@ -95,7 +95,7 @@
 			return o != n && !o.removed && o.claimStore.Response(r.Key, r.Token) != nil
 		})
 		if w.result.HandedOver++; !kept {
-			w.fail("KEPT: %s ended in order and took the only copy of an answer along", n.name)
+			w.fail("KEPT: %s shut down with the only copy of a response", n.name)
 		}
 	}
 }
@@ -109,12 +109,12 @@
 		}
 	}
 	if leader == nil {
-		return "nobody leads"
+		return "no leader"
 	}
 	membership := leader.replica.Membership()
 	switch {
 	case membership.Joint() || !leader.replica.MembershipCommitted():
-		return "a change of the membership is under way"
+		return "a membership change is in progress"
 	case len(membership.Voters) != w.scenario.Members:
 		return fmt.Sprintf("%d voters", len(membership.Voters))
 	}
@@ -129,13 +129,13 @@
 		case !w.isRunning(n.number):
 			return id + " is down"
 		case n.shuttingDown:
-			return id + " leaves"
+			return id + " is shutting down"
 		case n.claimStore.Recovering():
-			return id + "'s store of claims is not ready"
+			return id + "'s claim store is recovering"
 		case n.epoch != membership.Epoch:
 			return id + " has not applied the membership"
 		case n.replica.CommitIndex()+maxCaughtUpLag < leader.replica.CommitIndex():
-			return id + " lags"
+			return id + " lags behind"
 		}
 	}
 	return ""
@@ -149,7 +149,7 @@
 	missing := w.missingVoters()
 	if missing != "" {
 		if w.membershipAudit.completeSince = 0; w.now >= w.membershipAudit.recoveryDeadline {
-			w.fail("WHOLE: %s, %s after the last trouble", missing, w.now-w.membershipAudit.faultsEndAt)
+			w.fail("WHOLE: %s, %s after the last fault", missing, w.now-w.membershipAudit.faultsEndAt)
 		}
 		return
 	}
@@ -167,9 +167,9 @@
 	}
 	switch {
 	case w.membershipAudit.lastChangeAt < w.membershipAudit.recoveryDeadline:
-		w.fail("STUCK: no order was acknowledged after the last trouble")
+		w.fail("STUCK: no change was acknowledged after the last fault")
 	case w.membershipAudit.lastRunAt < w.membershipAudit.recoveryDeadline:
-		w.fail("STUCK: no keyed operation ran after the last trouble")
+		w.fail("STUCK: no keyed operation ran after the last fault")
 	}
 }
 
--- a/internal/simulation/bookings.go
+++ b/internal/simulation/bookings.go
@@ -129,7 +129,7 @@
 		if err == nil {
 			w.bookingAcked = true
 		} else if apierror.For(err).Status < 500 {
-			w.fail("FAULT: a booking is refused: %v", err)
+			w.fail("FAULT: a booking was rejected: %v", err)
 		}
 	}}
 	w.processOutput(n)
--- a/internal/simulation/bounded_model_claims.go
+++ b/internal/simulation/bounded_model_claims.go
@@ -46,7 +46,7 @@
 	}
 	e.Finished = true
 	if s.Runs++; s.Runs > 1 {
-		s.Violation = "TWICE: both edges run the key"
+		s.Violation = "TWICE: both edges ran the operation of the key"
 	}
 	if s.bounds.PlantedFault == "withdraws what ran" {
 		s.revoke(edge)
--- a/internal/simulation/claims.go
+++ b/internal/simulation/claims.go
@@ -180,7 +180,7 @@
 	}
 	w.result.Runs++
 	if w.runs[r.Key]++; w.runs[r.Key] > 1 {
-		w.result.Violation = fmt.Sprintf("TWICE: a key runs twice, the second time at %s", w.now)
+		w.result.Violation = fmt.Sprintf("TWICE: the operation of a key ran twice, the second time at %s", w.now)
 	}
 	w.membershipAudit.lastRunAt = w.now
 	w.scheduleAfter(time.Duration(20+w.rng.IntN(60))*time.Millisecond, func() { w.keepResponse(e, r) })
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -119,7 +119,7 @@
 	w := newCluster(scenario)
 	defer func() {
 		if r := recover(); r != nil {
-			w.fail("FAULT: a decider ends: %v", r)
+			w.fail("FAULT: a component panicked: %v", r)
 			result = w.result
 		}
 	}()
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -147,7 +147,8 @@
 	if c.repeated {
 		w.result.Retries++
 		if c.finished = true; status != 200 {
-			w.fail("AGAIN: an order to r%d was acknowledged, and is refused with %d when it comes again", c.version, status)
+			w.fail("AGAIN: the change to r%d was acknowledged, and was rejected with %d when it was sent again",
+				c.version, status)
 		}
 		return
 	}
@@ -155,7 +156,8 @@
 	if status != 200 {
 		w.rejectedChanges[string(c.data)] = true
 		if position, committed := w.committedChanges[string(c.data)]; committed {
-			w.fail("CONFIG: a change to r%d is refused with %d and in force, on r%d", position.version, status, position.base)
+			w.fail("CONFIG: the change to r%d was rejected with %d but is active, based on r%d",
+				position.version, status, position.base)
 		}
 		return
 	}
@@ -163,9 +165,9 @@
 	position, committed := w.committedChanges[string(c.data)]
 	switch {
 	case !committed:
-		w.fail("CONFIG: a change on r%d is acknowledged and never came into force", c.change.Base)
+		w.fail("CONFIG: a change based on r%d was acknowledged but never became active", c.change.Base)
 	case w.acknowledgedBase[position.base] != "" && w.acknowledgedBase[position.base] != string(c.data):
-		w.fail("CONFIG: two changes on r%d are both acknowledged", position.base)
+		w.fail("CONFIG: two changes based on r%d were both acknowledged", position.base)
 	}
 	w.acknowledgedBase[position.base] = string(c.data)
 	w.acknowledgements = append(w.acknowledgements, acknowledgement{position.version, w.now})
@@ -190,7 +192,7 @@
 func (w *cluster) auditEntry(n *controller, e consensus.Entry) {
 	switch at := int(e.Index); {
 	case at > len(w.history)+1:
-		w.fail("FAULT: %s takes entry %d for committed, and nobody took %d", n.name, at, len(w.history)+1)
+		w.fail("FAULT: %s committed entry %d, but no controller has committed entry %d", n.name, at, len(w.history)+1)
 	case at == len(w.history)+1:
 		w.history = append(w.history, e)
 		w.recordCommitted(e)
@@ -202,7 +204,7 @@
 		same := (recorded.Membership == nil) == (e.Membership == nil) &&
 			(e.Membership == nil || recorded.Membership.Equal(*e.Membership))
 		if recorded.Term != e.Term || string(recorded.Data) != string(e.Data) || !same {
-			w.fail("CONFIG: %s holds another change at %d", n.name, at)
+			w.fail("CONFIG: %s has a different entry at index %d", n.name, at)
 		}
 	}
 }
@@ -229,7 +231,7 @@
 	w.committedChanges[data] = committedChange{c.Base, version}
 	w.currentVersion = version
 	if w.rejectedChanges[data] {
-		w.fail("CONFIG: a change to r%d was refused and comes into force", version)
+		w.fail("CONFIG: a change to r%d was rejected but became active", version)
 	}
 }
 
@@ -246,18 +248,18 @@
 	bookingsBefore := len(n.state.Bookings.Active)
 	_, err := n.state.Apply(e)
 	if len(n.state.Bookings.Active) < bookingsBefore {
-		w.fail("LOST: a booking is gone from %s", n.name)
+		w.fail("LOST: a booking is missing at %s", n.name)
 	}
 	if w.scenario.PlantedFault == "calls are forgotten" {
 		n.state.AcceptedChanges = nil
 	}
 	if want := w.versionAt[e.Index-1]; n.state.Version() != want {
-		w.fail("CONFIG: %s holds r%d after entry %d, the history leads to r%d", n.name, n.state.Version(), e.Index, want)
+		w.fail("CONFIG: %s has r%d after entry %d, but the history leads to r%d", n.name, n.state.Version(), e.Index, want)
 	}
 	if wait, ok := n.proposals[e.Index]; ok {
 		delete(n.proposals, e.Index)
 		if wait.term != e.Term {
-			err = apierror.Unconfirmed.New("another change took its place")
+			err = apierror.Unconfirmed.New("another change was committed instead")
 		}
 		wait.respond(err)
 	}
@@ -271,12 +273,12 @@
 		}
 		if n.replica.Role() == consensus.Leader && n.replica.HasQuorumContact(w.now) && w.bookingAcked &&
 			len(n.state.Bookings.Active) == 0 {
-			w.fail("LOST: a booking was acknowledged and %s, which leads, has none", n.name)
+			w.fail("LOST: a booking was acknowledged but the leader %s has none", n.name)
 		}
 		if n.replica.Role() == consensus.Leader && n.replica.HasQuorumContact(w.now) && len(w.acknowledgements) > 0 {
 			if newest := w.acknowledgements[len(w.acknowledgements)-1]; n.state.Version() < newest.version &&
 				w.now-newest.ackedAt > stabilizationTime {
-				w.fail("LOST: r%d is read back, r%d was acknowledged", n.state.Version(), newest.version)
+				w.fail("LOST: the leader has r%d although r%d was acknowledged", n.state.Version(), newest.version)
 			}
 		}
 	}
@@ -287,7 +289,7 @@
 	for _, index := range sortedKeys(n.proposals) {
 		if wait := n.proposals[index]; w.now > wait.deadline || n.replica.Role() != consensus.Leader {
 			delete(n.proposals, index)
-			wait.respond(apierror.Unconfirmed.New("no agreement in time"))
+			wait.respond(apierror.Unconfirmed.New("not committed in time"))
 		}
 	}
 }
--- a/internal/simulation/replication.go
+++ b/internal/simulation/replication.go
@@ -92,7 +92,7 @@
 	if err := n.state.Restore(s); err != nil {
 		w.fail("FAULT: %s can't read a snapshot: %v", n.name, err)
 	} else if want := w.versionAt[s.Index-1]; n.state.Version() != want {
-		w.fail("LOST: a snapshot of entry %d holds r%d, not r%d", s.Index, n.state.Version(), want)
+		w.fail("LOST: a snapshot of entry %d contains r%d instead of r%d", s.Index, n.state.Version(), want)
 	}
 	if w.scenario.PlantedFault == "digests are lost with the snapshot" {
 		n.state.AcceptedChanges = nil
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -200,7 +200,7 @@
 	switch q.retries.AfterOutcome(outcome, status, true) {
 	case attempt.Stop:
 		if outcome == attempt.Ran && t.responseTo != q.id {
-			w.fail("MIXED: request %d is answered with what belongs to %d", q.id, t.responseTo)
+			w.fail("MIXED: request %d received the response of request %d", q.id, t.responseTo)
 		}
 		w.finishRequest(q, outcome, status)
 	case attempt.RetryPaid:
@@ -231,7 +231,7 @@
 		w.result.Rejected++
 		if !q.safe { // the client is told that the request did not run
 			if w.runsByRequest[q.id] > 0 {
-				w.fail("REFUSED: request %d is refused and has run", q.id)
+				w.fail("REFUSED: request %d was rejected after it had run", q.id)
 			}
 			w.rejected[q.id] = true
 		}
@@ -247,11 +247,11 @@
 		w.retryTimes[t.request.service] = append(w.retryTimes[t.request.service], w.now)
 	}
 	if s.service != t.request.service {
-		w.fail("ROUTE: a request for %s reaches %s of %s", t.request.service, s.id, s.service)
+		w.fail("ROUTE: a request for %s reached %s of service %s", t.request.service, s.id, s.service)
 	}
 	if s.drainAckedAt > 0 && s.ackedWhileStable && w.now > s.drainAckedAt+w.scenario.maxDrain() &&
 		t.request.stable && w.isStable() && t.request.edge.stableSince <= w.now {
-		w.fail("DRAIN: %s gets a request %s after its leaving was acknowledged", s.id, w.now-s.drainAckedAt)
+		w.fail("DRAIN: %s received a request %s after its drain was acknowledged", s.id, w.now-s.drainAckedAt)
 	}
 }
 
@@ -260,10 +260,10 @@
 	id := t.request.id
 	w.runsByRequest[id]++
 	if !t.request.safe && w.runsByRequest[id] > 1 {
-		w.fail("TWICE: request %d may not be repeated and runs twice", id)
+		w.fail("TWICE: unsafe request %d ran twice", id)
 	}
 	if w.rejected[id] {
-		w.fail("REFUSED: request %d runs after it was refused", id)
+		w.fail("REFUSED: request %d ran after it was rejected", id)
 	}
 }
 
@@ -271,7 +271,7 @@
 func (w *cluster) auditVersion(e *edge) {
 	process := [2]int{e.number, e.incarnation}
 	if e.version < w.appliedVersions[process] {
-		w.fail("CONFIG: edge %d goes back from %d to %d", e.number, w.appliedVersions[process], e.version)
+		w.fail("CONFIG: edge %d returned from version %d to version %d", e.number, w.appliedVersions[process], e.version)
 	}
 	w.appliedVersions[process] = e.version
 }
@@ -282,7 +282,7 @@
 	for i := len(w.acknowledgements) - 1; i >= 0; i-- {
 		if a := w.acknowledgements[i]; w.now-a.ackedAt > applyTimeout {
 			if a.version > e.version {
-				w.fail("CONFIG: edge %d works by r%d, r%d was acknowledged %s ago",
+				w.fail("CONFIG: edge %d applies r%d although r%d was acknowledged %s ago",
 					e.number, e.version, a.version, w.now-a.ackedAt)
 			}
 			return
@@ -303,7 +303,7 @@
 				limit = max(limit, lowerBound(requests, start+span)-lowerBound(requests, start))
 			}
 			if float64(n) > retryRatio*float64(limit)+retrySlack {
-				w.fail("BUDGET: %d further arrivals at %s in ten seconds for %d requests", n, service, limit)
+				w.fail("BUDGET: %d retries arrived at %s in ten seconds for %d requests", n, service, limit)
 				return
 			}
 		}
--- a/internal/simulation/tables.go
+++ b/internal/simulation/tables.go
@@ -108,7 +108,7 @@
 		if since, seen := e.withoutTableSince[service]; !seen { // the table may be in flight
 			e.withoutTableSince[service] = w.now
 		} else if w.now-since > tableTimeout {
-			w.fail("TABLE: edge %d has been at controller %d for %s and holds nothing of its table of %s", e.number, n.number,
+			w.fail("TABLE: edge %d has been attached to controller %d for %s without weights for %s", e.number, n.number,
 				w.now-e.attachedAt, service)
 		}
 	}
