--- a/internal/simulation/capacity_test.go
+++ b/internal/simulation/capacity_test.go
@@ -23,55 +23,58 @@
 	"mulleinwood/internal/peer"
 )
 
-// Capacity: what one event costs the deciders at an eighth, a quarter, a half and the whole of the size that docs/CAPACITY.md
-// is held against; go test -run '^$' -bench Capacity -benchtime 5x ./internal/simulation makes its figures.
-type scale struct{ edges, servers, services, routes, hosts int }
+// capacityScale is the size of a system in the capacity benchmarks. They measure the cost of one event at an eighth, a
+// quarter, a half and the whole of the size that docs/CAPACITY.md is checked against. go test -run '^$' -bench Capacity
+// -benchtime 5x ./internal/simulation produces its figures.
+type capacityScale struct{ edges, servers, services, routes, hosts int }
 
-var whole = scale{edges: 2190, servers: 20000, services: 950, routes: 34000, hosts: 76000}
+var fullScale = capacityScale{edges: 2190, servers: 20000, services: 950, routes: 34000, hosts: 76000}
 
 const (
-	controllers = 10
-	zones       = 8
-	metEach     = 73 // requests a second of one edge: 160,000 over 2,190
+	controllers     = 10
+	zones           = 8
+	requestsPerEdge = 73 // requests per second of one edge: 160,000 at 2,190 edges
 )
 
-func parts(b *testing.B, do func(b *testing.B, s scale)) {
+func forEachCapacityScale(b *testing.B, benchmark func(b *testing.B, s capacityScale)) {
 	for _, n := range []int{8, 4, 2, 1} {
-		s := scale{whole.edges / n, whole.servers / n, whole.services / n, whole.routes / n, whole.hosts / n}
-		b.Run(fmt.Sprintf("1of%d", n), func(b *testing.B) { do(b, s) })
+		s := capacityScale{fullScale.edges / n, fullScale.servers / n, fullScale.services / n, fullScale.routes / n,
+			fullScale.hosts / n}
+		b.Run(fmt.Sprintf("1of%d", n), func(b *testing.B) { benchmark(b, s) })
 	}
 }
 
-func (s scale) home() int { return s.edges / controllers }
+func (s capacityScale) edgesPerController() int { return s.edges / controllers }
 
-func (s scale) server(n int, seq uint64) registry.Entry {
+func (s capacityScale) server(n int, seq uint64) registry.Entry {
 	return registry.Entry{ID: fmt.Sprintf("i-%08d", n), Service: fmt.Sprint("service-", n%s.services),
 		Zone: fmt.Sprint("z", n/s.services%zones),
 		Address: fmt.Sprintf("10.%d.%d.%d:8080", n/40000, n/200%200,
 			n%200), Version: "v1", Capacity: 2, Seq: seq, Owner: "10.0.0.1"}
 }
 
-func (s scale) directory() *registry.Registry {
-	d := registry.New(90 * time.Second)
+func (s capacityScale) newRegistry() *registry.Registry {
+	servers := registry.New(90 * time.Second)
 	for n := range s.servers {
-		d.Apply(s.server(n, 1), 0)
+		servers.Apply(s.server(n, 1), 0)
 	}
-	return d
+	return servers
 }
 
-// board has the links of one controller: its edges, and the other controllers, which hear each other.
-func (s scale) board(d *registry.Registry) *broadcast.Broadcaster {
-	board := broadcast.New(d)
-	for n := range s.home() {
-		board.AddPeer(fmt.Sprint("edge ", n), true)
+// newBroadcaster returns a broadcaster with the links of one controller: to its edges, and to the other controllers, which
+// are linked to each other.
+func (s capacityScale) newBroadcaster(servers *registry.Registry) *broadcast.Broadcaster {
+	broadcaster := broadcast.New(servers)
+	for n := range s.edgesPerController() {
+		broadcaster.AddPeer(fmt.Sprint("edge ", n), true)
 	}
 	for n := range controllers - 1 {
-		board.AddPeer(fmt.Sprint("controller ", n), false)
+		broadcaster.AddPeer(fmt.Sprint("controller ", n), false)
 	}
-	return board
+	return broadcaster
 }
 
-func (s scale) config() []byte {
+func (s capacityScale) config() []byte {
 	type m = map[string]any
 	var services []m
 	for n := range s.services {
@@ -86,19 +89,19 @@
 	}
 	text, err := json.Marshal(m{"version": "r1", "services": services, "limits": m{"max_header_bytes": 16384}, "plants": hosts})
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // can't fail: plain values only
 	}
 	return text
 }
 
-func (s scale) route(n int, deadline float64) map[string]any {
+func (s capacityScale) route(n int, deadline float64) map[string]any {
 	return map[string]any{"name": fmt.Sprint("route-", n), "path_prefix": fmt.Sprintf("/api/%d/", n), "kind": "safe",
 		"deadline_s": deadline,
 		"setpoint_s": 0.4, "priority": 1, "service": fmt.Sprint("service-", n%s.services), "tries": 2}
 }
 
-// patch changes some routes.
-func (s scale) patch(version uint64, routes int) []byte {
+// patch returns a configuration patch that changes the given number of routes.
+func (s capacityScale) patch(version uint64, routes int) []byte {
 	type m = map[string]any
 	var hosts []m
 	for n := range routes {
@@ -107,12 +110,12 @@
 	}
 	text, err := json.Marshal(m{"version": fmt.Sprint("r", version), "upsert": m{"plants": hosts}})
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // can't fail: plain values only
 	}
 	return text
 }
 
-func need[T any](b *testing.B) func(v T, err error) T {
+func mustSucceed[T any](b *testing.B) func(v T, err error) T {
 	return func(v T, err error) T {
 		if err != nil {
 			b.Helper()
@@ -122,36 +125,36 @@
 	}
 }
 
-// heap is what the heap holds of what is made. Nothing else may be made meanwhile.
-func heap(make func() any) (made any, bytes float64) {
+// measureHeap returns the value that make returns and the heap memory that it occupies. Nothing else may allocate meanwhile.
+func measureHeap(make func() any) (value any, bytes float64) {
 	var before, after runtime.MemStats
-	settle := func(m *runtime.MemStats) {
+	readSettled := func(m *runtime.MemStats) {
 		runtime.GC()
-		runtime.GC() // pools keep what they hold over one
+		runtime.GC() // a sync.Pool keeps its contents through one collection
 		runtime.ReadMemStats(m)
 	}
-	settle(&before)
-	made = make()
-	settle(&after)
-	return made, float64(after.HeapAlloc) - float64(before.HeapAlloc)
+	readSettled(&before)
+	value = make()
+	readSettled(&after)
+	return value, float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
 func BenchmarkCapacityBeat(b *testing.B) {
-	parts(b, func(b *testing.B, s scale) {
-		board := s.board(s.directory())
+	forEachCapacityScale(b, func(b *testing.B, s capacityScale) {
+		broadcaster := s.newBroadcaster(s.newRegistry())
 		seq, sends := uint64(1), 0
 		for b.Loop() {
 			seq++
-			board.HandleServerCall(s.server(int(seq)%s.servers, seq), seq, time.Duration(seq))
-			sends += len(board.DrainOutput().Messages)
+			broadcaster.HandleServerCall(s.server(int(seq)%s.servers, seq), seq, time.Duration(seq))
+			sends += len(broadcaster.DrainOutput().Messages)
 		}
 		b.ReportMetric(float64(sends)/float64(b.N), "sends/op")
 	})
 }
 
-func BenchmarkCapacitySilence(b *testing.B) { // twenty times a second
-	parts(b, func(b *testing.B, s scale) {
-		d := s.directory()
+func BenchmarkCapacitySilence(b *testing.B) { // runs twenty times per second
+	forEachCapacityScale(b, func(b *testing.B, s capacityScale) {
+		d := s.newRegistry()
 		for b.Loop() {
 			d.MarkTimedOut("10.0.0.1", func(string) bool { return false }, time.Hour, time.Second)
 		}
@@ -159,19 +162,19 @@
 }
 
 func BenchmarkCapacityDrain(b *testing.B) {
-	parts(b, func(b *testing.B, s scale) {
-		board := s.board(s.directory())
+	forEachCapacityScale(b, func(b *testing.B, s capacityScale) {
+		broadcaster := s.newBroadcaster(s.newRegistry())
 		n, sends, bytes := 0, 0, 0.0
 		for b.Loop() {
 			e := s.server(s.servers+n, 2)
 			e.State = registry.Draining
-			board.HandleServerCall(e, uint64(n), time.Duration(n))
-			for _, one := range board.DrainOutput().Messages {
+			broadcaster.HandleServerCall(e, uint64(n), time.Duration(n))
+			for _, one := range broadcaster.DrainOutput().Messages {
 				sends++
 				if n == 0 {
-					bytes += size(b, &peer.Frame{Entries: one.Entries, AckID: one.AckID})
+					bytes += frameBytes(b, &peer.Frame{Entries: one.Entries, AckID: one.AckID})
 				}
-				board.HandleAck(one.To, one.AckID)
+				broadcaster.HandleAck(one.To, one.AckID)
 			}
 			n++
 		}
@@ -180,24 +183,24 @@
 	})
 }
 
-func BenchmarkCapacityServers(b *testing.B) { // all servers, as a joining process is sent them
-	parts(b, func(b *testing.B, s scale) {
-		made, bytes := heap(func() any { return s.directory() })
-		d := made.(*registry.Registry)
-		lines, lineBytes := heap(func() any { return s.picker() })
+func BenchmarkCapacityServers(b *testing.B) { // all servers, as sent to a joining process
+	forEachCapacityScale(b, func(b *testing.B, s capacityScale) {
+		value, bytes := measureHeap(func() any { return s.newRegistry() })
+		d := value.(*registry.Registry)
+		edgePicker, pickerBytes := measureHeap(func() any { return s.newPicker() })
 		var text []byte
 		for b.Loop() {
-			text = need[[]byte](b)(cbor.Marshal(&peer.Frame{Entries: d.All(0)}))
+			text = mustSucceed[[]byte](b)(cbor.Marshal(&peer.Frame{Entries: d.All(0)}))
 		}
 		runtime.KeepAlive(d)
 		b.ReportMetric(bytes, "directory-heap")
-		b.ReportMetric(lineBytes, "picker-heap")
+		b.ReportMetric(pickerBytes, "picker-heap")
 		b.ReportMetric(float64(len(text)), "wire-bytes")
-		runtime.KeepAlive(lines)
+		runtime.KeepAlive(edgePicker)
 	})
 }
 
-func (s scale) picker() *picker.Picker {
+func (s capacityScale) newPicker() *picker.Picker {
 	x := picker.New("z0", rand.New(rand.NewPCG(1, 1)).Float64)
 	for n := range s.servers {
 		e := s.server(n, 1)
@@ -207,113 +210,114 @@
 }
 
 func BenchmarkCapacityRoster(b *testing.B) { // an edge of the zone joins or leaves
-	parts(b, func(b *testing.B, s scale) {
-		x := s.picker()
-		roster := make([]uint32, s.edges/zones)
-		for i := range roster {
-			roster[i] = rand.Uint32()
+	forEachCapacityScale(b, func(b *testing.B, s capacityScale) {
+		x := s.newPicker()
+		zoneEdges := make([]uint32, s.edges/zones)
+		for i := range zoneEdges {
+			zoneEdges[i] = rand.Uint32()
 		}
 		for b.Loop() {
-			x.AssignSlots(roster, roster[0])
+			x.AssignSlots(zoneEdges, zoneEdges[0])
 		}
-		b.ReportMetric(size(b, &peer.Frame{Summary: &peer.Summary{Full: true, ZoneEdges: roster}}), "wire-bytes")
+		b.ReportMetric(frameBytes(b, &peer.Frame{Summary: &peer.Summary{Full: true, ZoneEdges: zoneEdges}}), "wire-bytes")
 	})
 }
 
 func BenchmarkCapacityPick(b *testing.B) {
-	parts(b, func(b *testing.B, s scale) {
-		x := s.picker()
-		roster := make([]uint32, s.edges/zones)
-		for i := range roster {
-			roster[i] = uint32(i)
+	forEachCapacityScale(b, func(b *testing.B, s capacityScale) {
+		x := s.newPicker()
+		zoneEdges := make([]uint32, s.edges/zones)
+		for i := range zoneEdges {
+			zoneEdges[i] = uint32(i)
 		}
-		x.AssignSlots(roster, 0)
+		x.AssignSlots(zoneEdges, 0)
 		now := time.Duration(0)
 		for b.Loop() {
 			now += time.Millisecond
-			if l := x.Pick("service-0", func(*picker.Upstream) bool { return false }, now); l != nil {
-				x.Succeeded(l, 0, now)
+			if upstream := x.Pick("service-0", func(*picker.Upstream) bool { return false }, now); upstream != nil {
+				x.Succeeded(upstream, 0, now)
 			}
 		}
 	})
 }
 
-func BenchmarkCapacityTables(b *testing.B) { // a second of one controller
-	parts(b, func(b *testing.B, s scale) {
-		d, rng := s.directory(), rand.New(rand.NewPCG(1, 1))
+func BenchmarkCapacityTables(b *testing.B) { // one second of one controller
+	forEachCapacityScale(b, func(b *testing.B, s capacityScale) {
+		d, rng := s.newRegistry(), rand.New(rand.NewPCG(1, 1))
 		var names []string
 		for z := range zones {
 			names = append(names, fmt.Sprint("z", z))
 		}
 		var others []weights.PeerTraffic
 		for n := range controllers - 1 {
-			o := weights.PeerTraffic{Edges: s.home()}
+			o := weights.PeerTraffic{Edges: s.edgesPerController()}
 			for service := range s.services {
 				o.TrafficByZone = append(o.TrafficByZone,
 					peer.ZoneTraffic{Service: fmt.Sprint("service-", service), Zone: names[n%zones], Rate: 17})
 			}
 			others = append(others, o)
 		}
-		now, lines, sent := time.Duration(0), 0, 0.0
-		second := func(g *weights.Tables) {
-			for n := range s.home() {
+		now, weightCount, sentBytes := time.Duration(0), 0, 0.0
+		runSecond := func(weightTables *weights.Tables) {
+			for n := range s.edgesPerController() {
 				r := &peer.Report{Period: 1}
-				for range metEach {
+				for range requestsPerEdge {
 					e := s.server(rng.IntN(s.servers), 1)
 					r.Servers = append(r.Servers, peer.ServerStats{Server: e.ID, Attempts: 1, TotalTime: 0.1 +
 						0.05*rng.Float64()})
 					r.Services = append(r.Services, peer.ServiceStats{Service: e.Service, Requests: 1})
 				}
-				g.HandleReport(fmt.Sprint("e", n), r, func(id string) (string, bool) { e, ok := d.Get(id); return e.Service, ok })
+				weightTables.HandleReport(fmt.Sprint("e", n), r,
+					func(id string) (string, bool) { e, ok := d.Get(id); return e.Service, ok })
 			}
 			for range 4 {
-				for edge, w := range g.Tick(now, func() []weights.PeerTraffic { return others }) {
-					lines += len(w.Changed)
-					sent += size(b, &peer.Frame{Weights: w})
-					g.HandleReport(edge, &peer.Report{Applied: w.Tokens}, nil)
+				for edge, w := range weightTables.Tick(now, func() []weights.PeerTraffic { return others }) {
+					weightCount += len(w.Changed)
+					sentBytes += frameBytes(b, &peer.Frame{Weights: w})
+					weightTables.HandleReport(edge, &peer.Report{Applied: w.Tokens}, nil)
 				}
 				now += 250 * time.Millisecond
 			}
 		}
-		made, bytes := heap(func() any {
-			g := weights.New("z0", names, 1, func() int { return controllers }, func(string, string) {})
-			g.UpdateServers(d.All(0), 0)
-			for n := range s.home() {
-				g.Join(fmt.Sprint("e", n), "z0")
+		value, bytes := measureHeap(func() any {
+			weightTables := weights.New("z0", names, 1, func() int { return controllers }, func(string, string) {})
+			weightTables.UpdateServers(d.All(0), 0)
+			for n := range s.edgesPerController() {
+				weightTables.Join(fmt.Sprint("e", n), "z0")
 			}
 			for range 3 {
-				second(g)
+				runSecond(weightTables)
 			}
-			return g
+			return weightTables
 		})
-		g := made.(*weights.Tables)
-		lines, sent = 0, 0.0
+		weightTables := value.(*weights.Tables)
+		weightCount, sentBytes = 0, 0.0
 		for b.Loop() {
-			second(g)
+			runSecond(weightTables)
 		}
 		b.ReportMetric(bytes, "heap")
-		b.ReportMetric(float64(lines)/float64(b.N), "lines/op")
-		b.ReportMetric(sent/float64(b.N), "wire-bytes/op")
+		b.ReportMetric(float64(weightCount)/float64(b.N), "lines/op")
+		b.ReportMetric(sentBytes/float64(b.N), "wire-bytes/op")
 	})
 }
 
-func BenchmarkCapacityPulse(b *testing.B) { // a full pulse from a controller to another, one a second
-	parts(b, func(b *testing.B, s scale) {
-		p := &peer.Summary{InContact: true, Full: true, Version: 1, Edges: s.home(), Fleet: s.edges,
+func BenchmarkCapacityPulse(b *testing.B) { // a full summary from one controller to another, sent once per second
+	forEachCapacityScale(b, func(b *testing.B, s capacityScale) {
+		summary := &peer.Summary{InContact: true, Full: true, Version: 1, Edges: s.edgesPerController(), Fleet: s.edges,
 			RegistryDigest: rand.Uint64(), Clock: 1e9, EdgesByZone: map[string][]uint32{}}
 		for n := range controllers - 1 {
-			p.Controllers = append(p.Controllers, fmt.Sprint("10.0.0.", n))
+			summary.Controllers = append(summary.Controllers, fmt.Sprint("10.0.0.", n))
 		}
 		for n := range s.services {
-			p.TrafficByZone = append(p.TrafficByZone, peer.ZoneTraffic{Service: fmt.Sprint("service-", n), Zone: "z0",
+			summary.TrafficByZone = append(summary.TrafficByZone, peer.ZoneTraffic{Service: fmt.Sprint("service-", n), Zone: "z0",
 				Rate: 17.3})
 		}
-		for range s.home() {
-			p.EdgesByZone["z0"] = append(p.EdgesByZone["z0"], rand.Uint32())
+		for range s.edgesPerController() {
+			summary.EdgesByZone["z0"] = append(summary.EdgesByZone["z0"], rand.Uint32())
 		}
 		var text []byte
 		for b.Loop() {
-			text = need[[]byte](b)(cbor.Marshal(&peer.Frame{Summary: p}))
+			text = mustSucceed[[]byte](b)(cbor.Marshal(&peer.Frame{Summary: summary}))
 			var f peer.Frame
 			if err := cbor.Unmarshal(text, &f); err != nil {
 				b.Fatal(err)
@@ -323,13 +327,13 @@
 	})
 }
 
-func BenchmarkCapacityParse(b *testing.B) { // a whole configuration, as an operator puts it or an edge is sent it
-	parts(b, func(b *testing.B, s scale) {
+func BenchmarkCapacityParse(b *testing.B) { // a whole configuration, as received by a controller from an operator or by an edge
+	forEachCapacityScale(b, func(b *testing.B, s capacityScale) {
 		text := s.config()
-		c, bytes := heap(func() any { return need[*config.Config](b)(config.Parse(text)) })
-		tree, treeBytes := heap(func() any { return config.NewTree(c.(*config.Config)) })
+		c, bytes := measureHeap(func() any { return mustSucceed[*config.Config](b)(config.Parse(text)) })
+		tree, treeBytes := measureHeap(func() any { return config.NewTree(c.(*config.Config)) })
 		for b.Loop() {
-			need[*config.Config](b)(config.Parse(text))
+			mustSucceed[*config.Config](b)(config.Parse(text))
 		}
 		b.ReportMetric(float64(len(text)), "wire-bytes")
 		b.ReportMetric(bytes, "config-heap")
@@ -340,50 +344,51 @@
 }
 
 func BenchmarkCapacityTree(b *testing.B) {
-	parts(b, func(b *testing.B, s scale) {
-		c := need[*config.Config](b)(config.Parse(s.config()))
+	forEachCapacityScale(b, func(b *testing.B, s capacityScale) {
+		c := mustSucceed[*config.Config](b)(config.Parse(s.config()))
 		for b.Loop() {
 			config.NewTree(c)
 		}
 	})
 }
 
-func BenchmarkCapacityWrite(b *testing.B) { // a whole configuration, as it is read back, sent to a process that joins, and saved
-	parts(b, func(b *testing.B, s scale) {
-		c := need[*config.Config](b)(config.Parse(s.config()))
+func BenchmarkCapacityWrite(b *testing.B) { // a whole configuration, as read back, sent to a joining process, and saved
+	forEachCapacityScale(b, func(b *testing.B, s capacityScale) {
+		c := mustSucceed[*config.Config](b)(config.Parse(s.config()))
 		for b.Loop() {
-			need[[]byte](b)(json.Marshal(c))
+			mustSucceed[[]byte](b)(json.Marshal(c))
 		}
 	})
 }
 
-func (s scale) daybook(b *testing.B) (book *statemachine.StateMachine, put func(statemachine.Change)) {
-	book = statemachine.New()
+func (s capacityScale) newStateMachine(b *testing.B) (stateMachine *statemachine.StateMachine, put func(statemachine.Change)) {
+	stateMachine = statemachine.New()
 	at := uint64(0)
 	put = func(c statemachine.Change) {
 		at++
-		if _, err := book.Apply(consensus.Entry{Index: at, Term: 1, Data: need[[]byte](b)(cbor.Marshal(c))}); err != nil {
+		if _, err := stateMachine.Apply(consensus.Entry{Index: at, Term: 1,
+			Data: mustSucceed[[]byte](b)(cbor.Marshal(c))}); err != nil {
 			b.Fatal(err)
 		}
 	}
 	put(statemachine.Change{Body: s.config()})
-	return book, put
+	return stateMachine, put
 }
 
 func BenchmarkCapacitySnapshot(b *testing.B) {
-	parts(b, func(b *testing.B, s scale) {
-		book, _ := s.daybook(b)
+	forEachCapacityScale(b, func(b *testing.B, s capacityScale) {
+		stateMachine, _ := s.newStateMachine(b)
 		var saved []byte
 		took := [2]time.Duration{}
 		for b.Loop() {
-			began := time.Now()
-			saved = need[[]byte](b)(book.Save())
-			took[0] += time.Since(began)
-			began = time.Now()
+			startedAt := time.Now()
+			saved = mustSucceed[[]byte](b)(stateMachine.Save())
+			took[0] += time.Since(startedAt)
+			startedAt = time.Now()
 			if err := statemachine.New().Restore(consensus.Snapshot{Index: 1, Term: 1, Data: saved}); err != nil {
 				b.Fatal(err)
 			}
-			took[1] += time.Since(began)
+			took[1] += time.Since(startedAt)
 		}
 		b.ReportMetric(float64(len(saved)), "wire-bytes")
 		b.ReportMetric(took[0].Seconds()/float64(b.N), "save-s/op")
@@ -391,18 +396,18 @@
 	})
 }
 
-func BenchmarkCapacityChange(b *testing.B) { // at a controller; an edge applies the same change and makes its tree
+func BenchmarkCapacityChange(b *testing.B) { // at a controller; an edge applies the same change and builds its routing tree
 	for _, routes := range []int{1, 1000} {
 		b.Run(fmt.Sprint(routes, " routes"), func(b *testing.B) {
-			parts(b, func(b *testing.B, s scale) {
-				book, put := s.daybook(b)
+			forEachCapacityScale(b, func(b *testing.B, s capacityScale) {
+				stateMachine, put := s.newStateMachine(b)
 				version := uint64(1)
 				for b.Loop() {
 					version++
 					put(statemachine.Change{Base: version - 1, Patch: true, Body: s.patch(version, routes)})
 				}
 				b.ReportMetric(float64(len(s.patch(version, routes))), "wire-bytes")
-				runtime.KeepAlive(book)
+				runtime.KeepAlive(stateMachine)
 			})
 		})
 	}
@@ -428,7 +433,7 @@
 						asks = append(asks, more...)
 					}
 				}
-				_, bytes := heap(func() any {
+				_, bytes := measureHeap(func() any {
 					for _, name := range names {
 						stores[name] = idempotency.NewStore(time.Minute, false)
 					}
@@ -441,29 +446,30 @@
 					claim()
 				}
 				b.ReportMetric(bytes/float64(held*(members/2+1)), "heap/key")
-				b.ReportMetric(size(b, &peer.Frame{GrantRequests: []idempotency.Record{{Key: idempotency.KeyOf("t", "1"),
+				b.ReportMetric(frameBytes(b, &peer.Frame{GrantRequests: []idempotency.Record{{Key: idempotency.KeyOf("t", "1"),
 					Token: idempotency.Token{Incarnation: 1 << 60, Sequence: n}, ResponseHolder: "10.0.0.1"}}}), "ask-bytes")
 			})
 		}
 	}
 }
 
-func BenchmarkCapacityReport(b *testing.B) { // an edge's look at all lines for its report, once a second, under the lock of picks
-	parts(b, func(b *testing.B, s scale) {
-		x, met := s.picker(), 0
+// An edge collects the statistics of all servers for its report once per second, under the picker's lock.
+func BenchmarkCapacityReport(b *testing.B) {
+	forEachCapacityScale(b, func(b *testing.B, s capacityScale) {
+		x, reported := s.newPicker(), 0
 		for b.Loop() {
-			for _, l := range x.All() {
-				if x.TakeStats(l).Attempts > 0 {
-					met++
+			for _, upstream := range x.All() {
+				if x.TakeStats(upstream).Attempts > 0 {
+					reported++
 				}
 			}
 		}
 	})
 }
 
-func BenchmarkCapacityRoute(b *testing.B) { // a request's route
-	parts(b, func(b *testing.B, s scale) {
-		tree, n := config.NewTree(need[*config.Config](b)(config.Parse(s.config()))), 0
+func BenchmarkCapacityRoute(b *testing.B) { // looks up the route of a request
+	forEachCapacityScale(b, func(b *testing.B, s capacityScale) {
+		tree, n := config.NewTree(mustSucceed[*config.Config](b)(config.Parse(s.config()))), 0
 		for b.Loop() {
 			n = (n + 7919) % s.routes
 			if tree.Find(fmt.Sprintf("tenant-%05d.example", n), fmt.Sprintf("/api/%d/x", n)) == nil {
@@ -473,34 +479,34 @@
 	})
 }
 
-func BenchmarkCapacityStore(b *testing.B) { // claims that gathered, durable on this machine's disk
+func BenchmarkCapacityStore(b *testing.B) { // a batch of claims, made durable on this machine's disk
 	for _, batch := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(batch, " records"), func(b *testing.B) {
-			a, _, err := storage.Open(b.TempDir(), time.Minute, 64<<20)
+			store, _, err := storage.Open(b.TempDir(), time.Minute, 64<<20)
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer a.Close()
-			n, used := uint64(0), func() time.Duration {
+			defer store.Close()
+			n, cpuTime := uint64(0), func() time.Duration {
 				var u unix.Rusage
 				if err := unix.Getrusage(unix.RUSAGE_SELF, &u); err != nil {
 					b.Fatal(err)
 				}
 				return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 			}
-			before := used()
+			before := cpuTime()
 			for b.Loop() {
-				one := &storage.Batch{}
+				batchWrite := &storage.Batch{}
 				for range batch {
 					n++
-					one.Claims = append(one.Claims, idempotency.Record{Key: idempotency.KeyOf("t", fmt.Sprint(n)),
+					batchWrite.Claims = append(batchWrite.Claims, idempotency.Record{Key: idempotency.KeyOf("t", fmt.Sprint(n)),
 						Token: idempotency.Token{Incarnation: 1 << 60, Sequence: n}, ResponseHolder: "10.0.0.1"})
 				}
-				if err := a.Commit([]*storage.Batch{one}); err != nil {
+				if err := store.Commit([]*storage.Batch{batchWrite}); err != nil {
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64(used()-before)/float64(n), "cpu-ns/record")
+			b.ReportMetric(float64(cpuTime()-before)/float64(n), "cpu-ns/record")
 		})
 	}
 }
--- a/internal/simulation/membership_test.go
+++ b/internal/simulation/membership_test.go
@@ -10,53 +10,53 @@
 	"mulleinwood/internal/simulation"
 )
 
-var _ = Describe("days on which members change", func() {
-	It("break no rule, and bring the core back to full tolerance in time", func() {
-		days := uint64(6)
-		if raced {
-			days = 1
+var _ = Describe("scenarios with membership changes", func() {
+	It("violate no rule and restore full fault tolerance in time", func() {
+		scenarios := uint64(6)
+		if raceDetector {
+			scenarios = 1
 		}
-		all := playAll(simulation.NewMembershipScenario, days)
-		Expect(all.Memberships).To(BeNumerically(">", 3*int(days)))
-		Expect(all.Reads).To(BeNumerically(">", 500*int(days)))
-		Expect(all.Retries).To(BeNumerically(">", 50*int(days)))
+		all := runScenarios(simulation.NewMembershipScenario, scenarios)
+		Expect(all.Memberships).To(BeNumerically(">", 3*int(scenarios)))
+		Expect(all.Reads).To(BeNumerically(">", 500*int(scenarios)))
+		Expect(all.Retries).To(BeNumerically(">", 50*int(scenarios)))
 		Expect(slices.Max(all.RecoveryTimes)).To(BeNumerically("<", 6*time.Second))
 	})
-	It("break no rule while every controller in turn is replaced, twice over", func() {
-		if raced {
-			Skip("too slow under the race detector; .ci/run plays them without it")
+	It("violate no rule while every controller in turn is replaced, twice over", func() {
+		if raceDetector {
+			Skip("too slow under the race detector; .ci/run runs it without")
 		}
-		all := playAll(simulation.NewReplacementChainScenario, 2)
+		all := runScenarios(simulation.NewReplacementChainScenario, 2)
 		Expect(all.Memberships).To(BeNumerically(">", 30))
 		Expect(all.HandedOver).To(BeNumerically(">", 100))
 	})
-	DescribeTable("show a planted fault", func(fault, as string) {
-		if raced {
-			Skip("too slow under the race detector; .ci/run plays them without it")
+	DescribeTable("detect a planted fault", func(fault, rules string) {
+		if raceDetector {
+			Skip("too slow under the race detector; .ci/run runs it without")
 		}
 		for seed := range uint64(30) {
 			d := simulation.NewMembershipScenario(seed, 3, 1)
 			d.PlantedFault = fault
-			if broken := simulation.Run(d).Violation; broken != "" {
-				Expect(broken).To(MatchRegexp("^(" + as + ")"))
+			if violation := simulation.Run(d).Violation; violation != "" {
+				Expect(violation).To(MatchRegexp("^(" + rules + ")"))
 				return
 			}
 		}
-		Fail("the planted fault was not seen")
+		Fail("the planted fault was not detected")
 	},
-		Entry("an order's digest that is lost with the snapshot", "digests are lost with the snapshot", "CONFIG|AGAIN"),
+		Entry("a snapshot without the digests of accepted changes", "digests are lost with the snapshot", "CONFIG|AGAIN"),
 		Entry("a snapshot that is older than its log", "a snapshot is older than its log", "LOST"),
-		Entry("a frozen leader that serves by its old state", "a frozen leader serves by its old state", "READ"),
-		Entry("a read without a round", "reads without a round", "READ"),
-		Entry("an identity that is used again after its disk was lost", "an identity is used again", "TWICE"),
+		Entry("a suspended leader that resumes and serves stale state", "a frozen leader serves by its old state", "READ"),
+		Entry("a read without a confirmation round", "reads without a round", "READ"),
+		Entry("an identity that is reused after its disk was lost", "an identity is used again", "TWICE"),
 		Entry("a removed member that grants", "a removed member grants", "MEMBERS|REMOVED"),
-		Entry("a retired identity that is voted in again", "a retired identity is kept", "MEMBERS|REMOVED"),
-		Entry("a leaving controller that ends without handing its answers over", "a leaving controller keeps its answers",
+		Entry("a removed identity that is added again", "a retired identity is kept", "MEMBERS|REMOVED"),
+		Entry("a controller that shuts down without handing its responses over", "a leaving controller keeps its answers",
 			"KEPT"),
 	)
-	It("let a key run once in every order of a change's events, as far as is gone", func() {
+	It("run a key at most once in every order of a membership change's events within the state limit", func() {
 		states := 2000
-		if raced {
+		if raceDetector {
 			states = 200
 		}
 		Expect(simulation.Explore(simulation.Bounds{States: states, MembershipChanges: 1, Wipes: 1,
--- a/internal/simulation/norace_test.go
+++ b/internal/simulation/norace_test.go
@@ -2,4 +2,4 @@
 
 package simulation_test
 
-const raced = false
+const raceDetector = false
--- a/internal/simulation/race_test.go
+++ b/internal/simulation/race_test.go
@@ -2,5 +2,6 @@
 
 package simulation_test
 
-// Days are played by one goroutine each, which the race detector has nothing to say about and takes ten times as long for.
-const raced = true
+// raceDetector reports whether the race detector is on. Each scenario runs on a single goroutine, where the detector can
+// find nothing and takes ten times as long, so tests run fewer scenarios with it.
+const raceDetector = true
