--- a/internal/simulation/bookings.go
+++ b/internal/simulation/bookings.go
@@ -18,45 +18,47 @@
 	"mulleinwood/internal/platform/apierror"
 )
 
-// Busy is a busy day that was known beforehand: one tenant's traffic at the first service, and that of all others, which
-// for a while come at many times their usual rate and repeat at once what is refused.
-type Busy struct {
-	Rate   float64 // requests a second and edge of the tenant, and of the others
-	Crowd  float64 // times the usual that others come at
-	Booked float64 // share of the service's slots that the tenant books; 0: nothing
-	OneIn  bool    // all of the tenant's clients come in at one edge
+// BookingLoad is the traffic of one tenant and of all other clients to the first service. For a while the others send a
+// multiple of their usual rate and immediately repeat rejected requests. The surge is known beforehand, so that the tenant
+// can book capacity for it.
+type BookingLoad struct {
+	Rate        float64 // requests per second and edge, for the tenant and for the others each
+	SurgeFactor float64 // multiple of the usual rate that the others send during the surge
+	BookedShare float64 // share of the service's slots that the tenant books; 0: no booking
+	SingleEdge  bool    // whether all clients of the tenant use one edge
 }
 
-// Tenant is what one side of a busy day met, from when the crowd is there.
-type Tenant struct {
-	Asked, Served, Late, Refused int
-	Took                         []time.Duration
+// TrafficStats counts the requests of the tenant or of the others during the measurement.
+type TrafficStats struct {
+	Requests, Served, Late, Rejected int
+	Latencies                        []time.Duration
 }
 
 const (
-	bookedFrom       = 10 * time.Second // its room opens five seconds before
-	herdFrom         = 8 * time.Second
-	herdTo           = 20 * time.Second
-	measuredFrom     = 9 * time.Second // from a second after the crowd came
-	maxRetries       = 3               // times that others repeat
+	bookingStart     = 10 * time.Second // start of the booking; its slots are reserved from five seconds before
+	surgeStart       = 8 * time.Second
+	surgeEnd         = 20 * time.Second
+	measurementStart = 9 * time.Second // one second after the surge starts
+	maxResends       = 3               // repetitions of a rejected request by the others
 	allocateInterval = 250 * time.Millisecond
-	aheadBy          = 2 * time.Hour // of the first controller's clock
+	clockSkew        = 2 * time.Hour // offset of the first controller's wall clock
 )
 
-// NewBookingScenario draws a busy day on which processes end, servers leave and crash, and edges are cut off now and then.
-func NewBookingScenario(seed uint64, members, lost int, busy Busy) Scenario {
+// NewBookingScenario generates a scenario with the given load in which processes end, servers drain and crash, and edges are
+// partitioned occasionally.
+func NewBookingScenario(seed uint64, members, lost int, busy BookingLoad) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 14))
-	d := Scenario{Seed: seed, Members: members, MaxLostDisks: lost, Edges: 4, Services: 2, Servers: 12, Rate: 2, Every: 300,
-		Length: 22 * time.Second, Busy: busy, Latency: true}
+	scenario := Scenario{Seed: seed, Members: members, MaxLostDisks: lost, Edges: 4, Services: 2, Servers: 12, Rate: 2,
+		ChangeIntervalTicks: 300, Length: 22 * time.Second, BookingLoad: busy, MeasureLatency: true}
 	kinds := []string{Kill, KillEdge, PartitionEdge, Drain, Drain, Crash, SlowDisk, Freeze, PowerAll}
-	for at := 2 * time.Second; at < d.Length-2*time.Second; at += time.Duration(1000+rng.IntN(3000)) * time.Millisecond {
-		d.Faults = append(d.Faults, Fault{At: at, Kind: kinds[rng.IntN(len(kinds))], Node: rng.IntN(1000),
-			For: time.Duration(200+rng.IntN(1200)) * time.Millisecond})
+	for at := 2 * time.Second; at < scenario.Length-2*time.Second; at += time.Duration(1000+rng.IntN(3000)) * time.Millisecond {
+		scenario.Faults = append(scenario.Faults, Fault{At: at, Kind: kinds[rng.IntN(len(kinds))], Node: rng.IntN(1000),
+			Duration: time.Duration(200+rng.IntN(1200)) * time.Millisecond})
 	}
-	return d
+	return scenario
 }
 
-// controllerReservations is a controller's part of booked slots.
+// controllerReservations is the reservation state of a controller.
 type controllerReservations struct {
 	clock          *reservation.Clock
 	allocator      *reservation.Allocator
@@ -66,10 +68,10 @@
 	nextAllocation time.Duration
 	announced      []reservation.Reservation
 	term           uint64
-	announcedBy    int
+	announcer      int
 }
 
-// edgeReservations is an edge's.
+// edgeReservations is the reservation state of an edge.
 type edgeReservations struct {
 	leases     reservation.LeaseHolder
 	announced  []reservation.Reservation
@@ -78,7 +80,7 @@
 	nextDemand time.Duration
 }
 
-// admission is what a request holds of a gate.
+// admission is a request's use of an admission gate.
 type admission struct {
 	gate                    *reservation.AdmissionGate
 	reservation, admittedAs string
@@ -87,54 +89,54 @@
 }
 
 func (w *cluster) newReservations(n *controller) {
-	n.reservations = controllerReservations{clock: reservation.NewClock(), announcedBy: n.n}
+	n.reservations = controllerReservations{clock: reservation.NewClock(), announcer: n.number}
 }
 
-// wallOf is a controller's time of day: the first's is hours off.
-func (w *cluster) wallOf(n *controller) float64 {
+// wallClock returns a controller's wall clock in seconds. The first controller's is off by clockSkew.
+func (w *cluster) wallClock(n *controller) float64 {
 	wall := w.now + n.clockOffset
-	if n.n == 0 {
-		wall += aheadBy
+	if n.number == 0 {
+		wall += clockSkew
 	}
 	return wall.Seconds() + 1e6
 }
 
-// manageBooking has an operator book the tenant's slots, until it is acknowledged.
+// manageBooking makes an operator book the tenant's slots until the booking is acknowledged.
 func (w *cluster) manageBooking() {
-	busy := w.scenario.Busy
-	if busy.Booked == 0 || w.now < time.Second || w.bookingAcked || w.now%(200*time.Millisecond) != 0 {
+	busy := w.scenario.BookingLoad
+	if busy.BookedShare == 0 || w.now < time.Second || w.bookingAcked || w.now%(200*time.Millisecond) != 0 {
 		return
 	}
 	n := w.controllers[w.anyController()]
-	if !w.running(n.n) || n.replica.Role() != consensus.Leader {
+	if !w.isRunning(n.number) || n.replica.Role() != consensus.Leader {
 		return
 	}
 	capacity := 0.0
 	for _, s := range w.servers {
-		if s.service == w.services[0] && !s.ended {
+		if s.service == w.services[0] && !s.stopped {
 			capacity += float64(s.capacity)
 		}
 	}
-	b := reservation.Booking{ID: "busy", Tenant: "tenant", Service: w.services[0], Start: 1e6 + bookedFrom.Seconds(),
-		End: 2e6, Slots: float64(int(capacity * busy.Booked)), Owner: "hall"}
+	b := reservation.Booking{ID: "busy", Tenant: "tenant", Service: w.services[0], Start: 1e6 + bookingStart.Seconds(),
+		End: 2e6, Slots: float64(int(capacity * busy.BookedShare)), Owner: "hall"}
 	data, err := cbor.Marshal(statemachine.Change{Bookings: &reservation.Op{Call: "busy", Base: n.state.Bookings.Version,
 		Puts: []reservation.Booking{b}, Now: n.reservations.clock.Now(w.now)}})
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // can't fail: plain values only
 	}
 	index, term, _ := n.replica.Propose(data, w.now)
-	n.proposals[index] = waiter{term, w.now + callOver, func(err error) {
+	n.proposals[index] = pendingProposal{term, w.now + callTimeout, func(err error) {
 		if err == nil {
 			w.bookingAcked = true
 		} else if apierror.For(err).Status < 500 {
-			w.fail("FAULT: a booking is refused: %v", err)
+			w.fail("FAULT: a booking was rejected: %v", err)
 		}
 	}}
 	w.processOutput(n)
 }
 
-// allocateReservations is what a leader does for booked slots, as the program does: it proves that it leads, says which
-// reservations are held, and gives the edges their leases.
+// allocateReservations runs the leader's part of reservations, as the program does: it confirms its leadership, announces
+// the active reservations and gives the edges their leases.
 func (w *cluster) allocateReservations(n *controller) {
 	r := &n.reservations
 	if w.now < r.nextAllocation || n.replica.Role() != consensus.Leader || n.state.Bookings.Version == 0 {
@@ -160,12 +162,13 @@
 	leases := r.allocator.Allocate(w.now)
 	for i := range w.edges {
 		if lease, ok := leases[linkName(-1-i)]; ok {
-			w.relay(n.n, w.edges[i].controller, i, func(e *edge) { e.reservations.leases.Accept(lease) })
+			w.relay(n.number, w.edges[i].controller, i, func(e *edge) { e.reservations.leases.Accept(lease) })
 		}
 	}
 }
 
-// newAllocator begins a term. A former leader's leases have to run out before their slots are allocated anew.
+// newAllocator creates the allocator of a term. The leases of the previous leader have to expire before their slots are
+// allocated again.
 func (w *cluster) newAllocator(n *controller) {
 	startedAt := w.now
 	if w.scenario.PlantedFault == "a new dealer deals at once" {
@@ -175,24 +178,24 @@
 	r.allocator, r.readIndex, r.leaderProvenAt = reservation.NewAllocator(n.replica.Term(), startedAt), 0, 0
 }
 
-// announceReservations tells all controllers which reservations are held now.
+// announceReservations sends the active reservations to all controllers.
 func (w *cluster) announceReservations(n *controller) {
 	r := &n.reservations
 	r.announced = n.state.Bookings.ReservationsAt(w.readyCapacity(n), r.clock.Now(w.now))
-	r.term, r.announcedBy = n.replica.Term(), n.n
+	r.term, r.announcer = n.replica.Term(), n.number
 	announced, term := r.announced, r.term
 	for _, o := range w.controllers {
-		if k := w.linkBetween(n.n, o.n); o != n && k != nil {
-			w.sendOnLink(k, n.n, func() {
+		if k := w.linkBetween(n.number, o.number); o != n && k != nil {
+			w.sendOnLink(k, n.number, func() {
 				if term >= o.reservations.term {
-					o.reservations.announced, o.reservations.term, o.reservations.announcedBy = announced, term, n.n
+					o.reservations.announced, o.reservations.term, o.reservations.announcer = announced, term, n.number
 				}
 			})
 		}
 	}
 }
 
-// readyCapacity is the slots of the ready servers that a controller knows, by service and zone.
+// readyCapacity returns the slots of the ready servers that a controller knows, by service and zone.
 func (w *cluster) readyCapacity(n *controller) map[string]reservation.Capacity {
 	capacity := map[string]reservation.Capacity{}
 	for _, e := range n.registry.All(w.now) {
@@ -207,7 +210,7 @@
 	return capacity
 }
 
-// relay brings something from a controller to an edge, by the edge's controller.
+// relay delivers do from a controller to an edge through the edge's controller.
 func (w *cluster) relay(from, controller, edge int, do func(*edge)) {
 	last := func() {
 		if k := w.linkBetween(controller, -1-edge); k != nil {
@@ -221,14 +224,15 @@
 	}
 }
 
-// updateGate has an edge follow its controller on reservations, say what it wants, and let in what its leases allow.
+// updateGate makes an edge take over its controller's reservations, report its demand and set its admission gate to the
+// shares of its leases.
 func (w *cluster) updateGate(e *edge) {
 	r := &e.reservations
-	if w.scenario.Busy.Booked == 0 || w.now < r.nextDemand || e.frozenUntil > w.now {
+	if w.scenario.BookingLoad.BookedShare == 0 || w.now < r.nextDemand || e.frozenUntil > w.now {
 		return
 	}
 	r.nextDemand = w.now + allocateInterval
-	if k := w.linkBetween(e.controller, -1-e.n); e.controller != nowhere && k != nil {
+	if k := w.linkBetween(e.controller, -1-e.number); e.controller != nowhere && k != nil {
 		controller := w.controllers[e.controller]
 		if controller.reservations.term > 0 {
 			r.announced = controller.reservations.announced
@@ -251,34 +255,34 @@
 			r.gate.SetShare(held.ID, share, held.Slots, full)
 		case known:
 			r.gate.LimitUnreserved(share, held.Slots, full)
-		default: // without a lease: an even share
+		default: // no lease: an equal share
 			r.gate.LimitUnreserved((held.Slots+len(w.edges)-1)/len(w.edges), held.Slots, true)
 		}
 	}
 }
 
-// sendDemand brings what an edge wants to the leader, by the edge's controller.
+// sendDemand sends an edge's demand to the leader through the edge's controller.
 func (w *cluster) sendDemand(e *edge, controller *controller, k *link) {
 	demand := e.reservations.leases.Demand(maps.Clone(e.reservations.wanted), w.now)
-	w.sendOnLink(k, -1-e.n, func() {
-		leader := controller.reservations.announcedBy
+	w.sendOnLink(k, -1-e.number, func() {
+		leader := controller.reservations.announcer
 		deliver := func() {
-			if a := w.controllers[controller.reservations.announcedBy].reservations.allocator; a != nil {
-				a.HandleDemand(linkName(-1-e.n), demand, w.now)
+			if a := w.controllers[controller.reservations.announcer].reservations.allocator; a != nil {
+				a.HandleDemand(linkName(-1-e.number), demand, w.now)
 			}
 		}
-		if leader == controller.n {
+		if leader == controller.number {
 			deliver()
-		} else if k := w.linkBetween(controller.n, leader); k != nil {
-			w.sendOnLink(k, controller.n, deliver)
+		} else if k := w.linkBetween(controller.number, leader); k != nil {
+			w.sendOnLink(k, controller.number, deliver)
 		}
 	})
 }
 
-// auditReservations holds the parts of a reservation at all edges against the most that was allocated while their leases may
-// last.
+// auditReservations checks that the shares of the booking at all edges don't exceed the largest capacity that was reserved
+// for it while their leases may still be valid.
 func (w *cluster) auditReservations() {
-	if w.scenario.Busy.Booked == 0 || w.now%allocateInterval != 0 {
+	if w.scenario.BookingLoad.BookedShare == 0 || w.now%allocateInterval != 0 {
 		return
 	}
 	capacity, total := 0, 0
@@ -293,54 +297,54 @@
 		}
 	}
 	w.admittedShares = append(w.admittedShares, capacity)
-	const lasts = 44 // of these looks: a lease and the time that a proof is good for
-	limit := slices.Max(w.admittedShares[max(0, len(w.admittedShares)-lasts):])
+	const leaseSamples = 44 // number of audits that cover the lifetime of a lease and of a proof of leadership
+	limit := slices.Max(w.admittedShares[max(0, len(w.admittedShares)-leaseSamples):])
 	for _, e := range w.edges {
-		part, _, _ := e.reservations.leases.Share("busy", w.now)
-		total += part
+		share, _, _ := e.reservations.leases.Share("busy", w.now)
+		total += share
 	}
 	if total > limit {
 		w.fail("ROOM: edges hold %d slots of a booking of %d", total, limit)
 	}
 }
 
-// sendHerd lets the tenant's and the others' clients ask at an edge.
-func (w *cluster) sendHerd(e *edge) {
-	busy := w.scenario.Busy
+// generateBookedTraffic starts the requests of the tenant's and the others' clients at an edge.
+func (w *cluster) generateBookedTraffic(e *edge) {
+	busy := w.scenario.BookingLoad
 	if busy.Rate == 0 || e.frozenUntil > w.now {
 		return
 	}
 	tenant, others := busy.Rate, busy.Rate
-	if busy.OneIn {
+	if busy.SingleEdge {
 		tenant = 0
-		if e.n == 0 {
+		if e.number == 0 {
 			tenant = busy.Rate * float64(len(w.edges))
 		}
 	}
-	if w.now >= herdFrom && w.now < herdTo {
-		others *= max(1, busy.Crowd)
+	if w.now >= surgeStart && w.now < surgeEnd {
+		others *= max(1, busy.SurgeFactor)
 	}
 	for i, rate := range []float64{tenant, others} {
-		for expected := rate * tickLength.Seconds(); expected > 0; expected-- {
+		for expected := rate * tickInterval.Seconds(); expected > 0; expected-- {
 			if w.rng.Float64() < expected {
-				group := &w.result.Others
+				stats := &w.result.Others
 				if i == 0 {
-					group = &w.result.Tenant
+					stats = &w.result.Tenant
 				}
-				w.startBookedRequest(e, group, 0)
+				w.startBookedRequest(e, stats, 0)
 			}
 		}
 	}
 }
 
-// startBookedRequest is one request of a busy day's clients: of the tenant that booked capacity, or of the others.
-func (w *cluster) startBookedRequest(e *edge, group *Tenant, resends int) {
+// startBookedRequest starts a request of the tenant or of the others.
+func (w *cluster) startBookedRequest(e *edge, stats *TrafficStats, resends int) {
 	w.nextKey++
 	q := &request{id: w.nextKey, safe: true, service: w.services[0], edge: e, incarnation: e.incarnation, startedAt: w.now,
-		calm: w.isCalm() && e.calmSince <= w.now, tenant: group, resends: resends}
-	q.measured = w.now >= measuredFrom && w.now < herdTo
+		stable: w.isStable() && e.stableSince <= w.now, trafficStats: stats, resends: resends}
+	q.measured = w.now >= measurementStart && w.now < surgeEnd
 	if q.measured {
-		q.tenant.Asked++
+		q.trafficStats.Requests++
 	}
 	q.retries = attempt.Retries{Safe: true, MaxServers: maxAttempts}
 	w.result.Requests++
@@ -349,7 +353,7 @@
 	e.budget(q.service, len(w.edges)).Earn()
 	if len(e.reservations.announced) > 0 {
 		q.admission = &admission{gate: e.reservations.gate, reservation: reservation.UnreservedID(q.service)}
-		if group == &w.result.Tenant {
+		if stats == &w.result.Tenant {
 			q.admission.reservation = "busy"
 		}
 		e.reservations.wanted[q.admission.reservation]++
@@ -357,7 +361,7 @@
 	w.startAttempt(q)
 }
 
-// pickForBooking picks a server, if the request may have room.
+// pickForBooking picks a server if the admission gate admits the request.
 func (w *cluster) pickForBooking(e *edge, q *request) (u *picker.Upstream) {
 	if p := q.admission; p != nil && !p.admitted {
 		if p.admittedAs, p.admitted = p.gate.Admit(p.reservation); !p.admitted {
@@ -365,14 +369,14 @@
 		}
 		p.at = w.now
 	}
-	if u = w.pick(e, q); u == nil && q.admission != nil && q.retries.SentAttempts == 0 {
+	if u = w.pickServer(e, q); u == nil && q.admission != nil && q.retries.SentAttempts == 0 {
 		q.admission.gate.Release(q.admission.admittedAs, 0)
 		q.admission.admitted = false
 	}
 	return u
 }
 
-// bookedEnding is how a busy day's request ended.
+// bookedEnding is the result of a request of the tenant or of the others.
 type bookedEnding uint8
 
 const (
@@ -381,7 +385,7 @@
 	bookedRefused
 )
 
-// bookedEndingOf tells the ending from what is known after the last attempt, and its status.
+// bookedEndingOf returns the ending for the outcome of the last attempt and its status.
 func bookedEndingOf(outcome attempt.Outcome, status int) bookedEnding {
 	switch {
 	case outcome == attempt.Ran && status < 500:
@@ -392,17 +396,17 @@
 	return bookedFailed
 }
 
-// finishBookedRequest ends a busy day's request.
+// finishBookedRequest releases the admission of a request, counts its ending and repeats rejected requests of the others.
 func (w *cluster) finishBookedRequest(q *request, ending bookedEnding) {
 	if p := q.admission; p != nil {
 		if q.edge.reservations.wanted[p.reservation]--; p.admitted {
 			p.gate.Release(p.admittedAs, max(1, w.now-p.at))
 		}
 	}
-	if q.tenant == nil {
+	if q.trafficStats == nil {
 		return
 	}
-	if ending == bookedRefused && q.tenant == &w.result.Others && q.resends < maxRetries {
+	if ending == bookedRefused && q.trafficStats == &w.result.Others && q.resends < maxResends {
 		e := w.edges[w.rng.IntN(len(w.edges))]
 		w.scheduleMillis(1+w.rng.IntN(20), func() {
 			if e.frozenUntil <= w.now {
@@ -415,23 +419,23 @@
 	}
 	switch took := w.now - q.startedAt; ending {
 	case bookedServed:
-		q.tenant.Served++
-		q.tenant.Took = append(q.tenant.Took, took)
+		q.trafficStats.Served++
+		q.trafficStats.Latencies = append(q.trafficStats.Latencies, took)
 		if took > latencyTarget {
-			q.tenant.Late++
+			q.trafficStats.Late++
 		}
 	case bookedRefused:
-		q.tenant.Refused++
+		q.trafficStats.Rejected++
 	}
 }
 
-func (t *Tenant) add(o Tenant) {
-	t.Asked, t.Served, t.Late, t.Refused = t.Asked+o.Asked, t.Served+o.Served, t.Late+o.Late, t.Refused+o.Refused
-	t.Took = append(t.Took, o.Took...)
+func (t *TrafficStats) add(o TrafficStats) {
+	t.Requests, t.Served, t.Late, t.Rejected = t.Requests+o.Requests, t.Served+o.Served, t.Late+o.Late, t.Rejected+o.Rejected
+	t.Latencies = append(t.Latencies, o.Latencies...)
 }
 
-func (t Tenant) String() string {
-	took := slices.Clone(t.Took)
+func (t TrafficStats) String() string {
+	took := slices.Clone(t.Latencies)
 	slices.Sort(took)
 	at := func(share float64) time.Duration {
 		if len(took) == 0 {
@@ -439,7 +443,8 @@
 		}
 		return took[min(len(took)-1, int(share*float64(len(took))))]
 	}
-	return fmt.Sprintf("%d asked, %.4f served, %.4f late, %.4f refused; p50 %s, p99 %s, p99.9 %s", t.Asked,
-		float64(t.Served)/float64(max(1, t.Asked)),
-		float64(t.Late)/float64(max(1, t.Asked)), float64(t.Refused)/float64(max(1, t.Asked)), at(0.5), at(0.99), at(0.999))
+	return fmt.Sprintf("%d asked, %.4f served, %.4f late, %.4f refused; p50 %s, p99 %s, p99.9 %s", t.Requests,
+		float64(t.Served)/float64(max(1, t.Requests)),
+		float64(t.Late)/float64(max(1, t.Requests)), float64(t.Rejected)/float64(max(1, t.Requests)),
+		at(0.5), at(0.99), at(0.999))
 }
--- a/internal/simulation/controllers.go
+++ b/internal/simulation/controllers.go
@@ -15,19 +15,19 @@
 	"mulleinwood/internal/control/weights"
 )
 
-// controller is a controller's machine, with the process that runs on it.
+// controller is a controller's machine and the process that runs on it.
 type controller struct {
-	n           int // its number
-	name        string
-	zone        int
-	incarnation int
-	disk        disk
-	queue       []write // that the disk has not done
-
-	machineFaults
-	consensusPart
-	claimPart
-	serverPart
+	number        int // index in cluster.controllers
+	name          string
+	zone          int
+	incarnation   int
+	disk          disk
+	pendingWrites []write // writes that the disk has not completed, in order
+
+	controllerFaults
+	consensusState
+	claimState
+	serverState
 	reservations controllerReservations
 	shuttingDown bool
 	shutdown     shutdown
@@ -35,73 +35,73 @@
 	summaries    int
 }
 
-// machineFaults is what a machine suffers, and until when.
-type machineFaults struct {
+// controllerFaults holds the active faults of a controller and their end times.
+type controllerFaults struct {
 	downUntil        time.Duration
-	removed          bool          // for good, or until it comes back although it was replaced
-	outboundCutUntil time.Duration // nothing of it reaches other controllers
-	inboundCutUntil  time.Duration // and nothing of theirs it
+	removed          bool          // permanently, or until it returns after it was replaced
+	outboundCutUntil time.Duration // its messages don't reach other controllers
+	inboundCutUntil  time.Duration // messages of other controllers don't reach it
 	frozenUntil      time.Duration
 	slowDiskUntil    time.Duration
 	fullDiskUntil    time.Duration
-	clockOffset      time.Duration // of its time of day
+	clockOffset      time.Duration // of its wall clock
 }
 
-// consensusPart is the replica with its state, and who votes.
-type consensusPart struct {
-	identity        string
-	bootstrapVoters []string // as on the disk
-	replica         *consensus.Replica
-	membership      consensus.Membership // the newest that was applied
-	epoch           uint64               // of the newest that was applied durably
-	manager         membership.Manager
-	seenReplicas    map[string]membership.Controller // that were linked at some time
-	replicaStatuses map[int]replicaStatus            // of the controllers that are linked
-	retired         bool                             // voted out since the process started
-	state           *statemachine.StateMachine
-	proposals       map[uint64]waiter
-	reads           []read
-	delayedReads    []func()      // calls that came while the process stood still
-	leaseUntil      time.Duration // for a planted fault
-	saved           []byte        // the last snapshot but one, for a planted fault
+// consensusState holds the consensus replica, its state machine and its view of the membership.
+type consensusState struct {
+	identity         string
+	bootstrapVoters  []string // as stored on the disk
+	replica          *consensus.Replica
+	membership       consensus.Membership // the newest applied membership
+	epoch            uint64               // of the newest membership that was applied durably
+	manager          membership.Manager
+	seenReplicas     map[string]membership.Controller // by identity: replicas that were linked at any time
+	replicaStatuses  map[int]replicaStatus            // by controller number: status of linked controllers
+	retired          bool                             // removed from the voters since the process started
+	state            *statemachine.StateMachine
+	proposals        map[uint64]pendingProposal
+	reads            []read
+	unreadCalls      []func()      // calls that arrived while the process was suspended
+	leaseUntil       time.Duration // only used by a planted fault
+	previousSnapshot []byte        // the snapshot before the last; only used by a planted fault
 }
 
-// claimPart is the claim store and the coordinator.
-type claimPart struct {
+// claimState holds the claim store and the coordinator.
+type claimState struct {
 	claimStore  *idempotency.Store
 	coordinator *idempotency.Coordinator
 	claims      map[idempotency.Token]func(idempotency.Outcome)
-	copiedFrom  map[string]bool // replicas whose claims were copied for the change under way
+	copiedFrom  map[string]bool // replicas whose claims were copied for the current membership change
 	nextCopy    time.Duration
 }
 
-// serverPart is the register of servers and the weight tables.
-type serverPart struct {
+// serverState holds the server registry and the weight tables.
+type serverState struct {
 	tables           *weights.Tables
-	peerTraffic      map[int]weights.PeerTraffic // what other controllers' edges bring, as last told
+	peerTraffic      map[int]weights.PeerTraffic // by controller number: traffic of its edges, as last reported
 	registry         *registry.Registry
 	broadcaster      *broadcast.Broadcaster
 	calls            map[uint64]func()
 	nextCall         uint64
-	unreachableSince map[int]time.Duration // controllers
+	unreachableSince map[int]time.Duration // by number: controllers whose link is down, and since when
 }
 
 var timing = consensus.Timing{Heartbeat: 50 * time.Millisecond, ElectionTimeout: 150 * time.Millisecond}
 
-// newController adds a machine with an empty disk. Wires to it are laid by the caller.
+// newController adds a controller with an empty disk. The caller adds its links.
 func (w *cluster) newController(zone int) *controller {
-	n := &controller{n: len(w.controllers), name: fmt.Sprint("c", len(w.controllers)), zone: zone, disk: emptyDisk()}
-	w.controllers, w.names = append(w.controllers, n), append(w.names, n.name)
+	n := &controller{number: len(w.controllers), name: fmt.Sprint("c", len(w.controllers)), zone: zone, disk: emptyDisk()}
+	w.controllers, w.controllerNames = append(w.controllers, n), append(w.controllerNames, n.name)
 	return n
 }
 
-// stopController ends a controller's process for a while.
+// stopController ends a controller's process for the given time, then starts it with its disk.
 func (w *cluster) stopController(n *controller, down time.Duration) {
 	w.endController(n, down)
 	w.startController(n)
 }
 
-// wipeController ends a controller's process for a while, and its disk is lost.
+// wipeController ends a controller's process for the given time, then starts it with an empty disk.
 func (w *cluster) wipeController(n *controller, down time.Duration) {
 	w.endController(n, down)
 	w.loseDisk(n)
@@ -119,26 +119,27 @@
 	n.disk = emptyDisk()
 	switch w.scenario.PlantedFault {
 	case "votes with an empty disk":
-		n.disk.identity, n.disk.founders, n.disk.blank = previous.identity, previous.founders, true
+		n.disk.identity, n.disk.bootstrapVoters, n.disk.recovering = previous.identity, previous.bootstrapVoters, true
 	case "an identity is used again":
-		n.disk.identity, n.disk.founders = previous.identity, previous.founders
+		n.disk.identity, n.disk.bootstrapVoters = previous.identity, previous.bootstrapVoters
 	case "grants with an empty disk":
-		w.identify(n)
-		n.disk.blank = false
+		w.ensureIdentity(n)
+		n.disk.recovering = false
 	}
 }
 
-// startController gives a controller's process what its disk held.
+// startController starts a controller's process with the contents of its disk.
 func (w *cluster) startController(n *controller) {
-	w.identify(n)
-	w.join(n)
-	n.claimStore = idempotency.NewStore(window, n.disk.blank)
+	w.ensureIdentity(n)
+	w.startReplica(n)
+	n.claimStore = idempotency.NewStore(keyWindow, n.disk.recovering)
 	for _, r := range n.disk.records {
 		n.claimStore.Load(r, w.now)
 	}
 	n.coordinator = idempotency.NewCoordinator(nil, hedgeDelay, claimTimeout)
-	n.state, n.proposals, n.claims = statemachine.New(), map[uint64]waiter{}, map[idempotency.Token]func(idempotency.Outcome){}
-	n.shuttingDown, n.retired, n.reads, n.delayedReads, n.leaseUntil = false, false, nil, nil, 0
+	n.state, n.proposals, n.claims = statemachine.New(), map[uint64]pendingProposal{},
+		map[idempotency.Token]func(idempotency.Outcome){}
+	n.shuttingDown, n.retired, n.reads, n.unreadCalls, n.leaseUntil = false, false, nil, nil, 0
 	w.setStores(n)
 	n.registry = registry.New(90 * time.Second)
 	n.broadcaster, n.calls = broadcast.New(n.registry), map[uint64]func(){}
@@ -152,13 +153,13 @@
 	w.newReservations(n)
 }
 
-// tickController does what a controller does by the clock.
+// tickController runs the periodic work of a controller.
 func (w *cluster) tickController(n *controller) {
 	w.writeDue(n)
 	n.replica.Tick(w.now)
 	w.expireProposals(n)
 	w.chooseBootstrapVoters(n)
-	w.manage(n)
+	w.manageMembership(n)
 	w.processOutput(n)
 	w.completeReads(n)
 	w.auditLeader(n)
@@ -170,7 +171,7 @@
 	w.requestCopies(n)
 	n.broadcaster.Tick(w.now)
 	lost := func(owner string) bool {
-		since, gone := n.unreachableSince[slices.Index(w.names, owner)]
+		since, gone := n.unreachableSince[slices.Index(w.controllerNames, owner)]
 		return gone && w.now-since > 2500*time.Millisecond
 	}
 	if changed := n.registry.MarkTimedOut(n.name, lost, 5*heartbeatInterval/2, w.now); len(changed) > 0 {
@@ -180,7 +181,7 @@
 	w.pushWeights(n)
 	w.allocateReservations(n)
 	if w.now >= n.nextSummary {
-		n.nextSummary = w.now + summaryOf
+		n.nextSummary = w.now + summaryInterval
 		w.summarize(n)
 	}
 	w.continueShutdown(n)
--- a/internal/simulation/explore.go
+++ b/internal/simulation/explore.go
@@ -6,49 +6,49 @@
 	"slices"
 )
 
-// Explored is what an exploration saw.
-type Explored struct {
-	States int
-	Deeper bool     // there were states beyond the bound
-	Broken string   // the first rule that was broken
-	Way    []string // the events that lead to it
+// ExploreResult is the result of an exploration.
+type ExploreResult struct {
+	States    int
+	Truncated bool     // whether states beyond the limit were left out
+	Violation string   // the first rule that was violated; empty: none
+	Trace     []string // the events that lead to the violation
 }
 
-// Explore goes through every order of events of the small core, as far as the bounds allow: states that were met before
-// are not gone through again.
-func Explore(b Bounds) Explored {
+// Explore visits every order of events of the bounded model within the bounds. It doesn't continue from a state that was
+// visited before.
+func Explore(b Bounds) ExploreResult {
 	seed := maphash.MakeSeed()
-	met := map[uint64]bool{}
-	var out Explored
-	var walk func(way []string)
-	walk = func(way []string) {
-		if out.Broken != "" || out.States >= b.States {
-			out.Deeper = out.Deeper || out.Broken == ""
+	visited := map[uint64]bool{}
+	var result ExploreResult
+	var walk func(trace []string)
+	walk = func(trace []string) {
+		if result.Violation != "" || result.States >= b.States {
+			result.Truncated = result.Truncated || result.Violation == ""
 			return
 		}
 		s := newBoundedModel(b)
-		for _, c := range way {
-			s.do(c)
+		for _, c := range trace {
+			s.perform(c)
 		}
-		if s.Broken != "" {
-			out.Broken, out.Way = s.Broken, slices.Clone(way)
+		if s.Violation != "" {
+			result.Violation, result.Trace = s.Violation, slices.Clone(trace)
 			return
 		}
 		f := fingerprint(seed, reflect.ValueOf(s))
-		if met[f] {
+		if visited[f] {
 			return
 		}
-		met[f] = true
-		out.States++
+		visited[f] = true
+		result.States++
 		for _, c := range s.choices() {
-			walk(append(slices.Clip(way), c))
+			walk(append(slices.Clip(trace), c))
 		}
 	}
 	walk(nil)
-	return out
+	return result
 }
 
-// fingerprint hashes a value with all that it holds, whatever is exported, and maps whatever their order.
+// fingerprint hashes a value with all its fields, exported or not. Maps are hashed independently of their order.
 func fingerprint(seed maphash.Seed, v reflect.Value) uint64 {
 	mix := func(parts ...uint64) uint64 {
 		h := uint64(1469598103934665603)
--- a/internal/simulation/membership_scenarios.go
+++ b/internal/simulation/membership_scenarios.go
@@ -7,122 +7,126 @@
 	"time"
 )
 
-// Leading as a trouble's Node means the controller that leads.
-const Leading = -1
+// LeaderNode as the Node of a fault selects the controller that leads when the fault begins.
+const LeaderNode = -1
 
-// ofMembers are the troubles of member days; each may strike as many machines at once as are borne.
-var ofMembers = []string{Replace, Replace, ReplaceBack, StandbyFirst, StandbyFirst, StandbyAfter, Restart, Wipe, Wipe,
+// membershipFaults are the fault kinds of membership scenarios. Each may affect as many controllers at the same time as are
+// tolerated. A kind that is listed several times is drawn more often.
+var membershipFaults = []string{Replace, Replace, ReplaceBack, StandbyFirst, StandbyFirst, StandbyAfter, Restart, Wipe, Wipe,
 	Kill, Partition, OutboundPartition, InboundPartition, SlowDisk, FullDisk, Freeze}
 
-// NewMembershipScenario draws a day on which machines are replaced, end in order, lose their disks, are cut off, killed and
-// stand still, never more at once than are borne: a lost machine counts as lost until the core has had its time to settle
-// after the machine's, or its successor's, start.
+// NewMembershipScenario generates a scenario in which controllers are replaced, shut down, wiped, partitioned, killed and
+// suspended, never more at the same time than are tolerated: a lost controller counts as lost until recoveryTimeout after
+// its own or its replacement's start.
 func NewMembershipScenario(seed uint64, members, lost int) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 15))
-	d := membershipScenario(seed, members, lost)
-	d.Seeds = rng.IntN(3) % 2
+	scenario := membershipScenario(seed, members, lost)
+	scenario.Seeds = rng.IntN(3) % 2
 	at := 4 * time.Second
 	for range 5 + rng.IntN(3) {
-		at = d.addLoss(rng, at, lost)
-		if rng.IntN(6) == 0 { // the whole core loses power, perhaps together with the next loss
+		at = scenario.addLoss(rng, at, lost)
+		if rng.IntN(6) == 0 { // all controllers lose power, possibly together with the next loss
 			span := time.Duration(200+rng.IntN(1500)) * time.Millisecond
-			d.addFault(Fault{At: at, Kind: PowerAll, For: span})
+			scenario.addFault(Fault{At: at, Kind: PowerAll, Duration: span})
 			at += span
 			if rng.IntN(2) == 0 {
-				at += recoverWithin
+				at += recoveryTimeout
 			}
 		}
 	}
-	d.addSideFaults(rng, at)
-	d.sortFaults()
-	return d
+	scenario.addSideFaults(rng, at)
+	scenario.sortFaults()
+	return scenario
 }
 
-// NewReplacementChainScenario draws a day on which every machine in turn is replaced, twice over, with lost disks, cuts,
-// kills and losses of power between, and a loss of as many as are borne at the end.
+// NewReplacementChainScenario generates a scenario in which every controller in turn is replaced, twice over, with wipes,
+// partitions, kills and power losses in between, and at the end a loss of as many controllers as are tolerated.
 func NewReplacementChainScenario(seed uint64, members, lost int) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 16))
-	d := membershipScenario(seed, members, lost)
+	scenario := membershipScenario(seed, members, lost)
 	at := 4 * time.Second
 	kinds := []string{Replace, Replace, StandbyFirst, StandbyAfter, ReplaceBack}
 	for i := range 2 * members {
-		t := Fault{At: at, Kind: kinds[rng.IntN(len(kinds))], Node: i % members,
-			For: time.Duration(100+rng.IntN(3000)) * time.Millisecond}
-		d.addFault(t)
-		at = t.endsAt() + recoverWithin
+		fault := Fault{At: at, Kind: kinds[rng.IntN(len(kinds))], Node: i % members,
+			Duration: time.Duration(100+rng.IntN(3000)) * time.Millisecond}
+		scenario.addFault(fault)
+		at = fault.endsAt() + recoveryTimeout
 		if i%3 == 2 {
-			at = d.addLoss(rng, at, lost)
+			at = scenario.addLoss(rng, at, lost)
 		}
 		if i == members {
-			d.addFault(Fault{At: at, Kind: PowerAll, For: time.Second})
-			at += time.Second + recoverWithin
+			scenario.addFault(Fault{At: at, Kind: PowerAll, Duration: time.Second})
+			at += time.Second + recoveryTimeout
 		}
 	}
 	for _, place := range rng.Perm(members)[:lost] {
-		d.addFault(Fault{At: at, Kind: []string{Wipe, Replace}[rng.IntN(2)], Node: place, For: time.Second})
+		scenario.addFault(Fault{At: at, Kind: []string{Wipe, Replace}[rng.IntN(2)], Node: place, Duration: time.Second})
 	}
-	d.addSideFaults(rng, at)
-	d.sortFaults()
-	return d
+	scenario.addSideFaults(rng, at)
+	scenario.sortFaults()
+	return scenario
 }
 
 func membershipScenario(seed uint64, members, lost int) Scenario {
-	return Scenario{Seed: seed, Members: members, MaxLostDisks: lost, Edges: 3, Every: 100, Writers: 8, ReplyLoss: 3,
-		MustRecover: true}
+	return Scenario{Seed: seed, Members: members, MaxLostDisks: lost, Edges: 3, ChangeIntervalTicks: 100, Operators: 8,
+		ReplyLossInterval: 3, MustRecover: true}
 }
 
-func (d *Scenario) addFault(t Fault) { d.Faults = append(d.Faults, t) }
+func (scenario *Scenario) addFault(fault Fault) { scenario.Faults = append(scenario.Faults, fault) }
 
-// endsAt is when a trouble is over.
-func (t Fault) endsAt() time.Duration {
-	switch t.Kind {
+// endsAt returns the time at which a fault is over.
+func (fault Fault) endsAt() time.Duration {
+	switch fault.Kind {
 	case JumpClock:
-		return t.At
+		return fault.At
 	case ReplaceBack:
-		return t.At + t.For + backAfter
+		return fault.At + fault.Duration + returnDelay
 	case StandbyFirst, StandbyAfter, Restart:
-		return t.At + t.For + maxShutdown
+		return fault.At + fault.Duration + maxShutdown
 	}
-	return t.At + t.For
+	return fault.At + fault.Duration
 }
 
-// addLoss draws a loss of as many machines as are borne, at most, about at once. It gives when the next loss may come.
-func (d *Scenario) addLoss(rng *rand.Rand, at time.Duration, lost int) time.Duration {
+// addLoss adds faults of at most as many controllers as are tolerated, about the same time. It returns when the next loss
+// may begin.
+func (scenario *Scenario) addLoss(rng *rand.Rand, at time.Duration, lost int) time.Duration {
 	next := at
-	for i, place := range rng.Perm(d.Members)[:1+rng.IntN(lost)] {
-		t := Fault{At: at + time.Duration(rng.IntN(400))*time.Millisecond, Kind: ofMembers[rng.IntN(len(ofMembers))], Node: place,
-			For: time.Duration(100+rng.IntN(4000)) * time.Millisecond}
-		if i == 0 && d.MaxLostDisks == 1 && rng.IntN(3) == 0 {
-			t.Node = Leading
+	for i, place := range rng.Perm(scenario.Members)[:1+rng.IntN(lost)] {
+		fault := Fault{At: at + time.Duration(rng.IntN(400))*time.Millisecond,
+			Kind: membershipFaults[rng.IntN(len(membershipFaults))], Node: place,
+			Duration: time.Duration(100+rng.IntN(4000)) * time.Millisecond}
+		if i == 0 && scenario.MaxLostDisks == 1 && rng.IntN(3) == 0 {
+			fault.Node = LeaderNode
 		}
-		d.addFault(t)
-		if t.Kind == Wipe && rng.IntN(3) == 0 { // just as the others lose power
-			d.addFault(Fault{At: t.At, Kind: PowerAll, For: t.For})
+		scenario.addFault(fault)
+		if fault.Kind == Wipe && rng.IntN(3) == 0 { // together with a power loss of the other controllers
+			scenario.addFault(Fault{At: fault.At, Kind: PowerAll, Duration: fault.Duration})
 		}
-		next = max(next, t.endsAt())
+		next = max(next, fault.endsAt())
 	}
-	return next + recoverWithin
+	return next + recoveryTimeout
 }
 
-// addSideFaults draws what costs the core nothing: troubles of edges, and jumps of the time of day.
-func (d *Scenario) addSideFaults(rng *rand.Rand, until time.Duration) {
+// addSideFaults adds faults that don't reduce the fault tolerance of the controllers: faults of edges, and jumps of wall
+// clocks.
+func (scenario *Scenario) addSideFaults(rng *rand.Rand, until time.Duration) {
 	for at := 2 * time.Second; at < until; at += time.Duration(500+rng.IntN(5000)) * time.Millisecond {
-		t := Fault{At: at, Kind: []string{KillEdge, PartitionEdge, FreezeEdge, JumpClock}[rng.IntN(4)],
-			Node: rng.IntN(d.Members * d.Edges),
-			For:  time.Duration(100+rng.IntN(2000)) * time.Millisecond}
-		if t.Kind == JumpClock {
-			t.For = time.Duration(rng.IntN(7200)-3600) * time.Second
+		fault := Fault{At: at, Kind: []string{KillEdge, PartitionEdge, FreezeEdge, JumpClock}[rng.IntN(4)],
+			Node:     rng.IntN(scenario.Members * scenario.Edges),
+			Duration: time.Duration(100+rng.IntN(2000)) * time.Millisecond}
+		if fault.Kind == JumpClock {
+			fault.Duration = time.Duration(rng.IntN(7200)-3600) * time.Second
 		}
-		d.addFault(t)
+		scenario.addFault(fault)
 	}
 }
 
-// sortFaults puts the troubles in order and ends the day some seconds after the core has settled from the last.
-func (d *Scenario) sortFaults() {
+// sortFaults sorts the faults by time and ends the scenario some seconds after the deadline for recovery from the last one.
+func (scenario *Scenario) sortFaults() {
 	last := time.Duration(0)
-	for _, t := range d.Faults {
-		last = max(last, t.endsAt())
+	for _, fault := range scenario.Faults {
+		last = max(last, fault.endsAt())
 	}
-	slices.SortStableFunc(d.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
-	d.Length = last + recoverWithin + 4*time.Second
+	slices.SortStableFunc(scenario.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
+	scenario.Length = last + recoveryTimeout + 4*time.Second
 }
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -14,68 +14,68 @@
 )
 
 const (
-	resendAfter  = time.Second
-	retryPause   = 200 * time.Millisecond
-	maxRedirects = 2
-	callOver     = 1500 * time.Millisecond
-	maxNames     = 4 // that changes add or replace
+	resendInterval = time.Second
+	retryDelay     = 200 * time.Millisecond
+	maxRedirects   = 2
+	callTimeout    = 1500 * time.Millisecond
+	serviceNames   = 4 // number of service names that changes add or replace
 )
 
-// operatorState is an operator: it reads the version in force, from whoever says so, and puts a change on top of it. Without a
-// clear answer it makes the same call again, at any controller.
+// operatorState is an operator. It reads the active version from any controller and submits a change based on it. Without a
+// definite reply it repeats the same call at any controller.
 type operatorState struct {
-	n     int
-	call  *call
-	calls int
+	number int
+	call   *call
+	calls  int
 }
 
-// call is one change that an operator asks for.
+// call is one configuration change that an operator requests.
 type call struct {
 	data     []byte
 	change   statemachine.Change
 	version  uint64
 	at       int
-	resendAt time.Duration // when it is made once more
-	over     bool
-	repeated bool // although it was acknowledged
+	resendAt time.Duration // when it is sent again
+	finished bool
+	repeated bool // sent again after it was acknowledged
 }
 
-// waiter is a call that waits for its entry.
-type waiter struct {
-	term   uint64
-	until  time.Duration
-	answer func(err error)
+// pendingProposal is a call that waits for its log entry to be applied.
+type pendingProposal struct {
+	term     uint64
+	deadline time.Duration
+	respond  func(err error)
 }
 
-// force is a change that came into force, by the auditor's reading of the history alone.
-type force struct{ base, version uint64 }
+// committedChange is a change that became active according to the committed history alone.
+type committedChange struct{ base, version uint64 }
 
-// tickOperator lets an operator act.
+// tickOperator resends an operator's open call or starts a new one.
 func (w *cluster) tickOperator(o *operatorState) {
 	if c := o.call; c != nil {
 		if w.now >= c.resendAt {
-			c.resendAt = w.now + resendAfter
-			c.at = w.following(c.at)
+			c.resendAt = w.now + resendInterval
+			c.at = w.nextController(c.at)
 			w.sendChange(o, c, c.at, maxRedirects)
 		}
 		return
 	}
-	if w.rng.IntN(w.scenario.Every) != 0 {
+	if w.rng.IntN(w.scenario.ChangeIntervalTicks) != 0 {
 		return
 	}
 	from := w.controllers[w.anyController()]
-	if !w.running(from.n) {
+	if !w.isRunning(from.number) {
 		return
 	}
 	base := from.state.Version()
 	o.calls++
 	c := &call{version: base + 1 + uint64(w.rng.IntN(4)), at: w.anyController()}
-	item := fmt.Sprintf(`{"name":"s-%d","health_path":"/%d/%d"}`, w.rng.IntN(maxNames), o.n, o.calls)
+	item := fmt.Sprintf(`{"name":"s-%d","health_path":"/%d/%d"}`, w.rng.IntN(serviceNames), o.number, o.calls)
 	switch {
 	case base == 0 || w.rng.IntN(4) == 0:
 		c.change = statemachine.Change{Base: base, Body: fmt.Appendf(nil,
 			`{"version":"r%d","services":[%s],"limits":{},"plants":[]}`, c.version, item)}
-	case w.rng.IntN(8) == 0: // one that can't be
+	case w.rng.IntN(8) == 0: // an invalid change: its version doesn't exceed its base
 		c.version = base
 		fallthrough
 	default:
@@ -84,33 +84,33 @@
 	}
 	data, err := cbor.Marshal(c.change)
 	if err != nil {
-		panic(err) // plain numbers and bytes
+		panic(err) // can't fail: numbers and bytes only
 	}
-	c.data, c.resendAt, o.call = data, w.now+resendAfter, c
+	c.data, c.resendAt, o.call = data, w.now+resendInterval, c
 	w.sendChange(o, c, c.at, maxRedirects)
 }
 
-// sendChange brings a call to a controller, which sends it on to the leader that it knows.
+// sendChange sends a call to a controller. A controller that isn't the leader redirects it to the leader that it knows.
 func (w *cluster) sendChange(o *operatorState, c *call, address, redirects int) {
 	w.scheduleMillis(1+w.rng.IntN(5), func() {
 		n := w.controllers[address]
-		if !w.running(address) || c.over {
+		if !w.isRunning(address) || c.finished {
 			return
 		}
 		if n.replica.Role() == consensus.Leader {
 			w.proposeChange(o, c, n)
 			return
 		}
-		leader := slices.Index(w.names, membership.Address(n.replica.Leader()))
+		leader := slices.Index(w.controllerNames, membership.Address(n.replica.Leader()))
 		if leader >= 0 && leader != address && redirects > 0 {
 			w.sendChange(o, c, leader, redirects-1)
 		} else {
-			c.resendAt = min(c.resendAt, w.now+retryPause)
+			c.resendAt = min(c.resendAt, w.now+retryDelay)
 		}
 	})
 }
 
-// proposeChange is a call that has come to a leader. Its reply may be lost.
+// proposeChange handles a call at the leader. The reply may be lost.
 func (w *cluster) proposeChange(o *operatorState, c *call, n *controller) {
 	incarnation := n.incarnation
 	respond := func(err error) {
@@ -127,13 +127,13 @@
 		}
 	}
 	index, term, _ := n.replica.Propose(c.data, w.now)
-	n.proposals[index] = waiter{term, w.now + callOver, respond}
+	n.proposals[index] = pendingProposal{term, w.now + callTimeout, respond}
 	w.processOutput(n)
 }
 
-// handleChangeReply is what an operator hears; only a clear answer ends a call.
+// handleChangeReply handles the reply to a call. Only a definite reply ends the call.
 func (w *cluster) handleChangeReply(o *operatorState, c *call, err error) {
-	if c.over {
+	if c.finished {
 		return
 	}
 	status := 200
@@ -141,21 +141,23 @@
 		status = apierror.For(err).Status
 	}
 	if status >= 500 {
-		c.resendAt = min(c.resendAt, w.now+retryPause)
+		c.resendAt = min(c.resendAt, w.now+retryDelay)
 		return
 	}
 	if c.repeated {
 		w.result.Retries++
-		if c.over = true; status != 200 {
-			w.fail("AGAIN: an order to r%d was acknowledged, and is refused with %d when it comes again", c.version, status)
+		if c.finished = true; status != 200 {
+			w.fail("AGAIN: the change to r%d was acknowledged, and was rejected with %d when it was sent again",
+				c.version, status)
 		}
 		return
 	}
-	c.over, o.call = true, nil
+	c.finished, o.call = true, nil
 	if status != 200 {
 		w.rejectedChanges[string(c.data)] = true
 		if position, committed := w.committedChanges[string(c.data)]; committed {
-			w.fail("CONFIG: a change to r%d is refused with %d and in force, on r%d", position.version, status, position.base)
+			w.fail("CONFIG: the change to r%d was rejected with %d but is active, based on r%d",
+				position.version, status, position.base)
 		}
 		return
 	}
@@ -163,33 +165,34 @@
 	position, committed := w.committedChanges[string(c.data)]
 	switch {
 	case !committed:
-		w.fail("CONFIG: a change on r%d is acknowledged and never came into force", c.change.Base)
+		w.fail("CONFIG: a change based on r%d was acknowledged but never became active", c.change.Base)
 	case w.acknowledgedBase[position.base] != "" && w.acknowledgedBase[position.base] != string(c.data):
-		w.fail("CONFIG: two changes on r%d are both acknowledged", position.base)
+		w.fail("CONFIG: two changes based on r%d were both acknowledged", position.base)
 	}
 	w.acknowledgedBase[position.base] = string(c.data)
-	w.ackTimes = append(w.ackTimes, ackedAt{position.version, w.now})
-	w.membershipAudit.newest, w.membershipAudit.lastOrder = max(w.membershipAudit.newest, position.version), w.now
+	w.acknowledgements = append(w.acknowledgements, acknowledgement{position.version, w.now})
+	w.membershipAudit.newestVersion, w.membershipAudit.lastChangeAt = max(w.membershipAudit.newestVersion, position.version),
+		w.now
 	w.resendChange(o, c)
 }
 
-// resendChange makes a call that was acknowledged again, now and then, at any controller: that may be acknowledged or unclear,
-// and never refused.
+// resendChange occasionally repeats an acknowledged call at any controller. The repeated call may be acknowledged or remain
+// unconfirmed, but must not be rejected.
 func (w *cluster) resendChange(o *operatorState, c *call) {
 	if w.rng.IntN(4) > 0 {
 		return
 	}
 	w.scheduleAfter(time.Duration(w.rng.IntN(8000))*time.Millisecond, func() {
-		repeated := &call{data: c.data, change: c.change, version: c.version, resendAt: forGood, repeated: true}
+		repeated := &call{data: c.data, change: c.change, version: c.version, resendAt: forever, repeated: true}
 		w.sendChange(o, repeated, w.anyController(), maxRedirects)
 	})
 }
 
-// auditEntry holds an entry that a node takes for committed against the history.
+// auditEntry checks an entry that a controller considers committed against the history.
 func (w *cluster) auditEntry(n *controller, e consensus.Entry) {
 	switch at := int(e.Index); {
 	case at > len(w.history)+1:
-		w.fail("FAULT: %s takes entry %d for committed, and nobody took %d", n.name, at, len(w.history)+1)
+		w.fail("FAULT: %s committed entry %d, but no controller has committed entry %d", n.name, at, len(w.history)+1)
 	case at == len(w.history)+1:
 		w.history = append(w.history, e)
 		w.recordCommitted(e)
@@ -197,16 +200,17 @@
 			w.auditMembership(e)
 		}
 	default:
-		have := w.history[at-1]
-		same := (have.Membership == nil) == (e.Membership == nil) && (e.Membership == nil || have.Membership.Equal(*e.Membership))
-		if have.Term != e.Term || string(have.Data) != string(e.Data) || !same {
-			w.fail("CONFIG: %s holds another change at %d", n.name, at)
+		recorded := w.history[at-1]
+		same := (recorded.Membership == nil) == (e.Membership == nil) &&
+			(e.Membership == nil || recorded.Membership.Equal(*e.Membership))
+		if recorded.Term != e.Term || string(recorded.Data) != string(e.Data) || !same {
+			w.fail("CONFIG: %s has a different entry at index %d", n.name, at)
 		}
 	}
 }
 
-// recordCommitted notes a new entry of the history. It judges by the numbers alone: a change counts if it is built on the
-// version in force, is above it and wasn't taken before.
+// recordCommitted records a new entry of the history. It decides by the versions alone: a change becomes active if its base
+// is the active version, its own version is higher and the same change wasn't committed before.
 func (w *cluster) recordCommitted(e consensus.Entry) {
 	var c statemachine.Change
 	if len(e.Data) > 0 && cbor.Unmarshal(e.Data, &c) == nil {
@@ -215,7 +219,7 @@
 	w.versionAt = append(w.versionAt, w.currentVersion)
 }
 
-// recordChange notes a committed change, by its bytes.
+// recordChange records a committed change under its encoded bytes.
 func (w *cluster) recordChange(data string, c statemachine.Change) {
 	var version uint64
 	if _, err := fmt.Sscanf(string(c.Body), `{"version":"r%d"`, &version); err != nil {
@@ -224,14 +228,15 @@
 	if _, known := w.committedChanges[data]; known || c.Base != w.currentVersion || version <= w.currentVersion {
 		return
 	}
-	w.committedChanges[data] = force{c.Base, version}
+	w.committedChanges[data] = committedChange{c.Base, version}
 	w.currentVersion = version
 	if w.rejectedChanges[data] {
-		w.fail("CONFIG: a change to r%d was refused and comes into force", version)
+		w.fail("CONFIG: a change to r%d was rejected but became active", version)
 	}
 }
 
-// auditApplied feeds a node's state machine with an entry, and answers who waits for it.
+// auditApplied applies an entry to a controller's state machine, checks the resulting version and replies to the waiting
+// call.
 func (w *cluster) auditApplied(n *controller, e consensus.Entry) {
 	if w.scenario.PlantedFault == "a base isn't looked at" && len(e.Data) > 0 {
 		var c statemachine.Change
@@ -240,50 +245,51 @@
 			e.Data, _ = cbor.Marshal(c)
 		}
 	}
-	had := len(n.state.Bookings.Active)
+	bookingsBefore := len(n.state.Bookings.Active)
 	_, err := n.state.Apply(e)
-	if len(n.state.Bookings.Active) < had {
-		w.fail("LOST: a booking is gone from %s", n.name)
+	if len(n.state.Bookings.Active) < bookingsBefore {
+		w.fail("LOST: a booking is missing at %s", n.name)
 	}
 	if w.scenario.PlantedFault == "calls are forgotten" {
 		n.state.AcceptedChanges = nil
 	}
 	if want := w.versionAt[e.Index-1]; n.state.Version() != want {
-		w.fail("CONFIG: %s holds r%d after entry %d, the history leads to r%d", n.name, n.state.Version(), e.Index, want)
+		w.fail("CONFIG: %s has r%d after entry %d, but the history leads to r%d", n.name, n.state.Version(), e.Index, want)
 	}
 	if wait, ok := n.proposals[e.Index]; ok {
 		delete(n.proposals, e.Index)
 		if wait.term != e.Term {
-			err = apierror.Unconfirmed.New("another change took its place")
+			err = apierror.Unconfirmed.New("another change was committed instead")
 		}
-		wait.answer(err)
+		wait.respond(err)
 	}
 }
 
-// readBack holds what the leader holds when the day is over against what was acknowledged.
-func (w *cluster) readBack() {
+// auditFinalState checks the leader's state at the end against the acknowledged changes and bookings.
+func (w *cluster) auditFinalState() {
 	for _, n := range w.controllers {
-		if !w.running(n.n) {
+		if !w.isRunning(n.number) {
 			continue
 		}
 		if n.replica.Role() == consensus.Leader && n.replica.HasQuorumContact(w.now) && w.bookingAcked &&
 			len(n.state.Bookings.Active) == 0 {
-			w.fail("LOST: a booking was acknowledged and %s, which leads, has none", n.name)
+			w.fail("LOST: a booking was acknowledged but the leader %s has none", n.name)
 		}
-		if n.replica.Role() == consensus.Leader && n.replica.HasQuorumContact(w.now) && len(w.ackTimes) > 0 {
-			if newest := w.ackTimes[len(w.ackTimes)-1]; n.state.Version() < newest.version && w.now-newest.at > contact {
-				w.fail("LOST: r%d is read back, r%d was acknowledged", n.state.Version(), newest.version)
+		if n.replica.Role() == consensus.Leader && n.replica.HasQuorumContact(w.now) && len(w.acknowledgements) > 0 {
+			if newest := w.acknowledgements[len(w.acknowledgements)-1]; n.state.Version() < newest.version &&
+				w.now-newest.ackedAt > stabilizationTime {
+				w.fail("LOST: the leader has r%d although r%d was acknowledged", n.state.Version(), newest.version)
 			}
 		}
 	}
 }
 
-// expireProposals answers calls that waited for too long.
+// expireProposals replies to calls that have timed out or whose controller no longer leads.
 func (w *cluster) expireProposals(n *controller) {
 	for _, index := range sortedKeys(n.proposals) {
-		if wait := n.proposals[index]; w.now > wait.until || n.replica.Role() != consensus.Leader {
+		if wait := n.proposals[index]; w.now > wait.deadline || n.replica.Role() != consensus.Leader {
 			delete(n.proposals, index)
-			wait.answer(apierror.Unconfirmed.New("no agreement in time"))
+			wait.respond(apierror.Unconfirmed.New("not committed in time"))
 		}
 	}
 }
--- a/internal/simulation/replacement.go
+++ b/internal/simulation/replacement.go
@@ -7,77 +7,77 @@
 	"mulleinwood/internal/control/consensus"
 )
 
-const forGood = time.Duration(math.MaxInt64)
+const forever = time.Duration(math.MaxInt64)
 
-// controllerAt is the machine that stands at a place now; Leading means where the leader is.
+// controllerAt returns the controller that occupies a position. LeaderNode selects the position of the leader.
 func (w *cluster) controllerAt(place int) *controller {
-	if place == Leading {
-		for _, n := range w.machines {
-			if w.running(n.n) && n.replica.Role() == consensus.Leader {
+	if place == LeaderNode {
+		for _, n := range w.positions {
+			if w.isRunning(n.number) && n.replica.Role() == consensus.Leader {
 				return n
 			}
 		}
 		place = 0
 	}
-	return w.machines[place%len(w.machines)]
+	return w.positions[place%len(w.positions)]
 }
 
-// removeController takes a machine away for good.
+// removeController removes a controller permanently.
 func (w *cluster) removeController(n *controller) {
 	w.losePower(n)
 	n.incarnation++
-	n.downUntil, n.removed, n.shuttingDown = forGood, true, false
+	n.downUntil, n.removed, n.shuttingDown = forever, true, false
 }
 
-// replaceController has an empty machine with another address start in an old one's place.
+// replaceController starts a controller with a new address and an empty disk at the position of an old one.
 func (w *cluster) replaceController(old *controller) {
 	n := w.newController(old.zone)
 	w.connectController(n)
 	w.startController(n)
-	for i, o := range w.machines {
+	for i, o := range w.positions {
 		if o == old {
-			w.machines[i] = n
+			w.positions[i] = n
 		}
 	}
 }
 
-// returnController starts a machine again that was replaced, with its disk. Nobody's place is its own any more.
+// returnController restarts a replaced controller with its disk. It occupies no position any more.
 func (w *cluster) returnController(n *controller) {
 	n.removed, n.downUntil = false, w.now
 	w.startController(n)
 }
 
-// replaceAfter takes a machine away and has its successor start some time later.
-func (w *cluster) replaceAfter(t Fault, old *controller) {
+// replaceAfter removes a controller and starts its replacement after the fault's duration.
+func (w *cluster) replaceAfter(fault Fault, old *controller) {
 	w.removeController(old)
-	w.scheduleAfter(t.For, func() { w.replaceController(old) })
-	if t.Kind == ReplaceBack {
-		w.scheduleAfter(t.For+backAfter, func() { w.returnController(old) })
+	w.scheduleAfter(fault.Duration, func() { w.replaceController(old) })
+	if fault.Kind == ReplaceBack {
+		w.scheduleAfter(fault.Duration+returnDelay, func() { w.returnController(old) })
 	}
 }
 
-const backAfter = 2 * time.Second // after its successor's start, an old machine comes back
+const returnDelay = 2 * time.Second // from the start of the replacement to the return of the removed controller
 
-// shutDownAndReplace has a machine end in order, its successor there before or after.
-func (w *cluster) shutDownAndReplace(t Fault, old *controller) {
-	switch t.Kind {
+// shutDownAndReplace shuts a controller down, with its replacement started before or after, or restarts it.
+func (w *cluster) shutDownAndReplace(fault Fault, old *controller) {
+	switch fault.Kind {
 	case StandbyFirst:
 		w.replaceController(old)
-		w.scheduleAfter(t.For, func() { w.beginShutdown(old, 0) })
+		w.scheduleAfter(fault.Duration, func() { w.beginShutdown(old, 0) })
 	case StandbyAfter:
 		w.beginShutdown(old, 0)
-		w.scheduleAfter(t.For, func() { w.replaceController(old) })
+		w.scheduleAfter(fault.Duration, func() { w.replaceController(old) })
 	case Restart:
-		w.beginShutdown(old, t.For)
+		w.beginShutdown(old, fault.Duration)
 	}
 }
 
-// scheduleAfter has something happen after a span.
+// scheduleAfter runs do after a delay of at least one millisecond.
 func (w *cluster) scheduleAfter(span time.Duration, do func()) {
 	w.scheduleMillis(max(1, int(span/time.Millisecond)), do)
 }
 
-// activeControllers are the controllers that are not gone for good.
+// activeControllers returns the controllers that are not removed.
 func (w *cluster) activeControllers() []*controller {
 	var all []*controller
 	for _, n := range w.controllers {
@@ -88,28 +88,28 @@
 	return all
 }
 
-// anyController is any controller that is not gone for good.
+// anyController returns the number of a random controller that isn't removed.
 func (w *cluster) anyController() int {
 	all := w.activeControllers()
-	return all[w.rng.IntN(len(all))].n
+	return all[w.rng.IntN(len(all))].number
 }
 
-// otherController is any controller that is not gone for good, but for one.
-func (w *cluster) otherController(but int) int {
+// otherController returns the number of a random controller that isn't removed, other than excluded.
+func (w *cluster) otherController(excluded int) int {
 	var all []int
 	for _, n := range w.activeControllers() {
-		if n.n != but {
-			all = append(all, n.n)
+		if n.number != excluded {
+			all = append(all, n.number)
 		}
 	}
 	if len(all) == 0 {
-		return but
+		return excluded
 	}
 	return all[w.rng.IntN(len(all))]
 }
 
-// following is the controller after one, of those that are not gone for good.
-func (w *cluster) following(i int) int {
+// nextController returns the number of the next controller that isn't removed.
+func (w *cluster) nextController(i int) int {
 	for range w.controllers {
 		if i = (i + 1) % len(w.controllers); !w.controllers[i].removed {
 			break
