--- a/internal/planner/cores/balance.go
+++ b/internal/planner/cores/balance.go
@@ -6,16 +6,18 @@
 )
 
 const (
-	// unevenFrom is how far a core must lie over the mean before proxies are moved, as a share of the mean, and evenTo how
-	// far moving goes on. Between them nothing happens: that, the rest after a move and the fall of a potential with each
-	// move (see moves) are why it can't flap.
-	unevenFrom = 0.25
-	evenTo     = 0.05
-	// moveRest is how long a proxy that was moved stays where it is.
-	moveRest = 30000.0
+	// rebalanceThreshold is the load difference between two cores that starts rebalancing, as a share of the mean load.
+	// Rebalancing stops at rebalanceTarget. This hysteresis, the cooldown after a move and the potential that falls with
+	// each move (see planMoves) prevent oscillation. A returning proxy's last core may exceed the mean load by the same share.
+	rebalanceThreshold = 0.25
+	// rebalanceTarget is the load difference at which rebalancing stops, as a share of the mean load.
+	rebalanceTarget = 0.05
+	// moveCooldown is the time after a move in which a proxy is not moved again, in milliseconds.
+	moveCooldown = 30000.0
 )
 
-// cost is what a proxy takes of a core: half by its number, half by its traffic, in units of a mean proxy.
+// cost returns the load that a proxy adds to a core, in units of a mean proxy: half of it is fixed, half is proportional to
+// the proxy's rate.
 func cost(rate, meanRate float64) float64 {
 	if meanRate <= 0 {
 		return 1
@@ -23,21 +25,21 @@
 	return 0.5 + 0.5*rate/meanRate
 }
 
-// movableProxy is a proxy that may be moved.
+// movableProxy is a candidate for a move.
 type movableProxy struct {
 	proxy, core, zone int
 	cost              float64
-	rested            bool // it may be moved again
+	cooledDown        bool // moveCooldown has passed since its last move
 }
 
-// move sends a proxy to another core.
-type move struct{ proxy, to int }
+// proxyMove is the move of a proxy to another core.
+type proxyMove struct{ proxy, to int }
 
-// pick chooses the core for a newcomer: the one with the least cost, where what it has of the newcomer's zone counts
-// as often as there are zones. So cores come out even, and each sees proxies of every zone.
-func pick(loads []float64, zoneLoads []float64, zones int, open []bool) (core int, found bool) {
+// pickCore returns the core for a new proxy: the assignable one with the least cost, where the cost of the proxy's own zone
+// is added once more for each zone. This evens out the load and gives every core proxies of every zone.
+func pickCore(loads []float64, zoneLoads []float64, zones int, assignable []bool) (core int, found bool) {
 	for i := range loads {
-		if !open[i] {
+		if !assignable[i] {
 			continue
 		}
 		if !found || loads[i]+float64(zones)*zoneLoads[i] < loads[core]+float64(zones)*zoneLoads[core] {
@@ -47,75 +49,75 @@
 	return core, found
 }
 
-// planMoves evens out the cores by at most so many moves. Each goes from the fullest core to the emptiest and takes a proxy
-// whose cost is less than the difference of the two, so that the sum of the squares of all loads falls with every move:
-// no series of moves can lead back to where it began.
-func planMoves(list []movableProxy, open []bool, limit int) (out []move) {
-	loads, live, total := make([]float64, len(open)), 0.0, 0.0
-	for i := range open {
-		if open[i] {
+// planMoves returns at most limit moves that even out the load. Each moves a proxy from the most to the least loaded core
+// whose cost is less than the difference of their loads. The sum of the squares of all loads falls with every move, so no
+// sequence of moves can return to an earlier state.
+func planMoves(proxies []movableProxy, assignable []bool, limit int) (moves []proxyMove) {
+	loads, live, total := make([]float64, len(assignable)), 0.0, 0.0
+	for i := range assignable {
+		if assignable[i] {
 			live++
 		}
 	}
-	for _, s := range list {
-		loads[s.core] += s.cost
-		total += s.cost
+	for _, candidate := range proxies {
+		loads[candidate.core] += candidate.cost
+		total += candidate.cost
 	}
 	if live < 2 {
 		return nil
 	}
 	mean := total / live
-	sorted := slices.Clone(list)
+	sorted := slices.Clone(proxies)
 	slices.SortFunc(sorted, func(a, b movableProxy) int {
 		return cmp.Or(cmp.Compare(b.cost, a.cost), cmp.Compare(a.proxy, b.proxy))
 	})
-	bound := unevenFrom
-	for len(out) < limit {
-		from, to := fullestAndEmptiest(loads, open)
+	threshold := rebalanceThreshold
+	for len(moves) < limit {
+		from, to := mostAndLeastLoaded(loads, assignable)
 		gap := loads[from] - loads[to]
-		if gap <= bound*mean {
-			return out
+		if gap <= threshold*mean {
+			return moves
 		}
-		bound = evenTo
-		best := movable(sorted, from, gap)
+		threshold = rebalanceTarget
+		best := selectProxy(sorted, from, gap)
 		if best < 0 {
-			return out
+			return moves
 		}
-		s := &sorted[best]
-		loads[from], loads[to] = loads[from]-s.cost, loads[to]+s.cost
-		s.core, s.rested = to, false
-		out = append(out, move{s.proxy, to})
+		candidate := &sorted[best]
+		loads[from], loads[to] = loads[from]-candidate.cost, loads[to]+candidate.cost
+		candidate.core, candidate.cooledDown = to, false
+		moves = append(moves, proxyMove{candidate.proxy, to})
 	}
-	return out
+	return moves
 }
 
-// fullestAndEmptiest are the open cores with the largest and the smallest load, the first of equal ones.
-func fullestAndEmptiest(loads []float64, open []bool) (fullest, emptiest int) {
-	fullest, emptiest = -1, -1
-	for i := range open {
-		if open[i] && (fullest < 0 || loads[i] > loads[fullest]) {
-			fullest = i
+// mostAndLeastLoaded returns the assignable cores with the largest and the smallest load, and the first of equal ones.
+func mostAndLeastLoaded(loads []float64, assignable []bool) (most, least int) {
+	most, least = -1, -1
+	for i := range assignable {
+		if assignable[i] && (most < 0 || loads[i] > loads[most]) {
+			most = i
 		}
-		if open[i] && (emptiest < 0 || loads[i] < loads[emptiest]) {
-			emptiest = i
+		if assignable[i] && (least < 0 || loads[i] < loads[least]) {
+			least = i
 		}
 	}
-	return fullest, emptiest
+	return most, least
 }
 
-// roundingMargin keeps a move that would only swap two loads, but for rounding, from being made.
+// roundingMargin is the relative tolerance that excludes a move which would only swap two loads up to rounding.
 const roundingMargin = 1e-9
 
-// movable finds the proxy to take from a core, in a list by falling cost: the largest that at most halves the gap, else the
-// smallest that narrows it; -1 if there is none.
-func movable(sorted []movableProxy, from int, gap float64) int {
+// selectProxy returns the index of the proxy to move away from a core, or -1 if there is none. The list is sorted by
+// descending cost. The largest proxy of at most half the gap is preferred, otherwise the smallest that narrows the gap.
+func selectProxy(sorted []movableProxy, from int, gap float64) int {
 	best := -1
-	for i, s := range sorted {
-		if s.core != from || !s.rested || s.cost >= gap*(1-roundingMargin) {
+	for i, candidate := range sorted {
+		if candidate.core != from || !candidate.cooledDown || candidate.cost >= gap*(1-roundingMargin) {
 			continue
 		}
 		best = i
-		if s.cost <= gap/2 {
+		if candidate.cost <= gap/2 {
 			break
 		}
 	}
--- a/internal/planner/cores/channel_budget.go
+++ b/internal/planner/cores/channel_budget.go
@@ -1,124 +1,126 @@
 package cores
 
-// channelBudget deals the planner's channel to the cores, as shares of 1. Its one invariant: what cores may be using, taken at
-// its worst, never sums up to more than the whole. A core that was told a smaller share may go on with the larger one until
-// it confirms, and lines that wait count as used although the share that let them in has shrunk; so a share is taken away
-// first and given to others only once it is known to be free.
+// channelBudget allocates the planner's channel to the cores, in shares of 1. Its invariant: the worst-case use of all cores
+// never exceeds the whole channel. A core may use its former, larger share until it confirms the smaller one, and buffered
+// lines count as used even if the share that admitted them has shrunk. A share is therefore reduced first, and allocated
+// to other cores only once it is confirmed to be free.
 type channelBudget struct {
-	queue   float64 // lines that may wait in the whole channel
-	pace    float64 // lines a millisecond
-	holders []holder
+	queueLines    float64 // capacity of the whole channel, in lines
+	linesPerMilli float64 // usual throughput, in lines per millisecond
+	holders       []holder
 }
 
-// holder is a core's part of the budget.
+// holder is the part of the budget that one core holds.
 type holder struct {
-	live        bool
-	share       float64 // the share last told
-	number      uint64  // and its number: a share that comes back to an earlier value is another one
-	maxUsed     float64 // the share it may be using: the larger of the one it confirmed and those told since
-	waiting     float64 // lines that wait for its proxies, as it said last
-	leftover    float64 // lines that a core cut off may have left in the channel
-	leftoverFor float64 // how long these count on, in milliseconds
+	live           bool
+	share          float64 // latest share sent to the core
+	shareNumber    uint64  // number of that share; it also distinguishes equal shares sent at different times
+	maxInUse       float64 // largest share that the core may be using: the confirmed one or one sent since
+	queuedLines    float64 // lines buffered for its proxies, as last reported
+	leftoverLines  float64 // lines that an isolated core may have left in the channel
+	leftoverMillis float64 // remaining time in which leftoverLines count as used
 }
 
 const (
-	// floorShare of an even share is kept for each core, however little it needs: so none is starved for good.
-	floorShare = 0.5
-	// trustedPace of its usual pace is what the channel is trusted to keep, as in the module.
-	trustedPace = 0.5
-	// minShareChange is the least change of a share that is told.
+	// minShareRatio is the part of an even share that each core keeps even without demand, so that no core starves.
+	minShareRatio = 0.5
+	// trustedPaceRatio is the part of its usual throughput that the channel is assumed to reach. The decision module
+	// assumes the same.
+	trustedPaceRatio = 0.5
+	// minShareChange is the smallest change of a share that is sent to a core.
 	minShareChange = 0.005
 )
 
-func newChannelBudget(cores int, queue, linesPerSec float64) *channelBudget {
-	b := &channelBudget{queue: max(1, queue), pace: linesPerSec / 1000, holders: make([]holder, cores)}
+func newChannelBudget(cores int, queueLines, linesPerSec float64) *channelBudget {
+	b := &channelBudget{queueLines: max(1, queueLines), linesPerMilli: linesPerSec / 1000, holders: make([]holder, cores)}
 	for i := range b.holders {
-		b.holders[i] = holder{live: true, share: 1 / float64(cores), maxUsed: 1 / float64(cores)}
+		b.holders[i] = holder{live: true, share: 1 / float64(cores), maxInUse: 1 / float64(cores)}
 	}
 	return b
 }
 
-// reserved is what a holder may be using at its worst.
+// reserved returns the worst-case use of a holder, as a share of the channel.
 func (b *channelBudget) reserved(h holder) float64 {
-	return max(h.share, h.maxUsed, h.waiting/b.queue) + h.leftover/b.queue
+	return max(h.share, h.maxInUse, h.queuedLines/b.queueLines) + h.leftoverLines/b.queueLines
 }
 
-// confirm takes a core's report on the share that it works with and the lines that wait for its proxies.
-func (b *channelBudget) confirm(core int, number uint64, waiting float64) {
+// confirm records the number of the share that a core uses and the lines buffered for its proxies.
+func (b *channelBudget) confirm(core int, number uint64, queuedLines float64) {
 	h := &b.holders[core]
 	if !h.live {
 		return
 	}
-	h.waiting = waiting
-	if number == h.number {
-		h.maxUsed = h.share
+	h.queuedLines = queuedLines
+	if number == h.shareNumber {
+		h.maxInUse = h.share
 	}
 }
 
-// remove ends a core. What it may have put into the channel goes on counting until the channel must have sent all that can
-// have waited then: its lines may be the last of them.
+// remove takes a core's share away. The lines that the core may have left in the channel count as used until the channel
+// must have sent a full queue, since they may be the last ones in it.
 func (b *channelBudget) remove(core int) {
 	h := &b.holders[core]
 	if h.live {
-		*h = holder{leftover: b.reserved(*h) * b.queue, number: h.number + 1}
-		if b.pace > 0 {
-			h.leftoverFor = b.queue / (b.pace * trustedPace)
+		*h = holder{leftoverLines: b.reserved(*h) * b.queueLines, shareNumber: h.shareNumber + 1}
+		if b.linesPerMilli > 0 {
+			h.leftoverMillis = b.queueLines / (b.linesPerMilli * trustedPaceRatio)
 		}
 	}
 }
 
-// add takes a core in. It gets its share by the next deals.
+// add makes a core live. It gets its share by the next allocations.
 func (b *channelBudget) add(core int) { b.holders[core].live = true }
 
-// drain lets time pass: what a core that was cut off has left is sent.
-func (b *channelBudget) drain(span float64) {
+// advance moves time forward and frees the leftover lines of isolated cores that must have been sent.
+func (b *channelBudget) advance(elapsed float64) {
 	for i := range b.holders {
 		h := &b.holders[i]
-		if h.leftoverFor -= span; h.leftoverFor <= 0 {
-			h.leftover, h.leftoverFor = 0, 0
+		if h.leftoverMillis -= elapsed; h.leftoverMillis <= 0 {
+			h.leftoverLines, h.leftoverMillis = 0, 0
 		}
 	}
 }
 
-// allocate sets the shares anew by what the cores need, of any unit. It returns the cores whose share is to be told. A target
-// is reached in two deals once the words between them have come: the first takes away, the second gives what is free then.
+// allocate recomputes the shares from the cores' needs, which may be in any unit. It returns the cores whose share has
+// changed. A target takes two allocations with the cores' confirmations in between: the first reduces shares, the second
+// hands out the share that has become free.
 func (b *channelBudget) allocate(needs []float64) (changed []int) {
 	targets := b.targets(needs)
 	free := 1.0
 	for i, h := range b.holders {
 		if h.live && targets[i] < h.share-minShareChange {
-			b.holders[i].share = targets[i] // used stays until it is confirmed
-			b.holders[i].number++
+			b.holders[i].share = targets[i] // maxInUse stays until the core confirms the new share
+			b.holders[i].shareNumber++
 			changed = append(changed, i)
 		}
 		free -= b.reserved(b.holders[i])
 	}
-	wanted := 0.0
+	requested := 0.0
 	for i, h := range b.holders {
 		if h.live {
-			wanted += max(0, targets[i]-h.share)
+			requested += max(0, targets[i]-h.share)
 		}
 	}
-	if free <= minShareChange || wanted <= 0 {
+	if free <= minShareChange || requested <= 0 {
 		return changed
 	}
 	for i := range b.holders {
 		h := &b.holders[i]
-		more := 0.0
+		increase := 0.0
 		if h.live {
-			more = max(0, targets[i]-h.share) * min(1, free/wanted)
+			increase = max(0, targets[i]-h.share) * min(1, free/requested)
 		}
-		if more > minShareChange || more > 0 && h.share == 0 {
-			h.share += more
-			h.number++
-			h.maxUsed = max(h.maxUsed, h.share)
+		if increase > minShareChange || increase > 0 && h.share == 0 {
+			h.share += increase
+			h.shareNumber++
+			h.maxInUse = max(h.maxInUse, h.share)
 			changed = append(changed, i)
 		}
 	}
 	return changed
 }
 
-// targets is what each core should have: its floor, and of the rest its part of the need.
+// targets returns the share that each core should have: its minimum, and a part of the remainder in proportion to its need.
 func (b *channelBudget) targets(needs []float64) []float64 {
 	live, total := 0.0, 0.0
 	for i, h := range b.holders {
@@ -132,7 +134,7 @@
 		switch {
 		case !h.live:
 		case total > 0:
-			targets[i] = floorShare/live + (1-floorShare)*max(0, needs[i])/total
+			targets[i] = minShareRatio/live + (1-minShareRatio)*max(0, needs[i])/total
 		default:
 			targets[i] = 1 / live
 		}
--- a/internal/planner/cores/channel_budget_test.go
+++ b/internal/planner/cores/channel_budget_test.go
@@ -8,125 +8,127 @@
 	"pgregory.net/rapid"
 )
 
-// dealt is a share and its number.
-type dealt struct {
-	share float64
-	deal  uint64
+// allocatedShare is a share of the channel and its number.
+type allocatedShare struct {
+	share       float64
+	shareNumber uint64
 }
 
-// spender is a core that uses all that it may: it fills its share of the queue as soon as it can, and takes up a new share
-// some words later.
-type spender struct {
-	coming []dealt // shares told and not yet taken up
-	dealt
-	waiting float64 // lines in the channel
+// busyCore is a core that always uses its whole share of the queue, and takes up a new share some reports after it was sent.
+type busyCore struct {
+	pendingShares []allocatedShare // shares sent and not yet taken up
+	allocatedShare
+	queuedLines float64 // its lines in the channel
 }
 
-// leftover is what a core that ended has left in the channel: the last of all that was queued then.
-type leftover struct{ lines, queued float64 }
+// leftoverLines are the lines that a removed core has left in the channel. They are sent last of all lines queued at that
+// time, which linesAhead counts.
+type leftoverLines struct{ lines, linesAhead float64 }
 
-// TestPurseNeverOverTheWhole guards against cores that together put more lines into the channel than it may hold, whatever
-// the order of deals, words, ends and beginnings; and against a core that gets nothing for good.
-func TestPurseNeverOverTheWhole(t *testing.T) {
+// TestBudgetNeverExceedsChannel guards against cores that together put more lines into the channel than its capacity, for any
+// order of allocations, reports, removals and restarts; and against a core that never gets a share.
+func TestBudgetNeverExceedsChannel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "cores")
 		const queue, pace = 3600.0, 2400.0
-		p := newChannelBudget(n, queue, pace)
-		cores := make([]spender, n)
-		var gone []leftover
+		budget := newChannelBudget(n, queue, pace)
+		cores := make([]busyCore, n)
+		var leftovers []leftoverLines
 		for i := range cores {
 			cores[i].share = 1 / float64(n)
 		}
 		needs := make([]float64, n)
 		total := func() (lines float64) {
 			for _, c := range cores {
-				lines += c.waiting
+				lines += c.queuedLines
 			}
-			for _, l := range gone {
+			for _, l := range leftovers {
 				lines += l.lines
 			}
 			return lines
 		}
 		check := func() {
 			if lines := total(); lines > queue*(1+1e-9) {
-				t.Fatalf("%v lines in a channel of %v: %+v", lines, queue, p.holders)
+				t.Fatalf("%v lines in a channel of %v: %+v", lines, queue, budget.holders)
 			}
-			if sum := p.sum(); sum > 1+1e-9 {
-				t.Fatalf("shares of %v dealt", sum)
+			if sum := budget.sum(); sum > 1+1e-9 {
+				t.Fatalf("shares of %v allocated", sum)
 			}
 		}
-		word := func(i int) {
-			if c := &cores[i]; p.holders[i].live {
-				if len(c.coming) > 0 {
-					c.dealt, c.coming = c.coming[0], c.coming[1:]
+		report := func(i int) {
+			if c := &cores[i]; budget.holders[i].live {
+				if len(c.pendingShares) > 0 {
+					c.allocatedShare, c.pendingShares = c.pendingShares[0], c.pendingShares[1:]
 				}
-				c.waiting = max(c.waiting, c.share*queue) // fills what it may
-				p.confirm(i, c.deal, c.waiting)
+				c.queuedLines = max(c.queuedLines, c.share*queue) // uses its whole share
+				budget.confirm(i, c.shareNumber, c.queuedLines)
 			}
 		}
-		deal := func() {
-			for _, i := range p.allocate(needs) {
-				cores[i].coming = append(cores[i].coming, dealt{p.holders[i].share, p.holders[i].number})
+		allocate := func() {
+			for _, i := range budget.allocate(needs) {
+				cores[i].pendingShares = append(cores[i].pendingShares,
+					allocatedShare{budget.holders[i].share, budget.holders[i].shareNumber})
 			}
 		}
-		pass := func(span float64) {
-			p.drain(span)
+		advance := func(span float64) {
+			budget.advance(span)
 			sent := span * pace / 1000
 			if all := total(); all > 0 {
 				for i := range cores {
-					cores[i].waiting *= max(0, 1-sent/all)
+					cores[i].queuedLines *= max(0, 1-sent/all)
 				}
 			}
-			for i := range gone {
-				gone[i].queued -= sent
+			for i := range leftovers {
+				leftovers[i].linesAhead -= sent
 			}
-			gone = slices.DeleteFunc(gone, func(l leftover) bool { return l.queued <= 0 })
+			leftovers = slices.DeleteFunc(leftovers, func(l leftoverLines) bool { return l.linesAhead <= 0 })
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			i := rapid.IntRange(0, n-1).Draw(t, "core")
-			switch rapid.SampledFrom([]string{"need", "deal", "word", "word", "pass", "cut", "begin"}).Draw(t, "what") {
+			switch rapid.SampledFrom([]string{"need", "allocate", "report", "report", "advance", "remove",
+				"add"}).Draw(t, "step") {
 			case "need":
 				needs[i] = rapid.Float64Range(0, 1000).Draw(t, "need")
-			case "deal":
-				deal()
-			case "word":
-				word(i)
-			case "pass":
-				pass(rapid.Float64Range(0, 500).Draw(t, "span"))
-			case "cut":
-				if p.holders[i].live {
-					gone = append(gone, leftover{cores[i].waiting, total()})
-					cores[i] = spender{}
-					p.remove(i)
+			case "allocate":
+				allocate()
+			case "report":
+				report(i)
+			case "advance":
+				advance(rapid.Float64Range(0, 500).Draw(t, "span"))
+			case "remove":
+				if budget.holders[i].live {
+					leftovers = append(leftovers, leftoverLines{cores[i].queuedLines, total()})
+					cores[i] = busyCore{}
+					budget.remove(i)
 				}
-			case "begin":
-				if !p.holders[i].live {
-					p.add(i)
+			case "add":
+				if !budget.holders[i].live {
+					budget.add(i)
 				}
 			}
 			check()
 		}
-		// Left alone, all shares come to what is needed, and every core has its floor, within ten deals.
+		// Without further changes, all shares reach their targets, the minimum of each core included, within ten allocations.
 		for range 10 {
-			deal()
+			allocate()
 			check()
 			for range 4 {
 				for i := range cores {
-					for len(cores[i].coming) > 0 {
-						word(i)
+					for len(cores[i].pendingShares) > 0 {
+						report(i)
 						check()
 					}
 				}
-				pass(750)
-				for i := range cores { // what has drained is told
-					p.confirm(i, cores[i].deal, cores[i].waiting)
+				advance(750)
+				for i := range cores { // report the lines left after sending
+					budget.confirm(i, cores[i].shareNumber, cores[i].queuedLines)
 				}
 			}
 		}
-		targets := p.targets(needs)
-		for i, h := range p.holders {
+		targets := budget.targets(needs)
+		for i, h := range budget.holders {
 			if math.Abs(h.share-targets[i]) > 3*minShareChange {
-				t.Fatalf("core %d has %v, should have %v: %+v", i, h.share, targets[i], p.holders)
+				t.Fatalf("core %d has %v, should have %v: %+v", i, h.share, targets[i], budget.holders)
 			}
 		}
 	})
@@ -139,25 +141,28 @@
 	return sum
 }
 
+// TestMovesEvenOutAndEnd guards against moves that exceed their limit, move a proxy twice or to a core that can't take it, or
+// don't make the load more even.
 func TestMovesEvenOutAndEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "cores")
-		open := make([]bool, n)
-		for i := range open {
-			open[i] = rapid.Bool().Draw(t, "open")
+		assignable := make([]bool, n)
+		for i := range assignable {
+			assignable[i] = rapid.Bool().Draw(t, "open")
 		}
-		var list []movableProxy
+		var proxies []movableProxy
 		for p := range rapid.IntRange(0, 60).Draw(t, "proxies") {
 			at := rapid.IntRange(0, n-1).Draw(t, "core")
-			if !open[at] {
-				continue // proxies are at live cores only
+			if !assignable[at] {
+				continue // proxies are only at assignable cores
 			}
-			list = append(list, movableProxy{proxy: p, core: at, cost: rapid.Float64Range(0.5, 20).Draw(t, "cost"), rested: true})
+			proxies = append(proxies, movableProxy{proxy: p, core: at, cost: rapid.Float64Range(0.5, 20).Draw(t, "cost"),
+				cooledDown: true})
 		}
-		most := rapid.IntRange(0, 20).Draw(t, "most")
+		limit := rapid.IntRange(0, 20).Draw(t, "most")
 		squares := func() (sum float64) {
 			loads := make([]float64, n)
-			for _, s := range list {
+			for _, s := range proxies {
 				loads[s.core] += s.cost
 			}
 			for _, l := range loads {
@@ -165,51 +170,51 @@
 			}
 			return sum
 		}
-		out := planMoves(list, open, most)
-		if len(out) > most {
-			t.Fatalf("%d moves, at most %d are allowed", len(out), most)
+		moves := planMoves(proxies, assignable, limit)
+		if len(moves) > limit {
+			t.Fatalf("%d moves, at most %d are allowed", len(moves), limit)
 		}
 		moved := map[int]bool{}
-		for _, m := range out {
-			if moved[m.proxy] || !open[m.to] {
-				t.Fatalf("proxy %d moved twice, or to core %d that is out", m.proxy, m.to)
+		for _, m := range moves {
+			if moved[m.proxy] || !assignable[m.to] {
+				t.Fatalf("proxy %d moved twice, or to core %d, which is not assignable", m.proxy, m.to)
 			}
 			moved[m.proxy] = true
 			before := squares()
-			for i := range list {
-				if list[i].proxy == m.proxy {
-					list[i].core = m.to
+			for i := range proxies {
+				if proxies[i].proxy == m.proxy {
+					proxies[i].core = m.to
 				}
 			}
 			if after := squares(); after >= before {
-				t.Fatalf("a move that doesn't even out: %v, was %v", after, before)
+				t.Fatalf("a move that doesn't even out the load: sum of squares %v, was %v", after, before)
 			}
 		}
 	})
 }
 
-// TestProbesAreThePlanners guards against a doubted server that is probed once a second by every core.
-func TestProbesAreThePlanners(t *testing.T) {
+// TestProbesAreShared guards against a suspected server that is probed once a second by every core.
+func TestProbesAreShared(t *testing.T) {
 	var p Probes
-	started, told := 0, map[int]int{}
+	started, answers := 0, map[int]int{}
 	for ms := 0; ms < 60000; ms += 100 {
 		for core := range 4 {
-			if ms%1000 != 200*core { // each in its own rhythm
+			if ms%1000 != 200*core { // each core once a second, at its own offset
 				continue
 			}
 			start, again := p.Request(float64(ms), "s-1", core)
 			if again {
-				told[core]++
+				answers[core]++
 			}
 			if start {
 				started++
-				if core == 0 && ms%7000 == 0 { // one is slow: who asks meanwhile joins it
+				if core == 0 && ms%7000 == 0 { // a slow probe: a request in the meantime joins it
 					if start, again := p.Request(float64(ms)+50, "s-1", 2); start || again {
-						t.Error("an ask while a probe is under way starts another or gets an old answer")
+						t.Error("a request during a probe starts another one or gets an old result")
 					}
 				}
 				for _, waiting := range p.Complete("s-1") {
-					told[waiting]++
+					answers[waiting]++
 				}
 			}
 		}
@@ -218,18 +223,18 @@
 		t.Errorf("%d probes of one server in a minute by four cores", started)
 	}
 	for core := range 4 {
-		if told[core] < 55 {
-			t.Errorf("core %d was told %d answers in a minute", core, told[core])
+		if answers[core] < 55 {
+			t.Errorf("core %d got %d results in a minute", core, answers[core])
 		}
 	}
 	if start, again := p.Request(200000, "s-1", 3); !start || again {
-		t.Error("an answer of long ago is taken for news")
+		t.Error("an old result is taken for a new one")
 	}
-	for i := range 3 * maxProbed {
+	for i := range 3 * maxTrackedServers {
 		p.Request(float64(200001+i), string(rune('a'+i)), 0)
 		p.Complete(string(rune('a' + i)))
 	}
-	if len(p.servers) > maxProbed {
-		t.Errorf("%d servers are remembered", len(p.servers))
+	if len(p.servers) > maxTrackedServers {
+		t.Errorf("%d servers are tracked", len(p.servers))
 	}
 }
--- a/internal/planner/cores/doc.go
+++ b/internal/planner/cores/doc.go
@@ -1,6 +1,6 @@
-// Package cores decides how one planner is divided among several cores: which core decides for which proxy, what each may
-// use of the planner's budgets, when a core is late and what becomes of its proxies.
+// Package cores divides one planner among several cores: it assigns each proxy to a core, allocates the planner's channel
+// to the cores, detects late cores and reassigns their proxies.
 //
-// Everything here is a value that is fed with what happened and when; it knows no socket, no goroutine and no clock. A
-// host carries its commands out. Times are in milliseconds.
+// The types are deterministic state machines: the caller passes events with their times and executes the returned
+// commands. The package opens no sockets, starts no goroutines and reads no clock. Times are in milliseconds.
 package cores
--- a/internal/planner/cores/main_test.go
+++ b/internal/planner/cores/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the draws of the property tests, so that CI gives the same verdict every time. Name a seed, or 0 for a
-// new one, by -rapid.seed, and more draws by -rapid.checks.
+// TestMain fixes the seed of the property tests, so that CI runs are reproducible. Set another seed, or 0 for a random one,
+// with -rapid.seed, and the number of runs with -rapid.checks.
 func TestMain(m *testing.M) {
 	seed := flag.Lookup("rapid.seed")
 	seed.Value.Set("16")
--- a/internal/planner/cores/probes.go
+++ b/internal/planner/cores/probes.go
@@ -1,76 +1,80 @@
 package cores
 
-// Probes shares probes among cores. Each core's module doubts a server by itself and probes it each second; the server
-// should still meet one planner. An ask joins the probe under way; otherwise it gets the last answer, if it has not had it
-// and the answer is no older than the pace at which the server is being probed; otherwise it starts a probe.
+// Probes deduplicates the health probes of all cores. Each core's decision module probes a suspected server once a second on
+// its own, but the server should receive the probes of a single planner. A request joins a probe in flight. Otherwise it
+// gets the latest result, if that core has not had it and it is no older than the current probe interval of the server.
+// Otherwise it starts a new probe. The zero value is ready to use. Probes is not safe for concurrent use.
 type Probes struct {
-	servers map[string]*probed
+	servers map[string]*probeState
 }
 
-// probed is a server that has been probed.
-type probed struct {
-	started    float64 // the latest probe
-	pace       float64 // between the latest two; 0: there was one
-	inFlight   bool    // it is under way
-	waiting    []int   // cores that get its answer
-	answeredTo map[int]bool
-	answered   bool
+// probeState is the state of the probes of one server.
+type probeState struct {
+	startedAt   float64      // time of the latest probe
+	interval    float64      // time between the latest two probes; 0 if there was only one
+	inFlight    bool         // the latest probe has no result yet
+	waiters     []int        // cores that get the result of the probe in flight
+	deliveredTo map[int]bool // cores that have had the latest result
+	answered    bool
 }
 
-// maxProbed bounds the servers that are remembered; those of no probe under way go first.
-const maxProbed = 1024
+// maxTrackedServers limits the number of tracked servers. Beyond it, those without a probe in flight are dropped.
+const maxTrackedServers = 1024
 
-// Request is a core's wish to have a server probed. Start says that a probe is to be made now; otherwise, if again is true, the
-// core is to be told the latest answer at once, and if not, the one that is on its way.
+// Request handles a core's request to probe a server. If start is true, the caller must probe the server now. If repeat is
+// true, the caller must send the core the latest result at once. If neither is, the core gets the result of the probe in
+// flight.
 func (p *Probes) Request(now float64, server string, core int) (start, repeat bool) {
 	if p.servers == nil {
-		p.servers = map[string]*probed{}
+		p.servers = map[string]*probeState{}
 	}
-	s := p.servers[server]
-	if s == nil {
+	state := p.servers[server]
+	if state == nil {
 		p.prune()
-		s = &probed{}
-		p.servers[server] = s
+		state = &probeState{}
+		p.servers[server] = state
 	}
 	switch {
-	case s.inFlight:
-		s.waiting = append(s.waiting, core)
+	case state.inFlight:
+		state.waiters = append(state.waiters, core)
 		return false, false
-	case s.answered && !s.answeredTo[core] && s.pace > 0 && now-s.started <= s.pace:
-		s.answeredTo[core] = true
+	case state.answered && !state.deliveredTo[core] && state.interval > 0 && now-state.startedAt <= state.interval:
+		state.deliveredTo[core] = true
 		return false, true
 	}
-	if s.answered {
-		s.pace = now - s.started
+	if state.answered {
+		state.interval = now - state.startedAt
 	}
-	s.started, s.inFlight, s.answered, s.waiting, s.answeredTo = now, true, false, []int{core}, map[int]bool{}
+	state.startedAt, state.inFlight, state.answered, state.waiters, state.deliveredTo = now, true, false, []int{core},
+		map[int]bool{}
 	return true, false
 }
 
-// Complete ends the probe under way and returns the cores that are to be told.
+// Complete ends the probe in flight and returns the cores that must be sent its result.
 func (p *Probes) Complete(server string) []int {
-	s := p.servers[server]
-	if s == nil || !s.inFlight {
+	state := p.servers[server]
+	if state == nil || !state.inFlight {
 		return nil
 	}
-	for _, core := range s.waiting {
-		s.answeredTo[core] = true
+	for _, core := range state.waiters {
+		state.deliveredTo[core] = true
 	}
-	waiting := s.waiting
-	s.inFlight, s.answered, s.waiting = false, true, nil
-	return waiting
+	waiters := state.waiters
+	state.inFlight, state.answered, state.waiters = false, true, nil
+	return waiters
 }
 
+// prune drops all servers without a probe in flight if the limit is reached.
 func (p *Probes) prune() {
-	if len(p.servers) < maxProbed {
+	if len(p.servers) < maxTrackedServers {
 		return
 	}
-	for name, s := range p.servers {
-		if !s.inFlight {
+	for name, state := range p.servers {
+		if !state.inFlight {
 			delete(p.servers, name)
 		}
 	}
 }
 
-// Known says whether a server's latest answer may still be asked for.
+// Known reports whether a server is tracked, so that its latest result may still be requested.
 func (p *Probes) Known(server string) bool { return p.servers[server] != nil }
