--- a/internal/planner/xds/ads.go
+++ b/internal/planner/xds/ads.go
@@ -14,102 +14,111 @@
 	"mulleinwood/internal/planner/protocol"
 )
 
-// EndpointsTypeURL is the one type of resource that is served: the assignments of a class.
+// EndpointsTypeURL is the only resource type that is served: the endpoint assignment of a request class.
 const EndpointsTypeURL = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 
 const (
-	maxPendingMarks = 64 // messages sent and not answered that are remembered; older answers are void
-
-	refusedFirst = 1000.0 // milliseconds from a refusal to the whole table that answers it; doubled with each
-	maxRefused   = 60000.0
+	// maxPendingResponses limits the responses of a stream that wait for an ACK or NACK. Answers to older ones are ignored.
+	maxPendingResponses = 64
+
+	// minRejectionDelay is the time from the first NACK to the whole table that is requested in return, in milliseconds. It
+	// doubles with each further NACK.
+	minRejectionDelay = 1000.0
+	// maxRejectionDelay limits that time, in milliseconds.
+	maxRejectionDelay = 60000.0
 )
 
-// AssignmentStream is the machine of one stream that takes assignments, of either form.
+// AssignmentStream is the state machine of one discovery stream of a proxy, state-of-the-world or incremental. It is not safe
+// for concurrent use.
 type AssignmentStream struct {
-	facts Config
-	known bool
-	who   Identity
-	table table
-
-	incremental bool
-	names       []string // classes subscribed to, in the order of the settings
-	joined      bool
-	sent        []mark
-	unmarked    int     // messages sent without a mark, which get a nonce of their own
-	refusals    int     // since the last that was accepted
-	due         float64 // when a whole table is asked for; 0: none is
+	config     Config
+	identified bool
+	identity   Identity
+	table      table
+
+	incremental    bool
+	subscribed     []string // subscribed classes, in the order of the settings
+	joined         bool
+	pending        []pendingResponse
+	unstampedCount int     // responses sent without a stamp, whose nonces are numbered separately
+	rejections     int     // NACKs since the last ACK
+	wakeAt         float64 // time at which to request a whole table; 0 if none is due
 }
 
-// mark is a message that is to be answered.
-type mark struct {
-	nonce string
-	value uint32
-	is    bool // it has a mark, and isn't only a nonce
-	at    float64
+// pendingResponse is a response that waits for an ACK or NACK.
+type pendingResponse struct {
+	nonce   string
+	stamp   uint32
+	stamped bool // the response carries a stamp, whose acknowledgement is reported
+	sentAt  float64
 }
 
-// NewAssignmentStream returns the machine of a stream. Incremental says which form its messages have.
-func NewAssignmentStream(f Config, incremental bool) *AssignmentStream {
-	return &AssignmentStream{facts: f, table: newTable(), incremental: incremental}
+// NewAssignmentStream returns the state machine of a new stream. If incremental is true, its messages have the incremental
+// (delta) form, otherwise the state-of-the-world form.
+func NewAssignmentStream(config Config, incremental bool) *AssignmentStream {
+	return &AssignmentStream{config: config, table: newTable(), incremental: incremental}
 }
 
-// Identity is the proxy, once it has named itself.
-func (a *AssignmentStream) Identity() (Identity, bool) { return a.who, a.known }
+// Identity returns the identity of the proxy, and whether its first request has been accepted.
+func (a *AssignmentStream) Identity() (Identity, bool) { return a.identity, a.identified }
 
-// HandleRequest takes a message of the state of the world. Its messages go to routing; what is of no use comes back as Voids; an
-// error ends the stream.
-func (a *AssignmentStream) HandleRequest(now float64, r *discovery.DiscoveryRequest) (said []protocol.Message,
-	voids []InvalidPartError, err error) {
-	if err := a.begin(r.GetNode(), r.GetTypeUrl()); err != nil {
+// HandleRequest processes a state-of-the-world request. It returns the messages for routing and the invalid parts of the
+// request. An error ends the stream.
+func (a *AssignmentStream) HandleRequest(now float64, request *discovery.DiscoveryRequest) (messages []protocol.Message,
+	invalid []InvalidPartError, err error) {
+	if err := a.checkNode(request.GetNode(), request.GetTypeUrl()); err != nil {
 		return nil, nil, err
 	}
-	newest := r.GetResponseNonce() == "" || len(a.sent) == 0 || a.sent[len(a.sent)-1].nonce == r.GetResponseNonce()
-	said, voids = a.answered(now, r.GetResponseNonce(), r.GetErrorDetail())
+	newest := request.GetResponseNonce() == "" || len(a.pending) == 0 ||
+		a.pending[len(a.pending)-1].nonce == request.GetResponseNonce()
+	messages, invalid = a.handleAck(now, request.GetResponseNonce(), request.GetErrorDetail())
 	if !newest {
-		return said, voids, nil // names in an answer to an older message don't count
+		return messages, invalid, nil // names in the answer to an older response are outdated
 	}
-	more, odd, err := a.subscribe(r.GetResourceNames())
-	return append(said, more...), append(voids, odd...), err
+	subscribeMessages, unknownNames, err := a.subscribe(request.GetResourceNames())
+	return append(messages, subscribeMessages...), append(invalid, unknownNames...), err
 }
 
-// HandleDeltaRequest takes an incremental message.
-func (a *AssignmentStream) HandleDeltaRequest(now float64, r *discovery.DeltaDiscoveryRequest) (said []protocol.Message,
-	voids []InvalidPartError, err error) {
-	if err := a.begin(r.GetNode(), r.GetTypeUrl()); err != nil {
+// HandleDeltaRequest processes an incremental request. It returns the same as HandleRequest.
+func (a *AssignmentStream) HandleDeltaRequest(now float64, request *discovery.DeltaDiscoveryRequest) (messages []protocol.Message,
+	invalid []InvalidPartError, err error) {
+	if err := a.checkNode(request.GetNode(), request.GetTypeUrl()); err != nil {
 		return nil, nil, err
 	}
-	said, voids = a.answered(now, r.GetResponseNonce(), r.GetErrorDetail())
-	if len(r.GetResourceNamesSubscribe()) > 2*len(a.facts.Classes)+1 {
-		return said, voids, ErrTooManyNames
+	messages, invalid = a.handleAck(now, request.GetResponseNonce(), request.GetErrorDetail())
+	if len(request.GetResourceNamesSubscribe()) > 2*len(a.config.Classes)+1 {
+		return messages, invalid, ErrTooManyNames
 	}
-	names := slices.Concat(a.names, r.GetResourceNamesSubscribe())
+	names := slices.Concat(a.subscribed, request.GetResourceNamesSubscribe())
 	if first := !a.joined && len(names) == 0; first {
-		names = []string{"*"} // nothing named at first stands for everything
+		names = []string{"*"} // a first request without names subscribes to all resources
 	}
-	names = slices.DeleteFunc(names, func(name string) bool { return slices.Contains(r.GetResourceNamesUnsubscribe(), name) })
-	if a.joined && len(r.GetResourceNamesSubscribe())+len(r.GetResourceNamesUnsubscribe()) == 0 {
-		return said, voids, nil
+	names = slices.DeleteFunc(names, func(name string) bool {
+		return slices.Contains(request.GetResourceNamesUnsubscribe(), name)
+	})
+	if a.joined && len(request.GetResourceNamesSubscribe())+len(request.GetResourceNamesUnsubscribe()) == 0 {
+		return messages, invalid, nil
 	}
 	if len(names) == 0 {
-		a.names = nil
-		return said, voids, nil
+		a.subscribed = nil
+		return messages, invalid, nil
 	}
-	more, odd, err := a.subscribe(names)
-	return append(said, more...), append(voids, odd...), err
+	subscribeMessages, unknownNames, err := a.subscribe(names)
+	return append(messages, subscribeMessages...), append(invalid, unknownNames...), err
 }
 
-// begin checks who speaks, and of what.
-func (a *AssignmentStream) begin(n *core.Node, typeURL string) error {
-	if !a.known {
-		who, err := Identify(n, a.facts)
+// checkNode checks the node and the resource type of a request. The first request must identify a proxy.
+func (a *AssignmentStream) checkNode(node *core.Node, typeURL string) error {
+	if !a.identified {
+		identity, err := Identify(node, a.config)
 		if err != nil {
 			return err
 		}
-		if who.Role != Proxy {
+		if identity.Role != Proxy {
 			return ErrNotProxy
 		}
-		a.who, a.known = who, true
-	} else if !same(n, a.who, a.facts) {
+		a.identity, a.identified = identity, true
+	} else if !sameNode(node, a.identity, a.config) {
 		return ErrNodeChanged
 	}
 	if typeURL != EndpointsTypeURL {
@@ -118,111 +127,114 @@
 	return nil
 }
 
-// answered takes the answer to a message. An acceptance is the line protocol's done; a refusal asks for a whole table
-// later, each time after twice the wait.
-func (a *AssignmentStream) answered(now float64, nonce string, detail *statuspb.Status) (said []protocol.Message,
-	voids []InvalidPartError) {
+// handleAck processes the ACK or NACK of a response. An ACK becomes the line protocol's done message. A NACK schedules the
+// request of a whole table, after a delay that doubles with each NACK.
+func (a *AssignmentStream) handleAck(now float64, nonce string, detail *statuspb.Status) (messages []protocol.Message,
+	invalid []InvalidPartError) {
 	if nonce == "" {
 		return nil, nil
 	}
-	at := slices.IndexFunc(a.sent, func(m mark) bool { return m.nonce == nonce })
-	if at < 0 {
+	index := slices.IndexFunc(a.pending, func(response pendingResponse) bool { return response.nonce == nonce })
+	if index < 0 {
 		return nil, []InvalidPartError{{"nonce", fmt.Errorf("%.40q answers nothing that waits", nonce)}}
 	}
-	m := a.sent[at]
-	a.sent = a.sent[at+1:]
+	response := a.pending[index]
+	a.pending = a.pending[index+1:]
 	if detail != nil {
-		wait := refusedFirst
-		for range a.refusals {
-			wait = min(maxRefused, 2*wait)
+		delay := minRejectionDelay
+		for range a.rejections {
+			delay = min(maxRejectionDelay, 2*delay)
 		}
-		a.refusals++
-		a.due = max(a.due, now+wait)
+		a.rejections++
+		a.wakeAt = max(a.wakeAt, now+delay)
 		return nil, []InvalidPartError{{"refused by the proxy", fmt.Errorf("%.200s", detail.GetMessage())}}
 	}
-	if a.due == 0 {
-		a.refusals = 0
+	if a.wakeAt == 0 {
+		a.rejections = 0
 	}
-	if m.is {
-		said = append(said, protocol.Done{Proxy: a.who.Proxy, Mark: m.value, Took: max(0, now-m.at)})
+	if response.stamped {
+		messages = append(messages, protocol.Done{Proxy: a.identity.Proxy, Mark: response.stamp,
+			Took: max(0, now-response.sentAt)})
 	}
-	return said, nil
+	return messages, nil
 }
 
-// subscribe takes the names of a stream's resources. The first make it join; others get it a whole table, since what it
-// holds of a class that it newly names isn't known.
-func (a *AssignmentStream) subscribe(names []string) (said []protocol.Message, voids []InvalidPartError, err error) {
-	if len(names) > 2*len(a.facts.Classes)+1 { // room for some that are no class, each told of once
+// subscribe replaces the subscribed resources of a stream. The first subscription makes the proxy join. A later one that adds
+// a class requests a whole table, since the table that the proxy holds for that class isn't known.
+func (a *AssignmentStream) subscribe(names []string) (messages []protocol.Message, invalid []InvalidPartError, err error) {
+	if len(names) > 2*len(a.config.Classes)+1 { // leaves room for some unknown names, each of which is reported once
 		return nil, nil, ErrTooManyNames
 	}
 	var wanted []string
 	all := len(names) == 0 || slices.Contains(names, "*")
-	for _, class := range a.facts.Classes {
+	for _, class := range a.config.Classes {
 		if all || slices.Contains(names, class) {
 			wanted = append(wanted, class)
 		}
 	}
 	for _, name := range names {
-		if name != "*" && !slices.Contains(a.facts.Classes, name) {
-			voids = append(voids, InvalidPartError{"resource", fmt.Errorf("%.40q is no class", name)})
+		if name != "*" && !slices.Contains(a.config.Classes, name) {
+			invalid = append(invalid, InvalidPartError{"resource", fmt.Errorf("%.40q is no class", name)})
 		}
 	}
-	more := slices.ContainsFunc(wanted, func(class string) bool { return !slices.Contains(a.names, class) })
-	a.names = wanted
+	added := slices.ContainsFunc(wanted, func(class string) bool { return !slices.Contains(a.subscribed, class) })
+	a.subscribed = wanted
 	switch {
 	case !a.joined && len(wanted) > 0:
 		a.joined = true
-		said = append(said, protocol.Attach{Proxy: a.who.Proxy, Zone: a.who.Zone, Weight: a.who.Rate, Fresh: a.who.Fresh})
-	case a.joined && more:
-		said = append(said, protocol.Refused{Proxy: a.who.Proxy})
+		messages = append(messages, protocol.Attach{Proxy: a.identity.Proxy, Zone: a.identity.Zone,
+			Weight: a.identity.Rate, Fresh: a.identity.Fresh})
+	case a.joined && added:
+		messages = append(messages, protocol.Refused{Proxy: a.identity.Proxy})
 	}
-	return said, voids, nil
+	return messages, invalid, nil
 }
 
-// WakeAt is when Wake is to be called; 0: not at all.
-func (a *AssignmentStream) WakeAt() float64 { return a.due }
+// WakeAt returns the time at which Wake must be called, or 0 if no call is due.
+func (a *AssignmentStream) WakeAt() float64 { return a.wakeAt }
 
-// Wake asks for the whole table that a refusal has earned, once its wait is over.
+// Wake returns the request for a whole table after a NACK, once its delay has passed, and nil before.
 func (a *AssignmentStream) Wake(now float64) []protocol.Message {
-	if a.due == 0 || now < a.due {
+	if a.wakeAt == 0 || now < a.wakeAt {
 		return nil
 	}
-	a.due = 0
-	return []protocol.Message{protocol.Refused{Proxy: a.who.Proxy}}
+	a.wakeAt = 0
+	return []protocol.Message{protocol.Refused{Proxy: a.identity.Proxy}}
 }
 
-// Encode takes an order in and returns the message that carries it, of the stream's form; nil where nothing that the proxy
-// has subscribed to changes and no answer is asked for.
-func (a *AssignmentStream) Encode(now float64, o protocol.Orders) (proto.Message, error) {
-	changed := a.table.apply(o, a.facts.Classes)
-	changed = slices.DeleteFunc(slices.Clone(changed), func(class string) bool { return !slices.Contains(a.names, class) })
-	if len(changed) == 0 && o.Stamp == nil {
+// Encode applies orders to the proxy's table and returns the response that carries them, in the stream's form. It returns nil
+// if no subscribed class changes and the orders have no stamp to acknowledge.
+func (a *AssignmentStream) Encode(now float64, orders protocol.Orders) (proto.Message, error) {
+	changed := a.table.apply(orders, a.config.Classes)
+	changed = slices.DeleteFunc(slices.Clone(changed), func(class string) bool { return !slices.Contains(a.subscribed, class) })
+	if len(changed) == 0 && orders.Stamp == nil {
 		return nil, nil
 	}
-	m := mark{at: now}
-	if o.Stamp != nil {
-		m.value, m.is, m.nonce = *o.Stamp, true, strconv.FormatUint(uint64(*o.Stamp), 10)
+	response := pendingResponse{sentAt: now}
+	if orders.Stamp != nil {
+		response.stamp, response.stamped, response.nonce = *orders.Stamp, true, strconv.FormatUint(uint64(*orders.Stamp), 10)
 	} else {
-		a.unmarked++
-		m.nonce = "u" + strconv.Itoa(a.unmarked)
+		a.unstampedCount++
+		response.nonce = "u" + strconv.Itoa(a.unstampedCount)
 	}
-	if a.sent = append(a.sent, m); len(a.sent) > maxPendingMarks {
-		a.sent = a.sent[1:]
+	if a.pending = append(a.pending, response); len(a.pending) > maxPendingResponses {
+		a.pending = a.pending[1:]
 	}
 	if a.incremental {
-		out := &discovery.DeltaDiscoveryResponse{SystemVersionInfo: m.nonce, TypeUrl: EndpointsTypeURL, Nonce: m.nonce}
+		out := &discovery.DeltaDiscoveryResponse{SystemVersionInfo: response.nonce, TypeUrl: EndpointsTypeURL,
+			Nonce: response.nonce}
 		for _, class := range changed {
-			packed, err := anypb.New(a.table.assignment(class, a.facts.RateLevels))
+			packed, err := anypb.New(a.table.assignment(class, a.config.RateLevels))
 			if err != nil {
 				return nil, err
 			}
-			out.Resources = append(out.Resources, &discovery.Resource{Name: class, Version: m.nonce, Resource: packed})
+			out.Resources = append(out.Resources, &discovery.Resource{Name: class, Version: response.nonce, Resource: packed})
 		}
 		return out, nil
 	}
-	out := &discovery.DiscoveryResponse{VersionInfo: m.nonce, TypeUrl: EndpointsTypeURL, Nonce: m.nonce}
+	out := &discovery.DiscoveryResponse{VersionInfo: response.nonce, TypeUrl: EndpointsTypeURL, Nonce: response.nonce}
 	for _, class := range changed {
-		packed, err := anypb.New(a.table.assignment(class, a.facts.RateLevels))
+		packed, err := anypb.New(a.table.assignment(class, a.config.RateLevels))
 		if err != nil {
 			return nil, err
 		}
--- a/internal/planner/xds/load.go
+++ b/internal/planner/xds/load.go
@@ -14,71 +14,72 @@
 	"mulleinwood/internal/planner/protocol"
 )
 
-// LatencyMetric is the named metric of an endpoint that tells how long its answers took: the sum in milliseconds, and how
-// many they were. Other metrics make up its load report.
+// LatencyMetric is the name of the endpoint metric that carries the response times: their sum in milliseconds and the number
+// of responses. All other metrics make up the endpoint's load report.
 const LatencyMetric = "latency_ms"
 
-// LoadStream is the machine of one stream that reports load.
+// LoadStream is the state machine of one load reporting stream. It is not safe for concurrent use.
 type LoadStream struct {
-	facts Config
-	known bool
-	who   Identity
+	config     Config
+	identified bool
+	identity   Identity
 }
 
-// NewLoadStream returns the machine of a stream.
-func NewLoadStream(f Config) *LoadStream { return &LoadStream{facts: f} }
+// NewLoadStream returns the state machine of a new stream.
+func NewLoadStream(config Config) *LoadStream { return &LoadStream{config: config} }
 
-// Identity is the peer, once it has named itself.
-func (l *LoadStream) Identity() (Identity, bool) { return l.who, l.known }
+// Identity returns the identity of the peer, and whether its first request has been accepted.
+func (l *LoadStream) Identity() (Identity, bool) { return l.identity, l.identified }
 
-// LoadUpdate is what a message of a stream said.
+// LoadUpdate is the result of one request of a load reporting stream.
 type LoadUpdate struct {
-	Messages []protocol.Message
-	Invalid  []InvalidPartError      // parts that are of no use
-	Response *load.LoadStatsResponse // to be sent back; nil: nothing
+	Messages []protocol.Message      // messages for routing
+	Invalid  []InvalidPartError      // parts of the request that were rejected
+	Response *load.LoadStatsResponse // response to send; nil if there is none
 }
 
-// HandleRequest takes a message. The first is answered by how often to report. A proxy reports by class what came to it, a
-// collector by endpoint what its zone's proxies met there.
-func (l *LoadStream) HandleRequest(r *load.LoadStatsRequest) (update LoadUpdate, err error) {
-	if !l.known {
-		if l.who, err = Identify(r.GetNode(), l.facts); err != nil {
+// HandleRequest processes a load report. The response to the first one contains the reporting interval. A proxy reports its
+// requests by class; a collector reports by endpoint the attempts of its zone's proxies. An error ends the stream.
+func (l *LoadStream) HandleRequest(request *load.LoadStatsRequest) (update LoadUpdate, err error) {
+	if !l.identified {
+		if l.identity, err = Identify(request.GetNode(), l.config); err != nil {
 			return LoadUpdate{}, err
 		}
-		l.known = true
-		l.greet(&update)
-	} else if !same(r.GetNode(), l.who, l.facts) {
+		l.identified = true
+		l.setInitialResponse(&update)
+	} else if !sameNode(request.GetNode(), l.identity, l.config) {
 		return LoadUpdate{}, ErrNodeChanged
 	}
-	for _, cluster := range r.GetClusterStats() {
-		l.takeCluster(cluster, &update)
+	for _, cluster := range request.GetClusterStats() {
+		l.handleCluster(cluster, &update)
 	}
 	return update, nil
 }
 
-// greet answers the first message.
-func (l *LoadStream) greet(update *LoadUpdate) {
-	update.Response = &load.LoadStatsResponse{SendAllClusters: true, ReportEndpointGranularity: l.who.Role == Collector,
-		LoadReportingInterval: durationpb.New(time.Duration(l.facts.ReportPeriod * float64(time.Millisecond)))}
-	if l.who.Role == Collector {
-		update.Messages = append(update.Messages, protocol.Collector{Zone: l.who.Zone})
+// setInitialResponse sets the response to the first request, and announces a collector.
+func (l *LoadStream) setInitialResponse(update *LoadUpdate) {
+	update.Response = &load.LoadStatsResponse{SendAllClusters: true, ReportEndpointGranularity: l.identity.Role == Collector,
+		LoadReportingInterval: durationpb.New(time.Duration(l.config.ReportPeriod * float64(time.Millisecond)))}
+	if l.identity.Role == Collector {
+		update.Messages = append(update.Messages, protocol.Collector{Zone: l.identity.Zone})
 	}
 }
 
+// invalid adds a report that was rejected.
 func (u *LoadUpdate) invalid(part string, err error) {
-	u.Invalid = append(u.Invalid, InvalidPartError{"report of " + clip(part), err})
+	u.Invalid = append(u.Invalid, InvalidPartError{"report of " + truncate(part), err})
 }
 
-// takeCluster takes the report of a class.
-func (l *LoadStream) takeCluster(cluster *endpoint.ClusterStats, update *LoadUpdate) {
-	span := float64(cluster.GetLoadReportInterval().AsDuration()) / float64(time.Millisecond)
-	if cluster.GetLoadReportInterval() == nil || !(span > 0) {
+// handleCluster processes the report of one cluster: a class of a proxy, or all endpoints of a collector's zone.
+func (l *LoadStream) handleCluster(cluster *endpoint.ClusterStats, update *LoadUpdate) {
+	interval := float64(cluster.GetLoadReportInterval().AsDuration()) / float64(time.Millisecond)
+	if cluster.GetLoadReportInterval() == nil || !(interval > 0) {
 		update.invalid(cluster.GetClusterName(), errBadInterval)
 		return
 	}
-	if l.who.Role == Proxy {
-		report := usage(l.who.Proxy, cluster, span)
-		if err := report.Check(l.facts.Bounds); err != nil {
+	if l.identity.Role == Proxy {
+		report := usageReport(l.identity.Proxy, cluster, interval)
+		if err := report.Check(l.config.Bounds); err != nil {
 			update.invalid(cluster.GetClusterName(), err)
 			return
 		}
@@ -87,9 +88,9 @@
 	}
 	for _, locality := range cluster.GetUpstreamLocalityStats() {
 		for _, stats := range locality.GetUpstreamEndpointStats() {
-			report, err := l.met(stats, span)
+			report, err := l.serverReport(stats, interval)
 			if err == nil {
-				err = report.Check(l.facts.Bounds)
+				err = report.Check(l.config.Bounds)
 			}
 			if err != nil {
 				update.invalid(report.Server+report.Address, err)
@@ -100,44 +101,46 @@
 	}
 }
 
-// usage is what came to a proxy of a class: what it issued and what it refused. What it let in and could not serve is
-// its errors.
-func usage(proxy int, c *endpoint.ClusterStats, span float64) protocol.UsageReport {
-	m := protocol.UsageReport{Proxy: proxy, Class: c.GetClusterName(), Tries: float64(c.GetTotalDroppedRequests()), Span: span}
-	for _, locality := range c.GetUpstreamLocalityStats() {
-		m.Tries += float64(locality.GetTotalIssuedRequests())
-		m.Failed += float64(locality.GetTotalErrorRequests())
+// usageReport returns the requests of one class at a proxy. Tries counts issued and dropped requests, Failed those that were
+// issued and could not be served.
+func usageReport(proxy int, cluster *endpoint.ClusterStats, interval float64) protocol.UsageReport {
+	report := protocol.UsageReport{Proxy: proxy, Class: cluster.GetClusterName(),
+		Tries: float64(cluster.GetTotalDroppedRequests()), Span: interval}
+	for _, locality := range cluster.GetUpstreamLocalityStats() {
+		report.Tries += float64(locality.GetTotalIssuedRequests())
+		report.Failed += float64(locality.GetTotalErrorRequests())
 	}
-	return m
+	return report
 }
 
-// met is what a zone's proxies met at a server.
-func (l *LoadStream) met(e *endpoint.UpstreamEndpointStats, span float64) (protocol.ServerReport, error) {
-	m := protocol.ServerReport{Zone: l.who.Zone, Server: e.GetMetadata().GetFields()[idKey].GetStringValue(),
-		Address: hostPort(e.GetAddress()),
-		Tries:   float64(e.GetTotalIssuedRequests()), Failed: float64(e.GetTotalErrorRequests()), Span: span}
-	if m.Server == "" && m.Address == "" {
-		return m, errNoEndpoint
+// serverReport returns the attempts of a zone's proxies at one server, with latency and load.
+func (l *LoadStream) serverReport(stats *endpoint.UpstreamEndpointStats, interval float64) (protocol.ServerReport, error) {
+	report := protocol.ServerReport{Zone: l.identity.Zone, Server: stats.GetMetadata().GetFields()[idKey].GetStringValue(),
+		Address: hostPort(stats.GetAddress()),
+		Tries:   float64(stats.GetTotalIssuedRequests()), Failed: float64(stats.GetTotalErrorRequests()), Span: interval}
+	if report.Server == "" && report.Address == "" {
+		return report, errNoEndpoint
 	}
-	for _, metric := range e.GetLoadMetricStats() {
-		n, total := float64(metric.GetNumRequestsFinishedWithMetric()), metric.GetTotalMetricValue()
-		if !finite(total) {
-			return m, fmt.Errorf("%w: %s of %v", errLatency, clip(metric.GetMetricName()), total)
+	for _, metric := range stats.GetLoadMetricStats() {
+		count, total := float64(metric.GetNumRequestsFinishedWithMetric()), metric.GetTotalMetricValue()
+		if !finiteNonNegative(total) {
+			return report, fmt.Errorf("%w: %s of %v", errLatency, truncate(metric.GetMetricName()), total)
 		}
 		switch {
-		case n == 0:
+		case count == 0:
 		case metric.GetMetricName() == LatencyMetric:
-			m.Mean = total / n
+			report.Mean = total / count
 		default:
-			if m.Load == nil {
-				m.Load = map[string]float64{}
+			if report.Load == nil {
+				report.Load = map[string]float64{}
 			}
-			m.Load[metric.GetMetricName()] = total / n
+			report.Load[metric.GetMetricName()] = total / count
 		}
 	}
-	return m, nil
+	return report, nil
 }
 
+// hostPort returns the address in host:port form, or "" if it isn't a socket address.
 func hostPort(a *core.Address) string {
 	socket := a.GetSocketAddress()
 	if socket == nil {
@@ -146,5 +149,5 @@
 	return net.JoinHostPort(socket.GetAddress(), strconv.Itoa(int(socket.GetPortValue())))
 }
 
-// clip is as much of a name from outside as goes into a line.
-func clip(name string) string { return name[:min(len(name), 40)] }
+// truncate shortens a name sent by a peer to at most 40 bytes, for messages.
+func truncate(name string) string { return name[:min(len(name), 40)] }
--- a/internal/planner/xds/main_test.go
+++ b/internal/planner/xds/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the draws of the property tests, so that CI gives the same verdict every time.
+// TestMain fixes the seed of the property tests, so that CI runs are reproducible.
 func TestMain(m *testing.M) {
 	flag.Lookup("rapid.seed").Value.Set("17")
 	flag.Parse()
--- a/internal/planner/xds/mixed_test.go
+++ b/internal/planner/xds/mixed_test.go
@@ -24,36 +24,36 @@
 	"mulleinwood/rules"
 )
 
-// speech is a protocol that a peer speaks.
-type speech int
+// peerProtocol is the protocol of a peer.
+type peerProtocol int
 
 const (
-	lines speech = iota
-	world        // gRPC, state of the world
-	delta        // gRPC, incremental
+	lines           peerProtocol = iota // line protocol
+	stateOfTheWorld                     // gRPC, state of the world
+	incremental                         // gRPC, incremental
 )
 
-// party is a proxy's stream or a collector, by any protocol.
-type party struct {
-	id      uint64
-	speaks  speech
-	now     *float64
-	proxy   int
-	zone    string
-	machine *xds.AssignmentStream
-	loads   *xds.LoadStream
-	table   map[string]float64
-	levels  map[string]float64
-	nonces  []string // to be answered
-	marks   []uint32
+// testPeer is a stream of a proxy or a collector with any protocol.
+type testPeer struct {
+	id            uint64
+	speaks        peerProtocol
+	now           *float64
+	proxy         int
+	zone          string
+	assignments   *xds.AssignmentStream
+	loads         *xds.LoadStream
+	table         map[string]float64
+	levels        map[string]float64
+	pendingNonces []string // responses to acknowledge
+	stamps        []uint32
 }
 
-func (p *party) ID() uint64  { return p.id }
-func (p *party) Beat() error { return nil }
-func (p *party) Await()      {}
-func (p *party) Close(error) {}
+func (p *testPeer) ID() uint64  { return p.id }
+func (p *testPeer) Beat() error { return nil }
+func (p *testPeer) Await()      {}
+func (p *testPeer) Close(error) {}
 
-func (p *party) Order(o protocol.Orders) error {
+func (p *testPeer) Order(o protocol.Orders) error {
 	if p.speaks == lines {
 		text, err := o.Append(nil)
 		if err != nil {
@@ -77,19 +77,19 @@
 				p.levels[class] = *part.Gate
 			}
 			if part.Stamp != nil {
-				p.marks = append(p.marks, *part.Stamp)
+				p.stamps = append(p.stamps, *part.Stamp)
 			}
 		}
 		return nil
 	}
-	m, err := p.machine.Encode(*p.now, o)
+	m, err := p.assignments.Encode(*p.now, o)
 	if err != nil {
 		return err
 	}
 	var resources []*endpoint.ClusterLoadAssignment
 	switch m := m.(type) {
 	case *discovery.DiscoveryResponse:
-		p.nonces = append(p.nonces, m.Nonce)
+		p.pendingNonces = append(p.pendingNonces, m.Nonce)
 		for _, r := range m.Resources {
 			a := &endpoint.ClusterLoadAssignment{}
 			if err := r.UnmarshalTo(a); err != nil {
@@ -98,7 +98,7 @@
 			resources = append(resources, a)
 		}
 	case *discovery.DeltaDiscoveryResponse:
-		p.nonces = append(p.nonces, m.Nonce)
+		p.pendingNonces = append(p.pendingNonces, m.Nonce)
 		for _, r := range m.Resources {
 			a := &endpoint.ClusterLoadAssignment{}
 			if err := r.Resource.UnmarshalTo(a); err != nil {
@@ -128,13 +128,13 @@
 	return list
 }
 
-// recorder notes what a module is told and orders.
-type recorder struct {
+// eventRecorder runs a decision module and records its events and actions.
+type eventRecorder struct {
 	module *rules.Controller
 	log    []string
 }
 
-func (r *recorder) Step(now float64, events []rules.Event) []rules.Action {
+func (r *eventRecorder) Step(now float64, events []rules.Event) []rules.Action {
 	actions := r.module.Step(now, events)
 	for _, e := range events {
 		r.log = append(r.log, fmt.Sprintf("%.0f %T%+v", now, e, e))
@@ -145,21 +145,22 @@
 	return actions
 }
 
-type noCalls struct{}
+type discardCalls struct{}
 
-func (noCalls) Watch(uint64, int64)                {}
-func (noCalls) Fetch(uint64)                       {}
-func (noCalls) Cancel(uint64)                      {}
-func (noCalls) Move(string)                        {}
-func (noCalls) Probe(rules.ServerID, string, bool) {}
+func (discardCalls) Watch(uint64, int64)                {}
+func (discardCalls) Fetch(uint64)                       {}
+func (discardCalls) Cancel(uint64)                      {}
+func (discardCalls) Move(string)                        {}
+func (discardCalls) Probe(rules.ServerID, string, bool) {}
 
 var mixedSettings = settings.Settings{ZoneNames: []string{"n", "s"}, KindNames: []string{"m"}, Rules: rules.Settings{Instances: 1, Zones: 2, Proxies: 10,
 	ReportPeriod: 1000, QueueLines: 3600, LinesPerSec: 2400, MessageCost: 3, DrainGrace: 2000, MaxTimeWithoutServer: 2500, WarmupTime: 10000, StartCapacity: 0.2,
 	OverloadFactor: 2.5, OverloadTime: 3000, Classes: []rules.Class{{Name: "view", LatencyTarget: 1000, Deadline: 4000, Value: 1},
 		{Name: "pay", LatencyTarget: 500, Deadline: 1500, Value: 2, Effect: rules.Unsafe}}}}
 
-// play plays one scripted day. Choose says what a stream speaks that begins; nothing else differs between two plays.
-func play(t *testing.T, seed uint64, choose func(stream int) speech) (log []string, proxies []*party) {
+// runDay runs one scripted day. protocolOf returns the protocol of each new stream; nothing else differs between two runs
+// with the same seed.
+func runDay(t *testing.T, seed uint64, protocolOf func(stream int) peerProtocol) (log []string, proxies []*testPeer) {
 	const servers, looks = 12, 250
 	set := mixedSettings
 	facts := xds.Config{Zones: set.ZoneNames, Classes: []string{"view", "pay"}, ReportPeriod: 1000,
@@ -172,53 +173,53 @@
 	for i := range servers {
 		known.Members = append(known.Members, entry(i, protocol.PhaseUp, 0))
 	}
-	record := &recorder{module: rules.New(set.Rules, 5)}
-	router := routing.New(set, record, noCalls{}, known, zerolog.Nop())
+	record := &eventRecorder{module: rules.New(set.Rules, 5)}
+	router := routing.New(set, record, discardCalls{}, known, zerolog.Nop())
 	streams, id := 0, uint64(0)
-	say := func(p *party, said []protocol.Message) {
-		for _, m := range said {
+	deliver := func(p *testPeer, messages []protocol.Message) {
+		for _, m := range messages {
 			router.Handle(routing.Reported{Peer: p, Message: m})
 		}
 	}
-	line := func(p *party, text string) {
+	line := func(p *testPeer, text string) {
 		m, err := protocol.Decode([]byte(text), facts.Bounds)
 		if err != nil {
 			t.Fatal(err)
 		}
-		say(p, []protocol.Message{m})
+		deliver(p, []protocol.Message{m})
 	}
-	begin := func(proxy int, zone string) *party {
+	newPeer := func(proxy int, zone string) *testPeer {
 		id++
 		streams++
-		return &party{id: id, speaks: choose(streams), now: &now, proxy: proxy, zone: zone, table: map[string]float64{}, levels: map[string]float64{}}
+		return &testPeer{id: id, speaks: protocolOf(streams), now: &now, proxy: proxy, zone: zone, table: map[string]float64{}, levels: map[string]float64{}}
 	}
-	join := func(proxy int) *party {
-		p := begin(proxy, set.ZoneNames[proxy%2])
-		p.machine, p.loads = xds.NewAssignmentStream(facts, p.speaks == delta), xds.NewLoadStream(facts)
+	join := func(proxy int) *testPeer {
+		p := newPeer(proxy, set.ZoneNames[proxy%2])
+		p.assignments, p.loads = xds.NewAssignmentStream(facts, p.speaks == incremental), xds.NewLoadStream(facts)
 		node := standin.ProxyNode(proxy, p.zone, 20)
 		switch p.speaks {
 		case lines:
 			line(p, fmt.Sprintf(`{"t":"attach","proxy":%d,"zone":%q,"weight":20,"fresh":true}`, proxy, p.zone))
-		case world:
-			said, _, err := p.machine.HandleRequest(now, &discovery.DiscoveryRequest{Node: node, TypeUrl: xds.EndpointsTypeURL})
+		case stateOfTheWorld:
+			messages, _, err := p.assignments.HandleRequest(now, &discovery.DiscoveryRequest{Node: node, TypeUrl: xds.EndpointsTypeURL})
 			if err != nil {
 				t.Fatal(err)
 			}
-			say(p, said)
-		case delta:
-			said, _, err := p.machine.HandleDeltaRequest(now, &discovery.DeltaDiscoveryRequest{Node: node, TypeUrl: xds.EndpointsTypeURL, ResourceNamesSubscribe: facts.Classes})
+			deliver(p, messages)
+		case incremental:
+			messages, _, err := p.assignments.HandleDeltaRequest(now, &discovery.DeltaDiscoveryRequest{Node: node, TypeUrl: xds.EndpointsTypeURL, ResourceNamesSubscribe: facts.Classes})
 			if err != nil {
 				t.Fatal(err)
 			}
-			say(p, said)
+			deliver(p, messages)
 		}
 		if p.speaks != lines {
 			p.loads.HandleRequest(&load.LoadStatsRequest{Node: node})
 		}
 		return p
 	}
-	collect := func(zone string) *party {
-		p := begin(-1, zone)
+	collect := func(zone string) *testPeer {
+		p := newPeer(-1, zone)
 		if p.speaks == lines {
 			line(p, fmt.Sprintf(`{"t":"telemetry","zone":%q}`, zone))
 			return p
@@ -228,33 +229,33 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		say(p, update.Messages)
+		deliver(p, update.Messages)
 		return p
 	}
-	proxies = make([]*party, set.Rules.Proxies)
-	var collectors []*party
+	proxies = make([]*testPeer, set.Rules.Proxies)
+	var collectors []*testPeer
 	for look := range looks {
 		now += 100
 		for i := range proxies {
-			if proxies[i] == nil || rng.IntN(300) == 0 { // joins, or comes back by a new stream, the old one not yet seen to end
+			if proxies[i] == nil || rng.IntN(300) == 0 { // joins, or reconnects before the end of its old stream is noticed
 				old := proxies[i]
 				if proxies[i] = join(i); old != nil {
 					router.Handle(routing.Ended{Peer: old})
 				}
 			}
 			p := proxies[i]
-			for n, late := len(p.marks)+len(p.nonces), rng.IntN(4) == 0; n > 0 && !late; n-- {
+			for n, late := len(p.stamps)+len(p.pendingNonces), rng.IntN(4) == 0; n > 0 && !late; n-- {
 				if p.speaks == lines {
-					line(p, fmt.Sprintf(`{"t":"done","proxy":%d,"mark":%d,"took_ms":%v}`, i, p.marks[0], 0))
-					p.marks = p.marks[1:]
+					line(p, fmt.Sprintf(`{"t":"done","proxy":%d,"mark":%d,"took_ms":%v}`, i, p.stamps[0], 0))
+					p.stamps = p.stamps[1:]
 					continue
 				}
-				said, _, err := answer(p, now)
+				messages, _, err := acknowledge(p, now)
 				if err != nil {
 					t.Fatal(err)
 				}
-				say(p, said)
-				p.nonces = p.nonces[1:]
+				deliver(p, messages)
+				p.pendingNonces = p.pendingNonces[1:]
 			}
 			for k, class := range facts.Classes {
 				tries := rng.IntN(30)
@@ -270,11 +271,11 @@
 				if err != nil || len(update.Invalid) > 0 {
 					t.Fatal(err, update.Invalid)
 				}
-				say(p, update.Messages)
+				deliver(p, update.Messages)
 			}
 		}
 		if look%70 == 0 {
-			collectors = []*party{collect("n"), collect("s")}
+			collectors = []*testPeer{collect("n"), collect("s")}
 		}
 		for z, c := range collectors {
 			for i := range servers {
@@ -295,7 +296,7 @@
 				if err != nil || len(update.Invalid) > 0 {
 					t.Fatal(err, update.Invalid)
 				}
-				say(c, update.Messages)
+				deliver(c, update.Messages)
 			}
 		}
 		switch i := look / 40 % servers; look % 40 {
@@ -311,44 +312,46 @@
 	return record.log, proxies
 }
 
-func answer(p *party, now float64) ([]protocol.Message, []xds.InvalidPartError, error) {
-	if p.speaks == delta {
-		return p.machine.HandleDeltaRequest(now, &discovery.DeltaDiscoveryRequest{TypeUrl: xds.EndpointsTypeURL, ResponseNonce: p.nonces[0]})
+func acknowledge(p *testPeer, now float64) ([]protocol.Message, []xds.InvalidPartError, error) {
+	if p.speaks == incremental {
+		return p.assignments.HandleDeltaRequest(now, &discovery.DeltaDiscoveryRequest{TypeUrl: xds.EndpointsTypeURL, ResponseNonce: p.pendingNonces[0]})
 	}
-	return p.machine.HandleRequest(now, &discovery.DiscoveryRequest{TypeUrl: xds.EndpointsTypeURL, ResponseNonce: p.nonces[0]})
+	return p.assignments.HandleRequest(now, &discovery.DiscoveryRequest{TypeUrl: xds.EndpointsTypeURL, ResponseNonce: p.pendingNonces[0]})
 }
 
-// TestMixedFleetIsOneFleet guards against a decision that depends on the protocol which carried a message: the same day, all
-// by lines, all by either form of gRPC, half and half, and switching at random, gives the module the same events in the same
-// order and draws the same orders from it; and the tables that proxies hold agree within the rounding of whole weights.
-func TestMixedFleetIsOneFleet(t *testing.T) {
+// TestDecisionsIgnoreProtocol guards against decisions that depend on the protocol of a message. The same day runs with the
+// line protocol, with either form of gRPC, half and half, and with random protocols. The decision module must get the same
+// events in the same order and return the same actions, and the tables of the proxies must agree within the rounding of
+// integer weights.
+func TestDecisionsIgnoreProtocol(t *testing.T) {
 	for seed := range uint64(6) {
-		want, plain := play(t, seed, func(int) speech { return lines })
+		want, plain := runDay(t, seed, func(int) peerProtocol { return lines })
 		if len(want) < 1000 {
-			t.Fatalf("a day of %d events and orders", len(want))
+			t.Fatalf("a day of only %d events and actions", len(want))
 		}
 		draw := rand.New(rand.NewPCG(seed, 99))
-		for name, choose := range map[string]func(int) speech{
-			"state of the world": func(int) speech { return world },
-			"incremental":        func(int) speech { return delta },
-			"half and half":      func(stream int) speech { return speech(stream % 2) },
-			"at random":          func(int) speech { return speech(draw.IntN(3)) },
+		for name, protocolOf := range map[string]func(int) peerProtocol{
+			"state of the world": func(int) peerProtocol { return stateOfTheWorld },
+			"incremental":        func(int) peerProtocol { return incremental },
+			"half and half":      func(stream int) peerProtocol { return peerProtocol(stream % 2) },
+			"at random":          func(int) peerProtocol { return peerProtocol(draw.IntN(3)) },
 		} {
-			got, held := play(t, seed, choose)
+			got, held := runDay(t, seed, protocolOf)
 			for i := range want {
-				if i >= len(got) || withoutTook(got[i]) != withoutTook(want[i]) {
-					t.Fatalf("seed %d, %s: step %d is\n%s\nby lines it is\n%s", seed, name, i, got[min(i, len(got)-1)], want[i])
+				if i >= len(got) || withoutApplyTime(got[i]) != withoutApplyTime(want[i]) {
+					t.Fatalf("seed %d, %s: step %d is\n%s\nwith lines it is\n%s", seed, name, i, got[min(i, len(got)-1)], want[i])
 				}
 			}
 			for i := range plain {
-				agree(t, fmt.Sprintf("seed %d, %s, proxy %d", seed, name, i), held[i], plain[i])
+				compareTables(t, fmt.Sprintf("seed %d, %s, proxy %d", seed, name, i), held[i], plain[i])
 			}
 		}
 	}
 }
 
-// withoutTook leaves out how long a proxy took to apply a message: a line tells it, and gRPC shows it.
-func withoutTook(step string) string {
+// withoutApplyTime removes the time that a proxy took to apply a message from a recorded step. A line states it, whereas gRPC
+// only shows it by the time of the ACK.
+func withoutApplyTime(step string) string {
 	var now, head string
 	if n, _ := fmt.Sscan(step, &now, &head); n == 2 && len(head) > 9 && head[:9] == "rules.Ack" {
 		return step[:slices.Index([]byte(step), 'E')]
@@ -356,10 +359,10 @@
 	return step
 }
 
-// agree compares what two proxies hold, as parts of their traffic.
-func agree(t *testing.T, what string, got, want *party) {
+// compareTables compares the tables of two proxies by the traffic share of each server.
+func compareTables(t *testing.T, what string, got, want *testPeer) {
 	t.Helper()
-	part := func(p *party, name string) float64 {
+	trafficShare := func(p *testPeer, name string) float64 {
 		sum := 0.0
 		for _, w := range p.table {
 			sum += w
@@ -367,16 +370,16 @@
 		return p.table[name] / sum
 	}
 	if !slices.Equal(slices.Sorted(maps.Keys(got.table)), slices.Sorted(maps.Keys(want.table))) {
-		t.Fatalf("%s holds %v, by lines %v", what, got.table, want.table)
+		t.Fatalf("%s holds %v, with lines %v", what, got.table, want.table)
 	}
 	for name := range want.table {
-		if d := math.Abs(part(got, name) - part(want, name)); d > float64(len(want.table))/xds.MaxWeight {
-			t.Errorf("%s: %s gets %v of the traffic, by lines %v", what, name, part(got, name), part(want, name))
+		if d := math.Abs(trafficShare(got, name) - trafficShare(want, name)); d > float64(len(want.table))/xds.MaxWeight {
+			t.Errorf("%s: %s gets %v of the traffic, with lines %v", what, name, trafficShare(got, name), trafficShare(want, name))
 		}
 	}
 	for class, level := range want.levels {
 		if math.Abs(got.levels[class]-level) > 1e-6 {
-			t.Errorf("%s: level of %s is %v, by lines %v", what, class, got.levels[class], level)
+			t.Errorf("%s: level of %s is %v, with lines %v", what, class, got.levels[class], level)
 		}
 	}
 }
--- a/internal/planner/xds/node.go
+++ b/internal/planner/xds/node.go
@@ -1,6 +1,7 @@
-// Package xds holds the machines of the planner's gRPC front: assignments by the published discovery protocol (v3, state of
-// the world and incremental) and load by the load reporting service (v3). They are fed messages and know no socket and no
-// clock; what they yield and take are the typed messages and orders of package protocol, as the line protocol's do.
+// Package xds contains the state machines of the planner's gRPC front: endpoint assignments by the aggregated discovery
+// service (v3, state-of-the-world and incremental) and load reports by the load reporting service (v3). They process
+// messages and open no sockets and read no clock. As with the line protocol, their output and input are the typed messages
+// and orders of package protocol.
 package xds
 
 import (
@@ -16,16 +17,16 @@
 	"mulleinwood/internal/planner/protocol"
 )
 
-// Config are what the machines must know of the deployment.
+// Config is the configuration of the planner as far as the streams need it.
 type Config struct {
-	Classes      []string
-	Zones        []string
-	RateLevels   bool    // levels are requests a second, not shares
-	ReportPeriod float64 // of reports, in milliseconds
-	Bounds       protocol.Bounds
+	Classes      []string        // names of the request classes
+	Zones        []string        // names of the zones
+	RateLevels   bool            // admission levels are requests per second, not shares
+	ReportPeriod float64         // load reporting interval, in milliseconds
+	Bounds       protocol.Bounds // limits of valid reports
 }
 
-// Role is what a peer is.
+// Role is the role of a peer.
 type Role int
 
 // The roles.
@@ -34,16 +35,16 @@
 	Collector
 )
 
-// Identity is who a node says that it is.
+// Identity is the identity that a node claims.
 type Identity struct {
 	Role  Role
-	Proxy int
+	Proxy int // number of the proxy; 0 for a collector
 	Zone  string
-	Rate  float64
-	Fresh bool
+	Rate  float64 // typical requests per second of the proxy; 0 if not stated
+	Fresh bool    // the proxy holds no table that the planner sent
 }
 
-// What a node's id begins with, and the keys of its metadata.
+// The prefixes of node IDs, and the keys of node metadata.
 const (
 	proxyPrefix     = "proxy/"
 	collectorPrefix = "collector/"
@@ -51,7 +52,7 @@
 	freshKey        = "fresh"
 )
 
-// The errors that end a stream. A part that is merely of no use is reported as an InvalidPartError.
+// The exported errors end a stream. The others, and further invalid parts of a message, are reported as InvalidPartError.
 var (
 	ErrMissingNode     = errors.New("the first message names no node")
 	ErrNodeChanged     = errors.New("another node than the stream began with")
@@ -64,7 +65,7 @@
 	errLatency         = errors.New("a latency that can't be")
 )
 
-// InvalidPartError says that part of a message is of no use. The stream goes on.
+// InvalidPartError reports an invalid part of a message. The part is ignored and the stream continues.
 type InvalidPartError struct {
 	Part string
 	Err  error
@@ -76,55 +77,56 @@
 // Unwrap returns the cause, for errors.Is and errors.As.
 func (v InvalidPartError) Unwrap() error { return v.Err }
 
-// Identify reads a node: its id is "proxy/" and the proxy's number, or "collector/" and its zone; locality.zone is the
-// proxy's zone; metadata may tell its usual rate and whether it holds no table that was ordered.
-func Identify(n *core.Node, f Config) (Identity, error) {
-	if n == nil {
+// Identify returns the identity of a node. The node's ID is "proxy/" and the proxy's number, or "collector/" and its zone.
+// A proxy's zone is in locality.zone; its metadata may contain its typical rate, and whether it holds no table that the
+// planner sent, which is the default.
+func Identify(node *core.Node, config Config) (Identity, error) {
+	if node == nil {
 		return Identity{}, ErrMissingNode
 	}
-	var who Identity
-	if zone, is := strings.CutPrefix(n.GetId(), collectorPrefix); is {
-		who = Identity{Role: Collector, Zone: zone}
+	var identity Identity
+	if zone, isCollector := strings.CutPrefix(node.GetId(), collectorPrefix); isCollector {
+		identity = Identity{Role: Collector, Zone: zone}
 	} else {
 		var err error
-		if who, err = identifyProxy(n, f); err != nil {
+		if identity, err = identifyProxy(node, config); err != nil {
 			return Identity{}, err
 		}
 	}
-	if !slices.Contains(f.Zones, who.Zone) {
-		return Identity{}, fmt.Errorf("%w: zone %.40q", ErrUnknownNode, who.Zone)
+	if !slices.Contains(config.Zones, identity.Zone) {
+		return Identity{}, fmt.Errorf("%w: zone %.40q", ErrUnknownNode, identity.Zone)
 	}
-	return who, nil
+	return identity, nil
 }
 
-// identifyProxy reads a node whose id names a proxy.
-func identifyProxy(n *core.Node, f Config) (Identity, error) {
-	number, found := strings.CutPrefix(n.GetId(), proxyPrefix)
+// identifyProxy returns the identity of a proxy's node.
+func identifyProxy(node *core.Node, config Config) (Identity, error) {
+	number, found := strings.CutPrefix(node.GetId(), proxyPrefix)
 	proxy, err := strconv.Atoi(number)
-	if !found || err != nil || proxy < 0 || proxy >= f.Bounds.Proxies || strconv.Itoa(proxy) != number {
-		return Identity{}, fmt.Errorf("%w: id %.40q", ErrUnknownNode, n.GetId())
+	if !found || err != nil || proxy < 0 || proxy >= config.Bounds.Proxies || strconv.Itoa(proxy) != number {
+		return Identity{}, fmt.Errorf("%w: id %.40q", ErrUnknownNode, node.GetId())
 	}
-	who := Identity{Proxy: proxy, Zone: n.GetLocality().GetZone(), Fresh: true}
-	fields := n.GetMetadata().GetFields()
+	identity := Identity{Proxy: proxy, Zone: node.GetLocality().GetZone(), Fresh: true}
+	fields := node.GetMetadata().GetFields()
 	if rate, stated := fields[rateKey]; stated {
-		if who.Rate = rate.GetNumberValue(); !(who.Rate >= 0 && who.Rate <= protocol.MaxRate) {
-			return Identity{}, fmt.Errorf("%w: %s is %v", ErrUnknownNode, rateKey, who.Rate)
+		if identity.Rate = rate.GetNumberValue(); !(identity.Rate >= 0 && identity.Rate <= protocol.MaxRate) {
+			return Identity{}, fmt.Errorf("%w: %s is %v", ErrUnknownNode, rateKey, identity.Rate)
 		}
 	}
 	if fresh, stated := fields[freshKey]; stated {
-		who.Fresh = fresh.GetBoolValue()
+		identity.Fresh = fresh.GetBoolValue()
 	}
-	return who, nil
+	return identity, nil
 }
 
-// same says whether a later message of a stream names the node that the first did, or none.
-func same(n *core.Node, who Identity, f Config) bool {
-	if n == nil || n.GetId() == "" {
+// sameNode reports whether a later message of a stream has the same node as the first one, or no node.
+func sameNode(node *core.Node, identity Identity, config Config) bool {
+	if node == nil || node.GetId() == "" {
 		return true
 	}
-	other, err := Identify(n, f)
-	return err == nil && other.Role == who.Role && other.Proxy == who.Proxy && other.Zone == who.Zone
+	other, err := Identify(node, config)
+	return err == nil && other.Role == identity.Role && other.Proxy == identity.Proxy && other.Zone == identity.Zone
 }
 
-// finite says whether a figure may be taken.
-func finite(x float64) bool { return x >= 0 && !math.IsInf(x, 0) && !math.IsNaN(x) }
+// finiteNonNegative reports whether x is neither negative, infinite nor NaN.
+func finiteNonNegative(x float64) bool { return x >= 0 && !math.IsInf(x, 0) && !math.IsNaN(x) }
--- a/internal/planner/xds/table.go
+++ b/internal/planner/xds/table.go
@@ -17,97 +17,98 @@
 )
 
 const (
-	// MaxWeight is the whole number that the largest weight of a table becomes. A weight is off by half a unit at
-	// most, up or down alike: a server's part of the traffic by less than a millionth of the largest one's.
+	// MaxWeight is the integer that the largest weight of a table is scaled to. Rounding changes a weight by half a unit at
+	// most, up or down, and a server's share of the traffic by less than a millionth of the largest server's share.
 	MaxWeight = 1_000_000
 
-	// MetadataNamespace is the namespace of what the published messages have no field for.
+	// MetadataNamespace is the metadata namespace of data that the standard messages have no field for.
 	MetadataNamespace = "mulleinwood"
 	idKey             = "id"
-	resendKey         = "again"
-	levelKey          = "requests_per_second"
+	retryKey          = "again"
+	rateLevelKey      = "requests_per_second"
 	dropCategory      = "mulleinwood"
 	perMillion        = 1_000_000
 )
 
-// table is what a proxy holds once it has applied all that was sent.
+// table is the state that a proxy holds once it has applied all orders sent to it.
 type table struct {
-	rows  map[string]protocol.Row // by server
-	shut  map[string]bool
-	gates map[string]protocol.Gate // by class
+	rows     map[string]protocol.Row  // by server
+	draining map[string]bool          // by server
+	gates    map[string]protocol.Gate // by class
 }
 
 func newTable() table {
-	return table{rows: map[string]protocol.Row{}, shut: map[string]bool{}, gates: map[string]protocol.Gate{}}
+	return table{rows: map[string]protocol.Row{}, draining: map[string]bool{}, gates: map[string]protocol.Gate{}}
 }
 
-// apply takes an order in, and says which classes it changes.
-func (t *table) apply(o protocol.Orders, classes []string) (changed []string) {
-	if o.Replace {
+// apply applies orders to the table and returns the classes whose assignments change.
+func (t *table) apply(orders protocol.Orders, classes []string) (changed []string) {
+	if orders.Replace {
 		clear(t.rows)
 		clear(t.gates)
 	}
-	for _, r := range o.Rows {
+	for _, r := range orders.Rows {
 		if r.Weight > 0 {
 			t.rows[r.Server] = r
 		} else {
 			delete(t.rows, r.Server)
 		}
 	}
-	for _, name := range o.Drop {
-		t.shut[name] = true
+	for _, name := range orders.Drop {
+		t.draining[name] = true
 	}
-	for _, name := range o.Undrop {
-		delete(t.shut, name)
+	for _, name := range orders.Undrop {
+		delete(t.draining, name)
 	}
-	touched := map[string]bool{}
-	for _, g := range o.Gates {
+	gateChanged := map[string]bool{}
+	for _, g := range orders.Gates {
 		names := g.Classes
 		if len(names) == 0 {
 			names = classes
 		}
 		for _, class := range names {
-			t.gates[class], touched[class] = g, true
+			t.gates[class], gateChanged[class] = g, true
 		}
 	}
-	if o.Replace || len(o.Rows)+len(o.Drop)+len(o.Undrop) > 0 {
+	if orders.Replace || len(orders.Rows)+len(orders.Drop)+len(orders.Undrop) > 0 {
 		return classes
 	}
 	for _, class := range classes {
-		if touched[class] {
+		if gateChanged[class] {
 			changed = append(changed, class)
 		}
 	}
 	return changed
 }
 
-// assignment is the table of a class as the published message has it: one group of endpoints a zone, whose weight is the
-// sum of its endpoints', so that a client which weighs zones first gets the same parts as one which doesn't.
-func (t *table) assignment(class string, rates bool) *endpoint.ClusterLoadAssignment {
+// assignment returns the table of a class as a ClusterLoadAssignment. The endpoints of each zone form one locality, whose weight
+// is the sum of its endpoints' weights. A client that picks by locality first therefore gets the same distribution as one
+// that doesn't.
+func (t *table) assignment(class string, rateLevels bool) *endpoint.ClusterLoadAssignment {
 	largest := 0.0
 	for _, r := range t.rows {
 		largest = max(largest, r.Weight)
 	}
 	gate, gated := t.gates[class]
-	groups := map[string]*endpoint.LocalityLbEndpoints{}
+	localities := map[string]*endpoint.LocalityLbEndpoints{}
 	for _, name := range slices.Sorted(maps.Keys(t.rows)) {
 		r := t.rows[name]
-		group := groups[r.Zone]
-		if group == nil {
-			group = &endpoint.LocalityLbEndpoints{Locality: &core.Locality{Zone: r.Zone},
+		locality := localities[r.Zone]
+		if locality == nil {
+			locality = &endpoint.LocalityLbEndpoints{Locality: &core.Locality{Zone: r.Zone},
 				LoadBalancingWeight: &wrapperspb.UInt32Value{}}
 			if gated {
-				group.Metadata = gateMetadata(gate, rates)
+				locality.Metadata = gateMetadata(gate, rateLevels)
 			}
-			groups[r.Zone] = group
+			localities[r.Zone] = locality
 		}
 		weight := uint32(max(1, math.Round(r.Weight/largest*MaxWeight)))
-		group.LoadBalancingWeight.Value += weight
+		locality.LoadBalancingWeight.Value += weight
 		health := core.HealthStatus_HEALTHY
-		if t.shut[name] {
+		if t.draining[name] {
 			health = core.HealthStatus_DRAINING
 		}
-		group.LbEndpoints = append(group.LbEndpoints, &endpoint.LbEndpoint{
+		locality.LbEndpoints = append(locality.LbEndpoints, &endpoint.LbEndpoint{
 			HostIdentifier: &endpoint.LbEndpoint_Endpoint{Endpoint: &endpoint.Endpoint{Address: address(r.Address),
 				Hostname: name}},
 			HealthStatus:        health,
@@ -115,33 +116,36 @@
 			Metadata:            metadata(map[string]*structpb.Value{idKey: structpb.NewStringValue(name)}),
 		})
 	}
-	a := &endpoint.ClusterLoadAssignment{ClusterName: class}
-	for _, zone := range slices.Sorted(maps.Keys(groups)) {
-		a.Endpoints = append(a.Endpoints, groups[zone])
+	assignment := &endpoint.ClusterLoadAssignment{ClusterName: class}
+	for _, zone := range slices.Sorted(maps.Keys(localities)) {
+		assignment.Endpoints = append(assignment.Endpoints, localities[zone])
 	}
-	if gated && !rates && gate.Level < 1 {
-		a.Policy = &endpoint.ClusterLoadAssignment_Policy{DropOverloads: []*endpoint.ClusterLoadAssignment_Policy_DropOverload{{
-			Category: dropCategory,
-			DropPercentage: &typev3.FractionalPercent{Numerator: uint32(math.Round((1 - gate.Level) * perMillion)),
-				Denominator: typev3.FractionalPercent_MILLION}}}}
+	if gated && !rateLevels && gate.Level < 1 {
+		assignment.Policy = &endpoint.ClusterLoadAssignment_Policy{
+			DropOverloads: []*endpoint.ClusterLoadAssignment_Policy_DropOverload{{
+				Category: dropCategory,
+				DropPercentage: &typev3.FractionalPercent{Numerator: uint32(math.Round((1 - gate.Level) * perMillion)),
+					Denominator: typev3.FractionalPercent_MILLION}}}}
 	}
-	return a
+	return assignment
 }
 
+// metadata returns the fields under MetadataNamespace.
 func metadata(fields map[string]*structpb.Value) *core.Metadata {
 	return &core.Metadata{FilterMetadata: map[string]*structpb.Struct{MetadataNamespace: {Fields: fields}}}
 }
 
-// gateMetadata carries the manner of trying again, and a level that is a rate: the published message has no field for them.
-func gateMetadata(g protocol.Gate, rates bool) *core.Metadata {
-	fields := map[string]*structpb.Value{resendKey: structpb.NewNumberValue(float64(g.Again))}
-	if rates {
-		fields[levelKey] = structpb.NewNumberValue(g.Level)
+// gateMetadata returns the metadata with the retry mode and, if levels are rates, the admission level. The standard message has
+// no fields for them.
+func gateMetadata(gate protocol.Gate, rateLevels bool) *core.Metadata {
+	fields := map[string]*structpb.Value{retryKey: structpb.NewNumberValue(float64(gate.Again))}
+	if rateLevels {
+		fields[rateLevelKey] = structpb.NewNumberValue(gate.Level)
 	}
 	return metadata(fields)
 }
 
-// address is host and port as the published message has them; nil for one that has none.
+// address returns the socket address of a text in host:port form, or nil if the text is invalid.
 func address(text string) *core.Address {
 	host, port, err := net.SplitHostPort(text)
 	if err != nil {
@@ -155,33 +159,35 @@
 		PortSpecifier: &core.SocketAddress_PortValue{PortValue: uint32(n)}}}}
 }
 
-// ParseAssignment is the reverse of an assignment: what a proxy makes of it. Levels are shares, or rates where rates is set; a class
-// without a level gets none.
-func ParseAssignment(a *endpoint.ClusterLoadAssignment, rates bool) (rows []protocol.Row, shut []string, gate *protocol.Gate) {
-	for _, group := range a.GetEndpoints() {
-		for _, e := range group.GetLbEndpoints() {
+// ParseAssignment returns the rows, the draining servers and the gate that a proxy reads from an assignment. Admission levels
+// are rates if rateLevels is true, otherwise shares. The gate is nil if the assignment has none.
+func ParseAssignment(assignment *endpoint.ClusterLoadAssignment, rateLevels bool) (
+	rows []protocol.Row, draining []string, gate *protocol.Gate) {
+	for _, locality := range assignment.GetEndpoints() {
+		for _, e := range locality.GetLbEndpoints() {
 			socket := e.GetEndpoint().GetAddress().GetSocketAddress()
 			row := protocol.Row{Server: e.GetEndpoint().GetHostname(), Weight: float64(e.GetLoadBalancingWeight().GetValue()),
-				Zone: group.GetLocality().GetZone()}
+				Zone: locality.GetLocality().GetZone()}
 			if socket != nil {
 				row.Address = net.JoinHostPort(socket.GetAddress(), strconv.Itoa(int(socket.GetPortValue())))
 			}
 			if rows = append(rows, row); e.GetHealthStatus() == core.HealthStatus_DRAINING {
-				shut = append(shut, row.Server)
+				draining = append(draining, row.Server)
 			}
 		}
-		if fields := group.GetMetadata().GetFilterMetadata()[MetadataNamespace].GetFields(); fields[resendKey] != nil {
-			gate = &protocol.Gate{Classes: []string{a.GetClusterName()}, Level: 1, Again: int(fields[resendKey].GetNumberValue())}
-			if rates {
-				gate.Level = fields[levelKey].GetNumberValue()
+		if fields := locality.GetMetadata().GetFilterMetadata()[MetadataNamespace].GetFields(); fields[retryKey] != nil {
+			gate = &protocol.Gate{Classes: []string{assignment.GetClusterName()}, Level: 1,
+				Again: int(fields[retryKey].GetNumberValue())}
+			if rateLevels {
+				gate.Level = fields[rateLevelKey].GetNumberValue()
 			}
 		}
 	}
-	for _, drop := range a.GetPolicy().GetDropOverloads() {
+	for _, drop := range assignment.GetPolicy().GetDropOverloads() {
 		if gate == nil {
-			gate = &protocol.Gate{Classes: []string{a.GetClusterName()}}
+			gate = &protocol.Gate{Classes: []string{assignment.GetClusterName()}}
 		}
 		gate.Level = 1 - float64(drop.GetDropPercentage().GetNumerator())/perMillion
 	}
-	return rows, shut, gate
+	return rows, draining, gate
 }
