--- a/internal/planner/audit/audit.go
+++ b/internal/planner/audit/audit.go
@@ -1,5 +1,6 @@
-// Package audit holds a planner to the five rules from outside: it sees what discovery told and what the proxies were sent,
-// and nothing of the planner's books. It is a value that is fed with events and times and knows no socket and no clock.
+// Package audit checks from outside that a planner keeps five rules. An Auditor gets the changes of the server list and the
+// messages that the proxies receive, and nothing of the planner's own state. It is a deterministic state machine that opens
+// no sockets and reads no clock. Times are in milliseconds.
 package audit
 
 import (
@@ -10,14 +11,14 @@
 	"mulleinwood/rules"
 )
 
-// Slack is what the protocol adds to every time limit on sockets, and Start the time from the planner's first answer in
-// which none counts, both in milliseconds.
 const (
-	Slack        = 300.0
+	// Slack is the tolerance that the protocol adds to time limits on sockets, in milliseconds.
+	Slack = 300.0
+	// StartupGrace is the time after the planner's first answer that no time limit counts, in milliseconds.
 	StartupGrace = 1000.0
 )
 
-// Rule names one of the five.
+// Rule is one of the rules that are checked. Its text describes the violation.
 type Rule string
 
 // The rules.
@@ -29,57 +30,59 @@
 	ChannelLimit   Rule = "a channel over its limit"
 )
 
-// Violation is one broken rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule   Rule    `json:"rule"`
-	At     float64 `json:"at_ms"`
+	At     float64 `json:"at_ms"` // time of detection
 	Detail string  `json:"what"`
 }
 
-// Server is an entry of the list as discovery told it.
+// Server is an entry of the server list as discovery reported it.
 type Server struct {
 	Name      string
 	State     rules.State
-	Size      float64
-	StartedAt float64
+	Size      float64 // capacity relative to other servers
+	StartedAt float64 // 0 if not known, which counts as warm
 }
 
-// Order is one whole message to a proxy.
+// Order is one complete message to a proxy.
 type Order struct {
-	Replace bool
-	Rows    map[string]float64
+	Replace bool                // the rows replace the whole table
+	Rows    map[string]float64  // weight by server; 0 removes the row
 	Retries map[int]rules.Retry // by class
-	Drop    []string
-	Undrop  []string
-	Lines   float64 // its head included
+	Drop    []string            // servers to stop using
+	Undrop  []string            // dropped servers to use again
+	Lines   float64             // length of the message, header included
 }
 
-type entry struct {
+// serverState is the state of one listed server.
+type serverState struct {
 	Server
-	toldAt   float64 // when it was told to drain or to be gone
-	hotSince float64 // since when it is sent more than it may; 0: it isn't
-	told     bool    // of the break, so that each counts once
+	unavailableSince float64 // since when it has not been ready: draining or removed
+	overloadedSince  float64 // since when its load exceeds the limit; 0 if it doesn't
+	reported         bool    // a violation has been reported, so that it counts once
 }
 
-type proxy struct {
-	rate     float64
-	table    map[string]float64
-	shut     map[string]bool
-	joinedAt float64
-	bare     float64   // since when it has no line to pick
-	writes   []float64 // messages of late
-	told     bool
+// proxyState is the state of one proxy.
+type proxyState struct {
+	rate          float64
+	table         map[string]float64
+	dropped       map[string]bool
+	joinedAt      float64   // 0 if its stream has ended
+	noServerSince float64   // since when its table has no usable server; 0 if it has one
+	messageTimes  []float64 // times of the messages within the last MessageWindow
+	reported      bool
 }
 
-// Auditor keeps books.
+// Auditor records the state of servers and proxies and the rules that were violated. It is not safe for concurrent use.
 type Auditor struct {
-	set     rules.Settings
-	servers map[string]*entry
-	proxies map[int]*proxy
-	begun   float64 // the planner's first answer
-	queue   float64 // lines in the channel, which sends at its usual pace
-	drained float64
-	breaks  []Violation
+	settings       rules.Settings
+	servers        map[string]*serverState
+	proxies        map[int]*proxyState
+	startedAt      float64 // time of the planner's first answer
+	queueLines     float64 // lines in the channel, assuming its usual throughput
+	queueUpdatedAt float64
+	violations     []Violation
 	// Peak holds the largest observed value of each limited quantity: lines, then times in milliseconds.
 	Peak struct {
 		QueueLines     float64 `json:"queue_lines"`
@@ -88,225 +91,233 @@
 	}
 }
 
-// New returns an auditor of a planner that has given its first answer now.
-func New(set rules.Settings, now float64) *Auditor {
-	return &Auditor{set: set, servers: map[string]*entry{}, proxies: map[int]*proxy{}, begun: now, drained: now}
+// New returns an Auditor of a planner that gave its first answer at now.
+func New(settings rules.Settings, now float64) *Auditor {
+	return &Auditor{settings: settings, servers: map[string]*serverState{}, proxies: map[int]*proxyState{},
+		startedAt: now, queueUpdatedAt: now}
 }
 
-// Violations are the rules broken so far.
-func (a *Auditor) Violations() []Violation { return a.breaks }
+// Violations returns the violations so far.
+func (a *Auditor) Violations() []Violation { return a.violations }
 
-func (a *Auditor) broken(now float64, rule Rule, format string, args ...any) {
-	a.breaks = append(a.breaks, Violation{rule, now, fmt.Sprintf(format, args...)})
+// addViolation adds a violation with a formatted detail.
+func (a *Auditor) addViolation(now float64, rule Rule, format string, args ...any) {
+	a.violations = append(a.violations, Violation{rule, now, fmt.Sprintf(format, args...)})
 }
 
-// ServerChanged is a change of the list that has reached the planner, or must be taken to have.
+// ServerChanged records a change of the server list that the planner has received, or is assumed to have received.
 func (a *Auditor) ServerChanged(now float64, s Server) {
 	e := a.servers[s.Name]
 	if e == nil {
-		e = &entry{}
+		e = &serverState{}
 		a.servers[s.Name] = e
 	}
 	if s.State != rules.Ready && (e.State == rules.Ready || e.Name == "") {
-		e.toldAt = now
+		e.unavailableSince = now
 	}
-	e.Server, e.hotSince, e.told = s, 0, false
-	a.updateBarenessOfAll(now)
+	e.Server, e.overloadedSince, e.reported = s, 0, false
+	a.updateNoServerOfAll(now)
 }
 
-// ProxyJoined is a proxy whose stream the planner has taken. What it holds of an earlier stream it keeps.
+// ProxyJoined records that the planner has accepted a proxy's stream. The proxy keeps the table of an earlier stream.
 func (a *Auditor) ProxyJoined(now float64, number int, rate float64) {
 	p := a.proxies[number]
 	if p == nil {
-		p = &proxy{table: map[string]float64{}, shut: map[string]bool{}}
+		p = &proxyState{table: map[string]float64{}, dropped: map[string]bool{}}
 		a.proxies[number] = p
 	}
-	p.rate, p.joinedAt, p.bare, p.writes, p.told = rate, now, now, nil, false
-	if a.pickable(p) {
-		p.bare = 0
+	p.rate, p.joinedAt, p.noServerSince, p.messageTimes, p.reported = rate, now, now, nil, false
+	if a.hasUsableServer(p) {
+		p.noServerSince = 0
 	}
 }
 
-// ProxyLeft is a proxy whose stream has ended. Time limits stop for it.
+// ProxyLeft records that a proxy's stream has ended. Time limits don't apply to the proxy until it joins again.
 func (a *Auditor) ProxyLeft(number int) {
 	if p := a.proxies[number]; p != nil {
 		p.joinedAt = 0
 	}
 }
 
-// OrderReceived is a message that a proxy has read.
-func (a *Auditor) OrderReceived(now float64, number int, o Order) {
+// OrderReceived records a message that a proxy has read.
+func (a *Auditor) OrderReceived(now float64, number int, order Order) {
 	p := a.proxies[number]
 	if p == nil {
 		return
 	}
-	a.pass(now)
-	if a.queue += o.Lines; a.queue > a.Peak.QueueLines {
-		a.Peak.QueueLines = a.queue
+	a.drainQueue(now)
+	if a.queueLines += order.Lines; a.queueLines > a.Peak.QueueLines {
+		a.Peak.QueueLines = a.queueLines
 	}
-	if a.set.QueueLines > 0 && a.queue > a.set.QueueLines {
-		a.broken(now, ChannelLimit, "%.0f lines wait, %.0f may", a.queue, a.set.QueueLines)
+	if a.settings.QueueLines > 0 && a.queueLines > a.settings.QueueLines {
+		a.addViolation(now, ChannelLimit, "%.0f lines queued, limit %.0f", a.queueLines, a.settings.QueueLines)
 	}
-	if a.set.MaxMessages > 0 {
-		p.writes = slices.DeleteFunc(append(p.writes, now), func(at float64) bool { return now-at > a.set.MessageWindow })
-		if len(p.writes) > a.set.MaxMessages {
-			a.broken(now, ChannelLimit, "%d messages to proxy %d within %.0f ms, %d may be", len(p.writes), number,
-				a.set.MessageWindow, a.set.MaxMessages)
+	if a.settings.MaxMessages > 0 {
+		p.messageTimes = slices.DeleteFunc(append(p.messageTimes, now), func(at float64) bool {
+			return now-at > a.settings.MessageWindow
+		})
+		if len(p.messageTimes) > a.settings.MaxMessages {
+			a.addViolation(now, ChannelLimit, "%d messages to proxy %d within %.0f ms, limit %d", len(p.messageTimes), number,
+				a.settings.MessageWindow, a.settings.MaxMessages)
 		}
 	}
-	if o.Replace {
+	if order.Replace {
 		p.table = map[string]float64{}
 	}
-	for name, weight := range o.Rows {
+	for name, weight := range order.Rows {
 		if weight > 0 {
 			p.table[name] = weight
 		} else {
 			delete(p.table, name)
 		}
 	}
-	for _, name := range o.Drop {
-		p.shut[name] = true
+	for _, name := range order.Drop {
+		p.dropped[name] = true
 	}
-	for _, name := range o.Undrop {
-		delete(p.shut, name)
+	for _, name := range order.Undrop {
+		delete(p.dropped, name)
 	}
-	for k, retry := range o.Retries {
-		// Proof that a try never ran makes any repeat safe. After any failure only a safe class may run again; a keyed one's
-		// repeat is dropped only by servers that share the key, which a proxy doesn't choose by.
-		if class := a.set.Classes[k]; class.Effect != rules.Safe && retry > rules.RetryIfNotRun {
-			a.broken(now, UnsafeRetry, "class %s may be tried again by method %d", class.Name, retry)
+	for k, retry := range order.Retries {
+		// A request that provably never ran may always be retried. After other failures only a safe class may be retried:
+		// the retry of a keyed class is deduplicated only by servers that share the key, and proxies don't pick by key.
+		if class := a.settings.Classes[k]; class.Effect != rules.Safe && retry > rules.RetryIfNotRun {
+			a.addViolation(now, UnsafeRetry, "class %s is allowed retry method %d", class.Name, retry)
 		}
 	}
-	a.updateBareness(now, p)
+	a.updateNoServer(now, p)
 }
 
-// pass lets the channel send.
-func (a *Auditor) pass(now float64) {
-	a.queue = max(0, a.queue-(now-a.drained)/1000*a.set.LinesPerSec)
-	a.drained = now
+// drainQueue subtracts the lines that the channel has sent since the last call.
+func (a *Auditor) drainQueue(now float64) {
+	a.queueLines = max(0, a.queueLines-(now-a.queueUpdatedAt)/1000*a.settings.LinesPerSec)
+	a.queueUpdatedAt = now
 }
 
-// cold says whether a server has started lately, and its capacity as a share of its whole one.
-func (a *Auditor) capacity(now float64, s Server) (share float64, cold bool) {
+// capacityShare returns the current capacity of a server as a share of its full capacity, and whether it is warming up.
+func (a *Auditor) capacityShare(now float64, s Server) (share float64, warmingUp bool) {
 	age := now - s.StartedAt
-	if s.StartedAt == 0 || age >= a.set.WarmupTime {
+	if s.StartedAt == 0 || age >= a.settings.WarmupTime {
 		return 1, false
 	}
-	return a.set.StartCapacity + (1-a.set.StartCapacity)*max(0, age)/a.set.WarmupTime, true
+	return a.settings.StartCapacity + (1-a.settings.StartCapacity)*max(0, age)/a.settings.WarmupTime, true
 }
 
-// pickable says whether a proxy holds a line that it may pick.
-func (a *Auditor) pickable(p *proxy) bool {
+// hasUsableServer reports whether a proxy's table contains a ready server that is not dropped.
+func (a *Auditor) hasUsableServer(p *proxyState) bool {
 	for name := range p.table {
-		if e := a.servers[name]; e != nil && e.State == rules.Ready && !p.shut[name] {
+		if e := a.servers[name]; e != nil && e.State == rules.Ready && !p.dropped[name] {
 			return true
 		}
 	}
 	return false
 }
 
-func (a *Auditor) updateBareness(now float64, p *proxy) {
+// updateNoServer updates the time since when a proxy has no usable server.
+func (a *Auditor) updateNoServer(now float64, p *proxyState) {
 	switch {
-	case a.pickable(p):
-		p.bare = 0
-	case p.bare == 0:
-		p.bare, p.told = now, false
+	case a.hasUsableServer(p):
+		p.noServerSince = 0
+	case p.noServerSince == 0:
+		p.noServerSince, p.reported = now, false
 	}
 }
 
-func (a *Auditor) updateBarenessOfAll(now float64) {
+// updateNoServerOfAll does the same for all proxies.
+func (a *Auditor) updateNoServerOfAll(now float64) {
 	for _, p := range a.proxies {
-		a.updateBareness(now, p)
+		a.updateNoServer(now, p)
 	}
 }
 
-// Tick looks at everything that time alone can break. Call it every tenth of a second or so.
+// Tick checks the rules that can be violated by the passing of time alone. It should be called about every 100 ms.
 func (a *Auditor) Tick(now float64) {
 	readySize, warm := a.readyServers(now)
 	totalRate := 0.0
-	load := map[string]float64{} // requests a second that a server is sent
+	load := map[string]float64{} // requests per second, by server
 	for _, number := range slices.Sorted(maps.Keys(a.proxies)) {
 		p := a.proxies[number]
 		totalRate += p.rate
-		a.auditTable(now, number, p, load)
+		a.checkTable(now, number, p, load)
 		switch {
-		case p.bare <= 0:
+		case p.noServerSince <= 0:
 		case warm:
-			a.auditBareness(now, number, p)
+			a.checkNoServer(now, number, p)
 		default:
-			p.bare = now // its time counts from a warm server on
+			p.noServerSince = now // the time counts only while a warm server is ready
 		}
 	}
-	a.auditColdServers(now, load, readySize, totalRate)
+	a.checkWarmupOverload(now, load, readySize, totalRate)
 }
 
-// readyServers is the size of all ready servers together, and whether one of them is warm.
+// readyServers returns the total size of all ready servers, and whether one of them is warm.
 func (a *Auditor) readyServers(now float64) (size float64, warm bool) {
 	for _, e := range a.servers {
 		if e.State == rules.Ready {
-			_, cold := a.capacity(now, e.Server)
-			warm = warm || !cold
+			_, warmingUp := a.capacityShare(now, e.Server)
+			warm = warm || !warmingUp
 			size += e.Size
 		}
 	}
 	return size, warm
 }
 
-// auditTable adds what a proxy sends to each server by its table, and looks for servers that it should have let go.
-func (a *Auditor) auditTable(now float64, number int, p *proxy, load map[string]float64) {
-	sum := 0.0
+// checkTable adds the traffic of a proxy to the load of the servers in its table, and checks that the proxy doesn't use a server
+// for too long after it became unavailable.
+func (a *Auditor) checkTable(now float64, number int, p *proxyState, load map[string]float64) {
+	totalWeight := 0.0
 	for name, weight := range p.table {
-		if !p.shut[name] {
-			sum += weight
+		if !p.dropped[name] {
+			totalWeight += weight
 		}
 	}
 	for name, weight := range p.table {
-		if p.shut[name] {
+		if p.dropped[name] {
 			continue
 		}
-		load[name] += p.rate * weight / sum
+		load[name] += p.rate * weight / totalWeight
 		e := a.servers[name]
-		if e == nil || p.joinedAt == 0 || e.State == rules.Ready || e.State == rules.Removed && a.set.DrainOnly {
+		if e == nil || p.joinedAt == 0 || e.State == rules.Ready || e.State == rules.Removed && a.settings.DrainOnly {
 			continue
 		}
-		since := now - max(e.toldAt, a.begun+StartupGrace, p.joinedAt)
-		a.Peak.DrainMillis = max(a.Peak.DrainMillis, since)
-		if since > a.set.DrainGrace+Slack && !e.told {
-			e.told = true
-			a.broken(now, DrainedServer, "proxy %d holds %s, told %.0f ms ago", number, name, since)
+		elapsed := now - max(e.unavailableSince, a.startedAt+StartupGrace, p.joinedAt)
+		a.Peak.DrainMillis = max(a.Peak.DrainMillis, elapsed)
+		if elapsed > a.settings.DrainGrace+Slack && !e.reported {
+			e.reported = true
+			a.addViolation(now, DrainedServer, "proxy %d still has %s after %.0f ms", number, name, elapsed)
 		}
 	}
 }
 
-// auditBareness looks whether a proxy that has nothing to pick has had nothing for too long. Time counts while there is a warm
-// server that could be listed, as there is now.
-func (a *Auditor) auditBareness(now float64, number int, p *proxy) {
+// checkNoServer checks that a joined proxy isn't without a usable server for too long. It must be called only while a warm
+// server is ready, since only that time counts.
+func (a *Auditor) checkNoServer(now float64, number int, p *proxyState) {
 	if p.joinedAt <= 0 {
 		return
 	}
-	since := now - max(p.bare, a.begun+StartupGrace)
-	a.Peak.NoServerMillis = max(a.Peak.NoServerMillis, since)
-	if since > a.set.MaxTimeWithoutServer+Slack && !p.told {
-		p.told = true
-		a.broken(now, NoServer, "proxy %d for %.0f ms", number, since)
+	elapsed := now - max(p.noServerSince, a.startedAt+StartupGrace)
+	a.Peak.NoServerMillis = max(a.Peak.NoServerMillis, elapsed)
+	if elapsed > a.settings.MaxTimeWithoutServer+Slack && !p.reported {
+		p.reported = true
+		a.addViolation(now, NoServer, "proxy %d for %.0f ms", number, elapsed)
 	}
 }
 
-// auditColdServers looks for cold servers that have been sent too much for too long.
-func (a *Auditor) auditColdServers(now float64, load map[string]float64, readySize, totalRate float64) {
+// checkWarmupOverload checks that no server that is warming up is overloaded for too long.
+func (a *Auditor) checkWarmupOverload(now float64, load map[string]float64, readySize, totalRate float64) {
 	for name, e := range a.servers {
-		share, cold := a.capacity(now, e.Server)
-		canDo := share * e.Size / readySize * totalRate
-		if !cold || e.State != rules.Ready || readySize == 0 || load[name] <= a.set.OverloadFactor*canDo {
-			e.hotSince = 0
+		share, warmingUp := a.capacityShare(now, e.Server)
+		capacity := share * e.Size / readySize * totalRate
+		if !warmingUp || e.State != rules.Ready || readySize == 0 || load[name] <= a.settings.OverloadFactor*capacity {
+			e.overloadedSince = 0
 			continue
 		}
-		if e.hotSince == 0 {
-			e.hotSince = now
+		if e.overloadedSince == 0 {
+			e.overloadedSince = now
 		}
-		if now-e.hotSince > a.set.OverloadTime && !e.told {
-			e.told = true
-			a.broken(now, WarmupOverload, "%s is sent %.1f requests a second, it can do %.1f", name, load[name], canDo)
+		if now-e.overloadedSince > a.settings.OverloadTime && !e.reported {
+			e.reported = true
+			a.addViolation(now, WarmupOverload, "%s is sent %.1f requests per second, capacity %.1f", name,
+				load[name], capacity)
 		}
 	}
 }
--- a/internal/planner/cores/assigner.go
+++ b/internal/planner/cores/assigner.go
@@ -40,8 +40,8 @@
 	ShareNumber   uint64    // number of the Share in use
 	QueuedLines   float64   // lines buffered for its proxies
 	JoinedProxies float64   // number of joined proxies
-	TypicalRates  []float64 // typical requests per second of a proxy, by zone
-	Demands       []float64 // demand, by request class
+	TypicalRates  []float64 // typical requests per second of its proxies, by zone
+	Demands       []float64 // recent requests per second of its proxies, by class
 }
 
 // Command is an instruction of an Assigner to its host.
--- a/internal/planner/simhost/simhost.go
+++ b/internal/planner/simhost/simhost.go
@@ -1,4 +1,4 @@
-// Package simhost hosts instances of the decision module behind the simulator's wire.
+// Package simhost runs instances of the decision module for the simulator, over the protocol of package wire.
 package simhost
 
 import (
@@ -11,23 +11,23 @@
 	"mulleinwood/rules"
 )
 
-// Stepper is the part of a rules.Controller that the host drives.
+// Stepper is the part of rules.Controller that a Host uses.
 type Stepper interface {
 	Step(now float64, events []rules.Event) []rules.Action
 }
 
-// Host keeps one Stepper for each running instance. Instances share nothing.
+// Host holds a Stepper for each running instance. Instances share no state. A Host is not safe for concurrent use.
 type Host struct {
 	start     func(rules.Settings, uint64) Stepper
 	instances map[uint16]Stepper
 }
 
-// New returns a host that starts instances with start.
+// New returns a Host without instances, which creates the Stepper of a new instance by calling start.
 func New(start func(rules.Settings, uint64) Stepper) *Host {
 	return &Host{start: start, instances: map[uint16]Stepper{}}
 }
 
-// Serve answers every frame of r on w until r ends.
+// Serve reads frames from r and writes a reply to each to w. It returns nil when r ends between two frames.
 func Serve(r io.Reader, w io.Writer) error {
 	h := New(func(s rules.Settings, seed uint64) Stepper { return rules.New(s, seed) })
 	in, out := bufio.NewReaderSize(r, 1<<16), bufio.NewWriterSize(w, 1<<16)
@@ -56,15 +56,16 @@
 	}
 }
 
-// Respond steps every instance that the batch names, in the order in which they first appear.
-func (h *Host) Respond(b wire.Batch) ([]byte, error) {
+// Respond steps each running instance that the batch contains, in the order of their first records, and returns the encoded
+// reply. A start or stop record discards the earlier events of its instance in the batch.
+func (h *Host) Respond(batch wire.Batch) ([]byte, error) {
 	var reply wire.Reply
-	var order []uint16
+	var instanceOrder []uint16
 	events := map[uint16][]rules.Event{}
-	for _, r := range b.Records {
+	for _, r := range batch.Records {
 		if _, seen := events[r.Instance]; !seen {
 			events[r.Instance] = nil
-			order = append(order, r.Instance)
+			instanceOrder = append(instanceOrder, r.Instance)
 		}
 		switch {
 		case r.Stop:
@@ -77,12 +78,12 @@
 			events[r.Instance] = append(events[r.Instance], r.Event)
 		}
 	}
-	for _, id := range order {
-		inst, running := h.instances[id]
+	for _, id := range instanceOrder {
+		stepper, running := h.instances[id]
 		if !running {
 			continue
 		}
-		actions, failure := step(inst, b.Now, events[id])
+		actions, failure := step(stepper, batch.Now, events[id])
 		if len(actions) == 0 && failure == "" {
 			continue
 		}
@@ -100,7 +101,7 @@
 	return reply.Frame(), nil
 }
 
-// step turns a panic of the module into the text of its failure record.
+// step calls Step. If the module panics, step returns no actions and the text for a failure record.
 func step(s Stepper, now float64, events []rules.Event) (actions []rules.Action, failure string) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/planner/simhost/simhost_test.go
+++ b/internal/planner/simhost/simhost_test.go
@@ -12,23 +12,23 @@
 	"mulleinwood/rules"
 )
 
-// recorder is a Stepper that keeps what it was given; it panics on a timer with token 13.
+// recorder is a Stepper that records its events. It panics on a tick with token 13.
 type recorder struct {
-	turns [][]rules.Event
+	steps [][]rules.Event
 }
 
 func (r *recorder) Step(_ float64, events []rules.Event) []rules.Action {
-	r.turns = append(r.turns, events)
+	r.steps = append(r.steps, events)
 	for _, e := range events {
 		if tick, ok := e.(rules.Tick); ok && tick.Token == 13 {
 			var none []int
 			_ = none[tick.Token]
 		}
 	}
-	return []rules.Action{rules.Timer{Delay: 1, Token: uint32(len(r.turns))}}
+	return []rules.Action{rules.Timer{Delay: 1, Token: uint32(len(r.steps))}}
 }
 
-func host() (*Host, *[]*recorder) {
+func newTestHost() (*Host, *[]*recorder) {
 	var all []*recorder
 	return New(func(rules.Settings, uint64) Stepper {
 		all = append(all, &recorder{})
@@ -36,12 +36,12 @@
 	}), &all
 }
 
-func born(i uint16) wire.Record { return wire.Record{Instance: i, Start: &wire.Start{}} }
-func tick(i uint16, token uint32) wire.Record {
+func startRecord(i uint16) wire.Record { return wire.Record{Instance: i, Start: &wire.Start{}} }
+func tickRecord(i uint16, token uint32) wire.Record {
 	return wire.Record{Instance: i, Event: rules.Tick{Token: token}}
 }
 
-func answer(t *testing.T, h *Host, records ...wire.Record) []byte {
+func respond(t *testing.T, h *Host, records ...wire.Record) []byte {
 	t.Helper()
 	frame, err := h.Respond(wire.Batch{Records: records})
 	if err != nil {
@@ -51,42 +51,42 @@
 }
 
 func TestInstancesShareNothing(t *testing.T) {
-	h, all := host()
-	answer(t, h, born(1), born(2), tick(1, 5), tick(2, 6), tick(1, 7))
+	h, all := newTestHost()
+	respond(t, h, startRecord(1), startRecord(2), tickRecord(1, 5), tickRecord(2, 6), tickRecord(1, 7))
 	one, two := (*all)[0], (*all)[1]
-	if len(one.turns) != 1 || len(one.turns[0]) != 2 || len(two.turns) != 1 || len(two.turns[0]) != 1 {
-		t.Fatalf("turns %v and %v, want one each with the instance's own events", one.turns, two.turns)
+	if len(one.steps) != 1 || len(one.steps[0]) != 2 || len(two.steps) != 1 || len(two.steps[0]) != 1 {
+		t.Fatalf("steps %v and %v, want one each with the instance's own events", one.steps, two.steps)
 	}
 }
 
 func TestStopAndStartInOneBatch(t *testing.T) {
-	h, all := host()
-	answer(t, h, born(1), tick(1, 1))
-	answer(t, h, tick(1, 2), wire.Record{Instance: 1, Stop: true}, born(1), tick(1, 3))
+	h, all := newTestHost()
+	respond(t, h, startRecord(1), tickRecord(1, 1))
+	respond(t, h, tickRecord(1, 2), wire.Record{Instance: 1, Stop: true}, startRecord(1), tickRecord(1, 3))
 	if len(*all) != 2 {
 		t.Fatalf("%d instances were started, want 2", len(*all))
 	}
-	if turns := (*all)[1].turns; len(turns) != 1 || len(turns[0]) != 1 || turns[0][0] != (rules.Tick{Token: 3}) {
-		t.Fatalf("the new instance saw %v, want only what came after its start", turns)
+	if steps := (*all)[1].steps; len(steps) != 1 || len(steps[0]) != 1 || steps[0][0] != (rules.Tick{Token: 3}) {
+		t.Fatalf("the new instance got %v, want only the events after its start", steps)
 	}
-	if got := len((*all)[0].turns); got != 1 {
-		t.Fatalf("the stopped instance had %d turns, want 1", got)
+	if got := len((*all)[0].steps); got != 1 {
+		t.Fatalf("the stopped instance had %d steps, want 1", got)
 	}
-	answer(t, h, wire.Record{Instance: 1, Stop: true})
-	if frame := answer(t, h, tick(1, 4)); !bytes.Equal(frame, make([]byte, 8)) {
-		t.Fatalf("a stopped instance acted: %x", frame)
+	respond(t, h, wire.Record{Instance: 1, Stop: true})
+	if frame := respond(t, h, tickRecord(1, 4)); !bytes.Equal(frame, make([]byte, 8)) {
+		t.Fatalf("a stopped instance returned actions: %x", frame)
 	}
 }
 
 func TestPanicBecomesTheFailureRecord(t *testing.T) {
-	h, _ := host()
-	frame := answer(t, h, born(1), tick(1, 13))
+	h, _ := newTestHost()
+	frame := respond(t, h, startRecord(1), tickRecord(1, 13))
 	if !bytes.Contains(frame, []byte("index out of range")) || frame[8+16] != 5 {
-		t.Fatalf("reply %x holds no failure record with the panic's text", frame)
+		t.Fatalf("reply %x contains no failure record with the panic's text", frame)
 	}
 }
 
-func batch(now float64, records ...[]byte) []byte {
+func encodeBatch(now float64, records ...[]byte) []byte {
 	out := binary.LittleEndian.AppendUint32(nil, uint32(48*len(records)))
 	out = binary.LittleEndian.AppendUint64(out, math.Float64bits(now))
 	out = binary.LittleEndian.AppendUint32(out, uint32(len(records)))
@@ -98,7 +98,7 @@
 
 func TestServeAnswersEveryFrameAndEndsCleanly(t *testing.T) {
 	var out bytes.Buffer
-	in := append(batch(1), batch(2, []byte{15, 1, 0}, []byte{3, 1, 0, 0, 0})...)
+	in := append(encodeBatch(1), encodeBatch(2, []byte{15, 1, 0}, []byte{3, 1, 0, 0, 0})...)
 	if err := Serve(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
@@ -107,34 +107,35 @@
 	}
 }
 
-func TestServeNamesWhatIsWrong(t *testing.T) {
-	good := batch(1, []byte{15, 1, 0})
+func TestServeReportsInvalidInput(t *testing.T) {
+	good := encodeBatch(1, []byte{15, 1, 0})
 	for _, tc := range []struct {
 		in   []byte
-		says string
+		want string
 	}{
 		{good[:20], "read: frame body: 20 of 64 bytes"},
 		{good[:3], "read: frame header: 3 of 16 bytes"},
-		{batch(1, []byte{3, 1, 0, 0, 0}), "decode: record 0: no instance"},
-		{batch(1, []byte{15, 1, 0}, []byte{77}), "decode: record 1: unknown event code 77"},
+		{encodeBatch(1, []byte{3, 1, 0, 0, 0}), "decode: record 0: no instance"},
+		{encodeBatch(1, []byte{15, 1, 0}, []byte{77}), "decode: record 1: unknown event code 77"},
 	} {
 		err := Serve(bytes.NewReader(tc.in), io.Discard)
-		if err == nil || !strings.Contains(err.Error(), tc.says) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("error %v, want one line that says %q", err, tc.says)
+		if err == nil || !strings.Contains(err.Error(), tc.want) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("error %v, want one line that contains %q", err, tc.want)
 		}
 	}
 }
 
-// flushes counts what the writer got between reads: every reply goes out before the next frame is read.
-type flushes struct {
-	frames  [][]byte
-	written int
-	seen    []int
+// flushChecker records the number of bytes written before each read, to check that every reply is flushed before the next
+// frame is read.
+type flushChecker struct {
+	frames        [][]byte
+	written       int
+	writtenAtRead []int
 }
 
-func (f *flushes) Write(p []byte) (int, error) { f.written += len(p); return len(p), nil }
-func (f *flushes) Read(p []byte) (int, error) {
-	f.seen = append(f.seen, f.written)
+func (f *flushChecker) Write(p []byte) (int, error) { f.written += len(p); return len(p), nil }
+func (f *flushChecker) Read(p []byte) (int, error) {
+	f.writtenAtRead = append(f.writtenAtRead, f.written)
 	if len(f.frames) == 0 {
 		return 0, io.EOF
 	}
@@ -144,11 +145,11 @@
 }
 
 func TestEveryReplyIsFlushed(t *testing.T) {
-	f := &flushes{frames: [][]byte{batch(1), batch(2)}}
+	f := &flushChecker{frames: [][]byte{encodeBatch(1), encodeBatch(2)}}
 	if err := Serve(f, f); err != nil {
 		t.Fatal(err)
 	}
-	if len(f.seen) != 3 || f.seen[1] != 8 || f.seen[2] != 16 {
-		t.Fatalf("bytes written before each read: %v, want 0, 8, 16", f.seen)
+	if len(f.writtenAtRead) != 3 || f.writtenAtRead[1] != 8 || f.writtenAtRead[2] != 16 {
+		t.Fatalf("bytes written before each read: %v, want 0, 8, 16", f.writtenAtRead)
 	}
 }
--- a/internal/planner/wire/wire_test.go
+++ b/internal/planner/wire/wire_test.go
@@ -16,7 +16,7 @@
 	"mulleinwood/rules"
 )
 
-// settingsText is what the tests of package settings read too.
+// settingsText is the test configuration that the tests of package settings also use.
 var settingsText = func() string {
 	text, err := os.ReadFile("../settings/testdata/settings.json")
 	if err != nil {
@@ -177,24 +177,24 @@
 	tail := append([]byte(settingsText), rows...)
 	n := uint32(len(settingsText))
 	records := [][]byte{
-		event(evSwitchTo, uint16(3)),
-		event(evBorn, uint64(99), uint32(0), n),
-		event(evEndpoints, byte(0), uint32(41), n, uint32(3)),
-		event(evEndpoints, byte(3), uint32(41), uint32(0), uint32(0)),
-		event(evTickDue, uint32(77)),
-		event(evEcho, uint32(8), uint16(100), 22.2, byte(2), float32(0.5), float32(7)),
-		event(evEcho, uint32(8), uint16(302), 1.0),
-		event(evEcho, uint32(8), uint16(303), 250.0),
-		event(evPeerData, uint32(2), uint32(0), uint32(4)),
-		event(evHalt),
-		event(evStreamUp, uint16(41), byte(1), float32(6.5), byte(1)),
-		event(evStreamDown, uint16(41)),
-		event(evInForce, uint16(12), uint32(41), 404.5),
-		event(evRoundup, byte(1), uint32(14), 48.25, uint32(1), 1000.0, uint32(8), byte(0)),
-		event(evIngress, uint16(41), uint16(2), uint32(9), uint32(1), 1000.0),
-		event(evPressure, uint32(23), uint16(0), uint16(117), 1000.0, uint32(2)),
-		event(evAssignedToMe, byte(1), uint16(117)),
-		event(evInStore, uint16(117), uint32(8), float32(1)),
+		event(eventSelectInstance, uint16(3)),
+		event(eventStart, uint64(99), uint32(0), n),
+		event(eventList, byte(0), uint32(41), n, uint32(3)),
+		event(eventList, byte(3), uint32(41), uint32(0), uint32(0)),
+		event(eventTick, uint32(77)),
+		event(eventProbed, uint32(8), uint16(100), 22.2, byte(2), float32(0.5), float32(7)),
+		event(eventProbed, uint32(8), uint16(302), 1.0),
+		event(eventProbed, uint32(8), uint16(303), 250.0),
+		event(eventPeerData, uint32(2), uint32(0), uint32(4)),
+		event(eventStop),
+		event(eventJoined, uint16(41), byte(1), float32(6.5), byte(1)),
+		event(eventLeft, uint16(41)),
+		event(eventAck, uint16(12), uint32(41), 404.5),
+		event(eventHeard, byte(1), uint32(14), 48.25, uint32(1), 1000.0, uint32(8), byte(0)),
+		event(eventDemand, uint16(41), uint16(2), uint32(9), uint32(1), 1000.0),
+		event(eventSlicePressure, uint32(23), uint16(0), uint16(117), 1000.0, uint32(2)),
+		event(eventSliceAssigned, byte(1), uint16(117)),
+		event(eventSliceStored, uint16(117), uint32(8), float32(1)),
 	}
 	b, err := Decode(frame(8412.25, tail, records...))
 	if err != nil {
@@ -236,42 +236,42 @@
 }
 
 func TestBadBatches(t *testing.T) {
-	good := frame(5, nil, event(evSwitchTo, uint16(1)), event(evTickDue, uint32(1)))
+	good := frame(5, nil, event(eventSelectInstance, uint16(1)), event(eventTick, uint32(1)))
 	count := append([]byte(nil), good...)
 	count[12] = 200
 	length := append([]byte(nil), good...)
 	length[0]++
 	clock := append([]byte(nil), good...)
 	binary.LittleEndian.PutUint64(clock[4:], math.Float64bits(math.NaN()))
-	sel := event(evSwitchTo, uint16(1))
+	selectOne := event(eventSelectInstance, uint16(1))
 	for name, tc := range map[string]struct {
 		in   []byte
-		says string
+		want string
 	}{
 		"short":         {good[:9], "no header"},
 		"count":         {count, "200 records"},
 		"length":        {length, "after its header"},
 		"clock":         {clock, "clock"},
-		"no instance":   {frame(5, nil, event(evTickDue, uint32(1))), "record 0: no instance"},
-		"unknown code":  {frame(5, nil, sel, event(99)), "record 1: unknown event code 99"},
-		"list kind":     {frame(5, nil, sel, event(evEndpoints, byte(9))), "list kind 9"},
-		"tail":          {frame(5, nil, sel, event(evEndpoints, byte(0), uint32(1), uint32(4), uint32(1))), "tail"},
-		"tail overflow": {frame(5, nil, sel, event(evEndpoints, byte(0), uint32(1), ^uint32(0), ^uint32(0))), "tail"},
-		"peer tail":     {frame(5, nil, sel, event(evPeerData, uint32(1), uint32(0), uint32(9))), "tail"},
-		"born tail":     {frame(5, nil, sel, event(evBorn, uint64(1), uint32(0), uint32(9))), "tail"},
-		"settings":      {frame(5, []byte("{]"), sel, event(evBorn, uint64(1), uint32(0), uint32(2))), "settings"},
-		"readiness": {frame(5, row(1, 0, 0, 7, 0, 0, 1), sel, event(evEndpoints, byte(0), uint32(1), uint32(0), uint32(1))),
+		"no instance":   {frame(5, nil, event(eventTick, uint32(1))), "record 0: no instance"},
+		"unknown code":  {frame(5, nil, selectOne, event(99)), "record 1: unknown event code 99"},
+		"list kind":     {frame(5, nil, selectOne, event(eventList, byte(9))), "list kind 9"},
+		"tail":          {frame(5, nil, selectOne, event(eventList, byte(0), uint32(1), uint32(4), uint32(1))), "tail"},
+		"tail overflow": {frame(5, nil, selectOne, event(eventList, byte(0), uint32(1), ^uint32(0), ^uint32(0))), "tail"},
+		"peer tail":     {frame(5, nil, selectOne, event(eventPeerData, uint32(1), uint32(0), uint32(9))), "tail"},
+		"start tail":    {frame(5, nil, selectOne, event(eventStart, uint64(1), uint32(0), uint32(9))), "tail"},
+		"settings":      {frame(5, []byte("{]"), selectOne, event(eventStart, uint64(1), uint32(0), uint32(2))), "settings"},
+		"readiness": {frame(5, row(1, 0, 0, 7, 0, 0, 1), selectOne, event(eventList, byte(0), uint32(1), uint32(0), uint32(1))),
 			"readiness 7"},
-		"load": {frame(5, nil, sel, event(evEcho, uint32(1), uint16(100), 1.0, byte(9))), "load report with 9"},
+		"load": {frame(5, nil, selectOne, event(eventProbed, uint32(1), uint16(100), 1.0, byte(9))), "load report with 9"},
 	} {
-		if _, err := Decode(tc.in); err == nil || !strings.Contains(err.Error(), tc.says) {
-			t.Errorf("%s: error %v, want one that says %q", name, err, tc.says)
+		if _, err := Decode(tc.in); err == nil || !strings.Contains(err.Error(), tc.want) {
+			t.Errorf("%s: error %v, want one that contains %q", name, err, tc.want)
 		}
 	}
 }
 
 func TestReadFrame(t *testing.T) {
-	good := frame(5, nil, event(evSwitchTo, uint16(1)), event(evTickDue, uint32(1)))
+	good := frame(5, nil, event(eventSelectInstance, uint16(1)), event(eventTick, uint32(1)))
 	big := frame(5, make([]byte, 200<<10))
 	r := bytes.NewReader(append(append([]byte(nil), good...), big...))
 	for _, want := range [][]byte{good, big} {
@@ -292,27 +292,27 @@
 	if _, err := ReadFrame(bytes.NewReader(huge)); err == nil || !strings.Contains(err.Error(), "limit") {
 		t.Errorf("error %v on a huge length", err)
 	}
-	// A stated length allocates nothing by itself.
+	// A stated length alone must not cause a large allocation.
 	binary.LittleEndian.PutUint32(huge, 1<<30)
 	if n := testing.Benchmark(func(b *testing.B) {
 		for range b.N {
 			if _, err := ReadFrame(bytes.NewReader(huge)); err == nil {
-				b.Fatal("a cut frame was read")
+				b.Fatal("a truncated frame was read")
 			}
 		}
 	}).AllocedBytesPerOp(); n > 1<<20 {
-		t.Errorf("%d bytes allocated for a cut frame of stated 1 GiB", n)
+		t.Errorf("%d bytes allocated for a truncated frame with a stated length of 1 GiB", n)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
 	f.Add(frame(5, nil))
-	f.Add(frame(5, nil, event(evSwitchTo, uint16(1)), event(evTickDue, uint32(1))))
-	f.Add(frame(5, row(1, 0, 0, 1, 0, 0, 1), event(evSwitchTo, uint16(1)),
-		event(evEndpoints, byte(1), uint32(1), uint32(0), uint32(1))))
-	f.Add(frame(5, []byte(settingsText), event(evSwitchTo, uint16(1)),
-		event(evBorn, uint64(1), uint32(0), uint32(len(settingsText)))))
-	f.Add(frame(5, nil, event(evSwitchTo, uint16(1)), event(evEcho, uint32(1), uint16(100), 1.0, byte(4))))
+	f.Add(frame(5, nil, event(eventSelectInstance, uint16(1)), event(eventTick, uint32(1))))
+	f.Add(frame(5, row(1, 0, 0, 1, 0, 0, 1), event(eventSelectInstance, uint16(1)),
+		event(eventList, byte(1), uint32(1), uint32(0), uint32(1))))
+	f.Add(frame(5, []byte(settingsText), event(eventSelectInstance, uint16(1)),
+		event(eventStart, uint64(1), uint32(0), uint32(len(settingsText)))))
+	f.Add(frame(5, nil, event(eventSelectInstance, uint16(1)), event(eventProbed, uint32(1), uint16(100), 1.0, byte(4))))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		b, err := Decode(in)
 		if err != nil {
@@ -323,7 +323,7 @@
 		}
 		for i, r := range b.Records {
 			if r.Start != nil && (r.Stop || r.Event != nil) || r.Stop && r.Event != nil {
-				t.Fatalf("record %d says several things: %+v", i, r)
+				t.Fatalf("record %d has more than one of Start, Stop and Event: %+v", i, r)
 			}
 		}
 	})
