--- a/internal/planner/wire/wire_test.go
+++ b/internal/planner/wire/wire_test.go
@@ -200,7 +200,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set, err := settings.Parse([]byte(settingsText))
+	parsed, err := settings.Parse([]byte(settingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -209,7 +209,7 @@
 		{ID: 0x2c9011f2, Weight: 1.5, Kind: 2, Zone: 1, State: rules.Draining, StartedAt: 5332, Cell: 9},
 		{ID: 7, State: rules.Removed}}}
 	want := []Record{
-		{Instance: 3, Start: &Start{Seed: 99, Settings: set.Rules}},
+		{Instance: 3, Start: &Start{Seed: 99, Settings: parsed.Rules}},
 		{Instance: 3, Event: list},
 		{Instance: 3, Event: rules.List{Kind: rules.ListFailed}},
 		{Instance: 3, Event: rules.Tick{Token: 77}},
@@ -243,7 +243,7 @@
 	length[0]++
 	clock := append([]byte(nil), good...)
 	binary.LittleEndian.PutUint64(clock[4:], math.Float64bits(math.NaN()))
-	selectOne := event(eventSelectInstance, uint16(1))
+	selectInstance := event(eventSelectInstance, uint16(1))
 	for name, tc := range map[string]struct {
 		in   []byte
 		want string
@@ -253,16 +253,16 @@
 		"length":        {length, "after its header"},
 		"clock":         {clock, "clock"},
 		"no instance":   {frame(5, nil, event(eventTick, uint32(1))), "record 0: no instance"},
-		"unknown code":  {frame(5, nil, selectOne, event(99)), "record 1: unknown event code 99"},
-		"list kind":     {frame(5, nil, selectOne, event(eventList, byte(9))), "list kind 9"},
-		"tail":          {frame(5, nil, selectOne, event(eventList, byte(0), uint32(1), uint32(4), uint32(1))), "tail"},
-		"tail overflow": {frame(5, nil, selectOne, event(eventList, byte(0), uint32(1), ^uint32(0), ^uint32(0))), "tail"},
-		"peer tail":     {frame(5, nil, selectOne, event(eventPeerData, uint32(1), uint32(0), uint32(9))), "tail"},
-		"start tail":    {frame(5, nil, selectOne, event(eventStart, uint64(1), uint32(0), uint32(9))), "tail"},
-		"settings":      {frame(5, []byte("{]"), selectOne, event(eventStart, uint64(1), uint32(0), uint32(2))), "settings"},
-		"readiness": {frame(5, row(1, 0, 0, 7, 0, 0, 1), selectOne, event(eventList, byte(0), uint32(1), uint32(0), uint32(1))),
+		"unknown code":  {frame(5, nil, selectInstance, event(99)), "record 1: unknown event code 99"},
+		"list kind":     {frame(5, nil, selectInstance, event(eventList, byte(9))), "list kind 9"},
+		"tail":          {frame(5, nil, selectInstance, event(eventList, byte(0), uint32(1), uint32(4), uint32(1))), "tail"},
+		"tail overflow": {frame(5, nil, selectInstance, event(eventList, byte(0), uint32(1), ^uint32(0), ^uint32(0))), "tail"},
+		"peer tail":     {frame(5, nil, selectInstance, event(eventPeerData, uint32(1), uint32(0), uint32(9))), "tail"},
+		"start tail":    {frame(5, nil, selectInstance, event(eventStart, uint64(1), uint32(0), uint32(9))), "tail"},
+		"settings":      {frame(5, []byte("{]"), selectInstance, event(eventStart, uint64(1), uint32(0), uint32(2))), "settings"},
+		"readiness": {frame(5, row(1, 0, 0, 7, 0, 0, 1), selectInstance, event(eventList, byte(0), uint32(1), uint32(0), uint32(1))),
 			"readiness 7"},
-		"load": {frame(5, nil, selectOne, event(eventProbed, uint32(1), uint16(100), 1.0, byte(9))), "load report with 9"},
+		"load": {frame(5, nil, selectInstance, event(eventProbed, uint32(1), uint16(100), 1.0, byte(9))), "load report with 9"},
 	} {
 		if _, err := Decode(tc.in); err == nil || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%s: error %v, want one that contains %q", name, err, tc.want)
@@ -282,9 +282,9 @@
 	if _, err := ReadFrame(r); err != io.EOF {
 		t.Fatalf("error %v at the end, want io.EOF", err)
 	}
-	for _, cut := range []int{1, 4, 15, 16, 40, len(good) - 1} {
-		if _, err := ReadFrame(bytes.NewReader(good[:cut])); !errors.Is(err, io.ErrUnexpectedEOF) {
-			t.Errorf("cut at %d: error %v, want an unexpected end", cut, err)
+	for _, length := range []int{1, 4, 15, 16, 40, len(good) - 1} {
+		if _, err := ReadFrame(bytes.NewReader(good[:length])); !errors.Is(err, io.ErrUnexpectedEOF) {
+			t.Errorf("cut at %d: error %v, want an unexpected end", length, err)
 		}
 	}
 	huge := append([]byte(nil), good...)
--- a/internal/planner/xds/mixed_test.go
+++ b/internal/planner/xds/mixed_test.go
@@ -29,14 +29,14 @@
 
 const (
 	lines           peerProtocol = iota // line protocol
-	stateOfTheWorld                     // gRPC, state of the world
-	incremental                         // gRPC, incremental
+	stateOfTheWorld                     // gRPC, state-of-the-world form
+	incremental                         // gRPC, incremental form
 )
 
 // testPeer is a stream of a proxy or a collector with any protocol.
 type testPeer struct {
 	id            uint64
-	speaks        peerProtocol
+	variant       peerProtocol
 	now           *float64
 	proxy         int
 	zone          string
@@ -44,8 +44,8 @@
 	loads         *xds.LoadStream
 	table         map[string]float64
 	levels        map[string]float64
-	pendingNonces []string // responses to acknowledge
-	stamps        []uint32
+	pendingNonces []string // of the responses to acknowledge
+	stamps        []uint32 // of the line messages to acknowledge
 }
 
 func (p *testPeer) ID() uint64  { return p.id }
@@ -53,9 +53,10 @@
 func (p *testPeer) Await()      {}
 func (p *testPeer) Close(error) {}
 
-func (p *testPeer) Order(o protocol.Orders) error {
-	if p.speaks == lines {
-		text, err := o.Append(nil)
+// Order applies orders to the table of the peer, in the form of its protocol.
+func (p *testPeer) Order(orders protocol.Orders) error {
+	if p.variant == lines {
+		text, err := orders.Append(nil)
 		if err != nil {
 			return err
 		}
@@ -82,7 +83,7 @@
 		}
 		return nil
 	}
-	m, err := p.assignments.Encode(*p.now, o)
+	m, err := p.assignments.Encode(*p.now, orders)
 	if err != nil {
 		return err
 	}
@@ -161,9 +162,9 @@
 // runDay runs one scripted day. protocolOf returns the protocol of each new stream; nothing else differs between two runs
 // with the same seed.
 func runDay(t *testing.T, seed uint64, protocolOf func(stream int) peerProtocol) (log []string, proxies []*testPeer) {
-	const servers, looks = 12, 250
+	const servers, rounds = 12, 250
 	set := mixedSettings
-	facts := xds.Config{Zones: set.ZoneNames, Classes: []string{"view", "pay"}, ReportPeriod: 1000,
+	config := xds.Config{Zones: set.ZoneNames, Classes: []string{"view", "pay"}, ReportPeriod: 1000,
 		Bounds: protocol.Bounds{Proxies: set.Rules.Proxies, MeanMost: 4000, SpanMost: 60000}}
 	rng, now := rand.New(rand.NewPCG(seed, 17)), 1e6
 	known := protocol.List{Revision: 1, Complete: true}
@@ -182,7 +183,7 @@
 		}
 	}
 	line := func(p *testPeer, text string) {
-		m, err := protocol.Decode([]byte(text), facts.Bounds)
+		m, err := protocol.Decode([]byte(text), config.Bounds)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -191,13 +192,13 @@
 	newPeer := func(proxy int, zone string) *testPeer {
 		id++
 		streams++
-		return &testPeer{id: id, speaks: protocolOf(streams), now: &now, proxy: proxy, zone: zone, table: map[string]float64{}, levels: map[string]float64{}}
+		return &testPeer{id: id, variant: protocolOf(streams), now: &now, proxy: proxy, zone: zone, table: map[string]float64{}, levels: map[string]float64{}}
 	}
 	join := func(proxy int) *testPeer {
 		p := newPeer(proxy, set.ZoneNames[proxy%2])
-		p.assignments, p.loads = xds.NewAssignmentStream(facts, p.speaks == incremental), xds.NewLoadStream(facts)
+		p.assignments, p.loads = xds.NewAssignmentStream(config, p.variant == incremental), xds.NewLoadStream(config)
 		node := standin.ProxyNode(proxy, p.zone, 20)
-		switch p.speaks {
+		switch p.variant {
 		case lines:
 			line(p, fmt.Sprintf(`{"t":"attach","proxy":%d,"zone":%q,"weight":20,"fresh":true}`, proxy, p.zone))
 		case stateOfTheWorld:
@@ -207,24 +208,24 @@
 			}
 			deliver(p, messages)
 		case incremental:
-			messages, _, err := p.assignments.HandleDeltaRequest(now, &discovery.DeltaDiscoveryRequest{Node: node, TypeUrl: xds.EndpointsTypeURL, ResourceNamesSubscribe: facts.Classes})
+			messages, _, err := p.assignments.HandleDeltaRequest(now, &discovery.DeltaDiscoveryRequest{Node: node, TypeUrl: xds.EndpointsTypeURL, ResourceNamesSubscribe: config.Classes})
 			if err != nil {
 				t.Fatal(err)
 			}
 			deliver(p, messages)
 		}
-		if p.speaks != lines {
+		if p.variant != lines {
 			p.loads.HandleRequest(&load.LoadStatsRequest{Node: node})
 		}
 		return p
 	}
 	collect := func(zone string) *testPeer {
 		p := newPeer(-1, zone)
-		if p.speaks == lines {
+		if p.variant == lines {
 			line(p, fmt.Sprintf(`{"t":"telemetry","zone":%q}`, zone))
 			return p
 		}
-		p.loads = xds.NewLoadStream(facts)
+		p.loads = xds.NewLoadStream(config)
 		update, err := p.loads.HandleRequest(&load.LoadStatsRequest{Node: standin.CollectorNode(zone)})
 		if err != nil {
 			t.Fatal(err)
@@ -234,7 +235,7 @@
 	}
 	proxies = make([]*testPeer, set.Rules.Proxies)
 	var collectors []*testPeer
-	for look := range looks {
+	for round := range rounds {
 		now += 100
 		for i := range proxies {
 			if proxies[i] == nil || rng.IntN(300) == 0 { // joins, or reconnects before the end of its old stream is noticed
@@ -245,7 +246,7 @@
 			}
 			p := proxies[i]
 			for n, late := len(p.stamps)+len(p.pendingNonces), rng.IntN(4) == 0; n > 0 && !late; n-- {
-				if p.speaks == lines {
+				if p.variant == lines {
 					line(p, fmt.Sprintf(`{"t":"done","proxy":%d,"mark":%d,"took_ms":%v}`, i, p.stamps[0], 0))
 					p.stamps = p.stamps[1:]
 					continue
@@ -257,12 +258,12 @@
 				deliver(p, messages)
 				p.pendingNonces = p.pendingNonces[1:]
 			}
-			for k, class := range facts.Classes {
+			for k, class := range config.Classes {
 				tries := rng.IntN(30)
-				if (look+i)%10 != k {
+				if (round+i)%10 != k {
 					continue
 				}
-				if p.speaks == lines {
+				if p.variant == lines {
 					line(p, fmt.Sprintf(`{"t":"client_stats","proxy":%d,"class":%q,"tries":%d,"failed":0,"span_ms":1000}`, i, class, tries))
 					continue
 				}
@@ -274,19 +275,19 @@
 				deliver(p, update.Messages)
 			}
 		}
-		if look%70 == 0 {
+		if round%70 == 0 {
 			collectors = []*testPeer{collect("n"), collect("s")}
 		}
 		for z, c := range collectors {
 			for i := range servers {
 				tries, mean, failed := 5+rng.IntN(20), 60+rng.IntN(40)+i*10, 0
-				if (look+i+z)%10 > 0 {
+				if (round+i+z)%10 > 0 {
 					continue
 				}
-				if i == 5 && look > 100 && look < 160 {
+				if i == 5 && round > 100 && round < 160 {
 					failed = tries
 				}
-				if c.speaks == lines {
+				if c.variant == lines {
 					line(c, fmt.Sprintf(`{"t":"upstream_stats","zone":%q,"server":"s-%d","tries":%d,"failed":%d,"mean_ms":%d,"span_ms":1000}`, c.zone, i, tries, failed, mean))
 					continue
 				}
@@ -299,11 +300,11 @@
 				deliver(c, update.Messages)
 			}
 		}
-		switch i := look / 40 % servers; look % 40 {
+		switch i := round / 40 % servers; round % 40 {
 		case 10:
-			router.Handle(routing.Notified{List: protocol.List{Revision: int64(look), Members: []protocol.Member{entry(i, protocol.PhaseDraining, 0)}}})
+			router.Handle(routing.Notified{List: protocol.List{Revision: int64(round), Members: []protocol.Member{entry(i, protocol.PhaseDraining, 0)}}})
 		case 30:
-			router.Handle(routing.Notified{List: protocol.List{Revision: int64(look), Members: []protocol.Member{entry(i, protocol.PhaseUp, now)}}})
+			router.Handle(routing.Notified{List: protocol.List{Revision: int64(round), Members: []protocol.Member{entry(i, protocol.PhaseUp, now)}}})
 		}
 		if _, _, err := router.Turn(now); err != nil {
 			t.Fatal(err)
@@ -312,8 +313,9 @@
 	return record.log, proxies
 }
 
+// acknowledge sends the ACK of the oldest pending response.
 func acknowledge(p *testPeer, now float64) ([]protocol.Message, []xds.InvalidPartError, error) {
-	if p.speaks == incremental {
+	if p.variant == incremental {
 		return p.assignments.HandleDeltaRequest(now, &discovery.DeltaDiscoveryRequest{TypeUrl: xds.EndpointsTypeURL, ResponseNonce: p.pendingNonces[0]})
 	}
 	return p.assignments.HandleRequest(now, &discovery.DiscoveryRequest{TypeUrl: xds.EndpointsTypeURL, ResponseNonce: p.pendingNonces[0]})
@@ -325,25 +327,25 @@
 // integer weights.
 func TestDecisionsIgnoreProtocol(t *testing.T) {
 	for seed := range uint64(6) {
-		want, plain := runDay(t, seed, func(int) peerProtocol { return lines })
+		want, linePeers := runDay(t, seed, func(int) peerProtocol { return lines })
 		if len(want) < 1000 {
 			t.Fatalf("a day of only %d events and actions", len(want))
 		}
-		draw := rand.New(rand.NewPCG(seed, 99))
+		rng := rand.New(rand.NewPCG(seed, 99))
 		for name, protocolOf := range map[string]func(int) peerProtocol{
 			"state of the world": func(int) peerProtocol { return stateOfTheWorld },
 			"incremental":        func(int) peerProtocol { return incremental },
 			"half and half":      func(stream int) peerProtocol { return peerProtocol(stream % 2) },
-			"at random":          func(int) peerProtocol { return peerProtocol(draw.IntN(3)) },
+			"at random":          func(int) peerProtocol { return peerProtocol(rng.IntN(3)) },
 		} {
-			got, held := runDay(t, seed, protocolOf)
+			got, peers := runDay(t, seed, protocolOf)
 			for i := range want {
 				if i >= len(got) || withoutApplyTime(got[i]) != withoutApplyTime(want[i]) {
 					t.Fatalf("seed %d, %s: step %d is\n%s\nwith lines it is\n%s", seed, name, i, got[min(i, len(got)-1)], want[i])
 				}
 			}
-			for i := range plain {
-				compareTables(t, fmt.Sprintf("seed %d, %s, proxy %d", seed, name, i), held[i], plain[i])
+			for i := range linePeers {
+				compareTables(t, fmt.Sprintf("seed %d, %s, proxy %d", seed, name, i), peers[i], linePeers[i])
 			}
 		}
 	}
@@ -360,7 +362,7 @@
 }
 
 // compareTables compares the tables of two proxies by the traffic share of each server.
-func compareTables(t *testing.T, what string, got, want *testPeer) {
+func compareTables(t *testing.T, label string, got, want *testPeer) {
 	t.Helper()
 	trafficShare := func(p *testPeer, name string) float64 {
 		sum := 0.0
@@ -370,16 +372,16 @@
 		return p.table[name] / sum
 	}
 	if !slices.Equal(slices.Sorted(maps.Keys(got.table)), slices.Sorted(maps.Keys(want.table))) {
-		t.Fatalf("%s holds %v, with lines %v", what, got.table, want.table)
+		t.Fatalf("%s holds %v, with lines %v", label, got.table, want.table)
 	}
 	for name := range want.table {
-		if d := math.Abs(trafficShare(got, name) - trafficShare(want, name)); d > float64(len(want.table))/xds.MaxWeight {
-			t.Errorf("%s: %s gets %v of the traffic, with lines %v", what, name, trafficShare(got, name), trafficShare(want, name))
+		if difference := math.Abs(trafficShare(got, name) - trafficShare(want, name)); difference > float64(len(want.table))/xds.MaxWeight {
+			t.Errorf("%s: %s gets %v of the traffic, with lines %v", label, name, trafficShare(got, name), trafficShare(want, name))
 		}
 	}
 	for class, level := range want.levels {
 		if math.Abs(got.levels[class]-level) > 1e-6 {
-			t.Errorf("%s: level of %s is %v, with lines %v", what, class, got.levels[class], level)
+			t.Errorf("%s: level of %s is %v, with lines %v", label, class, got.levels[class], level)
 		}
 	}
 }
--- a/internal/planner/xds/xds_test.go
+++ b/internal/planner/xds/xds_test.go
@@ -91,7 +91,7 @@
 // TestAcknowledgementsBecomeDone checks that an ACK becomes a done message once, and that an outdated or unknown nonce is
 // reported and doesn't.
 func TestAcknowledgementsBecomeDone(t *testing.T) {
-	stream := newJoinedStream(t, false, "view", "pay", "unheard-of")
+	stream := newJoinedStream(t, false, "view", "pay", "unknown")
 	for mark := range uint32(3) {
 		if _, err := stream.Encode(float64(mark*100), protocol.Orders{Stamp: stamp(mark), Rows: []protocol.Row{{Server: "s-0", Weight: 1, Zone: "n"}}}); err != nil {
 			t.Fatal(err)
@@ -99,7 +99,7 @@
 	}
 	messages, _, _ := stream.HandleRequest(150, request(nil, "1", "view", "pay"))
 	if len(messages) != 1 || messages[0] != (protocol.Done{Proxy: 3, Mark: 1, Took: 50}) {
-		t.Errorf("answer to an older message: %v", messages)
+		t.Errorf("ACK of an older response: %v", messages)
 	}
 	for _, nonce := range []string{"0", "1", "77"} { // superseded, acknowledged before, never sent
 		if messages, invalid, err := stream.HandleRequest(160, request(nil, nonce, "view", "pay")); len(messages) > 0 || len(invalid) != 1 || err != nil {
@@ -107,7 +107,7 @@
 		}
 	}
 	if messages, _, _ := stream.HandleRequest(500, request(nil, "2", "view", "pay")); len(messages) != 1 || messages[0] != (protocol.Done{Proxy: 3, Mark: 2, Took: 300}) {
-		t.Errorf("answer to the newest: %v", messages)
+		t.Errorf("ACK of the newest response: %v", messages)
 	}
 }
 
