--- a/cmd/mulleinwood/serve.go
+++ b/cmd/mulleinwood/serve.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return startError{err}
 	}
-	config.Own = own.Options
+	config.Options = own.Options
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
 	log := zerolog.New(os.Stderr).With().Timestamp().Logger()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
--- a/internal/planner/program/config.go
+++ b/internal/planner/program/config.go
@@ -35,7 +35,7 @@
 	Limits    Limits
 	Known     protocol.List
 	Settings  settings.Settings
-	Own       options.Options // the program's own settings, beside the platform's
+	Options       options.Options // the program's own settings, beside the platform's
 
 	sent   func(tables.Update) // see versions.sent
 	getenv func(string) string
--- a/internal/planner/program/cores_test.go
+++ b/internal/planner/program/cores_test.go
@@ -21,7 +21,7 @@
 func onCores(t *testing.T, n int, wrap func(core, life int, module sharer) sharer) *fleet {
 	return start(t, func(f *fleet, c *Config) {
 		f.wrap = wrap
-		c.Own.Cores.Count, c.Own.Cores.MovesPerS, c.Own.Cores.RestMS, c.Limits.Cores = n, 8, 300, float64(n)
+		c.Options.Cores.Count, c.Options.Cores.MovesPerS, c.Options.Cores.RestMS, c.Limits.Cores = n, 8, 300, float64(n)
 		c.Settings.Rules.Proxies = 8 * n
 	}, nil)
 }
@@ -198,7 +198,7 @@
 	modules, wrap := stallables(2)
 	f := start(t, func(f *fleet, c *Config) {
 		f.wrap = wrap
-		c.Own.Cores = options.Cores{Count: 2, RestMS: 300}
+		c.Options.Cores = options.Cores{Count: 2, RestMS: 300}
 		c.Limits.Cores, c.Settings.Rules.Proxies = 2, 16
 		c.getenv = env(envConfig, path, envListen, "127.0.0.1:0", envDiscovery, c.Discovery)
 	}, nil)
@@ -234,7 +234,7 @@
 		granted float64
 		want    int
 	}{{0, 0, 1}, {-3, 0, 1}, {4, 0, 4}, {4, 1, 1}, {4, 0.25, 1}, {4, 2.5, 3}, {64, 64, 8}} {
-		c.Own.Cores.Count, c.Limits.Cores = tc.set, tc.granted
+		c.Options.Cores.Count, c.Limits.Cores = tc.set, tc.granted
 		if n, cut := coreCount(c); n != tc.want || (cut != "") != (tc.set > n) {
 			t.Errorf("%d set, %v granted: %d, cut by %q; want %d", tc.set, tc.granted, n, cut, tc.want)
 		}
--- a/internal/planner/program/front_test.go
+++ b/internal/planner/program/front_test.go
@@ -25,8 +25,8 @@
 // withFront is a planner whose gRPC front is on.
 func withFront(t *testing.T, cores int, change func(*fleet, *Config)) *fleet {
 	return start(t, func(f *fleet, c *Config) {
-		c.Own.GRPC = options.GRPC{Enabled: true, ProbeServers: true}
-		c.Own.Cores = options.Cores{Count: cores, RestMS: 300}
+		c.Options.GRPC = options.GRPC{Enabled: true, ProbeServers: true}
+		c.Options.Cores = options.Cores{Count: cores, RestMS: 300}
 		c.Limits.Cores = float64(cores)
 		c.Settings.Rules.Proxies = 8 * cores
 		if change != nil {
--- a/internal/planner/program/host.go
+++ b/internal/planner/program/host.go
@@ -80,7 +80,7 @@
 func newSupervisor(ctx context.Context, c Config, n int, asks *calls, module func(core, incarnation int) sharer,
 	log zerolog.Logger) *supervisor {
 	r := c.Settings.Rules
-	confirm := c.Own.Cores.ConfirmMS
+	confirm := c.Options.Cores.ConfirmMS
 	if confirm == 0 {
 		confirm = max(minConfirm, confirmPart*r.DrainGrace)
 	}
@@ -96,7 +96,7 @@
 	h.listed.Store(len(c.Known.Members) > 0)
 	h.assigner = cores.NewAssigner(cores.Settings{Cores: n, Zones: len(c.Settings.ZoneNames), QueueLines: r.QueueLines,
 		LinesPerSec: r.LinesPerSec,
-		Confirm:     confirm, MovesPerS: c.Own.Cores.MovesPerS, Rest: c.Own.Cores.RestMS}, h.now())
+		Confirm:     confirm, MovesPerS: c.Options.Cores.MovesPerS, Rest: c.Options.Cores.RestMS}, h.now())
 	return h
 }
 
@@ -435,7 +435,7 @@
 
 // coreCount is how many cores decide: as set, within what the platform grants and what there are proxies for.
 func coreCount(c Config) (n int, cut string) {
-	n = max(1, c.Own.Cores.Count)
+	n = max(1, c.Options.Cores.Count)
 	if granted := int(math.Ceil(c.Limits.Cores)); granted > 0 && n > granted {
 		n, cut = granted, "limits.cores"
 	}
--- a/internal/planner/program/keys_test.go
+++ b/internal/planner/program/keys_test.go
@@ -94,7 +94,7 @@
 	ca.sign(folder, "server", "planner.test", hour)
 	lane, other := ca.sign(folder, "lane", "lane-7.lanes.test", hour), ca.sign(folder, "other", "lanes.test", hour)
 	f := withFront(t, 1, func(_ *fleet, c *Config) {
-		c.Own.GRPC.TLS = options.TLS{Certificate: filepath.Join(folder, "server.pem"),
+		c.Options.GRPC.TLS = options.TLS{Certificate: filepath.Join(folder, "server.pem"),
 			Key: filepath.Join(folder, "server.key"), ClientCA: filepath.Join(folder, "ca.pem"),
 			Roles: []options.Role{{Name: "*.lanes.test", Role: "proxy"}, {Name: "collector.test", Role: "collector"}}}
 	})
--- a/internal/planner/program/program.go
+++ b/internal/planner/program/program.go
@@ -49,13 +49,13 @@
 	c.Limits.apply()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	keys, err := loadKeys(c.Own.GRPC.TLS)
+	keys, err := loadKeys(c.Options.GRPC.TLS)
 	if err != nil {
 		return &StartError{err}
 	}
 	n, cut := coreCount(c)
 	if cut != "" {
-		log.Warn().Int("cores", n).Int("set", c.Own.Cores.Count).Str("by", cut).Msg("fewer cores than set")
+		log.Warn().Int("cores", n).Int("set", c.Options.Cores.Count).Str("by", cut).Msg("fewer cores than set")
 	}
 	events := make(chan routing.Event, maxEvents)
 	post := func(e routing.Event) {
@@ -67,7 +67,7 @@
 	var group sync.WaitGroup
 	bounded := log.Sample(&zerolog.BurstSampler{Burst: logBurst, Period: logPeriod})
 	asks := &calls{ctx: ctx, discovery: c.Discovery, connect: c.Settings.MaxConnectTime, post: post, group: &group,
-		probes: make(chan struct{}, maxProbes), asker: &asker{connect: c.Settings.MaxConnectTime, both: c.Own.GRPC.ProbeServers},
+		probes: make(chan struct{}, maxProbes), asker: &asker{connect: c.Settings.MaxConnectTime, both: c.Options.GRPC.ProbeServers},
 		log: bounded, ends: map[uint64]context.CancelFunc{}}
 	var decide func() error
 	if n == 1 {
@@ -91,15 +91,15 @@
 	served := make(chan error, 1)
 	handler := &peers{set: c.Settings, post: post, log: bounded, collectors: map[string]*transport.Conn{},
 		counts: map[string]int{}}
-	if handler.versions, err = newVersions(c.Name, c.Own.Versions, c.sent); err != nil {
+	if handler.versions, err = newVersions(c.Name, c.Options.Versions, c.sent); err != nil {
 		return &StartError{err}
 	}
 	if handler.versions != nil {
-		handler.versions.keep(c.Own.Versions.Record, log)
+		handler.versions.keep(c.Options.Versions.Record, log)
 		defer handler.versions.close()
 	}
-	if c.Own.GRPC.Enabled {
-		handler.front = newFrontend(ctx, c.Settings, c.Own.GRPC, handler, listener.Addr(), keys)
+	if c.Options.GRPC.Enabled {
+		handler.front = newFrontend(ctx, c.Settings, c.Options.GRPC, handler, listener.Addr(), keys)
 		listener.Handoff = handler.front.take
 		group.Go(func() { handler.front.serve(ctx) })
 	}
--- a/internal/planner/program/versions_test.go
+++ b/internal/planner/program/versions_test.go
@@ -26,7 +26,7 @@
 	sent, newest := map[tables.Version]tables.Digest{}, map[uint32]tables.Version{}
 	secret := tables.Key("a key of the group")
 	f := start(t, func(f *fleet, c *Config) {
-		c.Own.Versions = options.Versions{Enabled: true, KeyFile: key}
+		c.Options.Versions = options.Versions{Enabled: true, KeyFile: key}
 		c.Settings.Rules.Proxies = 16
 		c.sent = func(u tables.Update) {
 			mu.Lock()
@@ -120,7 +120,7 @@
 	file := filepath.Join(t.TempDir(), "record.db")
 	run := func(file string) {
 		f := start(t, func(f *fleet, c *Config) {
-			c.Own.Versions = options.Versions{Enabled: true, Record: options.Record{File: file, Entries: 1000, AgeHours: 1}}
+			c.Options.Versions = options.Versions{Enabled: true, Record: options.Record{File: file, Entries: 1000, AgeHours: 1}}
 		}, nil)
 		defer f.stop()
 		p := f.proxy(1, "north")
