--- a/internal/planner/program/config.go
+++ b/internal/planner/program/config.go
@@ -37,9 +37,9 @@
 	Settings  settings.Settings
 	Options   options.Options // the program's own settings, beside the platform's
 
-	sent   func(tables.Update) // see versions.sent
-	getenv func(string) string
-	stated addresses // in the file, whatever the variables say
+	onSent   func(tables.Update) // see versions.sent
+	getenv   func(string) string
+	fromFile addresses // in the file, whatever the variables say
 }
 
 // addresses are the entries of the file that a variable may win over.
@@ -68,17 +68,17 @@
 	if err := json.Unmarshal(text, &file); err != nil {
 		return Config{}, fmt.Errorf("%s: %w", path, err)
 	}
-	c := Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Seed: seed(file.Seed),
-		Limits: file.Limits, getenv: getenv, stated: addresses{file.Name, file.Listen, file.Discovery}}
+	c := Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Seed: parseSeed(file.Seed),
+		Limits: file.Limits, getenv: getenv, fromFile: addresses{file.Name, file.Listen, file.Discovery}}
 	for name, to := range map[string]*string{envName: &c.Name, envListen: &c.Listen, envDiscovery: &c.Discovery} {
 		if value := getenv(name); value != "" {
 			*to = value
 		}
 	}
-	for _, a := range []struct{ value, variable, key string }{
+	for _, entry := range []struct{ value, variable, key string }{
 		{c.Listen, envListen, "listen"}, {c.Discovery, envDiscovery, "discovery"}} {
-		if err := checkAddress(a.value); err != nil {
-			return Config{}, fmt.Errorf("%s (or %q in %s): %w", a.variable, a.key, path, err)
+		if err := checkAddress(entry.value); err != nil {
+			return Config{}, fmt.Errorf("%s (or %q in %s): %w", entry.variable, entry.key, path, err)
 		}
 	}
 	if c.Limits.Cores < 0 || c.Limits.MemoryMB < 0 || c.Limits.Sockets < 0 {
@@ -112,28 +112,28 @@
 // Reload reads the configuration again, as it stands now. Discovery's address is taken from the file if the file says
 // something else of it than when it was read before: what an operator has changed since the start wins over a variable,
 // which can't change. Otherwise it stays. The second result names the entries that differ and need a new start.
-func (c Config) Reload() (next Config, fixed []string, err error) {
+func (c Config) Reload() (next Config, needRestart []string, err error) {
 	if next, err = LoadConfig(c.getenv); err != nil {
 		return Config{}, nil, err
 	}
-	if next.Discovery = c.Discovery; next.stated.discovery != c.stated.discovery && next.stated.discovery != "" {
-		if err := checkAddress(next.stated.discovery); err != nil {
+	if next.Discovery = c.Discovery; next.fromFile.discovery != c.fromFile.discovery && next.fromFile.discovery != "" {
+		if err := checkAddress(next.fromFile.discovery); err != nil {
 			return Config{}, nil, fmt.Errorf("discovery: %w", err)
 		}
-		next.Discovery = next.stated.discovery
+		next.Discovery = next.fromFile.discovery
 	}
 	for _, entry := range []struct {
 		name string
 		same bool
 	}{
-		{"name", next.stated.name == c.stated.name}, {"listen", next.stated.listen == c.stated.listen},
+		{"name", next.fromFile.name == c.fromFile.name}, {"listen", next.fromFile.listen == c.fromFile.listen},
 		{"seed", next.Seed == c.Seed}, {"settings", reflect.DeepEqual(next.Settings, c.Settings)},
 	} {
 		if !entry.same {
-			fixed = append(fixed, entry.name)
+			needRestart = append(needRestart, entry.name)
 		}
 	}
-	return next, fixed, nil
+	return next, needRestart, nil
 }
 
 func checkAddress(address string) error {
@@ -150,8 +150,8 @@
 	return nil
 }
 
-// seed takes any text: sixteen hexadecimal digits as they are, others by their hash.
-func seed(text string) uint64 {
+// parseSeed takes any text: sixteen hexadecimal digits as they are, others by their hash.
+func parseSeed(text string) uint64 {
 	if n, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return n
 	}
--- a/internal/planner/program/config_test.go
+++ b/internal/planner/program/config_test.go
@@ -70,8 +70,8 @@
 			t.Errorf("error %v, want one that names %s", err, envConfig)
 		}
 	}
-	first, again := seed("other"), seed("other")
-	if seed("8c1f30d27a5be964") == first || again != first {
+	first, again := parseSeed("other"), parseSeed("other")
+	if parseSeed("8c1f30d27a5be964") == first || again != first {
 		t.Error("seeds of other texts")
 	}
 }
--- a/internal/planner/program/core.go
+++ b/internal/planner/program/core.go
@@ -17,8 +17,8 @@
 	"mulleinwood/rules"
 )
 
-// sharer is a module that can share a planner with others.
-type sharer interface {
+// coreModule is a module that can share a planner with others.
+type coreModule interface {
 	routing.Stepper
 	OwnLoad() (own rules.Part, waiting float64)
 }
@@ -26,66 +26,66 @@
 // coreRun is one incarnation of a core: a goroutine that owns a router and its module.
 type coreRun struct {
 	index, incarnation int
-	in                 *inbox
+	inbox              *inbox
 	report             atomic.Pointer[cores.CoreReport] // after its last look, until the host has taken it
 	cancel             context.CancelFunc
 	ended              chan struct{} // closed when the goroutine has ended
 }
 
 // startCore starts an incarnation with the whole list as of the epoch. Died is called once it ends before its context does.
-func startCore(ctx context.Context, index, incarnation int, set settings.Settings, module sharer, calls routing.Calls,
-	known protocol.List, epoch uint64, now func() float64, log zerolog.Logger, died func(error)) *coreRun {
-	ctx, end := context.WithCancel(ctx)
-	c := &coreRun{index: index, incarnation: incarnation, in: newInbox(), cancel: end, ended: make(chan struct{})}
+func startCore(ctx context.Context, index, incarnation int, set settings.Settings, module coreModule, calls routing.Calls,
+	known protocol.List, epoch uint64, now func() float64, log zerolog.Logger, onEnd func(error)) *coreRun {
+	ctx, cancel := context.WithCancel(ctx)
+	c := &coreRun{index: index, incarnation: incarnation, inbox: newInbox(), cancel: cancel, ended: make(chan struct{})}
 	router := routing.NewHosted(set, module, calls, known, epoch, log)
 	go func() {
 		defer close(c.ended)
-		defer end()
-		died(c.run(ctx, router, module, now, set.Granularity))
+		defer cancel()
+		onEnd(c.run(ctx, router, module, now, set.Granularity))
 	}()
 	return c
 }
 
 // run takes turns until the context ends, or the module panics.
-func (c *coreRun) run(ctx context.Context, router *routing.Router, module sharer, now func() float64,
+func (c *coreRun) run(ctx context.Context, router *routing.Router, module coreModule, now func() float64,
 	granularity float64) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("panic: %v\n%s", p, debug.Stack())
 		}
 	}()
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
-	var orders, reports []routing.Event
-	looks := uint64(0)
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	var control, reports []routing.Event
+	rounds := uint64(0)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-alarm.C:
-		case <-c.in.wake:
+		case <-timer.C:
+		case <-c.inbox.wake:
 		}
-		orders, reports = c.in.take(orders, reports)
-		for _, e := range orders {
+		control, reports = c.inbox.drain(control, reports)
+		for _, e := range control {
 			router.Handle(e)
 		}
 		for _, e := range reports {
 			router.Handle(e)
 		}
-		next, wants, err := router.Advance(onGrid(now(), granularity))
+		next, hasNext, err := router.Advance(alignToGrid(now(), granularity))
 		if err != nil {
 			return err
 		}
-		if p := router.Progress(); p.Rounds != looks {
-			looks = p.Rounds
+		if p := router.Progress(); p.Rounds != rounds {
+			rounds = p.Rounds
 			own, waiting := module.OwnLoad()
 			c.report.Store(&cores.CoreReport{SeenEpoch: p.SeenEpoch, AppliedEpoch: p.AppliedEpoch, ShareNumber: p.ShareNumber,
 				QueuedLines: waiting, JoinedProxies: own.JoinedProxies, TypicalRates: own.TypicalRates, Demands: own.Demands})
 		}
-		if wants {
-			alarm.Reset(time.Duration((next - now()) * float64(time.Millisecond)))
+		if hasNext {
+			timer.Reset(time.Duration((next - now()) * float64(time.Millisecond)))
 		} else {
-			alarm.Stop()
+			timer.Stop()
 		}
 	}
 }
@@ -130,21 +130,21 @@
 		p.waiting[address] = map[int]probeRequest{}
 	}
 	p.waiting[address][core.index] = probeRequest{core, server}
-	start, again := p.requests.Request(p.now(), address, core.index)
-	if again {
-		p.tell(address, core.index, p.last[address])
+	start, repeat := p.requests.Request(p.now(), address, core.index)
+	if repeat {
+		p.deliver(address, core.index, p.last[address])
 	}
 	if start {
-		p.probe(address, load, func(result routing.Probed) { p.answered(address, result) })
+		p.probe(address, load, func(result routing.Probed) { p.handleResult(address, result) })
 	}
 }
 
-func (p *sharedProbes) answered(address string, result routing.Probed) {
+func (p *sharedProbes) handleResult(address string, result routing.Probed) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.last[address] = result
 	for _, core := range p.requests.Complete(address) {
-		p.tell(address, core, result)
+		p.deliver(address, core, result)
 	}
 	for known := range p.last {
 		if !p.requests.Known(known) {
@@ -154,9 +154,9 @@
 	}
 }
 
-// tell gives a core the answer under its own number for the server.
-func (p *sharedProbes) tell(address string, core int, result routing.Probed) {
-	a := p.waiting[address][core]
-	result.Server = a.server
-	a.core.in.order(result)
+// deliver gives a core the answer under its own number for the server.
+func (p *sharedProbes) deliver(address string, core int, result routing.Probed) {
+	request := p.waiting[address][core]
+	result.Server = request.server
+	request.core.inbox.postControl(result)
 }
--- a/internal/planner/program/cores_test.go
+++ b/internal/planner/program/cores_test.go
@@ -18,7 +18,7 @@
 )
 
 // onCores is a planner of so many cores, with proxies enough for them.
-func onCores(t *testing.T, n int, wrap func(core, life int, module sharer) sharer) *fleet {
+func onCores(t *testing.T, n int, wrap func(core, life int, module coreModule) coreModule) *fleet {
 	return start(t, func(f *fleet, c *Config) {
 		f.wrap = wrap
 		c.Options.Cores.Count, c.Options.Cores.MovesPerS, c.Options.Cores.RestMS, c.Limits.Cores = n, 8, 300, float64(n)
@@ -39,7 +39,7 @@
 
 // stallable is a module that can be held in its next look, as if its core stood still.
 type stallable struct {
-	sharer
+	coreModule
 	hold  atomic.Pointer[chan struct{}]
 	panic atomic.Bool
 	looks atomic.Int64
@@ -53,14 +53,14 @@
 		<-*hold
 	}
 	s.looks.Add(1)
-	return s.sharer.Step(now, events)
+	return s.coreModule.Step(now, events)
 }
 
 // stallables wraps the modules of a fleet's cores; the first life of each is kept.
-func stallables(n int) ([]*stallable, func(core, life int, module sharer) sharer) {
+func stallables(n int) ([]*stallable, func(core, life int, module coreModule) coreModule) {
 	list := make([]*stallable, n)
-	return list, func(core, life int, module sharer) sharer {
-		s := &stallable{sharer: module}
+	return list, func(core, life int, module coreModule) coreModule {
+		s := &stallable{coreModule: module}
 		if life == 1 {
 			list[core] = s
 		}
@@ -130,8 +130,8 @@
 	}
 	f.stop()
 
-	f = onCores(t, 2, func(core, life int, module sharer) sharer {
-		s := &stallable{sharer: module}
+	f = onCores(t, 2, func(core, life int, module coreModule) coreModule {
+		s := &stallable{coreModule: module}
 		s.panic.Store(true)
 		return s
 	})
--- a/internal/planner/program/day_test.go
+++ b/internal/planner/program/day_test.go
@@ -31,7 +31,7 @@
 func (w *watched) now() float64 { return float64(time.Since(w.begun)) / float64(time.Millisecond) }
 
 // audited lets an auditor watch a fleet of so many cores from its start on.
-func audited(t *testing.T, n int, wrap func(core, life int, module sharer) sharer) *watched {
+func audited(t *testing.T, n int, wrap func(core, life int, module coreModule) coreModule) *watched {
 	w := &watched{fleet: onCores(t, n, wrap), begun: time.Now(), end: make(chan struct{})}
 	w.audit()
 	return w
--- a/internal/planner/program/fleet_test.go
+++ b/internal/planner/program/fleet_test.go
@@ -26,7 +26,7 @@
 	ended     chan error
 	reloads   chan os.Signal
 	close     []func()
-	wrap      func(core, life int, module sharer) sharer
+	wrap      func(core, life int, module coreModule) coreModule
 }
 
 // patience is how long anything may take before a test calls it hung.
@@ -64,7 +64,7 @@
 	f.cancel = cancel
 	address := make(chan string, 1)
 	go func() {
-		modules := func(core, life int) sharer { return alone{module} }
+		modules := func(core, life int) coreModule { return alone{module} }
 		if module == nil {
 			modules = f.modules(c)
 		}
@@ -79,9 +79,9 @@
 }
 
 // modules makes the modules of the program itself, each wrapped where the test wants that.
-func (f *fleet) modules(c Config) func(core, life int) sharer {
-	return func(core, life int) sharer {
-		module := sharer(rules.New(c.Settings.Rules, c.Seed+uint64(core)))
+func (f *fleet) modules(c Config) func(core, life int) coreModule {
+	return func(core, life int) coreModule {
+		module := coreModule(rules.New(c.Settings.Rules, c.Seed+uint64(core)))
 		if f.wrap != nil {
 			module = f.wrap(core, life, module)
 		}
--- a/internal/planner/program/front.go
+++ b/internal/planner/program/front.go
@@ -24,13 +24,13 @@
 
 // Bounds of the gRPC front. They bound memory and descriptors as those of lines do.
 const (
-	maxStreams   = 16       // of one connection
-	maxHeaders   = 16 << 10 // bytes of a stream's headers
-	pingsApart   = 5 * time.Second
-	maxUnread    = 2 << 20 // bytes that may wait for a stream that doesn't read
-	windowSize   = 64 << 10
-	readBuffer   = 4 << 10
-	foreverPings = time.Duration(math.MaxInt64) // a silent peer keeps its stream: it is not asked whether it lives
+	maxStreamsPerConn = 16       // of one connection
+	maxHeaderBytes    = 16 << 10 // bytes of a stream's headers
+	minPingInterval   = 5 * time.Second
+	maxUnreadBytes    = 2 << 20 // bytes that may wait for a stream that doesn't read
+	streamWindowBytes = 64 << 10
+	readBufferBytes   = 4 << 10
+	noServerPings     = time.Duration(math.MaxInt64) // a silent peer keeps its stream: it is not asked whether it lives
 )
 
 // frontend serves proxies and collectors by gRPC. It reads and writes messages; what they mean is xds's affair.
@@ -39,32 +39,32 @@
 	load.UnimplementedLoadReportingServiceServer
 	healthpb.UnimplementedHealthServer
 
-	facts  xds.Config
-	roles  []options.Role
-	peers  *peers
-	post   func(routing.Event)
-	now    func() float64
-	server *grpc.Server
-	handed handedConns
+	facts    xds.Config
+	roles    []options.Role
+	peers    *peers
+	post     func(routing.Event)
+	now      func() float64
+	server   *grpc.Server
+	handoffs handoffListener
 
-	mu    sync.Mutex
-	conns map[string]*transport.Conn // by the peer's address
-	holds map[held]int               // assignment streams under way
+	mu                sync.Mutex
+	conns             map[string]*transport.Conn // by the peer's address
+	assignmentStreams map[proxyConn]int          // assignment streams under way
 }
 
 // newFrontend returns a front that serves once serve is called.
-func newFrontend(ctx context.Context, set settings.Settings, own options.GRPC, p *peers, addr net.Addr, keys *keys) *frontend {
+func newFrontend(ctx context.Context, set settings.Settings, own options.GRPC, p *peers, addr net.Addr, keys *certificates) *frontend {
 	f := &frontend{roles: own.TLS.Roles, peers: p, post: p.post, now: clock(), conns: map[string]*transport.Conn{},
-		holds:  map[held]int{},
-		facts:  xdsFacts(set),
-		handed: handedConns{addr: addr, conns: make(chan net.Conn), ctx: ctx}}
-	opts := []grpc.ServerOption{grpc.MaxRecvMsgSize(protocol.MaxLineBytes), grpc.MaxConcurrentStreams(maxStreams),
-		grpc.MaxHeaderListSize(maxHeaders),
-		grpc.ConnectionTimeout(joinWithin), grpc.StaticStreamWindowSize(windowSize), grpc.ReadBufferSize(readBuffer),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: pingsApart, PermitWithoutStream: true}),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: foreverPings})}
+		assignmentStreams: map[proxyConn]int{},
+		facts:             xdsFacts(set),
+		handoffs:          handoffListener{addr: addr, conns: make(chan net.Conn), ctx: ctx}}
+	opts := []grpc.ServerOption{grpc.MaxRecvMsgSize(protocol.MaxLineBytes), grpc.MaxConcurrentStreams(maxStreamsPerConn),
+		grpc.MaxHeaderListSize(maxHeaderBytes),
+		grpc.ConnectionTimeout(joinTimeout), grpc.StaticStreamWindowSize(streamWindowBytes), grpc.ReadBufferSize(readBufferBytes),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minPingInterval, PermitWithoutStream: true}),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: noServerPings})}
 	if keys != nil {
-		opts = append(opts, grpc.Creds(credentials.NewTLS(keys.server())))
+		opts = append(opts, grpc.Creds(credentials.NewTLS(keys.serverConfig())))
 	}
 	f.server = grpc.NewServer(opts...)
 	discovery.RegisterAggregatedDiscoveryServiceServer(f.server, f)
@@ -75,7 +75,7 @@
 
 // xdsFacts are the facts that the machines of the gRPC front are given.
 func xdsFacts(set settings.Settings) xds.Config {
-	f := xds.Config{Zones: set.ZoneNames, RateLevels: set.AdmitsByRate(), ReportPeriod: set.Rules.ReportPeriod, Bounds: bounds(set)}
+	f := xds.Config{Zones: set.ZoneNames, RateLevels: set.AdmitsByRate(), ReportPeriod: set.Rules.ReportPeriod, Bounds: messageBounds(set)}
 	for _, class := range set.Rules.Classes {
 		f.Classes = append(f.Classes, class.Name)
 	}
@@ -86,5 +86,5 @@
 func (f *frontend) serve(ctx context.Context) {
 	stop := context.AfterFunc(ctx, f.server.Stop)
 	defer stop()
-	f.server.Serve(f.handed) // its error says only that the listener is closed
+	f.server.Serve(f.handoffs) // its error says only that the listener is closed
 }
--- a/internal/planner/program/front_access.go
+++ b/internal/planner/program/front_access.go
@@ -13,18 +13,18 @@
 	"mulleinwood/internal/planner/xds"
 )
 
-// may says whether a client's certificate lets it be what its node says.
-func (f *frontend) may(p *peer.Peer, who xds.Identity) error {
+// authorize says whether a client's certificate lets it be what its node says.
+func (f *frontend) authorize(p *peer.Peer, identity xds.Identity) error {
 	if len(f.roles) == 0 {
 		return nil
 	}
 	role := "proxy"
-	if who.Role == xds.Collector {
+	if identity.Role == xds.Collector {
 		role = "collector"
 	}
-	if info, is := p.AuthInfo.(credentials.TLSInfo); is && len(info.State.PeerCertificates) > 0 {
+	if info, isTLS := p.AuthInfo.(credentials.TLSInfo); isTLS && len(info.State.PeerCertificates) > 0 {
 		for _, r := range f.roles {
-			if r.Role == role && named(info.State.PeerCertificates[0], r.Name) {
+			if r.Role == role && hasDNSName(info.State.PeerCertificates[0], r.Name) {
 				return nil
 			}
 		}
@@ -32,10 +32,10 @@
 	return status.Errorf(codes.PermissionDenied, "no certificate that lets this client be a %s", role)
 }
 
-// named says whether a certificate has a DNS name, or one right below it where the pattern begins with "*.".
-func named(c *x509.Certificate, pattern string) bool {
+// hasDNSName says whether a certificate has a DNS name, or one right below it where the pattern begins with "*.".
+func hasDNSName(c *x509.Certificate, pattern string) bool {
 	return slices.ContainsFunc(c.DNSNames, func(name string) bool {
-		if base, wild := strings.CutPrefix(pattern, "*"); wild {
+		if base, wildcard := strings.CutPrefix(pattern, "*"); wildcard {
 			_, rest, found := strings.Cut(name, ".")
 			return found && "."+rest == base
 		}
--- a/internal/planner/program/front_conns.go
+++ b/internal/planner/program/front_conns.go
@@ -11,21 +11,21 @@
 	"mulleinwood/internal/planner/transport"
 )
 
-// held is a proxy on a connection.
-type held struct {
+// proxyConn is a proxy on a connection.
+type proxyConn struct {
 	conn  *transport.Conn
 	proxy int
 }
 
-// handedConns is the listener that the gRPC server accepts from: what the one listener has handed over.
-type handedConns struct {
+// handoffListener is the listener that the gRPC server accepts from: what the one listener has handed over.
+type handoffListener struct {
 	addr  net.Addr
 	conns chan net.Conn
 	ctx   context.Context
 }
 
 // Accept implements net.Listener.
-func (h handedConns) Accept() (net.Conn, error) {
+func (h handoffListener) Accept() (net.Conn, error) {
 	select {
 	case nc := <-h.conns:
 		return nc, nil
@@ -35,25 +35,25 @@
 }
 
 // Close implements net.Listener.
-func (h handedConns) Close() error { return nil }
+func (h handoffListener) Close() error { return nil }
 
 // Addr implements net.Listener.
-func (h handedConns) Addr() net.Addr { return h.addr }
+func (h handoffListener) Addr() net.Addr { return h.addr }
 
-// take is handed a connection by the listener.
-func (f *frontend) take(c *transport.Conn, nc net.Conn) {
+// handOff is handed a connection by the listener.
+func (f *frontend) handOff(c *transport.Conn, nc net.Conn) {
 	f.mu.Lock()
 	f.conns[c.Remote()] = c
 	f.mu.Unlock()
 	select {
-	case f.handed.conns <- nc:
-	case <-f.handed.ctx.Done():
+	case f.handoffs.conns <- nc:
+	case <-f.handoffs.ctx.Done():
 		nc.Close()
 	}
 }
 
-// gone forgets a connection.
-func (f *frontend) gone(c *transport.Conn) {
+// removeConn forgets a connection.
+func (f *frontend) removeConn(c *transport.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.conns[c.Remote()] == c {
@@ -61,8 +61,8 @@
 	}
 }
 
-// caller finds the connection of a call.
-func (f *frontend) caller(ctx context.Context) (*transport.Conn, *peer.Peer, error) {
+// callerConn finds the connection of a call.
+func (f *frontend) callerConn(ctx context.Context) (*transport.Conn, *peer.Peer, error) {
 	p, _ := peer.FromContext(ctx)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -72,19 +72,19 @@
 	return f.conns[p.Addr.String()], p, nil
 }
 
-// hold counts a proxy's assignment streams on a connection: by 1 when one joins, by -1 when it ends.
-func (f *frontend) hold(conn *transport.Conn, proxy, by int) {
+// countStream counts a proxy's assignment streams on a connection: by 1 when one joins, by -1 when it ends.
+func (f *frontend) countStream(conn *transport.Conn, proxy, delta int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	key := held{conn, proxy}
-	if f.holds[key] += by; f.holds[key] <= 0 {
-		delete(f.holds, key)
+	key := proxyConn{conn, proxy}
+	if f.assignmentStreams[key] += delta; f.assignmentStreams[key] <= 0 {
+		delete(f.assignmentStreams, key)
 	}
 }
 
-// holding says whether a proxy has an assignment stream on a connection.
-func (f *frontend) holding(conn *transport.Conn, proxy int) bool {
+// hasAssignmentStream says whether a proxy has an assignment stream on a connection.
+func (f *frontend) hasAssignmentStream(conn *transport.Conn, proxy int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.holds[held{conn, proxy}] > 0
+	return f.assignmentStreams[proxyConn{conn, proxy}] > 0
 }
--- a/internal/planner/program/front_health.go
+++ b/internal/planner/program/front_health.go
@@ -13,11 +13,11 @@
 
 // Check implements the health service: the planner serves once it can make orders, as a heartbeat is answered then.
 func (f *frontend) Check(ctx context.Context, _ *healthpb.HealthCheckRequest) (*healthpb.HealthCheckResponse, error) {
-	p := &heartbeatPeer{mutePeer: mutePeer{id: transport.NextID()}, said: make(chan bool, 1)}
+	p := &heartbeatPeer{readOnlyPeer: readOnlyPeer{id: transport.NextID()}, answers: make(chan bool, 1)}
 	f.post(routing.MessageReceived{Peer: p, Message: protocol.Heartbeat{}})
 	defer f.post(routing.Disconnected{Peer: p})
 	select {
-	case serving := <-p.said:
+	case serving := <-p.answers:
 		if serving {
 			return &healthpb.HealthCheckResponse{Status: healthpb.HealthCheckResponse_SERVING}, nil
 		}
@@ -29,23 +29,23 @@
 
 // heartbeatPeer asks once whether orders can be made.
 type heartbeatPeer struct {
-	mutePeer
-	said chan bool
+	readOnlyPeer
+	answers chan bool
 }
 
 // AnswerHeartbeat implements routing.Peer.
 func (p *heartbeatPeer) AnswerHeartbeat() error {
-	p.answer(true)
+	p.reply(true)
 	return nil
 }
 
 // DeferHeartbeat implements routing.Peer.
-func (p *heartbeatPeer) DeferHeartbeat() { p.answer(false) }
+func (p *heartbeatPeer) DeferHeartbeat() { p.reply(false) }
 
-// answer hands on the first answer; later ones are dropped.
-func (p *heartbeatPeer) answer(serving bool) {
+// reply hands on the first answer; later ones are dropped.
+func (p *heartbeatPeer) reply(serving bool) {
 	select {
-	case p.said <- serving:
+	case p.answers <- serving:
 	default:
 	}
 }
--- a/internal/planner/program/front_limits_test.go
+++ b/internal/planner/program/front_limits_test.go
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	peer := &xdsPeer{cancel: func() {}, wake: make(chan struct{}, 1), now: clock(), machine: newJoinedMachine(t)}
-	for i := 0; peer.reason() == nil; i++ {
+	for i := 0; peer.reasonClosed() == nil; i++ {
 		peer.Assign(protocol.Assignment{Rows: []protocol.Row{{Server: strings.Repeat("s", 1000) + string(rune('a'+i%26)),
 			Weight: 1, Zone: "north"}}})
 		if i > 10000 {
@@ -135,12 +135,12 @@
 		protocol.MaxLineBytes)); status.Code(err) != codes.ResourceExhausted {
 		t.Errorf("a message over 1 MiB: %v", err)
 	}
-	if _, err := open(metadata.AppendToOutgoingContext(context.Background(), "a", strings.Repeat("x", 2*maxHeaders)),
+	if _, err := open(metadata.AppendToOutgoingContext(context.Background(), "a", strings.Repeat("x", 2*maxHeaderBytes)),
 		2); err == nil {
 		t.Error("headers over their bound are taken")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	for n := 0; n < maxStreams-1; n++ { // one stays open already
+	for n := 0; n < maxStreamsPerConn-1; n++ { // one stays open already
 		if _, err := api.StreamAggregatedResources(ctx); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/planner/program/front_loads.go
+++ b/internal/planner/program/front_loads.go
@@ -18,13 +18,13 @@
 
 // StreamLoadStats implements the load reporting service.
 func (f *frontend) StreamLoadStats(s load.LoadReportingService_StreamLoadStatsServer) error {
-	conn, from, err := f.caller(s.Context())
+	conn, from, err := f.callerConn(s.Context())
 	if err != nil {
 		return err
 	}
 	stream := &loadStream{frontend: f, conn: conn, from: from, machine: xds.NewLoadStream(f.facts),
-		peer: &mutePeer{id: transport.NextID()}}
-	defer stream.end()
+		peer: &readOnlyPeer{id: transport.NextID()}}
+	defer stream.disconnect()
 	for {
 		request, err := s.Recv()
 		if errors.Is(err, io.EOF) {
@@ -35,7 +35,7 @@
 		}
 		update, err := stream.machine.HandleRequest(request)
 		if err != nil {
-			f.peers.count("gRPC stream ended", conn.Remote(), err)
+			f.peers.countProblem("gRPC stream ended", conn.Remote(), err)
 			return status.Error(codes.InvalidArgument, err.Error())
 		}
 		if err := stream.admit(); err != nil {
@@ -46,7 +46,7 @@
 				return err
 			}
 		}
-		stream.post(update)
+		stream.forward(update)
 	}
 }
 
@@ -56,44 +56,44 @@
 	conn     *transport.Conn
 	from     *peer.Peer
 	machine  *xds.LoadStream
-	peer     *mutePeer
-	known    bool // the peer has named itself and is admitted
+	peer     *readOnlyPeer
+	admitted bool // the peer has named itself and is admitted
 }
 
-// end tells the router that the peer is gone.
-func (s *loadStream) end() {
-	if s.known {
+// disconnect tells the router that the peer is gone.
+func (s *loadStream) disconnect() {
+	if s.admitted {
 		s.frontend.post(routing.Disconnected{Peer: s.peer})
 	}
 }
 
 // admit looks at the peer's name once, and keeps a collector's connection.
 func (s *loadStream) admit() error {
-	if s.known {
+	if s.admitted {
 		return nil
 	}
-	who, _ := s.machine.Identity()
-	if err := s.frontend.may(s.from, who); err != nil {
+	identity, _ := s.machine.Identity()
+	if err := s.frontend.authorize(s.from, identity); err != nil {
 		return err
 	}
-	s.known = true
-	if who.Role == xds.Collector {
+	s.admitted = true
+	if identity.Role == xds.Collector {
 		s.conn.Promote(transport.Identified)
 	}
 	return nil
 }
 
-// post hands what a message said to the router.
-func (s *loadStream) post(update xds.LoadUpdate) {
+// forward hands what a message said to the router.
+func (s *loadStream) forward(update xds.LoadUpdate) {
 	f := s.frontend
 	for _, invalid := range update.Invalid {
-		f.peers.count("line not used", s.conn.Remote(), invalid)
+		f.peers.countProblem("line not used", s.conn.Remote(), invalid)
 	}
-	who, _ := s.machine.Identity()
-	if who.Role == xds.Proxy && len(update.Messages) > 0 && !f.holding(s.conn, who.Proxy) {
+	identity, _ := s.machine.Identity()
+	if identity.Role == xds.Proxy && len(update.Messages) > 0 && !f.hasAssignmentStream(s.conn, identity.Proxy) {
 		// Guards against the load of a stream that has been replaced, and of one proxy in another's name.
-		f.peers.count("line not used", s.conn.Remote(),
-			fmt.Errorf("load of proxy %d, which has no assignments here: %w", who.Proxy, errRole))
+		f.peers.countProblem("line not used", s.conn.Remote(),
+			fmt.Errorf("load of proxy %d, which has no assignments here: %w", identity.Proxy, errNotPermitted))
 		return
 	}
 	for _, message := range update.Messages {
@@ -101,20 +101,20 @@
 	}
 }
 
-// mutePeer is a peer that nothing is written to.
-type mutePeer struct{ id uint64 }
+// readOnlyPeer is a peer that nothing is written to.
+type readOnlyPeer struct{ id uint64 }
 
 // ID implements routing.Peer.
-func (p *mutePeer) ID() uint64 { return p.id }
+func (p *readOnlyPeer) ID() uint64 { return p.id }
 
 // Assign implements routing.Peer.
-func (p *mutePeer) Assign(protocol.Assignment) error { return errRole }
+func (p *readOnlyPeer) Assign(protocol.Assignment) error { return errNotPermitted }
 
 // AnswerHeartbeat implements routing.Peer.
-func (p *mutePeer) AnswerHeartbeat() error { return nil }
+func (p *readOnlyPeer) AnswerHeartbeat() error { return nil }
 
 // DeferHeartbeat implements routing.Peer.
-func (p *mutePeer) DeferHeartbeat() {}
+func (p *readOnlyPeer) DeferHeartbeat() {}
 
 // Close implements routing.Peer.
-func (p *mutePeer) Close(error) {}
+func (p *readOnlyPeer) Close(error) {}
--- a/internal/planner/program/front_streams.go
+++ b/internal/planner/program/front_streams.go
@@ -18,13 +18,13 @@
 	"mulleinwood/internal/planner/xds"
 )
 
-// fed is a message that was received, to be fed to the stream's machine.
-type fed func() (said []protocol.Message, voids []xds.InvalidPartError, err error)
+// applyRequest is a message that was received, to be fed to the stream's machine.
+type applyRequest func() (said []protocol.Message, voids []xds.InvalidPartError, err error)
 
 // StreamAggregatedResources implements the discovery service: state of the world.
 func (f *frontend) StreamAggregatedResources(s discovery.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
 	machine := xds.NewAssignmentStream(f.facts, false)
-	return f.assign(s, machine, func() (fed, error) {
+	return f.serveAssignments(s, machine, func() (applyRequest, error) {
 		r, err := s.Recv()
 		return func() ([]protocol.Message, []xds.InvalidPartError, error) { return machine.HandleRequest(f.now(), r) }, err
 	})
@@ -33,7 +33,7 @@
 // DeltaAggregatedResources implements the discovery service: incremental.
 func (f *frontend) DeltaAggregatedResources(s discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesServer) error {
 	machine := xds.NewAssignmentStream(f.facts, true)
-	return f.assign(s, machine, func() (fed, error) {
+	return f.serveAssignments(s, machine, func() (applyRequest, error) {
 		r, err := s.Recv()
 		return func() ([]protocol.Message, []xds.InvalidPartError, error) {
 			return machine.HandleDeltaRequest(f.now(), r)
@@ -41,10 +41,10 @@
 	})
 }
 
-// assign serves a stream of assignments. Beside it run one goroutine that receives and one that sends; both end with the
+// serveAssignments serves a stream of assignments. Beside it run one goroutine that receives and one that sends; both end with the
 // stream, which the handler's return closes.
-func (f *frontend) assign(s grpc.ServerStream, machine *xds.AssignmentStream, receive func() (fed, error)) error {
-	conn, from, err := f.caller(s.Context())
+func (f *frontend) serveAssignments(s grpc.ServerStream, machine *xds.AssignmentStream, receive func() (applyRequest, error)) error {
+	conn, from, err := f.callerConn(s.Context())
 	if err != nil {
 		return err
 	}
@@ -54,8 +54,8 @@
 	go p.write(ctx, s)
 	received := make(chan error, 1)
 	go func() { received <- f.receive(conn, from, p, receive) }()
-	alarm := time.NewTicker(wakeEvery)
-	defer alarm.Stop()
+	ticker := time.NewTicker(wakeInterval)
+	defer ticker.Stop()
 	var reason error
 	for ended := false; !ended; {
 		select {
@@ -63,68 +63,68 @@
 			ended = true
 		case <-ctx.Done(): // by the planner, or with the connection
 			ended = true
-		case <-alarm.C:
-			f.say(p, p.wakes())
+		case <-ticker.C:
+			f.forward(p, p.dueMessages())
 		}
 	}
-	own := p.reason()
+	closeReason := p.reasonClosed()
 	p.Close(io.EOF) // orders that come now reach nobody
-	if who, joined := p.joined(); joined {
+	if identity, joined := p.attachedIdentity(); joined {
 		f.post(routing.Disconnected{Peer: p})
-		f.hold(conn, who.Proxy, -1)
+		f.countStream(conn, identity.Proxy, -1)
 	}
 	switch {
-	case own != nil:
-		f.peers.count("gRPC stream ended", conn.Remote(), own)
-		return status.Error(codes.Aborted, own.Error())
+	case closeReason != nil:
+		f.peers.countProblem("gRPC stream ended", conn.Remote(), closeReason)
+		return status.Error(codes.Aborted, closeReason.Error())
 	case reason == nil || errors.Is(reason, io.EOF) || status.Code(reason) == codes.Canceled:
 		return nil
 	}
-	f.peers.count("gRPC stream ended", conn.Remote(), reason)
+	f.peers.countProblem("gRPC stream ended", conn.Remote(), reason)
 	return reason
 }
 
-// say tells routing what a peer says.
-func (f *frontend) say(p routing.Peer, said []protocol.Message) {
-	for _, m := range said {
+// forward tells routing what a peer says.
+func (f *frontend) forward(p routing.Peer, messages []protocol.Message) {
+	for _, m := range messages {
 		f.post(routing.MessageReceived{Peer: p, Message: m})
 	}
 }
 
-// wakeEvery is how often a stream's waits are looked at.
-const wakeEvery = 250 * time.Millisecond
+// wakeInterval is how often a stream's waits are looked at.
+const wakeInterval = 250 * time.Millisecond
 
 // receive reads a stream of assignments until it ends.
-func (f *frontend) receive(conn *transport.Conn, from *peer.Peer, p *xdsPeer, receive func() (fed, error)) error {
+func (f *frontend) receive(conn *transport.Conn, from *peer.Peer, p *xdsPeer, receive func() (applyRequest, error)) error {
 	for {
-		feed, err := receive()
+		apply, err := receive()
 		if err != nil {
 			return err
 		}
-		said, voids, bad := p.feed(feed)
-		for _, v := range voids {
-			f.peers.count("line not used", conn.Remote(), v)
+		messages, invalid, requestErr := p.applyRequest(apply)
+		for _, part := range invalid {
+			f.peers.countProblem("line not used", conn.Remote(), part)
 		}
-		if bad != nil {
-			return status.Error(codes.InvalidArgument, bad.Error())
+		if requestErr != nil {
+			return status.Error(codes.InvalidArgument, requestErr.Error())
 		}
-		if _, joins := first[protocol.Attach](said); joins {
-			who, _ := p.machine.Identity()
-			if err := f.may(from, who); err != nil {
+		if _, joins := firstOfType[protocol.Attach](messages); joins {
+			identity, _ := p.machine.Identity()
+			if err := f.authorize(from, identity); err != nil {
 				return err
 			}
 			conn.Promote(transport.Identified)
-			f.hold(conn, who.Proxy, 1)
-			p.join()
+			f.countStream(conn, identity.Proxy, 1)
+			p.markAttached()
 		}
-		f.say(p, said)
+		f.forward(p, messages)
 	}
 }
 
-// first finds a message of a type.
-func first[M protocol.Message](said []protocol.Message) (m M, found bool) {
-	for _, one := range said {
-		if m, found = one.(M); found {
+// firstOfType finds a message of a type.
+func firstOfType[M protocol.Message](messages []protocol.Message) (m M, found bool) {
+	for _, candidate := range messages {
+		if m, found = candidate.(M); found {
 			return m, true
 		}
 	}
--- a/internal/planner/program/front_test.go
+++ b/internal/planner/program/front_test.go
@@ -217,10 +217,10 @@
 		t.Fatal(err)
 	}
 	address := byHTTP.Addr()
-	a := &asker{connect: 2 * time.Second, both: true}
+	a := &serverProber{connectTimeout: 2 * time.Second, allowGRPC: true}
 	ask := func(what string, ok, refused bool) map[string]float64 {
 		t.Helper()
-		r, _ := a.ask(context.Background(), address, true)
+		r, _ := a.probe(context.Background(), address, true)
 		if r.OK != ok || r.Refused != refused {
 			t.Errorf("%s: %+v", what, r)
 		}
@@ -238,13 +238,13 @@
 	if load := ask("gRPC", true, false); load["util"] != 0.1 || byGRPC.Probed() != 1 {
 		t.Errorf("load %v, probed %d", load, byGRPC.Probed())
 	}
-	if ask("gRPC at once", true, false); a.book.Len() != 1 || byGRPC.Probed() != 2 {
-		t.Errorf("%d remembered, probed %d", a.book.Len(), byGRPC.Probed())
+	if ask("gRPC at once", true, false); a.protocols.Len() != 1 || byGRPC.Probed() != 2 {
+		t.Errorf("%d remembered, probed %d", a.protocols.Len(), byGRPC.Probed())
 	}
 	byGRPC.Set(healthpb.HealthCheckResponse_NOT_SERVING, nil)
 	ask("turned away", false, true)
 	byGRPC.Set(healthpb.HealthCheckResponse_SERVING, nil)
-	a.connect = 300 * time.Millisecond
+	a.connectTimeout = 300 * time.Millisecond
 	if load := ask("a stream of reports that stalls", true, false); load != nil {
 		t.Errorf("load %v", load)
 	}
@@ -258,7 +258,7 @@
 		t.Fatal(err)
 	}
 	defer byHTTP.Close()
-	if ask("HTTP again", true, false); a.book.Len() != 0 {
+	if ask("HTTP again", true, false); a.protocols.Len() != 0 {
 		t.Error("the former protocol is remembered")
 	}
 }
--- a/internal/planner/program/host.go
+++ b/internal/planner/program/host.go
@@ -21,46 +21,46 @@
 )
 
 const (
-	tickEvery   = 20 * time.Millisecond // how often the assigner looks at its cores
-	confirmPart = 0.25                  // of the drain grace: the time in which a core must confirm where none is set
-	minConfirm  = 250.0                 // but never less: a core looks each tenth of a second
+	tickInterval    = 20 * time.Millisecond // how often the assigner looks at its cores
+	confirmFraction = 0.25                  // of the drain grace: the time in which a core must confirm where none is set
+	minConfirmMS    = 250.0                 // but never less: a core looks each tenth of a second
 )
 
 // supervisor runs a planner on several cores: it follows discovery for them, and carries out what the assigner decides about who
 // has which proxy. One goroutine owns all of it but for what is said to be shared.
 type supervisor struct {
-	settings settings.Settings
-	assigner *cores.Assigner
-	follower *routing.Follower
-	log      zerolog.Logger
-	now      func() float64
-	module   func(core, life int) sharer
-	probes   *sharedProbes
-	ctx      context.Context
+	settings  settings.Settings
+	assigner  *cores.Assigner
+	follower  *routing.Follower
+	log       zerolog.Logger
+	now       func() float64
+	newModule func(core, life int) coreModule
+	probes    *sharedProbes
+	ctx       context.Context
 
-	in      chan routing.Event // for the host alone
-	runs    []*coreRun         // by core, the present incarnation
-	all     []*coreRun         // every incarnation started whose goroutine may go on
-	streams map[uint64]routing.MessageReceived
-	leases  map[int]*lease // by proxy: the present one, or the last
-	waiting []routing.Peer // heartbeats
-	members map[string]protocol.Member
-	list    protocol.List // the change that is being told
-	watchAt float64       // when to watch again; 0: not needed
-	failed  error         // no core is left
+	events            chan routing.Event // for the host alone
+	currentRuns       []*coreRun         // by core, the present incarnation
+	activeRuns        []*coreRun         // every incarnation started whose goroutine may go on
+	streams           map[uint64]routing.MessageReceived
+	leases            map[int]*lease // by proxy: the present one, or the last
+	pendingHeartbeats []routing.Peer // heartbeats
+	members           map[string]protocol.Member
+	latestChange      protocol.List // the change that is being told
+	nextWatchAt       float64       // when to watch again; 0: not needed
+	fatal             error         // no core is left
 
 	// Shared with the readers of all connections.
-	owners     []atomic.Pointer[lease] // by proxy
-	live       atomic.Pointer[[]*coreRun]
-	listed     atomic.Bool
-	superseded sync.Map // connections whose proxy has a newer one
-	dropped    atomic.Int64
+	activeLeases    []atomic.Pointer[lease] // by proxy
+	liveRuns        atomic.Pointer[[]*coreRun]
+	hasList         atomic.Bool
+	superseded      sync.Map // connections whose proxy has a newer one
+	droppedMessages atomic.Int64
 }
 
-// joining is an Attach whose reader waits until the stream has its core.
-type joining struct {
+// pendingAttach is an Attach whose reader waits until the stream has its core.
+type pendingAttach struct {
 	routing.MessageReceived
-	placed chan struct{}
+	assigned chan struct{}
 }
 
 // incarnationEnded says that a core's goroutine has ended.
@@ -72,101 +72,101 @@
 // supervisorEvent carries what only the host knows of through the channel of events.
 type supervisorEvent struct {
 	routing.Event
-	joining *joining
-	over    *incarnationEnded
+	attach *pendingAttach
+	ended  *incarnationEnded
 }
 
 // newSupervisor returns a host of so many cores that has not begun.
-func newSupervisor(ctx context.Context, c Config, n int, asks *calls, module func(core, incarnation int) sharer,
+func newSupervisor(ctx context.Context, c Config, coreCount int, outgoing *calls, newModule func(core, incarnation int) coreModule,
 	log zerolog.Logger) *supervisor {
 	r := c.Settings.Rules
 	confirm := c.Options.Cores.ConfirmMS
 	if confirm == 0 {
-		confirm = max(minConfirm, confirmPart*r.DrainGrace)
+		confirm = max(minConfirmMS, confirmFraction*r.DrainGrace)
 	}
-	h := &supervisor{settings: c.Settings, log: log, now: clock(), module: module, ctx: ctx,
-		in: make(chan routing.Event, maxEvents),
-		runs: make([]*coreRun,
-			n), streams: map[uint64]routing.MessageReceived{}, leases: map[int]*lease{}, members: map[string]protocol.Member{},
-		owners: make([]atomic.Pointer[lease], r.Proxies), follower: routing.NewFollower(asks, c.Known.Revision)}
-	h.probes = &sharedProbes{now: h.now, probe: asks.probe, waiting: map[string]map[int]probeRequest{},
+	s := &supervisor{settings: c.Settings, log: log, now: clock(), newModule: newModule, ctx: ctx,
+		events: make(chan routing.Event, maxPendingEvents),
+		currentRuns: make([]*coreRun,
+			coreCount), streams: map[uint64]routing.MessageReceived{}, leases: map[int]*lease{}, members: map[string]protocol.Member{},
+		activeLeases: make([]atomic.Pointer[lease], r.Proxies), follower: routing.NewFollower(outgoing, c.Known.Revision)}
+	s.probes = &sharedProbes{now: s.now, probe: outgoing.probe, waiting: map[string]map[int]probeRequest{},
 		last: map[string]routing.Probed{}}
-	h.live.Store(&[]*coreRun{})
-	h.merge(c.Known)
-	h.listed.Store(len(c.Known.Members) > 0)
-	h.assigner = cores.NewAssigner(cores.Settings{Cores: n, Zones: len(c.Settings.ZoneNames), QueueLines: r.QueueLines,
+	s.liveRuns.Store(&[]*coreRun{})
+	s.mergeList(c.Known)
+	s.hasList.Store(len(c.Known.Members) > 0)
+	s.assigner = cores.NewAssigner(cores.Settings{Cores: coreCount, Zones: len(c.Settings.ZoneNames), QueueLines: r.QueueLines,
 		LinesPerSec:    r.LinesPerSec,
-		ConfirmTimeout: confirm, MovesPerSecond: c.Options.Cores.MovesPerS, RestartDelay: c.Options.Cores.RestMS}, h.now())
-	return h
+		ConfirmTimeout: confirm, MovesPerSecond: c.Options.Cores.MovesPerS, RestartDelay: c.Options.Cores.RestMS}, s.now())
+	return s
 }
 
 // post takes an event from any goroutine. What a proxy or collector reports goes straight to the cores; the rest is the
 // host's.
-func (h *supervisor) post(e routing.Event) {
-	said, ok := e.(routing.MessageReceived)
+func (s *supervisor) post(e routing.Event) {
+	received, ok := e.(routing.MessageReceived)
 	if !ok {
-		h.send(e)
+		s.send(e)
 		return
 	}
-	switch m := said.Message.(type) {
+	switch m := received.Message.(type) {
 	case protocol.Heartbeat:
-		if h.listed.Load() {
-			said.Peer.AnswerHeartbeat() // one that fails is seen by the connection's reader
+		if s.hasList.Load() {
+			received.Peer.AnswerHeartbeat() // one that fails is seen by the connection's reader
 			return
 		}
-		h.send(e)
+		s.send(e)
 	case protocol.Collector:
 	case protocol.Attach:
-		j := &joining{MessageReceived: said, placed: make(chan struct{})}
-		h.send(supervisorEvent{Event: e, joining: j})
+		attach := &pendingAttach{MessageReceived: received, assigned: make(chan struct{})}
+		s.send(supervisorEvent{Event: e, attach: attach})
 		select { // what follows on the stream must find its core
-		case <-j.placed:
-		case <-h.ctx.Done():
+		case <-attach.assigned:
+		case <-s.ctx.Done():
 		}
 	case protocol.Ack:
-		l := h.owner(said.Peer, m.Proxy)
+		l := s.activeLease(received.Peer, m.Proxy)
 		if l == nil {
 			return
 		}
-		if mark, own := l.own(m.Token); own {
-			m.Token = mark
-			l.core.in.report(routing.MessageReceived{Peer: l, Message: m})
+		if token, matches := l.coreToken(m.Token); matches {
+			m.Token = token
+			l.core.inbox.postReport(routing.MessageReceived{Peer: l, Message: m})
 		}
 	case protocol.UsageReport:
-		if l := h.owner(said.Peer, m.Proxy); l != nil {
-			l.core.in.report(routing.MessageReceived{Peer: l, Message: m})
+		if l := s.activeLease(received.Peer, m.Proxy); l != nil {
+			l.core.inbox.postReport(routing.MessageReceived{Peer: l, Message: m})
 		}
 	case protocol.Nack:
-		if l := h.owner(said.Peer, m.Proxy); l != nil && l.ID() == said.Peer.ID() {
-			l.core.in.report(routing.MessageReceived{Peer: l, Message: m})
+		if l := s.activeLease(received.Peer, m.Proxy); l != nil && l.ID() == received.Peer.ID() {
+			l.core.inbox.postReport(routing.MessageReceived{Peer: l, Message: m})
 		}
 	case protocol.ServerReport:
-		if _, former := h.superseded.Load(said.Peer.ID()); former {
+		if _, superseded := s.superseded.Load(received.Peer.ID()); superseded {
 			return
 		}
-		for _, c := range *h.live.Load() {
-			c.in.report(e)
+		for _, c := range *s.liveRuns.Load() {
+			c.inbox.postReport(e)
 		}
 	}
 }
 
 // send posts for the host's own goroutine.
-func (h *supervisor) send(e routing.Event) {
+func (s *supervisor) send(e routing.Event) {
 	select {
-	case h.in <- e:
-	case <-h.ctx.Done():
+	case s.events <- e:
+	case <-s.ctx.Done():
 	}
 }
 
-// owner is the lease of a proxy, unless who speaks of it is a stream that has been replaced.
-func (h *supervisor) owner(from routing.Peer, proxy int) *lease {
-	l := h.owners[proxy].Load()
+// activeLease is the lease of a proxy, unless who speaks of it is a stream that has been replaced.
+func (s *supervisor) activeLease(from routing.Peer, proxy int) *lease {
+	l := s.activeLeases[proxy].Load()
 	if l != nil && l.ID() == from.ID() {
 		return l
 	}
-	if _, former := h.superseded.Load(from.ID()); l == nil || former {
-		if n := int(h.dropped.Add(1)); routing.ShouldLog(n) {
-			h.log.Warn().Str("reason", "about a proxy that is not here, or from a stream that was replaced").Int("proxy", proxy).
+	if _, superseded := s.superseded.Load(from.ID()); l == nil || superseded {
+		if n := int(s.droppedMessages.Add(1)); routing.ShouldLog(n) {
+			s.log.Warn().Str("reason", "about a proxy that is not here, or from a stream that was replaced").Int("proxy", proxy).
 				Int("count", n).Msg("message not used")
 		}
 		return nil
@@ -175,176 +175,176 @@
 }
 
 // run serves until the context ends or no core is left.
-func (h *supervisor) run() error {
-	tick := time.NewTicker(tickEvery)
+func (s *supervisor) run() error {
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	defer h.stop()
-	if err := h.carryOut(); err != nil {
+	defer s.stop()
+	if err := s.applyCommands(); err != nil {
 		return err
 	}
-	h.follower.StartWatch()
+	s.follower.StartWatch()
 	for {
 		select {
-		case <-h.ctx.Done():
+		case <-s.ctx.Done():
 			return nil
-		case e := <-h.in:
-			h.handle(e)
+		case e := <-s.events:
+			s.handle(e)
 		case <-tick.C:
-			h.tick()
+			s.tick()
 		}
-		if err := cmp.Or(h.failed, h.carryOut()); err != nil {
+		if err := cmp.Or(s.fatal, s.applyCommands()); err != nil {
 			return err
 		}
 	}
 }
 
-func (h *supervisor) tick() {
-	now := h.now()
-	for i, run := range h.runs {
-		if w := run.report.Swap(nil); w != nil {
-			h.assigner.HandleReport(now, i, run.incarnation, *w)
+func (s *supervisor) tick() {
+	now := s.now()
+	for i, run := range s.currentRuns {
+		if report := run.report.Swap(nil); report != nil {
+			s.assigner.HandleReport(now, i, run.incarnation, *report)
 		}
 	}
-	h.assigner.Tick(now)
-	if h.watchAt > 0 && now >= h.watchAt {
-		h.watchAt = 0
-		h.follower.StartWatch()
+	s.assigner.Tick(now)
+	if s.nextWatchAt > 0 && now >= s.nextWatchAt {
+		s.nextWatchAt = 0
+		s.follower.StartWatch()
 	}
 }
 
-func (h *supervisor) handle(e routing.Event) {
+func (s *supervisor) handle(e routing.Event) {
 	switch e := e.(type) {
 	case supervisorEvent:
-		if e.joining != nil {
-			h.joined(e.joining)
+		if e.attach != nil {
+			s.handleAttach(e.attach)
 		} else {
-			h.died(*e.over)
+			s.handleCoreEnd(*e.ended)
 		}
 	case routing.MessageReceived: // a heartbeat that comes before any list
-		if h.listed.Load() {
+		if s.hasList.Load() {
 			e.Peer.AnswerHeartbeat()
 			return
 		}
 		e.Peer.DeferHeartbeat()
-		h.waiting = append(h.waiting, e.Peer)
+		s.pendingHeartbeats = append(s.pendingHeartbeats, e.Peer)
 	case routing.Disconnected:
 		id := e.Peer.ID()
-		h.superseded.Delete(id)
-		h.waiting = slices.DeleteFunc(h.waiting, func(p routing.Peer) bool { return p.ID() == id })
-		if s, known := h.streams[id]; known {
-			delete(h.streams, id)
-			h.assigner.HandleLeft(id, s.Message.(protocol.Attach).Proxy)
+		s.superseded.Delete(id)
+		s.pendingHeartbeats = slices.DeleteFunc(s.pendingHeartbeats, func(p routing.Peer) bool { return p.ID() == id })
+		if stream, known := s.streams[id]; known {
+			delete(s.streams, id)
+			s.assigner.HandleLeft(id, stream.Message.(protocol.Attach).Proxy)
 		}
 	case routing.ListReceived:
-		if h.follower.HandleList(e) {
-			h.change(e.List)
+		if s.follower.HandleList(e) {
+			s.handleListChange(e.List)
 		}
 	case routing.WatchStarted:
-		h.follower.HandleWatchStarted(e)
+		s.follower.HandleWatchStarted(e)
 	case routing.CallFailed:
-		if counts, watched := h.follower.HandleFailure(e); counts {
-			h.log.Warn().Err(e.Err).Int64("revision", h.follower.Revision()).Msg("discovery call ended")
+		if counts, watched := s.follower.HandleFailure(e); counts {
+			s.log.Warn().Err(e.Err).Int64("revision", s.follower.Revision()).Msg("discovery call ended")
 			if watched {
-				h.watchAt = h.now() + routing.WatchBackoff*(0.5+rand.Float64()) // spread by chance, as planners are many
+				s.nextWatchAt = s.now() + routing.WatchBackoff*(0.5+rand.Float64()) // spread by chance, as planners are many
 			}
 		}
 	case routing.DiscoveryMoved:
-		h.watchAt = 0
-		h.follower.HandleMove(e)
+		s.nextWatchAt = 0
+		s.follower.HandleMove(e)
 	}
 }
 
-// joined gives a proxy's stream to a core. Its reader goes on once that is done.
-func (h *supervisor) joined(j *joining) {
-	defer close(j.placed)
-	m := j.Message.(protocol.Attach)
-	zone := slices.Index(h.settings.ZoneNames, m.Zone)
-	if _, twice := h.streams[j.Peer.ID()]; twice || zone < 0 || m.Proxy >= len(h.owners) {
+// handleAttach gives a proxy's stream to a core. Its reader goes on once that is done.
+func (s *supervisor) handleAttach(attach *pendingAttach) {
+	defer close(attach.assigned)
+	m := attach.Message.(protocol.Attach)
+	zone := slices.Index(s.settings.ZoneNames, m.Zone)
+	if _, duplicate := s.streams[attach.Peer.ID()]; duplicate || zone < 0 || m.Proxy >= len(s.activeLeases) {
 		return // its role has been checked, so this can't be; a second joining is void
 	}
-	h.streams[j.Peer.ID()] = j.MessageReceived
-	h.assigner.HandleJoined(h.now(), j.Peer.ID(), m.Proxy, zone, m.Rate)
-	if err := h.carryOut(); err != nil {
-		h.failed = err
+	s.streams[attach.Peer.ID()] = attach.MessageReceived
+	s.assigner.HandleJoined(s.now(), attach.Peer.ID(), m.Proxy, zone, m.Rate)
+	if err := s.applyCommands(); err != nil {
+		s.fatal = err
 	}
 }
 
-func (h *supervisor) died(e incarnationEnded) {
-	why := "ended"
+func (s *supervisor) handleCoreEnd(e incarnationEnded) {
+	reason := "ended"
 	if e.err != nil {
-		why = e.err.Error()
-		h.log.Error().Int("core", e.core).Int("life", e.incarnation).Str("error", why).Msg("core failed")
+		reason = e.err.Error()
+		s.log.Error().Int("core", e.core).Int("life", e.incarnation).Str("error", reason).Msg("core failed")
 	}
-	h.all = slices.DeleteFunc(h.all, func(c *coreRun) bool { return c.index == e.core && c.incarnation == e.incarnation })
-	h.assigner.HandleEnded(h.now(), e.core, e.incarnation, why)
+	s.activeRuns = slices.DeleteFunc(s.activeRuns, func(c *coreRun) bool { return c.index == e.core && c.incarnation == e.incarnation })
+	s.assigner.HandleEnded(s.now(), e.core, e.incarnation, reason)
 }
 
-// merge takes a list into the whole one.
-func (h *supervisor) merge(l protocol.List) {
+// mergeList takes a list into the whole one.
+func (s *supervisor) mergeList(l protocol.List) {
 	if l.Complete {
-		clear(h.members)
+		clear(s.members)
 	}
 	for _, m := range l.Members {
 		if m.Phase == protocol.PhaseRemoved {
-			delete(h.members, m.ID)
+			delete(s.members, m.ID)
 		} else {
-			h.members[m.ID] = m
+			s.members[m.ID] = m
 		}
 	}
 }
 
-// change tells every core of a change of the list.
-func (h *supervisor) change(l protocol.List) {
-	h.merge(l)
-	h.list = l
-	h.assigner.HandleListChange(h.now())
-	if h.listed.Store(true); len(h.waiting) > 0 {
-		for _, peer := range h.waiting {
+// handleListChange tells every core of a change of the list.
+func (s *supervisor) handleListChange(l protocol.List) {
+	s.mergeList(l)
+	s.latestChange = l
+	s.assigner.HandleListChange(s.now())
+	if s.hasList.Store(true); len(s.pendingHeartbeats) > 0 {
+		for _, peer := range s.pendingHeartbeats {
 			peer.AnswerHeartbeat()
 		}
-		h.waiting = nil
+		s.pendingHeartbeats = nil
 	}
 }
 
-// whole is the list as it stands.
-func (h *supervisor) whole() protocol.List {
-	l := protocol.List{Revision: h.follower.Revision(), Complete: true}
-	for _, m := range h.members {
+// completeList is the list as it stands.
+func (s *supervisor) completeList() protocol.List {
+	l := protocol.List{Revision: s.follower.Revision(), Complete: true}
+	for _, m := range s.members {
 		l.Members = append(l.Members, m)
 	}
 	slices.SortFunc(l.Members, func(a, b protocol.Member) int { return cmp.Compare(a.ID, b.ID) })
 	return l
 }
 
-// carryOut does what the assigner has decided.
-func (h *supervisor) carryOut() error {
-	for _, c := range h.assigner.DrainCommands() {
+// applyCommands does what the assigner has decided.
+func (s *supervisor) applyCommands() error {
+	for _, c := range s.assigner.DrainCommands() {
 		switch c := c.(type) {
 		case cores.StartCore:
-			h.begin(c)
+			s.startIncarnation(c)
 		case cores.UpdateList:
-			h.runs[c.Core].in.order(routing.ListUpdated{List: h.list, Epoch: c.Epoch})
+			s.currentRuns[c.Core].inbox.postControl(routing.ListUpdated{List: s.latestChange, Epoch: c.Epoch})
 		case cores.Share:
-			h.runs[c.Core].in.order(routing.ShareAllocated{Number: c.Number,
+			s.currentRuns[c.Core].inbox.postControl(routing.ShareAllocated{Number: c.Number,
 				Part: rules.Part{ChannelShare: c.ChannelShare, JoinedProxies: c.JoinedProxies, TypicalRates: c.TypicalRates,
 					Demands: c.Demands}})
 		case cores.Assign:
-			h.place(c)
+			s.assignProxy(c)
 		case cores.Unassign:
-			if l := h.owners[c.Proxy].Swap(nil); l != nil {
+			if l := s.activeLeases[c.Proxy].Swap(nil); l != nil {
 				l.revoke()
-				l.core.in.order(routing.Disconnected{Peer: l})
+				l.core.inbox.postControl(routing.Disconnected{Peer: l})
 			}
 		case cores.Supersede:
-			if s, known := h.streams[c.Stream]; known {
-				h.superseded.Store(c.Stream, true)
-				delete(h.streams, c.Stream)
-				s.Peer.Close(routing.ErrSuperseded)
+			if stream, known := s.streams[c.Stream]; known {
+				s.superseded.Store(c.Stream, true)
+				delete(s.streams, c.Stream)
+				stream.Peer.Close(routing.ErrSuperseded)
 			}
 		case cores.Isolate:
-			h.cut(c)
+			s.isolateCore(c)
 		case cores.LogLine:
-			h.log.Warn().Int("core", c.Core).Msg("core: " + c.Text)
+			s.log.Warn().Int("core", c.Core).Msg("core: " + c.Text)
 		case cores.Abort:
 			return errors.New("no core is left: " + c.Reason)
 		}
@@ -352,101 +352,101 @@
 	return nil
 }
 
-func (h *supervisor) begin(c cores.StartCore) {
-	log := h.log.With().Int("core", c.Core).Logger()
+func (s *supervisor) startIncarnation(c cores.StartCore) {
+	log := s.log.With().Int("core", c.Core).Logger()
 	var run *coreRun
 	ready := make(chan struct{})
-	calls := coreCalls{probes: h.probes, core: func() *coreRun { <-ready; return run }}
-	run = startCore(h.ctx, c.Core, c.Incarnation, h.settings, h.module(c.Core, c.Incarnation), calls, h.whole(), c.Epoch,
-		h.now, log,
+	calls := coreCalls{probes: s.probes, core: func() *coreRun { <-ready; return run }}
+	run = startCore(s.ctx, c.Core, c.Incarnation, s.settings, s.newModule(c.Core, c.Incarnation), calls, s.completeList(), c.Epoch,
+		s.now, log,
 		func(err error) {
-			h.send(supervisorEvent{over: &incarnationEnded{c.Core, c.Incarnation, err}})
+			s.send(supervisorEvent{ended: &incarnationEnded{c.Core, c.Incarnation, err}})
 		})
 	close(ready)
-	h.runs[c.Core] = run
-	h.all = append(h.all, run)
-	h.publish()
+	s.currentRuns[c.Core] = run
+	s.activeRuns = append(s.activeRuns, run)
+	s.publishLiveRuns()
 	if c.Incarnation > 1 {
 		log.Info().Int("life", c.Incarnation).Msg("core begins again")
 	}
 }
 
-// publish lets the readers know which cores get server reports.
-func (h *supervisor) publish() {
+// publishLiveRuns lets the readers know which cores get server reports.
+func (s *supervisor) publishLiveRuns() {
 	var live []*coreRun
-	for i, run := range h.runs {
-		if run != nil && h.assigner.Incarnation(i) == run.incarnation {
+	for i, run := range s.currentRuns {
+		if run != nil && s.assigner.Incarnation(i) == run.incarnation {
 			live = append(live, run)
 		}
 	}
-	h.live.Store(&live)
+	s.liveRuns.Store(&live)
 }
 
-// cut takes every stream from a core, whatever it is doing, and lets it end by itself.
-func (h *supervisor) cut(c cores.Isolate) {
-	run := h.runs[c.Core]
-	taken := 0
-	for i := range h.owners {
-		if l := h.owners[i].Load(); l != nil && l.core == run {
+// isolateCore takes every stream from a core, whatever it is doing, and lets it end by itself.
+func (s *supervisor) isolateCore(c cores.Isolate) {
+	run := s.currentRuns[c.Core]
+	revoked := 0
+	for i := range s.activeLeases {
+		if l := s.activeLeases[i].Load(); l != nil && l.core == run {
 			l.revoke()
-			taken++
+			revoked++
 		}
 	}
 	run.cancel()
-	run.in.close()
-	h.publish()
-	h.log.Error().Int("core", c.Core).Int("life", c.Incarnation).Int("proxies", taken).Str("cause",
+	run.inbox.close()
+	s.publishLiveRuns()
+	s.log.Error().Int("core", c.Core).Int("life", c.Incarnation).Int("proxies", revoked).Str("cause",
 		firstLine(c.Reason)).Msg("core cut off: others take its proxies")
 }
 
-// place gives a stream to a core. Who had the proxy before can't order on it any more.
-func (h *supervisor) place(c cores.Assign) {
-	s := h.streams[c.Stream]
-	old := h.leases[c.Proxy]
+// assignProxy gives a stream to a core. Who had the proxy before can't order on it any more.
+func (s *supervisor) assignProxy(c cores.Assign) {
+	stream := s.streams[c.Stream]
+	old := s.leases[c.Proxy]
 	if old != nil {
 		old.revoke()
 	}
-	l := old.next(s.Peer, c.Proxy, h.runs[c.Core])
-	h.leases[c.Proxy] = l
-	h.owners[c.Proxy].Store(l)
-	shut := make([]string, 0, len(l.shut))
-	for name := range l.shut {
-		shut = append(shut, name)
+	l := old.next(stream.Peer, c.Proxy, s.currentRuns[c.Core])
+	s.leases[c.Proxy] = l
+	s.activeLeases[c.Proxy].Store(l)
+	excluded := make([]string, 0, len(l.excluded))
+	for name := range l.excluded {
+		excluded = append(excluded, name)
 	}
-	slices.Sort(shut)
-	l.core.in.order(routing.ProxyHandedOver{Peer: l, Attach: s.Message.(protocol.Attach), Excluded: shut})
+	slices.Sort(excluded)
+	l.core.inbox.postControl(routing.ProxyHandedOver{Peer: l, Attach: stream.Message.(protocol.Attach), Excluded: excluded})
 }
 
 // stop lets every core end. One that is stuck is left behind: the program is about to end, and its streams are closed.
-func (h *supervisor) stop() {
-	patience := time.After(time.Duration(max(minConfirm, confirmPart*h.settings.Rules.DrainGrace)) * time.Millisecond)
-	for _, run := range h.all {
+func (s *supervisor) stop() {
+	timeout := time.After(time.Duration(max(minConfirmMS, confirmFraction*s.settings.Rules.DrainGrace)) * time.Millisecond)
+	for _, run := range s.activeRuns {
 		run.cancel()
-		run.in.close()
+		run.inbox.close()
 	}
-	for _, run := range h.all {
+	for _, run := range s.activeRuns {
 		select {
 		case <-run.ended:
-		case <-patience:
+		case <-timeout:
 			return
 		}
 	}
 }
 
 // coreCount is how many cores decide: as set, within what the platform grants and what there are proxies for.
-func coreCount(c Config) (n int, cut string) {
+func coreCount(c Config) (n int, limitedBy string) {
 	n = max(1, c.Options.Cores.Count)
 	if granted := int(math.Ceil(c.Limits.Cores)); granted > 0 && n > granted {
-		n, cut = granted, "limits.cores"
+		n, limitedBy = granted, "limits.cores"
 	}
-	if most := max(1, c.Settings.Rules.Proxies/minProxies); n > most {
-		n, cut = most, "proxies"
+	if limit := max(1, c.Settings.Rules.Proxies/minProxiesPerCore); n > limit {
+		n, limitedBy = limit, "proxies"
 	}
 	if c.Settings.Rules.KeyRanges > 0 && n > 1 {
-		n, cut = 1, "slices"
+		n, limitedBy = 1, "slices"
 	}
-	return n, cut
+	return n, limitedBy
 }
 
-// minProxies is how many proxies a core must be able to have: the tables of fewer spread traffic badly.
-const minProxies = 8
+// minProxiesPerCore is how many proxies a core must be able to have: the tables of fewer spread traffic badly.
+const minProxiesPerCore = 8
--- a/internal/planner/program/keys_test.go
+++ b/internal/planner/program/keys_test.go
@@ -118,22 +118,22 @@
 			c.Close()
 		}
 	}
-	k, err := loadKeys(options.TLS{Certificate: filepath.Join(folder, "server.pem"), Key: filepath.Join(folder, "server.key")})
+	k, err := loadCertificates(options.TLS{Certificate: filepath.Join(folder, "server.pem"), Key: filepath.Join(folder, "server.key")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := k.now.Load()
+	before := k.current.Load()
 	ca.sign(folder, "server", "planner.test", time.Now().Add(-time.Hour))
-	if err := k.reload(time.Now()); err == nil || !strings.Contains(err.Error(), "server.pem") || k.now.Load() != before {
+	if err := k.reload(time.Now()); err == nil || !strings.Contains(err.Error(), "server.pem") || k.current.Load() != before {
 		t.Errorf("an expired certificate: %v", err)
 	}
 	f.reloads <- syscall.SIGHUP
 	os.WriteFile(filepath.Join(folder, "server.key"), []byte("half"), 0o600)
-	if err := k.reload(time.Now()); err == nil || k.now.Load() != before {
+	if err := k.reload(time.Now()); err == nil || k.current.Load() != before {
 		t.Errorf("a spoilt key: %v", err)
 	}
 	ca.sign(folder, "server", "planner.test", hour)
-	if err := k.reload(time.Now()); err != nil || k.now.Load() == before {
+	if err := k.reload(time.Now()); err != nil || k.current.Load() == before {
 		t.Errorf("good files: %v", err)
 	}
 	f.reloads <- syscall.SIGHUP
@@ -143,7 +143,7 @@
 		{Roles: []options.Role{{Name: "a", Role: "proxy"}}},
 		{Certificate: filepath.Join(folder, "server.pem"), Key: filepath.Join(folder, "server.key"),
 			ClientCA: filepath.Join(folder, "server.key")}} {
-		if _, err := loadKeys(bad); err == nil {
+		if _, err := loadCertificates(bad); err == nil {
 			t.Errorf("%+v: no error", bad)
 		}
 	}
--- a/internal/planner/program/lease.go
+++ b/internal/planner/program/lease.go
@@ -22,9 +22,9 @@
 	core  *coreRun
 	tag   uint16 // of the stream's leases, in order: an answer to a former one's mark is told by it
 
-	mu      sync.Mutex
-	revoked bool
-	shut    map[string]bool // servers that the proxy was told to shut out
+	mu       sync.Mutex
+	revoked  bool
+	excluded map[string]bool // servers that the proxy was told to shut out
 }
 
 // Assign implements routing.Peer. The mark carries the tag.
@@ -35,14 +35,14 @@
 		return errRevoked
 	}
 	for _, name := range o.Exclude {
-		l.shut[name] = true
+		l.excluded[name] = true
 	}
 	for _, name := range o.Include {
-		delete(l.shut, name)
+		delete(l.excluded, name)
 	}
 	if o.Token != nil {
-		stamp := *o.Token | uint32(l.tag)<<tagShift
-		o.Token = &stamp
+		token := *o.Token | uint32(l.tag)<<tagShift
+		o.Token = &token
 	}
 	return l.Peer.Assign(o)
 }
@@ -57,14 +57,14 @@
 // next returns a lease of the same proxy for another core or stream, which must be revoked first.
 func (l *lease) next(peer routing.Peer, proxy int, to *coreRun) *lease {
 	if l == nil {
-		return &lease{Peer: peer, proxy: proxy, core: to, shut: map[string]bool{}}
+		return &lease{Peer: peer, proxy: proxy, core: to, excluded: map[string]bool{}}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return &lease{Peer: peer, proxy: proxy, core: to, tag: l.tag + 1, shut: l.shut}
+	return &lease{Peer: peer, proxy: proxy, core: to, tag: l.tag + 1, excluded: l.excluded}
 }
 
-// own returns a mark as the core knows it, if it is one of this lease.
-func (l *lease) own(mark uint32) (uint32, bool) {
-	return mark & (1<<tagShift - 1), uint16(mark>>tagShift) == l.tag
+// coreToken returns a mark as the core knows it, if it is one of this lease.
+func (l *lease) coreToken(token uint32) (uint32, bool) {
+	return token & (1<<tagShift - 1), uint16(token>>tagShift) == l.tag
 }
--- a/internal/planner/program/limits.go
+++ b/internal/planner/program/limits.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	ownFiles   = 32   // descriptors kept for probes (16), calls to discovery, the listener and the runtime
-	socketsSet = 1024 // where no limit is stated
-	memorySet  = 192  // megabytes, likewise
-	bufferPart = 4    // a fourth of the memory is for the buffers of connections
+	reservedDescriptors = 32   // descriptors kept for probes (16), calls to discovery, the listener and the runtime
+	defaultSockets      = 1024 // where no limit is stated
+	defaultMemoryMB     = 192  // megabytes, likewise
+	bufferMemoryDivisor = 4    // a fourth of the memory is for the buffers of connections
 
-	// memoryShare of the limit is what the collector keeps the heap under; the rest is for stacks and the runtime.
-	memoryShare = 0.7
+	// heapLimitFraction of the limit is what the collector keeps the heap under; the rest is for stacks and the runtime.
+	heapLimitFraction = 0.7
 )
 
 // Limits of the machine. 0 stands for not stated.
@@ -31,39 +31,39 @@
 		runtime.GOMAXPROCS(min(runtime.NumCPU(), int(math.Ceil(l.Cores))))
 	}
 	if l.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(l.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(heapLimitFraction * float64(l.MemoryMB) * (1 << 20)))
 	}
 }
 
-// collectPercent is by how much the heap of a planner on several cores may grow between two collections; the runtime's own
+// multiCoreGCPercent is by how much the heap of a planner on several cores may grow between two collections; the runtime's own
 // default is 100. Readers on all cores leave garbage in proportion to the reports; a collection stops and costs all of them
 // however small the heap is. The memory limit still holds. docs/cores.md has the figures.
-const collectPercent = 400
+const multiCoreGCPercent = 400
 
-// collectLess sets that, unless the operator has said otherwise by GOGC.
-func collectLess() {
+// raiseGCPercent sets that, unless the operator has said otherwise by GOGC.
+func raiseGCPercent() {
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(collectPercent)
+		debug.SetGCPercent(multiCoreGCPercent)
 	}
 }
 
-// connections is how many may be accepted under the limit on descriptors, stated or set by the system.
-func connections(stated int) int {
-	most := socketsSet
+// maxConns is how many may be accepted under the limit on descriptors, stated or set by the system.
+func maxConns(stated int) int {
+	limit := defaultSockets
 	if stated > 0 {
-		most = stated
+		limit = stated
 	}
 	var system syscall.Rlimit
-	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &system) == nil && system.Cur < uint64(most) {
-		most = int(system.Cur)
+	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &system) == nil && system.Cur < uint64(limit) {
+		limit = int(system.Cur)
 	}
-	return max(most-ownFiles, most*2/3)
+	return max(limit-reservedDescriptors, limit*2/3)
 }
 
-// buffers is the memory that the buffers of all accepted connections may take together.
-func buffers(megabytes int) int64 {
+// bufferBytes is the memory that the buffers of all accepted connections may take together.
+func bufferBytes(megabytes int) int64 {
 	if megabytes <= 0 {
-		megabytes = memorySet
+		megabytes = defaultMemoryMB
 	}
-	return int64(megabytes) << 20 / bufferPart
+	return int64(megabytes) << 20 / bufferMemoryDivisor
 }
--- a/internal/planner/program/loop_test.go
+++ b/internal/planner/program/loop_test.go
@@ -53,7 +53,7 @@
 	if span, real := m.times[19]-m.times[0], time.Since(begun); span > float64(real.Milliseconds())+8 {
 		t.Errorf("the module saw %v ms pass in %v", span, real)
 	}
-	if onGrid(5.5, 0) != 5.5 {
+	if alignToGrid(5.5, 0) != 5.5 {
 		t.Error("without a granularity the clock is changed")
 	}
 }
--- a/internal/planner/program/program.go
+++ b/internal/planner/program/program.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	maxEvents = 512 // that may wait for routing, and that go into one turn
+	maxPendingEvents = 512 // that may wait for routing, and that go into one turn
 
-	// joinWithin is how long a connection may take to say who it is. The page lets it be closed after a second.
-	joinWithin = time.Second
+	// joinTimeout is how long a connection may take to say who it is. The page lets it be closed after a second.
+	joinTimeout = time.Second
 
 	logBurst  = 200 // lines of log that may come within logPeriod; others are left out
 	logPeriod = 10 * time.Second
@@ -37,27 +37,27 @@
 
 // Run serves until ctx ends, which is no error. At each signal of reloads it reads the configuration again.
 func Run(ctx context.Context, c Config, log zerolog.Logger, reloads <-chan os.Signal) error {
-	return run(ctx, c, func(core, life int) sharer {
+	return run(ctx, c, func(core, life int) coreModule {
 		return rules.New(c.Settings.Rules, c.Seed+uint64(core)+uint64(life-1)<<32)
 	}, log, reloads, nil)
 }
 
 // run is Run with modules of the caller's, one for each incarnation of each core, and, if ready is set, the address
 // once it is open.
-func run(ctx context.Context, c Config, module func(core, incarnation int) sharer, log zerolog.Logger, reloads <-chan os.Signal,
+func run(ctx context.Context, c Config, newModule func(core, incarnation int) coreModule, log zerolog.Logger, reloads <-chan os.Signal,
 	ready func(string)) error {
 	c.Limits.apply()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	keys, err := loadKeys(c.Options.GRPC.TLS)
+	keys, err := loadCertificates(c.Options.GRPC.TLS)
 	if err != nil {
 		return &StartError{err}
 	}
-	n, cut := coreCount(c)
-	if cut != "" {
-		log.Warn().Int("cores", n).Int("set", c.Options.Cores.Count).Str("by", cut).Msg("fewer cores than set")
+	n, limitedBy := coreCount(c)
+	if limitedBy != "" {
+		log.Warn().Int("cores", n).Int("set", c.Options.Cores.Count).Str("by", limitedBy).Msg("fewer cores than set")
 	}
-	events := make(chan routing.Event, maxEvents)
+	events := make(chan routing.Event, maxPendingEvents)
 	post := func(e routing.Event) {
 		select {
 		case events <- e:
@@ -65,55 +65,55 @@
 		}
 	}
 	var group sync.WaitGroup
-	bounded := log.Sample(&zerolog.BurstSampler{Burst: logBurst, Period: logPeriod})
-	asks := &calls{ctx: ctx, discovery: c.Discovery, connect: c.Settings.MaxConnectTime, post: post, group: &group,
-		probes: make(chan struct{}, maxProbes), asker: &asker{connect: c.Settings.MaxConnectTime, both: c.Options.GRPC.ProbeServers},
-		log: bounded, ends: map[uint64]context.CancelFunc{}}
-	var decide func() error
+	sampledLog := log.Sample(&zerolog.BurstSampler{Burst: logBurst, Period: logPeriod})
+	outgoing := &calls{ctx: ctx, discovery: c.Discovery, connectTimeout: c.Settings.MaxConnectTime, post: post, group: &group,
+		probeSlots: make(chan struct{}, maxConcurrentProbes), prober: &serverProber{connectTimeout: c.Settings.MaxConnectTime, allowGRPC: c.Options.GRPC.ProbeServers},
+		log: sampledLog, cancels: map[uint64]context.CancelFunc{}}
+	var runRouting func() error
 	if n == 1 {
-		router := routing.New(c.Settings, module(0, 1), asks, c.Known, bounded)
-		decide = func() error { return loop(ctx, router, events, c.Settings.Granularity) }
+		router := routing.New(c.Settings, newModule(0, 1), outgoing, c.Known, sampledLog)
+		runRouting = func() error { return loop(ctx, router, events, c.Settings.Granularity) }
 	} else {
-		collectLess()
-		h := newSupervisor(ctx, c, n, asks, module, bounded)
-		post, asks.post = h.post, h.post
-		decide = h.run
+		raiseGCPercent()
+		s := newSupervisor(ctx, c, n, outgoing, newModule, sampledLog)
+		post, outgoing.post = s.post, s.post
+		runRouting = s.run
 	}
 
-	listener, err := transport.Listen(c.Listen, connections(c.Limits.Sockets),
-		transport.NewBufferBudget(buffers(c.Limits.MemoryMB)))
+	listener, err := transport.Listen(c.Listen, maxConns(c.Limits.Sockets),
+		transport.NewBufferBudget(bufferBytes(c.Limits.MemoryMB)))
 	if err != nil {
 		return &StartError{fmt.Errorf("%s (or \"listen\" in the configuration): %w", envListen, err)}
 	}
-	listener.JoinTimeout = joinWithin
+	listener.JoinTimeout = joinTimeout
 	log.Info().Str("name", c.Name).Stringer("listen", listener.Addr()).Str("discovery", c.Discovery).
 		Int64("revision", c.Known.Revision).Int("known", len(c.Known.Members)).Int("cores", n).Msg("planner starts")
 	served := make(chan error, 1)
-	handler := &peers{set: c.Settings, post: post, log: bounded, collectors: map[string]*transport.Conn{},
-		counts: map[string]int{}}
-	if handler.versions, err = newVersions(c.Name, c.Options.Versions, c.sent); err != nil {
+	handler := &peers{set: c.Settings, post: post, log: sampledLog, collectors: map[string]*transport.Conn{},
+		problemCounts: map[string]int{}}
+	if handler.updateVersions, err = newVersionTracker(c.Name, c.Options.Versions, c.onSent); err != nil {
 		return &StartError{err}
 	}
-	if handler.versions != nil {
-		handler.versions.keep(c.Options.Versions.Record, log)
-		defer handler.versions.close()
+	if handler.updateVersions != nil {
+		handler.updateVersions.openRecord(c.Options.Versions.Record, log)
+		defer handler.updateVersions.close()
 	}
 	if c.Options.GRPC.Enabled {
-		handler.front = newFrontend(ctx, c.Settings, c.Options.GRPC, handler, listener.Addr(), keys)
-		listener.Handoff = handler.front.take
-		group.Go(func() { handler.front.serve(ctx) })
+		handler.frontend = newFrontend(ctx, c.Settings, c.Options.GRPC, handler, listener.Addr(), keys)
+		listener.Handoff = handler.frontend.handOff
+		group.Go(func() { handler.frontend.serve(ctx) })
 	}
 	group.Go(func() {
 		served <- listener.Serve(ctx, handler)
 		cancel()
 	})
 	group.Go(func() {
-		reloader{config: c, listener: listener, keys: keys, post: post, log: log}.serve(ctx, reloads)
+		reloader{config: c, listener: listener, certificates: keys, post: post, log: log}.serve(ctx, reloads)
 	})
 	if ready != nil {
 		ready(listener.Addr().String())
 	}
-	err = decide()
+	err = runRouting()
 	cancel()
 	group.Wait()
 	if serveErr := <-served; err == nil && serveErr != nil {
@@ -125,35 +125,35 @@
 // loop is the goroutine that owns the router: it gathers what waits, reads the clock once and takes a turn.
 func loop(ctx context.Context, router *routing.Router, events <-chan routing.Event, granularity float64) error {
 	now := clock()
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-alarm.C:
+		case <-timer.C:
 		case e := <-events:
 			router.Handle(e)
 			for n := len(events); n > 0; n-- {
 				router.Handle(<-events)
 			}
 		}
-		next, wants, err := router.Advance(onGrid(now(), granularity))
+		next, hasNext, err := router.Advance(alignToGrid(now(), granularity))
 		if err != nil {
 			return err
 		}
-		if wants {
-			alarm.Reset(time.Duration((next - now()) * float64(time.Millisecond)))
+		if hasNext {
+			timer.Reset(time.Duration((next - now()) * float64(time.Millisecond)))
 		} else {
-			alarm.Stop()
+			timer.Stop()
 		}
 	}
 }
 
-// onGrid takes a time back to the last one that the settings' clock can show. Guards against looks that drift: a
+// alignToGrid takes a time back to the last one that the settings' clock can show. Guards against looks that drift: a
 // timer comes a fraction of a millisecond late, the next one is counted from there, and the module, which steps in
 // the rhythm of the reports, falls ever farther behind them.
-func onGrid(now, granularity float64) float64 {
+func alignToGrid(now, granularity float64) float64 {
 	if granularity <= 0 {
 		return now
 	}
--- a/internal/planner/program/reload.go
+++ b/internal/planner/program/reload.go
@@ -14,11 +14,11 @@
 // reloader takes a changed configuration over while the planner serves. Files are read beside the loop, which gets
 // one event. A configuration that is wrong changes nothing.
 type reloader struct {
-	config   Config // in force
-	listener *transport.Listener
-	keys     *keys // nil: none
-	post     func(routing.Event)
-	log      zerolog.Logger
+	config       Config // in force
+	listener     *transport.Listener
+	certificates *certificates // nil: none
+	post         func(routing.Event)
+	log          zerolog.Logger
 }
 
 // serve reads the configuration again at each signal until ctx ends. Signals that come while one is being served
@@ -35,24 +35,24 @@
 }
 
 func (r *reloader) reload() {
-	if r.keys != nil {
-		if err := r.keys.reload(time.Now()); err != nil {
+	if r.certificates != nil {
+		if err := r.certificates.reload(time.Now()); err != nil {
 			r.log.Error().Err(err).Msg("certificates not taken over: the former ones stay")
 		}
 	}
-	next, fixed, err := r.config.Reload()
+	next, needRestart, err := r.config.Reload()
 	if err != nil {
 		r.log.Error().Err(err).Msg("configuration not taken over: the former one stays")
 		return
 	}
 	if next.Limits != r.config.Limits {
 		next.Limits.apply()
-		r.listener.SetMaxConns(connections(next.Limits.Sockets))
-		r.listener.Memory.SetLimit(buffers(next.Limits.MemoryMB))
+		r.listener.SetMaxConns(maxConns(next.Limits.Sockets))
+		r.listener.Memory.SetLimit(bufferBytes(next.Limits.MemoryMB))
 	}
 	if next.Discovery != r.config.Discovery {
 		r.post(routing.DiscoveryMoved{Discovery: next.Discovery})
 	}
-	r.log.Info().Str("discovery", next.Discovery).Strs("needs a new start", fixed).Msg("configuration taken over")
-	r.config.Limits, r.config.Discovery, r.config.stated.discovery = next.Limits, next.Discovery, next.stated.discovery
+	r.log.Info().Str("discovery", next.Discovery).Strs("needs a new start", needRestart).Msg("configuration taken over")
+	r.config.Limits, r.config.Discovery, r.config.fromFile.discovery = next.Limits, next.Discovery, next.fromFile.discovery
 }
--- a/internal/planner/program/roles_test.go
+++ b/internal/planner/program/roles_test.go
@@ -20,16 +20,16 @@
 		protocol.ServerReport{Zone: "north"}, protocol.ServerReport{Zone: "south"}, protocol.UsageReport{Proxy: 2},
 		protocol.UsageReport{Proxy: 3}, protocol.Ack{Proxy: 2}, protocol.Ack{Proxy: 3}}
 	for _, tc := range []struct {
-		speaker speaker
+		speaker sender
 		may     []int
 	}{
-		{speaker{}, []int{0, 1, 2}},
-		{speaker{role: collector, zone: "north"}, []int{0, 3, 5, 6}},
-		{speaker{role: proxy, proxy: 2}, []int{0, 5, 7}},
+		{sender{}, []int{0, 1, 2}},
+		{sender{role: roleCollector, zone: "north"}, []int{0, 3, 5, 6}},
+		{sender{role: roleProxy, proxy: 2}, []int{0, 5, 7}},
 	} {
 		var may []int
 		for i, m := range messages {
-			if tc.speaker.may(m) {
+			if tc.speaker.maySend(m) {
 				may = append(may, i)
 			}
 		}
--- a/internal/planner/program/versions.go
+++ b/internal/planner/program/versions.go
@@ -21,35 +21,35 @@
 	"mulleinwood/tables"
 )
 
-// versions keeps what each proxy that asked for versions was sent in this life of the planner.
-type versions struct {
+// versionTracker keeps what each proxy that asked for versions was sent in this life of the planner.
+type versionTracker struct {
 	origin tables.Origin
 	key    tables.Key
-	sent   func(tables.Update) // is shown every update that is sent; nil: nobody is
+	onSent func(tables.Update) // is shown every update that is sent; nil: nobody is
 
 	record   *record.Writer // nil: none
 	recorded bool           // so what proxies that don't ask are sent gets versions too
 
-	mu sync.Mutex
-	by map[int]*versioned // by proxy, over its streams
+	mu      sync.Mutex
+	proxies map[int]*proxyVersions // by proxy, over its streams
 }
 
-// newVersions draws this life's number. Nil: versions are off.
-func newVersions(name string, own options.Versions, sent func(tables.Update)) (*versions, error) {
-	if !own.Enabled {
+// newVersionTracker draws this life's number. Nil: versions are off.
+func newVersionTracker(name string, set options.Versions, onSent func(tables.Update)) (*versionTracker, error) {
+	if !set.Enabled {
 		return nil, nil
 	}
-	v := &versions{origin: tables.Origin{Instance: name}, by: map[int]*versioned{}, sent: sent}
-	var life [8]byte
-	rand.Read(life[:]) // never fails
-	v.origin.Incarnation = binary.BigEndian.Uint64(life[:])
-	if own.KeyFile != "" {
-		text, err := os.ReadFile(own.KeyFile)
+	v := &versionTracker{origin: tables.Origin{Instance: name}, proxies: map[int]*proxyVersions{}, onSent: onSent}
+	var incarnation [8]byte
+	rand.Read(incarnation[:]) // never fails
+	v.origin.Incarnation = binary.BigEndian.Uint64(incarnation[:])
+	if set.KeyFile != "" {
+		text, err := os.ReadFile(set.KeyFile)
 		if err != nil {
 			return nil, fmt.Errorf("versions.key_file: %w", err)
 		}
 		if v.key = bytes.TrimSpace(text); len(v.key) < minKeyBytes {
-			return nil, fmt.Errorf("versions.key_file: %s: a key of %d bytes, at least %d are needed", own.KeyFile,
+			return nil, fmt.Errorf("versions.key_file: %s: a key of %d bytes, at least %d are needed", set.KeyFile,
 				len(v.key), minKeyBytes)
 		}
 	}
@@ -59,68 +59,68 @@
 // minKeyBytes is the least length of a key.
 const minKeyBytes = 16
 
-// of is what a proxy was sent. A new stream of it goes on with the numbers.
-func (v *versions) of(proxy int) *versioned {
+// forProxy is what a proxy was sent. A new stream of it goes on with the numbers.
+func (v *versionTracker) forProxy(proxy int) *proxyVersions {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.by[proxy] == nil {
-		v.by[proxy] = &versioned{all: v, sender: tables.NewSender(v.origin, uint32(proxy), v.key)}
+	if v.proxies[proxy] == nil {
+		v.proxies[proxy] = &proxyVersions{tracker: v, sender: tables.NewSender(v.origin, uint32(proxy), v.key)}
 	}
-	return v.by[proxy]
+	return v.proxies[proxy]
 }
 
-// versioned is the planner's end of one proxy's versions.
-type versioned struct {
-	all    *versions
-	mu     sync.Mutex
-	sender *tables.Sender
-	notice *time.Timer // that tells the newest number once nothing was sent for a while
-	resent int         // questions answered in the present second
-	since  time.Time
+// proxyVersions is the planner's end of one proxy's versions.
+type proxyVersions struct {
+	tracker     *versionTracker
+	mu          sync.Mutex
+	sender      *tables.Sender
+	noticeTimer *time.Timer // that tells the newest number once nothing was sent for a while
+	resends     int         // questions answered in the present second
+	windowStart time.Time
 }
 
-// maxResends is how many questions of one proxy are answered in a second; what goes over it waits for the next one's.
-const maxResends = 4
+// maxResendsPerSecond is how many questions of one proxy are answered in a second; what goes over it waits for the next one's.
+const maxResendsPerSecond = 4
 
 // updateLine is an update as a line carries it.
 type updateLine struct {
 	Kind   string  `json:"t"`
 	Update []byte  `json:"update,omitempty"` // base64
-	At     uint64  `json:"at,omitempty"`     // the newest number, where nothing is missing
+	Newest uint64  `json:"at,omitempty"`     // the newest number, where nothing is missing
 	Digest []byte  `json:"digest,omitempty"` // and its table's digest
-	Stamp  *uint32 `json:"stamp,omitempty"`
+	Token  *uint32 `json:"stamp,omitempty"`
 }
 
-// errLine says that a table is too large for a line.
-var errLine = errors.New("an update over what a line holds")
+// errLineTooLong says that a table is too large for a line.
+var errLineTooLong = errors.New("an update over what a line holds")
 
-// keep opens the record that the settings name and writes every version into it. A record that can't be used is told of, and
+// openRecord opens the record that the settings name and writes every version into it. A record that can't be used is told of, and
 // the planner goes on without.
-func (v *versions) keep(own options.Record, log zerolog.Logger) {
-	if own.File == "" {
+func (v *versionTracker) openRecord(set options.Record, log zerolog.Logger) {
+	if set.File == "" {
 		return
 	}
-	r, err := record.Open(own.File, v.key, false)
+	r, err := record.Open(set.File, v.key, false)
 	if err != nil {
-		log.Error().Err(err).Str("file", own.File).Msg("no record is kept: the file can't be used, and stays as it is")
+		log.Error().Err(err).Str("file", set.File).Msg("no record is kept: the file can't be used, and stays as it is")
 		return
 	}
-	within := record.Retention{MaxEntries: uint64(own.Entries), MaxAge: time.Duration(own.AgeHours * float64(time.Hour))}
+	retention := record.Retention{MaxEntries: uint64(set.Entries), MaxAge: time.Duration(set.AgeHours * float64(time.Hour))}
 	v.recorded = true
-	v.record = record.NewWriter(r, within, func(err error) {
-		log.Error().Err(err).Str("file", own.File).Msg("the record takes nothing: what is missing will be marked in it")
+	v.record = record.NewWriter(r, retention, func(err error) {
+		log.Error().Err(err).Str("file", set.File).Msg("the record takes nothing: what is missing will be marked in it")
 	})
 }
 
 // close ends the record.
-func (v *versions) close() {
+func (v *versionTracker) close() {
 	if v != nil && v.record != nil {
 		v.record.Close()
 	}
 }
 
-// cause is why a version came to be, as far as its order shows.
-func cause(o protocol.Assignment) string {
+// assignmentCause is why a version came to be, as far as its order shows.
+func assignmentCause(o protocol.Assignment) string {
 	switch {
 	case o.Replace:
 		return "join"
@@ -134,9 +134,9 @@
 	return "levels"
 }
 
-// order takes an order into the proxy's table, notes the version that results, and sends it: as an update if the proxy asked
+// assign takes an order into the proxy's table, notes the version that results, and sends it: as an update if the proxy asked
 // for versions, else as ever.
-func (v *versioned) order(to *transport.Conn, o protocol.Assignment, asked bool) error {
+func (v *proxyVersions) assign(to *transport.Conn, o protocol.Assignment, wantsVersions bool) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	table, _ := v.sender.Table()
@@ -144,14 +144,14 @@
 	if err != nil {
 		return err
 	}
-	if v.all.record != nil {
-		v.all.record.Add(record.Entry{At: time.Now(), Cause: cause(o), Update: u.Append(nil, v.all.key)})
+	if v.tracker.record != nil {
+		v.tracker.record.Add(record.Entry{At: time.Now(), Cause: assignmentCause(o), Update: u.Append(nil, v.tracker.key)})
 	}
-	if asked {
-		if v.notice != nil {
-			v.notice.Stop()
+	if wantsVersions {
+		if v.noticeTimer != nil {
+			v.noticeTimer.Stop()
 		}
-		v.notice = time.AfterFunc(time.Duration(tables.NoticeDelayMS*float64(time.Millisecond)), func() { v.tell(to, u.Version) })
+		v.noticeTimer = time.AfterFunc(time.Duration(tables.NoticeDelayMS*float64(time.Millisecond)), func() { v.sendNotice(to, u.Version) })
 		return v.send(to, u, o.Token)
 	}
 	text, err := o.Append(nil)
@@ -161,59 +161,59 @@
 	return to.Send(text)
 }
 
-// tell tells a proxy that its newest version is still this one. On a stream that has ended it reaches nobody.
-func (v *versioned) tell(to *transport.Conn, sent tables.Version) {
+// sendNotice tells a proxy that its newest version is still this one. On a stream that has ended it reaches nobody.
+func (v *proxyVersions) sendNotice(to *transport.Conn, sent tables.Version) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if _, at := v.sender.Table(); at == sent {
 		d := v.sender.Digest()
-		line(to, updateLine{Kind: "update", At: at.Number, Digest: d[:]})
+		sendLine(to, updateLine{Kind: "update", Newest: at.Number, Digest: d[:]})
 	}
 }
 
-func (v *versioned) send(to *transport.Conn, u tables.Update, stamp *uint32) error {
-	if v.all.sent != nil {
-		v.all.sent(u)
+func (v *proxyVersions) send(to *transport.Conn, u tables.Update, token *uint32) error {
+	if v.tracker.onSent != nil {
+		v.tracker.onSent(u)
 	}
-	return line(to, updateLine{Kind: "update", Update: u.Append(nil, v.all.key), Stamp: stamp})
+	return sendLine(to, updateLine{Kind: "update", Update: u.Append(nil, v.tracker.key), Token: token})
 }
 
-// line writes one line.
-func line(to *transport.Conn, l updateLine) error {
+// sendLine writes one line.
+func sendLine(to *transport.Conn, l updateLine) error {
 	text, err := json.Marshal(l)
 	if err != nil {
 		return err
 	}
 	if len(text) >= protocol.MaxLineBytes {
-		return errLine
+		return errLineTooLong
 	}
 	return to.Send(append(text, '\n'))
 }
 
-// again answers a question for missed updates, if they are still kept: they were counted in the channel when they were first
+// resend answers a question for missed updates, if they are still kept: they were counted in the channel when they were first
 // sent. What needs a whole table is the module's affair, and so is a proxy that asks too often: false.
-func (v *versioned) again(to *transport.Conn, m protocol.ResyncRequest) bool {
+func (v *proxyVersions) resend(to *transport.Conn, m protocol.ResyncRequest) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if now := time.Now(); now.Sub(v.since) >= time.Second {
-		v.since, v.resent = now, 0
+	if now := time.Now(); now.Sub(v.windowStart) >= time.Second {
+		v.windowStart, v.resends = now, 0
 	}
-	if v.resent++; v.resent > maxResends {
+	if v.resends++; v.resends > maxResendsPerSecond {
 		return true // it asks again, ever farther apart
 	}
 	_, at := v.sender.Table()
-	answer := v.sender.Resend(tables.ResendRequest{Origin: at.Origin, Proxy: at.Proxy, Snapshot: m.Full, After: m.After})
-	if len(answer) == 0 { // nothing is missing, or nothing was sent yet: then a whole table comes with the first order
+	updates := v.sender.Resend(tables.ResendRequest{Origin: at.Origin, Proxy: at.Proxy, Snapshot: m.Full, After: m.After})
+	if len(updates) == 0 { // nothing is missing, or nothing was sent yet: then a whole table comes with the first order
 		if at.Number > 0 {
 			d := v.sender.Digest()
-			line(to, updateLine{Kind: "update", At: at.Number, Digest: d[:]})
+			sendLine(to, updateLine{Kind: "update", Newest: at.Number, Digest: d[:]})
 		}
 		return true
 	}
-	if answer[0].Snapshot {
+	if updates[0].Snapshot {
 		return false
 	}
-	for _, u := range answer {
+	for _, u := range updates {
 		if v.send(to, u, nil) != nil {
 			return true
 		}
--- a/internal/planner/program/versions_test.go
+++ b/internal/planner/program/versions_test.go
@@ -28,7 +28,7 @@
 	f := start(t, func(f *fleet, c *Config) {
 		c.Options.Versions = options.Versions{Enabled: true, KeyFile: key}
 		c.Settings.Rules.Proxies = 16
-		c.sent = func(u tables.Update) {
+		c.onSent = func(u tables.Update) {
 			mu.Lock()
 			defer mu.Unlock()
 			sent[u.Version] = u.ResultDigest
@@ -162,11 +162,11 @@
 	short := filepath.Join(t.TempDir(), "key")
 	os.WriteFile(short, []byte("short"), 0o600)
 	for _, file := range []string{short, "no/such/file"} {
-		if _, err := newVersions("n0", options.Versions{Enabled: true, KeyFile: file}, nil); err == nil {
+		if _, err := newVersionTracker("n0", options.Versions{Enabled: true, KeyFile: file}, nil); err == nil {
 			t.Errorf("%s: no error", file)
 		}
 	}
-	if v, err := newVersions("n0", options.Versions{}, nil); v != nil || err != nil {
+	if v, err := newVersionTracker("n0", options.Versions{}, nil); v != nil || err != nil {
 		t.Errorf("off: %v %v", v, err)
 	}
 }
--- a/internal/planner/program/xdspeer.go
+++ b/internal/planner/program/xdspeer.go
@@ -20,12 +20,12 @@
 	cancel context.CancelFunc
 	wake   chan struct{}
 
-	mu      sync.Mutex
-	machine *xds.AssignmentStream
-	queue   []proto.Message
-	unread  int // bytes in the queue
-	ended   error
-	in      bool // it has joined
+	mu          sync.Mutex
+	machine     *xds.AssignmentStream
+	queue       []proto.Message
+	queuedBytes int // bytes in the queue
+	closeReason error
+	attached    bool // it has joined
 }
 
 // ID implements routing.Peer.
@@ -41,15 +41,15 @@
 func (p *xdsPeer) Assign(o protocol.Assignment) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.ended != nil {
-		return p.ended
+	if p.closeReason != nil {
+		return p.closeReason
 	}
 	m, err := p.machine.Encode(p.now(), o)
 	if err != nil || m == nil {
 		return err
 	}
-	if p.unread += proto.Size(m); p.unread > maxUnread {
-		p.end(transport.ErrOverflow)
+	if p.queuedBytes += proto.Size(m); p.queuedBytes > maxUnreadBytes {
+		p.closeLocked(transport.ErrOverflow)
 		return transport.ErrOverflow
 	}
 	p.queue = append(p.queue, m)
@@ -64,51 +64,51 @@
 func (p *xdsPeer) Close(reason error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.end(reason)
+	p.closeLocked(reason)
 }
 
-// end ends the stream for the first reason given. The caller holds the lock.
-func (p *xdsPeer) end(reason error) {
-	if p.ended == nil {
-		p.ended = reason
+// closeLocked ends the stream for the first reason given. The caller holds the lock.
+func (p *xdsPeer) closeLocked(reason error) {
+	if p.closeReason == nil {
+		p.closeReason = reason
 		p.cancel()
 	}
 }
 
-// feed feeds the machine.
-func (p *xdsPeer) feed(feed fed) ([]protocol.Message, []xds.InvalidPartError, error) {
+// applyRequest feeds the machine.
+func (p *xdsPeer) applyRequest(apply applyRequest) ([]protocol.Message, []xds.InvalidPartError, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return feed()
+	return apply()
 }
 
-// wakes is what the machine says once a wait is over.
-func (p *xdsPeer) wakes() []protocol.Message {
+// dueMessages is what the machine says once a wait is over.
+func (p *xdsPeer) dueMessages() []protocol.Message {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.machine.Wake(p.now())
 }
 
-// reason is why the planner ended the stream; nil: it didn't.
-func (p *xdsPeer) reason() error {
+// reasonClosed is why the planner ended the stream; nil: it didn't.
+func (p *xdsPeer) reasonClosed() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.ended
+	return p.closeReason
 }
 
-// join notes that routing has been told who the stream is of.
-func (p *xdsPeer) join() {
+// markAttached notes that routing has been told who the stream is of.
+func (p *xdsPeer) markAttached() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.in = true
+	p.attached = true
 }
 
-// joined is who the stream is of, once routing has been told.
-func (p *xdsPeer) joined() (xds.Identity, bool) {
+// attachedIdentity is who the stream is of, once routing has been told.
+func (p *xdsPeer) attachedIdentity() (xds.Identity, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	who, _ := p.machine.Identity()
-	return who, p.in
+	identity, _ := p.machine.Identity()
+	return identity, p.attached
 }
 
 // write sends what waits until the stream ends.
@@ -132,7 +132,7 @@
 				return
 			}
 			p.mu.Lock()
-			p.queue, p.unread = p.queue[1:], p.unread-proto.Size(m)
+			p.queue, p.queuedBytes = p.queue[1:], p.queuedBytes-proto.Size(m)
 			p.mu.Unlock()
 		}
 	}
