--- a/internal/planner/program/cores_test.go
+++ b/internal/planner/program/cores_test.go
@@ -17,8 +17,8 @@
 	"mulleinwood/rules"
 )
 
-// onCores is a planner of so many cores, with proxies enough for them.
-func onCores(t *testing.T, n int, wrap func(core, life int, module coreModule) coreModule) *fleet {
+// startOnCores is a planner of so many cores, with proxies enough for them.
+func startOnCores(t *testing.T, n int, wrap func(core, life int, module coreModule) coreModule) *fleet {
 	return start(t, func(f *fleet, c *Config) {
 		f.wrap = wrap
 		c.Options.Cores.Count, c.Options.Cores.MovesPerS, c.Options.Cores.RestMS, c.Limits.Cores = n, 8, 300, float64(n)
@@ -37,30 +37,30 @@
 	return list
 }
 
-// stallable is a module that can be held in its next look, as if its core stood still.
-type stallable struct {
+// stallableModule is a module that can be held in its next look, as if its core stood still.
+type stallableModule struct {
 	coreModule
-	hold  atomic.Pointer[chan struct{}]
-	panic atomic.Bool
-	looks atomic.Int64
+	hold   atomic.Pointer[chan struct{}]
+	panic  atomic.Bool
+	rounds atomic.Int64
 }
 
-func (s *stallable) Step(now float64, events []rules.Event) []rules.Action {
+func (s *stallableModule) Step(now float64, events []rules.Event) []rules.Action {
 	if s.panic.Load() {
 		panic("spoilt state")
 	}
 	if hold := s.hold.Load(); hold != nil {
 		<-*hold
 	}
-	s.looks.Add(1)
+	s.rounds.Add(1)
 	return s.coreModule.Step(now, events)
 }
 
-// stallables wraps the modules of a fleet's cores; the first life of each is kept.
-func stallables(n int) ([]*stallable, func(core, life int, module coreModule) coreModule) {
-	list := make([]*stallable, n)
+// newStallableModules wraps the modules of a fleet's cores; the first life of each is kept.
+func newStallableModules(n int) ([]*stallableModule, func(core, life int, module coreModule) coreModule) {
+	list := make([]*stallableModule, n)
 	return list, func(core, life int, module coreModule) coreModule {
-		s := &stallable{coreModule: module}
+		s := &stallableModule{coreModule: module}
 		if life == 1 {
 			list[core] = s
 		}
@@ -69,25 +69,25 @@
 }
 
 func TestDrainReachesEveryCore(t *testing.T) {
-	f := onCores(t, 4, nil)
+	f := startOnCores(t, 4, nil)
 	defer f.stop()
 	proxies := f.join(16)
 	f.phase("s-2", "draining")
 	for _, p := range proxies {
-		f.wait("a table without the draining server", p, lacks("s-2"))
+		f.wait("a table without the draining server", p, lacksServer("s-2"))
 	}
 	f.phase("s-2", "up")
 	f.phase("s-3", "removed")
 	for _, p := range proxies {
-		f.wait("a table without the removed server", p, lacks("s-3"))
+		f.wait("a table without the removed server", p, lacksServer("s-3"))
 	}
 }
 
 // TestStalledCoreLosesItsProxies guards against a core that stands still while a server drains: its proxies would go on
 // sending there. Others take them within the grace, the stalled core's later orders reach nobody, and it comes back.
 func TestStalledCoreLosesItsProxies(t *testing.T) {
-	modules, wrap := stallables(2)
-	f := onCores(t, 2, wrap)
+	modules, wrap := newStallableModules(2)
+	f := startOnCores(t, 2, wrap)
 	defer f.stop()
 	proxies := f.join(16)
 	hold := make(chan struct{})
@@ -95,15 +95,15 @@
 	f.phase("s-2", "draining")
 	begun := time.Now()
 	for _, p := range proxies {
-		f.wait("a table without the draining server", p, lacks("s-2"))
+		f.wait("a table without the draining server", p, lacksServer("s-2"))
 	}
 	t.Logf("all tables without it after %v of a grace of 2 s", time.Since(begun))
-	looks := modules[1].looks.Load()
+	looks := modules[1].rounds.Load()
 	close(hold)
-	f.until("the stalled core's last look", func() bool { return modules[1].looks.Load() > looks })
+	f.until("the stalled core's last look", func() bool { return modules[1].rounds.Load() > looks })
 	f.phase("s-3", "draining")
 	for _, p := range proxies {
-		s := f.wait("a table without the other draining server", p, lacks("s-3"))
+		s := f.wait("a table without the other draining server", p, lacksServer("s-3"))
 		if s.Table["s-2"] > 0 {
 			t.Errorf("proxy %d has the first draining server again: %v", p.Number, s.Table)
 		}
@@ -113,8 +113,8 @@
 // TestPanicOfOneCore: the core is cut off, the others take its proxies, and the program goes on. The last core's panic
 // ends the program, as that of a single one does.
 func TestPanicOfOneCore(t *testing.T) {
-	modules, wrap := stallables(2)
-	f := onCores(t, 2, wrap)
+	modules, wrap := newStallableModules(2)
+	f := startOnCores(t, 2, wrap)
 	proxies := f.join(16)
 	modules[0].panic.Store(true)
 	f.until("the first life is over", func() bool {
@@ -126,12 +126,12 @@
 	})
 	f.phase("s-1", "draining")
 	for _, p := range proxies {
-		f.wait("a table without the draining server", p, lacks("s-1"))
+		f.wait("a table without the draining server", p, lacksServer("s-1"))
 	}
 	f.stop()
 
-	f = onCores(t, 2, func(core, life int, module coreModule) coreModule {
-		s := &stallable{coreModule: module}
+	f = startOnCores(t, 2, func(core, life int, module coreModule) coreModule {
+		s := &stallableModule{coreModule: module}
 		s.panic.Store(true)
 		return s
 	})
@@ -140,7 +140,7 @@
 		if err == nil || !strings.Contains(err.Error(), "no core is left") || !strings.Contains(err.Error(), "spoilt state") {
 			t.Errorf("ended with %v; want the cause", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the program goes on without a core")
 	}
 	f.ended <- nil
@@ -149,7 +149,7 @@
 
 // TestRejoinOnCores: a newer stream of a proxy ends the older one, whichever core has it; what the older one says is void.
 func TestRejoinOnCores(t *testing.T) {
-	f := onCores(t, 2, nil)
+	f := startOnCores(t, 2, nil)
 	defer f.stop()
 	proxies := f.join(16)
 	for _, old := range proxies[:4] {
@@ -159,14 +159,14 @@
 	}
 	f.phase("s-0", "draining")
 	for _, p := range proxies[4:] {
-		f.wait("a table without the draining server", p, lacks("s-0"))
+		f.wait("a table without the draining server", p, lacksServer("s-0"))
 	}
 }
 
-// TestHalfLeave: after half of the proxies have left, those that stay are served on, and get no more than one whole table
+// TestHalfOfProxiesLeave: after half of the proxies have left, those that stay are served on, and get no more than one whole table
 // anew. How cores are evened out then is tested with the desk (TestCutCoreComesBack, TestMovesEvenOutAndEnd).
-func TestHalfLeave(t *testing.T) {
-	f := onCores(t, 2, nil)
+func TestHalfOfProxiesLeave(t *testing.T) {
+	f := startOnCores(t, 2, nil)
 	defer f.stop()
 	proxies := f.join(16)
 	for _, p := range proxies[8:] {
@@ -174,7 +174,7 @@
 	}
 	f.phase("s-0", "draining")
 	for _, p := range proxies[:8] {
-		s := f.wait("a table without the draining server", p, lacks("s-0"))
+		s := f.wait("a table without the draining server", p, lacksServer("s-0"))
 		if s.Replaced > 2 {
 			t.Errorf("proxy %d got %d whole tables", p.Number, s.Replaced)
 		}
@@ -195,7 +195,7 @@
 		}
 	}
 	write(string(text))
-	modules, wrap := stallables(2)
+	modules, wrap := newStallableModules(2)
 	f := start(t, func(f *fleet, c *Config) {
 		f.wrap = wrap
 		c.Options.Cores = options.Cores{Count: 2, RestMS: 300}
--- a/internal/planner/program/day_test.go
+++ b/internal/planner/program/day_test.go
@@ -18,61 +18,63 @@
 	"mulleinwood/rules"
 )
 
-// watched is a fleet whose proxies and list an auditor outside the planner sees.
-type watched struct {
+// auditedFleet is a fleet whose proxies and list an auditor outside the planner sees.
+type auditedFleet struct {
 	*fleet
-	begun time.Time
-	mu    sync.Mutex
-	books *audit.Auditor
-	end   chan struct{}
-	group sync.WaitGroup
+	started time.Time
+	mu      sync.Mutex
+	auditor *audit.Auditor
+	done    chan struct{}
+	group   sync.WaitGroup
 }
 
-func (w *watched) now() float64 { return float64(time.Since(w.begun)) / float64(time.Millisecond) }
+func (w *auditedFleet) now() float64 {
+	return float64(time.Since(w.started)) / float64(time.Millisecond)
+}
 
-// audited lets an auditor watch a fleet of so many cores from its start on.
-func audited(t *testing.T, n int, wrap func(core, life int, module coreModule) coreModule) *watched {
-	w := &watched{fleet: onCores(t, n, wrap), begun: time.Now(), end: make(chan struct{})}
-	w.audit()
+// startAudited lets an auditor watch a fleet of so many cores from its start on.
+func startAudited(t *testing.T, n int, wrap func(core, life int, module coreModule) coreModule) *auditedFleet {
+	w := &auditedFleet{fleet: startOnCores(t, n, wrap), started: time.Now(), done: make(chan struct{})}
+	w.startAuditor()
 	return w
 }
 
-// audit begins the books and looks at them until the day ends.
-func (w *watched) audit() {
+// startAuditor begins the books and looks at them until the day ends.
+func (w *auditedFleet) startAuditor() {
 	c, err := LoadConfig(env(envConfig, example))
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.books = audit.New(c.Settings.Rules, 0)
+	w.auditor = audit.New(c.Settings.Rules, 0)
 	for _, m := range w.members {
-		w.tell(m)
+		w.reportMember(m)
 	}
 	w.group.Go(func() {
 		for {
 			select {
-			case <-w.end:
+			case <-w.done:
 				return
 			case <-time.After(50 * time.Millisecond):
 				w.mu.Lock()
-				w.books.Tick(w.now())
+				w.auditor.Tick(w.now())
 				w.mu.Unlock()
 			}
 		}
 	})
 }
 
-// verdict ends the day's books and fails the test for each rule that was broken.
-func (w *watched) verdict() {
+// checkViolations ends the day's books and fails the test for each rule that was broken.
+func (w *auditedFleet) checkViolations() {
 	w.t.Helper()
-	close(w.end)
+	close(w.done)
 	w.group.Wait()
-	for _, b := range w.books.Violations() {
+	for _, b := range w.auditor.Violations() {
 		w.t.Errorf("%s: %s, at %.0f ms", b.Rule, b.Detail, b.At)
 	}
-	w.t.Logf("most seen: %+v", w.books.Peak)
+	w.t.Logf("most seen: %+v", w.auditor.Peak)
 }
 
-func (w *watched) tell(m protocol.Member) {
+func (w *auditedFleet) reportMember(m protocol.Member) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	state := rules.Ready
@@ -81,22 +83,22 @@
 	}
 	entry := audit.Server{Name: m.ID, State: state, Size: m.Weight}
 	if m.StartedAt > 0 {
-		entry.StartedAt = m.StartedAt - float64(w.begun.UnixMicro())/1000
+		entry.StartedAt = m.StartedAt - float64(w.started.UnixMicro())/1000
 	}
-	w.books.ServerChanged(w.now(), entry)
+	w.auditor.ServerChanged(w.now(), entry)
 }
 
-func (w *watched) change(id, phase string, since float64) {
+func (w *auditedFleet) changePhase(id, phase string, since float64) {
 	m := w.members[id]
 	m.Phase, m.StartedAt = phase, since
-	w.tell(m)
+	w.reportMember(m)
 	w.discovery.Change(m)
 }
 
-func (w *watched) joins(number int) *standin.Proxy {
+func (w *auditedFleet) joinProxy(number int) *standin.Proxy {
 	w.t.Helper()
 	w.mu.Lock()
-	w.books.ProxyJoined(w.now(), number, 20)
+	w.auditor.ProxyJoined(w.now(), number, 20)
 	w.mu.Unlock()
 	p, err := standin.Join(w.planner, number, []string{"north", "south"}[number%2], 20, func(parts []standin.Order) {
 		o := audit.Order{Rows: map[string]float64{}, Retries: map[int]rules.Retry{}, Lines: 3}
@@ -112,7 +114,7 @@
 		}
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.books.OrderReceived(w.now(), number, o)
+		w.auditor.OrderReceived(w.now(), number, o)
 	})
 	if err != nil {
 		w.t.Fatal(err)
@@ -125,11 +127,11 @@
 // broken rule, and every proxy ends with a table.
 func TestDayOnFourCores(t *testing.T) {
 	const proxies = 32
-	modules, wrap := stallables(4)
-	w := audited(t, 4, wrap)
+	modules, wrap := newStallableModules(4)
+	w := startAudited(t, 4, wrap)
 	list := make([]*standin.Proxy, proxies)
 	for i := range list {
-		list[i] = w.joins(i)
+		list[i] = w.joinProxy(i)
 	}
 	collectors := []*standin.Collector{w.collector("north"), w.collector("south")}
 	for _, p := range list {
@@ -139,29 +141,29 @@
 	hold := make(chan struct{})
 	unix := func() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 	const beats = 70 // of a tenth of a second
-	pace := time.NewTicker(100 * time.Millisecond)
-	defer pace.Stop()
-	for beat := range beats {
-		<-pace.C
-		switch beat {
+	ticker := time.NewTicker(100 * time.Millisecond)
+	defer ticker.Stop()
+	for step := range beats {
+		<-ticker.C
+		switch step {
 		case 8:
-			w.change("s-0", "draining", 0)
+			w.changePhase("s-0", "draining", 0)
 		case 12:
 			modules[1].hold.Store(&hold)
-			w.change("s-2", "draining", 0)
+			w.changePhase("s-2", "draining", 0)
 		case 25:
-			w.change("s-0", "up", unix())
+			w.changePhase("s-0", "up", unix())
 		case 30:
 			modules[1].hold.Store(nil)
 			close(hold)
 		case 34:
 			modules[2].panic.Store(true)
-			w.change("s-3", "draining", 0)
+			w.changePhase("s-3", "draining", 0)
 		case 38:
 			for i := 0; i < proxies; i += 2 { // half leave
 				list[i].Close()
 				w.mu.Lock()
-				w.books.ProxyLeft(i)
+				w.auditor.ProxyLeft(i)
 				w.mu.Unlock()
 			}
 		case 44:
@@ -169,15 +171,15 @@
 		case 50:
 			w.discovery.SetDown(false)
 			for i := 0; i < proxies; i += 2 { // and join again within a moment
-				list[i] = w.joins(i)
+				list[i] = w.joinProxy(i)
 			}
 		case 54:
-			w.change("s-2", "up", unix())
+			w.changePhase("s-2", "up", unix())
 		case 58:
-			w.change("s-1", "draining", 0)
+			w.changePhase("s-1", "draining", 0)
 		}
 		for _, p := range list {
-			if beat%10 == p.Number%10 && p.State().Closed == nil {
+			if step%10 == p.Number%10 && p.State().Closed == nil {
 				for _, class := range []string{"lookup", "order"} {
 					p.Say(fmt.Sprintf(`{"t":"client_stats","proxy":%d,"class":%q,"tries":%d,"failed":0,"span_ms":1000}`,
 						p.Number, class, 5+rng.IntN(10)))
@@ -185,7 +187,7 @@
 			}
 		}
 		for i, c := range collectors {
-			if beat%10 == 5*i {
+			if step%10 == 5*i {
 				for _, id := range []string{"s-0", "s-1", "s-2", "s-3"} {
 					c.Report(id, 20, 0, 80+20*rng.Float64(), 1000)
 				}
@@ -198,18 +200,18 @@
 				s.Table["s-3"] == 0
 		})
 	}
-	w.verdict()
+	w.checkViolations()
 	for _, p := range list {
 		p.Close()
 	}
 	w.stop()
 }
 
-// joinsGRPC lets a proxy join by gRPC under the auditor's eyes.
-func (w *watched) joinsGRPC(number int) *standin.GRPCProxy {
+// joinGRPCProxy lets a proxy join by gRPC under the auditor's eyes.
+func (w *auditedFleet) joinGRPCProxy(number int) *standin.GRPCProxy {
 	w.t.Helper()
 	w.mu.Lock()
-	w.books.ProxyJoined(w.now(), number, 20)
+	w.auditor.ProxyJoined(w.now(), number, 20)
 	w.mu.Unlock()
 	p, err := standin.JoinGRPC(w.planner, number, []string{"north", "south"}[number%2], 20, classNames, nil,
 		func(r *discovery.DiscoveryResponse) {
@@ -233,7 +235,7 @@
 			o.Lines = float64(len(o.Rows) + 4)
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			w.books.OrderReceived(w.now(), number, o)
+			w.auditor.OrderReceived(w.now(), number, o)
 		})
 	if err != nil {
 		w.t.Fatal(err)
@@ -241,9 +243,9 @@
 	return p
 }
 
-// partner is a proxy of either protocol.
-type partner interface {
-	reader
+// closableProxy is a proxy of either protocol.
+type closableProxy interface {
+	proxyReader
 	Close()
 }
 
@@ -252,11 +254,11 @@
 // that change their protocol. The auditor finds no broken rule.
 func TestDayOnBothProtocols(t *testing.T) {
 	const proxies = 16
-	w := &watched{begun: time.Now(), end: make(chan struct{})}
-	w.fleet = withFront(t, 2, nil)
-	w.audit()
+	w := &auditedFleet{started: time.Now(), done: make(chan struct{})}
+	w.fleet = startWithGRPC(t, 2, nil)
+	w.startAuditor()
 	byGRPC := map[string]*standin.GRPCServer{}
-	turn := func(id string) { // the server speaks gRPC from now on, at the same address
+	switchToGRPC := func(id string) { // the server speaks gRPC from now on, at the same address
 		w.servers[id].Close()
 		s, err := standin.NewGRPCServer(w.members[id].Address)
 		if err != nil {
@@ -266,15 +268,15 @@
 		w.close = append(w.close, s.Close)
 		delete(w.servers, id)
 	}
-	turn("s-1")
-	turn("s-3")
-	list := make([]partner, proxies)
-	spoken := make([]bool, proxies) // by gRPC
+	switchToGRPC("s-1")
+	switchToGRPC("s-3")
+	list := make([]closableProxy, proxies)
+	usesGRPC := make([]bool, proxies) // by gRPC
 	join := func(i int, grpc bool) {
-		if spoken[i] = grpc; grpc {
-			list[i] = w.joinsGRPC(i)
+		if usesGRPC[i] = grpc; grpc {
+			list[i] = w.joinGRPCProxy(i)
 		} else {
-			list[i] = w.joins(i)
+			list[i] = w.joinProxy(i)
 		}
 	}
 	for i := range list {
@@ -291,37 +293,37 @@
 	}
 	rng := rand.New(rand.NewPCG(17, 4))
 	unix := func() float64 { return float64(time.Now().UnixMicro()) / 1000 }
-	former := []partner{}
+	superseded := []closableProxy{}
 	const beats = 80
-	pace := time.NewTicker(100 * time.Millisecond)
-	defer pace.Stop()
-	for beat := range beats {
-		<-pace.C
-		switch beat {
+	ticker := time.NewTicker(100 * time.Millisecond)
+	defer ticker.Stop()
+	for step := range beats {
+		<-ticker.C
+		switch step {
 		case 5:
-			w.change("s-0", "draining", 0)
+			w.changePhase("s-0", "draining", 0)
 		case 14: // the south is lost
-			w.change("s-1", "removed", 0)
-			w.change("s-3", "removed", 0)
-			w.change("s-0", "up", 0)
+			w.changePhase("s-1", "removed", 0)
+			w.changePhase("s-3", "removed", 0)
+			w.changePhase("s-0", "up", 0)
 		case 30: // and comes back cold
-			w.change("s-1", "up", unix())
-			w.change("s-3", "up", unix())
+			w.changePhase("s-1", "up", unix())
+			w.changePhase("s-3", "up", unix())
 		case 36: // proxies change their protocol, the older stream not yet closed
 			for i := 0; i < proxies; i += 3 {
-				former = append(former, list[i])
-				join(i, !spoken[i])
+				superseded = append(superseded, list[i])
+				join(i, !usesGRPC[i])
 			}
 		case 44:
 			w.discovery.SetDown(true)
 		case 50:
 			w.discovery.SetDown(false)
-			turn("s-2") // between one probe and the next
+			switchToGRPC("s-2") // between one probe and the next
 		case 56:
-			w.change("s-0", "draining", 0)
+			w.changePhase("s-0", "draining", 0)
 		}
 		for i, p := range list {
-			if beat%10 != i%10 || p.State().Closed != nil {
+			if step%10 != i%10 || p.State().Closed != nil {
 				continue
 			}
 			for _, class := range classNames {
@@ -335,10 +337,10 @@
 				}
 			}
 		}
-		if beat%5 == 0 {
+		if step%5 == 0 {
 			for _, id := range []string{"s-0", "s-1", "s-2", "s-3"} {
 				failed := 0
-				if id == "s-2" && beat >= 35 && beat < 60 { // answers nothing: probes must find it well again
+				if id == "s-2" && step >= 35 && step < 60 { // answers nothing: probes must find it well again
 					failed = 20
 				}
 				north.Report(id, 20, failed, 80, 500)
@@ -351,14 +353,14 @@
 			return len(s.Table) > 0 && s.Table["s-0"] == 0 && (i%2 == 1 || s.Table["s-2"] > 0) // of the north
 		})
 	}
-	for _, p := range former {
+	for _, p := range superseded {
 		w.await("the end of the older stream", p, func(s standin.State) bool { return s.Closed != nil })
 		p.Close()
 	}
 	if byGRPC["s-2"].Probed() == 0 {
 		t.Error("the server that changed its protocol was not probed by the new one")
 	}
-	w.verdict()
+	w.checkViolations()
 	for _, p := range list {
 		p.Close()
 	}
--- a/internal/planner/program/fleet_test.go
+++ b/internal/planner/program/fleet_test.go
@@ -29,8 +29,8 @@
 	wrap      func(core, life int, module coreModule) coreModule
 }
 
-// patience is how long anything may take before a test calls it hung.
-const patience = 30 * time.Second
+// testTimeout is how long anything may take before a test calls it hung.
+const testTimeout = 30 * time.Second
 
 // start runs a planner with the settings of the example. Limits and module may be changed first.
 func start(t *testing.T, change func(*fleet, *Config), module stepper) *fleet {
@@ -64,7 +64,7 @@
 	f.cancel = cancel
 	address := make(chan string, 1)
 	go func() {
-		modules := func(core, life int) coreModule { return alone{module} }
+		modules := func(core, life int) coreModule { return singleCoreModule{module} }
 		if module == nil {
 			modules = f.modules(c)
 		}
@@ -89,10 +89,10 @@
 	}
 }
 
-// alone is a module that shares its planner with nobody.
-type alone struct{ stepper }
+// singleCoreModule is a module that shares its planner with nobody.
+type singleCoreModule struct{ stepper }
 
-func (alone) OwnLoad() (rules.Part, float64) { return rules.Part{}, 0 }
+func (singleCoreModule) OwnLoad() (rules.Part, float64) { return rules.Part{}, 0 }
 
 // stepper is a module.
 type stepper interface {
@@ -116,7 +116,7 @@
 		if err != nil {
 			f.t.Errorf("the planner ended with %v", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		f.t.Fatal("the planner does not end")
 	}
 	for _, c := range f.close {
@@ -166,8 +166,8 @@
 			f.t.Fatalf("%s: the stream has ended: %v", what, s.Closed)
 		}
 		return s
-	case <-time.After(patience):
-		f.t.Fatalf("%s: not within %v; held: %+v", what, patience, p.State())
+	case <-time.After(testTimeout):
+		f.t.Fatalf("%s: not within %v; held: %+v", what, testTimeout, p.State())
 		return standin.State{}
 	}
 }
@@ -175,14 +175,14 @@
 // until waits for something that no message tells of.
 func (f *fleet) until(what string, wanted func() bool) {
 	f.t.Helper()
-	for deadline := time.Now().Add(patience); !wanted(); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); !wanted(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("%s: not within %v", what, patience)
+			f.t.Fatalf("%s: not within %v", what, testTimeout)
 		}
 	}
 }
 
-func holds(servers ...string) func(standin.State) bool {
+func hasServers(servers ...string) func(standin.State) bool {
 	return func(s standin.State) bool {
 		for _, id := range servers {
 			if s.Table[id] == 0 {
@@ -193,11 +193,11 @@
 	}
 }
 
-func lacks(server string) func(standin.State) bool {
+func lacksServer(server string) func(standin.State) bool {
 	return func(s standin.State) bool { return s.Replaced > 0 && s.Table[server] == 0 }
 }
 
-func files(t *testing.T) int {
+func openDescriptors(t *testing.T) int {
 	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		t.Skip("no list of descriptors on this system")
--- a/internal/planner/program/front.go
+++ b/internal/planner/program/front.go
@@ -39,13 +39,13 @@
 	load.UnimplementedLoadReportingServiceServer
 	healthpb.UnimplementedHealthServer
 
-	facts    xds.Config
-	roles    []options.Role
-	peers    *peers
-	post     func(routing.Event)
-	now      func() float64
-	server   *grpc.Server
-	handoffs handoffListener
+	xdsConfig xds.Config
+	roles     []options.Role
+	peers     *peers
+	post      func(routing.Event)
+	now       func() float64
+	server    *grpc.Server
+	handoffs  handoffListener
 
 	mu                sync.Mutex
 	conns             map[string]*transport.Conn // by the peer's address
@@ -56,7 +56,7 @@
 func newFrontend(ctx context.Context, set settings.Settings, own options.GRPC, p *peers, addr net.Addr, keys *certificates) *frontend {
 	f := &frontend{roles: own.TLS.Roles, peers: p, post: p.post, now: clock(), conns: map[string]*transport.Conn{},
 		assignmentStreams: map[proxyConn]int{},
-		facts:             xdsFacts(set),
+		xdsConfig:         newXDSConfig(set),
 		handoffs:          handoffListener{addr: addr, conns: make(chan net.Conn), ctx: ctx}}
 	opts := []grpc.ServerOption{grpc.MaxRecvMsgSize(protocol.MaxLineBytes), grpc.MaxConcurrentStreams(maxStreamsPerConn),
 		grpc.MaxHeaderListSize(maxHeaderBytes),
@@ -73,8 +73,8 @@
 	return f
 }
 
-// xdsFacts are the facts that the machines of the gRPC front are given.
-func xdsFacts(set settings.Settings) xds.Config {
+// newXDSConfig are the facts that the machines of the gRPC front are given.
+func newXDSConfig(set settings.Settings) xds.Config {
 	f := xds.Config{Zones: set.ZoneNames, RateLevels: set.AdmitsByRate(), ReportPeriod: set.Rules.ReportPeriod, Bounds: messageBounds(set)}
 	for _, class := range set.Rules.Classes {
 		f.Classes = append(f.Classes, class.Name)
--- a/internal/planner/program/front_limits_test.go
+++ b/internal/planner/program/front_limits_test.go
@@ -22,7 +22,7 @@
 // TestUnreadStreamEndsAlone: a stream that leaves too much unread ends by the rule that exists; the other streams of its
 // connection go on.
 func TestUnreadStreamEndsAlone(t *testing.T) {
-	f := withFront(t, 1, nil)
+	f := startWithGRPC(t, 1, nil)
 	defer f.stop()
 	client, err := standin.Dial(f.planner, nil)
 	if err != nil {
@@ -82,21 +82,21 @@
 	return m
 }
 
-// TestStalledProxyHoldsNobodyUp: a proxy that reads nothing keeps its stream, since it may only be slow; others are served,
+// TestStalledProxyDoesNotBlockOthers: a proxy that reads nothing keeps its stream, since it may only be slow; others are served,
 // and it has all that it missed once it reads on.
-func TestStalledProxyHoldsNobodyUp(t *testing.T) {
-	f := withFront(t, 1, nil)
+func TestStalledProxyDoesNotBlockOthers(t *testing.T) {
+	f := startWithGRPC(t, 1, nil)
 	defer f.stop()
-	still, other := f.grpcProxy(0, "north", nil), f.grpcProxy(1, "north", nil)
-	for _, p := range []reader{still, other} {
-		f.await("a table", p, holds("s-0"))
+	stalled, other := f.grpcProxy(0, "north", nil), f.grpcProxy(1, "north", nil)
+	for _, p := range []proxyReader{stalled, other} {
+		f.await("a table", p, hasServers("s-0"))
 	}
-	still.Stall(true)
+	stalled.Stall(true)
 	f.phase("s-1", "draining")
 	f.phase("s-2", "draining")
 	f.await("the other is served", other, func(s standin.State) bool { return s.Table["s-1"] == 0 && s.Table["s-2"] == 0 })
-	still.Stall(false)
-	f.await("what it missed", still, func(s standin.State) bool {
+	stalled.Stall(false)
+	f.await("what it missed", stalled, func(s standin.State) bool {
 		return s.Table["s-1"] == 0 && s.Table["s-2"] == 0 &&
 			len(s.Table) > 0
 	})
@@ -104,10 +104,10 @@
 
 // TestLimitsOfTheFront: what goes over a bound ends that stream, or that connection, and no other's.
 func TestLimitsOfTheFront(t *testing.T) {
-	f := withFront(t, 1, nil)
+	f := startWithGRPC(t, 1, nil)
 	defer f.stop()
 	good := f.grpcProxy(0, "north", nil)
-	f.await("a table", good, holds("s-0"))
+	f.await("a table", good, hasServers("s-0"))
 	client, err := standin.Dial(f.planner, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -163,7 +163,7 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(nc, http2.ClientPreface)
 	framer := http2.NewFramer(nc, nc)
 	framer.WriteSettings()
@@ -181,5 +181,5 @@
 		}
 	}
 	f.phase("s-1", "draining")
-	f.await("service goes on", good, lacks("s-1"))
+	f.await("service goes on", good, lacksServer("s-1"))
 }
--- a/internal/planner/program/front_loads.go
+++ b/internal/planner/program/front_loads.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return err
 	}
-	stream := &loadStream{frontend: f, conn: conn, from: from, machine: xds.NewLoadStream(f.facts),
+	stream := &loadStream{frontend: f, conn: conn, from: from, machine: xds.NewLoadStream(f.xdsConfig),
 		peer: &readOnlyPeer{id: transport.NextID()}}
 	defer stream.disconnect()
 	for {
--- a/internal/planner/program/front_streams.go
+++ b/internal/planner/program/front_streams.go
@@ -23,7 +23,7 @@
 
 // StreamAggregatedResources implements the discovery service: state of the world.
 func (f *frontend) StreamAggregatedResources(s discovery.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
-	machine := xds.NewAssignmentStream(f.facts, false)
+	machine := xds.NewAssignmentStream(f.xdsConfig, false)
 	return f.serveAssignments(s, machine, func() (applyRequest, error) {
 		r, err := s.Recv()
 		return func() ([]protocol.Message, []xds.InvalidPartError, error) { return machine.HandleRequest(f.now(), r) }, err
@@ -32,7 +32,7 @@
 
 // DeltaAggregatedResources implements the discovery service: incremental.
 func (f *frontend) DeltaAggregatedResources(s discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesServer) error {
-	machine := xds.NewAssignmentStream(f.facts, true)
+	machine := xds.NewAssignmentStream(f.xdsConfig, true)
 	return f.serveAssignments(s, machine, func() (applyRequest, error) {
 		r, err := s.Recv()
 		return func() ([]protocol.Message, []xds.InvalidPartError, error) {
--- a/internal/planner/program/front_test.go
+++ b/internal/planner/program/front_test.go
@@ -22,8 +22,8 @@
 
 var classNames = []string{"lookup", "order"}
 
-// withFront is a planner whose gRPC front is on.
-func withFront(t *testing.T, cores int, change func(*fleet, *Config)) *fleet {
+// startWithGRPC is a planner whose gRPC front is on.
+func startWithGRPC(t *testing.T, cores int, change func(*fleet, *Config)) *fleet {
 	return start(t, func(f *fleet, c *Config) {
 		c.Options.GRPC = options.GRPC{Enabled: true, ProbeServers: true}
 		c.Options.Cores = options.Cores{Count: cores, RestMS: 300}
@@ -45,21 +45,21 @@
 	return p
 }
 
-// reader is a proxy of either protocol, as far as tests wait for it.
-type reader interface {
+// proxyReader is a proxy of either protocol, as far as tests wait for it.
+type proxyReader interface {
 	Wait(func(standin.State) bool) standin.State
 	State() standin.State
 }
 
-func (f *fleet) await(what string, p reader, wanted func(standin.State) bool) standin.State {
+func (f *fleet) await(what string, p proxyReader, wanted func(standin.State) bool) standin.State {
 	f.t.Helper()
 	got := make(chan standin.State, 1)
 	go func() { got <- p.Wait(wanted) }()
 	select {
 	case s := <-got:
 		return s
-	case <-time.After(patience):
-		f.t.Fatalf("%s: not within %v; held: %+v", what, patience, p.State())
+	case <-time.After(testTimeout):
+		f.t.Fatalf("%s: not within %v; held: %+v", what, testTimeout, p.State())
 		return standin.State{}
 	}
 }
@@ -68,8 +68,8 @@
 // core and on two. A proxy that leaves by one protocol and joins by the other is served by its newer stream alone.
 func TestBothProtocolsAtOneAddress(t *testing.T) {
 	for _, cores := range []int{1, 2} {
-		f := withFront(t, cores, nil)
-		var all []reader
+		f := startWithGRPC(t, cores, nil)
+		var all []proxyReader
 		for i := range 4 {
 			all = append(all, f.proxy(i, "north"), f.grpcProxy(4+i, "south", nil))
 		}
@@ -94,10 +94,10 @@
 		}
 		f.phase("s-1", "draining")
 		for _, p := range all {
-			f.await("a table without the draining server", p, lacks("s-1"))
+			f.await("a table without the draining server", p, lacksServer("s-1"))
 		}
 		moved := f.grpcProxy(0, "north", nil)
-		f.await("a table by the newer stream", moved, holds("s-0"))
+		f.await("a table by the newer stream", moved, hasServers("s-0"))
 		f.await("the end of the older one", all[0], func(s standin.State) bool { return s.Closed != nil })
 		back := f.proxy(5, "south")
 		f.await("a table by the newer stream", back, func(s standin.State) bool { return len(s.Table) > 0 })
@@ -106,24 +106,24 @@
 			t.Errorf("the older stream ended with %v", s.Closed)
 		}
 		f.phase("s-3", "draining")
-		f.await("drained there too", moved, lacks("s-3"))
-		f.await("drained there too", back, lacks("s-3"))
+		f.await("drained there too", moved, lacksServer("s-3"))
+		f.await("drained there too", back, lacksServer("s-3"))
 		f.stop()
 	}
 }
 
 // TestRefusedTableComesWhole: a refusal is answered by a whole table, not at once and not for ever.
 func TestRefusedTableComesWhole(t *testing.T) {
-	f := withFront(t, 1, nil)
+	f := startWithGRPC(t, 1, nil)
 	defer f.stop()
 	p := f.grpcProxy(0, "north", nil)
-	f.await("a table", p, holds("s-0"))
+	f.await("a table", p, hasServers("s-0"))
 	p.Refuse("cannot use it")
 	f.phase("s-1", "draining")
 	f.await("a refusal", p, func(s standin.State) bool { return s.Refused > 0 })
 	refused := time.Now()
 	p.Refuse("")
-	f.await("the table again", p, lacks("s-1"))
+	f.await("the table again", p, lacksServer("s-1"))
 	if took := time.Since(refused); took < 500*time.Millisecond {
 		t.Errorf("the refusal was answered after %v", took)
 	}
@@ -132,12 +132,12 @@
 	}
 }
 
-// TestStrangersByHTTP2: each is closed in the time that strangers have, and costs nobody else anything.
-func TestStrangersByHTTP2(t *testing.T) {
-	f := withFront(t, 1, nil)
+// TestUnidentifiedHTTP2Peers: each is closed in the time that strangers have, and costs nobody else anything.
+func TestUnidentifiedHTTP2Peers(t *testing.T) {
+	f := startWithGRPC(t, 1, nil)
 	defer f.stop()
 	p := f.grpcProxy(0, "north", nil)
-	f.await("a table", p, holds("s-0"))
+	f.await("a table", p, hasServers("s-0"))
 	const preface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
 	for name, says := range map[string]string{
 		"nothing after the preface":  preface,
@@ -152,7 +152,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		nc.SetDeadline(time.Now().Add(patience))
+		nc.SetDeadline(time.Now().Add(testTimeout))
 		nc.Write([]byte(says))
 		if _, err := io.Copy(io.Discard, nc); err != nil && os.IsTimeout(err) {
 			t.Errorf("%s: not closed", name)
@@ -183,12 +183,12 @@
 	}
 	client.Close()
 	f.phase("s-1", "draining")
-	f.await("service goes on", p, lacks("s-1"))
+	f.await("service goes on", p, lacksServer("s-1"))
 }
 
 // TestHealthOfThePlanner: it serves once it can make orders, as a heartbeat is answered then.
 func TestHealthOfThePlanner(t *testing.T) {
-	f := withFront(t, 1, func(f *fleet, c *Config) { f.discovery.SetDown(true) })
+	f := startWithGRPC(t, 1, func(f *fleet, c *Config) { f.discovery.SetDown(true) })
 	defer f.stop()
 	client, err := standin.Dial(f.planner, nil)
 	if err != nil {
@@ -196,7 +196,7 @@
 	}
 	defer client.Close()
 	check := func() healthpb.HealthCheckResponse_ServingStatus {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		r, err := healthpb.NewHealthClient(client).Check(ctx, &healthpb.HealthCheckRequest{})
 		if err != nil {
--- a/internal/planner/program/keys_test.go
+++ b/internal/planner/program/keys_test.go
@@ -93,16 +93,16 @@
 	hour := time.Now().Add(time.Hour)
 	ca.sign(folder, "server", "planner.test", hour)
 	lane, other := ca.sign(folder, "lane", "lane-7.lanes.test", hour), ca.sign(folder, "other", "lanes.test", hour)
-	f := withFront(t, 1, func(_ *fleet, c *Config) {
+	f := startWithGRPC(t, 1, func(_ *fleet, c *Config) {
 		c.Options.GRPC.TLS = options.TLS{Certificate: filepath.Join(folder, "server.pem"),
 			Key: filepath.Join(folder, "server.key"), ClientCA: filepath.Join(folder, "ca.pem"),
 			Roles: []options.Role{{Name: "*.lanes.test", Role: "proxy"}, {Name: "collector.test", Role: "collector"}}}
 	})
 	defer f.stop()
 	p := f.grpcProxy(0, "north", ca.client(lane))
-	f.await("a table", p, holds("s-0"))
+	f.await("a table", p, hasServers("s-0"))
 	byLines := f.proxy(1, "north") // lines stay as they are
-	f.wait("a table", byLines, holds("s-0"))
+	f.wait("a table", byLines, hasServers("s-0"))
 	denied := f.grpcProxy(2, "north", ca.client(other))
 	if s := f.await("an end", denied,
 		func(s standin.State) bool { return s.Closed != nil }); status.Code(s.Closed) != codes.PermissionDenied {
@@ -118,27 +118,27 @@
 			c.Close()
 		}
 	}
-	k, err := loadCertificates(options.TLS{Certificate: filepath.Join(folder, "server.pem"), Key: filepath.Join(folder, "server.key")})
+	loaded, err := loadCertificates(options.TLS{Certificate: filepath.Join(folder, "server.pem"), Key: filepath.Join(folder, "server.key")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := k.current.Load()
+	before := loaded.current.Load()
 	ca.sign(folder, "server", "planner.test", time.Now().Add(-time.Hour))
-	if err := k.reload(time.Now()); err == nil || !strings.Contains(err.Error(), "server.pem") || k.current.Load() != before {
+	if err := loaded.reload(time.Now()); err == nil || !strings.Contains(err.Error(), "server.pem") || loaded.current.Load() != before {
 		t.Errorf("an expired certificate: %v", err)
 	}
 	f.reloads <- syscall.SIGHUP
 	os.WriteFile(filepath.Join(folder, "server.key"), []byte("half"), 0o600)
-	if err := k.reload(time.Now()); err == nil || k.current.Load() != before {
+	if err := loaded.reload(time.Now()); err == nil || loaded.current.Load() != before {
 		t.Errorf("a spoilt key: %v", err)
 	}
 	ca.sign(folder, "server", "planner.test", hour)
-	if err := k.reload(time.Now()); err != nil || k.current.Load() == before {
+	if err := loaded.reload(time.Now()); err != nil || loaded.current.Load() == before {
 		t.Errorf("good files: %v", err)
 	}
 	f.reloads <- syscall.SIGHUP
 	f.phase("s-1", "draining")
-	f.await("the stream goes on", p, lacks("s-1"))
+	f.await("the stream goes on", p, lacksServer("s-1"))
 	for _, bad := range []options.TLS{{Certificate: "none.pem", Key: "none.key"}, {ClientCA: "x"},
 		{Roles: []options.Role{{Name: "a", Role: "proxy"}}},
 		{Certificate: filepath.Join(folder, "server.pem"), Key: filepath.Join(folder, "server.key"),
--- a/internal/planner/program/loop_test.go
+++ b/internal/planner/program/loop_test.go
@@ -14,28 +14,28 @@
 	"mulleinwood/rules"
 )
 
-// looker asks for a timer at each turn, as the module does at each look.
-type looker struct {
+// timerModule asks for a timer at each turn, as the module does at each look.
+type timerModule struct {
 	times []float64
 	done  context.CancelFunc
 }
 
-func (m *looker) Step(now float64, _ []rules.Event) []rules.Action {
+func (m *timerModule) Step(now float64, _ []rules.Event) []rules.Action {
 	if m.times = append(m.times, now); len(m.times) == 20 {
 		m.done()
 	}
 	return []rules.Action{rules.Timer{Delay: 8}}
 }
 
-// TestLooksKeepTheGrid guards against looks that drift since every timer comes a little late: the times that the
+// TestTimersStayOnGrid guards against looks that drift since every timer comes a little late: the times that the
 // module sees lie on the settings' grid.
-func TestLooksKeepTheGrid(t *testing.T) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func TestTimersStayOnGrid(t *testing.T) {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	m := &looker{done: cancel}
+	m := &timerModule{done: cancel}
 	set := settings.Settings{Granularity: 4, Rules: rules.Settings{QueryDiscovery: true}}
 	router := routing.New(set, m, nil, protocol.List{}, zerolog.Nop())
-	begun := time.Now()
+	started := time.Now()
 	if err := loop(ctx, router, nil, set.Granularity); err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 			t.Errorf("turn %d at %v, %v after the one before", i, at, at-m.times[i-1])
 		}
 	}
-	if span, real := m.times[19]-m.times[0], time.Since(begun); span > float64(real.Milliseconds())+8 {
+	if span, real := m.times[19]-m.times[0], time.Since(started); span > float64(real.Milliseconds())+8 {
 		t.Errorf("the module saw %v ms pass in %v", span, real)
 	}
 	if alignToGrid(5.5, 0) != 5.5 {
--- a/internal/planner/program/program_test.go
+++ b/internal/planner/program/program_test.go
@@ -23,35 +23,35 @@
 // TestEndToEnd leads a planner through a drain, a broken watch, discovery down, a server that swallows requests,
 // a proxy's second stream and the planner's end, and looks for what it left behind.
 func TestEndToEnd(t *testing.T) {
-	goroutines, descriptors := runtime.NumGoroutine(), files(t)
+	goroutines, descriptors := runtime.NumGoroutine(), openDescriptors(t)
 	f := start(t, nil, nil)
 	north, south := f.proxy(0, "north"), f.proxy(1, "south")
-	f.wait("the first table in the north", north, holds("s-0", "s-2"))
-	f.wait("the first table in the south", south, holds("s-1", "s-3"))
+	f.wait("the first table in the north", north, hasServers("s-0", "s-2"))
+	f.wait("the first table in the south", south, hasServers("s-1", "s-3"))
 
 	f.phase("s-1", protocol.PhaseDraining)
-	f.wait("a drain", south, lacks("s-1"))
+	f.wait("a drain", south, lacksServer("s-1"))
 	f.phase("s-1", protocol.PhaseUp)
-	f.wait("its return", south, holds("s-1"))
+	f.wait("its return", south, hasServers("s-1"))
 
 	f.discovery.Break()
 	f.phase("s-2", protocol.PhaseRemoved)
-	f.wait("a removal while the watch was broken", north, lacks("s-2"))
+	f.wait("a removal while the watch was broken", north, lacksServer("s-2"))
 	f.discovery.SetDown(true)
 	f.phase("s-2", protocol.PhaseUp)
 	f.discovery.SetDown(false)
-	f.wait("a change while discovery was down", north, holds("s-2"))
+	f.wait("a change while discovery was down", north, hasServers("s-2"))
 
 	f.discovery.Finish() // a watch that ends in good order has ended all the same
 	f.phase("s-3", protocol.PhaseDraining)
-	f.wait("a drain after a watch has ended in good order", south, lacks("s-3"))
+	f.wait("a drain after a watch has ended in good order", south, lacksServer("s-3"))
 	f.phase("s-3", protocol.PhaseUp)
-	f.wait("its return", south, holds("s-3"))
+	f.wait("its return", south, hasServers("s-3"))
 
 	watches := f.discovery.Watches()
 	f.discovery.Garble("{\"revision\":\n")
 	f.until("a watch after one that can't be read", func() bool { return f.discovery.Watches() > watches })
-	if holding := south.State(); !holds("s-1", "s-3")(holding) {
+	if holding := south.State(); !hasServers("s-1", "s-3")(holding) {
 		t.Errorf("a list that can't be read changed the table: %+v", holding.Table)
 	}
 	watches = f.discovery.Watches()
@@ -60,14 +60,14 @@
 	f.until("a watch that stays silent", func() bool { return f.discovery.Watches() > watches })
 	f.discovery.SetHushed(false) // for the next one
 	f.phase("s-3", protocol.PhaseDraining)
-	f.wait("a drain after a watch has fallen silent", south, lacks("s-3"))
+	f.wait("a drain after a watch has fallen silent", south, lacksServer("s-3"))
 	f.phase("s-3", protocol.PhaseUp)
-	f.wait("its return", south, holds("s-3"))
+	f.wait("its return", south, hasServers("s-3"))
 
 	collector := f.collector("north")
-	swallow := time.Now() // s-0 answers nothing, until it is out
+	started := time.Now() // s-0 answers nothing, until it is out
 	for s := north.State(); s.Table["s-0"] > 0; s = north.State() {
-		if time.Since(swallow) > patience {
+		if time.Since(started) > testTimeout {
 			t.Fatal("a server that answers nothing stays in the table")
 		}
 		collector.Report("s-0", 10, 10, 0, 1000)
@@ -75,13 +75,13 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	f.until("probes of a server that is out", func() bool { return f.servers["s-0"].Probed() >= 2 })
-	f.wait("its return", north, holds("s-0"))
+	f.wait("its return", north, hasServers("s-0"))
 	if f.servers["s-3"].Probed() > 0 {
 		t.Error("a server that nothing was held against was probed")
 	}
 
 	again := f.proxy(0, "north")
-	f.wait("the table on a second stream", again, func(s standin.State) bool { return s.Replaced == 1 && holds("s-0", "s-2")(s) })
+	f.wait("the table on a second stream", again, func(s standin.State) bool { return s.Replaced == 1 && hasServers("s-0", "s-2")(s) })
 	old := north.Wait(func(standin.State) bool { return false })
 	if old.Closed == nil {
 		t.Error("the first stream goes on")
@@ -94,7 +94,7 @@
 		}
 	}
 	f.until("the end of all goroutines", func() bool { return runtime.NumGoroutine() <= goroutines })
-	f.until("the end of all descriptors", func() bool { return files(t) <= descriptors })
+	f.until("the end of all descriptors", func() bool { return openDescriptors(t) <= descriptors })
 }
 
 // TestHeartbeatWaitsForAList guards against a planner that is put to use before it can order anything.
@@ -106,7 +106,7 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(nc, `{"t":"hb"}`+"\n")
 	answer := make([]byte, len(`{"t":"hb_ok"}`)+1)
 	if _, err := io.ReadFull(nc, answer); err != nil || string(answer) != `{"t":"hb_ok"}`+"\n" {
@@ -139,7 +139,7 @@
 	for _, text := range []string{"GET / HTTP/1.1\r\n\r\n", "{\"t\":\"odd\"}\n", strings.Repeat("x", 1<<16),
 		`{"t":"attach","proxy":99,"zone":"north"}` + "\nnonsense\n"} {
 		nc := dial(text)
-		nc.SetReadDeadline(time.Now().Add(patience))
+		nc.SetReadDeadline(time.Now().Add(testTimeout))
 		if _, err := nc.Read(make([]byte, 1)); err == nil || os.IsTimeout(err) {
 			t.Errorf("%.30q: the connection stays: %v", text, err)
 		}
@@ -155,11 +155,11 @@
 	for range 50 { // collectors that vanish and come back leave their old connections open
 		dial(`{"t":"telemetry","zone":"south"}` + "\n")
 	}
-	f.wait("a table beside strangers", p, holds("s-0", "s-2"))
+	f.wait("a table beside strangers", p, hasServers("s-0", "s-2"))
 	f.phase("s-0", protocol.PhaseDraining)
-	f.wait("a drain beside strangers", p, lacks("s-0"))
+	f.wait("a drain beside strangers", p, lacksServer("s-0"))
 	late := f.proxy(1, "south")
-	f.wait("a table for a proxy that comes late", late, holds("s-1", "s-3"))
+	f.wait("a table for a proxy that comes late", late, hasServers("s-1", "s-3"))
 	for range 100 { // reports still come through
 		if err := c.Report("s-2", 10, 0, 100, 1000); err != nil {
 			t.Fatal(err)
@@ -189,7 +189,7 @@
 	}, nil)
 	defer f.stop()
 	p := f.proxy(0, "north")
-	f.wait("a table", p, holds("s-0", "s-2"))
+	f.wait("a table", p, hasServers("s-0", "s-2"))
 	for round := range 3 {
 		second, err := standin.NewDiscovery("127.0.0.1:0")
 		if err != nil {
@@ -206,15 +206,15 @@
 		f.until("a watch at the new address", func() bool { return second.Watches() > 0 })
 		first.Close()
 		f.phase("s-0", protocol.PhaseDraining)
-		f.wait(fmt.Sprint("a drain told by discovery ", round+2), p, lacks("s-0"))
+		f.wait(fmt.Sprint("a drain told by discovery ", round+2), p, lacksServer("s-0"))
 		f.phase("s-0", protocol.PhaseUp)
-		f.wait("its return", p, holds("s-0"))
+		f.wait("its return", p, hasServers("s-0"))
 	}
 }
 
 // TestProbeResults checks what the module is told of probes that are answered, refused, silent and impossible.
 func TestProbeResults(t *testing.T) {
-	m := &prober{results: make(chan rules.Probed, 10)}
+	m := &probingModule{results: make(chan rules.Probed, 10)}
 	f := start(t, func(f *fleet, _ *Config) {
 		f.servers["s-1"].Set(http.StatusServiceUnavailable, "")
 		f.servers["s-2"].Set(0, "")
@@ -227,7 +227,7 @@
 		select {
 		case r := <-m.results:
 			got[r.Server] = r
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("results so far: %+v", got)
 		}
 	}
@@ -239,13 +239,13 @@
 	}
 }
 
-// prober is a module that probes each server of the first list once.
-type prober struct {
+// probingModule is a module that probes each server of the first list once.
+type probingModule struct {
 	results chan rules.Probed
 	asked   bool
 }
 
-func (m *prober) Step(_ float64, events []rules.Event) (actions []rules.Action) {
+func (m *probingModule) Step(_ float64, events []rules.Event) (actions []rules.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
 		case rules.List:
@@ -263,11 +263,11 @@
 	return actions
 }
 
-// crasher is a module that panics on its second turn.
-type crasher struct{ turns int }
+// panickingModule is a module that panics on its second turn.
+type panickingModule struct{ steps int }
 
-func (m *crasher) Step(float64, []rules.Event) []rules.Action {
-	if m.turns++; m.turns > 1 {
+func (m *panickingModule) Step(float64, []rules.Event) []rules.Action {
+	if m.steps++; m.steps > 1 {
 		panic("lost the thread")
 	}
 	return []rules.Action{rules.Timer{Delay: 1}}
@@ -275,13 +275,13 @@
 
 // TestModulePanic: a module whose state can't be trusted ends the program, with the cause.
 func TestModulePanic(t *testing.T) {
-	f := start(t, nil, &crasher{})
+	f := start(t, nil, &panickingModule{})
 	select {
 	case err := <-f.ended:
 		if err == nil || !strings.Contains(err.Error(), "lost the thread") {
 			t.Errorf("ended with %v", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the program goes on")
 	}
 	f.ended <- nil
--- a/internal/planner/program/roles_test.go
+++ b/internal/planner/program/roles_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// rude are peers that are nobody: with what each sends, and how often over.
-var rude = map[string]struct {
+// unidentifiedPeers are peers that are nobody: with what each sends, and how often over.
+var unidentifiedPeers = map[string]struct {
 	text  string
 	after string // sent again and again
 }{
@@ -58,16 +58,16 @@
 	"a length of its own":   {text: "\x7f\xff\xff\xff{}"},
 }
 
-// TestRudePeers guards against peers that are nobody and hold on to descriptors: each is closed by itself, in the page's
+// TestUnidentifiedPeersAreClosed guards against peers that are nobody and hold on to descriptors: each is closed by itself, in the page's
 // second or at once, while a proxy that has long joined and says nothing stays.
-func TestRudePeers(t *testing.T) {
+func TestUnidentifiedPeersAreClosed(t *testing.T) {
 	f := start(t, nil, nil)
 	defer f.stop()
 	p := f.proxy(0, "north")
-	f.wait("a table", p, holds("s-0", "s-2"))
+	f.wait("a table", p, hasServers("s-0", "s-2"))
 	collector := f.collector("south")
 	closed := make(chan string)
-	for name, r := range rude {
+	for name, r := range unidentifiedPeers {
 		nc, err := net.Dial("tcp", f.planner)
 		if err != nil {
 			t.Fatal(err)
@@ -81,29 +81,29 @@
 			}()
 		}
 		go func() {
-			nc.SetReadDeadline(time.Now().Add(patience))
+			nc.SetReadDeadline(time.Now().Add(testTimeout))
 			if _, err := io.Copy(io.Discard, nc); os.IsTimeout(err) {
 				name += " STAYS"
 			}
 			closed <- name
 		}()
 	}
-	for range rude {
+	for range unidentifiedPeers {
 		if name := <-closed; strings.HasSuffix(name, "STAYS") {
 			t.Error(name)
 		}
 	}
 	f.phase("s-0", protocol.PhaseDraining)
-	f.wait("a drain on a quiet stream", p, lacks("s-0"))
+	f.wait("a drain on a quiet stream", p, lacksServer("s-0"))
 	if err := collector.Report("s-1", 1, 0, 100, 1000); err != nil {
 		t.Errorf("the quiet collector: %v", err)
 	}
 }
 
-// hearer is a module that hands on what it is told.
-type hearer chan rules.Event
+// eventRecorder is a module that hands on what it is told.
+type eventRecorder chan rules.Event
 
-func (h hearer) Step(_ float64, events []rules.Event) []rules.Action {
+func (h eventRecorder) Step(_ float64, events []rules.Event) []rules.Action {
 	for _, e := range events {
 		h <- e
 	}
@@ -111,9 +111,9 @@
 }
 
 // next returns the next event of one kind.
-func next[E rules.Event](t *testing.T, h hearer) E {
+func next[E rules.Event](t *testing.T, h eventRecorder) E {
 	t.Helper()
-	for late := time.After(patience); ; {
+	for late := time.After(testTimeout); ; {
 		select {
 		case e := <-h:
 			if e, ok := e.(E); ok {
@@ -129,7 +129,7 @@
 // TestUnreadableStream guards against a stream that goes on with bytes that are no lines and would stay joined for good:
 // the module hears that it has left, and its proxy may join again. A spoilt line alone ends nothing.
 func TestUnreadableStream(t *testing.T) {
-	h := make(hearer, 1000)
+	h := make(eventRecorder, 1000)
 	f := start(t, nil, h)
 	defer f.stop()
 	p := f.proxy(2, "north")
--- a/internal/planner/program/versions_test.go
+++ b/internal/planner/program/versions_test.go
@@ -39,8 +39,8 @@
 	}, nil)
 	defer f.stop()
 	rng := rand.New(rand.NewPCG(18, 18)) // shared under mu
-	bad, delivered, touched := true, 0, 0
-	spoil := func(kept *[]byte) func([]byte) [][]byte {
+	bad, delivered, corrupted := true, 0, 0
+	corrupt := func(kept *[]byte) func([]byte) [][]byte {
 		return func(update []byte) [][]byte {
 			mu.Lock()
 			defer mu.Unlock()
@@ -48,7 +48,7 @@
 				return [][]byte{update}
 			}
 			text := append([]byte{}, update...)
-			touched++
+			corrupted++
 			switch rng.IntN(7) {
 			case 0:
 				return nil
@@ -64,13 +64,13 @@
 				text[rng.IntN(len(text))] ^= 1 << rng.IntN(8)
 				return [][]byte{text}
 			}
-			touched--
+			corrupted--
 			return [][]byte{text}
 		}
 	}
 	var proxies []*standin.Versioned
 	for i := range 12 {
-		p, err := standin.JoinVersioned(f.planner, i, []string{"north", "south"}[i%2], 20, secret, spoil(new([]byte)),
+		p, err := standin.JoinVersioned(f.planner, i, []string{"north", "south"}[i%2], 20, secret, corrupt(new([]byte)),
 			func(table tables.Table, at tables.Version) {
 				mu.Lock()
 				defer mu.Unlock()
@@ -85,7 +85,7 @@
 		proxies = append(proxies, p)
 	}
 	plain := f.proxy(15, "north")
-	f.wait("plain lines", plain, holds("s-0"))
+	f.wait("plain lines", plain, hasServers("s-0"))
 	for round := range 20 {
 		id := []string{"s-0", "s-1", "s-2", "s-3"}[round/2%4]
 		f.phase(id, []string{"draining", "up"}[round%2])
@@ -105,12 +105,12 @@
 			return in && at == newest[uint32(p.Number)]
 		})
 	}
-	f.wait("plain lines", plain, lacks("s-2"))
+	f.wait("plain lines", plain, lacksServer("s-2"))
 	mu.Lock()
 	defer mu.Unlock()
-	t.Logf("%d updates, %d of them spoilt", delivered, touched)
-	if touched < 20 {
-		t.Errorf("only %d updates were spoilt: the day proves nothing", touched)
+	t.Logf("%d updates, %d of them spoilt", delivered, corrupted)
+	if corrupted < 20 {
+		t.Errorf("only %d updates were spoilt: the day proves nothing", corrupted)
 	}
 }
 
@@ -124,9 +124,9 @@
 		}, nil)
 		defer f.stop()
 		p := f.proxy(1, "north")
-		f.wait("a table", p, holds("s-0"))
+		f.wait("a table", p, hasServers("s-0"))
 		f.phase("s-1", "draining")
-		f.wait("a table without the draining server", p, lacks("s-1"))
+		f.wait("a table without the draining server", p, lacksServer("s-1"))
 	}
 	run(file)
 	run(file) // another life goes on in the same record
@@ -135,25 +135,25 @@
 		t.Fatal(err)
 	}
 	defer r.Close()
-	causes, lives := map[string]int{}, map[uint64]bool{}
+	causes, incarnations := map[string]int{}, map[uint64]bool{}
 	r.Each(func(e record.Entry) bool {
 		u, err := tables.Decode(e.Update, nil)
 		if err != nil || u.Proxy != 1 {
 			t.Errorf("%+v: %v", u, err)
 		}
 		causes[e.Cause]++
-		lives[u.Incarnation] = true
+		incarnations[u.Incarnation] = true
 		return true
 	})
-	if causes["join"] != 2 || causes["removal"] < 2 || len(lives) != 2 {
-		t.Errorf("recorded %v in %d lives", causes, len(lives))
+	if causes["join"] != 2 || causes["removal"] < 2 || len(incarnations) != 2 {
+		t.Errorf("recorded %v in %d lives", causes, len(incarnations))
 	}
-	spoilt := filepath.Join(t.TempDir(), "spoilt.db")
-	if err := os.WriteFile(spoilt, []byte("no record"), 0o600); err != nil {
+	corruptFile := filepath.Join(t.TempDir(), "spoilt.db")
+	if err := os.WriteFile(corruptFile, []byte("no record"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	run(spoilt)
-	if text, _ := os.ReadFile(spoilt); string(text) != "no record" {
+	run(corruptFile)
+	if text, _ := os.ReadFile(corruptFile); string(text) != "no record" {
 		t.Error("the file that can't be used was written over")
 	}
 }
