--- a/internal/planner/program/ask.go
+++ b/internal/planner/program/ask.go
@@ -24,17 +24,17 @@
 	"mulleinwood/internal/planner/transport/ring"
 )
 
-// serverProber asks servers for their health and load, by the protocol that each speaks.
+// serverProber probes the health and load of servers, each by the protocol that it uses.
 type serverProber struct {
 	connectTimeout time.Duration
-	allowGRPC      bool // gRPC may be tried
+	allowGRPC      bool // gRPC may be tried besides HTTP/1.1
 
 	mu        sync.Mutex
 	protocols dialect.ProtocolCache
 }
 
-// probe makes one question, of two attempts at most. It has failed if a connection doesn't come up in the time that the
-// settings give one, or the answer doesn't come within as long again.
+// probe sends one probe, with two attempts at most. An attempt fails if its connection isn't established within connectTimeout,
+// or the response doesn't arrive within twice connectTimeout in total.
 func (p *serverProber) probe(ctx context.Context, address string, load bool) (result routing.Probed, cancelled bool) {
 	p.mu.Lock()
 	current := p.protocols.Preferred(address)
@@ -64,13 +64,14 @@
 	}
 }
 
-// headRecorder is the machine of an answer that keeps the first bytes.
+// headRecorder is an HTTP exchange that keeps the first bytes of the response.
 type headRecorder struct {
 	*protocol.HTTPExchange
 	head []byte
 }
 
-// recordedHeadBytes is enough of an answer to tell the protocols apart: HTTP/2 begins with a frame's head of nine bytes.
+// recordedHeadBytes is how many bytes of a response are kept to distinguish the protocols: HTTP/2 begins with a frame header
+// of nine bytes.
 const recordedHeadBytes = 9
 
 // Feed implements transport.Machine.
@@ -81,17 +82,18 @@
 	return p.HTTPExchange.Feed(in)
 }
 
-// isSettingsFrame says whether bytes begin a SETTINGS frame on stream 0, with which every HTTP/2 server opens.
+// isSettingsFrame reports whether head is the header of a SETTINGS frame on stream 0, which every HTTP/2 server sends first.
 func isSettingsFrame(head []byte) bool {
-	return len(head) == recordedHeadBytes && head[0] == 0 && head[3] == 4 && head[4] == 0 && bytes.Equal(head[5:9], []byte{0, 0, 0, 0})
+	return len(head) == recordedHeadBytes && head[0] == 0 && head[3] == 4 && head[4] == 0 &&
+		bytes.Equal(head[5:9], []byte{0, 0, 0, 0})
 }
 
 func (p *serverProber) probeHTTP(ctx context.Context, address string, load bool) (routing.Probed, dialect.Result) {
 	var response protocol.ProbeResponse
 	request, exchange := protocol.ProbeRequest(address, load, &response)
 	recorder := &headRecorder{HTTPExchange: exchange}
-	err := transport.Call{Address: address, ConnectTimeout: p.connectTimeout, IdleTimeout: p.connectTimeout, TotalTimeout: 2 * p.connectTimeout,
-		Request: request, MaxBuffered: protocol.MaxHeadBytes}.Do(ctx, recorder)
+	err := transport.Call{Address: address, ConnectTimeout: p.connectTimeout, IdleTimeout: p.connectTimeout,
+		TotalTimeout: 2 * p.connectTimeout, Request: request, MaxBuffered: protocol.MaxHeadBytes}.Do(ctx, recorder)
 	outcome := dialect.Answered
 	switch {
 	case isSettingsFrame(recorder.head):
@@ -103,7 +105,7 @@
 		Refused: err == nil && response.Status == http.StatusServiceUnavailable}, outcome
 }
 
-// recordingConn is a connection that keeps the first bytes read.
+// recordingConn is a connection that keeps the first bytes read. It is safe for concurrent use.
 type recordingConn struct {
 	net.Conn
 	mu   sync.Mutex
@@ -127,7 +129,7 @@
 	return bytes.Clone(l.head)
 }
 
-// maxORCABytes bounds a load report.
+// maxORCABytes is the maximum size of a load report.
 const maxORCABytes = 64 << 10
 
 func (p *serverProber) probeGRPC(ctx context.Context, address string, load bool) (result routing.Probed, outcome dialect.Result) {
@@ -142,8 +144,8 @@
 			mu.Lock()
 			connected := recorder != nil
 			mu.Unlock()
-			if connected { // a question is one connection
-				return nil, errors.New("one connection a question")
+			if connected { // a probe uses a single connection
+				return nil, errors.New("a probe uses a single connection")
 			}
 			nc, err := (&net.Dialer{Timeout: p.connectTimeout}).DialContext(ctx, "tcp", address)
 			if err != nil {
@@ -178,8 +180,8 @@
 	return result, dialect.Answered
 }
 
-// firstLoadReport is a server's load as its out-of-band stream tells it first. A stream that stalls, or brings nothing that can
-// be used, leaves the health as it is.
+// firstLoadReport returns the load in the first report of a server's out-of-band stream, or nil if the stream stalls or fails.
+// Neither affects the result of the health check.
 func firstLoadReport(ctx context.Context, client *grpc.ClientConn) map[string]float64 {
 	s, err := orca.NewOpenRcaServiceClient(client).StreamCoreMetrics(ctx,
 		&orca.OrcaLoadReportRequest{ReportInterval: durationpb.New(time.Second)})
@@ -192,7 +194,7 @@
 	}
 	load := map[string]float64{}
 	add := func(name string, value float64) {
-		if value >= 0 && value <= protocol.MaxValue { // NaN is neither
+		if value >= 0 && value <= protocol.MaxValue { // false for NaN
 			load[name] = value
 		}
 	}
--- a/internal/planner/program/calls.go
+++ b/internal/planner/program/calls.go
@@ -15,30 +15,31 @@
 )
 
 const (
-	// watchTimeout is how long a watch may be silent. The protocol writes a line every 2 s while nothing changes;
-	// a quarter more than that is a watch that is dead. A call to discovery that isn't answered is held to it too.
+	// watchTimeout is the idle timeout of a watch. Discovery writes a line at least every 2 s, so a watch without one for a
+	// quarter longer is dead. The timeout also applies to discovery calls that get no response.
 	watchTimeout = 2500 * time.Millisecond
 
-	maxConcurrentProbes = 16        // at once, over all servers
-	maxBufferedResponse = 256 << 10 // most that may wait of an answer not yet understood
+	maxConcurrentProbes = 16        // concurrent probes over all servers
+	maxBufferedResponse = 256 << 10 // most bytes buffered of a response that isn't decoded yet
 )
 
-// errEnded is the end of a call that went well, and of a watch that its other side has ended.
+// errEnded reports that a call completed, or that discovery ended a watch normally.
 var errEnded = errors.New("ended in good order")
 
-// calls asks discovery and servers. Each call has a goroutine of its own, which ends with the call.
+// calls implements routing.Calls with requests to discovery and to servers. Each call has its own goroutine, which ends with
+// the call.
 type calls struct {
 	ctx            context.Context
-	discovery      string // the loop's own, as the calls of its methods
+	discovery      string // used only by the routing goroutine, as are Watch, Fetch and SetDiscovery
 	connectTimeout time.Duration
 	post           func(routing.Event)
 	group          *sync.WaitGroup
 	probeSlots     chan struct{}
 	prober         *serverProber
-	log            zerolog.Logger // bounded
+	log            zerolog.Logger // rate-limited
 
 	mu      sync.Mutex
-	cancels map[uint64]context.CancelFunc // of the calls to discovery that are under way
+	cancels map[uint64]context.CancelFunc // of the discovery calls in flight, by call number
 }
 
 func (c *calls) startCall(call uint64, request []byte, response *protocol.HTTPExchange) {
@@ -58,7 +59,7 @@
 	})
 }
 
-// Cancel implements routing.Calls: it closes the call's connection, if the call is still under way.
+// Cancel implements routing.Calls. It closes the call's connection if the call is still in flight.
 func (c *calls) Cancel(call uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,7 +72,7 @@
 // SetDiscovery implements routing.Calls.
 func (c *calls) SetDiscovery(discovery string) { c.discovery = discovery }
 
-// listHandler returns what reads one list and posts it.
+// listHandler returns a function that decodes one list and posts it.
 func (c *calls) listHandler(call uint64) func([]byte) error {
 	return func(text []byte) error {
 		list, invalid, err := protocol.DecodeList(text)
@@ -105,7 +106,7 @@
 	})
 }
 
-// probe asks a server for its health, and tells of the answer.
+// probe sends a health check to a server and passes the result to handle, unless the context ends first.
 func (c *calls) probe(address string, load bool, handle func(routing.Probed)) {
 	c.group.Go(func() {
 		select {
--- a/internal/planner/program/config.go
+++ b/internal/planner/program/config.go
@@ -1,5 +1,5 @@
-// Package program is the planner as one process: it reads its configuration, opens its sockets and lets routing
-// run until it is told to stop.
+// Package program runs the planner as one process: it reads the configuration, opens the sockets and runs routing until its
+// context is done.
 package program
 
 import (
@@ -18,7 +18,7 @@
 	"mulleinwood/tables"
 )
 
-// The variables that name the planner's surroundings.
+// The environment variables of the planner. All but envConfig override entries of the configuration file.
 const (
 	envName      = "NODE_NAME"
 	envListen    = "NODE_LISTEN"
@@ -26,7 +26,7 @@
 	envConfig    = "NODE_CONFIG"
 )
 
-// Config is all that a planner is told before it starts.
+// Config is the configuration of a planner.
 type Config struct {
 	Name      string
 	Listen    string
@@ -35,18 +35,18 @@
 	Limits    Limits
 	Known     protocol.List
 	Settings  settings.Settings
-	Options   options.Options // the program's own settings, beside the platform's
+	Options   options.Options // the program's own settings, in addition to the platform's
 
-	onSent   func(tables.Update) // see versions.sent
+	onSent   func(tables.Update) // see versionTracker.onSent
 	getenv   func(string) string
-	fromFile addresses // in the file, whatever the variables say
+	fromFile addresses // as in the file, without the environment variables
 }
 
-// addresses are the entries of the file that a variable may win over.
+// addresses are the entries of the file that environment variables override.
 type addresses struct{ name, listen, discovery string }
 
-// LoadConfig reads the file that NODE_CONFIG names. A variable that is set wins over what the file says of the
-// same thing, so that an operator can move one planner without another file.
+// LoadConfig reads the file that NODE_CONFIG names. An environment variable that is set overrides the file's entry, so that an
+// operator can move one planner without changing the file.
 func LoadConfig(getenv func(string) string) (Config, error) {
 	path := getenv(envConfig)
 	if path == "" {
@@ -98,7 +98,7 @@
 	return c, nil
 }
 
-// CheckConfig says what is wrong with a configuration file, whatever the variables say.
+// CheckConfig returns the first error in a configuration file, without regard to the environment variables.
 func CheckConfig(file string) error {
 	_, err := LoadConfig(func(name string) string {
 		if name == envConfig {
@@ -109,9 +109,9 @@
 	return err
 }
 
-// Reload reads the configuration again, as it stands now. Discovery's address is taken from the file if the file says
-// something else of it than when it was read before: what an operator has changed since the start wins over a variable,
-// which can't change. Otherwise it stays. The second result names the entries that differ and need a new start.
+// Reload reads the configuration again. Discovery's address is taken from the file if the entry has changed since the file was
+// last read: an operator's change after the start overrides the environment variable, which can't change. Otherwise the address
+// stays. needRestart names the changed entries that take effect only after a restart.
 func (c Config) Reload() (next Config, needRestart []string, err error) {
 	if next, err = LoadConfig(c.getenv); err != nil {
 		return Config{}, nil, err
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// parseSeed takes any text: sixteen hexadecimal digits as they are, others by their hash.
+// parseSeed returns the seed for a text: the value of up to sixteen hexadecimal digits, or the hash of any other text.
 func parseSeed(text string) uint64 {
 	if n, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return n
--- a/internal/planner/program/core.go
+++ b/internal/planner/program/core.go
@@ -17,7 +17,7 @@
 	"mulleinwood/rules"
 )
 
-// coreModule is a module that can share a planner with others.
+// coreModule is a module that can run on one of several cores of a planner.
 type coreModule interface {
 	routing.Stepper
 	OwnLoad() (own rules.Part, waiting float64)
@@ -27,12 +27,13 @@
 type coreRun struct {
 	index, incarnation int
 	inbox              *inbox
-	report             atomic.Pointer[cores.CoreReport] // after its last look, until the host has taken it
+	report             atomic.Pointer[cores.CoreReport] // made after the latest round; nil once the supervisor has taken it
 	cancel             context.CancelFunc
 	ended              chan struct{} // closed when the goroutine has ended
 }
 
-// startCore starts an incarnation with the whole list as of the epoch. Died is called once it ends before its context does.
+// startCore starts an incarnation with the complete list as of the epoch. onEnd is called when its goroutine returns, with the
+// error if it failed.
 func startCore(ctx context.Context, index, incarnation int, set settings.Settings, module coreModule, calls routing.Calls,
 	known protocol.List, epoch uint64, now func() float64, log zerolog.Logger, onEnd func(error)) *coreRun {
 	ctx, cancel := context.WithCancel(ctx)
@@ -46,7 +47,7 @@
 	return c
 }
 
-// run takes turns until the context ends, or the module panics.
+// run advances the router until ctx is done. A panic of the module is returned as an error.
 func (c *coreRun) run(ctx context.Context, router *routing.Router, module coreModule, now func() float64,
 	granularity float64) (err error) {
 	defer func() {
@@ -90,7 +91,8 @@
 	}
 }
 
-// coreCalls are a core's questions to others. Discovery is followed for it; probes are shared.
+// coreCalls implements routing.Calls for one core. Discovery calls do nothing, since the supervisor follows discovery for all
+// cores; probes are shared.
 type coreCalls struct {
 	core   func() *coreRun
 	probes *sharedProbes
@@ -106,18 +108,18 @@
 	c.probes.request(c.core(), server, address, load)
 }
 
-// sharedProbes makes each probe once for all cores that want it.
+// sharedProbes sends each probe once for all cores that request it. It is safe for concurrent use.
 type sharedProbes struct {
 	now   func() float64
 	probe func(address string, load bool, then func(routing.Probed))
 
 	mu       sync.Mutex
 	requests cores.Probes
-	waiting  map[string]map[int]probeRequest // by address, then core
+	waiting  map[string]map[int]probeRequest // by address, then core index
 	last     map[string]routing.Probed
 }
 
-// probeRequest is a core's wish for an answer.
+// probeRequest is a core's request for the result of a probe. The server is the core's own number for the address.
 type probeRequest struct {
 	core   *coreRun
 	server rules.ServerID
@@ -154,7 +156,7 @@
 	}
 }
 
-// deliver gives a core the answer under its own number for the server.
+// deliver sends a core the result under the core's own number for the server. The caller must hold mu.
 func (p *sharedProbes) deliver(address string, core int, result routing.Probed) {
 	request := p.waiting[address][core]
 	result.Server = request.server
--- a/internal/planner/program/front.go
+++ b/internal/planner/program/front.go
@@ -22,18 +22,18 @@
 	"mulleinwood/internal/planner/xds"
 )
 
-// Bounds of the gRPC front. They bound memory and descriptors as those of lines do.
+// Limits of the gRPC frontend. They bound memory and descriptors, like the limits of the line protocol.
 const (
-	maxStreamsPerConn = 16       // of one connection
-	maxHeaderBytes    = 16 << 10 // bytes of a stream's headers
+	maxStreamsPerConn = 16
+	maxHeaderBytes    = 16 << 10 // of one stream's headers
 	minPingInterval   = 5 * time.Second
-	maxUnreadBytes    = 2 << 20 // bytes that may wait for a stream that doesn't read
+	maxUnreadBytes    = 2 << 20 // most bytes queued for a stream whose peer doesn't read
 	streamWindowBytes = 64 << 10
 	readBufferBytes   = 4 << 10
-	noServerPings     = time.Duration(math.MaxInt64) // a silent peer keeps its stream: it is not asked whether it lives
+	noServerPings     = time.Duration(math.MaxInt64) // the server sends no keepalive pings, so an idle peer keeps its stream
 )
 
-// frontend serves proxies and collectors by gRPC. It reads and writes messages; what they mean is xds's affair.
+// frontend serves proxies and collectors by gRPC. It reads and writes the messages; package xds interprets them.
 type frontend struct {
 	discovery.UnimplementedAggregatedDiscoveryServiceServer
 	load.UnimplementedLoadReportingServiceServer
@@ -48,43 +48,45 @@
 	handoffs  handoffListener
 
 	mu                sync.Mutex
-	conns             map[string]*transport.Conn // by the peer's address
-	assignmentStreams map[proxyConn]int          // assignment streams under way
+	conns             map[string]*transport.Conn // by remote address
+	assignmentStreams map[proxyConn]int          // number of open assignment streams
 }
 
-// newFrontend returns a front that serves once serve is called.
-func newFrontend(ctx context.Context, set settings.Settings, own options.GRPC, p *peers, addr net.Addr, keys *certificates) *frontend {
-	f := &frontend{roles: own.TLS.Roles, peers: p, post: p.post, now: clock(), conns: map[string]*transport.Conn{},
+// newFrontend returns a frontend that serves once serve is called.
+func newFrontend(ctx context.Context, set settings.Settings, grpcOptions options.GRPC, p *peers, addr net.Addr,
+	certs *certificates) *frontend {
+	f := &frontend{roles: grpcOptions.TLS.Roles, peers: p, post: p.post, now: clock(), conns: map[string]*transport.Conn{},
 		assignmentStreams: map[proxyConn]int{},
 		xdsConfig:         newXDSConfig(set),
 		handoffs:          handoffListener{addr: addr, conns: make(chan net.Conn), ctx: ctx}}
-	opts := []grpc.ServerOption{grpc.MaxRecvMsgSize(protocol.MaxLineBytes), grpc.MaxConcurrentStreams(maxStreamsPerConn),
+	serverOptions := []grpc.ServerOption{grpc.MaxRecvMsgSize(protocol.MaxLineBytes), grpc.MaxConcurrentStreams(maxStreamsPerConn),
 		grpc.MaxHeaderListSize(maxHeaderBytes),
 		grpc.ConnectionTimeout(joinTimeout), grpc.StaticStreamWindowSize(streamWindowBytes), grpc.ReadBufferSize(readBufferBytes),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minPingInterval, PermitWithoutStream: true}),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: noServerPings})}
-	if keys != nil {
-		opts = append(opts, grpc.Creds(credentials.NewTLS(keys.serverConfig())))
+	if certs != nil {
+		serverOptions = append(serverOptions, grpc.Creds(credentials.NewTLS(certs.serverConfig())))
 	}
-	f.server = grpc.NewServer(opts...)
+	f.server = grpc.NewServer(serverOptions...)
 	discovery.RegisterAggregatedDiscoveryServiceServer(f.server, f)
 	load.RegisterLoadReportingServiceServer(f.server, f)
 	healthpb.RegisterHealthServer(f.server, f)
 	return f
 }
 
-// newXDSConfig are the facts that the machines of the gRPC front are given.
+// newXDSConfig returns the configuration of the xds streams.
 func newXDSConfig(set settings.Settings) xds.Config {
-	f := xds.Config{Zones: set.ZoneNames, RateLevels: set.AdmitsByRate(), ReportPeriod: set.Rules.ReportPeriod, Bounds: messageBounds(set)}
+	f := xds.Config{Zones: set.ZoneNames, RateLevels: set.AdmitsByRate(), ReportPeriod: set.Rules.ReportPeriod,
+		Bounds: messageBounds(set)}
 	for _, class := range set.Rules.Classes {
 		f.Classes = append(f.Classes, class.Name)
 	}
 	return f
 }
 
-// serve runs until the context ends.
+// serve serves gRPC until ctx is done.
 func (f *frontend) serve(ctx context.Context) {
 	stop := context.AfterFunc(ctx, f.server.Stop)
 	defer stop()
-	f.server.Serve(f.handoffs) // its error says only that the listener is closed
+	f.server.Serve(f.handoffs) // the error only reports that the listener is closed
 }
--- a/internal/planner/program/front_access.go
+++ b/internal/planner/program/front_access.go
@@ -13,7 +13,7 @@
 	"mulleinwood/internal/planner/xds"
 )
 
-// authorize says whether a client's certificate lets it be what its node says.
+// authorize returns an error unless the client's certificate permits the role that its node identity claims.
 func (f *frontend) authorize(p *peer.Peer, identity xds.Identity) error {
 	if len(f.roles) == 0 {
 		return nil
@@ -32,7 +32,7 @@
 	return status.Errorf(codes.PermissionDenied, "no certificate that lets this client be a %s", role)
 }
 
-// hasDNSName says whether a certificate has a DNS name, or one right below it where the pattern begins with "*.".
+// hasDNSName reports whether a certificate has a DNS name that matches the pattern. A leading "*." matches exactly one label.
 func hasDNSName(c *x509.Certificate, pattern string) bool {
 	return slices.ContainsFunc(c.DNSNames, func(name string) bool {
 		if base, wildcard := strings.CutPrefix(pattern, "*"); wildcard {
--- a/internal/planner/program/front_conns.go
+++ b/internal/planner/program/front_conns.go
@@ -11,13 +11,13 @@
 	"mulleinwood/internal/planner/transport"
 )
 
-// proxyConn is a proxy on a connection.
+// proxyConn identifies a proxy on a connection.
 type proxyConn struct {
 	conn  *transport.Conn
 	proxy int
 }
 
-// handoffListener is the listener that the gRPC server accepts from: what the one listener has handed over.
+// handoffListener is the net.Listener of the gRPC server. It accepts the connections that the planner's listener hands over.
 type handoffListener struct {
 	addr  net.Addr
 	conns chan net.Conn
@@ -40,7 +40,7 @@
 // Addr implements net.Listener.
 func (h handoffListener) Addr() net.Addr { return h.addr }
 
-// handOff is handed a connection by the listener.
+// handOff passes a connection from the planner's listener to the gRPC server.
 func (f *frontend) handOff(c *transport.Conn, nc net.Conn) {
 	f.mu.Lock()
 	f.conns[c.Remote()] = c
@@ -52,7 +52,7 @@
 	}
 }
 
-// removeConn forgets a connection.
+// removeConn removes a closed connection.
 func (f *frontend) removeConn(c *transport.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -61,7 +61,7 @@
 	}
 }
 
-// callerConn finds the connection of a call.
+// callerConn returns the connection and the peer of a call.
 func (f *frontend) callerConn(ctx context.Context) (*transport.Conn, *peer.Peer, error) {
 	p, _ := peer.FromContext(ctx)
 	f.mu.Lock()
@@ -72,7 +72,7 @@
 	return f.conns[p.Addr.String()], p, nil
 }
 
-// countStream counts a proxy's assignment streams on a connection: by 1 when one joins, by -1 when it ends.
+// countStream changes the number of a proxy's assignment streams on a connection by delta: 1 on a join, -1 at a stream's end.
 func (f *frontend) countStream(conn *transport.Conn, proxy, delta int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -82,7 +82,7 @@
 	}
 }
 
-// hasAssignmentStream says whether a proxy has an assignment stream on a connection.
+// hasAssignmentStream reports whether a proxy has an assignment stream on a connection.
 func (f *frontend) hasAssignmentStream(conn *transport.Conn, proxy int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/planner/program/front_health.go
+++ b/internal/planner/program/front_health.go
@@ -11,7 +11,8 @@
 	"mulleinwood/internal/planner/transport"
 )
 
-// Check implements the health service: the planner serves once it can make orders, as a heartbeat is answered then.
+// Check implements the health service. The planner is serving once it can make assignments; heartbeats are answered from then
+// on.
 func (f *frontend) Check(ctx context.Context, _ *healthpb.HealthCheckRequest) (*healthpb.HealthCheckResponse, error) {
 	p := &heartbeatPeer{readOnlyPeer: readOnlyPeer{id: transport.NextID()}, answers: make(chan bool, 1)}
 	f.post(routing.MessageReceived{Peer: p, Message: protocol.Heartbeat{}})
@@ -27,7 +28,7 @@
 	}
 }
 
-// heartbeatPeer asks once whether orders can be made.
+// heartbeatPeer is the sender of a single heartbeat, which routing answers if it can make assignments.
 type heartbeatPeer struct {
 	readOnlyPeer
 	answers chan bool
@@ -42,7 +43,7 @@
 // DeferHeartbeat implements routing.Peer.
 func (p *heartbeatPeer) DeferHeartbeat() { p.reply(false) }
 
-// reply hands on the first answer; later ones are dropped.
+// reply passes on the first answer and drops later ones.
 func (p *heartbeatPeer) reply(serving bool) {
 	select {
 	case p.answers <- serving:
--- a/internal/planner/program/front_limits_test.go
+++ b/internal/planner/program/front_limits_test.go
@@ -74,7 +74,8 @@
 }
 
 func newJoinedMachine(t *testing.T) *xds.AssignmentStream {
-	m := xds.NewAssignmentStream(xds.Config{Classes: classNames, Zones: []string{"north"}, Bounds: protocol.Bounds{Proxies: 4}}, false)
+	m := xds.NewAssignmentStream(xds.Config{Classes: classNames, Zones: []string{"north"},
+		Bounds: protocol.Bounds{Proxies: 4}}, false)
 	if _, _, err := m.HandleRequest(0, &discovery.DiscoveryRequest{Node: standin.ProxyNode(0, "north", 1),
 		TypeUrl: xds.EndpointsTypeURL}); err != nil {
 		t.Fatal(err)
--- a/internal/planner/program/front_loads.go
+++ b/internal/planner/program/front_loads.go
@@ -57,17 +57,17 @@
 	from     *peer.Peer
 	machine  *xds.LoadStream
 	peer     *readOnlyPeer
-	admitted bool // the peer has named itself and is admitted
+	admitted bool // the peer has identified itself and is authorized
 }
 
-// disconnect tells the router that the peer is gone.
+// disconnect reports the stream's end to routing.
 func (s *loadStream) disconnect() {
 	if s.admitted {
 		s.frontend.post(routing.Disconnected{Peer: s.peer})
 	}
 }
 
-// admit looks at the peer's name once, and keeps a collector's connection.
+// admit authorizes the peer once, and marks a collector's connection as identified.
 func (s *loadStream) admit() error {
 	if s.admitted {
 		return nil
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// forward hands what a message said to the router.
+// forward posts the contents of a message to routing.
 func (s *loadStream) forward(update xds.LoadUpdate) {
 	f := s.frontend
 	for _, invalid := range update.Invalid {
@@ -91,7 +91,7 @@
 	}
 	identity, _ := s.machine.Identity()
 	if identity.Role == xds.Proxy && len(update.Messages) > 0 && !f.hasAssignmentStream(s.conn, identity.Proxy) {
-		// Guards against the load of a stream that has been replaced, and of one proxy in another's name.
+		// Rejects load reports from a superseded stream, and those that a proxy sends for another one.
 		f.peers.countProblem("line not used", s.conn.Remote(),
 			fmt.Errorf("load of proxy %d, which has no assignments here: %w", identity.Proxy, errNotPermitted))
 		return
@@ -101,7 +101,7 @@
 	}
 }
 
-// readOnlyPeer is a peer that nothing is written to.
+// readOnlyPeer is a peer that only sends and receives no assignments.
 type readOnlyPeer struct{ id uint64 }
 
 // ID implements routing.Peer.
--- a/internal/planner/program/front_streams.go
+++ b/internal/planner/program/front_streams.go
@@ -18,10 +18,10 @@
 	"mulleinwood/internal/planner/xds"
 )
 
-// applyRequest is a message that was received, to be fed to the stream's machine.
+// applyRequest applies a received message to the stream's state.
 type applyRequest func() (said []protocol.Message, voids []xds.InvalidPartError, err error)
 
-// StreamAggregatedResources implements the discovery service: state of the world.
+// StreamAggregatedResources implements the state-of-the-world variant of the aggregated discovery service.
 func (f *frontend) StreamAggregatedResources(s discovery.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
 	machine := xds.NewAssignmentStream(f.xdsConfig, false)
 	return f.serveAssignments(s, machine, func() (applyRequest, error) {
@@ -30,7 +30,7 @@
 	})
 }
 
-// DeltaAggregatedResources implements the discovery service: incremental.
+// DeltaAggregatedResources implements the incremental variant of the aggregated discovery service.
 func (f *frontend) DeltaAggregatedResources(s discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesServer) error {
 	machine := xds.NewAssignmentStream(f.xdsConfig, true)
 	return f.serveAssignments(s, machine, func() (applyRequest, error) {
@@ -41,9 +41,10 @@
 	})
 }
 
-// serveAssignments serves a stream of assignments. Beside it run one goroutine that receives and one that sends; both end with the
-// stream, which the handler's return closes.
-func (f *frontend) serveAssignments(s grpc.ServerStream, machine *xds.AssignmentStream, receive func() (applyRequest, error)) error {
+// serveAssignments serves an assignment stream. It starts one goroutine that receives and one that sends; both end with the
+// stream, which is closed when the handler returns.
+func (f *frontend) serveAssignments(s grpc.ServerStream, machine *xds.AssignmentStream,
+	receive func() (applyRequest, error)) error {
 	conn, from, err := f.callerConn(s.Context())
 	if err != nil {
 		return err
@@ -61,14 +62,14 @@
 		select {
 		case reason = <-received:
 			ended = true
-		case <-ctx.Done(): // by the planner, or with the connection
+		case <-ctx.Done(): // closed by the planner, or the connection has ended
 			ended = true
 		case <-ticker.C:
 			f.forward(p, p.dueMessages())
 		}
 	}
 	closeReason := p.reasonClosed()
-	p.Close(io.EOF) // orders that come now reach nobody
+	p.Close(io.EOF) // later assignments are rejected
 	if identity, joined := p.attachedIdentity(); joined {
 		f.post(routing.Disconnected{Peer: p})
 		f.countStream(conn, identity.Proxy, -1)
@@ -84,17 +85,17 @@
 	return reason
 }
 
-// forward tells routing what a peer says.
+// forward posts a peer's messages to routing.
 func (f *frontend) forward(p routing.Peer, messages []protocol.Message) {
 	for _, m := range messages {
 		f.post(routing.MessageReceived{Peer: p, Message: m})
 	}
 }
 
-// wakeInterval is how often a stream's waits are looked at.
+// wakeInterval is how often a stream's pending timeouts are checked.
 const wakeInterval = 250 * time.Millisecond
 
-// receive reads a stream of assignments until it ends.
+// receive reads the requests of an assignment stream until it ends.
 func (f *frontend) receive(conn *transport.Conn, from *peer.Peer, p *xdsPeer, receive func() (applyRequest, error)) error {
 	for {
 		apply, err := receive()
@@ -121,7 +122,7 @@
 	}
 }
 
-// firstOfType finds a message of a type.
+// firstOfType returns the first message of type M.
 func firstOfType[M protocol.Message](messages []protocol.Message) (m M, found bool) {
 	for _, candidate := range messages {
 		if m, found = candidate.(M); found {
--- a/internal/planner/program/host.go
+++ b/internal/planner/program/host.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	tickInterval    = 20 * time.Millisecond // how often the assigner looks at its cores
-	confirmFraction = 0.25                  // of the drain grace: the time in which a core must confirm where none is set
-	minConfirmMS    = 250.0                 // but never less: a core looks each tenth of a second
+	tickInterval    = 20 * time.Millisecond // interval of the assigner's ticks
+	confirmFraction = 0.25                  // default confirmation timeout of a core, as a fraction of the drain grace
+	minConfirmMS    = 250.0                 // least confirmation timeout, in ms: a core steps every 100 ms
 )
 
-// supervisor runs a planner on several cores: it follows discovery for them, and carries out what the assigner decides about who
-// has which proxy. One goroutine owns all of it but for what is said to be shared.
+// supervisor runs a planner on several cores. It follows discovery for them and applies the assigner's decisions about which
+// core serves which proxy. One goroutine owns all fields except those marked as shared.
 type supervisor struct {
 	settings  settings.Settings
 	assigner  *cores.Assigner
@@ -38,56 +38,56 @@
 	probes    *sharedProbes
 	ctx       context.Context
 
-	events            chan routing.Event // for the host alone
-	currentRuns       []*coreRun         // by core, the present incarnation
-	activeRuns        []*coreRun         // every incarnation started whose goroutine may go on
+	events            chan routing.Event // for the supervisor's own goroutine
+	currentRuns       []*coreRun         // the current incarnation of each core, by core index
+	activeRuns        []*coreRun         // every incarnation whose goroutine may still be running
 	streams           map[uint64]routing.MessageReceived
-	leases            map[int]*lease // by proxy: the present one, or the last
-	pendingHeartbeats []routing.Peer // heartbeats
+	leases            map[int]*lease // the current or last lease of each proxy
+	pendingHeartbeats []routing.Peer // peers whose heartbeats are answered after the first list
 	members           map[string]protocol.Member
-	latestChange      protocol.List // the change that is being told
-	nextWatchAt       float64       // when to watch again; 0: not needed
-	fatal             error         // no core is left
+	latestChange      protocol.List // the list change being distributed to the cores
+	nextWatchAt       float64       // when to start the next watch; 0 if none is due
+	fatal             error         // set once no core is left
 
-	// Shared with the readers of all connections.
-	activeLeases    []atomic.Pointer[lease] // by proxy
+	// The fields below are shared with the readers of all connections.
+	activeLeases    []atomic.Pointer[lease] // by proxy number
 	liveRuns        atomic.Pointer[[]*coreRun]
 	hasList         atomic.Bool
-	superseded      sync.Map // connections whose proxy has a newer one
+	superseded      sync.Map // IDs of connections whose proxy has a newer connection
 	droppedMessages atomic.Int64
 }
 
-// pendingAttach is an Attach whose reader waits until the stream has its core.
+// pendingAttach is an Attach whose reader waits until the stream is assigned to a core.
 type pendingAttach struct {
 	routing.MessageReceived
 	assigned chan struct{}
 }
 
-// incarnationEnded says that a core's goroutine has ended.
+// incarnationEnded reports that a core's goroutine has ended.
 type incarnationEnded struct {
 	core, incarnation int
 	err               error
 }
 
-// supervisorEvent carries what only the host knows of through the channel of events.
+// supervisorEvent carries one of the supervisor's own events through the event channel. Exactly one of its pointers is set.
 type supervisorEvent struct {
 	routing.Event
 	attach *pendingAttach
 	ended  *incarnationEnded
 }
 
-// newSupervisor returns a host of so many cores that has not begun.
-func newSupervisor(ctx context.Context, c Config, coreCount int, outgoing *calls, newModule func(core, incarnation int) coreModule,
-	log zerolog.Logger) *supervisor {
+// newSupervisor returns a supervisor of coreCount cores. It starts none of them before run is called.
+func newSupervisor(ctx context.Context, c Config, coreCount int, outgoing *calls,
+	newModule func(core, incarnation int) coreModule, log zerolog.Logger) *supervisor {
 	r := c.Settings.Rules
 	confirm := c.Options.Cores.ConfirmMS
 	if confirm == 0 {
 		confirm = max(minConfirmMS, confirmFraction*r.DrainGrace)
 	}
 	s := &supervisor{settings: c.Settings, log: log, now: clock(), newModule: newModule, ctx: ctx,
-		events: make(chan routing.Event, maxPendingEvents),
-		currentRuns: make([]*coreRun,
-			coreCount), streams: map[uint64]routing.MessageReceived{}, leases: map[int]*lease{}, members: map[string]protocol.Member{},
+		events:      make(chan routing.Event, maxPendingEvents),
+		currentRuns: make([]*coreRun, coreCount), streams: map[uint64]routing.MessageReceived{}, leases: map[int]*lease{},
+		members:      map[string]protocol.Member{},
 		activeLeases: make([]atomic.Pointer[lease], r.Proxies), follower: routing.NewFollower(outgoing, c.Known.Revision)}
 	s.probes = &sharedProbes{now: s.now, probe: outgoing.probe, waiting: map[string]map[int]probeRequest{},
 		last: map[string]routing.Probed{}}
@@ -100,8 +100,8 @@
 	return s
 }
 
-// post takes an event from any goroutine. What a proxy or collector reports goes straight to the cores; the rest is the
-// host's.
+// post accepts an event from any goroutine. Reports of proxies and collectors go directly to the cores; other events go to
+// the supervisor's goroutine.
 func (s *supervisor) post(e routing.Event) {
 	received, ok := e.(routing.MessageReceived)
 	if !ok {
@@ -111,7 +111,7 @@
 	switch m := received.Message.(type) {
 	case protocol.Heartbeat:
 		if s.hasList.Load() {
-			received.Peer.AnswerHeartbeat() // one that fails is seen by the connection's reader
+			received.Peer.AnswerHeartbeat() // the connection's reader notices a failed write
 			return
 		}
 		s.send(e)
@@ -119,7 +119,7 @@
 	case protocol.Attach:
 		attach := &pendingAttach{MessageReceived: received, assigned: make(chan struct{})}
 		s.send(supervisorEvent{Event: e, attach: attach})
-		select { // what follows on the stream must find its core
+		select { // messages that follow on the stream need its core
 		case <-attach.assigned:
 		case <-s.ctx.Done():
 		}
@@ -150,7 +150,7 @@
 	}
 }
 
-// send posts for the host's own goroutine.
+// send queues an event for the supervisor's own goroutine.
 func (s *supervisor) send(e routing.Event) {
 	select {
 	case s.events <- e:
@@ -158,7 +158,7 @@
 	}
 }
 
-// activeLease is the lease of a proxy, unless who speaks of it is a stream that has been replaced.
+// activeLease returns the lease of a proxy, or nil if there is none or the sending stream has been superseded.
 func (s *supervisor) activeLease(from routing.Peer, proxy int) *lease {
 	l := s.activeLeases[proxy].Load()
 	if l != nil && l.ID() == from.ID() {
@@ -220,7 +220,7 @@
 		} else {
 			s.handleCoreEnd(*e.ended)
 		}
-	case routing.MessageReceived: // a heartbeat that comes before any list
+	case routing.MessageReceived: // a heartbeat that arrived before the first list
 		if s.hasList.Load() {
 			e.Peer.AnswerHeartbeat()
 			return
@@ -245,7 +245,8 @@
 		if counts, watched := s.follower.HandleFailure(e); counts {
 			s.log.Warn().Err(e.Err).Int64("revision", s.follower.Revision()).Msg("discovery call ended")
 			if watched {
-				s.nextWatchAt = s.now() + routing.WatchBackoff*(0.5+rand.Float64()) // spread by chance, as planners are many
+				// Random jitter keeps many planners from retrying at once.
+				s.nextWatchAt = s.now() + routing.WatchBackoff*(0.5+rand.Float64())
 			}
 		}
 	case routing.DiscoveryMoved:
@@ -254,13 +255,13 @@
 	}
 }
 
-// handleAttach gives a proxy's stream to a core. Its reader goes on once that is done.
+// handleAttach assigns a proxy's stream to a core. The stream's reader continues once that is done.
 func (s *supervisor) handleAttach(attach *pendingAttach) {
 	defer close(attach.assigned)
 	m := attach.Message.(protocol.Attach)
 	zone := slices.Index(s.settings.ZoneNames, m.Zone)
 	if _, duplicate := s.streams[attach.Peer.ID()]; duplicate || zone < 0 || m.Proxy >= len(s.activeLeases) {
-		return // its role has been checked, so this can't be; a second joining is void
+		return // the sender check rules this out; a second Attach is ignored
 	}
 	s.streams[attach.Peer.ID()] = attach.MessageReceived
 	s.assigner.HandleJoined(s.now(), attach.Peer.ID(), m.Proxy, zone, m.Rate)
@@ -275,11 +276,13 @@
 		reason = e.err.Error()
 		s.log.Error().Int("core", e.core).Int("life", e.incarnation).Str("error", reason).Msg("core failed")
 	}
-	s.activeRuns = slices.DeleteFunc(s.activeRuns, func(c *coreRun) bool { return c.index == e.core && c.incarnation == e.incarnation })
+	s.activeRuns = slices.DeleteFunc(s.activeRuns, func(c *coreRun) bool {
+		return c.index == e.core && c.incarnation == e.incarnation
+	})
 	s.assigner.HandleEnded(s.now(), e.core, e.incarnation, reason)
 }
 
-// mergeList takes a list into the whole one.
+// mergeList applies a complete list or a list change to the members.
 func (s *supervisor) mergeList(l protocol.List) {
 	if l.Complete {
 		clear(s.members)
@@ -293,7 +296,7 @@
 	}
 }
 
-// handleListChange tells every core of a change of the list.
+// handleListChange starts distributing a list change to all cores and answers the heartbeats that waited for the first list.
 func (s *supervisor) handleListChange(l protocol.List) {
 	s.mergeList(l)
 	s.latestChange = l
@@ -306,7 +309,7 @@
 	}
 }
 
-// completeList is the list as it stands.
+// completeList returns the current complete list, sorted by server ID.
 func (s *supervisor) completeList() protocol.List {
 	l := protocol.List{Revision: s.follower.Revision(), Complete: true}
 	for _, m := range s.members {
@@ -316,7 +319,7 @@
 	return l
 }
 
-// applyCommands does what the assigner has decided.
+// applyCommands carries out the assigner's pending commands. It returns an error if no core is left.
 func (s *supervisor) applyCommands() error {
 	for _, c := range s.assigner.DrainCommands() {
 		switch c := c.(type) {
@@ -357,8 +360,8 @@
 	var run *coreRun
 	ready := make(chan struct{})
 	calls := coreCalls{probes: s.probes, core: func() *coreRun { <-ready; return run }}
-	run = startCore(s.ctx, c.Core, c.Incarnation, s.settings, s.newModule(c.Core, c.Incarnation), calls, s.completeList(), c.Epoch,
-		s.now, log,
+	run = startCore(s.ctx, c.Core, c.Incarnation, s.settings, s.newModule(c.Core, c.Incarnation), calls, s.completeList(),
+		c.Epoch, s.now, log,
 		func(err error) {
 			s.send(supervisorEvent{ended: &incarnationEnded{c.Core, c.Incarnation, err}})
 		})
@@ -371,7 +374,7 @@
 	}
 }
 
-// publishLiveRuns lets the readers know which cores get server reports.
+// publishLiveRuns updates the cores to which the connections' readers deliver server reports.
 func (s *supervisor) publishLiveRuns() {
 	var live []*coreRun
 	for i, run := range s.currentRuns {
@@ -382,7 +385,7 @@
 	s.liveRuns.Store(&live)
 }
 
-// isolateCore takes every stream from a core, whatever it is doing, and lets it end by itself.
+// isolateCore revokes all leases of a core, even while it is busy, and cancels it without waiting for its end.
 func (s *supervisor) isolateCore(c cores.Isolate) {
 	run := s.currentRuns[c.Core]
 	revoked := 0
@@ -399,7 +402,7 @@
 		firstLine(c.Reason)).Msg("core cut off: others take its proxies")
 }
 
-// assignProxy gives a stream to a core. Who had the proxy before can't order on it any more.
+// assignProxy assigns a stream to a core and revokes the previous lease, so that its former core can no longer send on it.
 func (s *supervisor) assignProxy(c cores.Assign) {
 	stream := s.streams[c.Stream]
 	old := s.leases[c.Proxy]
@@ -417,7 +420,8 @@
 	l.core.inbox.postControl(routing.ProxyHandedOver{Peer: l, Attach: stream.Message.(protocol.Attach), Excluded: excluded})
 }
 
-// stop lets every core end. One that is stuck is left behind: the program is about to end, and its streams are closed.
+// stop cancels all cores and waits for them up to a timeout. A stuck core is abandoned, since the process is about to exit and
+// the core's streams are closed.
 func (s *supervisor) stop() {
 	timeout := time.After(time.Duration(max(minConfirmMS, confirmFraction*s.settings.Rules.DrainGrace)) * time.Millisecond)
 	for _, run := range s.activeRuns {
@@ -433,7 +437,8 @@
 	}
 }
 
-// coreCount is how many cores decide: as set, within what the platform grants and what there are proxies for.
+// coreCount returns how many cores to run: the configured number, limited by the granted cores and by the number of proxies.
+// limitedBy names the limit that applied, if any.
 func coreCount(c Config) (n int, limitedBy string) {
 	n = max(1, c.Options.Cores.Count)
 	if granted := int(math.Ceil(c.Limits.Cores)); granted > 0 && n > granted {
@@ -448,5 +453,5 @@
 	return n, limitedBy
 }
 
-// minProxiesPerCore is how many proxies a core must be able to have: the tables of fewer spread traffic badly.
+// minProxiesPerCore is the least number of proxies per core. The tables of fewer proxies distribute traffic poorly.
 const minProxiesPerCore = 8
--- a/internal/planner/program/inbox.go
+++ b/internal/planner/program/inbox.go
@@ -6,15 +6,15 @@
 	"mulleinwood/internal/planner/routing"
 )
 
-// maxPendingReports is how many reports may wait for a core. Who brings more waits, until the core has taken some or is cut off.
+// maxPendingReports is the most reports queued for a core. Further senders block until the core drains its inbox or is isolated.
 const maxPendingReports = 4096
 
-// inbox is what waits for one core. What the host says comes before the reports, so that a core far behind with these
-// learns of a change of the list with its next turn.
+// inbox is the queue of one core. Control events of the supervisor take precedence over reports, so that a core with a backlog
+// of reports learns of a list change in its next turn.
 type inbox struct {
 	mu      sync.Mutex
 	hasRoom sync.Cond
-	control []routing.Event // of the host, in order
+	control []routing.Event // the supervisor's events, in order
 	reports []routing.Event
 	closed  bool
 	wake    chan struct{}
@@ -33,7 +33,7 @@
 	}
 }
 
-// postControl adds an order of the host. It never waits: there are few.
+// postControl queues an event of the supervisor. It never blocks, since there are few.
 func (in *inbox) postControl(e routing.Event) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -43,7 +43,7 @@
 	}
 }
 
-// postReport adds a report, and waits while too many do. One for a core that was cut off is dropped.
+// postReport queues a report and blocks while the queue is full. A report for a core that was isolated is dropped.
 func (in *inbox) postReport(e routing.Event) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -58,7 +58,7 @@
 	}
 }
 
-// drain empties the inbox into the lists given, which it keeps for the next time.
+// drain returns the queued events and reuses the given slices for the next ones.
 func (in *inbox) drain(control, reports []routing.Event) (pendingControl, pendingReports []routing.Event) {
 	clear(control)
 	clear(reports)
@@ -70,7 +70,7 @@
 	return pendingControl, pendingReports
 }
 
-// close lets nobody wait any more and takes nothing from now on.
+// close discards the queue, wakes blocked senders and makes the inbox drop all later events.
 func (in *inbox) close() {
 	in.mu.Lock()
 	defer in.mu.Unlock()
--- a/internal/planner/program/keys.go
+++ b/internal/planner/program/keys.go
@@ -12,13 +12,13 @@
 	"mulleinwood/internal/planner/options"
 )
 
-// certificates are the certificates of the gRPC front. They are read again on SIGHUP; streams that stand keep theirs.
+// certificates are the TLS certificates of the gRPC frontend. They are reloaded on SIGHUP; existing connections keep theirs.
 type certificates struct {
 	files   options.TLS
 	current *atomic.Pointer[tls.Config]
 }
 
-// loadCertificates reads the files that the settings name; nil without any.
+// loadCertificates reads the files that the settings name. It returns nil if they name none.
 func loadCertificates(files options.TLS) (*certificates, error) {
 	if files.Certificate == "" && files.Key == "" {
 		if files.ClientCA != "" || len(files.Roles) > 0 {
@@ -30,7 +30,7 @@
 	return loaded, loaded.reload(time.Now())
 }
 
-// reload reads the files. If one is bad the former ones stay.
+// reload reads the files again. If one is invalid, the current certificates stay in use.
 func (c *certificates) reload(now time.Time) error {
 	pair, err := tls.LoadX509KeyPair(c.files.Certificate, c.files.Key)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// serverConfig is a configuration that goes by the keys read last.
+// serverConfig returns a configuration that always uses the most recently loaded certificates.
 func (c *certificates) serverConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, NextProtos: []string{"h2"},
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return c.current.Load(), nil }}
--- a/internal/planner/program/keys_test.go
+++ b/internal/planner/program/keys_test.go
@@ -118,13 +118,15 @@
 			c.Close()
 		}
 	}
-	loaded, err := loadCertificates(options.TLS{Certificate: filepath.Join(folder, "server.pem"), Key: filepath.Join(folder, "server.key")})
+	loaded, err := loadCertificates(options.TLS{Certificate: filepath.Join(folder, "server.pem"),
+		Key: filepath.Join(folder, "server.key")})
 	if err != nil {
 		t.Fatal(err)
 	}
 	before := loaded.current.Load()
 	ca.sign(folder, "server", "planner.test", time.Now().Add(-time.Hour))
-	if err := loaded.reload(time.Now()); err == nil || !strings.Contains(err.Error(), "server.pem") || loaded.current.Load() != before {
+	if err := loaded.reload(time.Now()); err == nil || !strings.Contains(err.Error(), "server.pem") ||
+		loaded.current.Load() != before {
 		t.Errorf("an expired certificate: %v", err)
 	}
 	f.reloads <- syscall.SIGHUP
--- a/internal/planner/program/lease.go
+++ b/internal/planner/program/lease.go
@@ -8,26 +8,26 @@
 	"mulleinwood/internal/planner/routing"
 )
 
-// errRevoked is what a core gets that orders on a stream which another has by now.
+// errRevoked is returned to a core that sends on a stream which has been assigned to another core.
 var errRevoked = errors.New("the proxy is another core's by now")
 
-// tagShift is where in a mark on the wire the lease's tag begins: the module's marks have 16 bits.
+// tagShift is the bit position of the lease's tag in a token on the wire. The module's own tokens have 16 bits.
 const tagShift = 16
 
-// lease is a core's right to order on a proxy's stream. It is taken from outside, whatever the core is doing: once revoke
-// has returned, no order of that core can follow on the stream.
+// lease is a core's permission to send assignments on a proxy's stream. It can be revoked from another goroutine at any time:
+// once revoke has returned, the core can send nothing more on the stream.
 type lease struct {
 	routing.Peer
 	proxy int
 	core  *coreRun
-	tag   uint16 // of the stream's leases, in order: an answer to a former one's mark is told by it
+	tag   uint16 // incremented with each lease of the proxy; identifies acks of an earlier lease's tokens
 
 	mu       sync.Mutex
 	revoked  bool
-	excluded map[string]bool // servers that the proxy was told to shut out
+	excluded map[string]bool // names of the servers that the proxy was told to exclude
 }
 
-// Assign implements routing.Peer. The mark carries the tag.
+// Assign implements routing.Peer. It adds the lease's tag to the token.
 func (l *lease) Assign(o protocol.Assignment) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -47,14 +47,14 @@
 	return l.Peer.Assign(o)
 }
 
-// revoke ends the lease.
+// revoke ends the lease. It waits for an assignment that is being sent.
 func (l *lease) revoke() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.revoked = true
 }
 
-// next returns a lease of the same proxy for another core or stream, which must be revoked first.
+// next returns a lease of the same proxy for another core or stream. l must be revoked first; it is nil for the first lease.
 func (l *lease) next(peer routing.Peer, proxy int, to *coreRun) *lease {
 	if l == nil {
 		return &lease{Peer: peer, proxy: proxy, core: to, excluded: map[string]bool{}}
@@ -64,7 +64,7 @@
 	return &lease{Peer: peer, proxy: proxy, core: to, tag: l.tag + 1, excluded: l.excluded}
 }
 
-// coreToken returns a mark as the core knows it, if it is one of this lease.
+// coreToken returns a token without its tag, and reports whether the token belongs to this lease.
 func (l *lease) coreToken(token uint32) (uint32, bool) {
 	return token & (1<<tagShift - 1), uint16(token>>tagShift) == l.tag
 }
--- a/internal/planner/program/limits.go
+++ b/internal/planner/program/limits.go
@@ -9,23 +9,24 @@
 )
 
 const (
-	reservedDescriptors = 32   // descriptors kept for probes (16), calls to discovery, the listener and the runtime
-	defaultSockets      = 1024 // where no limit is stated
-	defaultMemoryMB     = 192  // megabytes, likewise
-	bufferMemoryDivisor = 4    // a fourth of the memory is for the buffers of connections
+	reservedDescriptors = 32   // descriptors reserved for probes (16), discovery calls, the listener and the runtime
+	defaultSockets      = 1024 // used if no limit on sockets is set
+	defaultMemoryMB     = 192  // used if no memory limit is set
+	bufferMemoryDivisor = 4    // connection buffers may use a fourth of the memory
 
-	// heapLimitFraction of the limit is what the collector keeps the heap under; the rest is for stacks and the runtime.
+	// heapLimitFraction is the fraction of the memory limit that the garbage collector keeps the heap under; the rest is for
+	// stacks and the runtime.
 	heapLimitFraction = 0.7
 )
 
-// Limits of the machine. 0 stands for not stated.
+// Limits are the resource limits of the machine. 0 means no limit is set.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// apply holds the runtime to the limits.
+// apply sets the runtime's limits.
 func (l Limits) apply() {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(min(runtime.NumCPU(), int(math.Ceil(l.Cores))))
@@ -35,19 +36,20 @@
 	}
 }
 
-// multiCoreGCPercent is by how much the heap of a planner on several cores may grow between two collections; the runtime's own
-// default is 100. Readers on all cores leave garbage in proportion to the reports; a collection stops and costs all of them
-// however small the heap is. The memory limit still holds. docs/cores.md has the figures.
+// multiCoreGCPercent is the percentage by which the heap of a planner on several cores may grow between two collections; the
+// runtime's default is 100. Connection readers on all cores produce garbage in proportion to the reports, and each collection
+// stops and slows all of them however small the heap is. The memory limit still applies. See docs/cores.md for figures.
 const multiCoreGCPercent = 400
 
-// raiseGCPercent sets that, unless the operator has said otherwise by GOGC.
+// raiseGCPercent sets multiCoreGCPercent unless the operator has set GOGC.
 func raiseGCPercent() {
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(multiCoreGCPercent)
 	}
 }
 
-// maxConns is how many may be accepted under the limit on descriptors, stated or set by the system.
+// maxConns returns how many connections may be accepted, given the configured limit on sockets and the system's limit on
+// descriptors.
 func maxConns(stated int) int {
 	limit := defaultSockets
 	if stated > 0 {
@@ -60,7 +62,7 @@
 	return max(limit-reservedDescriptors, limit*2/3)
 }
 
-// bufferBytes is the memory that the buffers of all accepted connections may take together.
+// bufferBytes returns the memory, in bytes, that the buffers of all accepted connections may use together.
 func bufferBytes(megabytes int) int64 {
 	if megabytes <= 0 {
 		megabytes = defaultMemoryMB
--- a/internal/planner/program/peers.go
+++ b/internal/planner/program/peers.go
@@ -17,28 +17,29 @@
 	"mulleinwood/internal/planner/transport"
 )
 
-// maxReportPeriods is how many of the settings' reporting periods a report may cover. A proxy of little traffic reports after
-// some periods, and what waited while a connection was broken covers more.
+// maxReportPeriods is the most reporting periods that one report may cover. A proxy with little traffic reports only after
+// several periods, and a report delayed by a broken connection covers more.
 const maxReportPeriods = 60
 
-// peers makes the machines of accepted connections, holds each to its role and tells routing what they say.
+// peers implements transport.Handler: it creates the decoders of accepted connections, checks each message against the
+// sender's role and posts it to routing.
 type peers struct {
 	set  settings.Settings
 	post func(routing.Event)
-	log  zerolog.Logger // bounded
+	log  zerolog.Logger // rate-limited
 
 	mu             sync.Mutex
-	collectors     map[string]*transport.Conn // the newest of each zone
-	problemCounts  map[string]int             // lines and connections that are of no use, by what is wrong
-	frontend       *frontend                  // nil: no gRPC
-	updateVersions *versionTracker            // nil: none
+	collectors     map[string]*transport.Conn // the newest connection of each zone's collector
+	problemCounts  map[string]int             // rejected lines and connections, by kind of problem
+	frontend       *frontend                  // nil if gRPC is disabled
+	updateVersions *versionTracker            // nil if versioned updates are disabled
 }
 
-// linePeer is a peer that is written to in lines.
+// linePeer is a peer that uses the line protocol.
 type linePeer struct {
 	*transport.Conn
-	versions      *proxyVersions // what it was sent; nil: nobody wants to know
-	wantsVersions bool           // it asked for versions
+	versions      *proxyVersions // the updates sent to the proxy; nil if they are not tracked
+	wantsVersions bool           // the proxy asked for versioned updates
 }
 
 // Assign implements routing.Peer.
@@ -62,33 +63,33 @@
 // DeferHeartbeat implements routing.Peer.
 func (p linePeer) DeferHeartbeat() { p.SetReplyPending(true) }
 
-// role is what a connection has shown itself to be.
+// role is a connection's role.
 type role int
 
-// The roles. A connection has one for good: its first joining gives it.
+// The roles. A connection's first join message fixes its role.
 const (
 	roleNone role = iota
 	roleCollector
 	roleProxy
 )
 
-// errNotPermitted says that a message is not believed from who sent it.
+// errNotPermitted reports that a sender's role doesn't permit a message.
 var errNotPermitted = errors.New("not for this peer to say")
 
-// sender is one connection's role and the messages that it may send in it.
+// sender is the role of one connection, which determines the messages that it may send.
 type sender struct {
 	role  role
-	zone  string // of a collector
-	proxy int    // of a proxy
+	zone  string // the zone of a collector
+	proxy int    // the number of a proxy
 }
 
-// maySend says whether the speaker may send a message. Guards against reports of strangers, of a zone through another
-// one's collector, and of one proxy in the name of another: what the module believes must come from who knows it.
+// maySend reports whether the sender may send a message. It rejects reports from unidentified peers, about a zone from another
+// zone's collector, and about a proxy from another proxy: the module must only use data from the peer that measured it.
 func (s *sender) maySend(m protocol.Message) bool {
 	switch m := m.(type) {
 	case protocol.Heartbeat:
 		return true
-	case protocol.Collector, protocol.Attach: // a joining costs a whole table; so a connection has one
+	case protocol.Collector, protocol.Attach: // once per connection, since a join costs a complete table
 		return s.role == roleNone
 	case protocol.ServerReport:
 		return s.role == roleCollector && m.Zone == s.zone
@@ -102,7 +103,7 @@
 	return false
 }
 
-// messageBounds are what the figures of this deployment's messages keep within.
+// messageBounds returns the bounds of the values in this deployment's messages.
 func messageBounds(set settings.Settings) protocol.Bounds {
 	return protocol.Bounds{Proxies: set.Rules.Proxies, MaxLatency: set.LongestDeadline(),
 		MaxPeriod: maxReportPeriods * set.Rules.ReportPeriod}
@@ -113,7 +114,7 @@
 	var s sender
 	peer := linePeer{Conn: c}
 	rejectLine := func(err error) error {
-		if s.role == roleNone { // who has not joined and speaks no protocol has nothing to say here
+		if s.role == roleNone { // a peer that has not joined must follow the protocol, or its connection ends
 			return err
 		}
 		p.countProblem("line not used", c.Remote(), err)
@@ -126,7 +127,7 @@
 				return rejectLine(fmt.Errorf("%T: %w", m, errNotPermitted))
 			}
 			if s.role != roleNone {
-				c.Promote(transport.Identified) // one thought replaced still speaks
+				c.Promote(transport.Identified) // a connection marked as superseded is still in use
 			} else if err := p.assignRole(c, &s, m); err != nil {
 				return err
 			}
@@ -152,13 +153,13 @@
 	}
 }
 
-// assignRole gives a connection its role. A joining that this deployment has no place for is an error.
+// assignRole sets a connection's role. It returns an error for a join from a zone that this deployment doesn't have.
 func (p *peers) assignRole(c *transport.Conn, s *sender, m protocol.Message) error {
 	var zone string
 	switch m := m.(type) {
 	case protocol.Collector:
 		s.role, s.zone, zone = roleCollector, m.Zone, m.Zone
-	case protocol.Attach: // its number has been checked with the line
+	case protocol.Attach: // the decoder has checked the proxy's number
 		s.role, s.proxy, zone = roleProxy, m.Proxy, m.Zone
 	default:
 		c.Promote(transport.Unidentified)
@@ -174,8 +175,8 @@
 	return nil
 }
 
-// trackCollector notes the newest collector of a zone. Guards against collectors whose machines vanish and come back:
-// the connections they leave behind would use up the descriptors for good.
+// trackCollector records the newest collector connection of a zone and marks the previous one as superseded. Otherwise the
+// connections left behind by collectors whose machines vanish and come back would use up the descriptors for good.
 func (p *peers) trackCollector(c *transport.Conn, zone string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -185,7 +186,7 @@
 	p.collectors[zone] = c
 }
 
-// countProblem counts what is of no use, and tells of the first, the tenth, the hundredth and so on.
+// countProblem counts a problem and logs its first, tenth, hundredth occurrence and so on.
 func (p *peers) countProblem(problem, peer string, err error) {
 	p.mu.Lock()
 	p.problemCounts[problem]++
@@ -201,7 +202,7 @@
 	p.countProblem("connection refused: descriptors are used up by known peers", peer, nil)
 }
 
-// Closed implements transport.Handler. Strangers come in any number; they are counted, not told of one by one.
+// Closed implements transport.Handler. Unidentified peers are counted rather than logged one by one, since there may be many.
 func (p *peers) Closed(c *transport.Conn, reason error) {
 	p.mu.Lock()
 	maps.DeleteFunc(p.collectors, func(_ string, newest *transport.Conn) bool { return newest == c })
--- a/internal/planner/program/program.go
+++ b/internal/planner/program/program.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	maxPendingEvents = 512 // that may wait for routing, and that go into one turn
+	maxPendingEvents = 512 // capacity of the event queue, and so the most events buffered for one turn
 
-	// joinTimeout is how long a connection may take to say who it is. The page lets it be closed after a second.
+	// joinTimeout is how long a connection may take to identify itself. The protocol allows closing it after one second.
 	joinTimeout = time.Second
 
-	logBurst  = 200 // lines of log that may come within logPeriod; others are left out
+	logBurst  = 200 // most log lines within logPeriod; further lines are dropped
 	logPeriod = 10 * time.Second
 )
 
-// StartError says that the planner could not begin, for a reason outside of it.
+// StartError reports that the planner could not start, for a reason outside the program.
 type StartError struct{ Err error }
 
 // Error implements error.
@@ -35,21 +35,21 @@
 // Unwrap returns the cause, for errors.Is and errors.As.
 func (e *StartError) Unwrap() error { return e.Err }
 
-// Run serves until ctx ends, which is no error. At each signal of reloads it reads the configuration again.
+// Run serves until ctx is done and then returns nil. It reloads the configuration on each signal from reloads.
 func Run(ctx context.Context, c Config, log zerolog.Logger, reloads <-chan os.Signal) error {
 	return run(ctx, c, func(core, life int) coreModule {
 		return rules.New(c.Settings.Rules, c.Seed+uint64(core)+uint64(life-1)<<32)
 	}, log, reloads, nil)
 }
 
-// run is Run with modules of the caller's, one for each incarnation of each core, and, if ready is set, the address
-// once it is open.
-func run(ctx context.Context, c Config, newModule func(core, incarnation int) coreModule, log zerolog.Logger, reloads <-chan os.Signal,
-	ready func(string)) error {
+// run is Run with modules created by newModule, one for each incarnation of each core. If ready is set, it is called with the
+// listening address.
+func run(ctx context.Context, c Config, newModule func(core, incarnation int) coreModule, log zerolog.Logger,
+	reloads <-chan os.Signal, ready func(string)) error {
 	c.Limits.apply()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	keys, err := loadCertificates(c.Options.GRPC.TLS)
+	certs, err := loadCertificates(c.Options.GRPC.TLS)
 	if err != nil {
 		return &StartError{err}
 	}
@@ -67,8 +67,9 @@
 	var group sync.WaitGroup
 	sampledLog := log.Sample(&zerolog.BurstSampler{Burst: logBurst, Period: logPeriod})
 	outgoing := &calls{ctx: ctx, discovery: c.Discovery, connectTimeout: c.Settings.MaxConnectTime, post: post, group: &group,
-		probeSlots: make(chan struct{}, maxConcurrentProbes), prober: &serverProber{connectTimeout: c.Settings.MaxConnectTime, allowGRPC: c.Options.GRPC.ProbeServers},
-		log: sampledLog, cancels: map[uint64]context.CancelFunc{}}
+		probeSlots: make(chan struct{}, maxConcurrentProbes),
+		prober:     &serverProber{connectTimeout: c.Settings.MaxConnectTime, allowGRPC: c.Options.GRPC.ProbeServers},
+		log:        sampledLog, cancels: map[uint64]context.CancelFunc{}}
 	var runRouting func() error
 	if n == 1 {
 		router := routing.New(c.Settings, newModule(0, 1), outgoing, c.Known, sampledLog)
@@ -99,7 +100,7 @@
 		defer handler.updateVersions.close()
 	}
 	if c.Options.GRPC.Enabled {
-		handler.frontend = newFrontend(ctx, c.Settings, c.Options.GRPC, handler, listener.Addr(), keys)
+		handler.frontend = newFrontend(ctx, c.Settings, c.Options.GRPC, handler, listener.Addr(), certs)
 		listener.Handoff = handler.frontend.handOff
 		group.Go(func() { handler.frontend.serve(ctx) })
 	}
@@ -108,7 +109,7 @@
 		cancel()
 	})
 	group.Go(func() {
-		reloader{config: c, listener: listener, certificates: keys, post: post, log: log}.serve(ctx, reloads)
+		reloader{config: c, listener: listener, certificates: certs, post: post, log: log}.serve(ctx, reloads)
 	})
 	if ready != nil {
 		ready(listener.Addr().String())
@@ -122,7 +123,7 @@
 	return err
 }
 
-// loop is the goroutine that owns the router: it gathers what waits, reads the clock once and takes a turn.
+// loop owns the router. In each turn it handles the queued events, reads the clock once and advances the router.
 func loop(ctx context.Context, router *routing.Router, events <-chan routing.Event, granularity float64) error {
 	now := clock()
 	timer := time.NewTimer(0)
@@ -150,9 +151,9 @@
 	}
 }
 
-// alignToGrid takes a time back to the last one that the settings' clock can show. Guards against looks that drift: a
-// timer comes a fraction of a millisecond late, the next one is counted from there, and the module, which steps in
-// the rhythm of the reports, falls ever farther behind them.
+// alignToGrid rounds a time down to a multiple of the clock granularity; a granularity of 0 leaves it unchanged. It prevents
+// drift: each timer fires a fraction of a millisecond late and the next one is counted from there, so the module, which steps
+// at the reporting interval, would fall ever farther behind the reports.
 func alignToGrid(now, granularity float64) float64 {
 	if granularity <= 0 {
 		return now
@@ -160,7 +161,7 @@
 	return math.Floor(now/granularity) * granularity
 }
 
-// clock returns Unix time in milliseconds that goes on evenly, whatever is done to the system's clock.
+// clock returns a function that returns Unix time in milliseconds. It is monotonic: changes of the system clock don't affect it.
 func clock() func() float64 {
 	start := time.Now()
 	base := float64(start.UnixMicro()) / 1000
@@ -171,7 +172,7 @@
 var _ routing.Calls = (*calls)(nil)
 var _ routing.Peer = linePeer{}
 
-// firstLine is a text without what follows its first line.
+// firstLine returns the first line of a text.
 func firstLine(text string) string {
 	line, _, _ := strings.Cut(text, "\n")
 	return line
--- a/internal/planner/program/program_test.go
+++ b/internal/planner/program/program_test.go
@@ -81,7 +81,9 @@
 	}
 
 	again := f.proxy(0, "north")
-	f.wait("the table on a second stream", again, func(s standin.State) bool { return s.Replaced == 1 && hasServers("s-0", "s-2")(s) })
+	f.wait("the table on a second stream", again, func(s standin.State) bool {
+		return s.Replaced == 1 && hasServers("s-0", "s-2")(s)
+	})
 	old := north.Wait(func(standin.State) bool { return false })
 	if old.Closed == nil {
 		t.Error("the first stream goes on")
--- a/internal/planner/program/reload.go
+++ b/internal/planner/program/reload.go
@@ -11,18 +11,18 @@
 	"mulleinwood/internal/planner/transport"
 )
 
-// reloader takes a changed configuration over while the planner serves. Files are read beside the loop, which gets
-// one event. A configuration that is wrong changes nothing.
+// reloader applies a changed configuration while the planner serves. It reads files outside the routing goroutine, which
+// receives a single event. An invalid configuration changes nothing.
 type reloader struct {
-	config       Config // in force
+	config       Config // the current configuration
 	listener     *transport.Listener
-	certificates *certificates // nil: none
+	certificates *certificates // nil without TLS
 	post         func(routing.Event)
 	log          zerolog.Logger
 }
 
-// serve reads the configuration again at each signal until ctx ends. Signals that come while one is being served
-// count as one, since the file is read after the last of them.
+// serve reloads the configuration at each signal until ctx is done. Signals that arrive during a reload are merged into one,
+// since the file is read after the last of them.
 func (r reloader) serve(ctx context.Context, signals <-chan os.Signal) {
 	for {
 		select {
--- a/internal/planner/program/versions.go
+++ b/internal/planner/program/versions.go
@@ -21,20 +21,20 @@
 	"mulleinwood/tables"
 )
 
-// versionTracker keeps what each proxy that asked for versions was sent in this life of the planner.
+// versionTracker holds the versioned updates sent to each proxy by this incarnation of the planner.
 type versionTracker struct {
 	origin tables.Origin
 	key    tables.Key
-	onSent func(tables.Update) // is shown every update that is sent; nil: nobody is
+	onSent func(tables.Update) // called with every update sent; may be nil
 
-	record   *record.Writer // nil: none
-	recorded bool           // so what proxies that don't ask are sent gets versions too
+	record   *record.Writer // nil if no record is kept
+	recorded bool           // a record is kept, so assignments to proxies that don't ask for versions get them too
 
 	mu      sync.Mutex
-	proxies map[int]*proxyVersions // by proxy, over its streams
+	proxies map[int]*proxyVersions // by proxy number; kept across a proxy's streams
 }
 
-// newVersionTracker draws this life's number. Nil: versions are off.
+// newVersionTracker returns a tracker with a random incarnation number, or nil if versions are disabled.
 func newVersionTracker(name string, set options.Versions, onSent func(tables.Update)) (*versionTracker, error) {
 	if !set.Enabled {
 		return nil, nil
@@ -56,10 +56,10 @@
 	return v, nil
 }
 
-// minKeyBytes is the least length of a key.
+// minKeyBytes is the minimum length of a key.
 const minKeyBytes = 16
 
-// forProxy is what a proxy was sent. A new stream of it goes on with the numbers.
+// forProxy returns the versions of a proxy. A new stream of the proxy continues their numbers.
 func (v *versionTracker) forProxy(proxy int) *proxyVersions {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -69,33 +69,34 @@
 	return v.proxies[proxy]
 }
 
-// proxyVersions is the planner's end of one proxy's versions.
+// proxyVersions is the planner's side of one proxy's versioned updates.
 type proxyVersions struct {
 	tracker     *versionTracker
 	mu          sync.Mutex
 	sender      *tables.Sender
-	noticeTimer *time.Timer // that tells the newest number once nothing was sent for a while
-	resends     int         // questions answered in the present second
+	noticeTimer *time.Timer // sends the newest version's number after a time without updates
+	resends     int         // resend requests handled since windowStart
 	windowStart time.Time
 }
 
-// maxResendsPerSecond is how many questions of one proxy are answered in a second; what goes over it waits for the next one's.
+// maxResendsPerSecond is the most resend requests of one proxy that are answered in a second. A proxy whose request is dropped
+// retries it.
 const maxResendsPerSecond = 4
 
-// updateLine is an update as a line carries it.
+// updateLine is the JSON form of an update in the line protocol.
 type updateLine struct {
 	Kind   string  `json:"t"`
 	Update []byte  `json:"update,omitempty"` // base64
-	Newest uint64  `json:"at,omitempty"`     // the newest number, where nothing is missing
-	Digest []byte  `json:"digest,omitempty"` // and its table's digest
+	Newest uint64  `json:"at,omitempty"`     // number of the newest version, if the line carries no update
+	Digest []byte  `json:"digest,omitempty"` // digest of the newest version's table
 	Token  *uint32 `json:"stamp,omitempty"`
 }
 
-// errLineTooLong says that a table is too large for a line.
+// errLineTooLong reports that an update exceeds the maximum length of a line.
 var errLineTooLong = errors.New("an update over what a line holds")
 
-// openRecord opens the record that the settings name and writes every version into it. A record that can't be used is told of, and
-// the planner goes on without.
+// openRecord opens the record that the settings name; every version is then written to it. If the record is unusable, the
+// planner logs that and runs without it.
 func (v *versionTracker) openRecord(set options.Record, log zerolog.Logger) {
 	if set.File == "" {
 		return
@@ -112,14 +113,14 @@
 	})
 }
 
-// close ends the record.
+// close closes the record, if there is one.
 func (v *versionTracker) close() {
 	if v != nil && v.record != nil {
 		v.record.Close()
 	}
 }
 
-// assignmentCause is why a version came to be, as far as its order shows.
+// assignmentCause returns the cause of a version, as far as its assignment shows it.
 func assignmentCause(o protocol.Assignment) string {
 	switch {
 	case o.Replace:
@@ -134,8 +135,8 @@
 	return "levels"
 }
 
-// assign takes an order into the proxy's table, notes the version that results, and sends it: as an update if the proxy asked
-// for versions, else as ever.
+// assign applies an assignment to the proxy's table, records the resulting version and sends it: as a versioned update if the
+// proxy asked for versions, else as a plain assignment.
 func (v *proxyVersions) assign(to *transport.Conn, o protocol.Assignment, wantsVersions bool) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -151,7 +152,9 @@
 		if v.noticeTimer != nil {
 			v.noticeTimer.Stop()
 		}
-		v.noticeTimer = time.AfterFunc(time.Duration(tables.NoticeDelayMS*float64(time.Millisecond)), func() { v.sendNotice(to, u.Version) })
+		v.noticeTimer = time.AfterFunc(time.Duration(tables.NoticeDelayMS*float64(time.Millisecond)), func() {
+			v.sendNotice(to, u.Version)
+		})
 		return v.send(to, u, o.Token)
 	}
 	text, err := o.Append(nil)
@@ -161,7 +164,8 @@
 	return to.Send(text)
 }
 
-// sendNotice tells a proxy that its newest version is still this one. On a stream that has ended it reaches nobody.
+// sendNotice sends a proxy the number and digest of its newest version, if that is still the given one. It has no effect on a
+// stream that has ended.
 func (v *proxyVersions) sendNotice(to *transport.Conn, sent tables.Version) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -178,7 +182,7 @@
 	return sendLine(to, updateLine{Kind: "update", Update: u.Append(nil, v.tracker.key), Token: token})
 }
 
-// sendLine writes one line.
+// sendLine sends an update as one line.
 func sendLine(to *transport.Conn, l updateLine) error {
 	text, err := json.Marshal(l)
 	if err != nil {
@@ -190,8 +194,8 @@
 	return to.Send(append(text, '\n'))
 }
 
-// resend answers a question for missed updates, if they are still kept: they were counted in the channel when they were first
-// sent. What needs a whole table is the module's affair, and so is a proxy that asks too often: false.
+// resend answers a request for missed updates, if they are still kept. They don't count against the channel's limit, since they
+// were counted when first sent. It returns false if the proxy needs a complete table, which the module must provide.
 func (v *proxyVersions) resend(to *transport.Conn, m protocol.ResyncRequest) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -199,11 +203,11 @@
 		v.windowStart, v.resends = now, 0
 	}
 	if v.resends++; v.resends > maxResendsPerSecond {
-		return true // it asks again, ever farther apart
+		return true // the proxy retries with backoff
 	}
 	_, at := v.sender.Table()
 	updates := v.sender.Resend(tables.ResendRequest{Origin: at.Origin, Proxy: at.Proxy, Snapshot: m.Full, After: m.After})
-	if len(updates) == 0 { // nothing is missing, or nothing was sent yet: then a whole table comes with the first order
+	if len(updates) == 0 { // nothing is missing, or nothing was sent yet and the first assignment brings a complete table
 		if at.Number > 0 {
 			d := v.sender.Digest()
 			sendLine(to, updateLine{Kind: "update", Newest: at.Number, Digest: d[:]})
--- a/internal/planner/program/xdspeer.go
+++ b/internal/planner/program/xdspeer.go
@@ -13,7 +13,7 @@
 	"mulleinwood/internal/planner/xds"
 )
 
-// xdsPeer is a proxy's stream of assignments.
+// xdsPeer is a proxy's assignment stream over gRPC. It is safe for concurrent use.
 type xdsPeer struct {
 	id     uint64
 	now    func() float64
@@ -23,21 +23,22 @@
 	mu          sync.Mutex
 	machine     *xds.AssignmentStream
 	queue       []proto.Message
-	queuedBytes int // bytes in the queue
+	queuedBytes int // encoded size of the queue
 	closeReason error
-	attached    bool // it has joined
+	attached    bool // the proxy's Attach goes to routing
 }
 
 // ID implements routing.Peer.
 func (p *xdsPeer) ID() uint64 { return p.id }
 
-// AnswerHeartbeat implements routing.Peer: this protocol has no heartbeat on a stream.
+// AnswerHeartbeat implements routing.Peer. This protocol has no heartbeats on a stream.
 func (p *xdsPeer) AnswerHeartbeat() error { return nil }
 
 // DeferHeartbeat implements routing.Peer.
 func (p *xdsPeer) DeferHeartbeat() {}
 
-// Assign implements routing.Peer. It never waits: a stream that leaves too much unread ends, and it alone.
+// Assign implements routing.Peer. It never blocks: a stream with more than maxUnreadBytes queued is closed, without effect on
+// other streams.
 func (p *xdsPeer) Assign(o protocol.Assignment) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,7 +68,7 @@
 	p.closeLocked(reason)
 }
 
-// closeLocked ends the stream for the first reason given. The caller holds the lock.
+// closeLocked closes the stream and keeps the first reason given. The caller must hold mu.
 func (p *xdsPeer) closeLocked(reason error) {
 	if p.closeReason == nil {
 		p.closeReason = reason
@@ -75,35 +76,35 @@
 	}
 }
 
-// applyRequest feeds the machine.
+// applyRequest applies a received message while holding mu.
 func (p *xdsPeer) applyRequest(apply applyRequest) ([]protocol.Message, []xds.InvalidPartError, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return apply()
 }
 
-// dueMessages is what the machine says once a wait is over.
+// dueMessages returns the messages whose delay has passed.
 func (p *xdsPeer) dueMessages() []protocol.Message {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.machine.Wake(p.now())
 }
 
-// reasonClosed is why the planner ended the stream; nil: it didn't.
+// reasonClosed returns why the planner closed the stream, or nil if it didn't.
 func (p *xdsPeer) reasonClosed() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.closeReason
 }
 
-// markAttached notes that routing has been told who the stream is of.
+// markAttached records that routing is about to receive the proxy's Attach.
 func (p *xdsPeer) markAttached() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.attached = true
 }
 
-// attachedIdentity is who the stream is of, once routing has been told.
+// attachedIdentity returns the identity of the stream's proxy, and reports whether markAttached was called.
 func (p *xdsPeer) attachedIdentity() (xds.Identity, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,7 +112,7 @@
 	return identity, p.attached
 }
 
-// write sends what waits until the stream ends.
+// write sends queued messages until the stream ends.
 func (p *xdsPeer) write(ctx context.Context, s grpc.ServerStream) {
 	for {
 		select {
