--- a/internal/planner/program/config_test.go
+++ b/internal/planner/program/config_test.go
@@ -10,7 +10,7 @@
 
 const example = "../../../examples/planner.json"
 
-// env returns a getenv of the given variables.
+// env returns a getenv function that knows the given variables.
 func env(pairs ...string) func(string) string {
 	return func(name string) string {
 		for i := 0; i < len(pairs); i += 2 {
@@ -33,18 +33,18 @@
 	}
 	c, err = LoadConfig(env(envConfig, example, envName, "n7", envListen, "127.0.0.2:1", envDiscovery, "127.0.0.3:2"))
 	if err != nil || c.Name != "n7" || c.Listen != "127.0.0.2:1" || c.Discovery != "127.0.0.3:2" {
-		t.Errorf("variables don't win over the file: %+v, %v", c, err)
+		t.Errorf("the variables don't override the file: %+v, %v", c, err)
 	}
 }
 
-// TestBadConfig guards against a start that fails without saying what is wrong and where.
+// TestBadConfig guards against a start that fails without reporting the cause and its place.
 func TestBadConfig(t *testing.T) {
 	good, err := os.ReadFile(example)
 	if err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	for _, tc := range []struct{ old, new, says string }{
+	for _, tc := range []struct{ old, new, want string }{
 		{`"name"`, `name`, path},
 		{`"127.0.0.1:8080"`, `""`, "NODE_LISTEN (or \"listen\" in " + path + "): no address"},
 		{`"127.0.0.1:8080"`, `"127.0.0.1"`, "missing port"},
@@ -60,9 +60,9 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := LoadConfig(env(envConfig, path)); err == nil || !strings.Contains(err.Error(), tc.says) ||
+		if _, err := LoadConfig(env(envConfig, path)); err == nil || !strings.Contains(err.Error(), tc.want) ||
 			strings.Contains(err.Error(), "\n") {
-			t.Errorf("with %s: error %v, want one line that says %q", tc.new, err, tc.says)
+			t.Errorf("with %s: error %v, want one line with %q", tc.new, err, tc.want)
 		}
 	}
 	for _, getenv := range []func(string) string{env(), env(envConfig, path+".not")} {
@@ -76,8 +76,7 @@
 	}
 }
 
-// TestReload guards against a change of the file that a variable hides for good, and against a wrong file that is
-// taken over.
+// TestReload guards against a variable that overrides a changed file for good, and against an invalid file that is applied.
 func TestReload(t *testing.T) {
 	text, err := os.ReadFile(example)
 	if err != nil {
@@ -115,6 +114,6 @@
 	}
 	os.Remove(path)
 	if _, _, err := c.Reload(); err == nil {
-		t.Error("a file that is gone was taken over")
+		t.Error("a missing file was accepted")
 	}
 }
--- a/internal/planner/program/cores_test.go
+++ b/internal/planner/program/cores_test.go
@@ -17,8 +17,8 @@
 	"mulleinwood/rules"
 )
 
-// startOnCores is a planner of so many cores, with proxies enough for them.
-func startOnCores(t *testing.T, n int, wrap func(core, life int, module coreModule) coreModule) *fleet {
+// startOnCores starts a planner on n cores, with enough proxies for them.
+func startOnCores(t *testing.T, n int, wrap func(core, incarnation int, module coreModule) coreModule) *fleet {
 	return start(t, func(f *fleet, c *Config) {
 		f.wrap = wrap
 		c.Options.Cores.Count, c.Options.Cores.MovesPerS, c.Options.Cores.RestMS, c.Limits.Cores = n, 8, 300, float64(n)
@@ -26,18 +26,18 @@
 	}, nil)
 }
 
-// join lets proxies 0 to n-1 join and waits until each has a whole table.
+// join lets proxies 0 to n-1 join and waits until each has a complete table.
 func (f *fleet) join(n int) (list []*standin.Proxy) {
 	for i := range n {
 		list = append(list, f.proxy(i, []string{"north", "south"}[i%2]))
 	}
 	for _, p := range list {
-		f.wait("a whole table", p, func(s standin.State) bool { return s.Replaced > 0 && len(s.Table) > 0 })
+		f.wait("a complete table", p, func(s standin.State) bool { return s.Replaced > 0 && len(s.Table) > 0 })
 	}
 	return list
 }
 
-// stallableModule is a module that can be held in its next look, as if its core stood still.
+// stallableModule is a module whose next round can be blocked or made to panic, as if its core stalled or failed.
 type stallableModule struct {
 	coreModule
 	hold   atomic.Pointer[chan struct{}]
@@ -47,7 +47,7 @@
 
 func (s *stallableModule) Step(now float64, events []rules.Event) []rules.Action {
 	if s.panic.Load() {
-		panic("spoilt state")
+		panic("corrupt state")
 	}
 	if hold := s.hold.Load(); hold != nil {
 		<-*hold
@@ -56,12 +56,12 @@
 	return s.coreModule.Step(now, events)
 }
 
-// newStallableModules wraps the modules of a fleet's cores; the first life of each is kept.
-func newStallableModules(n int) ([]*stallableModule, func(core, life int, module coreModule) coreModule) {
+// newStallableModules returns a function that wraps the modules of a fleet's cores, and the list of each core's first module.
+func newStallableModules(n int) ([]*stallableModule, func(core, incarnation int, module coreModule) coreModule) {
 	list := make([]*stallableModule, n)
-	return list, func(core, life int, module coreModule) coreModule {
+	return list, func(core, incarnation int, module coreModule) coreModule {
 		s := &stallableModule{coreModule: module}
-		if life == 1 {
+		if incarnation == 1 {
 			list[core] = s
 		}
 		return s
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestStalledCoreLosesItsProxies guards against a core that stands still while a server drains: its proxies would go on
-// sending there. Others take them within the grace, the stalled core's later orders reach nobody, and it comes back.
+// TestStalledCoreLosesItsProxies guards against a core that stalls while a server drains, so that its proxies keep sending
+// there. Other cores take them over within the grace, later assignments of the stalled core are dropped, and it is restarted.
 func TestStalledCoreLosesItsProxies(t *testing.T) {
 	modules, wrap := newStallableModules(2)
 	f := startOnCores(t, 2, wrap)
@@ -97,10 +97,10 @@
 	for _, p := range proxies {
 		f.wait("a table without the draining server", p, lacksServer("s-2"))
 	}
-	t.Logf("all tables without it after %v of a grace of 2 s", time.Since(begun))
-	looks := modules[1].rounds.Load()
+	t.Logf("all tables exclude it after %v of a 2 s grace", time.Since(begun))
+	rounds := modules[1].rounds.Load()
 	close(hold)
-	f.until("the stalled core's last look", func() bool { return modules[1].rounds.Load() > looks })
+	f.until("the stalled core's last round", func() bool { return modules[1].rounds.Load() > rounds })
 	f.phase("s-3", "draining")
 	for _, p := range proxies {
 		s := f.wait("a table without the other draining server", p, lacksServer("s-3"))
@@ -110,14 +110,14 @@
 	}
 }
 
-// TestPanicOfOneCore: the core is cut off, the others take its proxies, and the program goes on. The last core's panic
-// ends the program, as that of a single one does.
+// TestPanicOfOneCore checks that a panic isolates its core, that the others take its proxies and the program continues. A panic
+// of the last core ends the program, as with a single core.
 func TestPanicOfOneCore(t *testing.T) {
 	modules, wrap := newStallableModules(2)
 	f := startOnCores(t, 2, wrap)
 	proxies := f.join(16)
 	modules[0].panic.Store(true)
-	f.until("the first life is over", func() bool {
+	f.until("the first incarnation has ended", func() bool {
 		total := 0
 		for _, p := range proxies {
 			total += p.State().Replaced
@@ -130,31 +130,31 @@
 	}
 	f.stop()
 
-	f = startOnCores(t, 2, func(core, life int, module coreModule) coreModule {
+	f = startOnCores(t, 2, func(core, incarnation int, module coreModule) coreModule {
 		s := &stallableModule{coreModule: module}
 		s.panic.Store(true)
 		return s
 	})
 	select {
 	case err := <-f.ended:
-		if err == nil || !strings.Contains(err.Error(), "no core is left") || !strings.Contains(err.Error(), "spoilt state") {
+		if err == nil || !strings.Contains(err.Error(), "no core is left") || !strings.Contains(err.Error(), "corrupt state") {
 			t.Errorf("ended with %v; want the cause", err)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("the program goes on without a core")
+		t.Fatal("the program continues without a core")
 	}
 	f.ended <- nil
 	f.stop()
 }
 
-// TestRejoinOnCores: a newer stream of a proxy ends the older one, whichever core has it; what the older one says is void.
+// TestRejoinOnCores checks that a newer stream of a proxy closes the older one, whichever core serves it.
 func TestRejoinOnCores(t *testing.T) {
 	f := startOnCores(t, 2, nil)
 	defer f.stop()
 	proxies := f.join(16)
 	for _, old := range proxies[:4] {
 		newer := f.proxy(old.Number, "north")
-		f.wait("a whole table", newer, func(s standin.State) bool { return s.Replaced > 0 && len(s.Table) > 0 })
+		f.wait("a complete table", newer, func(s standin.State) bool { return s.Replaced > 0 && len(s.Table) > 0 })
 		f.until("the end of the older stream", func() bool { return old.State().Closed != nil })
 	}
 	f.phase("s-0", "draining")
@@ -163,8 +163,8 @@
 	}
 }
 
-// TestHalfOfProxiesLeave: after half of the proxies have left, those that stay are served on, and get no more than one whole table
-// anew. How cores are evened out then is tested with the desk (TestCutCoreComesBack, TestMovesEvenOutAndEnd).
+// TestHalfOfProxiesLeave checks that after half of the proxies have left, the others are still served and get at most one more
+// complete table. The tests of package cores cover how the load of the cores is balanced then.
 func TestHalfOfProxiesLeave(t *testing.T) {
 	f := startOnCores(t, 2, nil)
 	defer f.stop()
@@ -176,13 +176,13 @@
 	for _, p := range proxies[:8] {
 		s := f.wait("a table without the draining server", p, lacksServer("s-0"))
 		if s.Replaced > 2 {
-			t.Errorf("proxy %d got %d whole tables", p.Number, s.Replaced)
+			t.Errorf("proxy %d got %d complete tables", p.Number, s.Replaced)
 		}
 	}
 }
 
-// TestReloadAndEndOnCores: SIGHUP moves discovery for all cores, so that a drain told at the new address reaches every one, and
-// the planner ends at once although a core is stuck.
+// TestReloadAndEndOnCores checks that SIGHUP changes the discovery address for all cores, so that a drain announced at the new
+// address reaches each of them, and that the planner ends promptly although a core is stuck.
 func TestReloadAndEndOnCores(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "planner.json")
 	text, err := os.ReadFile(example)
--- a/internal/planner/program/day_test.go
+++ b/internal/planner/program/day_test.go
@@ -18,7 +18,7 @@
 	"mulleinwood/rules"
 )
 
-// auditedFleet is a fleet whose proxies and list an auditor outside the planner sees.
+// auditedFleet is a fleet whose proxies and list are observed by an auditor outside the planner.
 type auditedFleet struct {
 	*fleet
 	started time.Time
@@ -32,14 +32,14 @@
 	return float64(time.Since(w.started)) / float64(time.Millisecond)
 }
 
-// startAudited lets an auditor watch a fleet of so many cores from its start on.
-func startAudited(t *testing.T, n int, wrap func(core, life int, module coreModule) coreModule) *auditedFleet {
+// startAudited starts a fleet on n cores and an auditor that observes it from the start.
+func startAudited(t *testing.T, n int, wrap func(core, incarnation int, module coreModule) coreModule) *auditedFleet {
 	w := &auditedFleet{fleet: startOnCores(t, n, wrap), started: time.Now(), done: make(chan struct{})}
 	w.startAuditor()
 	return w
 }
 
-// startAuditor begins the books and looks at them until the day ends.
+// startAuditor creates the auditor and ticks it until done is closed.
 func (w *auditedFleet) startAuditor() {
 	c, err := LoadConfig(env(envConfig, example))
 	if err != nil {
@@ -63,7 +63,7 @@
 	})
 }
 
-// checkViolations ends the day's books and fails the test for each rule that was broken.
+// checkViolations stops the auditor and fails the test for each violation.
 func (w *auditedFleet) checkViolations() {
 	w.t.Helper()
 	close(w.done)
@@ -71,7 +71,7 @@
 	for _, b := range w.auditor.Violations() {
 		w.t.Errorf("%s: %s, at %.0f ms", b.Rule, b.Detail, b.At)
 	}
-	w.t.Logf("most seen: %+v", w.auditor.Peak)
+	w.t.Logf("peaks: %+v", w.auditor.Peak)
 }
 
 func (w *auditedFleet) reportMember(m protocol.Member) {
@@ -122,9 +122,9 @@
 	return p
 }
 
-// TestDayOnFourCores plays a day on loopback: reports, drains and returns, proxies that leave and come back, a core that
-// stalls, one that panics, a discovery outage and a reload, and the end by the same way as SIGTERM. The auditor finds no
-// broken rule, and every proxy ends with a table.
+// TestDayOnFourCores runs a scripted day on loopback: reports, drains and returns, proxies that leave and rejoin, a core that
+// stalls, one that panics, a discovery outage, and a shutdown like that by SIGTERM. The auditor must find no violation, and
+// every proxy must end with a table.
 func TestDayOnFourCores(t *testing.T) {
 	const proxies = 32
 	modules, wrap := newStallableModules(4)
@@ -135,15 +135,15 @@
 	}
 	collectors := []*standin.Collector{w.collector("north"), w.collector("south")}
 	for _, p := range list {
-		w.wait("a whole table", p, func(s standin.State) bool { return len(s.Table) > 0 })
+		w.wait("a complete table", p, func(s standin.State) bool { return len(s.Table) > 0 })
 	}
 	rng := rand.New(rand.NewPCG(4, 4))
 	hold := make(chan struct{})
 	unix := func() float64 { return float64(time.Now().UnixMicro()) / 1000 }
-	const beats = 70 // of a tenth of a second
+	const steps = 70 // of 100 ms
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
-	for step := range beats {
+	for step := range steps {
 		<-ticker.C
 		switch step {
 		case 8:
@@ -160,7 +160,7 @@
 			modules[2].panic.Store(true)
 			w.changePhase("s-3", "draining", 0)
 		case 38:
-			for i := 0; i < proxies; i += 2 { // half leave
+			for i := 0; i < proxies; i += 2 { // half of the proxies leave
 				list[i].Close()
 				w.mu.Lock()
 				w.auditor.ProxyLeft(i)
@@ -170,7 +170,7 @@
 			w.discovery.SetDown(true)
 		case 50:
 			w.discovery.SetDown(false)
-			for i := 0; i < proxies; i += 2 { // and join again within a moment
+			for i := 0; i < proxies; i += 2 { // and join again
 				list[i] = w.joinProxy(i)
 			}
 		case 54:
@@ -195,7 +195,7 @@
 		}
 	}
 	for _, p := range list {
-		w.wait("a table of what is up", p, func(s standin.State) bool {
+		w.wait("a table of the servers that are up", p, func(s standin.State) bool {
 			return len(s.Table) > 0 && s.Table["s-1"] == 0 &&
 				s.Table["s-3"] == 0
 		})
@@ -207,7 +207,7 @@
 	w.stop()
 }
 
-// joinGRPCProxy lets a proxy join by gRPC under the auditor's eyes.
+// joinGRPCProxy lets a proxy join by gRPC and reports its tables to the auditor.
 func (w *auditedFleet) joinGRPCProxy(number int) *standin.GRPCProxy {
 	w.t.Helper()
 	w.mu.Lock()
@@ -243,22 +243,22 @@
 	return p
 }
 
-// closableProxy is a proxy of either protocol.
+// closableProxy is a proxy that uses either protocol.
 type closableProxy interface {
 	proxyReader
 	Close()
 }
 
-// TestDayOnBothProtocols plays a day with half of the servers, proxies and collectors on each protocol: drains, a lost zone that
-// comes back cold, a server that answers nothing until its probes are answered, a discovery outage, and proxies and a server
-// that change their protocol. The auditor finds no broken rule.
+// TestDayOnBothProtocols runs a scripted day with half of the servers, proxies and collectors on each protocol: drains, a lost
+// zone that returns cold, a server that fails all requests until probes find it healthy, a discovery outage, and proxies and a
+// server that change their protocol. The auditor must find no violation.
 func TestDayOnBothProtocols(t *testing.T) {
 	const proxies = 16
 	w := &auditedFleet{started: time.Now(), done: make(chan struct{})}
 	w.fleet = startWithGRPC(t, 2, nil)
 	w.startAuditor()
 	byGRPC := map[string]*standin.GRPCServer{}
-	switchToGRPC := func(id string) { // the server speaks gRPC from now on, at the same address
+	switchToGRPC := func(id string) { // replaces the server by one that uses gRPC at the same address
 		w.servers[id].Close()
 		s, err := standin.NewGRPCServer(w.members[id].Address)
 		if err != nil {
@@ -271,7 +271,7 @@
 	switchToGRPC("s-1")
 	switchToGRPC("s-3")
 	list := make([]closableProxy, proxies)
-	usesGRPC := make([]bool, proxies) // by gRPC
+	usesGRPC := make([]bool, proxies) // by proxy number
 	join := func(i int, grpc bool) {
 		if usesGRPC[i] = grpc; grpc {
 			list[i] = w.joinGRPCProxy(i)
@@ -294,22 +294,22 @@
 	rng := rand.New(rand.NewPCG(17, 4))
 	unix := func() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 	superseded := []closableProxy{}
-	const beats = 80
+	const steps = 80
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
-	for step := range beats {
+	for step := range steps {
 		<-ticker.C
 		switch step {
 		case 5:
 			w.changePhase("s-0", "draining", 0)
-		case 14: // the south is lost
+		case 14: // zone south is lost
 			w.changePhase("s-1", "removed", 0)
 			w.changePhase("s-3", "removed", 0)
 			w.changePhase("s-0", "up", 0)
-		case 30: // and comes back cold
+		case 30: // and returns cold
 			w.changePhase("s-1", "up", unix())
 			w.changePhase("s-3", "up", unix())
-		case 36: // proxies change their protocol, the older stream not yet closed
+		case 36: // proxies change their protocol while their older stream is open
 			for i := 0; i < proxies; i += 3 {
 				superseded = append(superseded, list[i])
 				join(i, !usesGRPC[i])
@@ -340,7 +340,7 @@
 		if step%5 == 0 {
 			for _, id := range []string{"s-0", "s-1", "s-2", "s-3"} {
 				failed := 0
-				if id == "s-2" && step >= 35 && step < 60 { // answers nothing: probes must find it well again
+				if id == "s-2" && step >= 35 && step < 60 { // fails all requests: probes must find it healthy again
 					failed = 20
 				}
 				north.Report(id, 20, failed, 80, 500)
@@ -349,8 +349,8 @@
 		}
 	}
 	for i, p := range list {
-		w.await("a table of what is up", p, func(s standin.State) bool {
-			return len(s.Table) > 0 && s.Table["s-0"] == 0 && (i%2 == 1 || s.Table["s-2"] > 0) // of the north
+		w.await("a table of the servers that are up", p, func(s standin.State) bool {
+			return len(s.Table) > 0 && s.Table["s-0"] == 0 && (i%2 == 1 || s.Table["s-2"] > 0) // s-2 is in zone north
 		})
 	}
 	for _, p := range superseded {
@@ -358,7 +358,7 @@
 		p.Close()
 	}
 	if byGRPC["s-2"].Probed() == 0 {
-		t.Error("the server that changed its protocol was not probed by the new one")
+		t.Error("the server that changed its protocol was not probed by its new protocol")
 	}
 	w.checkViolations()
 	for _, p := range list {
--- a/internal/planner/program/fleet_test.go
+++ b/internal/planner/program/fleet_test.go
@@ -15,7 +15,7 @@
 	"mulleinwood/rules"
 )
 
-// fleet is a planner with everything round it, on loopback.
+// fleet is a planner with discovery, servers and peers on loopback.
 type fleet struct {
 	t         *testing.T
 	discovery *standin.Discovery
@@ -26,13 +26,14 @@
 	ended     chan error
 	reloads   chan os.Signal
 	close     []func()
-	wrap      func(core, life int, module coreModule) coreModule
+	wrap      func(core, incarnation int, module coreModule) coreModule
 }
 
-// testTimeout is how long anything may take before a test calls it hung.
+// testTimeout is how long a test waits for any one condition.
 const testTimeout = 30 * time.Second
 
-// start runs a planner with the settings of the example. Limits and module may be changed first.
+// start runs a planner with the example configuration, which change may modify first. A nil module stands for the program's
+// own modules.
 func start(t *testing.T, change func(*fleet, *Config), module stepper) *fleet {
 	t.Helper()
 	f := &fleet{t: t, servers: map[string]*standin.Server{}, members: map[string]protocol.Member{}, ended: make(chan error, 1),
@@ -64,7 +65,7 @@
 	f.cancel = cancel
 	address := make(chan string, 1)
 	go func() {
-		modules := func(core, life int) coreModule { return singleCoreModule{module} }
+		modules := func(core, incarnation int) coreModule { return singleCoreModule{module} }
 		if module == nil {
 			modules = f.modules(c)
 		}
@@ -78,18 +79,18 @@
 	return f
 }
 
-// modules makes the modules of the program itself, each wrapped where the test wants that.
-func (f *fleet) modules(c Config) func(core, life int) coreModule {
-	return func(core, life int) coreModule {
+// modules returns a function that creates the program's own modules, each wrapped by f.wrap if that is set.
+func (f *fleet) modules(c Config) func(core, incarnation int) coreModule {
+	return func(core, incarnation int) coreModule {
 		module := coreModule(rules.New(c.Settings.Rules, c.Seed+uint64(core)))
 		if f.wrap != nil {
-			module = f.wrap(core, life, module)
+			module = f.wrap(core, incarnation, module)
 		}
 		return module
 	}
 }
 
-// singleCoreModule is a module that shares its planner with nobody.
+// singleCoreModule is a module that runs on the only core.
 type singleCoreModule struct{ stepper }
 
 func (singleCoreModule) OwnLoad() (rules.Part, float64) { return rules.Part{}, 0 }
@@ -107,7 +108,7 @@
 	return len(p), nil
 }
 
-// stop ends the planner as SIGTERM does and everything else after it.
+// stop ends the planner as SIGTERM does, and then everything else.
 func (f *fleet) stop() {
 	f.t.Helper()
 	f.cancel()
@@ -117,7 +118,7 @@
 			f.t.Errorf("the planner ended with %v", err)
 		}
 	case <-time.After(testTimeout):
-		f.t.Fatal("the planner does not end")
+		f.t.Fatal("the planner did not end")
 	}
 	for _, c := range f.close {
 		c()
@@ -148,14 +149,14 @@
 	return c
 }
 
-// phase changes a server in the list.
+// phase changes the phase of a server in discovery's list.
 func (f *fleet) phase(id, phase string) {
 	m := f.members[id]
 	m.Phase = phase
 	f.discovery.Change(m)
 }
 
-// wait returns what a proxy holds once it is as wanted.
+// wait returns a proxy's state once it is as wanted. It fails the test if the stream ends first.
 func (f *fleet) wait(what string, p *standin.Proxy, wanted func(standin.State) bool) standin.State {
 	f.t.Helper()
 	got := make(chan standin.State, 1)
@@ -163,7 +164,7 @@
 	select {
 	case s := <-got:
 		if s.Closed != nil {
-			f.t.Fatalf("%s: the stream has ended: %v", what, s.Closed)
+			f.t.Fatalf("%s: the stream ended: %v", what, s.Closed)
 		}
 		return s
 	case <-time.After(testTimeout):
@@ -172,7 +173,7 @@
 	}
 }
 
-// until waits for something that no message tells of.
+// until polls for a condition that no message reports.
 func (f *fleet) until(what string, wanted func() bool) {
 	f.t.Helper()
 	for deadline := time.Now().Add(testTimeout); !wanted(); time.Sleep(5 * time.Millisecond) {
--- a/internal/planner/program/front_limits_test.go
+++ b/internal/planner/program/front_limits_test.go
@@ -19,8 +19,8 @@
 	"mulleinwood/internal/planner/xds"
 )
 
-// TestUnreadStreamEndsAlone: a stream that leaves too much unread ends by the rule that exists; the other streams of its
-// connection go on.
+// TestUnreadStreamEndsAlone checks that a stream with too much unread data is closed while the other streams of its connection
+// continue.
 func TestUnreadStreamEndsAlone(t *testing.T) {
 	f := startWithGRPC(t, 1, nil)
 	defer f.stop()
@@ -50,11 +50,11 @@
 		peer.Assign(protocol.Assignment{Rows: []protocol.Row{{Server: strings.Repeat("s", 1000) + string(rune('a'+i%26)),
 			Weight: 1, Zone: "north"}}})
 		if i > 10000 {
-			t.Fatal("what is unread has no end")
+			t.Fatal("the unread data is not limited")
 		}
 	}
 	if err := peer.Assign(protocol.Assignment{Replace: true}); err == nil {
-		t.Error("an ended stream takes orders")
+		t.Error("a closed stream accepts assignments")
 	}
 	f.phase("s-1", "draining")
 	for {
@@ -83,8 +83,8 @@
 	return m
 }
 
-// TestStalledProxyDoesNotBlockOthers: a proxy that reads nothing keeps its stream, since it may only be slow; others are served,
-// and it has all that it missed once it reads on.
+// TestStalledProxyDoesNotBlockOthers checks that a proxy that stops reading keeps its stream, since it may only be slow, that
+// other proxies are served meanwhile, and that it receives all missed changes once it reads again.
 func TestStalledProxyDoesNotBlockOthers(t *testing.T) {
 	f := startWithGRPC(t, 1, nil)
 	defer f.stop()
@@ -97,13 +97,13 @@
 	f.phase("s-2", "draining")
 	f.await("the other is served", other, func(s standin.State) bool { return s.Table["s-1"] == 0 && s.Table["s-2"] == 0 })
 	stalled.Stall(false)
-	f.await("what it missed", stalled, func(s standin.State) bool {
+	f.await("the missed changes", stalled, func(s standin.State) bool {
 		return s.Table["s-1"] == 0 && s.Table["s-2"] == 0 &&
 			len(s.Table) > 0
 	})
 }
 
-// TestLimitsOfTheFront: what goes over a bound ends that stream, or that connection, and no other's.
+// TestLimitsOfTheFront checks that exceeding a limit ends only the stream or connection that exceeds it.
 func TestLimitsOfTheFront(t *testing.T) {
 	f := startWithGRPC(t, 1, nil)
 	defer f.stop()
@@ -138,7 +138,7 @@
 	}
 	if _, err := open(metadata.AppendToOutgoingContext(context.Background(), "a", strings.Repeat("x", 2*maxHeaderBytes)),
 		2); err == nil {
-		t.Error("headers over their bound are taken")
+		t.Error("headers over their limit are accepted")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	for n := 0; n < maxStreamsPerConn-1; n++ { // one stays open already
@@ -148,7 +148,7 @@
 	}
 	late, stop := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	if _, err := open(late, 3); status.Code(err) != codes.DeadlineExceeded {
-		t.Errorf("a stream more than a connection may have: %v", err)
+		t.Errorf("a stream over the connection's limit: %v", err)
 	}
 	stop()
 	cancel()
@@ -159,7 +159,7 @@
 		t.Errorf("the stream that stayed: %v", err)
 	}
 
-	nc, err := net.Dial("tcp", f.planner) // pings without a pause
+	nc, err := net.Dial("tcp", f.planner) // sends pings without a pause
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -175,12 +175,12 @@
 	for calm := false; !calm; {
 		frame, err := framer.ReadFrame()
 		if err != nil {
-			break // closed without a word is as good
+			break // closing without GOAWAY is accepted too
 		}
 		if away, is := frame.(*http2.GoAwayFrame); is {
 			calm = away.ErrCode == http2.ErrCodeEnhanceYourCalm
 		}
 	}
 	f.phase("s-1", "draining")
-	f.await("service goes on", good, lacksServer("s-1"))
+	f.await("service continues", good, lacksServer("s-1"))
 }
--- a/internal/planner/program/front_streams.go
+++ b/internal/planner/program/front_streams.go
@@ -19,7 +19,7 @@
 )
 
 // applyRequest applies a received message to the stream's state.
-type applyRequest func() (said []protocol.Message, voids []xds.InvalidPartError, err error)
+type applyRequest func() (messages []protocol.Message, invalid []xds.InvalidPartError, err error)
 
 // StreamAggregatedResources implements the state-of-the-world variant of the aggregated discovery service.
 func (f *frontend) StreamAggregatedResources(s discovery.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
--- a/internal/planner/program/front_test.go
+++ b/internal/planner/program/front_test.go
@@ -22,7 +22,7 @@
 
 var classNames = []string{"lookup", "order"}
 
-// startWithGRPC is a planner whose gRPC front is on.
+// startWithGRPC starts a planner with the gRPC frontend enabled.
 func startWithGRPC(t *testing.T, cores int, change func(*fleet, *Config)) *fleet {
 	return start(t, func(f *fleet, c *Config) {
 		c.Options.GRPC = options.GRPC{Enabled: true, ProbeServers: true}
@@ -45,7 +45,7 @@
 	return p
 }
 
-// proxyReader is a proxy of either protocol, as far as tests wait for it.
+// proxyReader is the state of a proxy that uses either protocol.
 type proxyReader interface {
 	Wait(func(standin.State) bool) standin.State
 	State() standin.State
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestBothProtocolsAtOneAddress: half of the proxies and a collector on each protocol get tables and drains alike, on one
-// core and on two. A proxy that leaves by one protocol and joins by the other is served by its newer stream alone.
+// TestBothProtocolsAtOneAddress checks, on one core and on two, that proxies on either protocol get tables and drains alike. A
+// proxy that joins again by the other protocol is served only on its newer stream.
 func TestBothProtocolsAtOneAddress(t *testing.T) {
 	for _, cores := range []int{1, 2} {
 		f := startWithGRPC(t, cores, nil)
@@ -112,7 +112,7 @@
 	}
 }
 
-// TestRefusedTableComesWhole: a refusal is answered by a whole table, not at once and not for ever.
+// TestRefusedTableComesWhole checks that a rejected table is followed by a complete one, after a delay and not repeatedly.
 func TestRefusedTableComesWhole(t *testing.T) {
 	f := startWithGRPC(t, 1, nil)
 	defer f.stop()
@@ -125,21 +125,22 @@
 	p.Refuse("")
 	f.await("the table again", p, lacksServer("s-1"))
 	if took := time.Since(refused); took < 500*time.Millisecond {
-		t.Errorf("the refusal was answered after %v", took)
+		t.Errorf("the rejected table was sent again after %v", took)
 	}
 	if n := p.State().Refused; n > 2 {
 		t.Errorf("%d messages were refused", n)
 	}
 }
 
-// TestUnidentifiedHTTP2Peers: each is closed in the time that strangers have, and costs nobody else anything.
+// TestUnidentifiedHTTP2Peers checks that each unidentified peer is disconnected within the join timeout, without effect on
+// others.
 func TestUnidentifiedHTTP2Peers(t *testing.T) {
 	f := startWithGRPC(t, 1, nil)
 	defer f.stop()
 	p := f.grpcProxy(0, "north", nil)
 	f.await("a table", p, hasServers("s-0"))
 	const preface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
-	for name, says := range map[string]string{
+	for name, data := range map[string]string{
 		"nothing after the preface":  preface,
 		"half a preface":             preface[:9],
 		"garbage after the preface":  preface + strings.Repeat("garbage", 100),
@@ -153,18 +154,18 @@
 			t.Fatal(err)
 		}
 		nc.SetDeadline(time.Now().Add(testTimeout))
-		nc.Write([]byte(says))
+		nc.Write([]byte(data))
 		if _, err := io.Copy(io.Discard, nc); err != nil && os.IsTimeout(err) {
 			t.Errorf("%s: not closed", name)
 		}
 		nc.Close()
 	}
-	// A client that opens streams of no proxy is told why, and one that joins and goes is gone.
+	// A client whose streams name an unknown proxy gets an error status.
 	client, err := standin.Dial(f.planner, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for range 50 { // a storm of streams that are reset at once
+	for range 50 { // streams that are reset immediately
 		ctx, cancel := context.WithCancel(context.Background())
 		s, err := discovery.NewAggregatedDiscoveryServiceClient(client).StreamAggregatedResources(ctx)
 		if err == nil {
@@ -178,7 +179,8 @@
 			_, err = s.Recv()
 		}
 	}
-	if code := status.Code(err); code != codes.InvalidArgument && code != codes.Unavailable { // or its second was over
+	// The status is Unavailable if the join timeout was over.
+	if code := status.Code(err); code != codes.InvalidArgument && code != codes.Unavailable {
 		t.Errorf("an unknown proxy gets %v", err)
 	}
 	client.Close()
@@ -186,7 +188,7 @@
 	f.await("service goes on", p, lacksServer("s-1"))
 }
 
-// TestHealthOfThePlanner: it serves once it can make orders, as a heartbeat is answered then.
+// TestHealthOfThePlanner checks that the health service reports serving only once the planner has a list, like heartbeats.
 func TestHealthOfThePlanner(t *testing.T) {
 	f := startWithGRPC(t, 1, func(f *fleet, c *Config) { f.discovery.SetDown(true) })
 	defer f.stop()
@@ -200,7 +202,7 @@
 		defer cancel()
 		r, err := healthpb.NewHealthClient(client).Check(ctx, &healthpb.HealthCheckRequest{})
 		if err != nil {
-			return healthpb.HealthCheckResponse_UNKNOWN // the connection's second was over: the client dials again
+			return healthpb.HealthCheckResponse_UNKNOWN // the join timeout was over: the client reconnects
 		}
 		return r.GetStatus()
 	}
@@ -209,8 +211,8 @@
 	f.until("serving", func() bool { return check() == healthpb.HealthCheckResponse_SERVING })
 }
 
-// TestServerChangesProtocol: a server that speaks another protocol than before is asked by that within the same question,
-// isn't taken for sick, and is asked by it first from then on.
+// TestServerChangesProtocol checks that a server that changes its protocol is probed by the new one within the same probe,
+// isn't reported as unhealthy, and is probed by the new protocol first from then on.
 func TestServerChangesProtocol(t *testing.T) {
 	byHTTP, err := standin.NewServer("127.0.0.1:0")
 	if err != nil {
@@ -230,7 +232,7 @@
 		t.Errorf("load %v", load)
 	}
 	byHTTP.Close()
-	ask("nobody there", false, false)
+	ask("no server", false, false)
 	byGRPC, err := standin.NewGRPCServer(address)
 	if err != nil {
 		t.Fatal(err)
@@ -239,10 +241,10 @@
 		t.Errorf("load %v, probed %d", load, byGRPC.Probed())
 	}
 	if ask("gRPC at once", true, false); a.protocols.Len() != 1 || byGRPC.Probed() != 2 {
-		t.Errorf("%d remembered, probed %d", a.protocols.Len(), byGRPC.Probed())
+		t.Errorf("%d cached, probed %d", a.protocols.Len(), byGRPC.Probed())
 	}
 	byGRPC.Set(healthpb.HealthCheckResponse_NOT_SERVING, nil)
-	ask("turned away", false, true)
+	ask("not serving", false, true)
 	byGRPC.Set(healthpb.HealthCheckResponse_SERVING, nil)
 	a.connectTimeout = 300 * time.Millisecond
 	if load := ask("a stream of reports that stalls", true, false); load != nil {
@@ -250,7 +252,7 @@
 	}
 	byGRPC.Set(healthpb.HealthCheckResponse_SERVING, &xdsorca.OrcaLoadReport{NamedMetrics: map[string]float64{"bad": -1,
 		"inflight": 3}})
-	if load := ask("a figure that can't be", true, false); load["inflight"] != 3 || len(load) != 2 {
+	if load := ask("an invalid value", true, false); load["inflight"] != 3 || len(load) != 2 {
 		t.Errorf("load %v", load)
 	}
 	byGRPC.Close()
@@ -259,6 +261,6 @@
 	}
 	defer byHTTP.Close()
 	if ask("HTTP again", true, false); a.protocols.Len() != 0 {
-		t.Error("the former protocol is remembered")
+		t.Error("the previous protocol is still cached")
 	}
 }
--- a/internal/planner/program/host.go
+++ b/internal/planner/program/host.go
@@ -34,7 +34,7 @@
 	follower  *routing.Follower
 	log       zerolog.Logger
 	now       func() float64
-	newModule func(core, life int) coreModule
+	newModule func(core, incarnation int) coreModule
 	probes    *sharedProbes
 	ctx       context.Context
 
--- a/internal/planner/program/keys_test.go
+++ b/internal/planner/program/keys_test.go
@@ -86,8 +86,8 @@
 	return credentials.NewTLS(&tls.Config{RootCAs: pool, ServerName: "planner.test", Certificates: []tls.Certificate{pair}})
 }
 
-// TestKeys: clients take the roles that their names may have and no others; keys are read again on SIGHUP without a stream
-// lost; a file that is bad or out of date is named and changes nothing.
+// TestKeys checks that clients get only the roles that their certificate's name permits, that certificates are reloaded on SIGHUP
+// without losing a stream, and that an error names an invalid or expired file, which changes nothing.
 func TestKeys(t *testing.T) {
 	folder, ca := t.TempDir(), newAuthority(t)
 	hour := time.Now().Add(time.Hour)
@@ -101,7 +101,7 @@
 	defer f.stop()
 	p := f.grpcProxy(0, "north", ca.client(lane))
 	f.await("a table", p, hasServers("s-0"))
-	byLines := f.proxy(1, "north") // lines stay as they are
+	byLines := f.proxy(1, "north") // the line protocol doesn't use TLS
 	f.wait("a table", byLines, hasServers("s-0"))
 	denied := f.grpcProxy(2, "north", ca.client(other))
 	if s := f.await("an end", denied,
@@ -132,15 +132,15 @@
 	f.reloads <- syscall.SIGHUP
 	os.WriteFile(filepath.Join(folder, "server.key"), []byte("half"), 0o600)
 	if err := loaded.reload(time.Now()); err == nil || loaded.current.Load() != before {
-		t.Errorf("a spoilt key: %v", err)
+		t.Errorf("a corrupt key: %v", err)
 	}
 	ca.sign(folder, "server", "planner.test", hour)
 	if err := loaded.reload(time.Now()); err != nil || loaded.current.Load() == before {
-		t.Errorf("good files: %v", err)
+		t.Errorf("valid files: %v", err)
 	}
 	f.reloads <- syscall.SIGHUP
 	f.phase("s-1", "draining")
-	f.await("the stream goes on", p, lacksServer("s-1"))
+	f.await("the stream continues", p, lacksServer("s-1"))
 	for _, bad := range []options.TLS{{Certificate: "none.pem", Key: "none.key"}, {ClientCA: "x"},
 		{Roles: []options.Role{{Name: "a", Role: "proxy"}}},
 		{Certificate: filepath.Join(folder, "server.pem"), Key: filepath.Join(folder, "server.key"),
--- a/internal/planner/program/loop_test.go
+++ b/internal/planner/program/loop_test.go
@@ -14,7 +14,7 @@
 	"mulleinwood/rules"
 )
 
-// timerModule asks for a timer at each turn, as the module does at each look.
+// timerModule sets a timer in each step, as the real module does in each round.
 type timerModule struct {
 	times []float64
 	done  context.CancelFunc
@@ -27,8 +27,8 @@
 	return []rules.Action{rules.Timer{Delay: 8}}
 }
 
-// TestTimersStayOnGrid guards against looks that drift since every timer comes a little late: the times that the
-// module sees lie on the settings' grid.
+// TestTimersStayOnGrid guards against rounds that drift because every timer fires slightly late. The times that the module sees
+// must be multiples of the clock granularity.
 func TestTimersStayOnGrid(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -54,6 +54,6 @@
 		t.Errorf("the module saw %v ms pass in %v", span, real)
 	}
 	if alignToGrid(5.5, 0) != 5.5 {
-		t.Error("without a granularity the clock is changed")
+		t.Error("a time is changed although the granularity is 0")
 	}
 }
--- a/internal/planner/program/program.go
+++ b/internal/planner/program/program.go
@@ -37,8 +37,8 @@
 
 // Run serves until ctx is done and then returns nil. It reloads the configuration on each signal from reloads.
 func Run(ctx context.Context, c Config, log zerolog.Logger, reloads <-chan os.Signal) error {
-	return run(ctx, c, func(core, life int) coreModule {
-		return rules.New(c.Settings.Rules, c.Seed+uint64(core)+uint64(life-1)<<32)
+	return run(ctx, c, func(core, incarnation int) coreModule {
+		return rules.New(c.Settings.Rules, c.Seed+uint64(core)+uint64(incarnation-1)<<32)
 	}, log, reloads, nil)
 }
 
--- a/internal/planner/program/program_test.go
+++ b/internal/planner/program/program_test.go
@@ -20,8 +20,8 @@
 	"mulleinwood/rules"
 )
 
-// TestEndToEnd leads a planner through a drain, a broken watch, discovery down, a server that swallows requests,
-// a proxy's second stream and the planner's end, and looks for what it left behind.
+// TestEndToEnd runs a planner through a drain, a broken watch, a discovery outage, a server that fails all requests, a proxy's
+// second stream and the shutdown, and checks for leaked goroutines and descriptors.
 func TestEndToEnd(t *testing.T) {
 	goroutines, descriptors := runtime.NumGoroutine(), openDescriptors(t)
 	f := start(t, nil, nil)
@@ -42,9 +42,9 @@
 	f.discovery.SetDown(false)
 	f.wait("a change while discovery was down", north, hasServers("s-2"))
 
-	f.discovery.Finish() // a watch that ends in good order has ended all the same
+	f.discovery.Finish() // a watch that ends normally must be restarted too
 	f.phase("s-3", protocol.PhaseDraining)
-	f.wait("a drain after a watch has ended in good order", south, lacksServer("s-3"))
+	f.wait("a drain after a watch has ended normally", south, lacksServer("s-3"))
 	f.phase("s-3", protocol.PhaseUp)
 	f.wait("its return", south, hasServers("s-3"))
 
@@ -52,7 +52,7 @@
 	f.discovery.Garble("{\"revision\":\n")
 	f.until("a watch after one that can't be read", func() bool { return f.discovery.Watches() > watches })
 	if holding := south.State(); !hasServers("s-1", "s-3")(holding) {
-		t.Errorf("a list that can't be read changed the table: %+v", holding.Table)
+		t.Errorf("an invalid list changed the table: %+v", holding.Table)
 	}
 	watches = f.discovery.Watches()
 	f.discovery.SetHushed(true)
@@ -65,19 +65,19 @@
 	f.wait("its return", south, hasServers("s-3"))
 
 	collector := f.collector("north")
-	started := time.Now() // s-0 answers nothing, until it is out
+	started := time.Now() // s-0 fails all requests until it is ejected
 	for s := north.State(); s.Table["s-0"] > 0; s = north.State() {
 		if time.Since(started) > testTimeout {
-			t.Fatal("a server that answers nothing stays in the table")
+			t.Fatal("a server that fails all requests stays in the table")
 		}
 		collector.Report("s-0", 10, 10, 0, 1000)
 		collector.Report("s-2", 10, 0, 100, 1000)
 		time.Sleep(50 * time.Millisecond)
 	}
-	f.until("probes of a server that is out", func() bool { return f.servers["s-0"].Probed() >= 2 })
+	f.until("probes of an ejected server", func() bool { return f.servers["s-0"].Probed() >= 2 })
 	f.wait("its return", north, hasServers("s-0"))
 	if f.servers["s-3"].Probed() > 0 {
-		t.Error("a server that nothing was held against was probed")
+		t.Error("a healthy server was probed")
 	}
 
 	again := f.proxy(0, "north")
@@ -86,7 +86,7 @@
 	})
 	old := north.Wait(func(standin.State) bool { return false })
 	if old.Closed == nil {
-		t.Error("the first stream goes on")
+		t.Error("the first stream stays open")
 	}
 	f.stop()
 	for _, p := range []*standin.Proxy{again, south} {
@@ -96,10 +96,10 @@
 		}
 	}
 	f.until("the end of all goroutines", func() bool { return runtime.NumGoroutine() <= goroutines })
-	f.until("the end of all descriptors", func() bool { return openDescriptors(t) <= descriptors })
+	f.until("the closing of all descriptors", func() bool { return openDescriptors(t) <= descriptors })
 }
 
-// TestHeartbeatWaitsForAList guards against a planner that is put to use before it can order anything.
+// TestHeartbeatWaitsForAList guards against a planner that reports to be ready before it can make assignments.
 func TestHeartbeatWaitsForAList(t *testing.T) {
 	f := start(t, nil, nil)
 	defer f.stop()
@@ -119,20 +119,20 @@
 	}
 }
 
-// TestBadPeers guards against peers that don't speak the protocol, say nothing, or go away: a proxy is served
-// beside them, even where they take up every descriptor.
+// TestBadPeers guards against peers that violate the protocol, send nothing, or disconnect: proxies must still be served, even
+// if such peers use up all descriptors.
 func TestBadPeers(t *testing.T) {
-	f := start(t, func(_ *fleet, c *Config) { c.Limits.Sockets = 64 }, nil) // of which 42 are for connections
+	f := start(t, func(_ *fleet, c *Config) { c.Limits.Sockets = 64 }, nil) // 42 of them for connections
 	defer f.stop()
 	f.until("a list", func() bool { return f.discovery.Watches() > 0 })
-	var strangers []net.Conn
+	var unidentified []net.Conn
 	dial := func(text string) net.Conn {
 		nc, err := net.Dial("tcp", f.planner)
 		if err != nil {
 			t.Fatal(err)
 		}
 		io.WriteString(nc, text)
-		strangers = append(strangers, nc)
+		unidentified = append(unidentified, nc)
 		return nc
 	}
 	for range 100 {
@@ -154,26 +154,26 @@
 	for range 50 {
 		dial("")
 	}
-	for range 50 { // collectors that vanish and come back leave their old connections open
+	for range 50 { // collectors that reconnect without closing their old connections
 		dial(`{"t":"telemetry","zone":"south"}` + "\n")
 	}
-	f.wait("a table beside strangers", p, hasServers("s-0", "s-2"))
+	f.wait("a table despite unidentified peers", p, hasServers("s-0", "s-2"))
 	f.phase("s-0", protocol.PhaseDraining)
-	f.wait("a drain beside strangers", p, lacksServer("s-0"))
+	f.wait("a drain despite unidentified peers", p, lacksServer("s-0"))
 	late := f.proxy(1, "south")
-	f.wait("a table for a proxy that comes late", late, hasServers("s-1", "s-3"))
-	for range 100 { // reports still come through
+	f.wait("a table for a proxy that joins late", late, hasServers("s-1", "s-3"))
+	for range 100 { // reports are still accepted
 		if err := c.Report("s-2", 10, 0, 100, 1000); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for _, nc := range strangers {
+	for _, nc := range unidentified {
 		nc.Close()
 	}
 }
 
-// TestReloadMoves leads a planner from one discovery to the next under a changed file, with a wrong file in between.
-// Guards against a planner that ends on SIGHUP, goes on asking at an address that is closed, or misses a drain.
+// TestReloadMoves changes the discovery address in the file several times, with an invalid file in between. It guards against a
+// planner that ends on SIGHUP, keeps using a closed address, or misses a drain.
 func TestReloadMoves(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	text, err := os.ReadFile(example)
@@ -202,19 +202,20 @@
 		f.discovery = second
 		write(string(text[:len(text)/2])) // half written
 		f.reloads <- syscall.SIGHUP
-		f.until("that file to be looked at", func() bool { return len(f.reloads) == 0 })
+		f.until("the invalid file to be read", func() bool { return len(f.reloads) == 0 })
 		write(strings.Replace(string(text), "127.0.0.1:8500", second.Addr(), 1))
 		f.reloads <- syscall.SIGHUP
 		f.until("a watch at the new address", func() bool { return second.Watches() > 0 })
 		first.Close()
 		f.phase("s-0", protocol.PhaseDraining)
-		f.wait(fmt.Sprint("a drain told by discovery ", round+2), p, lacksServer("s-0"))
+		f.wait(fmt.Sprint("a drain announced by discovery ", round+2), p, lacksServer("s-0"))
 		f.phase("s-0", protocol.PhaseUp)
 		f.wait("its return", p, hasServers("s-0"))
 	}
 }
 
-// TestProbeResults checks what the module is told of probes that are answered, refused, silent and impossible.
+// TestProbeResults checks the results that the module gets for probes that are answered, refused, unanswered and unable to
+// connect.
 func TestProbeResults(t *testing.T) {
 	m := &probingModule{results: make(chan rules.Probed, 10)}
 	f := start(t, func(f *fleet, _ *Config) {
@@ -265,26 +266,26 @@
 	return actions
 }
 
-// panickingModule is a module that panics on its second turn.
+// panickingModule is a module that panics in its second step.
 type panickingModule struct{ steps int }
 
 func (m *panickingModule) Step(float64, []rules.Event) []rules.Action {
 	if m.steps++; m.steps > 1 {
-		panic("lost the thread")
+		panic("invalid state")
 	}
 	return []rules.Action{rules.Timer{Delay: 1}}
 }
 
-// TestModulePanic: a module whose state can't be trusted ends the program, with the cause.
+// TestModulePanic checks that a panic of the only module ends the program with the cause, since its state can't be trusted.
 func TestModulePanic(t *testing.T) {
 	f := start(t, nil, &panickingModule{})
 	select {
 	case err := <-f.ended:
-		if err == nil || !strings.Contains(err.Error(), "lost the thread") {
+		if err == nil || !strings.Contains(err.Error(), "invalid state") {
 			t.Errorf("ended with %v", err)
 		}
 	case <-time.After(testTimeout):
-		t.Error("the program goes on")
+		t.Error("the program continues")
 	}
 	f.ended <- nil
 	f.stop()
--- a/internal/planner/program/roles_test.go
+++ b/internal/planner/program/roles_test.go
@@ -14,7 +14,7 @@
 	"mulleinwood/rules"
 )
 
-// TestRoles lists who may say what.
+// TestRoles checks which messages each role may send.
 func TestRoles(t *testing.T) {
 	messages := []protocol.Message{protocol.Heartbeat{}, protocol.Collector{Zone: "north"}, protocol.Attach{Proxy: 2},
 		protocol.ServerReport{Zone: "north"}, protocol.ServerReport{Zone: "south"}, protocol.UsageReport{Proxy: 2},
@@ -39,14 +39,14 @@
 	}
 }
 
-// unidentifiedPeers are peers that are nobody: with what each sends, and how often over.
+// unidentifiedPeers are peers that never join validly, with the data that each sends.
 var unidentifiedPeers = map[string]struct {
 	text  string
-	after string // sent again and again
+	after string // sent repeatedly
 }{
 	"silent":                {},
 	"half a message":        {text: `{"t":"attach","proxy":1,`},
-	"one that only beats":   {text: `{"t":"hb"}` + "\n", after: `{"t":"hb"}` + "\n"},
+	"only heartbeats":       {text: `{"t":"hb"}` + "\n", after: `{"t":"hb"}` + "\n"},
 	"a message without end": {text: `{"t":"`, after: strings.Repeat("x", 1000)},
 	"bytes without end":     {after: "\x00\xff\x00"},
 	"no such proxy":         {text: `{"t":"attach","proxy":99,"zone":"north","weight":1,"fresh":true}` + "\n"},
@@ -58,8 +58,8 @@
 	"a length of its own":   {text: "\x7f\xff\xff\xff{}"},
 }
 
-// TestUnidentifiedPeersAreClosed guards against peers that are nobody and hold on to descriptors: each is closed by itself, in the page's
-// second or at once, while a proxy that has long joined and says nothing stays.
+// TestUnidentifiedPeersAreClosed guards against unidentified peers that keep descriptors in use: each is disconnected at once or
+// within the join timeout of one second, while a proxy that has joined and sends nothing stays connected.
 func TestUnidentifiedPeersAreClosed(t *testing.T) {
 	f := start(t, nil, nil)
 	defer f.stop()
@@ -100,7 +100,7 @@
 	}
 }
 
-// eventRecorder is a module that hands on what it is told.
+// eventRecorder is a module that passes on the events it receives.
 type eventRecorder chan rules.Event
 
 func (h eventRecorder) Step(_ float64, events []rules.Event) []rules.Action {
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// next returns the next event of one kind.
+// next returns the next event of type E.
 func next[E rules.Event](t *testing.T, h eventRecorder) E {
 	t.Helper()
 	for late := time.After(testTimeout); ; {
@@ -126,8 +126,8 @@
 	}
 }
 
-// TestUnreadableStream guards against a stream that goes on with bytes that are no lines and would stay joined for good:
-// the module hears that it has left, and its proxy may join again. A spoilt line alone ends nothing.
+// TestUnreadableStream guards against a stream that continues with invalid bytes and stays joined for good: the module must be
+// told that the proxy has left, and the proxy may join again. An invalid line alone doesn't end the stream.
 func TestUnreadableStream(t *testing.T) {
 	h := make(eventRecorder, 1000)
 	f := start(t, nil, h)
@@ -139,17 +139,17 @@
 	p.Say(`{"t":"upstream_stats","zone":"north","server":"s-0","tries":1,"failed":0,"mean_ms":1,"span_ms":1000}`)
 	p.Say(`{"t":"client_stats","proxy":2,"class":"lookup","tries":7,"failed":0,"span_ms":1000}`)
 	if d := next[rules.Demand](t, h); d.Proxy != 2 || d.Requests != 7 {
-		t.Errorf("told %+v", d)
+		t.Errorf("received %+v", d)
 	}
 	p.Say("\x01\x02 no line")
 	if left := next[rules.Left](t, h); left.Proxy != 2 {
-		t.Errorf("told %+v", left)
+		t.Errorf("received %+v", left)
 	}
 	if s := p.Wait(func(standin.State) bool { return false }); s.Closed == nil {
 		t.Error("the stream stays")
 	}
 	f.proxy(2, "north")
 	if joined := next[rules.Joined](t, h); joined.Proxy != 2 {
-		t.Errorf("told %+v", joined)
+		t.Errorf("received %+v", joined)
 	}
 }
--- a/internal/planner/program/versions_test.go
+++ b/internal/planner/program/versions_test.go
@@ -14,9 +14,9 @@
 	"mulleinwood/tables"
 )
 
-// TestVersionsOverABadChannel: updates to many proxies are lost, doubled, reordered, cut and flipped at random while servers
-// drain and come back. No proxy ever holds a table that was not sent under that version, and once the channel is good all come
-// into step; proxies that don't ask see lines as ever.
+// TestVersionsOverABadChannel loses, duplicates, reorders, truncates and corrupts updates to many proxies at random while servers
+// drain and return. No proxy may hold a table that was not sent under its version, and all must converge once the channel is
+// reliable. Proxies that don't ask for versions get plain lines.
 func TestVersionsOverABadChannel(t *testing.T) {
 	key := filepath.Join(t.TempDir(), "key")
 	if err := os.WriteFile(key, []byte("a key of the group\n"), 0o600); err != nil {
@@ -54,7 +54,7 @@
 				return nil
 			case 1:
 				return [][]byte{text, text}
-			case 2: // held back until the next
+			case 2: // delayed until the next such update
 				last := *kept
 				*kept = text
 				return [][]byte{last}
@@ -89,7 +89,7 @@
 	for round := range 20 {
 		id := []string{"s-0", "s-1", "s-2", "s-3"}[round/2%4]
 		f.phase(id, []string{"draining", "up"}[round%2])
-		time.Sleep(150 * time.Millisecond) // a pace for the day, no proof
+		time.Sleep(150 * time.Millisecond) // spreads the changes; not needed for correctness
 	}
 	mu.Lock()
 	bad = false
@@ -98,7 +98,7 @@
 	for _, p := range proxies {
 		f.await("a table without the draining server", p,
 			func(s standin.State) bool { return len(s.Table) > 0 && s.Table["s-2"] == 0 })
-		f.until("in step", func() bool {
+		f.until("the newest version", func() bool {
 			in, at := p.InStep()
 			mu.Lock()
 			defer mu.Unlock()
@@ -108,15 +108,15 @@
 	f.wait("plain lines", plain, lacksServer("s-2"))
 	mu.Lock()
 	defer mu.Unlock()
-	t.Logf("%d updates, %d of them spoilt", delivered, corrupted)
+	t.Logf("%d updates, %d of them disturbed", delivered, corrupted)
 	if corrupted < 20 {
-		t.Errorf("only %d updates were spoilt: the day proves nothing", corrupted)
+		t.Errorf("only %d updates were disturbed: too few for a valid test", corrupted)
 	}
 }
 
-// TestRecordOfWhatWasSent: every version sent to proxies that speak lines is in the record, of those that don't ask too; and a
-// record that can't be used stops nothing.
-func TestRecordOfWhatWasSent(t *testing.T) {
+// TestRecordOfSentVersions checks that the record has every version sent over the line protocol, including those to proxies that
+// don't ask for versions, and that an unusable record doesn't stop the planner.
+func TestRecordOfSentVersions(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "record.db")
 	run := func(file string) {
 		f := start(t, func(f *fleet, c *Config) {
@@ -129,7 +129,7 @@
 		f.wait("a table without the draining server", p, lacksServer("s-1"))
 	}
 	run(file)
-	run(file) // another life goes on in the same record
+	run(file) // another incarnation appends to the same record
 	r, err := record.Open(file, nil, true)
 	if err != nil {
 		t.Fatal(err)
@@ -146,7 +146,7 @@
 		return true
 	})
 	if causes["join"] != 2 || causes["removal"] < 2 || len(incarnations) != 2 {
-		t.Errorf("recorded %v in %d lives", causes, len(incarnations))
+		t.Errorf("recorded %v in %d incarnations", causes, len(incarnations))
 	}
 	corruptFile := filepath.Join(t.TempDir(), "spoilt.db")
 	if err := os.WriteFile(corruptFile, []byte("no record"), 0o600); err != nil {
@@ -154,7 +154,7 @@
 	}
 	run(corruptFile)
 	if text, _ := os.ReadFile(corruptFile); string(text) != "no record" {
-		t.Error("the file that can't be used was written over")
+		t.Error("the unusable file was overwritten")
 	}
 }
 
