--- a/internal/planner/options/decode.go
+++ b/internal/planner/options/decode.go
@@ -14,7 +14,7 @@
 	"github.com/tailscale/hujson"
 )
 
-// Error names the place of what is wrong. Lines and columns count from 1, columns in bytes.
+// Error is an error at a place of a settings file. Line and Column count from 1, columns in bytes.
 type Error struct {
 	File         string
 	Line, Column int
@@ -27,78 +27,78 @@
 // Unwrap returns the cause, for errors.Is and errors.As.
 func (e *Error) Unwrap() error { return e.Err }
 
-// reader takes the values of one file into a struct.
-type reader struct {
+// decoder decodes the values of one file into a struct.
+type decoder struct {
 	file   string
 	text   []byte
 	origin map[string]string
 }
 
-func decode(file string, text []byte, to any, origin map[string]string) error {
-	r := reader{file: file, text: text, origin: origin}
+func decode(file string, text []byte, target any, origin map[string]string) error {
+	r := decoder{file: file, text: text, origin: origin}
 	root, err := hujson.Parse(text)
 	if err != nil {
-		return r.syntax(err)
+		return r.syntaxError(err)
 	}
-	return r.take("", root, reflect.ValueOf(to).Elem())
+	return r.decodeValue("", root, reflect.ValueOf(target).Elem())
 }
 
-// syntax turns the parser's error, which names line and column in its text, into one of ours. A file that was cut short
-// is told as such.
-func (r reader) syntax(err error) error {
+// syntaxError converts the parser's error, whose text contains the line and column, to an Error. An error without a place is
+// placed at the end of the file.
+func (d decoder) syntaxError(err error) error {
 	var line, column int
 	text := err.Error()
 	if n, _ := fmt.Sscanf(text, "hujson: line %d, column %d:", &line, &column); n == 2 {
 		_, rest, _ := strings.Cut(text[len("hujson: "):], ": ")
-		return &Error{r.file, line, column, errors.New(rest)}
+		return &Error{d.file, line, column, errors.New(rest)}
 	}
-	return r.fault(len(r.text), errors.New(strings.TrimPrefix(text, "hujson: ")))
+	return d.errorAt(len(d.text), errors.New(strings.TrimPrefix(text, "hujson: ")))
 }
 
-// fault is an error at a place of the text.
-func (r reader) fault(offset int, err error) error {
-	line, column := r.position(offset)
-	return &Error{r.file, line, column, err}
+// errorAt returns an Error at an offset of the text.
+func (d decoder) errorAt(offset int, err error) error {
+	line, column := d.position(offset)
+	return &Error{d.file, line, column, err}
 }
 
-// position is the line and the column of an offset, from 1.
-func (r reader) position(offset int) (line, column int) {
-	before := r.text[:min(max(0, offset), len(r.text))]
+// position returns the line and the column of an offset, from 1.
+func (d decoder) position(offset int) (line, column int) {
+	before := d.text[:min(max(0, offset), len(d.text))]
 	return bytes.Count(before, []byte("\n")) + 1, len(before) - bytes.LastIndexByte(before, '\n')
 }
 
-// at is where a value stands, for people.
-func (r reader) at(offset int) string {
-	line, column := r.position(offset)
-	return fmt.Sprintf("%s:%d:%d", r.file, line, column)
+// location returns the place of a value as "file:line:column".
+func (d decoder) location(offset int) string {
+	line, column := d.position(offset)
+	return fmt.Sprintf("%s:%d:%d", d.file, line, column)
 }
 
-// take reads one value, and notes where it came from.
-func (r reader) take(path string, v hujson.Value, to reflect.Value) error {
+// decodeValue decodes one value and records where it came from.
+func (d decoder) decodeValue(path string, v hujson.Value, target reflect.Value) error {
 	var err error
-	switch to.Kind() {
+	switch target.Kind() {
 	case reflect.Struct:
-		return r.object(path, v, to)
+		return d.decodeObject(path, v, target)
 	case reflect.Bool:
-		err = r.boolean(path, v, to)
+		err = d.decodeBool(path, v, target)
 	case reflect.String:
-		err = r.str(path, v, to)
+		err = d.decodeString(path, v, target)
 	case reflect.Int:
-		err = r.integer(path, v, to)
+		err = d.decodeInt(path, v, target)
 	case reflect.Float64:
-		err = r.float(path, v, to)
+		err = d.decodeFloat(path, v, target)
 	case reflect.Slice:
-		err = r.list(path, v, to)
+		err = d.decodeSlice(path, v, target)
 	default:
-		err = r.fault(v.StartOffset, fmt.Errorf("%s: no way to read a %s", path, to.Kind()))
+		err = d.errorAt(v.StartOffset, fmt.Errorf("%s: no way to read a %s", path, target.Kind()))
 	}
 	if err == nil {
-		r.origin[path] = r.at(v.StartOffset)
+		d.origin[path] = d.location(v.StartOffset)
 	}
 	return err
 }
 
-// The first bytes that the parser's literals are told apart by.
+// The kinds of the parser's literals, which are their first bytes.
 const (
 	trueLiteral   = 't'
 	falseLiteral  = 'f'
@@ -106,61 +106,61 @@
 	numberLiteral = '0'
 )
 
-func (r reader) boolean(path string, v hujson.Value, to reflect.Value) error {
+func (d decoder) decodeBool(path string, v hujson.Value, to reflect.Value) error {
 	literal, ok := v.Value.(hujson.Literal)
 	if !ok || literal.Kind() != trueLiteral && literal.Kind() != falseLiteral {
-		return r.wrong(path, v, "true or false")
+		return d.typeError(path, v, "true or false")
 	}
 	to.SetBool(literal.Bool())
 	return nil
 }
 
-func (r reader) str(path string, v hujson.Value, to reflect.Value) error {
+func (d decoder) decodeString(path string, v hujson.Value, to reflect.Value) error {
 	literal, ok := v.Value.(hujson.Literal)
 	if !ok || literal.Kind() != stringLiteral {
-		return r.wrong(path, v, "a string")
+		return d.typeError(path, v, "a string")
 	}
 	to.SetString(literal.String())
 	return nil
 }
 
-func (r reader) integer(path string, v hujson.Value, to reflect.Value) error {
+func (d decoder) decodeInt(path string, v hujson.Value, to reflect.Value) error {
 	literal, ok := v.Value.(hujson.Literal)
 	if !ok || literal.Kind() != numberLiteral {
-		return r.wrong(path, v, "a number")
+		return d.typeError(path, v, "a number")
 	}
 	var n int64
 	if json.Unmarshal(literal, &n) != nil {
-		return r.wrong(path, v, "a whole number")
+		return d.typeError(path, v, "a whole number")
 	}
 	to.SetInt(n)
 	return nil
 }
 
-func (r reader) float(path string, v hujson.Value, to reflect.Value) error {
+func (d decoder) decodeFloat(path string, v hujson.Value, to reflect.Value) error {
 	literal, ok := v.Value.(hujson.Literal)
 	if !ok || literal.Kind() != numberLiteral {
-		return r.wrong(path, v, "a number")
+		return d.typeError(path, v, "a number")
 	}
 	to.SetFloat(literal.Float())
 	return nil
 }
 
-func (r reader) list(path string, v hujson.Value, to reflect.Value) error {
+func (d decoder) decodeSlice(path string, v hujson.Value, to reflect.Value) error {
 	array, ok := v.Value.(*hujson.Array)
 	if !ok {
-		return r.wrong(path, v, "a list")
+		return d.typeError(path, v, "a list")
 	}
 	to.Set(reflect.MakeSlice(to.Type(), len(array.Elements), len(array.Elements)))
 	for i, element := range array.Elements {
-		if err := r.take(fmt.Sprintf("%s[%d]", path, i), element, to.Index(i)); err != nil {
+		if err := d.decodeValue(fmt.Sprintf("%s[%d]", path, i), element, to.Index(i)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r reader) wrong(path string, v hujson.Value, wanted string) error {
+func (d decoder) typeError(path string, v hujson.Value, wanted string) error {
 	got := strings.TrimSpace(string(v.Pack()))
 	if len(got) > 40 {
 		got = got[:40] + "…"
@@ -168,40 +168,40 @@
 	if path == "" {
 		path = "the file"
 	}
-	return r.fault(v.StartOffset, fmt.Errorf("%s must be %s, not %s", path, wanted, got))
+	return d.errorAt(v.StartOffset, fmt.Errorf("%s must be %s, not %s", path, wanted, got))
 }
 
-// object reads the members of an object. Unknown and double keys are errors, and so are values out of range.
-func (r reader) object(path string, v hujson.Value, to reflect.Value) error {
+// decodeObject decodes the members of an object. Unknown or duplicate keys and values out of range are errors.
+func (d decoder) decodeObject(path string, v hujson.Value, to reflect.Value) error {
 	object, ok := v.Value.(*hujson.Object)
 	if !ok {
-		return r.wrong(path, v, "an object")
+		return d.typeError(path, v, "an object")
 	}
 	seen := map[string]bool{}
 	for _, member := range object.Members {
 		key := member.Name.Value.(hujson.Literal).String()
 		inner := strings.TrimPrefix(path+"."+key, ".")
 		if seen[key] {
-			return r.fault(member.Name.StartOffset, fmt.Errorf("%s is there twice", inner))
+			return d.errorAt(member.Name.StartOffset, fmt.Errorf("%s is there twice", inner))
 		}
 		seen[key] = true
-		field, known := fieldOf(to.Type(), key)
+		field, known := fieldByKey(to.Type(), key)
 		if !known {
-			return r.fault(member.Name.StartOffset, fmt.Errorf("unknown key %q; known here: %s", inner,
-				strings.Join(keys(to.Type()), ", ")))
+			return d.errorAt(member.Name.StartOffset, fmt.Errorf("unknown key %q; known here: %s", inner,
+				strings.Join(fieldKeys(to.Type()), ", ")))
 		}
 		value := to.FieldByIndex(field.Index)
-		if err := r.take(inner, member.Value, value); err != nil {
+		if err := d.decodeValue(inner, member.Value, value); err != nil {
 			return err
 		}
-		if err := within(field, value); err != nil {
-			return r.fault(member.Value.StartOffset, fmt.Errorf("%s %w", inner, err))
+		if err := checkRange(field, value); err != nil {
+			return d.errorAt(member.Value.StartOffset, fmt.Errorf("%s %w", inner, err))
 		}
 	}
 	return nil
 }
 
-func fieldOf(t reflect.Type, key string) (reflect.StructField, bool) {
+func fieldByKey(t reflect.Type, key string) (reflect.StructField, bool) {
 	for field := range t.Fields() {
 		if field.Tag.Get("json") == key {
 			return field, true
@@ -210,15 +210,15 @@
 	return reflect.StructField{}, false
 }
 
-func keys(t reflect.Type) (list []string) {
+func fieldKeys(t reflect.Type) (list []string) {
 	for field := range t.Fields() {
 		list = append(list, field.Tag.Get("json"))
 	}
 	return list
 }
 
-// within checks a value against the tags of its field: least and most for numbers, one for strings.
-func within(field reflect.StructField, v reflect.Value) error {
+// checkRange checks a value against the tags of its field: least and most for numbers, one for the choices of a string.
+func checkRange(field reflect.StructField, v reflect.Value) error {
 	if choices := field.Tag.Get("one"); choices != "" && !slices.Contains(strings.Split(choices, ","), v.String()) {
 		return fmt.Errorf("is %q; it may be %s", v.String(), strings.ReplaceAll(choices, ",", ", "))
 	}
@@ -226,10 +226,10 @@
 	if least == "" {
 		return nil
 	}
-	figure := v.Convert(reflect.TypeFor[float64]()).Float()
+	number := v.Convert(reflect.TypeFor[float64]()).Float()
 	low, _ := strconv.ParseFloat(least, 64)
 	high, _ := strconv.ParseFloat(most, 64)
-	if math.IsNaN(figure) || figure < low || figure > high {
+	if math.IsNaN(number) || number < low || number > high {
 		return fmt.Errorf("is %v; it may be %s to %s", v.Interface(), least, most)
 	}
 	return nil
--- a/internal/planner/options/options.go
+++ b/internal/planner/options/options.go
@@ -1,5 +1,5 @@
-// Package options holds the program's own settings: what the platform's configuration doesn't speak of. They stand in a
-// file of JSON with comments, are strict, and each is safe on the platform if the file says nothing of it.
+// Package options holds the program's own settings, which the platform's configuration doesn't cover. They are read from a file
+// of JSON with comments and checked strictly. Each has a default that is safe on the platform.
 package options
 
 import (
@@ -9,7 +9,7 @@
 	"os"
 )
 
-// DefaultFile is read if no other is named. It may be missing.
+// DefaultFile is the file that is read if no other is named. It may be missing.
 const DefaultFile = "deploy/mulleinwood.jsonc"
 
 // Options are the program's own settings.
@@ -20,71 +20,72 @@
 	Versions Versions `json:"versions"`
 }
 
-// Versions says whether proxies that ask for them when they join get versioned updates.
+// Versions configures versioned updates, which proxies get if they ask for them when they join.
 type Versions struct {
 	Enabled bool `json:"enabled"`
-	// KeyFile holds the key that makes updates authentic; empty: they are guarded against accidents only.
+	// KeyFile is the file with the key that authenticates updates. If it is empty, updates are only protected against accidental
+	// corruption.
 	KeyFile string `json:"key_file"`
 	Record  Record `json:"record"`
 }
 
-// Record says where what is sent to proxies that speak lines is kept.
+// Record configures the record of the updates sent to proxies that use the line protocol.
 type Record struct {
-	// File is the store; empty: nothing is kept. It needs a disk that lasts.
+	// File is the record's file, which must be on a persistent disk. If it is empty, no record is kept.
 	File string `json:"file"`
-	// Entries is how many are kept at most, AgeHours how old they get.
+	// Entries is the maximum number of entries, and AgeHours their maximum age in hours.
 	Entries  int     `json:"entries" least:"100" most:"100000000"`
 	AgeHours float64 `json:"age_hours" least:"0.1" most:"87600"`
 }
 
-// GRPC says how the gRPC front is served, at the planner's own address.
+// GRPC configures the gRPC frontend, which is served at the planner's own address.
 type GRPC struct {
 	Enabled bool `json:"enabled"`
-	// ProbeServers lets probes try grpc.health.v1 and ORCA where a server doesn't answer HTTP/1.1.
+	// ProbeServers enables probes by grpc.health.v1 and ORCA for servers that don't answer HTTP/1.1.
 	ProbeServers bool `json:"probe_servers"`
 	TLS          TLS  `json:"tls"`
 }
 
-// TLS is that of the gRPC front. Without a certificate there is none.
+// TLS configures TLS of the gRPC frontend. Without a certificate, TLS is disabled.
 type TLS struct {
-	Certificate string `json:"certificate"` // PEM file, the chain
-	Key         string `json:"key"`         // PEM file
-	ClientCA    string `json:"client_ca"`   // PEM file; clients must show a certificate that it signs
-	Roles       []Role `json:"roles"`       // who may be what, by the names in client certificates; none: anybody anything
+	Certificate string `json:"certificate"` // PEM file with the certificate chain
+	Key         string `json:"key"`         // PEM file with the private key
+	ClientCA    string `json:"client_ca"`   // PEM file; clients must present a certificate signed by it
+	Roles       []Role `json:"roles"`       // roles by the names in client certificates; if empty, any client may have any role
 }
 
-// Role lets clients whose certificate has a name be something.
+// Role permits a role to clients whose certificate has a name.
 type Role struct {
-	Name string `json:"name"` // a DNS name of the certificate; "*.x" stands for every name right below x
+	Name string `json:"name"` // a DNS name of the certificate; "*.x" matches every name directly below x
 	Role string `json:"role" one:"proxy,collector"`
 }
 
-// Cores say how one planner uses several cores.
+// Cores configures the use of several cores by one planner.
 type Cores struct {
-	// Count is how many cores decide. What the platform grants (limits.cores) cuts it.
+	// Count is the number of cores that run the decision module. It is limited by the platform's limits.cores.
 	Count int `json:"count" least:"1" most:"64"`
-	// ConfirmMS is how long a core may take to confirm a change of the list, in milliseconds; 0: a quarter of the grace.
-	ConfirmMS float64 `json:"confirm_ms" least:"0" most:"60000"`
-	// MovesPerS is how many proxies a second may be moved to even out the cores; 0: none.
-	MovesPerS int `json:"moves_per_s" least:"0" most:"1000"`
-	// RestMS is how long a core that stalled or crashed is left out, in milliseconds; doubled each time.
-	RestMS float64 `json:"rest_ms" least:"100" most:"3600000"`
+	// ConfirmMS is how long a core may take to confirm a list change, in milliseconds. 0 means a quarter of the drain grace.
+	ConfirmTimeoutMS float64 `json:"confirm_ms" least:"0" most:"60000"`
+	// MovesPerS is the most proxies per second that may be moved to balance the cores. 0 disables moves.
+	MovesPerSecond int `json:"moves_per_s" least:"0" most:"1000"`
+	// RestMS is how long a core stays out after a stall or crash, in milliseconds. It doubles each time.
+	RestartDelayMS float64 `json:"rest_ms" least:"100" most:"3600000"`
 }
 
-// Default is what holds where nothing is said.
+// Default returns the default settings.
 func Default() Options {
-	return Options{Cores: Cores{Count: 1, MovesPerS: 8, RestMS: 10000}, GRPC: GRPC{TLS: TLS{Roles: []Role{}}},
+	return Options{Cores: Cores{Count: 1, MovesPerSecond: 8, RestartDelayMS: 10000}, GRPC: GRPC{TLS: TLS{Roles: []Role{}}},
 		Versions: Versions{Record: Record{Entries: 100000, AgeHours: 168}}}
 }
 
-// Loaded are options and where each value came from.
+// Loaded is a set of options and the origin of each value.
 type Loaded struct {
 	Options
-	File   string            // that was read; "": none
-	Origin map[string]string // by path, as in "cores.count"; what is missing has its default
+	File   string            // the file that was read; empty if none
+	Origin map[string]string // "file:line:column" by path, such as "cores.count"; without an entry, the value is the default
 }
 
-// LoadIfPresent reads a file as Load does. Where there is none, the defaults hold.
+// LoadIfPresent reads a file as Load does, or returns the defaults if the file doesn't exist.
 func LoadIfPresent(file string) (Loaded, error) {
 	if _, err := os.Stat(file); errors.Is(err, fs.ErrNotExist) {
 		return Loaded{Options: Default(), Origin: map[string]string{}}, nil
@@ -92,7 +93,7 @@
 	return Load(file)
 }
 
-// Load reads a file. Its error says what can't be read, and where.
+// Load reads a file. An error in its contents is an *Error with the place.
 func Load(file string) (Loaded, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/planner/options/options_test.go
+++ b/internal/planner/options/options_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// TestBadFiles guards against settings that are half understood: each fault is one line that names file, line and column.
+// TestBadFiles guards against settings that are only partly understood. Each error is one line with the file, line and column.
 func TestBadFiles(t *testing.T) {
-	for name, tc := range map[string]struct{ text, says string }{
+	for name, tc := range map[string]struct{ text, want string }{
 		"unknown key":       {"{\n  // so\n  \"cores\": {\"kount\": 2}\n}", `:3:13: unknown key "cores.kount"; known here: count, confirm_ms`},
 		"wrong type":        {"{\"cores\": {\"count\": \"two\"}}", `:1:21: cores.count must be a number, not "two"`},
 		"no whole number":   {"{\"cores\": {\"count\": 1.5}}", ":1:21: cores.count must be a whole number, not 1.5"},
@@ -31,8 +31,8 @@
 			}
 			_, err := Load(file)
 			var at *Error
-			if !errors.As(err, &at) || !strings.Contains(err.Error(), tc.says) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v; want one line with %s", err, tc.says)
+			if !errors.As(err, &at) || !strings.Contains(err.Error(), tc.want) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v; want one line with %s", err, tc.want)
 			}
 		})
 	}
@@ -41,17 +41,17 @@
 func TestMissingFileAndFolder(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "none.jsonc")
 	if _, err := Load(missing); err == nil {
-		t.Error("a named file that is missing is no error")
+		t.Error("a missing file that was named is not an error")
 	}
 	if l, err := LoadIfPresent(missing); err != nil || !reflect.DeepEqual(l.Options, Default()) {
 		t.Errorf("%+v, %v; want the defaults", l.Options, err)
 	}
 	if _, err := LoadIfPresent(t.TempDir()); err == nil {
-		t.Error("a folder is no error")
+		t.Error("a folder is not an error")
 	}
 }
 
-// TestShippedFile guards against a file of the repository that says something else than the defaults, or can't be read.
+// TestShippedFile guards against a file in the repository that differs from the defaults or can't be read.
 func TestShippedFile(t *testing.T) {
 	l, err := Load("../../../" + DefaultFile)
 	if err != nil || !reflect.DeepEqual(l.Options, Default()) {
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestValuesTellTheirOrigin(t *testing.T) {
+func TestValuesHaveOrigins(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "own.jsonc")
 	if err := os.WriteFile(file, []byte("{\n  \"cores\": {\"count\": 4}, // all of them\n}"), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/planner/options/show.go
+++ b/internal/planner/options/show.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Value is one setting in force.
+// Value is the current value of one setting.
 type Value struct {
 	Path   string `json:"path"`
 	Value  any    `json:"value"`
@@ -13,7 +13,7 @@
 	Range  string `json:"range,omitempty"`
 }
 
-// Values lists all settings in the order of the file, each with where it came from.
+// Values returns all settings with their origins, in the order of the struct fields.
 func (l Loaded) Values() []Value { return l.values("", reflect.ValueOf(l.Options)) }
 
 func (l Loaded) values(path string, v reflect.Value) (list []Value) {
--- a/internal/planner/program/cores_test.go
+++ b/internal/planner/program/cores_test.go
@@ -21,7 +21,7 @@
 func startOnCores(t *testing.T, n int, wrap func(core, incarnation int, module coreModule) coreModule) *fleet {
 	return start(t, func(f *fleet, c *Config) {
 		f.wrap = wrap
-		c.Options.Cores.Count, c.Options.Cores.MovesPerS, c.Options.Cores.RestMS, c.Limits.Cores = n, 8, 300, float64(n)
+		c.Options.Cores.Count, c.Options.Cores.MovesPerSecond, c.Options.Cores.RestartDelayMS, c.Limits.Cores = n, 8, 300, float64(n)
 		c.Settings.Rules.Proxies = 8 * n
 	}, nil)
 }
@@ -198,7 +198,7 @@
 	modules, wrap := newStallableModules(2)
 	f := start(t, func(f *fleet, c *Config) {
 		f.wrap = wrap
-		c.Options.Cores = options.Cores{Count: 2, RestMS: 300}
+		c.Options.Cores = options.Cores{Count: 2, RestartDelayMS: 300}
 		c.Limits.Cores, c.Settings.Rules.Proxies = 2, 16
 		c.getenv = env(envConfig, path, envListen, "127.0.0.1:0", envDiscovery, c.Discovery)
 	}, nil)
--- a/internal/planner/program/front_test.go
+++ b/internal/planner/program/front_test.go
@@ -26,7 +26,7 @@
 func startWithGRPC(t *testing.T, cores int, change func(*fleet, *Config)) *fleet {
 	return start(t, func(f *fleet, c *Config) {
 		c.Options.GRPC = options.GRPC{Enabled: true, ProbeServers: true}
-		c.Options.Cores = options.Cores{Count: cores, RestMS: 300}
+		c.Options.Cores = options.Cores{Count: cores, RestartDelayMS: 300}
 		c.Limits.Cores = float64(cores)
 		c.Settings.Rules.Proxies = 8 * cores
 		if change != nil {
--- a/internal/planner/program/host.go
+++ b/internal/planner/program/host.go
@@ -80,7 +80,7 @@
 func newSupervisor(ctx context.Context, c Config, coreCount int, outgoing *calls,
 	newModule func(core, incarnation int) coreModule, log zerolog.Logger) *supervisor {
 	r := c.Settings.Rules
-	confirm := c.Options.Cores.ConfirmMS
+	confirm := c.Options.Cores.ConfirmTimeoutMS
 	if confirm == 0 {
 		confirm = max(minConfirmMS, confirmFraction*r.DrainGrace)
 	}
@@ -96,7 +96,7 @@
 	s.hasList.Store(len(c.Known.Members) > 0)
 	s.assigner = cores.NewAssigner(cores.Settings{Cores: coreCount, Zones: len(c.Settings.ZoneNames), QueueLines: r.QueueLines,
 		LinesPerSec:    r.LinesPerSec,
-		ConfirmTimeout: confirm, MovesPerSecond: c.Options.Cores.MovesPerS, RestartDelay: c.Options.Cores.RestMS}, s.now())
+		ConfirmTimeout: confirm, MovesPerSecond: c.Options.Cores.MovesPerSecond, RestartDelay: c.Options.Cores.RestartDelayMS}, s.now())
 	return s
 }
 
