--- a/internal/planner/program/cores_test.go
+++ b/internal/planner/program/cores_test.go
@@ -21,7 +21,8 @@
 func startOnCores(t *testing.T, n int, wrap func(core, incarnation int, module coreModule) coreModule) *fleet {
 	return start(t, func(f *fleet, c *Config) {
 		f.wrap = wrap
-		c.Options.Cores.Count, c.Options.Cores.MovesPerSecond, c.Options.Cores.RestartDelayMS, c.Limits.Cores = n, 8, 300, float64(n)
+		c.Options.Cores.Count, c.Options.Cores.MovesPerSecond, c.Options.Cores.RestartDelayMS, c.Limits.Cores = n, 8, 300,
+			float64(n)
 		c.Settings.Rules.Proxies = 8 * n
 	}, nil)
 }
--- a/internal/planner/program/host.go
+++ b/internal/planner/program/host.go
@@ -96,7 +96,8 @@
 	s.hasList.Store(len(c.Known.Members) > 0)
 	s.assigner = cores.NewAssigner(cores.Settings{Cores: coreCount, Zones: len(c.Settings.ZoneNames), QueueLines: r.QueueLines,
 		LinesPerSec:    r.LinesPerSec,
-		ConfirmTimeout: confirm, MovesPerSecond: c.Options.Cores.MovesPerSecond, RestartDelay: c.Options.Cores.RestartDelayMS}, s.now())
+		ConfirmTimeout: confirm, MovesPerSecond: c.Options.Cores.MovesPerSecond,
+		RestartDelay: c.Options.Cores.RestartDelayMS}, s.now())
 	return s
 }
 
