--- a/internal/planner/program/calls.go
+++ b/internal/planner/program/calls.go
@@ -15,41 +15,42 @@
 )
 
 const (
-	// watchTimeout is how long a watch may be silent. The protocol writes a line every 2 s while nothing changes;
-	// a quarter more than that is a watch that is dead. A call to discovery that isn't answered is held to it too.
+	// watchTimeout is the idle timeout of a watch. Discovery writes a line at least every 2 s, so a watch without one for a
+	// quarter longer is dead. The timeout also applies to discovery calls that get no response.
 	watchTimeout = 2500 * time.Millisecond
 
-	maxProbes   = 16        // at once, over all servers
-	maxResponse = 256 << 10 // most that may wait of an answer not yet understood
+	maxConcurrentProbes = 16        // concurrent probes over all servers
+	maxBufferedResponse = 256 << 10 // most bytes buffered of a response that isn't decoded yet
 )
 
-// errEnded is the end of a call that went well, and of a watch that its other side has ended.
+// errEnded reports that a call completed, or that discovery ended a watch normally.
 var errEnded = errors.New("ended in good order")
 
-// calls asks discovery and servers. Each call has a goroutine of its own, which ends with the call.
+// calls implements routing.Calls with requests to discovery and to servers. Each call has its own goroutine, which ends with
+// the call.
 type calls struct {
-	ctx       context.Context
-	discovery string // the loop's own, as the calls of its methods
-	connect   time.Duration
-	post      func(routing.Event)
-	group     *sync.WaitGroup
-	probes    chan struct{}
-	asker     *asker
-	log       zerolog.Logger // bounded
-
-	mu   sync.Mutex
-	ends map[uint64]context.CancelFunc // of the calls to discovery that are under way
+	ctx            context.Context
+	discovery      string // used only by the routing goroutine, as are Watch, Fetch and SetDiscovery
+	connectTimeout time.Duration
+	post           func(routing.Event)
+	group          *sync.WaitGroup
+	probeSlots     chan struct{}
+	prober         *serverProber
+	log            zerolog.Logger // rate-limited
+
+	mu      sync.Mutex
+	cancels map[uint64]context.CancelFunc // of the discovery calls in flight, by call number
 }
 
-func (c *calls) ask(call uint64, request []byte, answer *protocol.HTTPExchange) {
-	ctx, end := context.WithCancel(c.ctx)
+func (c *calls) startCall(call uint64, request []byte, response *protocol.HTTPExchange) {
+	ctx, cancel := context.WithCancel(c.ctx)
 	c.mu.Lock()
-	c.ends[call] = end
+	c.cancels[call] = cancel
 	c.mu.Unlock()
-	task := transport.Call{Address: c.discovery, ConnectTimeout: c.connect, IdleTimeout: watchTimeout,
-		Request: request, MaxBuffered: maxResponse}
+	exchange := transport.Call{Address: c.discovery, ConnectTimeout: c.connectTimeout, IdleTimeout: watchTimeout,
+		Request: request, MaxBuffered: maxBufferedResponse}
 	c.group.Go(func() {
-		err := task.Do(ctx, answer)
+		err := exchange.Do(ctx, response)
 		c.Cancel(call)
 		if err == nil {
 			err = errEnded
@@ -58,28 +59,28 @@
 	})
 }
 
-// Cancel implements routing.Calls: it closes the call's connection, if the call is still under way.
+// Cancel implements routing.Calls. It closes the call's connection if the call is still in flight.
 func (c *calls) Cancel(call uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if end := c.ends[call]; end != nil {
-		delete(c.ends, call)
-		end()
+	if cancel := c.cancels[call]; cancel != nil {
+		delete(c.cancels, call)
+		cancel()
 	}
 }
 
 // SetDiscovery implements routing.Calls.
 func (c *calls) SetDiscovery(discovery string) { c.discovery = discovery }
 
-// take returns what reads one list and posts it.
-func (c *calls) take(call uint64) func([]byte) error {
+// listHandler returns a function that decodes one list and posts it.
+func (c *calls) listHandler(call uint64) func([]byte) error {
 	return func(text []byte) error {
-		list, odd, err := protocol.DecodeList(text)
+		list, invalid, err := protocol.DecodeList(text)
 		if err != nil {
 			return err
 		}
-		if odd > 0 {
-			c.log.Warn().Int("entries", odd).Int64("revision", list.Revision).Msg("odd entries in the list")
+		if invalid > 0 {
+			c.log.Warn().Int("entries", invalid).Int64("revision", list.Revision).Msg("odd entries in the list")
 		}
 		c.post(routing.ListReceived{Call: call, List: list})
 		return nil
@@ -87,14 +88,14 @@
 }
 
 func (c *calls) Watch(call uint64, from int64) {
-	request, answer := protocol.WatchRequest(c.discovery, from,
-		func() { c.post(routing.WatchStarted{Call: call}) }, c.take(call))
-	c.ask(call, request, answer)
+	request, response := protocol.WatchRequest(c.discovery, from,
+		func() { c.post(routing.WatchStarted{Call: call}) }, c.listHandler(call))
+	c.startCall(call, request, response)
 }
 
 func (c *calls) Fetch(call uint64) {
-	request, answer := protocol.FetchRequest(c.discovery, c.take(call))
-	c.ask(call, request, answer)
+	request, response := protocol.FetchRequest(c.discovery, c.listHandler(call))
+	c.startCall(call, request, response)
 }
 
 // Probe implements routing.Calls.
@@ -105,17 +106,17 @@
 	})
 }
 
-// probe asks a server for its health, and tells of the answer.
-func (c *calls) probe(address string, load bool, then func(routing.Probed)) {
+// probe sends a health check to a server and passes the result to handle, unless the context ends first.
+func (c *calls) probe(address string, load bool, handle func(routing.Probed)) {
 	c.group.Go(func() {
 		select {
-		case c.probes <- struct{}{}:
-			defer func() { <-c.probes }()
+		case c.probeSlots <- struct{}{}:
+			defer func() { <-c.probeSlots }()
 		case <-c.ctx.Done():
 			return
 		}
-		if result, cancelled := c.asker.ask(c.ctx, address, load); !cancelled {
-			then(result)
+		if result, cancelled := c.prober.probe(c.ctx, address, load); !cancelled {
+			handle(result)
 		}
 	})
 }
--- a/internal/planner/program/config.go
+++ b/internal/planner/program/config.go
@@ -1,5 +1,5 @@
-// Package program is the planner as one process: it reads its configuration, opens its sockets and lets routing
-// run until it is told to stop.
+// Package program runs the planner as one process: it reads the configuration, opens the sockets and runs routing until its
+// context is done.
 package program
 
 import (
@@ -18,7 +18,7 @@
 	"mulleinwood/tables"
 )
 
-// The variables that name the planner's surroundings.
+// The environment variables of the planner. All but envConfig override entries of the configuration file.
 const (
 	envName      = "NODE_NAME"
 	envListen    = "NODE_LISTEN"
@@ -26,7 +26,7 @@
 	envConfig    = "NODE_CONFIG"
 )
 
-// Config is all that a planner is told before it starts.
+// Config is the configuration of a planner.
 type Config struct {
 	Name      string
 	Listen    string
@@ -35,18 +35,18 @@
 	Limits    Limits
 	Known     protocol.List
 	Settings  settings.Settings
-	Own       options.Options // the program's own settings, beside the platform's
+	Options   options.Options // the program's own settings, in addition to the platform's
 
-	sent   func(tables.Update) // see versions.sent
-	getenv func(string) string
-	stated addresses // in the file, whatever the variables say
+	onSent   func(tables.Update) // see versionTracker.onSent
+	getenv   func(string) string
+	fromFile addresses // as in the file, without the environment variables
 }
 
-// addresses are the entries of the file that a variable may win over.
+// addresses are the entries of the file that environment variables override.
 type addresses struct{ name, listen, discovery string }
 
-// LoadConfig reads the file that NODE_CONFIG names. A variable that is set wins over what the file says of the
-// same thing, so that an operator can move one planner without another file.
+// LoadConfig reads the file that NODE_CONFIG names. An environment variable that is set overrides the file's entry, so that an
+// operator can move one planner without changing the file.
 func LoadConfig(getenv func(string) string) (Config, error) {
 	path := getenv(envConfig)
 	if path == "" {
@@ -68,17 +68,17 @@
 	if err := json.Unmarshal(text, &file); err != nil {
 		return Config{}, fmt.Errorf("%s: %w", path, err)
 	}
-	c := Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Seed: seed(file.Seed),
-		Limits: file.Limits, getenv: getenv, stated: addresses{file.Name, file.Listen, file.Discovery}}
+	c := Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Seed: parseSeed(file.Seed),
+		Limits: file.Limits, getenv: getenv, fromFile: addresses{file.Name, file.Listen, file.Discovery}}
 	for name, to := range map[string]*string{envName: &c.Name, envListen: &c.Listen, envDiscovery: &c.Discovery} {
 		if value := getenv(name); value != "" {
 			*to = value
 		}
 	}
-	for _, a := range []struct{ value, variable, key string }{
+	for _, entry := range []struct{ value, variable, key string }{
 		{c.Listen, envListen, "listen"}, {c.Discovery, envDiscovery, "discovery"}} {
-		if err := checkAddress(a.value); err != nil {
-			return Config{}, fmt.Errorf("%s (or %q in %s): %w", a.variable, a.key, path, err)
+		if err := checkAddress(entry.value); err != nil {
+			return Config{}, fmt.Errorf("%s (or %q in %s): %w", entry.variable, entry.key, path, err)
 		}
 	}
 	if c.Limits.Cores < 0 || c.Limits.MemoryMB < 0 || c.Limits.Sockets < 0 {
@@ -98,7 +98,7 @@
 	return c, nil
 }
 
-// CheckConfig says what is wrong with a configuration file, whatever the variables say.
+// CheckConfig returns the first error in a configuration file, without regard to the environment variables.
 func CheckConfig(file string) error {
 	_, err := LoadConfig(func(name string) string {
 		if name == envConfig {
@@ -109,31 +109,31 @@
 	return err
 }
 
-// Reload reads the configuration again, as it stands now. Discovery's address is taken from the file if the file says
-// something else of it than when it was read before: what an operator has changed since the start wins over a variable,
-// which can't change. Otherwise it stays. The second result names the entries that differ and need a new start.
-func (c Config) Reload() (next Config, fixed []string, err error) {
+// Reload reads the configuration again. Discovery's address is taken from the file if the entry has changed since the file was
+// last read: an operator's change after the start overrides the environment variable, which can't change. Otherwise the address
+// stays. needRestart names the changed entries that take effect only after a restart.
+func (c Config) Reload() (next Config, needRestart []string, err error) {
 	if next, err = LoadConfig(c.getenv); err != nil {
 		return Config{}, nil, err
 	}
-	if next.Discovery = c.Discovery; next.stated.discovery != c.stated.discovery && next.stated.discovery != "" {
-		if err := checkAddress(next.stated.discovery); err != nil {
+	if next.Discovery = c.Discovery; next.fromFile.discovery != c.fromFile.discovery && next.fromFile.discovery != "" {
+		if err := checkAddress(next.fromFile.discovery); err != nil {
 			return Config{}, nil, fmt.Errorf("discovery: %w", err)
 		}
-		next.Discovery = next.stated.discovery
+		next.Discovery = next.fromFile.discovery
 	}
 	for _, entry := range []struct {
 		name string
 		same bool
 	}{
-		{"name", next.stated.name == c.stated.name}, {"listen", next.stated.listen == c.stated.listen},
+		{"name", next.fromFile.name == c.fromFile.name}, {"listen", next.fromFile.listen == c.fromFile.listen},
 		{"seed", next.Seed == c.Seed}, {"settings", reflect.DeepEqual(next.Settings, c.Settings)},
 	} {
 		if !entry.same {
-			fixed = append(fixed, entry.name)
+			needRestart = append(needRestart, entry.name)
 		}
 	}
-	return next, fixed, nil
+	return next, needRestart, nil
 }
 
 func checkAddress(address string) error {
@@ -150,8 +150,8 @@
 	return nil
 }
 
-// seed takes any text: sixteen hexadecimal digits as they are, others by their hash.
-func seed(text string) uint64 {
+// parseSeed returns the seed for a text: the value of up to sixteen hexadecimal digits, or the hash of any other text.
+func parseSeed(text string) uint64 {
 	if n, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return n
 	}
--- a/internal/planner/program/front_health.go
+++ b/internal/planner/program/front_health.go
@@ -11,13 +11,14 @@
 	"mulleinwood/internal/planner/transport"
 )
 
-// Check implements the health service: the planner serves once it can make orders, as a heartbeat is answered then.
+// Check implements the health service. The planner is serving once it can make assignments; heartbeats are answered from then
+// on.
 func (f *frontend) Check(ctx context.Context, _ *healthpb.HealthCheckRequest) (*healthpb.HealthCheckResponse, error) {
-	p := &heartbeatPeer{mutePeer: mutePeer{id: transport.NextID()}, said: make(chan bool, 1)}
+	p := &heartbeatPeer{readOnlyPeer: readOnlyPeer{id: transport.NextID()}, answers: make(chan bool, 1)}
 	f.post(routing.MessageReceived{Peer: p, Message: protocol.Heartbeat{}})
 	defer f.post(routing.Disconnected{Peer: p})
 	select {
-	case serving := <-p.said:
+	case serving := <-p.answers:
 		if serving {
 			return &healthpb.HealthCheckResponse{Status: healthpb.HealthCheckResponse_SERVING}, nil
 		}
@@ -27,25 +28,25 @@
 	}
 }
 
-// heartbeatPeer asks once whether orders can be made.
+// heartbeatPeer is the sender of a single heartbeat, which routing answers if it can make assignments.
 type heartbeatPeer struct {
-	mutePeer
-	said chan bool
+	readOnlyPeer
+	answers chan bool
 }
 
 // AnswerHeartbeat implements routing.Peer.
 func (p *heartbeatPeer) AnswerHeartbeat() error {
-	p.answer(true)
+	p.reply(true)
 	return nil
 }
 
 // DeferHeartbeat implements routing.Peer.
-func (p *heartbeatPeer) DeferHeartbeat() { p.answer(false) }
+func (p *heartbeatPeer) DeferHeartbeat() { p.reply(false) }
 
-// answer hands on the first answer; later ones are dropped.
-func (p *heartbeatPeer) answer(serving bool) {
+// reply passes on the first answer and drops later ones.
+func (p *heartbeatPeer) reply(serving bool) {
 	select {
-	case p.said <- serving:
+	case p.answers <- serving:
 	default:
 	}
 }
--- a/internal/planner/program/front_limits_test.go
+++ b/internal/planner/program/front_limits_test.go
@@ -19,10 +19,10 @@
 	"mulleinwood/internal/planner/xds"
 )
 
-// TestUnreadStreamEndsAlone: a stream that leaves too much unread ends by the rule that exists; the other streams of its
-// connection go on.
+// TestUnreadStreamEndsAlone checks that a stream with too much unread data is closed while the other streams of its connection
+// continue.
 func TestUnreadStreamEndsAlone(t *testing.T) {
-	f := withFront(t, 1, nil)
+	f := startWithGRPC(t, 1, nil)
 	defer f.stop()
 	client, err := standin.Dial(f.planner, nil)
 	if err != nil {
@@ -46,15 +46,15 @@
 		t.Fatal(err)
 	}
 	peer := &xdsPeer{cancel: func() {}, wake: make(chan struct{}, 1), now: clock(), machine: newJoinedMachine(t)}
-	for i := 0; peer.reason() == nil; i++ {
+	for i := 0; peer.reasonClosed() == nil; i++ {
 		peer.Assign(protocol.Assignment{Rows: []protocol.Row{{Server: strings.Repeat("s", 1000) + string(rune('a'+i%26)),
 			Weight: 1, Zone: "north"}}})
 		if i > 10000 {
-			t.Fatal("what is unread has no end")
+			t.Fatal("the unread data is not limited")
 		}
 	}
 	if err := peer.Assign(protocol.Assignment{Replace: true}); err == nil {
-		t.Error("an ended stream takes orders")
+		t.Error("a closed stream accepts assignments")
 	}
 	f.phase("s-1", "draining")
 	for {
@@ -74,7 +74,8 @@
 }
 
 func newJoinedMachine(t *testing.T) *xds.AssignmentStream {
-	m := xds.NewAssignmentStream(xds.Config{Classes: classNames, Zones: []string{"north"}, Bounds: protocol.Bounds{Proxies: 4}}, false)
+	m := xds.NewAssignmentStream(xds.Config{Classes: classNames, Zones: []string{"north"},
+		Bounds: protocol.Bounds{Proxies: 4}}, false)
 	if _, _, err := m.HandleRequest(0, &discovery.DiscoveryRequest{Node: standin.ProxyNode(0, "north", 1),
 		TypeUrl: xds.EndpointsTypeURL}); err != nil {
 		t.Fatal(err)
@@ -82,32 +83,32 @@
 	return m
 }
 
-// TestStalledProxyHoldsNobodyUp: a proxy that reads nothing keeps its stream, since it may only be slow; others are served,
-// and it has all that it missed once it reads on.
-func TestStalledProxyHoldsNobodyUp(t *testing.T) {
-	f := withFront(t, 1, nil)
+// TestStalledProxyDoesNotBlockOthers checks that a proxy that stops reading keeps its stream, since it may only be slow, that
+// other proxies are served meanwhile, and that it receives all missed changes once it reads again.
+func TestStalledProxyDoesNotBlockOthers(t *testing.T) {
+	f := startWithGRPC(t, 1, nil)
 	defer f.stop()
-	still, other := f.grpcProxy(0, "north", nil), f.grpcProxy(1, "north", nil)
-	for _, p := range []reader{still, other} {
-		f.await("a table", p, holds("s-0"))
+	stalled, other := f.grpcProxy(0, "north", nil), f.grpcProxy(1, "north", nil)
+	for _, p := range []proxyReader{stalled, other} {
+		f.await("a table", p, hasServers("s-0"))
 	}
-	still.Stall(true)
+	stalled.Stall(true)
 	f.phase("s-1", "draining")
 	f.phase("s-2", "draining")
 	f.await("the other is served", other, func(s standin.State) bool { return s.Table["s-1"] == 0 && s.Table["s-2"] == 0 })
-	still.Stall(false)
-	f.await("what it missed", still, func(s standin.State) bool {
+	stalled.Stall(false)
+	f.await("the missed changes", stalled, func(s standin.State) bool {
 		return s.Table["s-1"] == 0 && s.Table["s-2"] == 0 &&
 			len(s.Table) > 0
 	})
 }
 
-// TestLimitsOfTheFront: what goes over a bound ends that stream, or that connection, and no other's.
+// TestLimitsOfTheFront checks that exceeding a limit ends only the stream or connection that exceeds it.
 func TestLimitsOfTheFront(t *testing.T) {
-	f := withFront(t, 1, nil)
+	f := startWithGRPC(t, 1, nil)
 	defer f.stop()
 	good := f.grpcProxy(0, "north", nil)
-	f.await("a table", good, holds("s-0"))
+	f.await("a table", good, hasServers("s-0"))
 	client, err := standin.Dial(f.planner, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -135,19 +136,19 @@
 		protocol.MaxLineBytes)); status.Code(err) != codes.ResourceExhausted {
 		t.Errorf("a message over 1 MiB: %v", err)
 	}
-	if _, err := open(metadata.AppendToOutgoingContext(context.Background(), "a", strings.Repeat("x", 2*maxHeaders)),
+	if _, err := open(metadata.AppendToOutgoingContext(context.Background(), "a", strings.Repeat("x", 2*maxHeaderBytes)),
 		2); err == nil {
-		t.Error("headers over their bound are taken")
+		t.Error("headers over their limit are accepted")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	for n := 0; n < maxStreams-1; n++ { // one stays open already
+	for n := 0; n < maxStreamsPerConn-1; n++ { // one stays open already
 		if _, err := api.StreamAggregatedResources(ctx); err != nil {
 			t.Fatal(err)
 		}
 	}
 	late, stop := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	if _, err := open(late, 3); status.Code(err) != codes.DeadlineExceeded {
-		t.Errorf("a stream more than a connection may have: %v", err)
+		t.Errorf("a stream over the connection's limit: %v", err)
 	}
 	stop()
 	cancel()
@@ -158,12 +159,12 @@
 		t.Errorf("the stream that stayed: %v", err)
 	}
 
-	nc, err := net.Dial("tcp", f.planner) // pings without a pause
+	nc, err := net.Dial("tcp", f.planner) // sends pings without a pause
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(nc, http2.ClientPreface)
 	framer := http2.NewFramer(nc, nc)
 	framer.WriteSettings()
@@ -174,12 +175,12 @@
 	for calm := false; !calm; {
 		frame, err := framer.ReadFrame()
 		if err != nil {
-			break // closed without a word is as good
+			break // closing without GOAWAY is accepted too
 		}
 		if away, is := frame.(*http2.GoAwayFrame); is {
 			calm = away.ErrCode == http2.ErrCodeEnhanceYourCalm
 		}
 	}
 	f.phase("s-1", "draining")
-	f.await("service goes on", good, lacks("s-1"))
+	f.await("service continues", good, lacksServer("s-1"))
 }
--- a/internal/planner/program/front_test.go
+++ b/internal/planner/program/front_test.go
@@ -22,11 +22,11 @@
 
 var classNames = []string{"lookup", "order"}
 
-// withFront is a planner whose gRPC front is on.
-func withFront(t *testing.T, cores int, change func(*fleet, *Config)) *fleet {
+// startWithGRPC starts a planner with the gRPC frontend enabled.
+func startWithGRPC(t *testing.T, cores int, change func(*fleet, *Config)) *fleet {
 	return start(t, func(f *fleet, c *Config) {
-		c.Own.GRPC = options.GRPC{Enabled: true, ProbeServers: true}
-		c.Own.Cores = options.Cores{Count: cores, RestMS: 300}
+		c.Options.GRPC = options.GRPC{Enabled: true, ProbeServers: true}
+		c.Options.Cores = options.Cores{Count: cores, RestartDelayMS: 300}
 		c.Limits.Cores = float64(cores)
 		c.Settings.Rules.Proxies = 8 * cores
 		if change != nil {
@@ -45,31 +45,31 @@
 	return p
 }
 
-// reader is a proxy of either protocol, as far as tests wait for it.
-type reader interface {
+// proxyReader is the state of a proxy that uses either protocol.
+type proxyReader interface {
 	Wait(func(standin.State) bool) standin.State
 	State() standin.State
 }
 
-func (f *fleet) await(what string, p reader, wanted func(standin.State) bool) standin.State {
+func (f *fleet) await(what string, p proxyReader, wanted func(standin.State) bool) standin.State {
 	f.t.Helper()
 	got := make(chan standin.State, 1)
 	go func() { got <- p.Wait(wanted) }()
 	select {
 	case s := <-got:
 		return s
-	case <-time.After(patience):
-		f.t.Fatalf("%s: not within %v; held: %+v", what, patience, p.State())
+	case <-time.After(testTimeout):
+		f.t.Fatalf("%s: not within %v; held: %+v", what, testTimeout, p.State())
 		return standin.State{}
 	}
 }
 
-// TestBothProtocolsAtOneAddress: half of the proxies and a collector on each protocol get tables and drains alike, on one
-// core and on two. A proxy that leaves by one protocol and joins by the other is served by its newer stream alone.
+// TestBothProtocolsAtOneAddress checks, on one core and on two, that proxies on either protocol get tables and drains alike. A
+// proxy that joins again by the other protocol is served only on its newer stream.
 func TestBothProtocolsAtOneAddress(t *testing.T) {
 	for _, cores := range []int{1, 2} {
-		f := withFront(t, cores, nil)
-		var all []reader
+		f := startWithGRPC(t, cores, nil)
+		var all []proxyReader
 		for i := range 4 {
 			all = append(all, f.proxy(i, "north"), f.grpcProxy(4+i, "south", nil))
 		}
@@ -94,10 +94,10 @@
 		}
 		f.phase("s-1", "draining")
 		for _, p := range all {
-			f.await("a table without the draining server", p, lacks("s-1"))
+			f.await("a table without the draining server", p, lacksServer("s-1"))
 		}
 		moved := f.grpcProxy(0, "north", nil)
-		f.await("a table by the newer stream", moved, holds("s-0"))
+		f.await("a table by the newer stream", moved, hasServers("s-0"))
 		f.await("the end of the older one", all[0], func(s standin.State) bool { return s.Closed != nil })
 		back := f.proxy(5, "south")
 		f.await("a table by the newer stream", back, func(s standin.State) bool { return len(s.Table) > 0 })
@@ -106,40 +106,41 @@
 			t.Errorf("the older stream ended with %v", s.Closed)
 		}
 		f.phase("s-3", "draining")
-		f.await("drained there too", moved, lacks("s-3"))
-		f.await("drained there too", back, lacks("s-3"))
+		f.await("drained there too", moved, lacksServer("s-3"))
+		f.await("drained there too", back, lacksServer("s-3"))
 		f.stop()
 	}
 }
 
-// TestRefusedTableComesWhole: a refusal is answered by a whole table, not at once and not for ever.
+// TestRefusedTableComesWhole checks that a rejected table is followed by a complete one, after a delay and not repeatedly.
 func TestRefusedTableComesWhole(t *testing.T) {
-	f := withFront(t, 1, nil)
+	f := startWithGRPC(t, 1, nil)
 	defer f.stop()
 	p := f.grpcProxy(0, "north", nil)
-	f.await("a table", p, holds("s-0"))
+	f.await("a table", p, hasServers("s-0"))
 	p.Refuse("cannot use it")
 	f.phase("s-1", "draining")
 	f.await("a refusal", p, func(s standin.State) bool { return s.Refused > 0 })
 	refused := time.Now()
 	p.Refuse("")
-	f.await("the table again", p, lacks("s-1"))
+	f.await("the table again", p, lacksServer("s-1"))
 	if took := time.Since(refused); took < 500*time.Millisecond {
-		t.Errorf("the refusal was answered after %v", took)
+		t.Errorf("the rejected table was sent again after %v", took)
 	}
 	if n := p.State().Refused; n > 2 {
 		t.Errorf("%d messages were refused", n)
 	}
 }
 
-// TestStrangersByHTTP2: each is closed in the time that strangers have, and costs nobody else anything.
-func TestStrangersByHTTP2(t *testing.T) {
-	f := withFront(t, 1, nil)
+// TestUnidentifiedHTTP2Peers checks that each unidentified peer is disconnected within the join timeout, without effect on
+// others.
+func TestUnidentifiedHTTP2Peers(t *testing.T) {
+	f := startWithGRPC(t, 1, nil)
 	defer f.stop()
 	p := f.grpcProxy(0, "north", nil)
-	f.await("a table", p, holds("s-0"))
+	f.await("a table", p, hasServers("s-0"))
 	const preface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
-	for name, says := range map[string]string{
+	for name, data := range map[string]string{
 		"nothing after the preface":  preface,
 		"half a preface":             preface[:9],
 		"garbage after the preface":  preface + strings.Repeat("garbage", 100),
@@ -152,19 +153,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		nc.SetDeadline(time.Now().Add(patience))
-		nc.Write([]byte(says))
+		nc.SetDeadline(time.Now().Add(testTimeout))
+		nc.Write([]byte(data))
 		if _, err := io.Copy(io.Discard, nc); err != nil && os.IsTimeout(err) {
 			t.Errorf("%s: not closed", name)
 		}
 		nc.Close()
 	}
-	// A client that opens streams of no proxy is told why, and one that joins and goes is gone.
+	// A client whose streams name an unknown proxy gets an error status.
 	client, err := standin.Dial(f.planner, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for range 50 { // a storm of streams that are reset at once
+	for range 50 { // streams that are reset immediately
 		ctx, cancel := context.WithCancel(context.Background())
 		s, err := discovery.NewAggregatedDiscoveryServiceClient(client).StreamAggregatedResources(ctx)
 		if err == nil {
@@ -178,17 +179,18 @@
 			_, err = s.Recv()
 		}
 	}
-	if code := status.Code(err); code != codes.InvalidArgument && code != codes.Unavailable { // or its second was over
+	// The status is Unavailable if the join timeout was over.
+	if code := status.Code(err); code != codes.InvalidArgument && code != codes.Unavailable {
 		t.Errorf("an unknown proxy gets %v", err)
 	}
 	client.Close()
 	f.phase("s-1", "draining")
-	f.await("service goes on", p, lacks("s-1"))
+	f.await("service goes on", p, lacksServer("s-1"))
 }
 
-// TestHealthOfThePlanner: it serves once it can make orders, as a heartbeat is answered then.
+// TestHealthOfThePlanner checks that the health service reports serving only once the planner has a list, like heartbeats.
 func TestHealthOfThePlanner(t *testing.T) {
-	f := withFront(t, 1, func(f *fleet, c *Config) { f.discovery.SetDown(true) })
+	f := startWithGRPC(t, 1, func(f *fleet, c *Config) { f.discovery.SetDown(true) })
 	defer f.stop()
 	client, err := standin.Dial(f.planner, nil)
 	if err != nil {
@@ -196,11 +198,11 @@
 	}
 	defer client.Close()
 	check := func() healthpb.HealthCheckResponse_ServingStatus {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		r, err := healthpb.NewHealthClient(client).Check(ctx, &healthpb.HealthCheckRequest{})
 		if err != nil {
-			return healthpb.HealthCheckResponse_UNKNOWN // the connection's second was over: the client dials again
+			return healthpb.HealthCheckResponse_UNKNOWN // the join timeout was over: the client reconnects
 		}
 		return r.GetStatus()
 	}
@@ -209,18 +211,18 @@
 	f.until("serving", func() bool { return check() == healthpb.HealthCheckResponse_SERVING })
 }
 
-// TestServerChangesProtocol: a server that speaks another protocol than before is asked by that within the same question,
-// isn't taken for sick, and is asked by it first from then on.
+// TestServerChangesProtocol checks that a server that changes its protocol is probed by the new one within the same probe,
+// isn't reported as unhealthy, and is probed by the new protocol first from then on.
 func TestServerChangesProtocol(t *testing.T) {
 	byHTTP, err := standin.NewServer("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := byHTTP.Addr()
-	a := &asker{connect: 2 * time.Second, both: true}
+	a := &serverProber{connectTimeout: 2 * time.Second, allowGRPC: true}
 	ask := func(what string, ok, refused bool) map[string]float64 {
 		t.Helper()
-		r, _ := a.ask(context.Background(), address, true)
+		r, _ := a.probe(context.Background(), address, true)
 		if r.OK != ok || r.Refused != refused {
 			t.Errorf("%s: %+v", what, r)
 		}
@@ -230,7 +232,7 @@
 		t.Errorf("load %v", load)
 	}
 	byHTTP.Close()
-	ask("nobody there", false, false)
+	ask("no server", false, false)
 	byGRPC, err := standin.NewGRPCServer(address)
 	if err != nil {
 		t.Fatal(err)
@@ -238,19 +240,19 @@
 	if load := ask("gRPC", true, false); load["util"] != 0.1 || byGRPC.Probed() != 1 {
 		t.Errorf("load %v, probed %d", load, byGRPC.Probed())
 	}
-	if ask("gRPC at once", true, false); a.book.Len() != 1 || byGRPC.Probed() != 2 {
-		t.Errorf("%d remembered, probed %d", a.book.Len(), byGRPC.Probed())
+	if ask("gRPC at once", true, false); a.protocols.Len() != 1 || byGRPC.Probed() != 2 {
+		t.Errorf("%d cached, probed %d", a.protocols.Len(), byGRPC.Probed())
 	}
 	byGRPC.Set(healthpb.HealthCheckResponse_NOT_SERVING, nil)
-	ask("turned away", false, true)
+	ask("not serving", false, true)
 	byGRPC.Set(healthpb.HealthCheckResponse_SERVING, nil)
-	a.connect = 300 * time.Millisecond
+	a.connectTimeout = 300 * time.Millisecond
 	if load := ask("a stream of reports that stalls", true, false); load != nil {
 		t.Errorf("load %v", load)
 	}
 	byGRPC.Set(healthpb.HealthCheckResponse_SERVING, &xdsorca.OrcaLoadReport{NamedMetrics: map[string]float64{"bad": -1,
 		"inflight": 3}})
-	if load := ask("a figure that can't be", true, false); load["inflight"] != 3 || len(load) != 2 {
+	if load := ask("an invalid value", true, false); load["inflight"] != 3 || len(load) != 2 {
 		t.Errorf("load %v", load)
 	}
 	byGRPC.Close()
@@ -258,7 +260,7 @@
 		t.Fatal(err)
 	}
 	defer byHTTP.Close()
-	if ask("HTTP again", true, false); a.book.Len() != 0 {
-		t.Error("the former protocol is remembered")
+	if ask("HTTP again", true, false); a.protocols.Len() != 0 {
+		t.Error("the previous protocol is still cached")
 	}
 }
--- a/internal/planner/program/inbox.go
+++ b/internal/planner/program/inbox.go
@@ -6,15 +6,15 @@
 	"mulleinwood/internal/planner/routing"
 )
 
-// maxReports is how many reports may wait for a core. Who brings more waits, until the core has taken some or is cut off.
-const maxReports = 4096
+// maxPendingReports is the most reports queued for a core. Further senders block until the core drains its inbox or is isolated.
+const maxPendingReports = 4096
 
-// inbox is what waits for one core. What the host says comes before the reports, so that a core far behind with these
-// learns of a change of the list with its next turn.
+// inbox is the queue of one core. Control events of the supervisor take precedence over reports, so that a core with a backlog
+// of reports learns of a list change in its next turn.
 type inbox struct {
 	mu      sync.Mutex
-	room    sync.Cond
-	orders  []routing.Event // of the host, in order
+	hasRoom sync.Cond
+	control []routing.Event // the supervisor's events, in order
 	reports []routing.Event
 	closed  bool
 	wake    chan struct{}
@@ -22,59 +22,59 @@
 
 func newInbox() *inbox {
 	in := &inbox{wake: make(chan struct{}, 1)}
-	in.room.L = &in.mu
+	in.hasRoom.L = &in.mu
 	return in
 }
 
-func (in *inbox) ring() {
+func (in *inbox) notify() {
 	select {
 	case in.wake <- struct{}{}:
 	default:
 	}
 }
 
-// order adds an order of the host. It never waits: there are few.
-func (in *inbox) order(e routing.Event) {
+// postControl queues an event of the supervisor. It never blocks, since there are few.
+func (in *inbox) postControl(e routing.Event) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if !in.closed {
-		in.orders = append(in.orders, e)
-		in.ring()
+		in.control = append(in.control, e)
+		in.notify()
 	}
 }
 
-// report adds a report, and waits while too many do. One for a core that was cut off is dropped.
-func (in *inbox) report(e routing.Event) {
+// postReport queues a report and blocks while the queue is full. A report for a core that was isolated is dropped.
+func (in *inbox) postReport(e routing.Event) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	for len(in.reports) >= maxReports && !in.closed {
-		in.room.Wait()
+	for len(in.reports) >= maxPendingReports && !in.closed {
+		in.hasRoom.Wait()
 	}
 	if in.closed {
 		return
 	}
 	if in.reports = append(in.reports, e); len(in.reports) == 1 {
-		in.ring()
+		in.notify()
 	}
 }
 
-// take empties the inbox into the lists given, which it keeps for the next time.
-func (in *inbox) take(orders, reports []routing.Event) (o, r []routing.Event) {
-	clear(orders)
+// drain returns the queued events and reuses the given slices for the next ones.
+func (in *inbox) drain(control, reports []routing.Event) (pendingControl, pendingReports []routing.Event) {
+	clear(control)
 	clear(reports)
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	o, r = in.orders, in.reports
-	in.orders, in.reports = orders[:0], reports[:0]
-	in.room.Broadcast()
-	return o, r
+	pendingControl, pendingReports = in.control, in.reports
+	in.control, in.reports = control[:0], reports[:0]
+	in.hasRoom.Broadcast()
+	return pendingControl, pendingReports
 }
 
-// close lets nobody wait any more and takes nothing from now on.
+// close discards the queue, wakes blocked senders and makes the inbox drop all later events.
 func (in *inbox) close() {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.closed, in.orders, in.reports = true, nil, nil
-	in.room.Broadcast()
-	in.ring()
+	in.closed, in.control, in.reports = true, nil, nil
+	in.hasRoom.Broadcast()
+	in.notify()
 }
--- a/internal/planner/program/limits.go
+++ b/internal/planner/program/limits.go
@@ -9,61 +9,63 @@
 )
 
 const (
-	ownFiles   = 32   // descriptors kept for probes (16), calls to discovery, the listener and the runtime
-	socketsSet = 1024 // where no limit is stated
-	memorySet  = 192  // megabytes, likewise
-	bufferPart = 4    // a fourth of the memory is for the buffers of connections
+	reservedDescriptors = 32   // descriptors reserved for probes (16), discovery calls, the listener and the runtime
+	defaultSockets      = 1024 // used if no limit on sockets is set
+	defaultMemoryMB     = 192  // used if no memory limit is set
+	bufferMemoryDivisor = 4    // connection buffers may use a fourth of the memory
 
-	// memoryShare of the limit is what the collector keeps the heap under; the rest is for stacks and the runtime.
-	memoryShare = 0.7
+	// heapLimitFraction is the fraction of the memory limit that the garbage collector keeps the heap under; the rest is for
+	// stacks and the runtime.
+	heapLimitFraction = 0.7
 )
 
-// Limits of the machine. 0 stands for not stated.
+// Limits are the resource limits of the machine. 0 means no limit is set.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// apply holds the runtime to the limits.
+// apply sets the runtime's limits.
 func (l Limits) apply() {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(min(runtime.NumCPU(), int(math.Ceil(l.Cores))))
 	}
 	if l.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(l.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(heapLimitFraction * float64(l.MemoryMB) * (1 << 20)))
 	}
 }
 
-// collectPercent is by how much the heap of a planner on several cores may grow between two collections; the runtime's own
-// default is 100. Readers on all cores leave garbage in proportion to the reports; a collection stops and costs all of them
-// however small the heap is. The memory limit still holds. docs/cores.md has the figures.
-const collectPercent = 400
+// multiCoreGCPercent is the percentage by which the heap of a planner on several cores may grow between two collections; the
+// runtime's default is 100. Connection readers on all cores produce garbage in proportion to the reports, and each collection
+// stops and slows all of them however small the heap is. The memory limit still applies. See docs/cores.md for figures.
+const multiCoreGCPercent = 400
 
-// collectLess sets that, unless the operator has said otherwise by GOGC.
-func collectLess() {
+// raiseGCPercent sets multiCoreGCPercent unless the operator has set GOGC.
+func raiseGCPercent() {
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(collectPercent)
+		debug.SetGCPercent(multiCoreGCPercent)
 	}
 }
 
-// connections is how many may be accepted under the limit on descriptors, stated or set by the system.
-func connections(stated int) int {
-	most := socketsSet
+// maxConns returns how many connections may be accepted, given the configured limit on sockets and the system's limit on
+// descriptors.
+func maxConns(stated int) int {
+	limit := defaultSockets
 	if stated > 0 {
-		most = stated
+		limit = stated
 	}
 	var system syscall.Rlimit
-	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &system) == nil && system.Cur < uint64(most) {
-		most = int(system.Cur)
+	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &system) == nil && system.Cur < uint64(limit) {
+		limit = int(system.Cur)
 	}
-	return max(most-ownFiles, most*2/3)
+	return max(limit-reservedDescriptors, limit*2/3)
 }
 
-// buffers is the memory that the buffers of all accepted connections may take together.
-func buffers(megabytes int) int64 {
+// bufferBytes returns the memory, in bytes, that the buffers of all accepted connections may use together.
+func bufferBytes(megabytes int) int64 {
 	if megabytes <= 0 {
-		megabytes = memorySet
+		megabytes = defaultMemoryMB
 	}
-	return int64(megabytes) << 20 / bufferPart
+	return int64(megabytes) << 20 / bufferMemoryDivisor
 }
--- a/internal/planner/program/roles_test.go
+++ b/internal/planner/program/roles_test.go
@@ -14,22 +14,22 @@
 	"mulleinwood/rules"
 )
 
-// TestRoles lists who may say what.
+// TestRoles checks which messages each role may send.
 func TestRoles(t *testing.T) {
 	messages := []protocol.Message{protocol.Heartbeat{}, protocol.Collector{Zone: "north"}, protocol.Attach{Proxy: 2},
 		protocol.ServerReport{Zone: "north"}, protocol.ServerReport{Zone: "south"}, protocol.UsageReport{Proxy: 2},
 		protocol.UsageReport{Proxy: 3}, protocol.Ack{Proxy: 2}, protocol.Ack{Proxy: 3}}
 	for _, tc := range []struct {
-		speaker speaker
+		speaker sender
 		may     []int
 	}{
-		{speaker{}, []int{0, 1, 2}},
-		{speaker{role: collector, zone: "north"}, []int{0, 3, 5, 6}},
-		{speaker{role: proxy, proxy: 2}, []int{0, 5, 7}},
+		{sender{}, []int{0, 1, 2}},
+		{sender{role: roleCollector, zone: "north"}, []int{0, 3, 5, 6}},
+		{sender{role: roleProxy, proxy: 2}, []int{0, 5, 7}},
 	} {
 		var may []int
 		for i, m := range messages {
-			if tc.speaker.may(m) {
+			if tc.speaker.maySend(m) {
 				may = append(may, i)
 			}
 		}
@@ -39,14 +39,14 @@
 	}
 }
 
-// rude are peers that are nobody: with what each sends, and how often over.
-var rude = map[string]struct {
+// unidentifiedPeers are peers that never join validly, with the data that each sends.
+var unidentifiedPeers = map[string]struct {
 	text  string
-	after string // sent again and again
+	after string // sent repeatedly
 }{
 	"silent":                {},
 	"half a message":        {text: `{"t":"attach","proxy":1,`},
-	"one that only beats":   {text: `{"t":"hb"}` + "\n", after: `{"t":"hb"}` + "\n"},
+	"only heartbeats":       {text: `{"t":"hb"}` + "\n", after: `{"t":"hb"}` + "\n"},
 	"a message without end": {text: `{"t":"`, after: strings.Repeat("x", 1000)},
 	"bytes without end":     {after: "\x00\xff\x00"},
 	"no such proxy":         {text: `{"t":"attach","proxy":99,"zone":"north","weight":1,"fresh":true}` + "\n"},
@@ -58,16 +58,16 @@
 	"a length of its own":   {text: "\x7f\xff\xff\xff{}"},
 }
 
-// TestRudePeers guards against peers that are nobody and hold on to descriptors: each is closed by itself, in the page's
-// second or at once, while a proxy that has long joined and says nothing stays.
-func TestRudePeers(t *testing.T) {
+// TestUnidentifiedPeersAreClosed guards against unidentified peers that keep descriptors in use: each is disconnected at once or
+// within the join timeout of one second, while a proxy that has joined and sends nothing stays connected.
+func TestUnidentifiedPeersAreClosed(t *testing.T) {
 	f := start(t, nil, nil)
 	defer f.stop()
 	p := f.proxy(0, "north")
-	f.wait("a table", p, holds("s-0", "s-2"))
+	f.wait("a table", p, hasServers("s-0", "s-2"))
 	collector := f.collector("south")
 	closed := make(chan string)
-	for name, r := range rude {
+	for name, r := range unidentifiedPeers {
 		nc, err := net.Dial("tcp", f.planner)
 		if err != nil {
 			t.Fatal(err)
@@ -81,39 +81,39 @@
 			}()
 		}
 		go func() {
-			nc.SetReadDeadline(time.Now().Add(patience))
+			nc.SetReadDeadline(time.Now().Add(testTimeout))
 			if _, err := io.Copy(io.Discard, nc); os.IsTimeout(err) {
 				name += " STAYS"
 			}
 			closed <- name
 		}()
 	}
-	for range rude {
+	for range unidentifiedPeers {
 		if name := <-closed; strings.HasSuffix(name, "STAYS") {
 			t.Error(name)
 		}
 	}
 	f.phase("s-0", protocol.PhaseDraining)
-	f.wait("a drain on a quiet stream", p, lacks("s-0"))
+	f.wait("a drain on a quiet stream", p, lacksServer("s-0"))
 	if err := collector.Report("s-1", 1, 0, 100, 1000); err != nil {
 		t.Errorf("the quiet collector: %v", err)
 	}
 }
 
-// hearer is a module that hands on what it is told.
-type hearer chan rules.Event
+// eventRecorder is a module that passes on the events it receives.
+type eventRecorder chan rules.Event
 
-func (h hearer) Step(_ float64, events []rules.Event) []rules.Action {
+func (h eventRecorder) Step(_ float64, events []rules.Event) []rules.Action {
 	for _, e := range events {
 		h <- e
 	}
 	return nil
 }
 
-// next returns the next event of one kind.
-func next[E rules.Event](t *testing.T, h hearer) E {
+// next returns the next event of type E.
+func next[E rules.Event](t *testing.T, h eventRecorder) E {
 	t.Helper()
-	for late := time.After(patience); ; {
+	for late := time.After(testTimeout); ; {
 		select {
 		case e := <-h:
 			if e, ok := e.(E); ok {
@@ -126,10 +126,10 @@
 	}
 }
 
-// TestUnreadableStream guards against a stream that goes on with bytes that are no lines and would stay joined for good:
-// the module hears that it has left, and its proxy may join again. A spoilt line alone ends nothing.
+// TestUnreadableStream guards against a stream that continues with invalid bytes and stays joined for good: the module must be
+// told that the proxy has left, and the proxy may join again. An invalid line alone doesn't end the stream.
 func TestUnreadableStream(t *testing.T) {
-	h := make(hearer, 1000)
+	h := make(eventRecorder, 1000)
 	f := start(t, nil, h)
 	defer f.stop()
 	p := f.proxy(2, "north")
@@ -139,17 +139,17 @@
 	p.Say(`{"t":"upstream_stats","zone":"north","server":"s-0","tries":1,"failed":0,"mean_ms":1,"span_ms":1000}`)
 	p.Say(`{"t":"client_stats","proxy":2,"class":"lookup","tries":7,"failed":0,"span_ms":1000}`)
 	if d := next[rules.Demand](t, h); d.Proxy != 2 || d.Requests != 7 {
-		t.Errorf("told %+v", d)
+		t.Errorf("received %+v", d)
 	}
 	p.Say("\x01\x02 no line")
 	if left := next[rules.Left](t, h); left.Proxy != 2 {
-		t.Errorf("told %+v", left)
+		t.Errorf("received %+v", left)
 	}
 	if s := p.Wait(func(standin.State) bool { return false }); s.Closed == nil {
 		t.Error("the stream stays")
 	}
 	f.proxy(2, "north")
 	if joined := next[rules.Joined](t, h); joined.Proxy != 2 {
-		t.Errorf("told %+v", joined)
+		t.Errorf("received %+v", joined)
 	}
 }
--- a/internal/planner/program/versions_test.go
+++ b/internal/planner/program/versions_test.go
@@ -14,9 +14,9 @@
 	"mulleinwood/tables"
 )
 
-// TestVersionsOverABadChannel: updates to many proxies are lost, doubled, reordered, cut and flipped at random while servers
-// drain and come back. No proxy ever holds a table that was not sent under that version, and once the channel is good all come
-// into step; proxies that don't ask see lines as ever.
+// TestVersionsOverABadChannel loses, duplicates, reorders, truncates and corrupts updates to many proxies at random while servers
+// drain and return. No proxy may hold a table that was not sent under its version, and all must converge once the channel is
+// reliable. Proxies that don't ask for versions get plain lines.
 func TestVersionsOverABadChannel(t *testing.T) {
 	key := filepath.Join(t.TempDir(), "key")
 	if err := os.WriteFile(key, []byte("a key of the group\n"), 0o600); err != nil {
@@ -26,9 +26,9 @@
 	sent, newest := map[tables.Version]tables.Digest{}, map[uint32]tables.Version{}
 	secret := tables.Key("a key of the group")
 	f := start(t, func(f *fleet, c *Config) {
-		c.Own.Versions = options.Versions{Enabled: true, KeyFile: key}
+		c.Options.Versions = options.Versions{Enabled: true, KeyFile: key}
 		c.Settings.Rules.Proxies = 16
-		c.sent = func(u tables.Update) {
+		c.onSent = func(u tables.Update) {
 			mu.Lock()
 			defer mu.Unlock()
 			sent[u.Version] = u.ResultDigest
@@ -39,8 +39,8 @@
 	}, nil)
 	defer f.stop()
 	rng := rand.New(rand.NewPCG(18, 18)) // shared under mu
-	bad, delivered, touched := true, 0, 0
-	spoil := func(kept *[]byte) func([]byte) [][]byte {
+	bad, delivered, corrupted := true, 0, 0
+	corrupt := func(kept *[]byte) func([]byte) [][]byte {
 		return func(update []byte) [][]byte {
 			mu.Lock()
 			defer mu.Unlock()
@@ -48,13 +48,13 @@
 				return [][]byte{update}
 			}
 			text := append([]byte{}, update...)
-			touched++
+			corrupted++
 			switch rng.IntN(7) {
 			case 0:
 				return nil
 			case 1:
 				return [][]byte{text, text}
-			case 2: // held back until the next
+			case 2: // delayed until the next such update
 				last := *kept
 				*kept = text
 				return [][]byte{last}
@@ -64,13 +64,13 @@
 				text[rng.IntN(len(text))] ^= 1 << rng.IntN(8)
 				return [][]byte{text}
 			}
-			touched--
+			corrupted--
 			return [][]byte{text}
 		}
 	}
 	var proxies []*standin.Versioned
 	for i := range 12 {
-		p, err := standin.JoinVersioned(f.planner, i, []string{"north", "south"}[i%2], 20, secret, spoil(new([]byte)),
+		p, err := standin.JoinVersioned(f.planner, i, []string{"north", "south"}[i%2], 20, secret, corrupt(new([]byte)),
 			func(table tables.Table, at tables.Version) {
 				mu.Lock()
 				defer mu.Unlock()
@@ -85,11 +85,11 @@
 		proxies = append(proxies, p)
 	}
 	plain := f.proxy(15, "north")
-	f.wait("plain lines", plain, holds("s-0"))
+	f.wait("plain lines", plain, hasServers("s-0"))
 	for round := range 20 {
 		id := []string{"s-0", "s-1", "s-2", "s-3"}[round/2%4]
 		f.phase(id, []string{"draining", "up"}[round%2])
-		time.Sleep(150 * time.Millisecond) // a pace for the day, no proof
+		time.Sleep(150 * time.Millisecond) // spreads the changes; not needed for correctness
 	}
 	mu.Lock()
 	bad = false
@@ -98,63 +98,63 @@
 	for _, p := range proxies {
 		f.await("a table without the draining server", p,
 			func(s standin.State) bool { return len(s.Table) > 0 && s.Table["s-2"] == 0 })
-		f.until("in step", func() bool {
+		f.until("the newest version", func() bool {
 			in, at := p.InStep()
 			mu.Lock()
 			defer mu.Unlock()
 			return in && at == newest[uint32(p.Number)]
 		})
 	}
-	f.wait("plain lines", plain, lacks("s-2"))
+	f.wait("plain lines", plain, lacksServer("s-2"))
 	mu.Lock()
 	defer mu.Unlock()
-	t.Logf("%d updates, %d of them spoilt", delivered, touched)
-	if touched < 20 {
-		t.Errorf("only %d updates were spoilt: the day proves nothing", touched)
+	t.Logf("%d updates, %d of them disturbed", delivered, corrupted)
+	if corrupted < 20 {
+		t.Errorf("only %d updates were disturbed: too few for a valid test", corrupted)
 	}
 }
 
-// TestRecordOfWhatWasSent: every version sent to proxies that speak lines is in the record, of those that don't ask too; and a
-// record that can't be used stops nothing.
-func TestRecordOfWhatWasSent(t *testing.T) {
+// TestRecordOfSentVersions checks that the record has every version sent over the line protocol, including those to proxies that
+// don't ask for versions, and that an unusable record doesn't stop the planner.
+func TestRecordOfSentVersions(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "record.db")
 	run := func(file string) {
 		f := start(t, func(f *fleet, c *Config) {
-			c.Own.Versions = options.Versions{Enabled: true, Record: options.Record{File: file, Entries: 1000, AgeHours: 1}}
+			c.Options.Versions = options.Versions{Enabled: true, Record: options.Record{File: file, Entries: 1000, AgeHours: 1}}
 		}, nil)
 		defer f.stop()
 		p := f.proxy(1, "north")
-		f.wait("a table", p, holds("s-0"))
+		f.wait("a table", p, hasServers("s-0"))
 		f.phase("s-1", "draining")
-		f.wait("a table without the draining server", p, lacks("s-1"))
+		f.wait("a table without the draining server", p, lacksServer("s-1"))
 	}
 	run(file)
-	run(file) // another life goes on in the same record
+	run(file) // another incarnation appends to the same record
 	r, err := record.Open(file, nil, true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
-	causes, lives := map[string]int{}, map[uint64]bool{}
+	causes, incarnations := map[string]int{}, map[uint64]bool{}
 	r.Each(func(e record.Entry) bool {
 		u, err := tables.Decode(e.Update, nil)
 		if err != nil || u.Proxy != 1 {
 			t.Errorf("%+v: %v", u, err)
 		}
 		causes[e.Cause]++
-		lives[u.Incarnation] = true
+		incarnations[u.Incarnation] = true
 		return true
 	})
-	if causes["join"] != 2 || causes["removal"] < 2 || len(lives) != 2 {
-		t.Errorf("recorded %v in %d lives", causes, len(lives))
+	if causes["join"] != 2 || causes["removal"] < 2 || len(incarnations) != 2 {
+		t.Errorf("recorded %v in %d incarnations", causes, len(incarnations))
 	}
-	spoilt := filepath.Join(t.TempDir(), "spoilt.db")
-	if err := os.WriteFile(spoilt, []byte("no record"), 0o600); err != nil {
+	corruptFile := filepath.Join(t.TempDir(), "spoilt.db")
+	if err := os.WriteFile(corruptFile, []byte("no record"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	run(spoilt)
-	if text, _ := os.ReadFile(spoilt); string(text) != "no record" {
-		t.Error("the file that can't be used was written over")
+	run(corruptFile)
+	if text, _ := os.ReadFile(corruptFile); string(text) != "no record" {
+		t.Error("the unusable file was overwritten")
 	}
 }
 
@@ -162,11 +162,11 @@
 	short := filepath.Join(t.TempDir(), "key")
 	os.WriteFile(short, []byte("short"), 0o600)
 	for _, file := range []string{short, "no/such/file"} {
-		if _, err := newVersions("n0", options.Versions{Enabled: true, KeyFile: file}, nil); err == nil {
+		if _, err := newVersionTracker("n0", options.Versions{Enabled: true, KeyFile: file}, nil); err == nil {
 			t.Errorf("%s: no error", file)
 		}
 	}
-	if v, err := newVersions("n0", options.Versions{}, nil); v != nil || err != nil {
+	if v, err := newVersionTracker("n0", options.Versions{}, nil); v != nil || err != nil {
 		t.Errorf("off: %v %v", v, err)
 	}
 }
