--- a/cmd/mulleinwood/bench.go
+++ b/cmd/mulleinwood/bench.go
@@ -76,20 +76,20 @@
 
 // Run measures and reports.
 func (b benchFrontsCmd) Run(out io.Writer) error {
-	var fronts []bench.Front
+	var fronts []bench.Frontend
 	for _, front := range b.Fronts {
-		fronts = append(fronts, bench.Front(front))
+		fronts = append(fronts, bench.Frontend(front))
 	}
 	measured, err := b.measure(b.Cores, fronts, b.Seconds)
 	if err != nil {
 		return err
 	}
-	result := bench.FrontsResult{Result: measured}
+	result := bench.FrontendsResult{Result: measured}
 	return b.report(result, result.WriteTable, result.WritePlot, out)
 }
 
 // measure runs planners as processes of their own.
-func (s sizes) measure(counts []int, fronts []bench.Front, seconds float64) (bench.Result, error) {
+func (s sizes) measure(counts []int, fronts []bench.Frontend, seconds float64) (bench.Result, error) {
 	if err := s.check(); err != nil {
 		return bench.Result{}, err
 	}
@@ -105,8 +105,8 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	plan := bench.Plan{Fleet: s.fleet(), Cores: counts, Fronts: fronts, Seconds: seconds, Command: []string{self, "serve"},
-		Say: progress}
+	plan := bench.Plan{Fleet: s.fleet(), Cores: counts, Frontends: fronts, Seconds: seconds, Command: []string{self, "serve"},
+		Progress: progress}
 	result, err := plan.Measure(ctx)
 	if err != nil {
 		return result, fmt.Errorf("bench: %w", err)
@@ -127,7 +127,7 @@
 	if err := checkCores(b.Cores); err != nil {
 		return err
 	}
-	result, err := bench.MeasureLooks(b.fleet(), b.Cores, progress)
+	result, err := bench.MeasureRounds(b.fleet(), b.Cores, progress)
 	if err != nil {
 		return fmt.Errorf("bench: %w", err)
 	}
@@ -173,7 +173,7 @@
 	}
 	progress("%d deliveries over channels that spoil them", b.Deliveries)
 	result.Deliveries += b.Deliveries
-	result.Wrong += int(bench.HammerVersions(b.Deliveries, b.Seed))
+	result.Mismatches += int(bench.StressVersions(b.Deliveries, b.Seed))
 	return b.report(result, result.WriteTable, result.WritePlot, out)
 }
 
--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -168,7 +168,7 @@
 			}
 		}
 		for _, class := range []string{"lookup", "order"} {
-			if proxy.Say(fmt.Sprintf(`{"t":"client_stats","proxy":%d,"class":%q,"tries":%g,"failed":0,"span_ms":1000}`,
+			if proxy.WriteLine(fmt.Sprintf(`{"t":"client_stats","proxy":%d,"class":%q,"tries":%g,"failed":0,"span_ms":1000}`,
 				proxy.Number, class, requests/2)) != nil {
 				return
 			}
--- a/internal/planner/bench/cores.go
+++ b/internal/planner/bench/cores.go
@@ -17,11 +17,11 @@
 // Plan says what `bench cores` measures.
 type Plan struct {
 	Fleet
-	Cores   []int
-	Fronts  []Front  // none: lines
-	Seconds float64  // of each phase
-	Command []string // that runs a planner
-	Say     func(format string, args ...any)
+	Cores     []int
+	Frontends []Frontend // none: lines
+	Seconds   float64    // of each phase
+	Command   []string   // that runs a planner
+	Progress  func(format string, args ...any)
 }
 
 // Quantiles are of times in milliseconds.
@@ -40,25 +40,25 @@
 
 // Run is what was measured at one number of cores.
 type Run struct {
-	Cores        int               `json:"cores"`
-	Front        Front             `json:"front"`
-	OverMachine  bool              `json:"over_machine"` // more than the machine has
-	JoinMS       float64           `json:"join_ms"`      // until every proxy has its whole table
-	EventsPerS   float64           `json:"events_per_s"`
-	OrdersPerS   float64           `json:"orders_per_s"` // messages to proxies, while events saturate
-	CPUAtFull    float64           `json:"cpu_at_full"`  // processors
-	CPUPerEvent  float64           `json:"cpu_us_per_event"`
-	HalfRate     float64           `json:"half_events_per_s"` // half of what one core handles: the load of what follows
-	CPUAtHalf    float64           `json:"cpu_at_half"`
-	Drain        Quantiles         `json:"drain_ms"` // from a drain told to the last proxy's order read
-	Order        Quantiles         `json:"order_ms"` // to each proxy's
-	KiBPerStream float64           `json:"kib_per_stream"`
-	MemoryMB     float64           `json:"memory_mb"`
-	QueueMost    float64           `json:"queue_lines_most"`
-	QueueLimit   float64           `json:"queue_lines_limit"`
-	DrainMost    float64           `json:"audit_drain_ms_most"`
-	Breaks       int               `json:"breaks"`
-	Broken       []audit.Violation `json:"broken,omitempty"`
+	Cores          int               `json:"cores"`
+	Frontend       Frontend          `json:"front"`
+	OverMachine    bool              `json:"over_machine"` // more than the machine has
+	JoinMS         float64           `json:"join_ms"`      // until every proxy has its whole table
+	EventsPerS     float64           `json:"events_per_s"`
+	OrdersPerS     float64           `json:"orders_per_s"` // messages to proxies, while events saturate
+	CPUAtFull      float64           `json:"cpu_at_full"`  // processors
+	CPUPerEvent    float64           `json:"cpu_us_per_event"`
+	HalfRate       float64           `json:"half_events_per_s"` // half of what one core handles: the load of what follows
+	CPUAtHalf      float64           `json:"cpu_at_half"`
+	Drain          Quantiles         `json:"drain_ms"` // from a drain told to the last proxy's order read
+	Order          Quantiles         `json:"order_ms"` // to each proxy's
+	KiBPerStream   float64           `json:"kib_per_stream"`
+	MemoryMB       float64           `json:"memory_mb"`
+	MaxQueueLines  float64           `json:"queue_lines_most"`
+	QueueLimit     float64           `json:"queue_lines_limit"`
+	MaxDrainMillis float64           `json:"audit_drain_ms_most"`
+	ViolationCount int               `json:"breaks"`
+	Violations     []audit.Violation `json:"broken,omitempty"`
 }
 
 // Result is all that was measured.
@@ -94,7 +94,7 @@
 	half := 0.0
 	for _, n := range p.Cores {
 		for _, front := range p.fronts() {
-			p.Say("%d cores, %s: %d proxies join", n, front, p.Proxies)
+			p.Progress("%d cores, %s: %d proxies join", n, front, p.Proxies)
 			run, err := p.one(ctx, n, front, &half)
 			if err != nil {
 				return result, fmt.Errorf("%d cores, %s: %w", n, front, err)
@@ -105,14 +105,14 @@
 	return result, nil
 }
 
-func (p Plan) fronts() []Front {
-	if len(p.Fronts) == 0 {
-		return []Front{Lines}
+func (p Plan) fronts() []Frontend {
+	if len(p.Frontends) == 0 {
+		return []Frontend{Lines}
 	}
-	return p.Fronts
+	return p.Frontends
 }
 
-func (p Plan) one(ctx context.Context, n int, front Front, half *float64) (run Run, err error) {
+func (p Plan) one(ctx context.Context, n int, front Frontend, half *float64) (run Run, err error) {
 	discovery, err := standin.NewDiscovery("127.0.0.1:0")
 	if err != nil {
 		return run, err
@@ -151,7 +151,7 @@
 	if err != nil {
 		return run, err
 	}
-	run = Run{Cores: n, Front: front, OverMachine: n > runtime.NumCPU(),
+	run = Run{Cores: n, Frontend: front, OverMachine: n > runtime.NumCPU(),
 		JoinMS:       float64(time.Since(begun)) / float64(time.Millisecond),
 		KiBPerStream: (joined.memory - before.memory) / float64(p.Proxies), QueueLimit: queueOfProxy * float64(p.Proxies)}
 
@@ -163,7 +163,7 @@
 		drains.Wait()
 	}()
 	span := time.Duration(p.Seconds * float64(time.Second))
-	p.Say("%d cores: as many events as they take", n)
+	p.Progress("%d cores: as many events as they take", n)
 	used, messages := joined, swarm.messages.Load()
 	events, took, err := swarm.flood(0, span)
 	if err != nil {
@@ -180,7 +180,7 @@
 		*half = run.EventsPerS / 2 / float64(n)
 	}
 	run.HalfRate = *half
-	p.Say("%d cores: %.0f events a second; now %.0f", n, run.EventsPerS, *half)
+	p.Progress("%d cores: %.0f events a second; now %.0f", n, run.EventsPerS, *half)
 	swarm.mu.Lock()
 	swarm.reset()
 	swarm.mu.Unlock()
@@ -195,8 +195,8 @@
 	swarm.mu.Lock()
 	defer swarm.mu.Unlock()
 	run.Drain, run.Order = quantiles(swarm.whole), quantiles(swarm.each)
-	run.Broken, run.QueueMost, run.DrainMost = swarm.auditor.Violations(), swarm.auditor.Peak.QueueLines, swarm.auditor.Peak.DrainMillis
-	run.Breaks = len(run.Broken)
-	run.Broken = run.Broken[:min(len(run.Broken), 10)]
+	run.Violations, run.MaxQueueLines, run.MaxDrainMillis = swarm.auditor.Violations(), swarm.auditor.Peak.QueueLines, swarm.auditor.Peak.DrainMillis
+	run.ViolationCount = len(run.Violations)
+	run.Violations = run.Violations[:min(len(run.Violations), 10)]
 	return run, nil
 }
--- a/internal/planner/bench/decisions.go
+++ b/internal/planner/bench/decisions.go
@@ -17,23 +17,23 @@
 
 // Decisions is what planners of one number of cores decided on a scripted day, on simulated servers and a simulated clock.
 type Decisions struct {
-	Cores     int     `json:"cores"`
-	Learnt    float64 `json:"learnt_share"`     // of the difference between fast and slow servers that weights make up for
-	Spread    float64 `json:"spread"`           // standard deviation of the servers' use, as a share of its mean
-	Refused   float64 `json:"refused_share"`    // of the worth asked for during the overload
-	Level     float64 `json:"level_difference"` // largest between two proxies in any class, mean over the overload
-	Messages  int     `json:"messages"`
-	Lines     int     `json:"lines"`
-	QueueMost float64 `json:"queue_lines_most"`
-	DrainMost float64 `json:"drain_ms_most"`
-	Breaks    int     `json:"breaks"`
+	Cores             int     `json:"cores"`
+	SpeedCompensation float64 `json:"learnt_share"`     // of the difference between fast and slow servers that weights make up for
+	Spread            float64 `json:"spread"`           // standard deviation of the servers' use, as a share of its mean
+	RejectedShare     float64 `json:"refused_share"`    // of the worth asked for during the overload
+	LevelDifference   float64 `json:"level_difference"` // largest between two proxies in any class, mean over the overload
+	Messages          int     `json:"messages"`
+	Lines             int     `json:"lines"`
+	MaxQueueLines     float64 `json:"queue_lines_most"`
+	MaxDrainMillis    float64 `json:"drain_ms_most"`
+	ViolationCount    int     `json:"breaks"`
 }
 
-// Day is the result of CompareDecisions.
-type Day struct {
+// DecisionsResult is the result of CompareDecisions.
+type DecisionsResult struct {
 	Fleet
 	Seconds int         `json:"simulated_seconds"`
-	Each    []Decisions `json:"decisions"`
+	Runs    []Decisions `json:"decisions"`
 }
 
 // The scripted day, in seconds. Tables stand before the first figure is taken.
@@ -62,15 +62,15 @@
 }
 
 // CompareDecisions plays the same day to planners of several numbers of cores.
-func CompareDecisions(f Fleet, counts []int, say func(string, ...any)) (Day, error) {
-	result := Day{Fleet: f, Seconds: scenarioSeconds}
+func CompareDecisions(f Fleet, counts []int, say func(string, ...any)) (DecisionsResult, error) {
+	result := DecisionsResult{Fleet: f, Seconds: scenarioSeconds}
 	for _, n := range counts {
 		say("%d cores: %d s of a day, simulated", n, scenarioSeconds)
 		d, err := f.play(n)
 		if err != nil {
 			return result, fmt.Errorf("%d cores: %w", n, err)
 		}
-		result.Each = append(result.Each, d)
+		result.Runs = append(result.Runs, d)
 	}
 	return result, nil
 }
@@ -91,14 +91,14 @@
 		}
 	}
 	if d.samples.plain > 0 {
-		d.result.Learnt /= d.samples.plain
+		d.result.SpeedCompensation /= d.samples.plain
 		d.result.Spread /= d.samples.plain
 	}
 	if d.samples.loaded > 0 {
-		d.result.Refused /= d.samples.loaded
-		d.result.Level /= d.samples.loaded
+		d.result.RejectedShare /= d.samples.loaded
+		d.result.LevelDifference /= d.samples.loaded
 	}
-	d.result.QueueMost, d.result.DrainMost, d.result.Breaks = d.audit.Peak.QueueLines, d.audit.Peak.DrainMillis, len(d.audit.Violations())
+	d.result.MaxQueueLines, d.result.MaxDrainMillis, d.result.ViolationCount = d.audit.Peak.QueueLines, d.audit.Peak.DrainMillis, len(d.audit.Violations())
 	return d.result, nil
 }
 
@@ -275,16 +275,16 @@
 	switch {
 	case second >= settleTime && second < overloadFrom:
 		d.samples.plain++
-		d.result.Learnt += (1 - (slow/slows)/(fast/fasts)) / (1 - slowness)
+		d.result.SpeedCompensation += (1 - (slow/slows)/(fast/fasts)) / (1 - slowness)
 		d.result.Spread += spread(use)
 	case second >= overloadFrom+10 && second < overloadUntil:
 		d.samples.loaded++
-		d.result.Refused += refused / worth
+		d.result.RejectedShare += refused / worth
 		widest := 0.0
 		for k := range least {
 			widest = max(widest, most[k]-least[k])
 		}
-		d.result.Level += widest
+		d.result.LevelDifference += widest
 	}
 }
 
@@ -301,27 +301,27 @@
 }
 
 // WriteTable prints the comparison for people.
-func (d Day) WriteTable(out io.Writer) error {
+func (d DecisionsResult) WriteTable(out io.Writer) error {
 	fmt.Fprintf(out, "%d proxies, %d servers, seed %d; %d s, simulated servers and clock\n\n", d.Proxies, d.Servers, d.Seed,
 		d.Seconds)
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table,
 		"cores\tlearnt\tspread of use\trefused worth\tlevels apart\tmessages\tlines\tqueue most\tdrain ms most\tbreaks")
-	for _, e := range d.Each {
-		fmt.Fprintf(table, "%d\t%.2f\t%.3f\t%.3f\t%.3f\t%d\t%d\t%.0f\t%.0f\t%d\n", e.Cores, e.Learnt, e.Spread, e.Refused,
-			e.Level, e.Messages, e.Lines,
-			e.QueueMost, e.DrainMost, e.Breaks)
+	for _, e := range d.Runs {
+		fmt.Fprintf(table, "%d\t%.2f\t%.3f\t%.3f\t%.3f\t%d\t%d\t%.0f\t%.0f\t%d\n", e.Cores, e.SpeedCompensation, e.Spread, e.RejectedShare,
+			e.LevelDifference, e.Messages, e.Lines,
+			e.MaxQueueLines, e.MaxDrainMillis, e.ViolationCount)
 	}
 	return table.Flush()
 }
 
 // WritePlot draws spread and refusals against cores.
-func (d Day) WritePlot(file string) error {
+func (d DecisionsResult) WritePlot(file string) error {
 	var spread, refused, messages plotter.XYs
-	for _, e := range d.Each {
+	for _, e := range d.Runs {
 		x := float64(e.Cores)
 		spread = append(spread, plotter.XY{X: x, Y: e.Spread})
-		refused = append(refused, plotter.XY{X: x, Y: e.Refused})
+		refused = append(refused, plotter.XY{X: x, Y: e.RejectedShare})
 		messages = append(messages, plotter.XY{X: x, Y: float64(e.Messages) / 1000})
 	}
 	left, err := chart("Decisions on the same day", "share", series{"spread of servers' use", blue, spread, false},
--- a/internal/planner/bench/fronts.go
+++ b/internal/planner/bench/fronts.go
@@ -9,13 +9,13 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// FrontsResult is a result in which the runs differ by front.
-type FrontsResult struct{ Result }
+// FrontendsResult is a result in which the runs differ by front.
+type FrontendsResult struct{ Result }
 
 // of finds a run.
-func (r FrontsResult) of(cores int, front Front) (Run, bool) {
+func (r FrontendsResult) of(cores int, front Frontend) (Run, bool) {
 	for _, n := range r.Runs {
-		if n.Cores == cores && n.Front == front {
+		if n.Cores == cores && n.Frontend == front {
 			return n, true
 		}
 	}
@@ -23,7 +23,7 @@
 }
 
 // WriteTable prints the runs for people, each beside what lines take.
-func (r FrontsResult) WriteTable(out io.Writer) error {
+func (r FrontendsResult) WriteTable(out io.Writer) error {
 	fmt.Fprintf(out, "%d proxies, %d servers, seed %d; machine with %d cores, which the peers share; phases of %g s\n\n",
 		r.Proxies, r.Servers, r.Seed, r.CPUs, r.Seconds)
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
@@ -31,12 +31,12 @@
 		"cores\tfront\tevents/s\torders/s\tCPU µs/event\tof lines\tat events/s\tCPU\tdrain ms p50\tp99\tof lines\tKiB/stream\tMB\tbreaks")
 	for _, n := range r.Runs {
 		cpu, drain := "-", "-"
-		if lines, known := r.of(n.Cores, Lines); known && n.Front != Lines {
+		if lines, known := r.of(n.Cores, Lines); known && n.Frontend != Lines {
 			cpu, drain = fmt.Sprintf("%.2f", n.CPUPerEvent/lines.CPUPerEvent), fmt.Sprintf("%.2f", n.Drain.P99/lines.Drain.P99)
 		}
-		fmt.Fprintf(table, "%d\t%s\t%.0f\t%.0f\t%.2f\t%s\t%.0f\t%.2f\t%.0f\t%.0f\t%s\t%.1f\t%.0f\t%d\n", n.Cores, n.Front,
+		fmt.Fprintf(table, "%d\t%s\t%.0f\t%.0f\t%.2f\t%s\t%.0f\t%.2f\t%.0f\t%.0f\t%s\t%.1f\t%.0f\t%d\n", n.Cores, n.Frontend,
 			n.EventsPerS, n.OrdersPerS,
-			n.CPUPerEvent, cpu, n.HalfRate, n.CPUAtHalf, n.Drain.P50, n.Drain.P99, drain, n.KiBPerStream, n.MemoryMB, n.Breaks)
+			n.CPUPerEvent, cpu, n.HalfRate, n.CPUAtHalf, n.Drain.P50, n.Drain.P99, drain, n.KiBPerStream, n.MemoryMB, n.ViolationCount)
 	}
 	return table.Flush()
 }
@@ -44,13 +44,13 @@
 var green = color.RGBA{R: 60, G: 140, B: 70, A: 255}
 
 // WritePlot draws throughput and latency against cores, a line a front.
-func (r FrontsResult) WritePlot(file string) error {
-	colors := map[Front]color.Color{Lines: blue, GRPC: red, Half: green}
+func (r FrontendsResult) WritePlot(file string) error {
+	colors := map[Frontend]color.Color{Lines: blue, GRPC: red, Half: green}
 	var rates, drains []series
-	for _, front := range Fronts {
+	for _, front := range Frontends {
 		var rate, p99 plotter.XYs
 		for _, n := range r.Runs {
-			if n.Front == front {
+			if n.Frontend == front {
 				rate = append(rate, plotter.XY{X: float64(n.Cores), Y: n.EventsPerS / 1000})
 				p99 = append(p99, plotter.XY{X: float64(n.Cores), Y: n.Drain.P99})
 			}
--- a/internal/planner/bench/hammer.go
+++ b/internal/planner/bench/hammer.go
@@ -13,10 +13,10 @@
 // hammerTable is how many servers a hammered table draws from.
 const hammerTable = 6
 
-// HammerVersions delivers so many updates over channels that lose, double, hold back, cut and flip at random, among them
+// StressVersions delivers so many updates over channels that lose, double, hold back, cut and flip at random, among them
 // updates of other proxies and lives, and checks after each that the receiver holds a table that was sent under its version, or
 // none. It returns how many it did not.
-func HammerVersions(deliveries int, seed uint64) (wrong int64) {
+func StressVersions(deliveries int, seed uint64) (wrong int64) {
 	workers := runtime.NumCPU()
 	var bad atomic.Int64
 	var group sync.WaitGroup
--- a/internal/planner/bench/look.go
+++ b/internal/planner/bench/look.go
@@ -22,42 +22,42 @@
 	decisionsPerDrain = 5     // looks between two drains
 )
 
-// Look is what looks cost at one number of cores, in milliseconds: the time until the last core has taken its turn and
+// RoundTimes is what looks cost at one number of cores, in milliseconds: the time until the last core has taken its turn and
 // written its orders.
-type Look struct {
+type RoundTimes struct {
 	Cores       int     `json:"cores"`
 	OverMachine bool    `json:"over_machine"`
 	P50         float64 `json:"look_ms_p50"`
 	P99         float64 `json:"look_ms_p99"`
 	Max         float64 `json:"look_ms_max"`
-	Joining     float64 `json:"joining_ms_max"` // the dearest look while all proxies get their whole tables
+	JoinMax     float64 `json:"joining_ms_max"` // the dearest look while all proxies get their whole tables
 	Messages    int     `json:"messages"`
 }
 
-// Looks is the result of MeasureLooks.
-type Looks struct {
+// RoundsResult is the result of MeasureLooks.
+type RoundsResult struct {
 	CPUs int `json:"machine_cores"`
 	Fleet
-	Looks []Look `json:"looks"`
+	Rounds []RoundTimes `json:"looks"`
 }
 
-// MeasureLooks times looks without sockets: each core's router and module take their turns at the same time, while reports
+// MeasureRounds times looks without sockets: each core's router and module take their turns at the same time, while reports
 // come and servers drain.
-func MeasureLooks(f Fleet, counts []int, say func(string, ...any)) (Looks, error) {
+func MeasureRounds(f Fleet, counts []int, say func(string, ...any)) (RoundsResult, error) {
 	debug.SetGCPercent(400) // as a planner on several cores does
-	result := Looks{CPUs: runtime.NumCPU(), Fleet: f}
+	result := RoundsResult{CPUs: runtime.NumCPU(), Fleet: f}
 	for _, n := range counts {
 		say("%d cores: %d proxies x %d servers", n, f.Proxies, f.Servers)
 		look, err := f.looks(n)
 		if err != nil {
 			return result, err
 		}
-		result.Looks = append(result.Looks, look)
+		result.Rounds = append(result.Rounds, look)
 	}
 	return result, nil
 }
 
-func (f Fleet) looks(n int) (Look, error) {
+func (f Fleet) looks(n int) (RoundTimes, error) {
 	before := runtime.GOMAXPROCS(min(n, runtime.NumCPU()))
 	defer runtime.GOMAXPROCS(before)
 	var mu sync.Mutex
@@ -69,12 +69,12 @@
 		mu.Unlock()
 	})
 	if err != nil {
-		return Look{}, err
+		return RoundTimes{}, err
 	}
 	ends := map[int]*end{}
 	for p := range f.Proxies {
 		if err := g.join(ends, p, proxyRate); err != nil {
-			return Look{}, err
+			return RoundTimes{}, err
 		}
 	}
 	times, joining := []float64{}, 0.0
@@ -110,7 +110,7 @@
 		took := float64(time.Since(begun)) / float64(time.Millisecond)
 		for _, err := range errs {
 			if err != nil {
-				return Look{}, err
+				return RoundTimes{}, err
 			}
 		}
 		if look < warmLooks {
@@ -119,35 +119,35 @@
 			times = append(times, took)
 		}
 		if err := g.words(); err != nil {
-			return Look{}, err
+			return RoundTimes{}, err
 		}
 	}
 	slices.Sort(times)
-	return Look{Cores: n, OverMachine: n > runtime.NumCPU(), P50: times[len(times)/2], P99: times[len(times)*99/100],
+	return RoundTimes{Cores: n, OverMachine: n > runtime.NumCPU(), P50: times[len(times)/2], P99: times[len(times)*99/100],
 		Max:     times[len(times)-1],
-		Joining: joining, Messages: messages}, nil
+		JoinMax: joining, Messages: messages}, nil
 }
 
 // WriteTable prints the looks for people.
-func (l Looks) WriteTable(out io.Writer) error {
+func (l RoundsResult) WriteTable(out io.Writer) error {
 	fmt.Fprintf(out, "%d proxies x %d servers in this process, without sockets; machine with %d cores\n\n", l.Proxies,
 		l.Servers, l.CPUs)
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "cores\tlook ms p50\tp99\tmax\twhile all join, max\tmessages")
-	for _, k := range l.Looks {
+	for _, k := range l.Rounds {
 		mark := ""
 		if k.OverMachine {
 			mark = " (over the machine's)"
 		}
-		fmt.Fprintf(table, "%d%s\t%.1f\t%.1f\t%.1f\t%.1f\t%d\n", k.Cores, mark, k.P50, k.P99, k.Max, k.Joining, k.Messages)
+		fmt.Fprintf(table, "%d%s\t%.1f\t%.1f\t%.1f\t%.1f\t%d\n", k.Cores, mark, k.P50, k.P99, k.Max, k.JoinMax, k.Messages)
 	}
 	return table.Flush()
 }
 
 // WritePlot draws the time of a look against cores.
-func (l Looks) WritePlot(file string) error {
+func (l RoundsResult) WritePlot(file string) error {
 	var p50, p99 plotter.XYs
-	for _, k := range l.Looks {
+	for _, k := range l.Rounds {
 		p50 = append(p50, plotter.XY{X: float64(k.Cores), Y: k.P50})
 		p99 = append(p99, plotter.XY{X: float64(k.Cores), Y: k.P99})
 	}
--- a/internal/planner/bench/peers.go
+++ b/internal/planner/bench/peers.go
@@ -16,21 +16,21 @@
 	"mulleinwood/rules"
 )
 
-// Front is what a fleet's peers speak.
-type Front string
+// Frontend is what a fleet's peers speak.
+type Frontend string
 
 // The fronts.
 const (
-	Lines Front = "lines"
-	GRPC  Front = "grpc"
-	Half  Front = "half" // every second peer by gRPC
+	Lines Frontend = "lines"
+	GRPC  Frontend = "grpc"
+	Half  Frontend = "half" // every second peer by gRPC
 )
 
-// Fronts are all of them.
-var Fronts = []Front{Lines, GRPC, Half}
+// Frontends are all of them.
+var Frontends = []Frontend{Lines, GRPC, Half}
 
 // grpc says whether the nth peer speaks gRPC.
-func (f Front) grpc(n int) bool { return f == GRPC || f == Half && n/len(zones)%2 == 1 }
+func (f Frontend) grpc(n int) bool { return f == GRPC || f == Half && n/len(zones)%2 == 1 }
 
 // proxyPeer is a proxy of either protocol.
 type proxyPeer interface {
@@ -51,12 +51,12 @@
 func (p *lineProxy) flood() (int, error) { return batchLines, p.Write(p.batch) }
 
 func (p *lineProxy) ask() error {
-	p.beats = p.State().Beats
-	return p.Say(`{"t":"hb"}`)
+	p.beats = p.State().HeartbeatReplies
+	return p.WriteLine(`{"t":"hb"}`)
 }
 
 func (p *lineProxy) await() error {
-	return p.Wait(func(s standin.State) bool { return s.Beats > p.beats }).Closed
+	return p.Wait(func(s standin.State) bool { return s.HeartbeatReplies > p.beats }).Closed
 }
 
 // grpcProxy speaks gRPC. One load report tells of all classes.
@@ -147,7 +147,7 @@
 		c, err := standin.NewGRPCCollector(planner, zone, nil)
 		g := &grpcTeller{GRPCCollector: c}
 		for i := range s.fleet.Servers {
-			g.met = append(g.met, standin.Met(fmt.Sprint("s-", i), 5+rng.IntN(10), 0, 80+40*rng.Float64()))
+			g.met = append(g.met, standin.EndpointStats(fmt.Sprint("s-", i), 5+rng.IntN(10), 0, 80+40*rng.Float64()))
 		}
 		return g, err
 	}
--- a/internal/planner/bench/report.go
+++ b/internal/planner/bench/report.go
@@ -31,7 +31,7 @@
 		fmt.Fprintf(table, "%d%s\t%.0f\t%.0f\t%.2f\t%.2f\t%.0f\t%.2f\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%.0f\t%.0f of %.0f\t%d\n",
 			n.Cores, mark, n.EventsPerS,
 			n.OrdersPerS, n.CPUAtFull, n.CPUPerEvent, n.HalfRate, n.CPUAtHalf, n.Drain.P50, n.Drain.P99, n.Drain.P999, n.Drain.Max,
-			n.KiBPerStream, n.MemoryMB, n.QueueMost, n.QueueLimit, n.Breaks)
+			n.KiBPerStream, n.MemoryMB, n.MaxQueueLines, n.QueueLimit, n.ViolationCount)
 	}
 	return table.Flush()
 }
--- a/internal/planner/bench/swarm.go
+++ b/internal/planner/bench/swarm.go
@@ -28,7 +28,7 @@
 // loadGenerator is the peers of one planner, with an auditor that sees what they see.
 type loadGenerator struct {
 	fleet     Fleet
-	front     Front
+	front     Frontend
 	begun     time.Time
 	discovery *standin.Discovery
 	proxies   []proxyPeer
@@ -51,7 +51,7 @@
 	over   chan struct{}
 }
 
-func newLoadGenerator(f Fleet, front Front, discovery *standin.Discovery) (*loadGenerator, error) {
+func newLoadGenerator(f Fleet, front Frontend, discovery *standin.Discovery) (*loadGenerator, error) {
 	set, err := f.parsed()
 	if err != nil {
 		return nil, err
@@ -130,11 +130,11 @@
 		for _, r := range part.Rows {
 			o.Rows[r.Server] = r.Weight
 		}
-		o.Drop, o.Undrop = append(o.Drop, part.Drop...), append(o.Undrop, part.Undrop...)
-		if part.Again != nil {
+		o.Drop, o.Undrop = append(o.Drop, part.Exclude...), append(o.Undrop, part.Include...)
+		if part.Retry != nil {
 			for k, class := range classes {
-				if len(part.For) == 0 || slices.Contains(part.For, class) {
-					o.Retries[k] = rules.Retry(*part.Again)
+				if len(part.Classes) == 0 || slices.Contains(part.Classes, class) {
+					o.Retries[k] = rules.Retry(*part.Retry)
 				}
 			}
 		}
--- a/internal/planner/bench/versions.go
+++ b/internal/planner/bench/versions.go
@@ -17,30 +17,30 @@
 	"mulleinwood/tables"
 )
 
-// Versions is what versioned tables cost, and how soon a receiver is in step again after updates were lost.
-type Versions struct {
+// VersionsResult is what versioned tables cost, and how soon a receiver is in step again after updates were lost.
+type VersionsResult struct {
 	Fleet
-	Seconds     int     `json:"simulated_seconds"`
-	Changes     int     `json:"changes"` // messages but for the first of each proxy
-	LineBytes   float64 `json:"line_bytes_per_change"`
-	DeltaBytes  float64 `json:"delta_bytes_per_change"`
-	WholeBytes  float64 `json:"whole_bytes_per_change"`
-	VersionCPU  float64 `json:"version_us_per_change"` // making and writing updates
-	StepCPU     float64 `json:"step_us_per_change"`    // all that the planner does in its turns, without that
-	RecordCPU   float64 `json:"record_us_per_change"`
-	RecordBytes float64 `json:"record_bytes_per_change"`
-	Losses      []Loss  `json:"losses"`
-	Deliveries  int     `json:"checked_deliveries"`
-	Wrong       int     `json:"tables_not_sent"` // held by a receiver, of all that were checked
+	Seconds       int     `json:"simulated_seconds"`
+	Changes       int     `json:"changes"` // messages but for the first of each proxy
+	LineBytes     float64 `json:"line_bytes_per_change"`
+	DeltaBytes    float64 `json:"delta_bytes_per_change"`
+	SnapshotBytes float64 `json:"whole_bytes_per_change"`
+	VersionCPU    float64 `json:"version_us_per_change"` // making and writing updates
+	StepCPU       float64 `json:"step_us_per_change"`    // all that the planner does in its turns, without that
+	RecordCPU     float64 `json:"record_us_per_change"`
+	RecordBytes   float64 `json:"record_bytes_per_change"`
+	Losses        []Loss  `json:"losses"`
+	Deliveries    int     `json:"checked_deliveries"`
+	Mismatches    int     `json:"tables_not_sent"` // held by a receiver, of all that were checked
 }
 
 // Loss is what happens where a share of all updates is lost. Times are simulated, with a round trip of 20 ms.
 type Loss struct {
-	Share float64   `json:"share"`
-	Back  Quantiles `json:"in_step_again_ms"` // from the loss; it is noticed by the next update
-	Noted Quantiles `json:"repaired_ms"`      // from when it was noticed
-	Asked int       `json:"questions"`
-	Whole int       `json:"answered_whole"`
+	Share          float64   `json:"share"`
+	Recovery       Quantiles `json:"in_step_again_ms"` // from the loss; it is noticed by the next update
+	Repair         Quantiles `json:"repaired_ms"`      // from when it was noticed
+	ResendRequests int       `json:"questions"`
+	Snapshots      int       `json:"answered_whole"`
 }
 
 const (
@@ -57,8 +57,8 @@
 }
 
 // MeasureVersions plays a scripted day, as CompareDecisions does, on one core.
-func MeasureVersions(f Fleet, say func(string, ...any)) (Versions, error) {
-	v := Versions{Fleet: f, Seconds: versionSeconds}
+func MeasureVersions(f Fleet, say func(string, ...any)) (VersionsResult, error) {
+	v := VersionsResult{Fleet: f, Seconds: versionSeconds}
 	for _, share := range []float64{0.01, 0.1, 0.5} {
 		say("losing %.0f%% of the updates", share*100)
 		if err := f.versions(&v, share); err != nil {
@@ -69,14 +69,14 @@
 }
 
 // versions plays the day once. Costs are those of the last play.
-func (f Fleet) versions(v *Versions, share float64) error {
+func (f Fleet) versions(v *VersionsResult, share float64) error {
 	origin := tables.Origin{Instance: "bench", Incarnation: 1}
 	senders, receivers := map[int]*tables.Sender{}, map[int]*lossy{}
 	rng := rand.New(rand.NewPCG(f.Seed, 31))
 	back, noted := hdrhistogram.New(1, maxLatency, 3), hdrhistogram.New(1, maxLatency, 3)
 	loss := Loss{Share: share}
 	var versioning time.Duration
-	v.Changes, v.LineBytes, v.DeltaBytes, v.WholeBytes = 0, 0, 0, 0
+	v.Changes, v.LineBytes, v.DeltaBytes, v.SnapshotBytes = 0, 0, 0, 0
 	var kept []record.Entry
 	d := &scenarioRun{fleet: f, result: Decisions{Cores: 1}, ends: map[int]*end{}}
 	settle := func(proxy int) {
@@ -100,7 +100,7 @@
 		v.Deliveries++
 		held, at := receivers[proxy].receiver.Table()
 		if sent, newest := senders[proxy].Table(); at == newest && !held.Equal(sent) {
-			v.Wrong++
+			v.Mismatches++
 		}
 	}
 	order := func(proxy int, o protocol.Assignment) {
@@ -125,7 +125,7 @@
 			v.Changes++
 			v.LineBytes += float64(len(line))
 			v.DeltaBytes += float64(len(text))
-			v.WholeBytes += float64(len(tables.Snapshot(sent, at, nil).Append(nil, nil)))
+			v.SnapshotBytes += float64(len(tables.Snapshot(sent, at, nil).Append(nil, nil)))
 			if len(kept) < 100000 {
 				kept = append(kept, record.Entry{At: time.UnixMilli(int64(d.group.now)), Cause: "weights", Update: text})
 			}
@@ -170,10 +170,10 @@
 					continue
 				}
 				d.group.now = at + roundTrip
-				loss.Asked++
+				loss.ResendRequests++
 				for _, u := range senders[proxy].Resend(a) {
 					if u.Snapshot {
-						loss.Whole++
+						loss.Snapshots++
 					}
 					if rng.Float64() >= share {
 						l.receiver.ApplyEncoded(d.group.now, u.Append(nil, nil))
@@ -186,9 +186,9 @@
 		d.group.now = now
 	}
 	n := max(1, float64(v.Changes))
-	v.LineBytes, v.DeltaBytes, v.WholeBytes = v.LineBytes/n, v.DeltaBytes/n, v.WholeBytes/n
+	v.LineBytes, v.DeltaBytes, v.SnapshotBytes = v.LineBytes/n, v.DeltaBytes/n, v.SnapshotBytes/n
 	v.VersionCPU, v.StepCPU = float64(versioning.Microseconds())/n, float64(steps.Microseconds())/n
-	loss.Back, loss.Noted = quantiles(back), quantiles(noted)
+	loss.Recovery, loss.Repair = quantiles(back), quantiles(noted)
 	v.Losses = append(v.Losses, loss)
 	return v.recordCost(kept)
 }
@@ -199,7 +199,7 @@
 }
 
 // recordCost writes what was sent into a record, as the planner does: in batches, beside the work.
-func (v *Versions) recordCost(kept []record.Entry) error {
+func (v *VersionsResult) recordCost(kept []record.Entry) error {
 	folder, err := os.MkdirTemp("", "mulleinwood-bench-")
 	if err != nil {
 		return err
@@ -230,31 +230,31 @@
 }
 
 // WriteTable prints the figures for people.
-func (v Versions) WriteTable(out io.Writer) error {
+func (v VersionsResult) WriteTable(out io.Writer) error {
 	fmt.Fprintf(out, "%d proxies, %d servers, seed %d; %d s, simulated servers and clock\n\n", v.Proxies, v.Servers, v.Seed,
 		v.Seconds)
 	fmt.Fprintf(out, "%d changes: a line %.0f bytes, a delta %.0f, a whole table %.0f (delta %.0f%% of whole)\n", v.Changes,
 		v.LineBytes, v.DeltaBytes,
-		v.WholeBytes, 100*v.DeltaBytes/v.WholeBytes)
+		v.SnapshotBytes, 100*v.DeltaBytes/v.SnapshotBytes)
 	fmt.Fprintf(out,
 		"versions %.1f µs a change, the rest of the planner's and the day's work %.1f µs; record %.1f µs and %.0f bytes a change\n", v.VersionCPU,
 		v.StepCPU, v.RecordCPU, v.RecordBytes)
-	fmt.Fprintf(out, "%d deliveries checked, %d tables held that were not sent\n\n", v.Deliveries, v.Wrong)
+	fmt.Fprintf(out, "%d deliveries checked, %d tables held that were not sent\n\n", v.Deliveries, v.Mismatches)
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "lost\tin step again ms p50\tp99\tmax\tsince noticed p50\tp99\tmax\tlosses\tquestions\tanswered whole")
 	for _, l := range v.Losses {
-		fmt.Fprintf(table, "%.0f%%\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%d\t%d\t%d\n", 100*l.Share, l.Back.P50, l.Back.P99,
-			l.Back.Max, l.Noted.P50, l.Noted.P99, l.Noted.Max, l.Back.Count, l.Asked, l.Whole)
+		fmt.Fprintf(table, "%.0f%%\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%d\t%d\t%d\n", 100*l.Share, l.Recovery.P50, l.Recovery.P99,
+			l.Recovery.Max, l.Repair.P50, l.Repair.P99, l.Repair.Max, l.Recovery.Count, l.ResendRequests, l.Snapshots)
 	}
 	return table.Flush()
 }
 
 // WritePlot draws how soon receivers are in step again.
-func (v Versions) WritePlot(file string) error {
+func (v VersionsResult) WritePlot(file string) error {
 	var p50, p99 plotter.XYs
 	for _, l := range v.Losses {
-		p50 = append(p50, plotter.XY{X: 100 * l.Share, Y: l.Back.P50})
-		p99 = append(p99, plotter.XY{X: 100 * l.Share, Y: l.Back.P99})
+		p50 = append(p50, plotter.XY{X: 100 * l.Share, Y: l.Recovery.P50})
+		p99 = append(p99, plotter.XY{X: 100 * l.Share, Y: l.Recovery.P99})
 	}
 	p, err := chart(fmt.Sprintf("In step again after a loss (%d proxies)", v.Proxies), "ms", series{"p50", blue, p50, false},
 		series{"p99", red, p99, false})
--- a/internal/planner/program/day_test.go
+++ b/internal/planner/program/day_test.go
@@ -105,8 +105,8 @@
 			for _, r := range part.Rows {
 				o.Rows[r.Server] = r.Weight
 			}
-			if part.Again != nil {
-				o.Retries[0], o.Retries[1] = rules.Retry(*part.Again), rules.Retry(*part.Again)
+			if part.Retry != nil {
+				o.Retries[0], o.Retries[1] = rules.Retry(*part.Retry), rules.Retry(*part.Retry)
 			}
 			o.Lines += float64(part.Lines())
 		}
@@ -179,7 +179,7 @@
 		for _, p := range list {
 			if beat%10 == p.Number%10 && p.State().Closed == nil {
 				for _, class := range []string{"lookup", "order"} {
-					p.Say(fmt.Sprintf(`{"t":"client_stats","proxy":%d,"class":%q,"tries":%d,"failed":0,"span_ms":1000}`,
+					p.WriteLine(fmt.Sprintf(`{"t":"client_stats","proxy":%d,"class":%q,"tries":%d,"failed":0,"span_ms":1000}`,
 						p.Number, class, 5+rng.IntN(10)))
 				}
 			}
@@ -328,10 +328,10 @@
 				tries := 5 + rng.IntN(10)
 				switch p := p.(type) {
 				case *standin.Proxy:
-					p.Say(fmt.Sprintf(`{"t":"client_stats","proxy":%d,"class":%q,"tries":%d,"failed":0,"span_ms":1000}`, i,
+					p.WriteLine(fmt.Sprintf(`{"t":"client_stats","proxy":%d,"class":%q,"tries":%d,"failed":0,"span_ms":1000}`, i,
 						class, tries))
 				case *standin.GRPCProxy:
-					p.Use(class, uint64(tries), 0, time.Second)
+					p.ReportUsage(class, uint64(tries), 0, time.Second)
 				}
 			}
 		}
--- a/internal/planner/program/front_test.go
+++ b/internal/planner/program/front_test.go
@@ -118,16 +118,16 @@
 	defer f.stop()
 	p := f.grpcProxy(0, "north", nil)
 	f.await("a table", p, holds("s-0"))
-	p.Refuse("cannot use it")
+	p.Reject("cannot use it")
 	f.phase("s-1", "draining")
-	f.await("a refusal", p, func(s standin.State) bool { return s.Refused > 0 })
+	f.await("a refusal", p, func(s standin.State) bool { return s.Rejected > 0 })
 	refused := time.Now()
-	p.Refuse("")
+	p.Reject("")
 	f.await("the table again", p, lacks("s-1"))
 	if took := time.Since(refused); took < 500*time.Millisecond {
 		t.Errorf("the refusal was answered after %v", took)
 	}
-	if n := p.State().Refused; n > 2 {
+	if n := p.State().Rejected; n > 2 {
 		t.Errorf("%d messages were refused", n)
 	}
 }
--- a/internal/planner/program/program_test.go
+++ b/internal/planner/program/program_test.go
@@ -55,10 +55,10 @@
 		t.Errorf("a list that can't be read changed the table: %+v", holding.Table)
 	}
 	watches = f.discovery.Watches()
-	f.discovery.SetHushed(true)
+	f.discovery.SetSilent(true)
 	f.discovery.Break()
 	f.until("a watch that stays silent", func() bool { return f.discovery.Watches() > watches })
-	f.discovery.SetHushed(false) // for the next one
+	f.discovery.SetSilent(false) // for the next one
 	f.phase("s-3", protocol.PhaseDraining)
 	f.wait("a drain after a watch has fallen silent", south, lacks("s-3"))
 	f.phase("s-3", protocol.PhaseUp)
@@ -145,9 +145,9 @@
 		}
 	}
 	p := f.proxy(0, "north")
-	p.Say(`["nonsense"]`)
-	p.Say(`{"t":"client_stats","proxy":0,"class":"odd","tries":1}`)
-	p.Say(`{"t":"done","proxy":0,"mark":77777}`)
+	p.WriteLine(`["nonsense"]`)
+	p.WriteLine(`{"t":"client_stats","proxy":0,"class":"odd","tries":1}`)
+	p.WriteLine(`{"t":"done","proxy":0,"mark":77777}`)
 	c := f.collector("north")
 	for range 50 {
 		dial("")
--- a/internal/planner/program/roles_test.go
+++ b/internal/planner/program/roles_test.go
@@ -134,14 +134,14 @@
 	defer f.stop()
 	p := f.proxy(2, "north")
 	next[rules.Joined](t, h)
-	p.Say(`{"t":"client_stats","proxy":2,"class":"lookup","tries":"many","failed":0,"span_ms":1000}`)
-	p.Say(`{"t":"client_stats","proxy":3,"class":"lookup","tries":1,"failed":0,"span_ms":1000}`)
-	p.Say(`{"t":"upstream_stats","zone":"north","server":"s-0","tries":1,"failed":0,"mean_ms":1,"span_ms":1000}`)
-	p.Say(`{"t":"client_stats","proxy":2,"class":"lookup","tries":7,"failed":0,"span_ms":1000}`)
+	p.WriteLine(`{"t":"client_stats","proxy":2,"class":"lookup","tries":"many","failed":0,"span_ms":1000}`)
+	p.WriteLine(`{"t":"client_stats","proxy":3,"class":"lookup","tries":1,"failed":0,"span_ms":1000}`)
+	p.WriteLine(`{"t":"upstream_stats","zone":"north","server":"s-0","tries":1,"failed":0,"mean_ms":1,"span_ms":1000}`)
+	p.WriteLine(`{"t":"client_stats","proxy":2,"class":"lookup","tries":7,"failed":0,"span_ms":1000}`)
 	if d := next[rules.Demand](t, h); d.Proxy != 2 || d.Requests != 7 {
 		t.Errorf("told %+v", d)
 	}
-	p.Say("\x01\x02 no line")
+	p.WriteLine("\x01\x02 no line")
 	if left := next[rules.Left](t, h); left.Proxy != 2 {
 		t.Errorf("told %+v", left)
 	}
--- a/internal/planner/program/versions_test.go
+++ b/internal/planner/program/versions_test.go
@@ -99,7 +99,7 @@
 		f.await("a table without the draining server", p,
 			func(s standin.State) bool { return len(s.Table) > 0 && s.Table["s-2"] == 0 })
 		f.until("in step", func() bool {
-			in, at := p.InStep()
+			in, at := p.UpToDate()
 			mu.Lock()
 			defer mu.Unlock()
 			return in && at == newest[uint32(p.Number)]
--- a/internal/planner/standin/board.go
+++ b/internal/planner/standin/board.go
@@ -15,7 +15,7 @@
 func newBoard() board {
 	mu := &sync.Mutex{}
 	return board{mu: mu, change: sync.NewCond(mu),
-		state: State{Table: map[string]float64{}, Levels: map[string]float64{}, Shut: map[string]bool{}}}
+		state: State{Table: map[string]float64{}, Levels: map[string]float64{}, Excluded: map[string]bool{}}}
 }
 
 // State is a copy of what the proxy holds now.
@@ -27,7 +27,7 @@
 
 func (b *board) copy() State {
 	s := b.state
-	s.Table, s.Levels, s.Shut = maps.Clone(s.Table), maps.Clone(s.Levels), maps.Clone(s.Shut)
+	s.Table, s.Levels, s.Excluded = maps.Clone(s.Table), maps.Clone(s.Levels), maps.Clone(s.Excluded)
 	return s
 }
 
--- a/internal/planner/standin/discovery.go
+++ b/internal/planner/standin/discovery.go
@@ -74,8 +74,8 @@
 	d.finish = make(chan struct{})
 }
 
-// SetHushed lets watches that begin from now on stay without a byte, as if the machine had vanished.
-func (d *Discovery) SetHushed(hushed bool) {
+// SetSilent lets watches that begin from now on stay without a byte, as if the machine had vanished.
+func (d *Discovery) SetSilent(hushed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.hushed = hushed
--- a/internal/planner/standin/grpc.go
+++ b/internal/planner/standin/grpc.go
@@ -83,8 +83,8 @@
 	return p, nil
 }
 
-// Refuse makes the proxy answer what it is sent with an error, until it is told the empty one.
-func (p *GRPCProxy) Refuse(message string) {
+// Reject makes the proxy answer what it is sent with an error, until it is told the empty one.
+func (p *GRPCProxy) Reject(message string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.refuse = message
@@ -132,7 +132,7 @@
 		}
 		if refuse != "" || err != nil {
 			answer.ErrorDetail = &statuspb.Status{Code: 3, Message: refuse}
-			p.alter(func(s *State) { s.Refused++ })
+			p.alter(func(s *State) { s.Rejected++ })
 		}
 		if p.heed != nil {
 			p.heed(r)
@@ -150,12 +150,12 @@
 		}
 		rows, shut, gate := xds.ParseAssignment(&a, false)
 		if i == 0 {
-			s.Table, s.Shut = map[string]float64{}, map[string]bool{}
+			s.Table, s.Excluded = map[string]float64{}, map[string]bool{}
 			for _, row := range rows {
 				s.Table[row.Server] = row.Weight / xds.MaxWeight
 			}
 			for _, name := range shut {
-				s.Shut[name] = true
+				s.Excluded[name] = true
 			}
 			s.Replaced++
 		}
@@ -205,8 +205,8 @@
 	}
 }
 
-// Use reports what came to the proxy of a class.
-func (p *GRPCProxy) Use(class string, tries, failed uint64, span time.Duration) error {
+// ReportUsage reports what came to the proxy of a class.
+func (p *GRPCProxy) ReportUsage(class string, tries, failed uint64, span time.Duration) error {
 	return p.SendLoad(&load.LoadStatsRequest{ClusterStats: []*endpoint.ClusterStats{{ClusterName: class,
 		LoadReportInterval: durationpb.New(span), UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{
 			{TotalIssuedRequests: tries, TotalErrorRequests: failed, TotalSuccessfulRequests: tries - min(tries, failed)}}}}})
@@ -249,11 +249,11 @@
 func (c *GRPCCollector) Report(server string, tries, failed int, mean, span float64) error {
 	return c.stream.Send(&load.LoadStatsRequest{ClusterStats: []*endpoint.ClusterStats{{ClusterName: "all",
 		LoadReportInterval: durationpb.New(time.Duration(span * float64(time.Millisecond))), UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{
-			{UpstreamEndpointStats: []*endpoint.UpstreamEndpointStats{Met(server, tries, failed, mean)}}}}}})
+			{UpstreamEndpointStats: []*endpoint.UpstreamEndpointStats{EndpointStats(server, tries, failed, mean)}}}}}})
 }
 
-// Met is what was met at one server.
-func Met(server string, tries, failed int, mean float64) *endpoint.UpstreamEndpointStats {
+// EndpointStats is what was met at one server.
+func EndpointStats(server string, tries, failed int, mean float64) *endpoint.UpstreamEndpointStats {
 	answered := uint64(max(0, tries-failed))
 	return &endpoint.UpstreamEndpointStats{Metadata: &structpb.Struct{Fields: map[string]*structpb.Value{"id": structpb.NewStringValue(server)}},
 		TotalIssuedRequests: uint64(tries), TotalErrorRequests: uint64(failed), TotalSuccessfulRequests: answered,
--- a/internal/planner/standin/peers.go
+++ b/internal/planner/standin/peers.go
@@ -29,27 +29,27 @@
 
 // State is what a proxy holds.
 type State struct {
-	Table    map[string]float64
-	Levels   map[string]float64 // by class; the key "" stands for all
-	Shut     map[string]bool
-	Messages int // whole ones
-	Replaced int // tables that came whole
-	Beats    int // heartbeats answered
-	Refused  int // messages that it answered with an error
-	Closed   error
+	Table            map[string]float64
+	Levels           map[string]float64 // by class; the key "" stands for all
+	Excluded         map[string]bool
+	Messages         int // whole ones
+	Replaced         int // tables that came whole
+	HeartbeatReplies int // heartbeats answered
+	Rejected         int // messages that it answered with an error
+	Closed           error
 }
 
 // Order is a part of a message.
 type Order struct {
 	Kind    string   `json:"t"`
-	For     []string `json:"for"`
+	Classes []string `json:"for"`
 	Replace bool     `json:"replace"`
 	Rows    []Row    `json:"rows"`
-	Gate    *float64 `json:"gate"`
-	Again   *int     `json:"again"`
-	Drop    []string `json:"drop"`
-	Undrop  []string `json:"undrop"`
-	Stamp   *uint32  `json:"stamp"`
+	Level   *float64 `json:"gate"`
+	Retry   *int     `json:"again"`
+	Exclude []string `json:"drop"`
+	Include []string `json:"undrop"`
+	Token   *uint32  `json:"stamp"`
 	Part    bool     `json:"part"`
 }
 
@@ -66,8 +66,8 @@
 
 // Lines is what the part counts in the channel, the message's head left aside.
 func (o *Order) Lines() int {
-	n := len(o.Rows) + len(o.Drop) + len(o.Undrop)
-	for _, counts := range []bool{o.Replace, o.Gate != nil, o.Stamp != nil} {
+	n := len(o.Rows) + len(o.Exclude) + len(o.Include)
+	for _, counts := range []bool{o.Replace, o.Level != nil, o.Token != nil} {
 		if counts {
 			n++
 		}
@@ -91,7 +91,7 @@
 	}
 	p := &Proxy{Number: number, nc: nc, board: newBoard(), heed: take, done: make(chan struct{}),
 		marks: make(chan uint32, maxMarks)}
-	if err := p.Say(fmt.Sprintf(`{"t":"attach","proxy":%d,"zone":%q,"weight":%g,"fresh":true}`, number, zone,
+	if err := p.WriteLine(fmt.Sprintf(`{"t":"attach","proxy":%d,"zone":%q,"weight":%g,"fresh":true}`, number, zone,
 		weight)); err != nil {
 		nc.Close()
 		return nil, err
@@ -101,8 +101,8 @@
 	return p, nil
 }
 
-// Say writes a line.
-func (p *Proxy) Say(line string) error { return p.Write([]byte(line + "\n")) }
+// WriteLine writes a line.
+func (p *Proxy) WriteLine(line string) error { return p.Write([]byte(line + "\n")) }
 
 // Write writes whole lines, made beforehand.
 func (p *Proxy) Write(lines []byte) error {
@@ -119,7 +119,7 @@
 // answer answers marks until the reader ends, or the connection does.
 func (p *Proxy) answer() {
 	for mark := range p.marks {
-		if p.Say(fmt.Sprintf(`{"t":"done","proxy":%d,"mark":%d,"took_ms":1}`, p.Number, mark)) != nil {
+		if p.WriteLine(fmt.Sprintf(`{"t":"done","proxy":%d,"mark":%d,"took_ms":1}`, p.Number, mark)) != nil {
 			p.nc.Close()
 		}
 	}
@@ -154,7 +154,7 @@
 	switch {
 	case o.Kind == "hb_ok":
 		p.mu.Lock()
-		p.state.Beats++
+		p.state.HeartbeatReplies++
 		p.change.Broadcast()
 		p.mu.Unlock()
 		return nil
@@ -171,8 +171,8 @@
 			p.mu.Unlock()
 			return err
 		}
-		if o.Stamp != nil {
-			stamps = append(stamps, *o.Stamp)
+		if o.Token != nil {
+			stamps = append(stamps, *o.Token)
 		}
 	}
 	whole := p.part
@@ -203,22 +203,22 @@
 			delete(s.Table, r.Server)
 		}
 	}
-	if (o.Gate == nil) != (o.Again == nil) {
+	if (o.Level == nil) != (o.Retry == nil) {
 		return errors.New("a level without a way of trying again, or the other way round")
 	}
-	if o.Gate != nil {
-		if len(o.For) == 0 {
-			o.For = []string{""}
+	if o.Level != nil {
+		if len(o.Classes) == 0 {
+			o.Classes = []string{""}
 		}
-		for _, class := range o.For {
-			s.Levels[class] = *o.Gate
+		for _, class := range o.Classes {
+			s.Levels[class] = *o.Level
 		}
 	}
-	for _, server := range o.Drop {
-		s.Shut[server] = true
+	for _, server := range o.Exclude {
+		s.Excluded[server] = true
 	}
-	for _, server := range o.Undrop {
-		delete(s.Shut, server)
+	for _, server := range o.Include {
+		delete(s.Excluded, server)
 	}
 	return nil
 }
--- a/internal/planner/standin/versioned.go
+++ b/internal/planner/standin/versioned.go
@@ -24,7 +24,7 @@
 	done     chan struct{}
 	end      chan struct{}
 	write    sync.Mutex
-	Held     func(tables.Table, tables.Version) // is told of each table that is held; nil: nobody is
+	OnTable  func(tables.Table, tables.Version) // is told of each table that is held; nil: nobody is
 }
 
 // JoinVersioned dials a planner and joins it. Spoil is given each update's bytes and returns what arrives in their place: none,
@@ -37,7 +37,7 @@
 	}
 	p := &Versioned{Number: number, nc: nc, board: newBoard(), receiver: tables.NewReceiver(uint32(number), key),
 		spoil: spoil, begun: time.Now(),
-		done: make(chan struct{}), end: make(chan struct{}), Held: held}
+		done: make(chan struct{}), end: make(chan struct{}), OnTable: held}
 	if err := p.say(fmt.Sprintf(`{"t":"attach","proxy":%d,"zone":%q,"weight":%g,"fresh":true,"versions":true}`, number, zone,
 		weight)); err != nil {
 		nc.Close()
@@ -134,7 +134,7 @@
 		}
 		_, before := p.receiver.Table()
 		if p.receiver.ApplyEncoded(p.now(), update) != nil {
-			s.Refused++
+			s.Rejected++
 			return
 		}
 		table, at := p.receiver.Table()
@@ -142,21 +142,21 @@
 			return
 		}
 		s.Messages++
-		s.Table, s.Levels, s.Shut = map[string]float64{}, map[string]float64{}, table.Clone().Excluded
+		s.Table, s.Levels, s.Excluded = map[string]float64{}, map[string]float64{}, table.Clone().Excluded
 		for name, weight := range table.Weights {
 			s.Table[name] = float64(weight)
 		}
 		for class, gate := range table.Gates {
 			s.Levels[class] = float64(gate.Level)
 		}
-		if p.Held != nil {
-			p.Held(table.Clone(), at)
+		if p.OnTable != nil {
+			p.OnTable(table.Clone(), at)
 		}
 	})
 }
 
-// InStep says whether the proxy knows of nothing that it lacks, and which version it holds.
-func (p *Versioned) InStep() (bool, tables.Version) {
+// UpToDate says whether the proxy knows of nothing that it lacks, and which version it holds.
+func (p *Versioned) UpToDate() (bool, tables.Version) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_, at := p.receiver.Table()
--- a/internal/planner/xds/mixed_test.go
+++ b/internal/planner/xds/mixed_test.go
@@ -73,11 +73,11 @@
 					delete(p.table, r.Server)
 				}
 			}
-			for _, class := range part.For {
-				p.levels[class] = *part.Gate
+			for _, class := range part.Classes {
+				p.levels[class] = *part.Level
 			}
-			if part.Stamp != nil {
-				p.marks = append(p.marks, *part.Stamp)
+			if part.Token != nil {
+				p.marks = append(p.marks, *part.Token)
 			}
 		}
 		return nil
@@ -291,7 +291,7 @@
 				}
 				update, err := c.loads.HandleRequest(&load.LoadStatsRequest{ClusterStats: []*endpoint.ClusterStats{{LoadReportInterval: durationpb.New(time.Second),
 					UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{{UpstreamEndpointStats: []*endpoint.UpstreamEndpointStats{
-						standin.Met(fmt.Sprint("s-", i), tries, failed, float64(mean))}}}}}})
+						standin.EndpointStats(fmt.Sprint("s-", i), tries, failed, float64(mean))}}}}}})
 				if err != nil || len(update.Invalid) > 0 {
 					t.Fatal(err, update.Invalid)
 				}
