--- a/internal/planner/bench/cores.go
+++ b/internal/planner/bench/cores.go
@@ -70,17 +70,17 @@
 	Runs    []Run   `json:"runs"`
 }
 
-// spareFiles are descriptors beyond one a stream, of either side.
-const spareFiles = 128
+// spareDescriptors are descriptors beyond one a stream, of either side.
+const spareDescriptors = 128
 
-// checkFiles says what is missing if descriptors don't suffice.
-func checkFiles(need int) error {
+// checkDescriptorLimit says what is missing if descriptors don't suffice.
+func checkDescriptorLimit(required int) error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return err
 	}
-	if limit.Cur < uint64(need) {
-		return fmt.Errorf("%d descriptors are needed, the limit is %d (ulimit -n); fewer --proxies need fewer", need, limit.Cur)
+	if limit.Cur < uint64(required) {
+		return fmt.Errorf("%d descriptors are needed, the limit is %d (ulimit -n); fewer --proxies need fewer", required, limit.Cur)
 	}
 	return nil
 }
@@ -88,16 +88,16 @@
 // Measure runs the plan.
 func (p Plan) Measure(ctx context.Context) (Result, error) {
 	result := Result{Machine: runtime.GOOS + "/" + runtime.GOARCH, CPUs: runtime.NumCPU(), Fleet: p.Fleet, Seconds: p.Seconds}
-	if err := checkFiles(p.Proxies + spareFiles); err != nil {
+	if err := checkDescriptorLimit(p.Proxies + spareDescriptors); err != nil {
 		return result, err
 	}
-	half := 0.0
+	halfRate := 0.0
 	for _, n := range p.Cores {
-		for _, front := range p.fronts() {
-			p.Progress("%d cores, %s: %d proxies join", n, front, p.Proxies)
-			run, err := p.one(ctx, n, front, &half)
+		for _, frontend := range p.frontends() {
+			p.Progress("%d cores, %s: %d proxies join", n, frontend, p.Proxies)
+			run, err := p.measureRun(ctx, n, frontend, &halfRate)
 			if err != nil {
-				return result, fmt.Errorf("%d cores, %s: %w", n, front, err)
+				return result, fmt.Errorf("%d cores, %s: %w", n, frontend, err)
 			}
 			result.Runs = append(result.Runs, run)
 		}
@@ -105,21 +105,21 @@
 	return result, nil
 }
 
-func (p Plan) fronts() []Frontend {
+func (p Plan) frontends() []Frontend {
 	if len(p.Frontends) == 0 {
 		return []Frontend{Lines}
 	}
 	return p.Frontends
 }
 
-func (p Plan) one(ctx context.Context, n int, front Frontend, half *float64) (run Run, err error) {
+func (p Plan) measureRun(ctx context.Context, n int, frontend Frontend, halfRate *float64) (run Run, err error) {
 	discovery, err := standin.NewDiscovery("127.0.0.1:0")
 	if err != nil {
 		return run, err
 	}
 	defer discovery.Close()
 	discovery.Change(p.members()...)
-	planner, err := p.start(ctx, p.Command, discovery.Addr(), n, p.Proxies+spareFiles, front != Lines)
+	planner, err := p.start(ctx, p.Command, discovery.Addr(), n, p.Proxies+spareDescriptors, frontend != Lines)
 	if err != nil {
 		return run, err
 	}
@@ -128,44 +128,44 @@
 			err = stop
 		}
 	}()
-	swarm, err := newLoadGenerator(p.Fleet, front, discovery)
+	generator, err := newLoadGenerator(p.Fleet, frontend, discovery)
 	if err != nil {
 		return run, err
 	}
-	defer swarm.close()
-	end := make(chan struct{})
+	defer generator.close()
+	stopAudit := make(chan struct{})
 	var group sync.WaitGroup
 	defer group.Wait()
-	defer close(end)
-	group.Go(func() { swarm.audit(end) })
+	defer close(stopAudit)
+	group.Go(func() { generator.runAudit(stopAudit) })
 
 	before, err := planner.usage()
 	if err != nil {
 		return run, err
 	}
-	begun := time.Now()
-	if err := swarm.join(planner.Address); err != nil {
+	startedAt := time.Now()
+	if err := generator.join(planner.Address); err != nil {
 		return run, err
 	}
 	joined, err := planner.usage()
 	if err != nil {
 		return run, err
 	}
-	run = Run{Cores: n, Frontend: front, OverMachine: n > runtime.NumCPU(),
-		JoinMS:       float64(time.Since(begun)) / float64(time.Millisecond),
-		KiBPerStream: (joined.memory - before.memory) / float64(p.Proxies), QueueLimit: queueOfProxy * float64(p.Proxies)}
+	run = Run{Cores: n, Frontend: frontend, OverMachine: n > runtime.NumCPU(),
+		JoinMS:       float64(time.Since(startedAt)) / float64(time.Millisecond),
+		KiBPerStream: (joined.memoryKiB - before.memoryKiB) / float64(p.Proxies), QueueLimit: queueLinesPerProxy * float64(p.Proxies)}
 
-	drained := make(chan struct{})
+	stopDrains := make(chan struct{})
 	var drains sync.WaitGroup
-	drains.Go(func() { swarm.drains(drained) })
+	drains.Go(func() { generator.runDrains(stopDrains) })
 	defer func() {
-		close(drained)
+		close(stopDrains)
 		drains.Wait()
 	}()
 	span := time.Duration(p.Seconds * float64(time.Second))
 	p.Progress("%d cores: as many events as they take", n)
-	used, messages := joined, swarm.messages.Load()
-	events, took, err := swarm.flood(0, span)
+	usageBefore, messages := joined, generator.messages.Load()
+	events, took, err := generator.sendReports(0, span)
 	if err != nil {
 		return run, err
 	}
@@ -173,29 +173,29 @@
 	if err != nil {
 		return run, err
 	}
-	run.EventsPerS, run.OrdersPerS = events/took.Seconds(), float64(swarm.messages.Load()-messages)/took.Seconds()
-	run.CPUAtFull = (after.cpu - used.cpu) / took.Seconds()
-	run.CPUPerEvent = (after.cpu - used.cpu) / events * 1e6
-	if *half == 0 {
-		*half = run.EventsPerS / 2 / float64(n)
-	}
-	run.HalfRate = *half
-	p.Progress("%d cores: %.0f events a second; now %.0f", n, run.EventsPerS, *half)
-	swarm.mu.Lock()
-	swarm.reset()
-	swarm.mu.Unlock()
-	if _, took, err = swarm.flood(*half, span); err != nil {
+	run.EventsPerS, run.OrdersPerS = events/took.Seconds(), float64(generator.messages.Load()-messages)/took.Seconds()
+	run.CPUAtFull = (after.cpuSeconds - usageBefore.cpuSeconds) / took.Seconds()
+	run.CPUPerEvent = (after.cpuSeconds - usageBefore.cpuSeconds) / events * 1e6
+	if *halfRate == 0 {
+		*halfRate = run.EventsPerS / 2 / float64(n)
+	}
+	run.HalfRate = *halfRate
+	p.Progress("%d cores: %.0f events a second; now %.0f", n, run.EventsPerS, *halfRate)
+	generator.mu.Lock()
+	generator.reset()
+	generator.mu.Unlock()
+	if _, took, err = generator.sendReports(*halfRate, span); err != nil {
 		return run, err
 	}
 	last, err := planner.usage()
 	if err != nil {
 		return run, err
 	}
-	run.CPUAtHalf, run.MemoryMB = (last.cpu-after.cpu)/took.Seconds(), last.memory/1024
-	swarm.mu.Lock()
-	defer swarm.mu.Unlock()
-	run.Drain, run.Order = quantiles(swarm.whole), quantiles(swarm.each)
-	run.Violations, run.MaxQueueLines, run.MaxDrainMillis = swarm.auditor.Violations(), swarm.auditor.Peak.QueueLines, swarm.auditor.Peak.DrainMillis
+	run.CPUAtHalf, run.MemoryMB = (last.cpuSeconds-after.cpuSeconds)/took.Seconds(), last.memoryKiB/1024
+	generator.mu.Lock()
+	defer generator.mu.Unlock()
+	run.Drain, run.Order = quantiles(generator.lastProxyLatency), quantiles(generator.proxyLatency)
+	run.Violations, run.MaxQueueLines, run.MaxDrainMillis = generator.auditor.Violations(), generator.auditor.Peak.QueueLines, generator.auditor.Peak.DrainMillis
 	run.ViolationCount = len(run.Violations)
 	run.Violations = run.Violations[:min(len(run.Violations), 10)]
 	return run, nil
--- a/internal/planner/bench/decisions.go
+++ b/internal/planner/bench/decisions.go
@@ -38,13 +38,13 @@
 
 // The scripted day, in seconds. Tables stand before the first figure is taken.
 const (
-	scenarioSeconds = 150
-	settleTime      = 60  // from here to the overload, weights and spread count
-	overloadFrom    = 90  // servers get half as much again as they can do
-	overloadUntil   = 130 // refusals count from 10 s after its beginning
-	slowPart        = 4   // each fourth server is slow
-	slowness        = 0.6
-	idleMS          = 90.0
+	scenarioSeconds  = 150
+	measureFrom      = 60  // from here to the overload, weights and spread count
+	overloadFrom     = 90  // servers get half as much again as they can do
+	overloadUntil    = 130 // refusals count from 10 s after its beginning
+	slowServerStride = 4   // each fourth server is slow
+	slowServerSpeed  = 0.6
+	idleLatencyMS    = 90.0
 )
 
 // scenarioRun is a deployment in which nothing is at random but the counts in reports, drawn from the seed alone: all planners meet
@@ -52,21 +52,21 @@
 type scenarioRun struct {
 	fleet   Fleet
 	group   *group
-	audit   *audit.Auditor
+	auditor *audit.Auditor
 	tables  []map[string]float64
 	levels  [][]float64
 	rates   []float64
 	result  Decisions
-	ends    map[int]*end
+	streams map[int]*proxyStream
 	samples struct{ plain, loaded, levels float64 }
 }
 
 // CompareDecisions plays the same day to planners of several numbers of cores.
-func CompareDecisions(f Fleet, counts []int, say func(string, ...any)) (DecisionsResult, error) {
+func CompareDecisions(f Fleet, counts []int, progress func(string, ...any)) (DecisionsResult, error) {
 	result := DecisionsResult{Fleet: f, Seconds: scenarioSeconds}
 	for _, n := range counts {
-		say("%d cores: %d s of a day, simulated", n, scenarioSeconds)
-		d, err := f.play(n)
+		progress("%d cores: %d s of a day, simulated", n, scenarioSeconds)
+		d, err := f.playScenario(n)
 		if err != nil {
 			return result, fmt.Errorf("%d cores: %w", n, err)
 		}
@@ -75,18 +75,18 @@
 	return result, nil
 }
 
-func (f Fleet) play(n int) (Decisions, error) {
-	d := &scenarioRun{fleet: f, result: Decisions{Cores: n}, ends: map[int]*end{}}
+func (f Fleet) playScenario(n int) (Decisions, error) {
+	d := &scenarioRun{fleet: f, result: Decisions{Cores: n}, streams: map[int]*proxyStream{}}
 	var err error
-	if d.group, err = newGroup(f, n, d.ordered); err != nil {
+	if d.group, err = newGroup(f, n, d.applyAssignment); err != nil {
 		return d.result, err
 	}
-	if err := d.begin(); err != nil {
+	if err := d.start(); err != nil {
 		return d.result, err
 	}
-	draw := rand.New(rand.NewPCG(f.Seed, 12))
-	for look := range scenarioSeconds * 10 {
-		if err := d.look(look, draw); err != nil {
+	rng := rand.New(rand.NewPCG(f.Seed, 12))
+	for round := range scenarioSeconds * 10 {
+		if err := d.advance(round, rng); err != nil {
 			return d.result, err
 		}
 	}
@@ -98,38 +98,38 @@
 		d.result.RejectedShare /= d.samples.loaded
 		d.result.LevelDifference /= d.samples.loaded
 	}
-	d.result.MaxQueueLines, d.result.MaxDrainMillis, d.result.ViolationCount = d.audit.Peak.QueueLines, d.audit.Peak.DrainMillis, len(d.audit.Violations())
+	d.result.MaxQueueLines, d.result.MaxDrainMillis, d.result.ViolationCount = d.auditor.Peak.QueueLines, d.auditor.Peak.DrainMillis, len(d.auditor.Violations())
 	return d.result, nil
 }
 
-// begin opens the books and lets every proxy join.
-func (d *scenarioRun) begin() error {
+// start opens the books and lets every proxy join.
+func (d *scenarioRun) start() error {
 	f := d.fleet
-	d.audit = audit.New(d.group.set.Rules, d.group.now)
-	for _, m := range d.group.known.Members {
-		d.audit.ServerChanged(d.group.now, audit.Server{Name: m.ID, State: rules.Ready, Size: 1})
+	d.auditor = audit.New(d.group.set.Rules, d.group.now)
+	for _, m := range d.group.list.Members {
+		d.auditor.ServerChanged(d.group.now, audit.Server{Name: m.ID, State: rules.Ready, Size: 1})
 	}
-	draw := rand.New(rand.NewPCG(f.Seed, 11))
+	rng := rand.New(rand.NewPCG(f.Seed, 11))
 	for p := range f.Proxies { // a few carry most
 		rate := proxyRate / 2
 		if p%10 == 0 {
 			rate = proxyRate * 5
 		}
-		d.rates = append(d.rates, rate*(0.8+0.4*draw.Float64()))
+		d.rates = append(d.rates, rate*(0.8+0.4*rng.Float64()))
 		d.tables, d.levels = append(d.tables, map[string]float64{}), append(d.levels, []float64{1, 1, 1})
-		d.audit.ProxyJoined(d.group.now, p, d.rates[p])
-		if err := d.group.join(d.ends, p, d.rates[p]); err != nil {
+		d.auditor.ProxyJoined(d.group.now, p, d.rates[p])
+		if err := d.group.join(d.streams, p, d.rates[p]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// ordered is a message that a proxy has read.
-func (d *scenarioRun) ordered(proxy int, o protocol.Assignment) {
+// applyAssignment is a message that a proxy has read.
+func (d *scenarioRun) applyAssignment(proxy int, o protocol.Assignment) {
 	sent := audit.Order{Replace: o.Replace, Rows: map[string]float64{}, Retries: map[int]rules.Retry{}, Drop: o.Exclude,
 		Undrop: o.Include,
-		Lines:  float64(o.LineCount()) + headOfMessage}
+		Lines:  float64(o.LineCount()) + messageHeaderLines}
 	if o.Replace {
 		clear(d.tables[proxy])
 	}
@@ -149,142 +149,142 @@
 	}
 	d.result.Messages++
 	d.result.Lines += int(sent.Lines)
-	d.audit.OrderReceived(d.group.now, proxy, sent)
+	d.auditor.OrderReceived(d.group.now, proxy, sent)
 }
 
 // capacity of a server in requests a second: with the whole fleet, half of the day's traffic over what is needed.
 func (d *scenarioRun) capacity(i int) float64 {
-	even := 0.0
+	evenShare := 0.0
 	for _, rate := range d.rates {
-		even += rate
+		evenShare += rate
 	}
-	even *= 1.6 / float64(d.fleet.Servers)
-	if i%slowPart == 0 {
-		return even * slowness
+	evenShare *= 1.6 / float64(d.fleet.Servers)
+	if i%slowServerStride == 0 {
+		return evenShare * slowServerSpeed
 	}
-	return even
+	return evenShare
 }
 
-// parts of a proxy's requests by class, and what they weigh in worth.
+// classShares of a proxy's requests by class, and what they weigh in worth.
 var (
-	parts  = []float64{0.6, 0.2, 0.2}
-	worths = []float64{1, 5, 2}
+	classShares     = []float64{0.6, 0.2, 0.2}
+	classImportance = []float64{1, 5, 2}
 )
 
-func (d *scenarioRun) look(look int, draw *rand.Rand) error {
+func (d *scenarioRun) advance(round int, rng *rand.Rand) error {
 	g := d.group
-	g.now += decideInterval
-	second := look / 10
-	asked := 1.0
+	g.now += roundIntervalMS
+	second := round / 10
+	demand := 1.0
 	if second >= overloadFrom && second < overloadUntil {
-		asked = 2.4
+		demand = 2.4
 	}
-	if look%40 == 20 && second >= 20 { // a server drains, and comes back cold some seconds later
-		d.change((look/40)%d.fleet.Servers, protocol.PhaseDraining, 0)
+	if round%40 == 20 && second >= 20 { // a server drains, and comes back cold some seconds later
+		d.changeServer((round/40)%d.fleet.Servers, protocol.PhaseDraining, 0)
 	}
-	if look%40 == 0 && second >= 28 {
-		d.change((look/40-2)%d.fleet.Servers, protocol.PhaseUp, g.now)
+	if round%40 == 0 && second >= 28 {
+		d.changeServer((round/40-2)%d.fleet.Servers, protocol.PhaseUp, g.now)
 	}
-	for _, e := range d.ends {
-		for _, mark := range e.marks {
-			g.said(e, protocol.Ack{Proxy: e.proxy, Token: mark, Elapsed: 20})
+	for _, e := range d.streams {
+		for _, token := range e.tokens {
+			g.deliver(e, protocol.Ack{Proxy: e.proxy, Token: token, Elapsed: 20})
 		}
-		e.marks = nil
+		e.tokens = nil
 	}
-	if look%10 == 0 {
-		d.report(asked, second, draw)
+	if round%10 == 0 {
+		d.sendReports(demand, second, rng)
 	}
-	for _, c := range g.each {
+	for _, c := range g.cores {
 		if _, _, err := c.router.Advance(g.now); err != nil {
 			return err
 		}
 	}
-	d.audit.Tick(g.now)
-	return g.words()
+	d.auditor.Tick(g.now)
+	return g.reportProgress()
 }
 
-func (d *scenarioRun) change(i int, phase string, since float64) {
-	d.group.change(member(i, phase, since))
+func (d *scenarioRun) changeServer(i int, phase string, since float64) {
+	d.group.changeMember(member(i, phase, since))
 	state := rules.Ready
 	if phase != protocol.PhaseUp {
 		state = rules.Draining
 	}
-	d.audit.ServerChanged(d.group.now, audit.Server{Name: fmt.Sprint("s-", i), State: state, Size: 1, StartedAt: since})
+	d.auditor.ServerChanged(d.group.now, audit.Server{Name: fmt.Sprint("s-", i), State: state, Size: 1, StartedAt: since})
 }
 
-// report works out what the last second brought each server, and tells what was met.
-func (d *scenarioRun) report(asked float64, second int, draw *rand.Rand) {
+// sendReports works out what the last second brought each server, and tells what was met.
+func (d *scenarioRun) sendReports(demand float64, second int, rng *rand.Rand) {
 	loads := make([][]float64, d.fleet.Servers) // requests a second, by zone of the proxies
 	for i := range loads {
 		loads[i] = make([]float64, len(zones))
 	}
-	refused, worth, least, most := 0.0, 0.0, []float64{1, 1, 1}, []float64{0, 0, 0}
+	rejected, importance, minLevels, maxLevels := 0.0, 0.0, []float64{1, 1, 1}, []float64{0, 0, 0}
 	for p, table := range d.tables {
-		sum, let := 0.0, 0.0
+		sum, admitted := 0.0, 0.0
 		for _, weight := range table {
 			sum += weight
 		}
-		for k, part := range parts {
+		for k, part := range classShares {
 			level := min(1, d.levels[p][k])
-			let += part * level
-			refused += d.rates[p] * part * (1 - level) * worths[k]
-			worth += d.rates[p] * part * worths[k]
-			least[k], most[k] = min(least[k], level), max(most[k], level)
-			noise := 1 + 0.1*draw.NormFloat64()
-			d.group.said(d.ends[p], protocol.UsageReport{Proxy: p, Class: classes[k],
-				Requests: math.Round(max(0, d.rates[p]*asked*part*noise)), Period: reportEvery})
+			admitted += part * level
+			rejected += d.rates[p] * part * (1 - level) * classImportance[k]
+			importance += d.rates[p] * part * classImportance[k]
+			minLevels[k], maxLevels[k] = min(minLevels[k], level), max(maxLevels[k], level)
+			noise := 1 + 0.1*rng.NormFloat64()
+			d.group.deliver(d.streams[p], protocol.UsageReport{Proxy: p, Class: classes[k],
+				Requests: math.Round(max(0, d.rates[p]*demand*part*noise)), Period: reportIntervalMS})
 		}
 		for name, weight := range table {
 			var i int
 			fmt.Sscanf(name, "s-%d", &i)
-			loads[i][p%len(zones)] += d.rates[p] * asked * let * weight / sum
+			loads[i][p%len(zones)] += d.rates[p] * demand * admitted * weight / sum
 		}
 	}
-	use := make([]float64, d.fleet.Servers)
-	fast, slow, fasts, slows := 0.0, 0.0, 0.0, 0.0
+	utilization := make([]float64, d.fleet.Servers)
+	fastLoad, slowLoad, fastServers, slowServers := 0.0, 0.0, 0.0, 0.0
 	for i := range loads {
 		total := 0.0
 		for _, x := range loads[i] {
 			total += x
 		}
-		use[i] = total / d.capacity(i)
+		utilization[i] = total / d.capacity(i)
 		if total == 0 {
 			continue
 		}
-		if i%slowPart == 0 {
-			slow, slows = slow+total, slows+1
+		if i%slowServerStride == 0 {
+			slowLoad, slowServers = slowLoad+total, slowServers+1
 		} else {
-			fast, fasts = fast+total, fasts+1
+			fastLoad, fastServers = fastLoad+total, fastServers+1
 		}
 		speed := 1.0
-		if i%slowPart == 0 {
-			speed = slowness
+		if i%slowServerStride == 0 {
+			speed = slowServerSpeed
 		}
-		mean := idleMS / speed * (1 + 0.02*draw.NormFloat64()) * (1 + math.Pow(min(use[i], 3), 4))
+		mean := idleLatencyMS / speed * (1 + 0.02*rng.NormFloat64()) * (1 + math.Pow(min(utilization[i], 3), 4))
 		for z, x := range loads[i] {
 			if tries := math.Round(x); tries > 0 {
 				failed := 0.0
-				if use[i] > 1.2 {
-					failed = math.Round(tries * min(0.8, (use[i]-1.2)/2))
+				if utilization[i] > 1.2 {
+					failed = math.Round(tries * min(0.8, (utilization[i]-1.2)/2))
 				}
-				d.group.said(nil, protocol.ServerReport{Zone: zones[z], Server: fmt.Sprint("s-", i), Attempts: tries,
-					Failed: failed, Latency: mean, Period: reportEvery})
+				d.group.deliver(nil, protocol.ServerReport{Zone: zones[z], Server: fmt.Sprint("s-", i), Attempts: tries,
+					Failed: failed, Latency: mean, Period: reportIntervalMS})
 			}
 		}
 	}
 	switch {
-	case second >= settleTime && second < overloadFrom:
+	case second >= measureFrom && second < overloadFrom:
 		d.samples.plain++
-		d.result.SpeedCompensation += (1 - (slow/slows)/(fast/fasts)) / (1 - slowness)
-		d.result.Spread += spread(use)
+		d.result.SpeedCompensation += (1 - (slowLoad/slowServers)/(fastLoad/fastServers)) / (1 - slowServerSpeed)
+		d.result.Spread += spread(utilization)
 	case second >= overloadFrom+10 && second < overloadUntil:
 		d.samples.loaded++
-		d.result.RejectedShare += refused / worth
-		widest := 0.0
-		for k := range least {
-			widest = max(widest, most[k]-least[k])
+		d.result.RejectedShare += rejected / importance
+		maxDifference := 0.0
+		for k := range minLevels {
+			maxDifference = max(maxDifference, maxLevels[k]-minLevels[k])
 		}
-		d.result.LevelDifference += widest
+		d.result.LevelDifference += maxDifference
 	}
 }
 
--- a/internal/planner/bench/fleet.go
+++ b/internal/planner/bench/fleet.go
@@ -18,12 +18,12 @@
 
 // The made-up deployment. Times are in milliseconds.
 const (
-	reportEvery   = 1000.0
-	coldFor       = 8000.0
-	queueOfProxy  = 60.0 // lines that may wait in the channel, for each proxy
-	paceOfProxy   = 40.0 // lines a second that the channel sends, for each proxy
-	proxyRate     = 20.0 // requests a second of a mean proxy
-	headOfMessage = 3.0
+	reportIntervalMS    = 1000.0
+	warmupMS            = 8000.0
+	queueLinesPerProxy  = 60.0 // lines that may wait in the channel, for each proxy
+	linesPerSecPerProxy = 40.0 // lines a second that the channel sends, for each proxy
+	proxyRate           = 20.0 // requests a second of a mean proxy
+	messageHeaderLines  = 3.0
 )
 
 var (
@@ -33,8 +33,8 @@
 
 // settings is the settings text that every planner of the deployment gets.
 func (f Fleet) settings() map[string]any {
-	class := func(name, effect string, aim, deadline, worth float64) map[string]any {
-		return map[string]any{"name": name, "slo": aim, "deadline": deadline, "idempotency": effect, "importance": worth,
+	class := func(name, idempotency string, latencyTarget, deadline, importance float64) map[string]any {
+		return map[string]any{"name": name, "slo": latencyTarget, "deadline": deadline, "idempotency": idempotency, "importance": importance,
 			"late-worth": 0.1,
 			"group":      "all", "repeat-window": 1000}
 	}
@@ -45,17 +45,17 @@
 			class("pay", "non_idempotent", 500, 1500, 2)},
 		"permissions": map[string]any{"probes": true, "dial-timeout": 250},
 		"report":      map[string]any{"via": "none", "fields": []string{}},
-		"rules": map[string]any{"cold": coldFor, "start-capacity": 0.2, "stop-sending-within": 2000, "fall-multiple": 2.5,
+		"rules": map[string]any{"cold": warmupMS, "start-capacity": 0.2, "stop-sending-within": 2000, "fall-multiple": 2.5,
 			"tip-after": 3000},
 		"extra": map[string]any{"proxy-count": f.Proxies, "level-kind": "ratio", "retry-default": 0, "try-aims": 1,
-			"interval": reportEvery, "bare": 3000, "pending-max": queueOfProxy * float64(f.Proxies), "egress-per-s": paceOfProxy * float64(f.Proxies),
-			"per-message": headOfMessage, "reloads-max": 0, "counted-over": 10000, "min-conn-cap": 0, "ranges": 0, "local-first": false,
+			"interval": reportIntervalMS, "bare": 3000, "pending-max": queueLinesPerProxy * float64(f.Proxies), "egress-per-s": linesPerSecPerProxy * float64(f.Proxies),
+			"per-message": messageHeaderLines, "reloads-max": 0, "counted-over": 10000, "min-conn-cap": 0, "ranges": 0, "local-first": false,
 			"stays-local": []bool{false, false, false}},
 	}
 }
 
-// parsed is the same as a planner reads it.
-func (f Fleet) parsed() (settings.Settings, error) {
+// parsedSettings is the same as a planner reads it.
+func (f Fleet) parsedSettings() (settings.Settings, error) {
 	text, err := marshal(f.settings())
 	if err != nil {
 		return settings.Settings{}, err
--- a/internal/planner/bench/fronts.go
+++ b/internal/planner/bench/fronts.go
@@ -12,10 +12,10 @@
 // FrontendsResult is a result in which the runs differ by front.
 type FrontendsResult struct{ Result }
 
-// of finds a run.
-func (r FrontendsResult) of(cores int, front Frontend) (Run, bool) {
+// find finds a run.
+func (r FrontendsResult) find(cores int, frontend Frontend) (Run, bool) {
 	for _, n := range r.Runs {
-		if n.Cores == cores && n.Frontend == front {
+		if n.Cores == cores && n.Frontend == frontend {
 			return n, true
 		}
 	}
@@ -31,7 +31,7 @@
 		"cores\tfront\tevents/s\torders/s\tCPU µs/event\tof lines\tat events/s\tCPU\tdrain ms p50\tp99\tof lines\tKiB/stream\tMB\tbreaks")
 	for _, n := range r.Runs {
 		cpu, drain := "-", "-"
-		if lines, known := r.of(n.Cores, Lines); known && n.Frontend != Lines {
+		if lines, known := r.find(n.Cores, Lines); known && n.Frontend != Lines {
 			cpu, drain = fmt.Sprintf("%.2f", n.CPUPerEvent/lines.CPUPerEvent), fmt.Sprintf("%.2f", n.Drain.P99/lines.Drain.P99)
 		}
 		fmt.Fprintf(table, "%d\t%s\t%.0f\t%.0f\t%.2f\t%s\t%.0f\t%.2f\t%.0f\t%.0f\t%s\t%.1f\t%.0f\t%d\n", n.Cores, n.Frontend,
@@ -47,17 +47,17 @@
 func (r FrontendsResult) WritePlot(file string) error {
 	colors := map[Frontend]color.Color{Lines: blue, GRPC: red, Half: green}
 	var rates, drains []series
-	for _, front := range Frontends {
+	for _, frontend := range Frontends {
 		var rate, p99 plotter.XYs
 		for _, n := range r.Runs {
-			if n.Frontend == front {
+			if n.Frontend == frontend {
 				rate = append(rate, plotter.XY{X: float64(n.Cores), Y: n.EventsPerS / 1000})
 				p99 = append(p99, plotter.XY{X: float64(n.Cores), Y: n.Drain.P99})
 			}
 		}
 		if len(rate) > 0 {
-			rates = append(rates, series{string(front), colors[front], rate, false})
-			drains = append(drains, series{string(front), colors[front], p99, false})
+			rates = append(rates, series{string(frontend), colors[frontend], rate, false})
+			drains = append(drains, series{string(frontend), colors[frontend], p99, false})
 		}
 	}
 	left, err := chart(fmt.Sprintf("Events handled (%d proxies, %d servers)", r.Proxies, r.Servers), "thousand a second",
--- a/internal/planner/bench/hammer.go
+++ b/internal/planner/bench/hammer.go
@@ -10,31 +10,31 @@
 	"mulleinwood/tables"
 )
 
-// hammerTable is how many servers a hammered table draws from.
-const hammerTable = 6
+// stressTableSize is how many servers a hammered table draws from.
+const stressTableSize = 6
 
 // StressVersions delivers so many updates over channels that lose, double, hold back, cut and flip at random, among them
 // updates of other proxies and lives, and checks after each that the receiver holds a table that was sent under its version, or
 // none. It returns how many it did not.
-func StressVersions(deliveries int, seed uint64) (wrong int64) {
+func StressVersions(deliveries int, seed uint64) (mismatches int64) {
 	workers := runtime.NumCPU()
-	var bad atomic.Int64
+	var total atomic.Int64
 	var group sync.WaitGroup
 	for w := range workers {
-		group.Go(func() { bad.Add(hammer(deliveries/workers+1, rand.New(rand.NewPCG(seed, uint64(w))))) })
+		group.Go(func() { total.Add(stressChannel(deliveries/workers+1, rand.New(rand.NewPCG(seed, uint64(w))))) })
 	}
 	group.Wait()
-	return bad.Load()
+	return total.Load()
 }
 
-func hammer(deliveries int, rng *rand.Rand) (wrong int64) {
+func stressChannel(deliveries int, rng *rand.Rand) (mismatches int64) {
 	now, life := 0.0, uint64(1)
 	origin := tables.Origin{Instance: "n0", Incarnation: life}
 	sender, other := tables.NewSender(origin, 1, nil), tables.NewSender(origin, 2, nil)
 	receiver := tables.NewReceiver(1, nil)
 	receiver.StreamStarted(now, origin)
 	sent := map[uint64]tables.Table{}
-	var held [][]byte
+	var delayed [][]byte
 	deliver := func(text []byte) {
 		if deliveries--; len(text) == 0 {
 			return
@@ -43,12 +43,12 @@
 		table, at := receiver.Table()
 		if want, known := sent[at.Number]; at.Number > 0 &&
 			(!known || at.Origin != origin || at.Proxy != 1 || !table.Equal(want)) {
-			wrong++
+			mismatches++
 		}
 	}
 	draw := func() tables.Table {
 		t := tables.New()
-		for i := range hammerTable {
+		for i := range stressTableSize {
 			if rng.IntN(2) == 0 {
 				t.Weights[fmt.Sprint("s-", i)] = float32(1 + rng.IntN(4))
 			}
@@ -66,7 +66,7 @@
 		}
 		u, err := sender.Next(draw(), rng.IntN(20) == 0)
 		if err != nil {
-			return wrong
+			return mismatches
 		}
 		table, at := sender.Table()
 		if sent[at.Number] = table; at.Number > 200 {
@@ -82,7 +82,7 @@
 			deliver(text)
 			deliver(text)
 		case 2:
-			held = append(held, text)
+			delayed = append(delayed, text)
 		case 3:
 			deliver(text[:rng.IntN(len(text))])
 		case 4:
@@ -91,17 +91,17 @@
 		default:
 			deliver(text)
 		}
-		if n := len(held); n > 0 && rng.IntN(4) == 0 {
+		if n := len(delayed); n > 0 && rng.IntN(4) == 0 {
 			i := rng.IntN(n)
-			deliver(held[i])
-			held[i] = held[n-1]
-			held = held[:n-1]
+			deliver(delayed[i])
+			delayed[i] = delayed[n-1]
+			delayed = delayed[:n-1]
 		}
-		if a, asks := receiver.NextResendRequest(now); asks {
+		if a, due := receiver.NextResendRequest(now); due {
 			for _, u := range sender.Resend(a) {
 				deliver(u.Append(nil, nil))
 			}
 		}
 	}
-	return wrong
+	return mismatches
 }
--- a/internal/planner/bench/look.go
+++ b/internal/planner/bench/look.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	decideInterval    = 100.0 // milliseconds, the module's own pace
-	warmLooks         = 40    // until tables stand
-	measured          = 100   // looks
-	decisionsPerDrain = 5     // looks between two drains
+	roundIntervalMS = 100.0 // milliseconds, the module's own pace
+	warmupRounds    = 40    // until tables stand
+	measuredRounds  = 100   // looks
+	roundsPerDrain  = 5     // looks between two drains
 )
 
 // RoundTimes is what looks cost at one number of cores, in milliseconds: the time until the last core has taken its turn and
@@ -43,21 +43,21 @@
 
 // MeasureRounds times looks without sockets: each core's router and module take their turns at the same time, while reports
 // come and servers drain.
-func MeasureRounds(f Fleet, counts []int, say func(string, ...any)) (RoundsResult, error) {
+func MeasureRounds(f Fleet, counts []int, progress func(string, ...any)) (RoundsResult, error) {
 	debug.SetGCPercent(400) // as a planner on several cores does
 	result := RoundsResult{CPUs: runtime.NumCPU(), Fleet: f}
 	for _, n := range counts {
-		say("%d cores: %d proxies x %d servers", n, f.Proxies, f.Servers)
-		look, err := f.looks(n)
+		progress("%d cores: %d proxies x %d servers", n, f.Proxies, f.Servers)
+		times, err := f.timeRounds(n)
 		if err != nil {
 			return result, err
 		}
-		result.Rounds = append(result.Rounds, look)
+		result.Rounds = append(result.Rounds, times)
 	}
 	return result, nil
 }
 
-func (f Fleet) looks(n int) (RoundTimes, error) {
+func (f Fleet) timeRounds(n int) (RoundTimes, error) {
 	before := runtime.GOMAXPROCS(min(n, runtime.NumCPU()))
 	defer runtime.GOMAXPROCS(before)
 	var mu sync.Mutex
@@ -71,61 +71,61 @@
 	if err != nil {
 		return RoundTimes{}, err
 	}
-	ends := map[int]*end{}
+	streams := map[int]*proxyStream{}
 	for p := range f.Proxies {
-		if err := g.join(ends, p, proxyRate); err != nil {
+		if err := g.join(streams, p, proxyRate); err != nil {
 			return RoundTimes{}, err
 		}
 	}
-	times, joining := []float64{}, 0.0
-	for look := range warmLooks + measured {
-		g.now += decideInterval
-		if look > warmLooks && look%decisionsPerDrain == 0 {
-			at := look / decisionsPerDrain % f.Servers
-			g.change(member(at, protocol.PhaseDraining, 0))
+	times, joinMax := []float64{}, 0.0
+	for round := range warmupRounds + measuredRounds {
+		g.now += roundIntervalMS
+		if round > warmupRounds && round%roundsPerDrain == 0 {
+			at := round / roundsPerDrain % f.Servers
+			g.changeMember(member(at, protocol.PhaseDraining, 0))
 		}
-		for p := look % 10; p < f.Proxies; p += 10 { // each proxy once a second
+		for p := round % 10; p < f.Proxies; p += 10 { // each proxy once a second
 			for k, class := range classes {
-				g.said(ends[p], protocol.UsageReport{Proxy: p, Class: class, Requests: float64(3 + (p+k)%9), Period: reportEvery})
+				g.deliver(streams[p], protocol.UsageReport{Proxy: p, Class: class, Requests: float64(3 + (p+k)%9), Period: reportIntervalMS})
 			}
-			for _, mark := range ends[p].marks {
-				g.said(ends[p], protocol.Ack{Proxy: p, Token: mark, Elapsed: 5})
+			for _, token := range streams[p].tokens {
+				g.deliver(streams[p], protocol.Ack{Proxy: p, Token: token, Elapsed: 5})
 			}
-			ends[p].marks = nil
+			streams[p].tokens = nil
 		}
-		for i := look % 10; i < f.Servers; i += 10 {
+		for i := round % 10; i < f.Servers; i += 10 {
 			for _, zone := range zones {
-				g.said(nil, protocol.ServerReport{Zone: zone, Server: fmt.Sprint("s-", i), Attempts: 20, Latency: 100 +
-					float64(i*7%40), Period: reportEvery})
+				g.deliver(nil, protocol.ServerReport{Zone: zone, Server: fmt.Sprint("s-", i), Attempts: 20, Latency: 100 +
+					float64(i*7%40), Period: reportIntervalMS})
 			}
 		}
 		runtime.GC() // so that each look meets the same heap; a collection in the middle of one is measured all the same
-		begun := time.Now()
+		startedAt := time.Now()
 		var group sync.WaitGroup
 		errs := make([]error, n)
-		for i, c := range g.each {
+		for i, c := range g.cores {
 			group.Go(func() { _, _, errs[i] = c.router.Advance(g.now) })
 		}
 		group.Wait()
-		took := float64(time.Since(begun)) / float64(time.Millisecond)
+		elapsed := float64(time.Since(startedAt)) / float64(time.Millisecond)
 		for _, err := range errs {
 			if err != nil {
 				return RoundTimes{}, err
 			}
 		}
-		if look < warmLooks {
-			joining = max(joining, took)
+		if round < warmupRounds {
+			joinMax = max(joinMax, elapsed)
 		} else {
-			times = append(times, took)
+			times = append(times, elapsed)
 		}
-		if err := g.words(); err != nil {
+		if err := g.reportProgress(); err != nil {
 			return RoundTimes{}, err
 		}
 	}
 	slices.Sort(times)
 	return RoundTimes{Cores: n, OverMachine: n > runtime.NumCPU(), P50: times[len(times)/2], P99: times[len(times)*99/100],
 		Max:     times[len(times)-1],
-		JoinMax: joining, Messages: messages}, nil
+		JoinMax: joinMax, Messages: messages}, nil
 }
 
 // WriteTable prints the looks for people.
--- a/internal/planner/bench/planner.go
+++ b/internal/planner/bench/planner.go
@@ -20,22 +20,22 @@
 
 func marshal(v any) ([]byte, error) { return json.Marshal(v) }
 
-// startWithin is how long a planner may take until it listens.
-const startWithin = 10 * time.Second
+// startTimeout is how long a planner may take until it listens.
+const startTimeout = 10 * time.Second
 
 // Planner is a planner in a process of its own.
 type Planner struct {
-	Address string
-	cmd     *exec.Cmd
-	ended   chan error
-	tail    *tail
-	folder  string
+	Address   string
+	cmd       *exec.Cmd
+	exited    chan error
+	tail      *logTail
+	directory string
 }
 
-// tail keeps the last lines of a planner's log.
-type tail struct{ lines [][]byte }
+// logTail keeps the last lines of a planner's log.
+type logTail struct{ lines [][]byte }
 
-func (t *tail) add(line []byte) {
+func (t *logTail) add(line []byte) {
 	if t.lines = append(t.lines, bytes.Clone(line)); len(t.lines) > 20 {
 		t.lines = t.lines[1:]
 	}
@@ -43,29 +43,29 @@
 
 // start runs a planner of so many cores. It dies with this process.
 func (f Fleet) start(ctx context.Context, command []string, discovery string, cores, sockets int, grpc bool) (*Planner, error) {
-	folder, err := os.MkdirTemp("", "mulleinwood-bench-")
+	directory, err := os.MkdirTemp("", "mulleinwood-bench-")
 	if err != nil {
 		return nil, err
 	}
-	p := &Planner{folder: folder, ended: make(chan error, 1), tail: &tail{}}
+	p := &Planner{directory: directory, exited: make(chan error, 1), tail: &logTail{}}
 	config, err := marshal(map[string]any{"name": "bench", "listen": "127.0.0.1:0", "discovery": discovery,
 		"seed":   strconv.FormatUint(f.Seed, 16),
 		"limits": map[string]any{"cores": cores, "memory_mb": 4096, "sockets": sockets}, "settings": f.settings(),
 		"known": protocol.List{Members: []protocol.Member{}}})
 	if err == nil {
-		err = os.WriteFile(filepath.Join(folder, "config.json"), config, 0o600)
+		err = os.WriteFile(filepath.Join(directory, "config.json"), config, 0o600)
 	}
 	if err == nil {
-		err = os.WriteFile(filepath.Join(folder, "own.jsonc"),
+		err = os.WriteFile(filepath.Join(directory, "own.jsonc"),
 			fmt.Appendf(nil, "{\"cores\": {\"count\": %d}, \"grpc\": {\"enabled\": %t}}\n", cores, grpc), 0o600)
 	}
 	if err != nil {
-		os.RemoveAll(folder)
+		os.RemoveAll(directory)
 		return nil, err
 	}
 	p.cmd = exec.CommandContext(ctx, command[0], command[1:]...)
-	p.cmd.Env = append(os.Environ(), "NODE_CONFIG="+filepath.Join(folder, "config.json"),
-		"MULLEINWOOD_SETTINGS="+filepath.Join(folder, "own.jsonc"),
+	p.cmd.Env = append(os.Environ(), "NODE_CONFIG="+filepath.Join(directory, "config.json"),
+		"MULLEINWOOD_SETTINGS="+filepath.Join(directory, "own.jsonc"),
 		"NODE_NAME=", "NODE_LISTEN=", "NODE_DISCOVERY=")
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	log, err := p.cmd.StderrPipe()
@@ -73,7 +73,7 @@
 		err = p.cmd.Start()
 	}
 	if err != nil {
-		os.RemoveAll(folder)
+		os.RemoveAll(directory)
 		return nil, fmt.Errorf("starting a planner: %w", err)
 	}
 	listening := make(chan string, 1)
@@ -87,42 +87,42 @@
 				listening <- line.Listen
 			}
 		}
-		p.ended <- p.cmd.Wait()
+		p.exited <- p.cmd.Wait()
 	}()
 	select {
 	case p.Address = <-listening:
 		return p, nil
-	case err := <-p.ended:
-		os.RemoveAll(folder)
-		return nil, fmt.Errorf("the planner ended at its start: %w: %s", err, p.said())
-	case <-time.After(startWithin):
+	case err := <-p.exited:
+		os.RemoveAll(directory)
+		return nil, fmt.Errorf("the planner ended at its start: %w: %s", err, p.lastLog())
+	case <-time.After(startTimeout):
 		p.Stop()
 		return nil, errors.New("the planner doesn't listen")
 	}
 }
 
-// said is what the planner logged last. To be called once it has ended.
-func (p *Planner) said() string { return string(bytes.Join(p.tail.lines, []byte("\n"))) }
+// lastLog is what the planner logged last. To be called once it has ended.
+func (p *Planner) lastLog() string { return string(bytes.Join(p.tail.lines, []byte("\n"))) }
 
 // Stop ends the planner by SIGTERM, and by SIGKILL if that doesn't end it.
 func (p *Planner) Stop() error {
-	defer os.RemoveAll(p.folder)
+	defer os.RemoveAll(p.directory)
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
-	case err := <-p.ended:
+	case err := <-p.exited:
 		if err != nil {
-			return fmt.Errorf("the planner ended with %w: %s", err, p.said())
+			return fmt.Errorf("the planner ended with %w: %s", err, p.lastLog())
 		}
 		return nil
-	case <-time.After(startWithin):
+	case <-time.After(startTimeout):
 		p.cmd.Process.Kill()
-		<-p.ended
+		<-p.exited
 		return errors.New("the planner didn't end on SIGTERM")
 	}
 }
 
 // usage is what a process has used: seconds of processors, and resident memory in KiB.
-type usage struct{ cpu, memory float64 }
+type usage struct{ cpuSeconds, memoryKiB float64 }
 
 const ticksPerSecond = 100 // of /proc on Linux, whatever the kernel's own rate
 
--- a/internal/planner/bench/swarm.go
+++ b/internal/planner/bench/swarm.go
@@ -17,84 +17,84 @@
 )
 
 const (
-	batchLines = 48 // of one write of a peer that floods
-	writers    = 4
-	patience   = 60 * time.Second
-	drainEvery = 250 * time.Millisecond
-	backAfter  = 6 // drains until a drained server comes back, started anew
-	maxLatency = 60_000_000
+	batchLines        = 48 // of one write of a peer that floods
+	writerCount       = 4
+	waitTimeout       = 60 * time.Second
+	drainInterval     = 250 * time.Millisecond
+	drainsUntilReturn = 6 // drains until a drained server comes back, started anew
+	maxLatencyMicros  = 60_000_000
 )
 
 // loadGenerator is the peers of one planner, with an auditor that sees what they see.
 type loadGenerator struct {
-	fleet     Fleet
-	front     Frontend
-	begun     time.Time
-	discovery *standin.Discovery
-	proxies   []proxyPeer
-	tellers   []teller
-	messages  atomic.Int64
+	fleet      Fleet
+	frontend   Frontend
+	startedAt  time.Time
+	discovery  *standin.Discovery
+	proxies    []proxyPeer
+	collectors []collectorPeer
+	messages   atomic.Int64
 
-	mu      sync.Mutex
-	auditor *audit.Auditor
-	holders map[string]map[int]bool // proxies whose table holds a server
-	drain   *drain
-	whole   *hdrhistogram.Histogram // from a drain told to the last proxy's order read, in microseconds
-	each    *hdrhistogram.Histogram // to each proxy's
+	mu               sync.Mutex
+	auditor          *audit.Auditor
+	holders          map[string]map[int]bool // proxies whose table holds a server
+	drain            *drain
+	lastProxyLatency *hdrhistogram.Histogram // from a drain told to the last proxy's order read, in microseconds
+	proxyLatency     *hdrhistogram.Histogram // to each proxy's
 }
 
 // drain is the one that is being timed.
 type drain struct {
-	server string
-	told   time.Time
-	left   map[int]bool
-	over   chan struct{}
+	server    string
+	startedAt time.Time
+	pending   map[int]bool
+	done      chan struct{}
 }
 
-func newLoadGenerator(f Fleet, front Frontend, discovery *standin.Discovery) (*loadGenerator, error) {
-	set, err := f.parsed()
+func newLoadGenerator(f Fleet, frontend Frontend, discovery *standin.Discovery) (*loadGenerator, error) {
+	set, err := f.parsedSettings()
 	if err != nil {
 		return nil, err
 	}
-	s := &loadGenerator{fleet: f, front: front, begun: time.Now(), discovery: discovery, holders: map[string]map[int]bool{}}
-	s.auditor = audit.New(set.Rules, 0)
-	s.reset()
+	lg := &loadGenerator{fleet: f, frontend: frontend, startedAt: time.Now(), discovery: discovery, holders: map[string]map[int]bool{}}
+	lg.auditor = audit.New(set.Rules, 0)
+	lg.reset()
 	for _, m := range f.members() {
-		s.auditor.ServerChanged(0, audit.Server{Name: m.ID, State: rules.Ready, Size: 1})
+		lg.auditor.ServerChanged(0, audit.Server{Name: m.ID, State: rules.Ready, Size: 1})
 	}
-	return s, nil
+	return lg, nil
 }
 
-func (s *loadGenerator) reset() {
-	s.whole, s.each = hdrhistogram.New(1, maxLatency, 3), hdrhistogram.New(1, maxLatency, 3)
+func (lg *loadGenerator) reset() {
+	lg.lastProxyLatency, lg.proxyLatency = hdrhistogram.New(1, maxLatencyMicros, 3), hdrhistogram.New(1, maxLatencyMicros, 3)
 }
 
-func (s *loadGenerator) now() float64 {
-	return float64(time.Since(s.begun)) / float64(time.Millisecond)
+func (lg *loadGenerator) now() float64 {
+	return float64(time.Since(lg.startedAt)) / float64(time.Millisecond)
 }
 
 // join lets every proxy and the collectors join, and waits until each proxy has a whole table.
-func (s *loadGenerator) join(planner string) error {
-	rng := rand.New(rand.NewPCG(s.fleet.Seed, 3))
-	for i := range s.fleet.Proxies {
-		s.mu.Lock()
-		s.auditor.ProxyJoined(s.now(), i, proxyRate)
-		s.mu.Unlock()
-		p, err := s.proxy(planner, i, rng)
+func (lg *loadGenerator) join(planner string) error {
+	rng := rand.New(rand.NewPCG(lg.fleet.Seed, 3))
+	for i := range lg.fleet.Proxies {
+		lg.mu.Lock()
+		lg.auditor.ProxyJoined(lg.now(), i, proxyRate)
+		lg.mu.Unlock()
+		p, err := lg.joinProxy(planner, i, rng)
 		if err != nil {
-			return fmt.Errorf("proxy %d of %d can't join (descriptors or ports are used up?): %w", i, s.fleet.Proxies, err)
+			return fmt.Errorf("proxy %d of %d can't join (descriptors or ports are used up?): %w", i, lg.fleet.Proxies, err)
 		}
-		s.proxies = append(s.proxies, p)
+		lg.proxies = append(lg.proxies, p)
 	}
-	for w := range writers {
-		c, err := s.collector(planner, w, rng)
+	for w := range writerCount {
+		c, err := lg.joinCollector(planner, w, rng)
 		if err != nil {
 			return fmt.Errorf("a collector can't join: %w", err)
 		}
-		s.tellers = append(s.tellers, c)
+		lg.collectors = append(lg.collectors, c)
 	}
-	deadline := time.Now().Add(patience)
-	for i, p := range s.proxies {
+	deadline := time.Now().Add(waitTimeout)
+	for i, p := range lg.proxies {
 		for {
 			state := p.State()
 			if state.Replaced > 0 {
@@ -104,7 +104,7 @@
 				return fmt.Errorf("proxy %d: %w", i, state.Closed)
 			}
 			if time.Now().After(deadline) {
-				return fmt.Errorf("proxy %d has no table after %v", i, patience)
+				return fmt.Errorf("proxy %d has no table after %v", i, waitTimeout)
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -112,19 +112,19 @@
 	return nil
 }
 
-func (s *loadGenerator) close() {
-	for _, p := range s.proxies {
+func (lg *loadGenerator) close() {
+	for _, p := range lg.proxies {
 		p.Close()
 	}
-	for _, c := range s.tellers {
+	for _, c := range lg.collectors {
 		c.Close()
 	}
 }
 
-// took is a message that a proxy has read and applied.
-func (s *loadGenerator) took(proxy int, parts []standin.Order) {
+// recordLineMessage is a message that a proxy has read and applied.
+func (lg *loadGenerator) recordLineMessage(proxy int, parts []standin.Order) {
 	at := time.Now()
-	o := audit.Order{Rows: map[string]float64{}, Retries: map[int]rules.Retry{}, Lines: headOfMessage}
+	o := audit.Order{Rows: map[string]float64{}, Retries: map[int]rules.Retry{}, Lines: messageHeaderLines}
 	for _, part := range parts {
 		o.Replace = o.Replace || part.Replace
 		for _, r := range part.Rows {
@@ -140,43 +140,43 @@
 		}
 		o.Lines += float64(part.Lines())
 	}
-	s.read(at, proxy, o)
+	lg.recordMessage(at, proxy, o)
 }
 
-// read notes a message that a proxy has read and applied.
-func (s *loadGenerator) read(at time.Time, proxy int, o audit.Order) {
-	s.messages.Add(1)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.auditor.OrderReceived(s.now(), proxy, o)
+// recordMessage notes a message that a proxy has read and applied.
+func (lg *loadGenerator) recordMessage(at time.Time, proxy int, o audit.Order) {
+	lg.messages.Add(1)
+	lg.mu.Lock()
+	defer lg.mu.Unlock()
+	lg.auditor.OrderReceived(lg.now(), proxy, o)
 	if o.Replace {
-		for _, holders := range s.holders {
+		for _, holders := range lg.holders {
 			delete(holders, proxy)
 		}
 	}
 	for name, weight := range o.Rows {
 		switch {
 		case weight == 0:
-			delete(s.holders[name], proxy)
-		case s.holders[name] == nil:
-			s.holders[name] = map[int]bool{proxy: true}
+			delete(lg.holders[name], proxy)
+		case lg.holders[name] == nil:
+			lg.holders[name] = map[int]bool{proxy: true}
 		default:
-			s.holders[name][proxy] = true
+			lg.holders[name][proxy] = true
 		}
 	}
-	if d := s.drain; d != nil && d.left[proxy] && !s.holders[d.server][proxy] {
-		delete(d.left, proxy)
-		s.each.RecordValue(at.Sub(d.told).Microseconds())
-		if len(d.left) == 0 {
-			s.whole.RecordValue(at.Sub(d.told).Microseconds())
-			s.drain = nil
-			close(d.over)
+	if d := lg.drain; d != nil && d.pending[proxy] && !lg.holders[d.server][proxy] {
+		delete(d.pending, proxy)
+		lg.proxyLatency.RecordValue(at.Sub(d.startedAt).Microseconds())
+		if len(d.pending) == 0 {
+			lg.lastProxyLatency.RecordValue(at.Sub(d.startedAt).Microseconds())
+			lg.drain = nil
+			close(d.done)
 		}
 	}
 }
 
-// change tells discovery and the auditor of a server.
-func (s *loadGenerator) change(i int, phase string, since time.Time) {
+// changeServer tells discovery and the auditor of a server.
+func (lg *loadGenerator) changeServer(i int, phase string, since time.Time) {
 	at, state := 0.0, rules.Ready
 	if phase != protocol.PhaseUp {
 		state = rules.Draining
@@ -184,50 +184,50 @@
 	entry := audit.Server{Name: fmt.Sprintf("s-%d", i), State: state, Size: 1}
 	if !since.IsZero() {
 		at = float64(since.UnixMicro()) / 1000
-		entry.StartedAt = float64(since.Sub(s.begun)) / float64(time.Millisecond)
+		entry.StartedAt = float64(since.Sub(lg.startedAt)) / float64(time.Millisecond)
 	}
-	s.mu.Lock()
-	s.auditor.ServerChanged(s.now(), entry)
-	s.mu.Unlock()
-	s.discovery.Change(member(i, phase, at))
+	lg.mu.Lock()
+	lg.auditor.ServerChanged(lg.now(), entry)
+	lg.mu.Unlock()
+	lg.discovery.Change(member(i, phase, at))
 }
 
-// flood has every peer write reports in the deployment's own proportion until a time, at a rate of so many a second; 0: as
+// sendReports has every peer write reports in the deployment's own proportion until a time, at a rate of so many a second; 0: as
 // fast as they are taken. It returns how many the planner has handled, and how long that took.
-func (s *loadGenerator) flood(rate float64, span time.Duration) (events float64, took time.Duration, err error) {
-	begun := time.Now()
-	end := begun.Add(span)
-	usage := float64(s.fleet.Proxies * len(classes))
-	part := float64(s.fleet.Servers*len(zones)) / usage // server reports to each usage report
+func (lg *loadGenerator) sendReports(rate float64, span time.Duration) (events float64, took time.Duration, err error) {
+	startedAt := time.Now()
+	end := startedAt.Add(span)
+	usageReports := float64(lg.fleet.Proxies * len(classes))
+	serverReportsPerUsage := float64(lg.fleet.Servers*len(zones)) / usageReports // server reports to each usage report
 	var sent atomic.Int64
 	var group sync.WaitGroup
-	failed := make(chan error, writers)
-	for w := range writers {
+	failed := make(chan error, writerCount)
+	for w := range writerCount {
 		group.Go(func() {
-			owed := 0.0 // server reports
+			pendingReports := 0.0 // server reports
 			for time.Now().Before(end) {
-				for i := w; i < len(s.proxies); i += writers {
-					if ahead := float64(sent.Load())/max(1e-9, rate) - time.Since(begun).Seconds(); rate > 0 && ahead > 0 {
+				for i := w; i < len(lg.proxies); i += writerCount {
+					if ahead := float64(sent.Load())/max(1e-9, rate) - time.Since(startedAt).Seconds(); rate > 0 && ahead > 0 {
 						time.Sleep(time.Duration(ahead * float64(time.Second)))
 					}
 					if !time.Now().Before(end) {
 						break
 					}
-					n, err := s.proxies[i].flood()
+					n, err := lg.proxies[i].sendBatch()
 					if err != nil {
 						failed <- fmt.Errorf("proxy %d: %w", i, err)
 						return
 					}
 					sent.Add(int64(n))
-					owed += part * float64(n)
-					for n := 0; owed >= 1 && n < 2; n++ { // at most two messages at a time
-						n, err := s.tellers[w].tell(int(owed))
+					pendingReports += serverReportsPerUsage * float64(n)
+					for n := 0; pendingReports >= 1 && n < 2; n++ { // at most two messages at a time
+						n, err := lg.collectors[w].sendReports(int(pendingReports))
 						if err != nil {
 							failed <- fmt.Errorf("a collector: %w", err)
 							return
 						}
 						sent.Add(int64(n))
-						owed -= float64(n)
+						pendingReports -= float64(n)
 					}
 				}
 			}
@@ -239,94 +239,94 @@
 		return 0, 0, err
 	default:
 	}
-	if err := s.settle(); err != nil { // what is in the sockets still counts, and so does its time
+	if err := lg.awaitProcessed(); err != nil { // what is in the sockets still counts, and so does its time
 		return 0, 0, err
 	}
-	return float64(sent.Load()), time.Since(begun), nil
+	return float64(sent.Load()), time.Since(startedAt), nil
 }
 
-// settle waits until all that was written before has been taken.
-func (s *loadGenerator) settle() error {
-	for i, p := range s.proxies {
-		if err := p.ask(); err != nil {
+// awaitProcessed waits until all that was written before has been taken.
+func (lg *loadGenerator) awaitProcessed() error {
+	for i, p := range lg.proxies {
+		if err := p.requestSync(); err != nil {
 			return fmt.Errorf("proxy %d: %w", i, err)
 		}
 	}
-	for i, p := range s.proxies {
-		if err := p.await(); err != nil {
+	for i, p := range lg.proxies {
+		if err := p.awaitSync(); err != nil {
 			return fmt.Errorf("proxy %d: %w", i, err)
 		}
 	}
 	return nil
 }
 
-// cut is a run of whole lines.
-type cut struct {
+// lineRun is a run of whole lines.
+type lineRun struct {
 	text  []byte
 	count int
 }
 
-// nthLines returns up to so many lines from a place of a text on, which it moves on, round and round.
-func nthLines(text []byte, at *int, most int) cut {
-	if *at >= len(text) {
-		*at = 0
+// nextLines returns up to so many lines from a place of a text on, which it moves on, round and round.
+func nextLines(text []byte, offset *int, limit int) lineRun {
+	if *offset >= len(text) {
+		*offset = 0
 	}
-	from, n, i := *at, 0, *at
-	for ; i < len(text) && n < most; i++ {
+	from, n, i := *offset, 0, *offset
+	for ; i < len(text) && n < limit; i++ {
 		if text[i] == '\n' {
 			n++
 		}
 	}
-	*at = i
-	return cut{text[from:i], n}
+	*offset = i
+	return lineRun{text[from:i], n}
 }
 
-// drains marks a server every while as draining, times until the last proxy has read the order that takes it out, and lets
+// runDrains marks a server every while as draining, times until the last proxy has read the order that takes it out, and lets
 // the server come back later, started anew. It goes on until told to end.
-func (s *loadGenerator) drains(end <-chan struct{}) {
+func (lg *loadGenerator) runDrains(end <-chan struct{}) {
 	for n := 0; ; n++ {
 		select {
 		case <-end:
 			return
-		case <-time.After(drainEvery):
+		case <-time.After(drainInterval):
 		}
-		at := n % s.fleet.Servers
-		d := &drain{server: fmt.Sprintf("s-%d", at), left: map[int]bool{}, over: make(chan struct{})}
-		s.mu.Lock()
-		for proxy := range s.holders[d.server] {
-			d.left[proxy] = true
+		at := n % lg.fleet.Servers
+		d := &drain{server: fmt.Sprintf("s-%d", at), pending: map[int]bool{}, done: make(chan struct{})}
+		lg.mu.Lock()
+		for proxy := range lg.holders[d.server] {
+			d.pending[proxy] = true
 		}
-		timed := len(d.left) > 0
+		timed := len(d.pending) > 0
 		if timed {
-			d.told = time.Now()
-			s.drain = d
+			d.startedAt = time.Now()
+			lg.drain = d
 		}
-		s.mu.Unlock()
-		s.change(at, protocol.PhaseDraining, time.Time{})
+		lg.mu.Unlock()
+		lg.changeServer(at, protocol.PhaseDraining, time.Time{})
 		if timed {
 			select {
-			case <-d.over:
-			case <-time.After(patience):
+			case <-d.done:
+			case <-time.After(waitTimeout):
 			case <-end:
 				return
 			}
 		}
-		if n >= backAfter {
-			s.change((n-backAfter)%s.fleet.Servers, protocol.PhaseUp, time.Now())
+		if n >= drainsUntilReturn {
+			lg.changeServer((n-drainsUntilReturn)%lg.fleet.Servers, protocol.PhaseUp, time.Now())
 		}
 	}
 }
 
-// audit lets the auditor look every tenth of a second until told to end.
-func (s *loadGenerator) audit(end <-chan struct{}) {
+// runAudit lets the auditor look every tenth of a second until told to end.
+func (lg *loadGenerator) runAudit(end <-chan struct{}) {
 	for {
 		select {
 		case <-end:
 			return
 		case <-time.After(100 * time.Millisecond):
-			s.mu.Lock()
-			s.auditor.Tick(s.now())
-			s.mu.Unlock()
+			lg.mu.Lock()
+			lg.auditor.Tick(lg.now())
+			lg.mu.Unlock()
 		}
 	}
 }
--- a/internal/planner/bench/versions.go
+++ b/internal/planner/bench/versions.go
@@ -45,55 +45,55 @@
 
 const (
 	versionSeconds = 60
-	roundTrip      = 20.0
+	roundTripMS    = 20.0
 )
 
-// lossy is a proxy's receiver behind a channel that loses.
-type lossy struct {
-	receiver *tables.Receiver
-	lostAt   float64 // 0: in step
-	sentAt   float64 // the last update; 0: it has been told which that was
-	notedAt  float64 // 0: it doesn't know
+// lossyReceiver is a proxy's receiver behind a channel that loses.
+type lossyReceiver struct {
+	receiver  *tables.Receiver
+	lostAt    float64 // 0: in step
+	sentAt    float64 // the last update; 0: it has been told which that was
+	noticedAt float64 // 0: it doesn't know
 }
 
 // MeasureVersions plays a scripted day, as CompareDecisions does, on one core.
-func MeasureVersions(f Fleet, say func(string, ...any)) (VersionsResult, error) {
+func MeasureVersions(f Fleet, progress func(string, ...any)) (VersionsResult, error) {
 	v := VersionsResult{Fleet: f, Seconds: versionSeconds}
 	for _, share := range []float64{0.01, 0.1, 0.5} {
-		say("losing %.0f%% of the updates", share*100)
-		if err := f.versions(&v, share); err != nil {
+		progress("losing %.0f%% of the updates", share*100)
+		if err := f.measureVersions(&v, share); err != nil {
 			return v, err
 		}
 	}
 	return v, nil
 }
 
-// versions plays the day once. Costs are those of the last play.
-func (f Fleet) versions(v *VersionsResult, share float64) error {
+// measureVersions plays the day once. Costs are those of the last play.
+func (f Fleet) measureVersions(v *VersionsResult, lossRate float64) error {
 	origin := tables.Origin{Instance: "bench", Incarnation: 1}
-	senders, receivers := map[int]*tables.Sender{}, map[int]*lossy{}
+	senders, receivers := map[int]*tables.Sender{}, map[int]*lossyReceiver{}
 	rng := rand.New(rand.NewPCG(f.Seed, 31))
-	back, noted := hdrhistogram.New(1, maxLatency, 3), hdrhistogram.New(1, maxLatency, 3)
-	loss := Loss{Share: share}
-	var versioning time.Duration
+	recovery, repair := hdrhistogram.New(1, maxLatencyMicros, 3), hdrhistogram.New(1, maxLatencyMicros, 3)
+	loss := Loss{Share: lossRate}
+	var versionTime time.Duration
 	v.Changes, v.LineBytes, v.DeltaBytes, v.SnapshotBytes = 0, 0, 0, 0
-	var kept []record.Entry
-	d := &scenarioRun{fleet: f, result: Decisions{Cores: 1}, ends: map[int]*end{}}
-	settle := func(proxy int) {
+	var entries []record.Entry
+	d := &scenarioRun{fleet: f, result: Decisions{Cores: 1}, streams: map[int]*proxyStream{}}
+	recordRecovery := func(proxy int) {
 		l := receivers[proxy]
 		_, at := l.receiver.Table()
 		switch {
 		case l.receiver.UpToDate():
-			if l.notedAt > 0 { // as far as it knows: what is lost since may not be noticed yet
-				noted.RecordValue(int64((d.group.now - l.notedAt) * 1000))
-				l.notedAt = 0
+			if l.noticedAt > 0 { // as far as it knows: what is lost since may not be noticed yet
+				repair.RecordValue(int64((d.group.now - l.noticedAt) * 1000))
+				l.noticedAt = 0
 			}
-			if l.lostAt > 0 && at == newest(senders[proxy]) {
-				back.RecordValue(int64((d.group.now - l.lostAt) * 1000))
+			if l.lostAt > 0 && at == newestVersion(senders[proxy]) {
+				recovery.RecordValue(int64((d.group.now - l.lostAt) * 1000))
 				l.lostAt = 0
 			}
-		case l.notedAt == 0 && at.Number > 0:
-			l.notedAt = d.group.now
+		case l.noticedAt == 0 && at.Number > 0:
+			l.noticedAt = d.group.now
 		}
 	}
 	check := func(proxy int) { // what a receiver holds as the newest version must be that
@@ -103,12 +103,12 @@
 			v.Mismatches++
 		}
 	}
-	order := func(proxy int, o protocol.Assignment) {
-		d.ordered(proxy, o)
-		begun := time.Now()
+	onAssignment := func(proxy int, o protocol.Assignment) {
+		d.applyAssignment(proxy, o)
+		startedAt := time.Now()
 		if senders[proxy] == nil {
 			senders[proxy], receivers[proxy] = tables.NewSender(origin, uint32(proxy),
-				nil), &lossy{receiver: tables.NewReceiver(uint32(proxy), nil)}
+				nil), &lossyReceiver{receiver: tables.NewReceiver(uint32(proxy), nil)}
 			receivers[proxy].receiver.StreamStarted(d.group.now, origin)
 		}
 		s, l := senders[proxy], receivers[proxy]
@@ -118,7 +118,7 @@
 			return
 		}
 		text := u.Append(nil, nil)
-		versioning += time.Since(begun)
+		versionTime += time.Since(startedAt)
 		if !u.Snapshot {
 			line, _ := o.Append(nil)
 			sent, at := s.Table()
@@ -126,12 +126,12 @@
 			v.LineBytes += float64(len(line))
 			v.DeltaBytes += float64(len(text))
 			v.SnapshotBytes += float64(len(tables.Snapshot(sent, at, nil).Append(nil, nil)))
-			if len(kept) < 100000 {
-				kept = append(kept, record.Entry{At: time.UnixMilli(int64(d.group.now)), Cause: "weights", Update: text})
+			if len(entries) < 100000 {
+				entries = append(entries, record.Entry{At: time.UnixMilli(int64(d.group.now)), Cause: "weights", Update: text})
 			}
 		}
 		l.sentAt = d.group.now
-		if rng.Float64() < share {
+		if rng.Float64() < lossRate {
 			if l.lostAt == 0 {
 				l.lostAt = d.group.now
 			}
@@ -139,84 +139,84 @@
 		}
 		l.receiver.ApplyEncoded(d.group.now, text)
 		check(proxy)
-		settle(proxy)
+		recordRecovery(proxy)
 	}
 	var err error
-	if d.group, err = newGroup(f, 1, order); err != nil {
+	if d.group, err = newGroup(f, 1, onAssignment); err != nil {
 		return err
 	}
-	if err := d.begin(); err != nil {
+	if err := d.start(); err != nil {
 		return err
 	}
-	var steps time.Duration
-	draw := rand.New(rand.NewPCG(f.Seed, 12))
-	for look := range versionSeconds * 10 {
-		begun, before := time.Now(), versioning
-		if err := d.look(look, draw); err != nil {
+	var stepTime time.Duration
+	scenarioRNG := rand.New(rand.NewPCG(f.Seed, 12))
+	for round := range versionSeconds * 10 {
+		startedAt, before := time.Now(), versionTime
+		if err := d.advance(round, scenarioRNG); err != nil {
 			return err
 		}
-		steps += time.Since(begun) - (versioning - before)
+		stepTime += time.Since(startedAt) - (versionTime - before)
 		now := d.group.now
 		for proxy, l := range receivers { // notices, questions and answers between two looks
 			if l.sentAt > 0 && now-l.sentAt >= tables.NoticeDelayMS {
-				if l.sentAt = 0; rng.Float64() >= share {
-					l.receiver.HandleNotice(now, newest(senders[proxy]), senders[proxy].Digest())
-					settle(proxy)
+				if l.sentAt = 0; rng.Float64() >= lossRate {
+					l.receiver.HandleNotice(now, newestVersion(senders[proxy]), senders[proxy].Digest())
+					recordRecovery(proxy)
 				}
 			}
-			for at := now; at < now+decideInterval; at += roundTrip {
-				a, asks := l.receiver.NextResendRequest(at)
-				if !asks {
+			for at := now; at < now+roundIntervalMS; at += roundTripMS {
+				a, due := l.receiver.NextResendRequest(at)
+				if !due {
 					continue
 				}
-				d.group.now = at + roundTrip
+				d.group.now = at + roundTripMS
 				loss.ResendRequests++
 				for _, u := range senders[proxy].Resend(a) {
 					if u.Snapshot {
 						loss.Snapshots++
 					}
-					if rng.Float64() >= share {
+					if rng.Float64() >= lossRate {
 						l.receiver.ApplyEncoded(d.group.now, u.Append(nil, nil))
 						check(proxy)
 					}
 				}
-				settle(proxy)
+				recordRecovery(proxy)
 			}
 		}
 		d.group.now = now
 	}
 	n := max(1, float64(v.Changes))
 	v.LineBytes, v.DeltaBytes, v.SnapshotBytes = v.LineBytes/n, v.DeltaBytes/n, v.SnapshotBytes/n
-	v.VersionCPU, v.StepCPU = float64(versioning.Microseconds())/n, float64(steps.Microseconds())/n
-	loss.Recovery, loss.Repair = quantiles(back), quantiles(noted)
+	v.VersionCPU, v.StepCPU = float64(versionTime.Microseconds())/n, float64(stepTime.Microseconds())/n
+	loss.Recovery, loss.Repair = quantiles(recovery), quantiles(repair)
 	v.Losses = append(v.Losses, loss)
-	return v.recordCost(kept)
+	return v.measureRecord(entries)
 }
 
-func newest(s *tables.Sender) tables.Version {
+func newestVersion(s *tables.Sender) tables.Version {
 	_, at := s.Table()
 	return at
 }
 
-// recordCost writes what was sent into a record, as the planner does: in batches, beside the work.
-func (v *VersionsResult) recordCost(kept []record.Entry) error {
-	folder, err := os.MkdirTemp("", "mulleinwood-bench-")
+// measureRecord writes what was sent into a record, as the planner does: in batches, beside the work.
+func (v *VersionsResult) measureRecord(entries []record.Entry) error {
+	directory, err := os.MkdirTemp("", "mulleinwood-bench-")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(folder)
-	file := filepath.Join(folder, "record.db")
+	defer os.RemoveAll(directory)
+	file := filepath.Join(directory, "record.db")
 	r, err := record.Open(file, nil, false)
 	if err != nil {
 		return err
 	}
-	begun := time.Now()
-	for i := 0; i < len(kept); i += 512 {
-		if err := r.Append(time.Now(), record.Retention{}, kept[i:min(i+512, len(kept))]...); err != nil {
+	startedAt := time.Now()
+	for i := 0; i < len(entries); i += 512 {
+		if err := r.Append(time.Now(), record.Retention{}, entries[i:min(i+512, len(entries))]...); err != nil {
 			return err
 		}
 	}
-	took := time.Since(begun)
+	elapsed := time.Since(startedAt)
 	if err := r.Close(); err != nil {
 		return err
 	}
@@ -224,8 +224,8 @@
 	if err != nil {
 		return err
 	}
-	n := max(1, float64(len(kept)))
-	v.RecordCPU, v.RecordBytes = float64(took.Microseconds())/n, float64(info.Size())/n
+	n := max(1, float64(len(entries)))
+	v.RecordCPU, v.RecordBytes = float64(elapsed.Microseconds())/n, float64(info.Size())/n
 	return nil
 }
 
--- a/internal/planner/standin/board.go
+++ b/internal/planner/standin/board.go
@@ -5,46 +5,46 @@
 	"sync"
 )
 
-// board shows what a proxy holds, by whichever protocol it got it.
-type board struct {
-	mu     *sync.Mutex
-	change *sync.Cond
-	state  State
+// stateMonitor shows what a proxy holds, by whichever protocol it got it.
+type stateMonitor struct {
+	mu      *sync.Mutex
+	changed *sync.Cond
+	state   State
 }
 
-func newBoard() board {
+func newStateMonitor() stateMonitor {
 	mu := &sync.Mutex{}
-	return board{mu: mu, change: sync.NewCond(mu),
+	return stateMonitor{mu: mu, changed: sync.NewCond(mu),
 		state: State{Table: map[string]float64{}, Levels: map[string]float64{}, Excluded: map[string]bool{}}}
 }
 
 // State is a copy of what the proxy holds now.
-func (b *board) State() State {
+func (b *stateMonitor) State() State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.copy()
+	return b.copyState()
 }
 
-func (b *board) copy() State {
+func (b *stateMonitor) copyState() State {
 	s := b.state
 	s.Table, s.Levels, s.Excluded = maps.Clone(s.Table), maps.Clone(s.Levels), maps.Clone(s.Excluded)
 	return s
 }
 
 // Wait returns once what the proxy holds is as wanted, or its stream has ended.
-func (b *board) Wait(wanted func(State) bool) State {
+func (b *stateMonitor) Wait(wanted func(State) bool) State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for !wanted(b.state) && b.state.Closed == nil {
-		b.change.Wait()
+		b.changed.Wait()
 	}
-	return b.copy()
+	return b.copyState()
 }
 
-// alter changes what the proxy holds.
-func (b *board) alter(change func(*State)) {
+// update changes what the proxy holds.
+func (b *stateMonitor) update(change func(*State)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	change(&b.state)
-	b.change.Broadcast()
+	b.changed.Broadcast()
 }
--- a/internal/planner/standin/discovery.go
+++ b/internal/planner/standin/discovery.go
@@ -14,22 +14,22 @@
 	"mulleinwood/internal/planner/protocol"
 )
 
-// quiet is how often a watch says that nothing has changed.
-const quiet = 2 * time.Second
+// keepaliveInterval is how often a watch says that nothing has changed.
+const keepaliveInterval = 2 * time.Second
 
 // Discovery keeps a list of servers, answers with all of it and tells watches of changes.
 type Discovery struct {
 	*service
-	mu       sync.Mutex
-	revision int64
-	members  map[string]protocol.Member
-	changed  map[string]int64 // revision of each member's last change
-	next     chan struct{}    // closed at the next change
-	finish   chan struct{}    // closed to end the watches in good order
-	down     bool
-	hushed   bool
-	garbled  string // written to watches at their next line, once
-	watches  int    // begun so far
+	mu              sync.Mutex
+	revision        int64
+	members         map[string]protocol.Member
+	changeRevisions map[string]int64 // revision of each member's last change
+	nextChange      chan struct{}    // closed at the next change
+	finishWatches   chan struct{}    // closed to end the watches in good order
+	down            bool
+	silent          bool
+	garbled         string // written to watches at their next line, once
+	watches         int    // begun so far
 }
 
 // NewDiscovery starts one on the address.
@@ -38,9 +38,9 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{service: s, members: map[string]protocol.Member{}, changed: map[string]int64{},
-		next: make(chan struct{}), finish: make(chan struct{})}
-	s.serve(d.answer)
+	d := &Discovery{service: s, members: map[string]protocol.Member{}, changeRevisions: map[string]int64{},
+		nextChange: make(chan struct{}), finishWatches: make(chan struct{})}
+	s.serve(d.handle)
 	return d, nil
 }
 
@@ -50,10 +50,10 @@
 	defer d.mu.Unlock()
 	d.revision++
 	for _, m := range members {
-		d.members[m.ID], d.changed[m.ID] = m, d.revision
+		d.members[m.ID], d.changeRevisions[m.ID] = m, d.revision
 	}
-	close(d.next)
-	d.next = make(chan struct{})
+	close(d.nextChange)
+	d.nextChange = make(chan struct{})
 }
 
 // SetDown makes every call fail with 503 until it is up again, and breaks the watches.
@@ -70,15 +70,15 @@
 func (d *Discovery) Finish() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	close(d.finish)
-	d.finish = make(chan struct{})
+	close(d.finishWatches)
+	d.finishWatches = make(chan struct{})
 }
 
 // SetSilent lets watches that begin from now on stay without a byte, as if the machine had vanished.
-func (d *Discovery) SetSilent(hushed bool) {
+func (d *Discovery) SetSilent(silent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.hushed = hushed
+	d.silent = silent
 }
 
 // Garble writes something that is no list to every watch.
@@ -86,8 +86,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.garbled = text
-	close(d.next)
-	d.next = make(chan struct{})
+	close(d.nextChange)
+	d.nextChange = make(chan struct{})
 }
 
 // Watches is how many watches have begun.
@@ -102,30 +102,30 @@
 func (d *Discovery) List(from int64) (list protocol.List, next chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	whole := from < 0 || from > d.revision
-	list = protocol.List{Revision: d.revision, Complete: whole, Members: []protocol.Member{}}
+	complete := from < 0 || from > d.revision
+	list = protocol.List{Revision: d.revision, Complete: complete, Members: []protocol.Member{}}
 	for _, id := range slices.Sorted(maps.Keys(d.members)) {
 		m := d.members[id]
-		if list.Complete && m.Phase != protocol.PhaseRemoved || !list.Complete && d.changed[id] > from {
+		if list.Complete && m.Phase != protocol.PhaseRemoved || !list.Complete && d.changeRevisions[id] > from {
 			list.Members = append(list.Members, m)
 		}
 	}
-	return list, d.next
+	return list, d.nextChange
 }
 
-func (d *Discovery) answer(nc net.Conn, r *http.Request) error {
+func (d *Discovery) handle(nc net.Conn, r *http.Request) error {
 	d.mu.Lock()
 	down := d.down
 	d.mu.Unlock()
 	switch query := r.URL.Query(); {
 	case down:
-		return reply(nc, http.StatusServiceUnavailable, "")
+		return writeResponse(nc, http.StatusServiceUnavailable, "")
 	case r.URL.Path != "/v1/endpoints":
-		return reply(nc, http.StatusNotFound, "")
+		return writeResponse(nc, http.StatusNotFound, "")
 	case query.Get("watch") == "1":
 		from, err := strconv.ParseInt(query.Get("from"), 10, 64)
 		if err != nil {
-			return reply(nc, http.StatusBadRequest, "")
+			return writeResponse(nc, http.StatusBadRequest, "")
 		}
 		return d.watch(nc, from)
 	default:
@@ -134,7 +134,7 @@
 		if err != nil {
 			return err
 		}
-		return reply(nc, http.StatusOK, string(text))
+		return writeResponse(nc, http.StatusOK, string(text))
 	}
 }
 
@@ -142,13 +142,13 @@
 func (d *Discovery) watch(nc net.Conn, from int64) error {
 	d.mu.Lock()
 	d.watches++
-	finish, hushed := d.finish, d.hushed
+	finish, silent := d.finishWatches, d.silent
 	d.mu.Unlock()
-	if hushed {
-		<-d.over
+	if silent {
+		<-d.closed
 		return net.ErrClosed
 	}
-	head := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	header := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for {
 		list, next := d.List(from)
 		d.mu.Lock()
@@ -166,18 +166,18 @@
 		if garbled != "" {
 			line = []byte(garbled)
 		}
-		if _, err := fmt.Fprintf(nc, "%s%x\r\n%s\r\n", head, len(line), line); err != nil {
+		if _, err := fmt.Fprintf(nc, "%s%x\r\n%s\r\n", header, len(line), line); err != nil {
 			return err
 		}
-		head = ""
+		header = ""
 		select {
 		case <-next:
-		case <-d.over:
+		case <-d.closed:
 			return net.ErrClosed
 		case <-finish:
 			_, err := fmt.Fprint(nc, "0\r\n\r\n")
 			return err
-		case <-time.After(quiet):
+		case <-time.After(keepaliveInterval):
 		}
 	}
 }
--- a/internal/planner/standin/grpc.go
+++ b/internal/planner/standin/grpc.go
@@ -46,31 +46,31 @@
 // GRPCProxy takes its assignments by gRPC, and answers them.
 type GRPCProxy struct {
 	Number int
-	board
-	client  *grpc.ClientConn
-	stream  discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient
-	loads   load.LoadReportingService_StreamLoadStatsClient
-	ctx     context.Context // of its streams
-	cancel  context.CancelFunc
-	node    *core.Node
-	classes []string
-	heed    func(*discovery.DiscoveryResponse)
-	still   bool   // it reads nothing
-	refuse  string // answer with this error, while it is set
-	done    chan struct{}
+	stateMonitor
+	client    *grpc.ClientConn
+	stream    discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient
+	loads     load.LoadReportingService_StreamLoadStatsClient
+	ctx       context.Context // of its streams
+	cancel    context.CancelFunc
+	node      *core.Node
+	classes   []string
+	onMessage func(*discovery.DiscoveryResponse)
+	stalled   bool   // it reads nothing
+	rejection string // answer with this error, while it is set
+	done      chan struct{}
 }
 
 // JoinGRPC dials a planner and joins it for all classes. Heed is given each message once that is in force; nil: nobody is.
 func JoinGRPC(planner string, number int, zone string, rate float64, classes []string, creds credentials.TransportCredentials,
-	heed func(*discovery.DiscoveryResponse)) (*GRPCProxy, error) {
+	onMessage func(*discovery.DiscoveryResponse)) (*GRPCProxy, error) {
 	client, err := Dial(planner, creds)
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &GRPCProxy{Number: number, board: newBoard(), client: client, ctx: ctx, cancel: cancel,
+	p := &GRPCProxy{Number: number, stateMonitor: newStateMonitor(), client: client, ctx: ctx, cancel: cancel,
 		node: ProxyNode(number, zone, rate), classes: classes,
-		heed: heed, done: make(chan struct{})}
+		onMessage: onMessage, done: make(chan struct{})}
 	if p.stream, err = discovery.NewAggregatedDiscoveryServiceClient(client).StreamAggregatedResources(ctx); err == nil {
 		err = p.stream.Send(&discovery.DiscoveryRequest{Node: p.node, TypeUrl: xds.EndpointsTypeURL, ResourceNames: classes})
 	}
@@ -79,7 +79,7 @@
 		client.Close()
 		return nil, err
 	}
-	go p.read()
+	go p.readLoop()
 	return p, nil
 }
 
@@ -87,15 +87,15 @@
 func (p *GRPCProxy) Reject(message string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.refuse = message
+	p.rejection = message
 }
 
 // Stall makes the proxy read nothing more until it is told to go on, as if its process stood still.
-func (p *GRPCProxy) Stall(still bool) {
+func (p *GRPCProxy) Stall(stalled bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.still = still
-	p.change.Broadcast()
+	p.stalled = stalled
+	p.changed.Broadcast()
 }
 
 // Close leaves the planner and waits for the reader.
@@ -109,52 +109,52 @@
 // Send writes a request on the stream of assignments. It is for tests of what a proxy should not say.
 func (p *GRPCProxy) Send(r *discovery.DiscoveryRequest) error { return p.stream.Send(r) }
 
-func (p *GRPCProxy) read() {
+func (p *GRPCProxy) readLoop() {
 	defer close(p.done)
 	for {
 		p.mu.Lock()
-		for p.still {
-			p.change.Wait()
+		for p.stalled {
+			p.changed.Wait()
 		}
 		p.mu.Unlock()
 		r, err := p.stream.Recv()
 		if err != nil {
-			p.alter(func(s *State) { s.Closed = err })
+			p.update(func(s *State) { s.Closed = err })
 			return
 		}
 		p.mu.Lock()
-		refuse := p.refuse
+		rejection := p.rejection
 		p.mu.Unlock()
-		answer := &discovery.DiscoveryRequest{TypeUrl: r.GetTypeUrl(), ResourceNames: p.classes,
+		response := &discovery.DiscoveryRequest{TypeUrl: r.GetTypeUrl(), ResourceNames: p.classes,
 			VersionInfo: r.GetVersionInfo(), ResponseNonce: r.GetNonce()}
-		if refuse == "" {
-			p.alter(func(s *State) { err = Apply(s, r) })
+		if rejection == "" {
+			p.update(func(s *State) { err = Apply(s, r) })
 		}
-		if refuse != "" || err != nil {
-			answer.ErrorDetail = &statuspb.Status{Code: 3, Message: refuse}
-			p.alter(func(s *State) { s.Rejected++ })
+		if rejection != "" || err != nil {
+			response.ErrorDetail = &statuspb.Status{Code: 3, Message: rejection}
+			p.update(func(s *State) { s.Rejected++ })
 		}
-		if p.heed != nil {
-			p.heed(r)
+		if p.onMessage != nil {
+			p.onMessage(r)
 		}
-		p.stream.Send(answer) // of a stream that has ended meanwhile, whose end the next Recv tells
+		p.stream.Send(response) // of a stream that has ended meanwhile, whose end the next Recv tells
 	}
 }
 
 // Apply takes a message into what a proxy holds. The table is that of the first class in it; all have the same servers.
 func Apply(s *State, r *discovery.DiscoveryResponse) error {
-	for i, packed := range r.GetResources() {
+	for i, resource := range r.GetResources() {
 		var a endpoint.ClusterLoadAssignment
-		if err := packed.UnmarshalTo(&a); err != nil {
+		if err := resource.UnmarshalTo(&a); err != nil {
 			return err
 		}
-		rows, shut, gate := xds.ParseAssignment(&a, false)
+		rows, excluded, gate := xds.ParseAssignment(&a, false)
 		if i == 0 {
 			s.Table, s.Excluded = map[string]float64{}, map[string]bool{}
 			for _, row := range rows {
 				s.Table[row.Server] = row.Weight / xds.MaxWeight
 			}
-			for _, name := range shut {
+			for _, name := range excluded {
 				s.Excluded[name] = true
 			}
 			s.Replaced++
@@ -277,7 +277,7 @@
 	mu     sync.Mutex
 	status healthpb.HealthCheckResponse_ServingStatus
 	report *xdsorca.OrcaLoadReport // nil: the stream stalls
-	probed int
+	probes int
 }
 
 // NewGRPCServer starts one on the address. It serves, and reports a load.
@@ -308,14 +308,14 @@
 func (s *GRPCServer) Probed() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.probed
+	return s.probes
 }
 
 // Check implements the health service.
 func (s *GRPCServer) Check(context.Context, *healthpb.HealthCheckRequest) (*healthpb.HealthCheckResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.probed++
+	s.probes++
 	return &healthpb.HealthCheckResponse{Status: s.status}, nil
 }
 
--- a/internal/planner/standin/http.go
+++ b/internal/planner/standin/http.go
@@ -12,11 +12,11 @@
 
 // service accepts connections and answers requests by hand, one goroutine a connection.
 type service struct {
-	ln    net.Listener
-	mu    sync.Mutex
-	conns map[net.Conn]bool
-	group sync.WaitGroup
-	over  chan struct{} // closed at the end
+	ln     net.Listener
+	mu     sync.Mutex
+	conns  map[net.Conn]bool
+	group  sync.WaitGroup
+	closed chan struct{} // closed at the end
 }
 
 func listen(address string) (*service, error) {
@@ -24,11 +24,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &service{ln: ln, conns: map[net.Conn]bool{}, over: make(chan struct{})}, nil
+	return &service{ln: ln, conns: map[net.Conn]bool{}, closed: make(chan struct{})}, nil
 }
 
 // serve answers requests until it is closed.
-func (s *service) serve(answer func(net.Conn, *http.Request) error) {
+func (s *service) serve(handle func(net.Conn, *http.Request) error) {
 	s.group.Go(func() {
 		for {
 			nc, err := s.ln.Accept()
@@ -42,7 +42,7 @@
 				in := bufio.NewReader(nc)
 				for {
 					request, err := http.ReadRequest(in)
-					if err != nil || answer(nc, request) != nil {
+					if err != nil || handle(nc, request) != nil {
 						break
 					}
 				}
@@ -80,12 +80,12 @@
 // Close ends it and waits for its goroutines.
 func (s *service) Close() {
 	s.ln.Close()
-	close(s.over)
+	close(s.closed)
 	s.Break()
 	s.group.Wait()
 }
 
-func reply(nc net.Conn, status int, body string) error {
+func writeResponse(nc net.Conn, status int, body string) error {
 	_, err := fmt.Fprintf(nc, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), len(body), body)
 	return err
 }
--- a/internal/planner/standin/peers.go
+++ b/internal/planner/standin/peers.go
@@ -12,16 +12,16 @@
 type Proxy struct {
 	Number int
 	nc     net.Conn
-	board
-	part  []Order
-	heed  func([]Order) // is given whole messages; nil: nobody is
-	marks chan uint32   // that are to be answered
-	done  chan struct{}
+	stateMonitor
+	parts     []Order
+	onMessage func([]Order) // is given whole messages; nil: nobody is
+	tokens    chan uint32   // that are to be answered
+	done      chan struct{}
 }
 
-// maxMarks may wait to be answered while the planner doesn't read. Answering them apart from reading keeps a proxy whose
+// maxPendingTokens may wait to be answered while the planner doesn't read. Answering them apart from reading keeps a proxy whose
 // own reports stand still from reading its orders late.
-const maxMarks = 1024
+const maxPendingTokens = 1024
 
 // writeBuffer bounds what the system keeps for a planner that doesn't read: thousands of proxies that flood one would
 // bring the machine's memory for sockets to its limit, where it drops what others are sent.
@@ -81,7 +81,7 @@
 }
 
 // Join is NewProxy with a listener: it is given each whole message once that is in force, before its marks are answered.
-func Join(planner string, number int, zone string, weight float64, take func([]Order)) (*Proxy, error) {
+func Join(planner string, number int, zone string, weight float64, onMessage func([]Order)) (*Proxy, error) {
 	nc, err := net.Dial("tcp", planner)
 	if err != nil {
 		return nil, err
@@ -89,15 +89,15 @@
 	if tcp, ok := nc.(*net.TCPConn); ok {
 		tcp.SetWriteBuffer(writeBuffer)
 	}
-	p := &Proxy{Number: number, nc: nc, board: newBoard(), heed: take, done: make(chan struct{}),
-		marks: make(chan uint32, maxMarks)}
+	p := &Proxy{Number: number, nc: nc, stateMonitor: newStateMonitor(), onMessage: onMessage, done: make(chan struct{}),
+		tokens: make(chan uint32, maxPendingTokens)}
 	if err := p.WriteLine(fmt.Sprintf(`{"t":"attach","proxy":%d,"zone":%q,"weight":%g,"fresh":true}`, number, zone,
 		weight)); err != nil {
 		nc.Close()
 		return nil, err
 	}
-	go p.read()
-	go p.answer()
+	go p.readLoop()
+	go p.acknowledge()
 	return p, nil
 }
 
@@ -116,37 +116,37 @@
 	<-p.done
 }
 
-// answer answers marks until the reader ends, or the connection does.
-func (p *Proxy) answer() {
-	for mark := range p.marks {
-		if p.WriteLine(fmt.Sprintf(`{"t":"done","proxy":%d,"mark":%d,"took_ms":1}`, p.Number, mark)) != nil {
+// acknowledge answers marks until the reader ends, or the connection does.
+func (p *Proxy) acknowledge() {
+	for token := range p.tokens {
+		if p.WriteLine(fmt.Sprintf(`{"t":"done","proxy":%d,"mark":%d,"took_ms":1}`, p.Number, token)) != nil {
 			p.nc.Close()
 		}
 	}
 }
 
-func (p *Proxy) read() {
+func (p *Proxy) readLoop() {
 	defer close(p.done)
-	defer close(p.marks)
+	defer close(p.tokens)
 	defer p.nc.Close()
 	in := bufio.NewReaderSize(p.nc, 1<<16)
 	for {
 		line, err := in.ReadBytes('\n')
 		if err == nil {
-			err = p.take(line)
+			err = p.handleLine(line)
 		}
 		if err != nil {
 			p.mu.Lock()
 			p.state.Closed = err
-			p.change.Broadcast()
+			p.changed.Broadcast()
 			p.mu.Unlock()
 			return
 		}
 	}
 }
 
-// take reads a part; the last one brings the whole message into force.
-func (p *Proxy) take(line []byte) error {
+// handleLine reads a part; the last one brings the whole message into force.
+func (p *Proxy) handleLine(line []byte) error {
 	var o Order
 	if err := json.Unmarshal(line, &o); err != nil {
 		return err
@@ -155,36 +155,36 @@
 	case o.Kind == "hb_ok":
 		p.mu.Lock()
 		p.state.HeartbeatReplies++
-		p.change.Broadcast()
+		p.changed.Broadcast()
 		p.mu.Unlock()
 		return nil
 	case o.Kind != "assign":
 		return errors.New("unknown kind " + o.Kind)
 	}
-	if p.part = append(p.part, o); o.Part {
+	if p.parts = append(p.parts, o); o.Part {
 		return nil
 	}
 	p.mu.Lock()
-	var stamps []uint32
-	for _, o := range p.part {
+	var tokens []uint32
+	for _, o := range p.parts {
 		if err := p.apply(o); err != nil {
 			p.mu.Unlock()
 			return err
 		}
 		if o.Token != nil {
-			stamps = append(stamps, *o.Token)
+			tokens = append(tokens, *o.Token)
 		}
 	}
-	whole := p.part
-	p.part = nil
+	message := p.parts
+	p.parts = nil
 	p.state.Messages++
-	p.change.Broadcast()
+	p.changed.Broadcast()
 	p.mu.Unlock()
-	if p.heed != nil {
-		p.heed(whole)
+	if p.onMessage != nil {
+		p.onMessage(message)
 	}
-	for _, stamp := range stamps {
-		p.marks <- stamp
+	for _, token := range tokens {
+		p.tokens <- token
 	}
 	return nil
 }
@@ -236,16 +236,16 @@
 		return nil, err
 	}
 	c := &Collector{zone: zone, nc: nc}
-	return c, c.say(fmt.Sprintf(`{"t":"telemetry","zone":%q}`, zone))
+	return c, c.writeLine(fmt.Sprintf(`{"t":"telemetry","zone":%q}`, zone))
 }
 
 // Report tells what the zone's proxies met at a server.
 func (c *Collector) Report(server string, tries, failed int, mean, span float64) error {
-	return c.say(fmt.Sprintf(`{"t":"upstream_stats","zone":%q,"server":%q,"tries":%d,"failed":%d,"mean_ms":%g,"span_ms":%g}`,
+	return c.writeLine(fmt.Sprintf(`{"t":"upstream_stats","zone":%q,"server":%q,"tries":%d,"failed":%d,"mean_ms":%g,"span_ms":%g}`,
 		c.zone, server, tries, failed, mean, span))
 }
 
-func (c *Collector) say(line string) error {
+func (c *Collector) writeLine(line string) error {
 	_, err := c.nc.Write([]byte(line + "\n"))
 	return err
 }
--- a/internal/planner/standin/server.go
+++ b/internal/planner/standin/server.go
@@ -12,7 +12,7 @@
 	mu     sync.Mutex
 	status int
 	load   string
-	probed int
+	probes int
 }
 
 // NewServer starts one on the address. It answers 200 with a load report.
@@ -22,7 +22,7 @@
 		return nil, err
 	}
 	s := &Server{service: ln, status: http.StatusOK, load: "inflight=0,util=0.10"}
-	ln.serve(s.answer)
+	ln.serve(s.handle)
 	return s, nil
 }
 
@@ -37,21 +37,21 @@
 func (s *Server) Probed() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.probed
+	return s.probes
 }
 
-func (s *Server) answer(nc net.Conn, r *http.Request) error {
+func (s *Server) handle(nc net.Conn, r *http.Request) error {
 	s.mu.Lock()
-	s.probed++
+	s.probes++
 	status, load := s.status, s.load
 	s.mu.Unlock()
 	switch {
 	case status == 0:
 		return nil
 	case r.URL.Path == "/health":
-		return reply(nc, status, "")
+		return writeResponse(nc, status, "")
 	case r.URL.Path == "/status/load":
-		return reply(nc, status, load)
+		return writeResponse(nc, status, load)
 	}
-	return reply(nc, http.StatusNotFound, "")
+	return writeResponse(nc, http.StatusNotFound, "")
 }
--- a/internal/planner/standin/versioned.go
+++ b/internal/planner/standin/versioned.go
@@ -16,41 +16,41 @@
 type Versioned struct {
 	Number int
 	nc     net.Conn
-	board
-	receiver *tables.Receiver
-	origin   tables.Origin
-	spoil    func([]byte) [][]byte
-	begun    time.Time
-	done     chan struct{}
-	end      chan struct{}
-	write    sync.Mutex
-	OnTable  func(tables.Table, tables.Version) // is told of each table that is held; nil: nobody is
+	stateMonitor
+	receiver   *tables.Receiver
+	origin     tables.Origin
+	transmit   func([]byte) [][]byte
+	startedAt  time.Time
+	done       chan struct{}
+	readerDone chan struct{}
+	writeMu    sync.Mutex
+	OnTable    func(tables.Table, tables.Version) // is told of each table that is held; nil: nobody is
 }
 
 // JoinVersioned dials a planner and joins it. Spoil is given each update's bytes and returns what arrives in their place: none,
 // one or several, as they are or spoilt; nil lets all pass.
-func JoinVersioned(planner string, number int, zone string, weight float64, key tables.Key, spoil func([]byte) [][]byte,
-	held func(tables.Table, tables.Version)) (*Versioned, error) {
+func JoinVersioned(planner string, number int, zone string, weight float64, key tables.Key, transmit func([]byte) [][]byte,
+	onTable func(tables.Table, tables.Version)) (*Versioned, error) {
 	nc, err := net.Dial("tcp", planner)
 	if err != nil {
 		return nil, err
 	}
-	p := &Versioned{Number: number, nc: nc, board: newBoard(), receiver: tables.NewReceiver(uint32(number), key),
-		spoil: spoil, begun: time.Now(),
-		done: make(chan struct{}), end: make(chan struct{}), OnTable: held}
-	if err := p.say(fmt.Sprintf(`{"t":"attach","proxy":%d,"zone":%q,"weight":%g,"fresh":true,"versions":true}`, number, zone,
+	p := &Versioned{Number: number, nc: nc, stateMonitor: newStateMonitor(), receiver: tables.NewReceiver(uint32(number), key),
+		transmit: transmit, startedAt: time.Now(),
+		done: make(chan struct{}), readerDone: make(chan struct{}), OnTable: onTable}
+	if err := p.writeLine(fmt.Sprintf(`{"t":"attach","proxy":%d,"zone":%q,"weight":%g,"fresh":true,"versions":true}`, number, zone,
 		weight)); err != nil {
 		nc.Close()
 		return nil, err
 	}
-	go p.read(key)
-	go p.ask()
+	go p.readLoop(key)
+	go p.requestResends()
 	return p, nil
 }
 
-func (p *Versioned) say(line string) error {
-	p.write.Lock()
-	defer p.write.Unlock()
+func (p *Versioned) writeLine(line string) error {
+	p.writeMu.Lock()
+	defer p.writeMu.Unlock()
 	_, err := io.WriteString(p.nc, line+"\n")
 	return err
 }
@@ -61,30 +61,32 @@
 	<-p.done
 }
 
-func (p *Versioned) now() float64 { return float64(time.Since(p.begun)) / float64(time.Millisecond) }
+func (p *Versioned) now() float64 {
+	return float64(time.Since(p.startedAt)) / float64(time.Millisecond)
+}
 
-// ask asks for what is missing until the reader ends.
-func (p *Versioned) ask() {
-	pace := time.NewTicker(20 * time.Millisecond)
-	defer pace.Stop()
+// requestResends asks for what is missing until the reader ends.
+func (p *Versioned) requestResends() {
+	ticker := time.NewTicker(20 * time.Millisecond)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-p.end:
+		case <-p.readerDone:
 			return
-		case <-pace.C:
+		case <-ticker.C:
 		}
 		p.mu.Lock()
-		a, asks := p.receiver.NextResendRequest(p.now())
+		a, due := p.receiver.NextResendRequest(p.now())
 		p.mu.Unlock()
-		if asks {
-			p.say(fmt.Sprintf(`{"t":"again","proxy":%d,"whole":%t,"after":%d}`, p.Number, a.Snapshot, a.After))
+		if due {
+			p.writeLine(fmt.Sprintf(`{"t":"again","proxy":%d,"whole":%t,"after":%d}`, p.Number, a.Snapshot, a.After))
 		}
 	}
 }
 
-func (p *Versioned) read(key tables.Key) {
+func (p *Versioned) readLoop(key tables.Key) {
 	defer close(p.done)
-	defer close(p.end)
+	defer close(p.readerDone)
 	in := bufio.NewReaderSize(p.nc, 1<<16)
 	for {
 		text, err := in.ReadBytes('\n')
@@ -102,7 +104,7 @@
 			err = fmt.Errorf("a line of kind %q to a proxy that asked for versions", l.T)
 		}
 		if err != nil {
-			p.alter(func(s *State) { s.Closed = err })
+			p.update(func(s *State) { s.Closed = err })
 			return
 		}
 		if l.Update == nil {
@@ -112,22 +114,22 @@
 			p.mu.Unlock()
 			continue
 		}
-		arrives := [][]byte{l.Update}
-		if p.spoil != nil {
-			arrives = p.spoil(l.Update)
+		updates := [][]byte{l.Update}
+		if p.transmit != nil {
+			updates = p.transmit(l.Update)
 		}
-		for _, update := range arrives {
-			p.take(update, key)
+		for _, update := range updates {
+			p.applyUpdate(update, key)
 		}
 		if l.Stamp != nil { // a mark says that the message was read; whether it could be used is asked by number
-			p.say(fmt.Sprintf(`{"t":"done","proxy":%d,"mark":%d,"took_ms":1}`, p.Number, *l.Stamp))
+			p.writeLine(fmt.Sprintf(`{"t":"done","proxy":%d,"mark":%d,"took_ms":1}`, p.Number, *l.Stamp))
 		}
 	}
 }
 
-// take gives an update to the receiver. The first that can be read names the stream's origin.
-func (p *Versioned) take(update []byte, key tables.Key) {
-	p.alter(func(s *State) {
+// applyUpdate gives an update to the receiver. The first that can be read names the stream's origin.
+func (p *Versioned) applyUpdate(update []byte, key tables.Key) {
+	p.update(func(s *State) {
 		if u, err := tables.Decode(update, key); err == nil && p.origin == (tables.Origin{}) {
 			p.origin = u.Origin
 			p.receiver.StreamStarted(p.now(), u.Origin)
