--- a/internal/planner/bench/cores.go
+++ b/internal/planner/bench/cores.go
@@ -14,17 +14,17 @@
 	"mulleinwood/internal/planner/standin"
 )
 
-// Plan says what `bench cores` measures.
+// Plan describes the measurements of `bench cores` and `bench fronts`.
 type Plan struct {
 	Fleet
 	Cores     []int
-	Frontends []Frontend // none: lines
-	Seconds   float64    // of each phase
-	Command   []string   // that runs a planner
+	Frontends []Frontend // empty: only Lines
+	Seconds   float64    // duration of each phase
+	Command   []string   // command line that runs a planner
 	Progress  func(format string, args ...any)
 }
 
-// Quantiles are of times in milliseconds.
+// Quantiles summarizes a distribution of times in milliseconds.
 type Quantiles struct {
 	P50   float64 `json:"p50"`
 	P99   float64 `json:"p99"`
@@ -38,20 +38,20 @@
 	return Quantiles{at(50), at(99), at(99.9), float64(h.Max()) / 1000, h.TotalCount()}
 }
 
-// Run is what was measured at one number of cores.
+// Run is the result for one number of cores and one frontend.
 type Run struct {
 	Cores          int               `json:"cores"`
 	Frontend       Frontend          `json:"front"`
-	OverMachine    bool              `json:"over_machine"` // more than the machine has
-	JoinMS         float64           `json:"join_ms"`      // until every proxy has its whole table
+	OverMachine    bool              `json:"over_machine"` // more cores than the machine has
+	JoinMS         float64           `json:"join_ms"`      // until every proxy has its complete table
 	EventsPerS     float64           `json:"events_per_s"`
-	OrdersPerS     float64           `json:"orders_per_s"` // messages to proxies, while events saturate
-	CPUAtFull      float64           `json:"cpu_at_full"`  // processors
+	OrdersPerS     float64           `json:"orders_per_s"` // messages to proxies during saturation
+	CPUAtFull      float64           `json:"cpu_at_full"`  // CPUs used during saturation
 	CPUPerEvent    float64           `json:"cpu_us_per_event"`
-	HalfRate       float64           `json:"half_events_per_s"` // half of what one core handles: the load of what follows
+	HalfRate       float64           `json:"half_events_per_s"` // half of one core; the load for CPUAtHalf, Drain, Order
 	CPUAtHalf      float64           `json:"cpu_at_half"`
-	Drain          Quantiles         `json:"drain_ms"` // from a drain told to the last proxy's order read
-	Order          Quantiles         `json:"order_ms"` // to each proxy's
+	Drain          Quantiles         `json:"drain_ms"` // from a drain's start until the last proxy has read its assignment
+	Order          Quantiles         `json:"order_ms"` // from a drain's start until a proxy has read its assignment
 	KiBPerStream   float64           `json:"kib_per_stream"`
 	MemoryMB       float64           `json:"memory_mb"`
 	MaxQueueLines  float64           `json:"queue_lines_most"`
@@ -61,7 +61,7 @@
 	Violations     []audit.Violation `json:"broken,omitempty"`
 }
 
-// Result is all that was measured.
+// Result contains all runs of a plan.
 type Result struct {
 	Machine string `json:"machine"`
 	CPUs    int    `json:"machine_cores"`
@@ -70,22 +70,22 @@
 	Runs    []Run   `json:"runs"`
 }
 
-// spareDescriptors are descriptors beyond one a stream, of either side.
+// spareDescriptors is the number of file descriptors that each side needs in addition to one per stream.
 const spareDescriptors = 128
 
-// checkDescriptorLimit says what is missing if descriptors don't suffice.
+// checkDescriptorLimit returns an error if the process may not open the required number of file descriptors.
 func checkDescriptorLimit(required int) error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return err
 	}
 	if limit.Cur < uint64(required) {
-		return fmt.Errorf("%d descriptors are needed, the limit is %d (ulimit -n); fewer --proxies need fewer", required, limit.Cur)
+		return fmt.Errorf("%d file descriptors are needed, the limit is %d (ulimit -n); reduce --proxies", required, limit.Cur)
 	}
 	return nil
 }
 
-// Measure runs the plan.
+// Measure runs the plan. It starts one planner for each number of cores and each frontend.
 func (p Plan) Measure(ctx context.Context) (Result, error) {
 	result := Result{Machine: runtime.GOOS + "/" + runtime.GOARCH, CPUs: runtime.NumCPU(), Fleet: p.Fleet, Seconds: p.Seconds}
 	if err := checkDescriptorLimit(p.Proxies + spareDescriptors); err != nil {
@@ -153,7 +153,8 @@
 	}
 	run = Run{Cores: n, Frontend: frontend, OverMachine: n > runtime.NumCPU(),
 		JoinMS:       float64(time.Since(startedAt)) / float64(time.Millisecond),
-		KiBPerStream: (joined.memoryKiB - before.memoryKiB) / float64(p.Proxies), QueueLimit: queueLinesPerProxy * float64(p.Proxies)}
+		KiBPerStream: (joined.memoryKiB - before.memoryKiB) / float64(p.Proxies),
+		QueueLimit:   queueLinesPerProxy * float64(p.Proxies)}
 
 	stopDrains := make(chan struct{})
 	var drains sync.WaitGroup
@@ -163,7 +164,7 @@
 		drains.Wait()
 	}()
 	span := time.Duration(p.Seconds * float64(time.Second))
-	p.Progress("%d cores: as many events as they take", n)
+	p.Progress("%d cores: saturating the planner with events", n)
 	usageBefore, messages := joined, generator.messages.Load()
 	events, took, err := generator.sendReports(0, span)
 	if err != nil {
@@ -180,7 +181,7 @@
 		*halfRate = run.EventsPerS / 2 / float64(n)
 	}
 	run.HalfRate = *halfRate
-	p.Progress("%d cores: %.0f events a second; now %.0f", n, run.EventsPerS, *halfRate)
+	p.Progress("%d cores: %.0f events/s; continuing at %.0f events/s", n, run.EventsPerS, *halfRate)
 	generator.mu.Lock()
 	generator.reset()
 	generator.mu.Unlock()
@@ -195,7 +196,8 @@
 	generator.mu.Lock()
 	defer generator.mu.Unlock()
 	run.Drain, run.Order = quantiles(generator.lastProxyLatency), quantiles(generator.proxyLatency)
-	run.Violations, run.MaxQueueLines, run.MaxDrainMillis = generator.auditor.Violations(), generator.auditor.Peak.QueueLines, generator.auditor.Peak.DrainMillis
+	run.Violations, run.MaxQueueLines, run.MaxDrainMillis = generator.auditor.Violations(),
+		generator.auditor.Peak.QueueLines, generator.auditor.Peak.DrainMillis
 	run.ViolationCount = len(run.Violations)
 	run.Violations = run.Violations[:min(len(run.Violations), 10)]
 	return run, nil
--- a/internal/planner/bench/decisions.go
+++ b/internal/planner/bench/decisions.go
@@ -15,12 +15,13 @@
 	"mulleinwood/rules"
 )
 
-// Decisions is what planners of one number of cores decided on a scripted day, on simulated servers and a simulated clock.
+// Decisions summarizes the decisions of a planner with one number of cores on a scripted day, with simulated servers and a
+// simulated clock.
 type Decisions struct {
 	Cores             int     `json:"cores"`
-	SpeedCompensation float64 `json:"learnt_share"`     // of the difference between fast and slow servers that weights make up for
-	Spread            float64 `json:"spread"`           // standard deviation of the servers' use, as a share of its mean
-	RejectedShare     float64 `json:"refused_share"`    // of the worth asked for during the overload
+	SpeedCompensation float64 `json:"learnt_share"`     // speed difference that the weights compensate
+	Spread            float64 `json:"spread"`           // standard deviation of the servers' utilization over its mean
+	RejectedShare     float64 `json:"refused_share"`    // share of the demand, weighted by importance, in the overload
 	LevelDifference   float64 `json:"level_difference"` // largest between two proxies in any class, mean over the overload
 	Messages          int     `json:"messages"`
 	Lines             int     `json:"lines"`
@@ -36,19 +37,19 @@
 	Runs    []Decisions `json:"decisions"`
 }
 
-// The scripted day, in seconds. Tables stand before the first figure is taken.
+// The scripted day: times in seconds, counted from its start. Tables have converged before the first figure is taken.
 const (
 	scenarioSeconds  = 150
-	measureFrom      = 60  // from here to the overload, weights and spread count
-	overloadFrom     = 90  // servers get half as much again as they can do
-	overloadUntil    = 130 // refusals count from 10 s after its beginning
-	slowServerStride = 4   // each fourth server is slow
+	measureFrom      = 60  // start of the interval, up to the overload, in which weights and spread are measured
+	overloadFrom     = 90  // start of the overload: demand exceeds the nominal capacity by half
+	overloadUntil    = 130 // end of the overload; rejections are measured from 10 s after its start
+	slowServerStride = 4   // every fourth server is slow
 	slowServerSpeed  = 0.6
 	idleLatencyMS    = 90.0
 )
 
-// scenarioRun is a deployment in which nothing is at random but the counts in reports, drawn from the seed alone: all planners meet
-// the same day.
+// scenarioRun is one run of the scripted day. All random values are drawn from the seed alone, so that every planner gets the
+// same day.
 type scenarioRun struct {
 	fleet   Fleet
 	group   *group
@@ -61,7 +62,7 @@
 	samples struct{ plain, loaded, levels float64 }
 }
 
-// CompareDecisions plays the same day to planners of several numbers of cores.
+// CompareDecisions runs the same scripted day on planners with different numbers of cores.
 func CompareDecisions(f Fleet, counts []int, progress func(string, ...any)) (DecisionsResult, error) {
 	result := DecisionsResult{Fleet: f, Seconds: scenarioSeconds}
 	for _, n := range counts {
@@ -98,11 +99,12 @@
 		d.result.RejectedShare /= d.samples.loaded
 		d.result.LevelDifference /= d.samples.loaded
 	}
-	d.result.MaxQueueLines, d.result.MaxDrainMillis, d.result.ViolationCount = d.auditor.Peak.QueueLines, d.auditor.Peak.DrainMillis, len(d.auditor.Violations())
+	d.result.MaxQueueLines, d.result.MaxDrainMillis, d.result.ViolationCount = d.auditor.Peak.QueueLines,
+		d.auditor.Peak.DrainMillis, len(d.auditor.Violations())
 	return d.result, nil
 }
 
-// start opens the books and lets every proxy join.
+// start creates the auditor and attaches every proxy.
 func (d *scenarioRun) start() error {
 	f := d.fleet
 	d.auditor = audit.New(d.group.set.Rules, d.group.now)
@@ -110,7 +112,7 @@
 		d.auditor.ServerChanged(d.group.now, audit.Server{Name: m.ID, State: rules.Ready, Size: 1})
 	}
 	rng := rand.New(rand.NewPCG(f.Seed, 11))
-	for p := range f.Proxies { // a few carry most
+	for p := range f.Proxies { // every tenth proxy has ten times the rate of the others, and so most of the traffic
 		rate := proxyRate / 2
 		if p%10 == 0 {
 			rate = proxyRate * 5
@@ -125,7 +127,7 @@
 	return nil
 }
 
-// applyAssignment is a message that a proxy has read.
+// applyAssignment applies an assignment to the proxy's table and records it.
 func (d *scenarioRun) applyAssignment(proxy int, o protocol.Assignment) {
 	sent := audit.Order{Replace: o.Replace, Rows: map[string]float64{}, Retries: map[int]rules.Retry{}, Drop: o.Exclude,
 		Undrop: o.Include,
@@ -152,7 +154,8 @@
 	d.auditor.OrderReceived(d.group.now, proxy, sent)
 }
 
-// capacity of a server in requests a second: with the whole fleet, half of the day's traffic over what is needed.
+// capacity returns the capacity of server i in requests per second. All servers together can handle about half more than
+// the normal demand.
 func (d *scenarioRun) capacity(i int) float64 {
 	evenShare := 0.0
 	for _, rate := range d.rates {
@@ -165,7 +168,7 @@
 	return evenShare
 }
 
-// classShares of a proxy's requests by class, and what they weigh in worth.
+// Share of each class in a proxy's requests, and importance of a request of each class.
 var (
 	classShares     = []float64{0.6, 0.2, 0.2}
 	classImportance = []float64{1, 5, 2}
@@ -179,7 +182,7 @@
 	if second >= overloadFrom && second < overloadUntil {
 		demand = 2.4
 	}
-	if round%40 == 20 && second >= 20 { // a server drains, and comes back cold some seconds later
+	if round%40 == 20 && second >= 20 { // a server drains, and returns 6 s later in its warm-up
 		d.changeServer((round/40)%d.fleet.Servers, protocol.PhaseDraining, 0)
 	}
 	if round%40 == 0 && second >= 28 {
@@ -212,9 +215,9 @@
 	d.auditor.ServerChanged(d.group.now, audit.Server{Name: fmt.Sprint("s-", i), State: state, Size: 1, StartedAt: since})
 }
 
-// sendReports works out what the last second brought each server, and tells what was met.
+// sendReports computes the load of each server in the last second and sends the usage and server reports for it.
 func (d *scenarioRun) sendReports(demand float64, second int, rng *rand.Rand) {
-	loads := make([][]float64, d.fleet.Servers) // requests a second, by zone of the proxies
+	loads := make([][]float64, d.fleet.Servers) // requests per second, by zone of the proxies
 	for i := range loads {
 		loads[i] = make([]float64, len(zones))
 	}
@@ -288,7 +291,7 @@
 	}
 }
 
-// spread is the standard deviation of what is over 0, as a share of its mean.
+// spread returns the standard deviation of the positive values, divided by their mean.
 func spread(list []float64) float64 {
 	var n, sum, squares float64
 	for _, x := range list {
@@ -300,7 +303,7 @@
 	return math.Sqrt(max(0, squares/n-mean*mean)) / mean
 }
 
-// WriteTable prints the comparison for people.
+// WriteTable prints the comparison as text.
 func (d DecisionsResult) WriteTable(out io.Writer) error {
 	fmt.Fprintf(out, "%d proxies, %d servers, seed %d; %d s, simulated servers and clock\n\n", d.Proxies, d.Servers, d.Seed,
 		d.Seconds)
@@ -308,14 +311,14 @@
 	fmt.Fprintln(table,
 		"cores\tlearnt\tspread of use\trefused worth\tlevels apart\tmessages\tlines\tqueue most\tdrain ms most\tbreaks")
 	for _, e := range d.Runs {
-		fmt.Fprintf(table, "%d\t%.2f\t%.3f\t%.3f\t%.3f\t%d\t%d\t%.0f\t%.0f\t%d\n", e.Cores, e.SpeedCompensation, e.Spread, e.RejectedShare,
-			e.LevelDifference, e.Messages, e.Lines,
+		fmt.Fprintf(table, "%d\t%.2f\t%.3f\t%.3f\t%.3f\t%d\t%d\t%.0f\t%.0f\t%d\n", e.Cores,
+			e.SpeedCompensation, e.Spread, e.RejectedShare, e.LevelDifference, e.Messages, e.Lines,
 			e.MaxQueueLines, e.MaxDrainMillis, e.ViolationCount)
 	}
 	return table.Flush()
 }
 
-// WritePlot draws spread and refusals against cores.
+// WritePlot draws spread, rejections and message counts against the number of cores.
 func (d DecisionsResult) WritePlot(file string) error {
 	var spread, refused, messages plotter.XYs
 	for _, e := range d.Runs {
--- a/internal/planner/bench/fleet.go
+++ b/internal/planner/bench/fleet.go
@@ -1,5 +1,5 @@
-// Package bench measures planners: real processes on loopback under scripted peers, and modules and routers in this
-// process without sockets. Peers are not the planner's process, so their work is not counted.
+// Package bench measures planners: planner processes on loopback with scripted peers, and decision modules and routers in
+// this process without sockets. Peers run outside the planner's process, so their CPU time is not counted.
 package bench
 
 import (
@@ -9,20 +9,20 @@
 	"mulleinwood/internal/planner/settings"
 )
 
-// Fleet is the size of a deployment that is made up.
+// Fleet is the size of a synthetic deployment, and the seed of its random draws.
 type Fleet struct {
 	Proxies int    `json:"proxies"`
 	Servers int    `json:"servers"`
 	Seed    uint64 `json:"seed"`
 }
 
-// The made-up deployment. Times are in milliseconds.
+// Parameters of the synthetic deployment.
 const (
 	reportIntervalMS    = 1000.0
 	warmupMS            = 8000.0
-	queueLinesPerProxy  = 60.0 // lines that may wait in the channel, for each proxy
-	linesPerSecPerProxy = 40.0 // lines a second that the channel sends, for each proxy
-	proxyRate           = 20.0 // requests a second of a mean proxy
+	queueLinesPerProxy  = 60.0 // limit of the lines buffered in the channel, per proxy
+	linesPerSecPerProxy = 40.0 // send rate of the channel, per proxy
+	proxyRate           = 20.0 // mean requests per second of a proxy
 	messageHeaderLines  = 3.0
 )
 
@@ -31,10 +31,11 @@
 	classes = []string{"view", "post", "pay"}
 )
 
-// settings is the settings text that every planner of the deployment gets.
+// settings returns the planner settings of the deployment, ready for JSON encoding.
 func (f Fleet) settings() map[string]any {
 	class := func(name, idempotency string, latencyTarget, deadline, importance float64) map[string]any {
-		return map[string]any{"name": name, "slo": latencyTarget, "deadline": deadline, "idempotency": idempotency, "importance": importance,
+		return map[string]any{"name": name, "slo": latencyTarget, "deadline": deadline,
+			"idempotency": idempotency, "importance": importance,
 			"late-worth": 0.1,
 			"group":      "all", "repeat-window": 1000}
 	}
@@ -48,13 +49,15 @@
 		"rules": map[string]any{"cold": warmupMS, "start-capacity": 0.2, "stop-sending-within": 2000, "fall-multiple": 2.5,
 			"tip-after": 3000},
 		"extra": map[string]any{"proxy-count": f.Proxies, "level-kind": "ratio", "retry-default": 0, "try-aims": 1,
-			"interval": reportIntervalMS, "bare": 3000, "pending-max": queueLinesPerProxy * float64(f.Proxies), "egress-per-s": linesPerSecPerProxy * float64(f.Proxies),
-			"per-message": messageHeaderLines, "reloads-max": 0, "counted-over": 10000, "min-conn-cap": 0, "ranges": 0, "local-first": false,
+			"interval": reportIntervalMS, "bare": 3000,
+			"pending-max": queueLinesPerProxy * float64(f.Proxies), "egress-per-s": linesPerSecPerProxy * float64(f.Proxies),
+			"per-message": messageHeaderLines, "reloads-max": 0, "counted-over": 10000, "min-conn-cap": 0, "ranges": 0,
+			"local-first": false,
 			"stays-local": []bool{false, false, false}},
 	}
 }
 
-// parsedSettings is the same as a planner reads it.
+// parsedSettings returns the deployment's settings as a planner parses them.
 func (f Fleet) parsedSettings() (settings.Settings, error) {
 	text, err := marshal(f.settings())
 	if err != nil {
@@ -63,13 +66,13 @@
 	return settings.Parse(text)
 }
 
-// member is a server as discovery lists it. Nothing listens at its address: nothing is sent there but probes.
+// member returns server i as discovery lists it. Nothing listens at its address, which receives only probes.
 func member(i int, phase string, since float64) protocol.Member {
 	return protocol.Member{ID: fmt.Sprintf("s-%d", i), Address: "127.0.0.1:9", Zone: zones[i%len(zones)], Kind: "m1",
 		Phase: phase, Weight: 1, StartedAt: since}
 }
 
-// members is the whole fleet, up.
+// members returns all servers of the fleet in the phase up.
 func (f Fleet) members() (list []protocol.Member) {
 	for i := range f.Servers {
 		list = append(list, member(i, protocol.PhaseUp, 0))
--- a/internal/planner/bench/fronts.go
+++ b/internal/planner/bench/fronts.go
@@ -9,10 +9,10 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// FrontendsResult is a result in which the runs differ by front.
+// FrontendsResult is a result whose runs differ by frontend.
 type FrontendsResult struct{ Result }
 
-// find finds a run.
+// find returns the run with the given number of cores and frontend, and whether there is one.
 func (r FrontendsResult) find(cores int, frontend Frontend) (Run, bool) {
 	for _, n := range r.Runs {
 		if n.Cores == cores && n.Frontend == frontend {
@@ -22,7 +22,7 @@
 	return Run{}, false
 }
 
-// WriteTable prints the runs for people, each beside what lines take.
+// WriteTable prints the runs as text, each with its ratio to the run of the line protocol.
 func (r FrontendsResult) WriteTable(out io.Writer) error {
 	fmt.Fprintf(out, "%d proxies, %d servers, seed %d; machine with %d cores, which the peers share; phases of %g s\n\n",
 		r.Proxies, r.Servers, r.Seed, r.CPUs, r.Seconds)
@@ -34,16 +34,16 @@
 		if lines, known := r.find(n.Cores, Lines); known && n.Frontend != Lines {
 			cpu, drain = fmt.Sprintf("%.2f", n.CPUPerEvent/lines.CPUPerEvent), fmt.Sprintf("%.2f", n.Drain.P99/lines.Drain.P99)
 		}
-		fmt.Fprintf(table, "%d\t%s\t%.0f\t%.0f\t%.2f\t%s\t%.0f\t%.2f\t%.0f\t%.0f\t%s\t%.1f\t%.0f\t%d\n", n.Cores, n.Frontend,
-			n.EventsPerS, n.OrdersPerS,
-			n.CPUPerEvent, cpu, n.HalfRate, n.CPUAtHalf, n.Drain.P50, n.Drain.P99, drain, n.KiBPerStream, n.MemoryMB, n.ViolationCount)
+		fmt.Fprintf(table, "%d\t%s\t%.0f\t%.0f\t%.2f\t%s\t%.0f\t%.2f\t%.0f\t%.0f\t%s\t%.1f\t%.0f\t%d\n", n.Cores,
+			n.Frontend, n.EventsPerS, n.OrdersPerS, n.CPUPerEvent, cpu, n.HalfRate, n.CPUAtHalf, n.Drain.P50, n.Drain.P99, drain, n.KiBPerStream,
+			n.MemoryMB, n.ViolationCount)
 	}
 	return table.Flush()
 }
 
 var green = color.RGBA{R: 60, G: 140, B: 70, A: 255}
 
-// WritePlot draws throughput and latency against cores, a line a front.
+// WritePlot draws throughput and latency against the number of cores, one line per frontend.
 func (r FrontendsResult) WritePlot(file string) error {
 	colors := map[Frontend]color.Color{Lines: blue, GRPC: red, Half: green}
 	var rates, drains []series
--- a/internal/planner/bench/group.go
+++ b/internal/planner/bench/group.go
@@ -12,8 +12,8 @@
 	"mulleinwood/rules"
 )
 
-// group is a planner on several cores without sockets and goroutines, on a clock that its user moves: the real desk, and
-// for each core the real router and module.
+// group is a planner on several cores without sockets and goroutines, on a clock that the caller advances. It uses the
+// production assigner, and the production router and decision module for each core.
 type group struct {
 	set          settings.Settings
 	now          float64
@@ -23,14 +23,14 @@
 	list         protocol.List
 }
 
-// coreState is one core of a group.
+// coreState is the state of one core of a group.
 type coreState struct {
 	router *routing.Router
 	module *rules.Controller
 	rounds uint64
 }
 
-// proxyStream is a proxy's end of a stream.
+// proxyStream is the planner's view of a proxy's stream. It collects the tokens that the proxy has to acknowledge.
 type proxyStream struct {
 	group  *group
 	proxy  int
@@ -49,7 +49,7 @@
 func (e *proxyStream) DeferHeartbeat()        {}
 func (e *proxyStream) Close(error)            {}
 
-// noopCalls asks nobody anything.
+// noopCalls ignores all outgoing calls to discovery and to servers.
 type noopCalls struct{}
 
 func (noopCalls) Watch(uint64, int64)                {}
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	set.Rules.Probes = false // nobody answers them here
+	set.Rules.Probes = false // no server answers probes here
 	g := &group{set: set, now: 1e6, onAssignment: onAssignment, cores: make([]*coreState, n),
 		list: protocol.List{Revision: 1, Complete: true, Members: f.members()}}
 	g.assigner = cores.NewAssigner(cores.Settings{Cores: n, Zones: len(zones), QueueLines: set.Rules.QueueLines,
@@ -76,7 +76,7 @@
 	return g, g.runCommands()
 }
 
-// join takes a proxy in.
+// join attaches a proxy to the core that the assigner chooses.
 func (g *group) join(streams map[int]*proxyStream, proxy int, rate float64) error {
 	streams[proxy] = &proxyStream{group: g, proxy: proxy}
 	g.assigner.HandleJoined(g.now, uint64(proxy)+1, proxy, proxy%len(zones), rate)
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// deliver hands a message to the core of its proxy, or to all.
+// deliver passes a server report to all cores, and any other message to the core of its proxy.
 func (g *group) deliver(from *proxyStream, m protocol.Message) {
 	if _, all := m.(protocol.ServerReport); all {
 		for _, c := range g.cores {
@@ -102,22 +102,22 @@
 	}
 }
 
-// reportProgress tells the desk how far each core has come, and lets it look.
+// reportProgress reports each core's progress to the assigner and ticks it.
 func (g *group) reportProgress() error {
 	for i, c := range g.cores {
 		if p := c.router.Progress(); p.Rounds != c.rounds {
 			c.rounds = p.Rounds
 			own, waiting := c.module.OwnLoad()
-			g.assigner.HandleReport(g.now, i, 1, cores.CoreReport{SeenEpoch: p.SeenEpoch, AppliedEpoch: p.AppliedEpoch, ShareNumber: p.ShareNumber, QueuedLines: waiting,
-				JoinedProxies: own.JoinedProxies,
-				TypicalRates:  own.TypicalRates, Demands: own.Demands})
+			g.assigner.HandleReport(g.now, i, 1, cores.CoreReport{SeenEpoch: p.SeenEpoch, AppliedEpoch: p.AppliedEpoch,
+				ShareNumber: p.ShareNumber, QueuedLines: waiting, JoinedProxies: own.JoinedProxies,
+				TypicalRates: own.TypicalRates, Demands: own.Demands})
 		}
 	}
 	g.assigner.Tick(g.now)
 	return g.runCommands()
 }
 
-// runCommands does what the desk has decided, as far as it decides it here: no core ends, and proxies stay.
+// runCommands executes the assigner's commands. Only shares are expected here: no core fails, and no proxy moves.
 func (g *group) runCommands() error {
 	for _, c := range g.assigner.DrainCommands() {
 		switch c := c.(type) {
@@ -126,13 +126,13 @@
 				Part: rules.Part{ChannelShare: c.ChannelShare, JoinedProxies: c.JoinedProxies, TypicalRates: c.TypicalRates,
 					Demands: c.Demands}})
 		case cores.Isolate, cores.Abort:
-			return errors.New("a core was cut off on a clock that nothing holds up")
+			return errors.New("core isolated although the simulated clock cannot stall")
 		}
 	}
 	return nil
 }
 
-// changeMember tells every core of a change of the list.
+// changeMember sends a changed member of the server list to every core.
 func (g *group) changeMember(m protocol.Member) {
 	epoch := g.assigner.HandleListChange(g.now)
 	g.assigner.DrainCommands()
--- a/internal/planner/bench/hammer.go
+++ b/internal/planner/bench/hammer.go
@@ -10,12 +10,12 @@
 	"mulleinwood/tables"
 )
 
-// stressTableSize is how many servers a hammered table draws from.
+// stressTableSize is the number of servers from which the random tables are drawn.
 const stressTableSize = 6
 
-// StressVersions delivers so many updates over channels that lose, double, hold back, cut and flip at random, among them
-// updates of other proxies and lives, and checks after each that the receiver holds a table that was sent under its version, or
-// none. It returns how many it did not.
+// StressVersions delivers updates over channels that randomly lose, duplicate, delay, truncate and corrupt them, mixed with
+// updates of other proxies and incarnations. After each delivery it checks that the receiver holds either no table or the
+// table that was sent under its version. It returns the number of failed checks.
 func StressVersions(deliveries int, seed uint64) (mismatches int64) {
 	workers := runtime.NumCPU()
 	var total atomic.Int64
@@ -57,7 +57,7 @@
 	}
 	for deliveries > 0 {
 		now += 50
-		if rng.IntN(500) == 0 { // the planner's next life
+		if rng.IntN(500) == 0 { // the planner restarts with the next incarnation
 			life++
 			origin.Incarnation = life
 			sender, other = tables.NewSender(origin, 1, nil), tables.NewSender(origin, 2, nil)
@@ -70,7 +70,7 @@
 		}
 		table, at := sender.Table()
 		if sent[at.Number] = table; at.Number > 200 {
-			delete(sent, at.Number-200) // no receiver is that far behind: it is asked for below
+			delete(sent, at.Number-200) // no receiver is that far behind, since it requests a resend below
 		}
 		text := u.Append(nil, nil)
 		if foreign, err := other.Next(draw(), true); err == nil && rng.IntN(10) == 0 {
--- a/internal/planner/bench/look.go
+++ b/internal/planner/bench/look.go
@@ -16,35 +16,35 @@
 )
 
 const (
-	roundIntervalMS = 100.0 // milliseconds, the module's own pace
-	warmupRounds    = 40    // until tables stand
-	measuredRounds  = 100   // looks
-	roundsPerDrain  = 5     // looks between two drains
+	roundIntervalMS = 100.0 // interval of the decision module's rounds
+	warmupRounds    = 40    // rounds until the tables have converged
+	measuredRounds  = 100   // rounds
+	roundsPerDrain  = 5     // rounds between two drains
 )
 
-// RoundTimes is what looks cost at one number of cores, in milliseconds: the time until the last core has taken its turn and
-// written its orders.
+// RoundTimes contains the durations of decision rounds at one number of cores, in milliseconds. A round ends when the last
+// core has decided and encoded its assignments.
 type RoundTimes struct {
 	Cores       int     `json:"cores"`
 	OverMachine bool    `json:"over_machine"`
 	P50         float64 `json:"look_ms_p50"`
 	P99         float64 `json:"look_ms_p99"`
 	Max         float64 `json:"look_ms_max"`
-	JoinMax     float64 `json:"joining_ms_max"` // the dearest look while all proxies get their whole tables
+	JoinMax     float64 `json:"joining_ms_max"` // longest round while all proxies receive their complete tables
 	Messages    int     `json:"messages"`
 }
 
-// RoundsResult is the result of MeasureLooks.
+// RoundsResult is the result of MeasureRounds.
 type RoundsResult struct {
 	CPUs int `json:"machine_cores"`
 	Fleet
 	Rounds []RoundTimes `json:"looks"`
 }
 
-// MeasureRounds times looks without sockets: each core's router and module take their turns at the same time, while reports
-// come and servers drain.
+// MeasureRounds measures decision rounds without sockets. The routers and decision modules of all cores run concurrently
+// while reports arrive and servers drain.
 func MeasureRounds(f Fleet, counts []int, progress func(string, ...any)) (RoundsResult, error) {
-	debug.SetGCPercent(400) // as a planner on several cores does
+	debug.SetGCPercent(400) // the setting of a planner on several cores
 	result := RoundsResult{CPUs: runtime.NumCPU(), Fleet: f}
 	for _, n := range counts {
 		progress("%d cores: %d proxies x %d servers", n, f.Proxies, f.Servers)
@@ -63,7 +63,7 @@
 	var mu sync.Mutex
 	messages := 0
 	g, err := newGroup(f, n, func(_ int, o protocol.Assignment) {
-		text, _ := o.Append(nil) // encoding is part of a turn
+		text, _ := o.Append(nil) // encoding is part of a round
 		mu.Lock()
 		messages += min(1, len(text))
 		mu.Unlock()
@@ -84,9 +84,10 @@
 			at := round / roundsPerDrain % f.Servers
 			g.changeMember(member(at, protocol.PhaseDraining, 0))
 		}
-		for p := round % 10; p < f.Proxies; p += 10 { // each proxy once a second
+		for p := round % 10; p < f.Proxies; p += 10 { // each proxy reports once a second
 			for k, class := range classes {
-				g.deliver(streams[p], protocol.UsageReport{Proxy: p, Class: class, Requests: float64(3 + (p+k)%9), Period: reportIntervalMS})
+				g.deliver(streams[p], protocol.UsageReport{Proxy: p, Class: class, Requests: float64(3 + (p+k)%9),
+					Period: reportIntervalMS})
 			}
 			for _, token := range streams[p].tokens {
 				g.deliver(streams[p], protocol.Ack{Proxy: p, Token: token, Elapsed: 5})
@@ -99,7 +100,7 @@
 					float64(i*7%40), Period: reportIntervalMS})
 			}
 		}
-		runtime.GC() // so that each look meets the same heap; a collection in the middle of one is measured all the same
+		runtime.GC() // each round starts with the same heap; a collection during a round is still measured
 		startedAt := time.Now()
 		var group sync.WaitGroup
 		errs := make([]error, n)
@@ -128,7 +129,7 @@
 		JoinMax: joinMax, Messages: messages}, nil
 }
 
-// WriteTable prints the looks for people.
+// WriteTable prints the round times as text.
 func (l RoundsResult) WriteTable(out io.Writer) error {
 	fmt.Fprintf(out, "%d proxies x %d servers in this process, without sockets; machine with %d cores\n\n", l.Proxies,
 		l.Servers, l.CPUs)
@@ -144,7 +145,7 @@
 	return table.Flush()
 }
 
-// WritePlot draws the time of a look against cores.
+// WritePlot draws the duration of a round against the number of cores.
 func (l RoundsResult) WritePlot(file string) error {
 	var p50, p99 plotter.XYs
 	for _, k := range l.Rounds {
--- a/internal/planner/bench/peers.go
+++ b/internal/planner/bench/peers.go
@@ -16,32 +16,32 @@
 	"mulleinwood/rules"
 )
 
-// Frontend is what a fleet's peers speak.
+// Frontend selects the protocol of a fleet's peers.
 type Frontend string
 
-// The fronts.
+// Frontends that can be measured.
 const (
 	Lines Frontend = "lines"
 	GRPC  Frontend = "grpc"
-	Half  Frontend = "half" // every second peer by gRPC
+	Half  Frontend = "half" // every second peer of a zone uses gRPC, the others lines
 )
 
-// Frontends are all of them.
+// Frontends lists all frontends.
 var Frontends = []Frontend{Lines, GRPC, Half}
 
-// usesGRPC says whether the nth peer speaks gRPC.
+// usesGRPC reports whether the nth peer uses gRPC.
 func (f Frontend) usesGRPC(n int) bool { return f == GRPC || f == Half && n/len(zones)%2 == 1 }
 
-// proxyPeer is a proxy of either protocol.
+// proxyPeer is a simulated proxy of either protocol.
 type proxyPeer interface {
 	State() standin.State
 	sendBatch() (reports int, err error) // writes one batch of reports
-	requestSync() error                  // for a sign that all so far was taken
-	awaitSync() error                    // that sign
+	requestSync() error                  // requests a confirmation that all earlier reports were handled
+	awaitSync() error                    // waits for that confirmation
 	Close()
 }
 
-// lineProxy speaks lines.
+// lineProxy is a proxy that uses the line protocol.
 type lineProxy struct {
 	*standin.Proxy
 	batch            []byte
@@ -59,7 +59,7 @@
 	return p.Wait(func(s standin.State) bool { return s.HeartbeatReplies > p.heartbeatReplies }).Closed
 }
 
-// grpcProxy speaks gRPC. One load report tells of all classes.
+// grpcProxy is a proxy that uses gRPC. One load report contains all classes.
 type grpcProxy struct {
 	*standin.GRPCProxy
 	batch *load.LoadStatsRequest
@@ -74,11 +74,12 @@
 	return batchLines, nil
 }
 
-// requestSync ends the stream of reports: its end comes back once all of them were taken. A new one begins at the next flood.
+// requestSync closes the stream of reports. The planner closes its side once it has handled all of them. The next batch
+// opens a new stream.
 func (p *grpcProxy) requestSync() error { return p.EndLoad() }
 func (p *grpcProxy) awaitSync() error   { return p.AwaitLoad() }
 
-// joinProxy lets one join.
+// joinProxy connects proxy i to the planner.
 func (lg *loadGenerator) joinProxy(planner string, i int, rng *rand.Rand) (proxyPeer, error) {
 	attempts := make([]int, batchLines)
 	for line := range attempts {
@@ -104,13 +105,13 @@
 	return &lineProxy{Proxy: p, batch: batch}, err
 }
 
-// collectorPeer is a collector of either protocol.
+// collectorPeer is a simulated collector of either protocol.
 type collectorPeer interface {
-	sendReports(most int) (reports int, err error)
+	sendReports(limit int) (reports int, err error)
 	Close()
 }
 
-// lineCollector speaks lines, from a text that goes round and round.
+// lineCollector uses the line protocol. It sends the lines of its text repeatedly.
 type lineCollector struct {
 	*standin.Collector
 	text   []byte
@@ -122,7 +123,7 @@
 	return lines.count, c.Write(lines.text)
 }
 
-// grpcCollector speaks gRPC: up to a hundred servers a report.
+// grpcCollector uses gRPC, with up to maxServersPerReport servers in a report.
 type grpcCollector struct {
 	*standin.GRPCCollector
 	endpointStats []*endpoint.UpstreamEndpointStats
@@ -134,20 +135,22 @@
 func (c *grpcCollector) sendReports(limit int) (int, error) {
 	n := min(limit, maxServersPerReport, len(c.endpointStats)-c.offset)
 	err := c.Send(&load.LoadStatsRequest{ClusterStats: []*endpoint.ClusterStats{{ClusterName: "all",
-		LoadReportInterval:    durationpb.New(time.Second),
-		UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{{UpstreamEndpointStats: c.endpointStats[c.offset : c.offset+n]}}}}})
+		LoadReportInterval: durationpb.New(time.Second),
+		UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{
+			{UpstreamEndpointStats: c.endpointStats[c.offset : c.offset+n]}}}}})
 	c.offset = (c.offset + n) % len(c.endpointStats)
 	return n, err
 }
 
-// joinCollector lets one join.
+// joinCollector connects collector w to the planner.
 func (lg *loadGenerator) joinCollector(planner string, w int, rng *rand.Rand) (collectorPeer, error) {
 	zone := zones[w%len(zones)]
 	if lg.frontend.usesGRPC(w) {
 		c, err := standin.NewGRPCCollector(planner, zone, nil)
 		g := &grpcCollector{GRPCCollector: c}
 		for i := range lg.fleet.Servers {
-			g.endpointStats = append(g.endpointStats, standin.EndpointStats(fmt.Sprint("s-", i), 5+rng.IntN(10), 0, 80+40*rng.Float64()))
+			g.endpointStats = append(g.endpointStats, standin.EndpointStats(fmt.Sprint("s-", i), 5+rng.IntN(10), 0,
+				80+40*rng.Float64()))
 		}
 		return g, err
 	}
@@ -161,8 +164,8 @@
 	return l, err
 }
 
-// recordGRPCMessage is a message that a proxy has read by gRPC: whole assignments. What changed is told to the auditor, whose count
-// of lines is by that.
+// recordGRPCMessage records a message that a proxy has read over gRPC. Such a message contains complete assignments; the
+// auditor receives the difference from the previous ones and counts the lines of that difference.
 func (lg *loadGenerator) recordGRPCMessage(proxy int, r *discovery.DiscoveryResponse) {
 	at := time.Now()
 	o := audit.Order{Rows: map[string]float64{}, Retries: map[int]rules.Retry{}, Lines: messageHeaderLines + 1}
--- a/internal/planner/bench/planner.go
+++ b/internal/planner/bench/planner.go
@@ -20,10 +20,10 @@
 
 func marshal(v any) ([]byte, error) { return json.Marshal(v) }
 
-// startTimeout is how long a planner may take until it listens.
+// startTimeout limits the time until a planner listens, and the time until it exits on SIGTERM.
 const startTimeout = 10 * time.Second
 
-// Planner is a planner in a process of its own.
+// Planner is a planner that runs as a child process.
 type Planner struct {
 	Address   string
 	cmd       *exec.Cmd
@@ -32,7 +32,7 @@
 	directory string
 }
 
-// logTail keeps the last lines of a planner's log.
+// logTail keeps the last 20 lines of a planner's log.
 type logTail struct{ lines [][]byte }
 
 func (t *logTail) add(line []byte) {
@@ -41,7 +41,8 @@
 	}
 }
 
-// start runs a planner of so many cores. It dies with this process.
+// start runs a planner with the given number of cores and waits until it listens. The kernel kills the planner when this
+// process dies.
 func (f Fleet) start(ctx context.Context, command []string, discovery string, cores, sockets int, grpc bool) (*Planner, error) {
 	directory, err := os.MkdirTemp("", "mulleinwood-bench-")
 	if err != nil {
@@ -74,7 +75,7 @@
 	}
 	if err != nil {
 		os.RemoveAll(directory)
-		return nil, fmt.Errorf("starting a planner: %w", err)
+		return nil, fmt.Errorf("start planner: %w", err)
 	}
 	listening := make(chan string, 1)
 	go func() {
@@ -94,37 +95,37 @@
 		return p, nil
 	case err := <-p.exited:
 		os.RemoveAll(directory)
-		return nil, fmt.Errorf("the planner ended at its start: %w: %s", err, p.lastLog())
+		return nil, fmt.Errorf("planner exited during startup: %w: %s", err, p.lastLog())
 	case <-time.After(startTimeout):
 		p.Stop()
-		return nil, errors.New("the planner doesn't listen")
+		return nil, errors.New("planner does not listen: startup timed out")
 	}
 }
 
-// lastLog is what the planner logged last. To be called once it has ended.
+// lastLog returns the last lines of the planner's log. It may be called only after the planner has exited.
 func (p *Planner) lastLog() string { return string(bytes.Join(p.tail.lines, []byte("\n"))) }
 
-// Stop ends the planner by SIGTERM, and by SIGKILL if that doesn't end it.
+// Stop terminates the planner with SIGTERM, and with SIGKILL after startTimeout.
 func (p *Planner) Stop() error {
 	defer os.RemoveAll(p.directory)
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case err := <-p.exited:
 		if err != nil {
-			return fmt.Errorf("the planner ended with %w: %s", err, p.lastLog())
+			return fmt.Errorf("planner exited: %w: %s", err, p.lastLog())
 		}
 		return nil
 	case <-time.After(startTimeout):
 		p.cmd.Process.Kill()
 		<-p.exited
-		return errors.New("the planner didn't end on SIGTERM")
+		return errors.New("planner did not exit on SIGTERM")
 	}
 }
 
-// usage is what a process has used: seconds of processors, and resident memory in KiB.
+// usage is the CPU time in seconds and the resident memory in KiB of a process.
 type usage struct{ cpuSeconds, memoryKiB float64 }
 
-const ticksPerSecond = 100 // of /proc on Linux, whatever the kernel's own rate
+const ticksPerSecond = 100 // unit of CPU times in /proc on Linux, independent of the kernel's timer frequency
 
 func (p *Planner) usage() (usage, error) {
 	pid := strconv.Itoa(p.cmd.Process.Pid)
@@ -134,10 +135,10 @@
 	}
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	if len(fields) < 22 {
-		return usage{}, errors.New("/proc: a short line")
+		return usage{}, errors.New("/proc: stat line has too few fields")
 	}
 	var figures [3]float64
-	for i, at := range []int{11, 12, 21} { // user, system, resident pages
+	for i, at := range []int{11, 12, 21} { // user time, system time, resident pages
 		if figures[i], err = strconv.ParseFloat(fields[at], 64); err != nil {
 			return usage{}, err
 		}
--- a/internal/planner/bench/report.go
+++ b/internal/planner/bench/report.go
@@ -16,7 +16,7 @@
 	"gonum.org/v1/plot/vg/vgimg"
 )
 
-// WriteTable prints the runs for people.
+// WriteTable prints the runs as text.
 func (r Result) WriteTable(out io.Writer) error {
 	fmt.Fprintf(out, "%d proxies, %d servers, seed %d; machine with %d cores, which the peers share; phases of %g s\n\n",
 		r.Proxies, r.Servers, r.Seed, r.CPUs, r.Seconds)
@@ -36,7 +36,7 @@
 	return table.Flush()
 }
 
-// WriteJSON writes a result to a file.
+// WriteJSON writes a result to a file as indented JSON.
 func WriteJSON(file string, result any) error {
 	text, err := json.MarshalIndent(result, "", "  ")
 	if err != nil {
@@ -50,7 +50,7 @@
 	red  = color.RGBA{R: 190, G: 60, B: 40, A: 255}
 )
 
-// WritePlot draws throughput and latency against cores, side by side, as PNG.
+// WritePlot draws throughput and latency against the number of cores, side by side, as a PNG file.
 func (r Result) WritePlot(file string) error {
 	var rate, ideal, p50, p99 plotter.XYs
 	for _, n := range r.Runs {
@@ -105,11 +105,11 @@
 	return p, nil
 }
 
-// sideBySide draws charts in one row.
+// sideBySide draws charts in one row and writes them to a PNG file.
 func sideBySide(file string, charts ...*plot.Plot) error {
 	const width, height = 13 * vg.Centimeter, 10 * vg.Centimeter
 	if !strings.HasSuffix(file, ".png") {
-		return fmt.Errorf("%s: plots are PNG files", file)
+		return fmt.Errorf("%s: plot file name must end in .png", file)
 	}
 	canvas := vgimg.New(width*vg.Length(len(charts)), height)
 	for i, p := range charts {
--- a/internal/planner/bench/swarm.go
+++ b/internal/planner/bench/swarm.go
@@ -17,15 +17,16 @@
 )
 
 const (
-	batchLines        = 48 // of one write of a peer that floods
+	batchLines        = 48 // reports in one batch
 	writerCount       = 4
 	waitTimeout       = 60 * time.Second
 	drainInterval     = 250 * time.Millisecond
-	drainsUntilReturn = 6 // drains until a drained server comes back, started anew
+	drainsUntilReturn = 6 // number of drains after which a drained server returns as a restarted one
 	maxLatencyMicros  = 60_000_000
 )
 
-// loadGenerator is the peers of one planner, with an auditor that sees what they see.
+// loadGenerator simulates the peers of one planner: proxies and collectors. Its auditor receives every message that they
+// receive.
 type loadGenerator struct {
 	fleet      Fleet
 	frontend   Frontend
@@ -37,13 +38,13 @@
 
 	mu               sync.Mutex
 	auditor          *audit.Auditor
-	holders          map[string]map[int]bool // proxies whose table holds a server
+	holders          map[string]map[int]bool // by server: the proxies whose table contains it
 	drain            *drain
-	lastProxyLatency *hdrhistogram.Histogram // from a drain told to the last proxy's order read, in microseconds
-	proxyLatency     *hdrhistogram.Histogram // to each proxy's
+	lastProxyLatency *hdrhistogram.Histogram // from a drain's start until the last proxy has read its assignment, in microseconds
+	proxyLatency     *hdrhistogram.Histogram // from a drain's start until a proxy has read its assignment, in microseconds
 }
 
-// drain is the one that is being timed.
+// drain is the drain whose latency is being measured.
 type drain struct {
 	server    string
 	startedAt time.Time
@@ -56,7 +57,8 @@
 	if err != nil {
 		return nil, err
 	}
-	lg := &loadGenerator{fleet: f, frontend: frontend, startedAt: time.Now(), discovery: discovery, holders: map[string]map[int]bool{}}
+	lg := &loadGenerator{fleet: f, frontend: frontend, startedAt: time.Now(), discovery: discovery,
+		holders: map[string]map[int]bool{}}
 	lg.auditor = audit.New(set.Rules, 0)
 	lg.reset()
 	for _, m := range f.members() {
@@ -73,7 +75,7 @@
 	return float64(time.Since(lg.startedAt)) / float64(time.Millisecond)
 }
 
-// join lets every proxy and the collectors join, and waits until each proxy has a whole table.
+// join connects all proxies and collectors and waits until each proxy has a complete table.
 func (lg *loadGenerator) join(planner string) error {
 	rng := rand.New(rand.NewPCG(lg.fleet.Seed, 3))
 	for i := range lg.fleet.Proxies {
@@ -82,14 +84,14 @@
 		lg.mu.Unlock()
 		p, err := lg.joinProxy(planner, i, rng)
 		if err != nil {
-			return fmt.Errorf("proxy %d of %d can't join (descriptors or ports are used up?): %w", i, lg.fleet.Proxies, err)
+			return fmt.Errorf("proxy %d of %d cannot join (out of file descriptors or ports?): %w", i, lg.fleet.Proxies, err)
 		}
 		lg.proxies = append(lg.proxies, p)
 	}
 	for w := range writerCount {
 		c, err := lg.joinCollector(planner, w, rng)
 		if err != nil {
-			return fmt.Errorf("a collector can't join: %w", err)
+			return fmt.Errorf("collector cannot join: %w", err)
 		}
 		lg.collectors = append(lg.collectors, c)
 	}
@@ -121,7 +123,7 @@
 	}
 }
 
-// recordLineMessage is a message that a proxy has read and applied.
+// recordLineMessage records a message of the line protocol that a proxy has read and applied.
 func (lg *loadGenerator) recordLineMessage(proxy int, parts []standin.Order) {
 	at := time.Now()
 	o := audit.Order{Rows: map[string]float64{}, Retries: map[int]rules.Retry{}, Lines: messageHeaderLines}
@@ -143,7 +145,8 @@
 	lg.recordMessage(at, proxy, o)
 }
 
-// recordMessage notes a message that a proxy has read and applied.
+// recordMessage passes a message that a proxy has read and applied to the auditor, and updates the latency of the drain
+// in progress.
 func (lg *loadGenerator) recordMessage(at time.Time, proxy int, o audit.Order) {
 	lg.messages.Add(1)
 	lg.mu.Lock()
@@ -175,7 +178,7 @@
 	}
 }
 
-// changeServer tells discovery and the auditor of a server.
+// changeServer sets the phase of server i in discovery and the auditor. A zero since means that the server did not restart.
 func (lg *loadGenerator) changeServer(i int, phase string, since time.Time) {
 	at, state := 0.0, rules.Ready
 	if phase != protocol.PhaseUp {
@@ -192,19 +195,20 @@
 	lg.discovery.Change(member(i, phase, at))
 }
 
-// sendReports has every peer write reports in the deployment's own proportion until a time, at a rate of so many a second; 0: as
-// fast as they are taken. It returns how many the planner has handled, and how long that took.
+// sendReports makes all peers write reports for the time span, with the deployment's ratio of server reports to usage
+// reports. The rate is the total per second; 0 means as fast as the planner reads. It returns the number of reports that
+// the planner has handled and the time taken.
 func (lg *loadGenerator) sendReports(rate float64, span time.Duration) (events float64, took time.Duration, err error) {
 	startedAt := time.Now()
 	end := startedAt.Add(span)
 	usageReports := float64(lg.fleet.Proxies * len(classes))
-	serverReportsPerUsage := float64(lg.fleet.Servers*len(zones)) / usageReports // server reports to each usage report
+	serverReportsPerUsage := float64(lg.fleet.Servers*len(zones)) / usageReports
 	var sent atomic.Int64
 	var group sync.WaitGroup
 	failed := make(chan error, writerCount)
 	for w := range writerCount {
 		group.Go(func() {
-			pendingReports := 0.0 // server reports
+			pendingReports := 0.0 // server reports due but not yet written
 			for time.Now().Before(end) {
 				for i := w; i < len(lg.proxies); i += writerCount {
 					if ahead := float64(sent.Load())/max(1e-9, rate) - time.Since(startedAt).Seconds(); rate > 0 && ahead > 0 {
@@ -220,10 +224,10 @@
 					}
 					sent.Add(int64(n))
 					pendingReports += serverReportsPerUsage * float64(n)
-					for n := 0; pendingReports >= 1 && n < 2; n++ { // at most two messages at a time
+					for n := 0; pendingReports >= 1 && n < 2; n++ { // at most two messages per proxy batch
 						n, err := lg.collectors[w].sendReports(int(pendingReports))
 						if err != nil {
-							failed <- fmt.Errorf("a collector: %w", err)
+							failed <- fmt.Errorf("collector: %w", err)
 							return
 						}
 						sent.Add(int64(n))
@@ -239,13 +243,13 @@
 		return 0, 0, err
 	default:
 	}
-	if err := lg.awaitProcessed(); err != nil { // what is in the sockets still counts, and so does its time
+	if err := lg.awaitProcessed(); err != nil { // reports in socket buffers count, and so does the time to handle them
 		return 0, 0, err
 	}
 	return float64(sent.Load()), time.Since(startedAt), nil
 }
 
-// awaitProcessed waits until all that was written before has been taken.
+// awaitProcessed waits until the planner has handled all reports that the proxies have written.
 func (lg *loadGenerator) awaitProcessed() error {
 	for i, p := range lg.proxies {
 		if err := p.requestSync(); err != nil {
@@ -260,13 +264,14 @@
 	return nil
 }
 
-// lineRun is a run of whole lines.
+// lineRun is a run of complete lines.
 type lineRun struct {
 	text  []byte
 	count int
 }
 
-// nextLines returns up to so many lines from a place of a text on, which it moves on, round and round.
+// nextLines returns up to limit lines of text from offset on and advances the offset. At the end of the text it starts
+// again at the beginning.
 func nextLines(text []byte, offset *int, limit int) lineRun {
 	if *offset >= len(text) {
 		*offset = 0
@@ -281,8 +286,8 @@
 	return lineRun{text[from:i], n}
 }
 
-// runDrains marks a server every while as draining, times until the last proxy has read the order that takes it out, and lets
-// the server come back later, started anew. It goes on until told to end.
+// runDrains marks one server after another as draining and measures the time until the last proxy has read the assignment
+// that removes it. Each server returns later as a restarted one. It runs until end is closed.
 func (lg *loadGenerator) runDrains(end <-chan struct{}) {
 	for n := 0; ; n++ {
 		select {
@@ -317,7 +322,7 @@
 	}
 }
 
-// runAudit lets the auditor look every tenth of a second until told to end.
+// runAudit ticks the auditor every 100 ms until end is closed.
 func (lg *loadGenerator) runAudit(end <-chan struct{}) {
 	for {
 		select {
--- a/internal/planner/bench/versions.go
+++ b/internal/planner/bench/versions.go
@@ -17,28 +17,29 @@
 	"mulleinwood/tables"
 )
 
-// VersionsResult is what versioned tables cost, and how soon a receiver is in step again after updates were lost.
+// VersionsResult contains the cost of versioned tables, and the time until a receiver is up to date again after updates
+// were lost.
 type VersionsResult struct {
 	Fleet
 	Seconds       int     `json:"simulated_seconds"`
-	Changes       int     `json:"changes"` // messages but for the first of each proxy
+	Changes       int     `json:"changes"` // messages except snapshots
 	LineBytes     float64 `json:"line_bytes_per_change"`
 	DeltaBytes    float64 `json:"delta_bytes_per_change"`
 	SnapshotBytes float64 `json:"whole_bytes_per_change"`
-	VersionCPU    float64 `json:"version_us_per_change"` // making and writing updates
-	StepCPU       float64 `json:"step_us_per_change"`    // all that the planner does in its turns, without that
+	VersionCPU    float64 `json:"version_us_per_change"` // creating and encoding updates
+	StepCPU       float64 `json:"step_us_per_change"`    // the planner's and the scenario's other work per round
 	RecordCPU     float64 `json:"record_us_per_change"`
 	RecordBytes   float64 `json:"record_bytes_per_change"`
 	Losses        []Loss  `json:"losses"`
 	Deliveries    int     `json:"checked_deliveries"`
-	Mismatches    int     `json:"tables_not_sent"` // held by a receiver, of all that were checked
+	Mismatches    int     `json:"tables_not_sent"` // deliveries after which a receiver held a wrong table
 }
 
-// Loss is what happens where a share of all updates is lost. Times are simulated, with a round trip of 20 ms.
+// Loss is the result for one rate of lost updates. Times are simulated, with a round trip of 20 ms.
 type Loss struct {
 	Share          float64   `json:"share"`
-	Recovery       Quantiles `json:"in_step_again_ms"` // from the loss; it is noticed by the next update
-	Repair         Quantiles `json:"repaired_ms"`      // from when it was noticed
+	Recovery       Quantiles `json:"in_step_again_ms"` // from the loss, which the receiver notices at the next update or notice
+	Repair         Quantiles `json:"repaired_ms"`      // from the time when the receiver noticed the loss
 	ResendRequests int       `json:"questions"`
 	Snapshots      int       `json:"answered_whole"`
 }
@@ -48,19 +49,19 @@
 	roundTripMS    = 20.0
 )
 
-// lossyReceiver is a proxy's receiver behind a channel that loses.
+// lossyReceiver is a proxy's receiver behind a lossy channel. Times are in milliseconds of the simulated clock.
 type lossyReceiver struct {
 	receiver  *tables.Receiver
-	lostAt    float64 // 0: in step
-	sentAt    float64 // the last update; 0: it has been told which that was
-	noticedAt float64 // 0: it doesn't know
+	lostAt    float64 // first loss not yet repaired; 0: none
+	sentAt    float64 // last update that no notice has followed; 0: none
+	noticedAt float64 // when the receiver noticed a loss; 0: it knows of none
 }
 
-// MeasureVersions plays a scripted day, as CompareDecisions does, on one core.
+// MeasureVersions runs the scripted day of CompareDecisions on one core, once for each loss rate.
 func MeasureVersions(f Fleet, progress func(string, ...any)) (VersionsResult, error) {
 	v := VersionsResult{Fleet: f, Seconds: versionSeconds}
 	for _, share := range []float64{0.01, 0.1, 0.5} {
-		progress("losing %.0f%% of the updates", share*100)
+		progress("dropping %.0f%% of the updates", share*100)
 		if err := f.measureVersions(&v, share); err != nil {
 			return v, err
 		}
@@ -68,7 +69,7 @@
 	return v, nil
 }
 
-// measureVersions plays the day once. Costs are those of the last play.
+// measureVersions runs the day once and appends its Loss to v. The costs in v are those of the last run.
 func (f Fleet) measureVersions(v *VersionsResult, lossRate float64) error {
 	origin := tables.Origin{Instance: "bench", Incarnation: 1}
 	senders, receivers := map[int]*tables.Sender{}, map[int]*lossyReceiver{}
@@ -84,7 +85,7 @@
 		_, at := l.receiver.Table()
 		switch {
 		case l.receiver.UpToDate():
-			if l.noticedAt > 0 { // as far as it knows: what is lost since may not be noticed yet
+			if l.noticedAt > 0 { // up to date as far as it knows: a later loss may be unnoticed yet
 				repair.RecordValue(int64((d.group.now - l.noticedAt) * 1000))
 				l.noticedAt = 0
 			}
@@ -96,7 +97,7 @@
 			l.noticedAt = d.group.now
 		}
 	}
-	check := func(proxy int) { // what a receiver holds as the newest version must be that
+	check := func(proxy int) { // a table that is held under the newest version must equal the one that was sent
 		v.Deliveries++
 		held, at := receivers[proxy].receiver.Table()
 		if sent, newest := senders[proxy].Table(); at == newest && !held.Equal(sent) {
@@ -157,7 +158,7 @@
 		}
 		stepTime += time.Since(startedAt) - (versionTime - before)
 		now := d.group.now
-		for proxy, l := range receivers { // notices, questions and answers between two looks
+		for proxy, l := range receivers { // notices, resend requests and their responses between two rounds
 			if l.sentAt > 0 && now-l.sentAt >= tables.NoticeDelayMS {
 				if l.sentAt = 0; rng.Float64() >= lossRate {
 					l.receiver.HandleNotice(now, newestVersion(senders[proxy]), senders[proxy].Digest())
@@ -198,7 +199,7 @@
 	return at
 }
 
-// measureRecord writes what was sent into a record, as the planner does: in batches, beside the work.
+// measureRecord writes the entries into a record in batches, as the planner does in the background, and stores the cost.
 func (v *VersionsResult) measureRecord(entries []record.Entry) error {
 	directory, err := os.MkdirTemp("", "mulleinwood-bench-")
 	if err != nil {
@@ -229,7 +230,7 @@
 	return nil
 }
 
-// WriteTable prints the figures for people.
+// WriteTable prints the figures as text.
 func (v VersionsResult) WriteTable(out io.Writer) error {
 	fmt.Fprintf(out, "%d proxies, %d servers, seed %d; %d s, simulated servers and clock\n\n", v.Proxies, v.Servers, v.Seed,
 		v.Seconds)
@@ -243,13 +244,13 @@
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "lost\tin step again ms p50\tp99\tmax\tsince noticed p50\tp99\tmax\tlosses\tquestions\tanswered whole")
 	for _, l := range v.Losses {
-		fmt.Fprintf(table, "%.0f%%\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%d\t%d\t%d\n", 100*l.Share, l.Recovery.P50, l.Recovery.P99,
-			l.Recovery.Max, l.Repair.P50, l.Repair.P99, l.Repair.Max, l.Recovery.Count, l.ResendRequests, l.Snapshots)
+		fmt.Fprintf(table, "%.0f%%\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%d\t%d\t%d\n", 100*l.Share, l.Recovery.P50,
+			l.Recovery.P99, l.Recovery.Max, l.Repair.P50, l.Repair.P99, l.Repair.Max, l.Recovery.Count, l.ResendRequests, l.Snapshots)
 	}
 	return table.Flush()
 }
 
-// WritePlot draws how soon receivers are in step again.
+// WritePlot draws the recovery time of receivers against the loss rate.
 func (v VersionsResult) WritePlot(file string) error {
 	var p50, p99 plotter.XYs
 	for _, l := range v.Losses {
