--- a/internal/planner/standin/board.go
+++ b/internal/planner/standin/board.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// stateMonitor shows what a proxy holds, by whichever protocol it got it.
+// stateMonitor holds the state of a proxy of either protocol, and signals its changes. It is safe for concurrent use.
 type stateMonitor struct {
 	mu      *sync.Mutex
 	changed *sync.Cond
@@ -18,7 +18,7 @@
 		state: State{Table: map[string]float64{}, Levels: map[string]float64{}, Excluded: map[string]bool{}}}
 }
 
-// State is a copy of what the proxy holds now.
+// State returns a copy of the proxy's current state.
 func (b *stateMonitor) State() State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -31,7 +31,7 @@
 	return s
 }
 
-// Wait returns once what the proxy holds is as wanted, or its stream has ended.
+// Wait returns the proxy's state once wanted returns true for it or the stream has ended.
 func (b *stateMonitor) Wait(wanted func(State) bool) State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -41,7 +41,7 @@
 	return b.copyState()
 }
 
-// update changes what the proxy holds.
+// update applies a change to the proxy's state and wakes the waiters.
 func (b *stateMonitor) update(change func(*State)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/planner/standin/discovery.go
+++ b/internal/planner/standin/discovery.go
@@ -14,10 +14,10 @@
 	"mulleinwood/internal/planner/protocol"
 )
 
-// keepaliveInterval is how often a watch says that nothing has changed.
+// keepaliveInterval is the interval of the empty lines that a watch sends while nothing changes.
 const keepaliveInterval = 2 * time.Second
 
-// Discovery keeps a list of servers, answers with all of it and tells watches of changes.
+// Discovery is a discovery service: it holds a list of servers, returns all of it and streams changes to watches.
 type Discovery struct {
 	*service
 	mu              sync.Mutex
@@ -25,14 +25,14 @@
 	members         map[string]protocol.Member
 	changeRevisions map[string]int64 // revision of each member's last change
 	nextChange      chan struct{}    // closed at the next change
-	finishWatches   chan struct{}    // closed to end the watches in good order
+	finishWatches   chan struct{}    // closed to end the watches gracefully
 	down            bool
 	silent          bool
-	garbled         string // written to watches at their next line, once
-	watches         int    // begun so far
+	garbled         string // replaces the next line of one watch
+	watches         int    // watches started so far
 }
 
-// NewDiscovery starts one on the address.
+// NewDiscovery starts a discovery service on the address.
 func NewDiscovery(address string) (*Discovery, error) {
 	s, err := listen(address)
 	if err != nil {
@@ -44,7 +44,7 @@
 	return d, nil
 }
 
-// Change sets members; one in the phase removed leaves the list.
+// Change adds or replaces members. A member in the phase removed leaves the list.
 func (d *Discovery) Change(members ...protocol.Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -56,7 +56,7 @@
 	d.nextChange = make(chan struct{})
 }
 
-// SetDown makes every call fail with 503 until it is up again, and breaks the watches.
+// SetDown sets whether every call fails with status 503. Going down also resets the open connections.
 func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	d.down = down
@@ -66,7 +66,7 @@
 	}
 }
 
-// Finish ends the watches that are open with their last chunk.
+// Finish ends the open watches gracefully with the last chunk.
 func (d *Discovery) Finish() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -74,14 +74,14 @@
 	d.finishWatches = make(chan struct{})
 }
 
-// SetSilent lets watches that begin from now on stay without a byte, as if the machine had vanished.
+// SetSilent sets whether new watches receive no bytes at all, as if the machine had vanished.
 func (d *Discovery) SetSilent(silent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.silent = silent
 }
 
-// Garble writes something that is no list to every watch.
+// Garble makes the next line that a watch sends contain the text in place of a list.
 func (d *Discovery) Garble(text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,15 +90,16 @@
 	d.nextChange = make(chan struct{})
 }
 
-// Watches is how many watches have begun.
+// Watches returns the number of watches started so far.
 func (d *Discovery) Watches() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.watches
 }
 
-// List is the list as it stands; with from, only what changed after that revision. From a revision that has not been
-// reached, which is another service's, nothing can be told apart, so it is the whole list.
+// List returns the members that changed after the revision from, and a channel that is closed at the next change. The list
+// is complete if from is negative, or if it is a revision not reached yet: that revision belongs to another service, and the
+// changes since it are unknown.
 func (d *Discovery) List(from int64) (list protocol.List, next chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -138,7 +139,7 @@
 	}
 }
 
-// watch writes until the connection ends.
+// watch streams changes after the revision from until the connection or the service ends.
 func (d *Discovery) watch(nc net.Conn, from int64) error {
 	d.mu.Lock()
 	d.watches++
--- a/internal/planner/standin/grpc.go
+++ b/internal/planner/standin/grpc.go
@@ -26,7 +26,7 @@
 	"mulleinwood/internal/planner/xds"
 )
 
-// Dial opens a gRPC connection to a planner; nil credentials stand for none.
+// Dial opens a gRPC connection to a planner. With nil credentials the connection is unencrypted.
 func Dial(planner string, creds credentials.TransportCredentials) (*grpc.ClientConn, error) {
 	if creds == nil {
 		creds = insecure.NewCredentials()
@@ -34,33 +34,35 @@
 	return grpc.NewClient("passthrough:///"+planner, grpc.WithTransportCredentials(creds))
 }
 
-// ProxyNode is the node of a proxy.
+// ProxyNode returns the xDS node of a proxy. The rate is in requests per second.
 func ProxyNode(number int, zone string, rate float64) *core.Node {
-	fields, _ := structpb.NewStruct(map[string]any{"requests_per_second": rate, "fresh": true}) // of kinds that always fit
+	// The error is always nil: both values have types that a Struct can hold.
+	fields, _ := structpb.NewStruct(map[string]any{"requests_per_second": rate, "fresh": true})
 	return &core.Node{Id: fmt.Sprintf("proxy/%d", number), Locality: &core.Locality{Zone: zone}, Metadata: fields}
 }
 
-// CollectorNode is the node of a zone's collector.
+// CollectorNode returns the xDS node of a zone's collector.
 func CollectorNode(zone string) *core.Node { return &core.Node{Id: "collector/" + zone} }
 
-// GRPCProxy takes its assignments by gRPC, and answers them.
+// GRPCProxy is a proxy that receives its assignments over gRPC and acknowledges or rejects them.
 type GRPCProxy struct {
 	Number int
 	stateMonitor
 	client    *grpc.ClientConn
 	stream    discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient
 	loads     load.LoadReportingService_StreamLoadStatsClient
-	ctx       context.Context // of its streams
+	ctx       context.Context // context of the streams
 	cancel    context.CancelFunc
 	node      *core.Node
 	classes   []string
 	onMessage func(*discovery.DiscoveryResponse)
-	stalled   bool   // it reads nothing
-	rejection string // answer with this error, while it is set
+	stalled   bool   // the reader is paused
+	rejection string // error message that rejects assignments; empty: none are rejected
 	done      chan struct{}
 }
 
-// JoinGRPC dials a planner and joins it for all classes. Heed is given each message once that is in force; nil: nobody is.
+// JoinGRPC dials a planner and subscribes to all classes. If onMessage is not nil, it is called with each message once the
+// message was applied or rejected.
 func JoinGRPC(planner string, number int, zone string, rate float64, classes []string, creds credentials.TransportCredentials,
 	onMessage func(*discovery.DiscoveryResponse)) (*GRPCProxy, error) {
 	client, err := Dial(planner, creds)
@@ -83,14 +85,14 @@
 	return p, nil
 }
 
-// Reject makes the proxy answer what it is sent with an error, until it is told the empty one.
+// Reject makes the proxy reject assignments with the error message. An empty message ends this.
 func (p *GRPCProxy) Reject(message string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rejection = message
 }
 
-// Stall makes the proxy read nothing more until it is told to go on, as if its process stood still.
+// Stall pauses or resumes the proxy's reader. A paused proxy behaves like a suspended process.
 func (p *GRPCProxy) Stall(stalled bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,7 +100,7 @@
 	p.changed.Broadcast()
 }
 
-// Close leaves the planner and waits for the reader.
+// Close closes the connection and waits for the reader to end.
 func (p *GRPCProxy) Close() {
 	p.Stall(false)
 	p.cancel()
@@ -106,7 +108,7 @@
 	<-p.done
 }
 
-// Send writes a request on the stream of assignments. It is for tests of what a proxy should not say.
+// Send sends a request on the assignment stream. Tests use it for requests that a correct proxy never sends.
 func (p *GRPCProxy) Send(r *discovery.DiscoveryRequest) error { return p.stream.Send(r) }
 
 func (p *GRPCProxy) readLoop() {
@@ -137,11 +139,12 @@
 		if p.onMessage != nil {
 			p.onMessage(r)
 		}
-		p.stream.Send(response) // of a stream that has ended meanwhile, whose end the next Recv tells
+		p.stream.Send(response) // an error is ignored: the next Recv returns the stream's error
 	}
 }
 
-// Apply takes a message into what a proxy holds. The table is that of the first class in it; all have the same servers.
+// Apply applies a message to the state of a proxy. The table is taken from the first class in the message, since all classes
+// have the same servers.
 func Apply(s *State, r *discovery.DiscoveryResponse) error {
 	for i, resource := range r.GetResources() {
 		var a endpoint.ClusterLoadAssignment
@@ -167,7 +170,7 @@
 	return nil
 }
 
-// SendLoad writes a report of load as it is. The first on a stream names the node.
+// SendLoad sends a load report unchanged. The first report on a stream is preceded by the node.
 func (p *GRPCProxy) SendLoad(r *load.LoadStatsRequest) error {
 	if p.loads == nil {
 		s, err := load.NewLoadReportingServiceClient(p.client).StreamLoadStats(p.ctx)
@@ -182,7 +185,7 @@
 	return p.loads.Send(r)
 }
 
-// EndLoad ends the stream of reports; the next report begins another.
+// EndLoad closes the sending side of the load report stream. AwaitLoad must follow before the next report.
 func (p *GRPCProxy) EndLoad() error {
 	if p.loads == nil {
 		return nil
@@ -190,7 +193,7 @@
 	return p.loads.CloseSend()
 }
 
-// AwaitLoad waits until the planner has taken all reports of a stream that was ended.
+// AwaitLoad waits until the planner has handled all reports of a stream closed by EndLoad. The next report opens a new stream.
 func (p *GRPCProxy) AwaitLoad() error {
 	if p.loads == nil {
 		return nil
@@ -205,23 +208,23 @@
 	}
 }
 
-// ReportUsage reports what came to the proxy of a class.
+// ReportUsage reports the proxy's attempts and failures in a class during the time span.
 func (p *GRPCProxy) ReportUsage(class string, tries, failed uint64, span time.Duration) error {
 	return p.SendLoad(&load.LoadStatsRequest{ClusterStats: []*endpoint.ClusterStats{{ClusterName: class,
 		LoadReportInterval: durationpb.New(span), UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{
 			{TotalIssuedRequests: tries, TotalErrorRequests: failed, TotalSuccessfulRequests: tries - min(tries, failed)}}}}})
 }
 
-// GRPCCollector reports what a zone's proxies meet at servers.
+// GRPCCollector reports over gRPC how servers responded to a zone's proxies.
 type GRPCCollector struct {
 	client *grpc.ClientConn
 	stream load.LoadReportingService_StreamLoadStatsClient
 	cancel context.CancelFunc
 	node   *core.Node
-	Answer *load.LoadStatsResponse // the planner's first
+	Answer *load.LoadStatsResponse // the planner's first response
 }
 
-// NewGRPCCollector dials a planner, states its zone and waits for the planner's answer.
+// NewGRPCCollector dials a planner, sends the zone's node and waits for the planner's first response.
 func NewGRPCCollector(planner, zone string, creds credentials.TransportCredentials) (*GRPCCollector, error) {
 	client, err := Dial(planner, creds)
 	if err != nil {
@@ -242,20 +245,22 @@
 	return c, nil
 }
 
-// Send writes a report as it is.
+// Send sends a report unchanged.
 func (c *GRPCCollector) Send(r *load.LoadStatsRequest) error { return c.stream.Send(r) }
 
-// Report tells what the zone's proxies met at a server.
+// Report sends the zone's statistics of one server: attempts, failures, and the mean latency and time span in milliseconds.
 func (c *GRPCCollector) Report(server string, tries, failed int, mean, span float64) error {
 	return c.stream.Send(&load.LoadStatsRequest{ClusterStats: []*endpoint.ClusterStats{{ClusterName: "all",
-		LoadReportInterval: durationpb.New(time.Duration(span * float64(time.Millisecond))), UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{
+		LoadReportInterval: durationpb.New(time.Duration(span * float64(time.Millisecond))),
+		UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{
 			{UpstreamEndpointStats: []*endpoint.UpstreamEndpointStats{EndpointStats(server, tries, failed, mean)}}}}}})
 }
 
-// EndpointStats is what was met at one server.
+// EndpointStats returns the statistics of one server. The mean latency is in milliseconds.
 func EndpointStats(server string, tries, failed int, mean float64) *endpoint.UpstreamEndpointStats {
 	answered := uint64(max(0, tries-failed))
-	return &endpoint.UpstreamEndpointStats{Metadata: &structpb.Struct{Fields: map[string]*structpb.Value{"id": structpb.NewStringValue(server)}},
+	return &endpoint.UpstreamEndpointStats{
+		Metadata:            &structpb.Struct{Fields: map[string]*structpb.Value{"id": structpb.NewStringValue(server)}},
 		TotalIssuedRequests: uint64(tries), TotalErrorRequests: uint64(failed), TotalSuccessfulRequests: answered,
 		LoadMetricStats: []*endpoint.EndpointLoadMetricStats{{MetricName: xds.LatencyMetric,
 			NumRequestsFinishedWithMetric: answered,
@@ -268,7 +273,7 @@
 	c.client.Close()
 }
 
-// GRPCServer answers probes by grpc.health.v1 and ORCA.
+// GRPCServer is a server that answers probes of grpc.health.v1 and ORCA.
 type GRPCServer struct {
 	healthpb.UnimplementedHealthServer
 	orca.UnimplementedOpenRcaServiceServer
@@ -276,11 +281,11 @@
 	server *grpc.Server
 	mu     sync.Mutex
 	status healthpb.HealthCheckResponse_ServingStatus
-	report *xdsorca.OrcaLoadReport // nil: the stream stalls
+	report *xdsorca.OrcaLoadReport // nil: report streams stay open without a report
 	probes int
 }
 
-// NewGRPCServer starts one on the address. It serves, and reports a load.
+// NewGRPCServer starts a server on the address. Its status is SERVING, and it reports a utilization of 0.1.
 func NewGRPCServer(address string) (*GRPCServer, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -294,24 +299,24 @@
 	return s, nil
 }
 
-// Addr is the address that it listens on.
+// Addr returns the address on which the server listens.
 func (s *GRPCServer) Addr() string { return s.ln.Addr().String() }
 
-// Set says how probes are answered from now on; a report of nil lets the stream of reports stall.
+// Set sets the status and the load report that answer later probes. With a nil report, report streams stay open without one.
 func (s *GRPCServer) Set(status healthpb.HealthCheckResponse_ServingStatus, report *xdsorca.OrcaLoadReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.status, s.report = status, report
 }
 
-// Probed is how many probes have come.
+// Probed returns the number of health checks received.
 func (s *GRPCServer) Probed() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.probes
 }
 
-// Check implements the health service.
+// Check implements healthpb.HealthServer.
 func (s *GRPCServer) Check(context.Context, *healthpb.HealthCheckRequest) (*healthpb.HealthCheckResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -319,10 +324,10 @@
 	return &healthpb.HealthCheckResponse{Status: s.status}, nil
 }
 
-// StreamCoreMetrics implements ORCA's service for reports out of band.
+// StreamCoreMetrics implements ORCA's service for out-of-band load reports. It sends one report.
 func (s *GRPCServer) StreamCoreMetrics(r *orca.OrcaLoadReportRequest, out orca.OpenRcaService_StreamCoreMetricsServer) error {
 	if r.GetReportInterval().AsDuration() <= 0 {
-		return errors.New("no interval")
+		return errors.New("report interval is not positive")
 	}
 	s.mu.Lock()
 	report := s.report
@@ -334,5 +339,5 @@
 	return out.Send(report)
 }
 
-// Close ends it at once.
+// Close stops the server immediately.
 func (s *GRPCServer) Close() { s.server.Stop() }
--- a/internal/planner/standin/http.go
+++ b/internal/planner/standin/http.go
@@ -1,5 +1,6 @@
-// Package standin holds small parties for tests and for the example: discovery, a server, a proxy and a
-// collector, written from the protocol's page. They do what they are told and make no load.
+// Package standin contains simple peers of a planner for tests, measurements and the example: a discovery service, a server,
+// a proxy and a collector. They are implemented from the protocol's description and independent of the planner's own codec.
+// They act only on calls of the program that uses them, and generate no load by themselves.
 package standin
 
 import (
@@ -10,13 +11,13 @@
 	"sync"
 )
 
-// service accepts connections and answers requests by hand, one goroutine a connection.
+// service is a minimal HTTP server with one goroutine per connection. Its handlers write responses to the connection.
 type service struct {
 	ln     net.Listener
 	mu     sync.Mutex
 	conns  map[net.Conn]bool
 	group  sync.WaitGroup
-	closed chan struct{} // closed at the end
+	closed chan struct{} // closed by Close
 }
 
 func listen(address string) (*service, error) {
@@ -27,7 +28,7 @@
 	return &service{ln: ln, conns: map[net.Conn]bool{}, closed: make(chan struct{})}, nil
 }
 
-// serve answers requests until it is closed.
+// serve passes requests to handle until the service is closed. A connection ends when handle returns an error.
 func (s *service) serve(handle func(net.Conn, *http.Request) error) {
 	s.group.Go(func() {
 		for {
@@ -55,17 +56,17 @@
 	})
 }
 
-// Addr is the address that it listens on.
+// Addr returns the address on which the service listens.
 func (s *service) Addr() string { return s.ln.Addr().String() }
 
-// Conns is the number of open connections.
+// Conns returns the number of open connections.
 func (s *service) Conns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// Break closes every open connection with a reset; new ones are taken.
+// Break resets every open connection. New connections are still accepted.
 func (s *service) Break() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,7 +78,7 @@
 	}
 }
 
-// Close ends it and waits for its goroutines.
+// Close stops the service and waits for its goroutines.
 func (s *service) Close() {
 	s.ln.Close()
 	close(s.closed)
--- a/internal/planner/standin/peers.go
+++ b/internal/planner/standin/peers.go
@@ -8,38 +8,39 @@
 	"net"
 )
 
-// Proxy holds a stream to a planner, applies what it is sent and answers its marks. It forwards nothing.
+// Proxy is a proxy that uses the line protocol. It applies assignments and acknowledges their tokens, and forwards no
+// requests.
 type Proxy struct {
 	Number int
 	nc     net.Conn
 	stateMonitor
 	parts     []Order
-	onMessage func([]Order) // is given whole messages; nil: nobody is
-	tokens    chan uint32   // that are to be answered
+	onMessage func([]Order) // called with complete messages; may be nil
+	tokens    chan uint32   // tokens to be acknowledged
 	done      chan struct{}
 }
 
-// maxPendingTokens may wait to be answered while the planner doesn't read. Answering them apart from reading keeps a proxy whose
-// own reports stand still from reading its orders late.
+// maxPendingTokens limits the tokens that wait for acknowledgment while the planner doesn't read. A separate goroutine
+// acknowledges them, so that a proxy whose writes block still reads its assignments in time.
 const maxPendingTokens = 1024
 
-// writeBuffer bounds what the system keeps for a planner that doesn't read: thousands of proxies that flood one would
-// bring the machine's memory for sockets to its limit, where it drops what others are sent.
+// writeBuffer is the size in bytes of the socket's send buffer. With larger buffers, thousands of proxies that saturate a
+// planner would exhaust the machine's socket memory, and the kernel would drop packets of other connections.
 const writeBuffer = 16 << 10
 
-// State is what a proxy holds.
+// State is the state of a proxy.
 type State struct {
 	Table            map[string]float64
-	Levels           map[string]float64 // by class; the key "" stands for all
+	Levels           map[string]float64 // admission level by class; the key "" means all classes
 	Excluded         map[string]bool
-	Messages         int // whole ones
-	Replaced         int // tables that came whole
-	HeartbeatReplies int // heartbeats answered
-	Rejected         int // messages that it answered with an error
+	Messages         int // complete messages applied
+	Replaced         int // complete tables received
+	HeartbeatReplies int // heartbeat replies received
+	Rejected         int // messages rejected with an error
 	Closed           error
 }
 
-// Order is a part of a message.
+// Order is one line of an assignment message. A message ends with the first line whose Part is false.
 type Order struct {
 	Kind    string   `json:"t"`
 	Classes []string `json:"for"`
@@ -53,18 +54,18 @@
 	Part    bool     `json:"part"`
 }
 
-// Row is a pair of a server and its weight.
+// Row is a server and its weight.
 type Row struct {
 	Server string
 	Weight float64
 }
 
-// UnmarshalJSON reads the pair.
+// UnmarshalJSON decodes a JSON array of the server and its weight.
 func (r *Row) UnmarshalJSON(text []byte) error {
 	return json.Unmarshal(text, &[]any{&r.Server, &r.Weight})
 }
 
-// Lines is what the part counts in the channel, the message's head left aside.
+// Lines returns the number of lines that the part counts in the channel, without the message's header.
 func (o *Order) Lines() int {
 	n := len(o.Rows) + len(o.Exclude) + len(o.Include)
 	for _, counts := range []bool{o.Replace, o.Level != nil, o.Token != nil} {
@@ -75,12 +76,13 @@
 	return n
 }
 
-// NewProxy dials a planner and joins it.
+// NewProxy dials a planner and attaches to it.
 func NewProxy(planner string, number int, zone string, weight float64) (*Proxy, error) {
 	return Join(planner, number, zone, weight, nil)
 }
 
-// Join is NewProxy with a listener: it is given each whole message once that is in force, before its marks are answered.
+// Join is like NewProxy. If onMessage is not nil, it is called with each complete message after the message was applied and
+// before its tokens are acknowledged.
 func Join(planner string, number int, zone string, weight float64, onMessage func([]Order)) (*Proxy, error) {
 	nc, err := net.Dial("tcp", planner)
 	if err != nil {
@@ -101,22 +103,22 @@
 	return p, nil
 }
 
-// WriteLine writes a line.
+// WriteLine writes one line to the planner.
 func (p *Proxy) WriteLine(line string) error { return p.Write([]byte(line + "\n")) }
 
-// Write writes whole lines, made beforehand.
+// Write writes complete lines, including their line ends.
 func (p *Proxy) Write(lines []byte) error {
 	_, err := p.nc.Write(lines)
 	return err
 }
 
-// Close leaves the planner and waits for the reader.
+// Close closes the connection and waits for the reader to end.
 func (p *Proxy) Close() {
 	p.nc.Close()
 	<-p.done
 }
 
-// acknowledge answers marks until the reader ends, or the connection does.
+// acknowledge acknowledges tokens until the reader ends. A failed write closes the connection.
 func (p *Proxy) acknowledge() {
 	for token := range p.tokens {
 		if p.WriteLine(fmt.Sprintf(`{"t":"done","proxy":%d,"mark":%d,"took_ms":1}`, p.Number, token)) != nil {
@@ -145,7 +147,7 @@
 	}
 }
 
-// handleLine reads a part; the last one brings the whole message into force.
+// handleLine handles a heartbeat reply or a part of a message. The last part applies the complete message.
 func (p *Proxy) handleLine(line []byte) error {
 	var o Order
 	if err := json.Unmarshal(line, &o); err != nil {
@@ -159,7 +161,7 @@
 		p.mu.Unlock()
 		return nil
 	case o.Kind != "assign":
-		return errors.New("unknown kind " + o.Kind)
+		return errors.New("unknown message type " + o.Kind)
 	}
 	if p.parts = append(p.parts, o); o.Part {
 		return nil
@@ -197,14 +199,14 @@
 	}
 	for _, r := range o.Rows {
 		if r.Weight < 0 {
-			return fmt.Errorf("weight %v of %s", r.Weight, r.Server)
+			return fmt.Errorf("negative weight %v of server %s", r.Weight, r.Server)
 		}
 		if s.Table[r.Server] = r.Weight; r.Weight == 0 {
 			delete(s.Table, r.Server)
 		}
 	}
 	if (o.Level == nil) != (o.Retry == nil) {
-		return errors.New("a level without a way of trying again, or the other way round")
+		return errors.New("level and retry mode must be given together")
 	}
 	if o.Level != nil {
 		if len(o.Classes) == 0 {
@@ -223,13 +225,13 @@
 	return nil
 }
 
-// Collector relays the reports of a zone.
+// Collector sends the server reports of a zone over the line protocol.
 type Collector struct {
 	zone string
 	nc   net.Conn
 }
 
-// NewCollector dials a planner and states its zone.
+// NewCollector dials a planner and sends its zone.
 func NewCollector(planner, zone string) (*Collector, error) {
 	nc, err := net.Dial("tcp", planner)
 	if err != nil {
@@ -239,9 +241,10 @@
 	return c, c.writeLine(fmt.Sprintf(`{"t":"telemetry","zone":%q}`, zone))
 }
 
-// Report tells what the zone's proxies met at a server.
+// Report sends the zone's statistics of one server: attempts, failures, and the mean latency and time span in milliseconds.
 func (c *Collector) Report(server string, tries, failed int, mean, span float64) error {
-	return c.writeLine(fmt.Sprintf(`{"t":"upstream_stats","zone":%q,"server":%q,"tries":%d,"failed":%d,"mean_ms":%g,"span_ms":%g}`,
+	return c.writeLine(fmt.Sprintf(
+		`{"t":"upstream_stats","zone":%q,"server":%q,"tries":%d,"failed":%d,"mean_ms":%g,"span_ms":%g}`,
 		c.zone, server, tries, failed, mean, span))
 }
 
@@ -250,7 +253,7 @@
 	return err
 }
 
-// Write writes whole lines, made beforehand.
+// Write writes complete lines, including their line ends.
 func (c *Collector) Write(lines []byte) error {
 	_, err := c.nc.Write(lines)
 	return err
--- a/internal/planner/standin/server.go
+++ b/internal/planner/standin/server.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// Server answers probes.
+// Server is a server that answers HTTP probes.
 type Server struct {
 	*service
 	mu     sync.Mutex
@@ -15,7 +15,7 @@
 	probes int
 }
 
-// NewServer starts one on the address. It answers 200 with a load report.
+// NewServer starts a server on the address. It answers probes with status 200 and a load report.
 func NewServer(address string) (*Server, error) {
 	ln, err := listen(address)
 	if err != nil {
@@ -26,14 +26,14 @@
 	return s, nil
 }
 
-// Set says how probes are answered from now on. Status 0 stands for no answer at all.
+// Set sets the status and the load report that answer later probes. Status 0 means no answer at all.
 func (s *Server) Set(status int, load string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.status, s.load = status, load
 }
 
-// Probed is how many probes have come.
+// Probed returns the number of probes received.
 func (s *Server) Probed() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/planner/standin/versioned.go
+++ b/internal/planner/standin/versioned.go
@@ -12,7 +12,7 @@
 	"mulleinwood/tables"
 )
 
-// Versioned is a proxy that asks for versioned updates and takes them by the public receiver.
+// Versioned is a proxy that receives versioned updates and applies them with tables.Receiver.
 type Versioned struct {
 	Number int
 	nc     net.Conn
@@ -24,11 +24,12 @@
 	done       chan struct{}
 	readerDone chan struct{}
 	writeMu    sync.Mutex
-	OnTable    func(tables.Table, tables.Version) // is told of each table that is held; nil: nobody is
+	OnTable    func(tables.Table, tables.Version) // called with each new table; may be nil
 }
 
-// JoinVersioned dials a planner and joins it. Spoil is given each update's bytes and returns what arrives in their place: none,
-// one or several, as they are or spoilt; nil lets all pass.
+// JoinVersioned dials a planner and attaches to it. Transmit simulates the channel: it maps the bytes of an update to the
+// updates that arrive, which may be none, one or several, unchanged or corrupted. If transmit is nil, all updates arrive
+// unchanged. If onTable is not nil, it is called with each new table.
 func JoinVersioned(planner string, number int, zone string, weight float64, key tables.Key, transmit func([]byte) [][]byte,
 	onTable func(tables.Table, tables.Version)) (*Versioned, error) {
 	nc, err := net.Dial("tcp", planner)
@@ -38,8 +39,8 @@
 	p := &Versioned{Number: number, nc: nc, stateMonitor: newStateMonitor(), receiver: tables.NewReceiver(uint32(number), key),
 		transmit: transmit, startedAt: time.Now(),
 		done: make(chan struct{}), readerDone: make(chan struct{}), OnTable: onTable}
-	if err := p.writeLine(fmt.Sprintf(`{"t":"attach","proxy":%d,"zone":%q,"weight":%g,"fresh":true,"versions":true}`, number, zone,
-		weight)); err != nil {
+	if err := p.writeLine(fmt.Sprintf(`{"t":"attach","proxy":%d,"zone":%q,"weight":%g,"fresh":true,"versions":true}`, number,
+		zone, weight)); err != nil {
 		nc.Close()
 		return nil, err
 	}
@@ -55,7 +56,7 @@
 	return err
 }
 
-// Close leaves the planner and waits for the reader.
+// Close closes the connection and waits for the reader to end.
 func (p *Versioned) Close() {
 	p.nc.Close()
 	<-p.done
@@ -65,7 +66,7 @@
 	return float64(time.Since(p.startedAt)) / float64(time.Millisecond)
 }
 
-// requestResends asks for what is missing until the reader ends.
+// requestResends requests missing updates until the reader ends.
 func (p *Versioned) requestResends() {
 	ticker := time.NewTicker(20 * time.Millisecond)
 	defer ticker.Stop()
@@ -101,7 +102,7 @@
 			err = json.Unmarshal(text, &l)
 		}
 		if err == nil && l.T != "update" {
-			err = fmt.Errorf("a line of kind %q to a proxy that asked for versions", l.T)
+			err = fmt.Errorf("unexpected message type %q for a proxy with versioned updates", l.T)
 		}
 		if err != nil {
 			p.update(func(s *State) { s.Closed = err })
@@ -121,13 +122,13 @@
 		for _, update := range updates {
 			p.applyUpdate(update, key)
 		}
-		if l.Stamp != nil { // a mark says that the message was read; whether it could be used is asked by number
+		if l.Stamp != nil { // the token only confirms that the message was read; resend requests report a rejected update
 			p.writeLine(fmt.Sprintf(`{"t":"done","proxy":%d,"mark":%d,"took_ms":1}`, p.Number, *l.Stamp))
 		}
 	}
 }
 
-// applyUpdate gives an update to the receiver. The first that can be read names the stream's origin.
+// applyUpdate passes an update to the receiver. The first update that can be decoded sets the stream's origin.
 func (p *Versioned) applyUpdate(update []byte, key tables.Key) {
 	p.update(func(s *State) {
 		if u, err := tables.Decode(update, key); err == nil && p.origin == (tables.Origin{}) {
@@ -157,7 +158,7 @@
 	})
 }
 
-// UpToDate says whether the proxy knows of nothing that it lacks, and which version it holds.
+// UpToDate reports whether the proxy knows of no missing update, and returns the version that it holds.
 func (p *Versioned) UpToDate() (bool, tables.Version) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
