--- a/internal/planner/bench/decisions.go
+++ b/internal/planner/bench/decisions.go
@@ -63,53 +63,53 @@
 }
 
 // CompareDecisions runs the same scripted day on planners with different numbers of cores.
-func CompareDecisions(f Fleet, counts []int, progress func(string, ...any)) (DecisionsResult, error) {
+func CompareDecisions(f Fleet, coreCounts []int, progress func(string, ...any)) (DecisionsResult, error) {
 	result := DecisionsResult{Fleet: f, Seconds: scenarioSeconds}
-	for _, n := range counts {
+	for _, n := range coreCounts {
 		progress("%d cores: %d s of a day, simulated", n, scenarioSeconds)
-		d, err := f.playScenario(n)
+		decisions, err := f.playScenario(n)
 		if err != nil {
 			return result, fmt.Errorf("%d cores: %w", n, err)
 		}
-		result.Runs = append(result.Runs, d)
+		result.Runs = append(result.Runs, decisions)
 	}
 	return result, nil
 }
 
 func (f Fleet) playScenario(n int) (Decisions, error) {
-	d := &scenarioRun{fleet: f, result: Decisions{Cores: n}, streams: map[int]*proxyStream{}}
+	run := &scenarioRun{fleet: f, result: Decisions{Cores: n}, streams: map[int]*proxyStream{}}
 	var err error
-	if d.group, err = newGroup(f, n, d.applyAssignment); err != nil {
-		return d.result, err
+	if run.group, err = newGroup(f, n, run.applyAssignment); err != nil {
+		return run.result, err
 	}
-	if err := d.start(); err != nil {
-		return d.result, err
+	if err := run.start(); err != nil {
+		return run.result, err
 	}
 	rng := rand.New(rand.NewPCG(f.Seed, 12))
 	for round := range scenarioSeconds * 10 {
-		if err := d.advance(round, rng); err != nil {
-			return d.result, err
+		if err := run.advance(round, rng); err != nil {
+			return run.result, err
 		}
 	}
-	if d.samples.plain > 0 {
-		d.result.SpeedCompensation /= d.samples.plain
-		d.result.Spread /= d.samples.plain
+	if run.samples.plain > 0 {
+		run.result.SpeedCompensation /= run.samples.plain
+		run.result.Spread /= run.samples.plain
 	}
-	if d.samples.loaded > 0 {
-		d.result.RejectedShare /= d.samples.loaded
-		d.result.LevelDifference /= d.samples.loaded
+	if run.samples.loaded > 0 {
+		run.result.RejectedShare /= run.samples.loaded
+		run.result.LevelDifference /= run.samples.loaded
 	}
-	d.result.MaxQueueLines, d.result.MaxDrainMillis, d.result.ViolationCount = d.auditor.Peak.QueueLines,
-		d.auditor.Peak.DrainMillis, len(d.auditor.Violations())
-	return d.result, nil
+	run.result.MaxQueueLines, run.result.MaxDrainMillis, run.result.ViolationCount = run.auditor.Peak.QueueLines,
+		run.auditor.Peak.DrainMillis, len(run.auditor.Violations())
+	return run.result, nil
 }
 
 // start creates the auditor and attaches every proxy.
-func (d *scenarioRun) start() error {
-	f := d.fleet
-	d.auditor = audit.New(d.group.set.Rules, d.group.now)
-	for _, m := range d.group.list.Members {
-		d.auditor.ServerChanged(d.group.now, audit.Server{Name: m.ID, State: rules.Ready, Size: 1})
+func (run *scenarioRun) start() error {
+	f := run.fleet
+	run.auditor = audit.New(run.group.set.Rules, run.group.now)
+	for _, m := range run.group.list.Members {
+		run.auditor.ServerChanged(run.group.now, audit.Server{Name: m.ID, State: rules.Ready, Size: 1})
 	}
 	rng := rand.New(rand.NewPCG(f.Seed, 11))
 	for p := range f.Proxies { // every tenth proxy has ten times the rate of the others, and so most of the traffic
@@ -117,10 +117,10 @@
 		if p%10 == 0 {
 			rate = proxyRate * 5
 		}
-		d.rates = append(d.rates, rate*(0.8+0.4*rng.Float64()))
-		d.tables, d.levels = append(d.tables, map[string]float64{}), append(d.levels, []float64{1, 1, 1})
-		d.auditor.ProxyJoined(d.group.now, p, d.rates[p])
-		if err := d.group.join(d.streams, p, d.rates[p]); err != nil {
+		run.rates = append(run.rates, rate*(0.8+0.4*rng.Float64()))
+		run.tables, run.levels = append(run.tables, map[string]float64{}), append(run.levels, []float64{1, 1, 1})
+		run.auditor.ProxyJoined(run.group.now, p, run.rates[p])
+		if err := run.group.join(run.streams, p, run.rates[p]); err != nil {
 			return err
 		}
 	}
@@ -128,40 +128,40 @@
 }
 
 // applyAssignment applies an assignment to the proxy's table and records it.
-func (d *scenarioRun) applyAssignment(proxy int, o protocol.Assignment) {
-	sent := audit.Order{Replace: o.Replace, Rows: map[string]float64{}, Retries: map[int]rules.Retry{}, Drop: o.Exclude,
+func (run *scenarioRun) applyAssignment(proxy int, o protocol.Assignment) {
+	message := audit.Order{Replace: o.Replace, Rows: map[string]float64{}, Retries: map[int]rules.Retry{}, Drop: o.Exclude,
 		Undrop: o.Include,
 		Lines:  float64(o.LineCount()) + messageHeaderLines}
 	if o.Replace {
-		clear(d.tables[proxy])
+		clear(run.tables[proxy])
 	}
 	for _, r := range o.Rows {
-		if sent.Rows[r.Server] = r.Weight; r.Weight > 0 {
-			d.tables[proxy][r.Server] = r.Weight
+		if message.Rows[r.Server] = r.Weight; r.Weight > 0 {
+			run.tables[proxy][r.Server] = r.Weight
 		} else {
-			delete(d.tables[proxy], r.Server)
+			delete(run.tables[proxy], r.Server)
 		}
 	}
 	for _, gate := range o.Gates {
 		for k, class := range classes {
 			if slices.Contains(gate.Classes, class) {
-				d.levels[proxy][k], sent.Retries[k] = gate.Level, rules.Retry(gate.Retry)
+				run.levels[proxy][k], message.Retries[k] = gate.Level, rules.Retry(gate.Retry)
 			}
 		}
 	}
-	d.result.Messages++
-	d.result.Lines += int(sent.Lines)
-	d.auditor.OrderReceived(d.group.now, proxy, sent)
+	run.result.Messages++
+	run.result.Lines += int(message.Lines)
+	run.auditor.OrderReceived(run.group.now, proxy, message)
 }
 
 // capacity returns the capacity of server i in requests per second. All servers together can handle about half more than
 // the normal demand.
-func (d *scenarioRun) capacity(i int) float64 {
+func (run *scenarioRun) capacity(i int) float64 {
 	evenShare := 0.0
-	for _, rate := range d.rates {
+	for _, rate := range run.rates {
 		evenShare += rate
 	}
-	evenShare *= 1.6 / float64(d.fleet.Servers)
+	evenShare *= 1.6 / float64(run.fleet.Servers)
 	if i%slowServerStride == 0 {
 		return evenShare * slowServerSpeed
 	}
@@ -174,8 +174,8 @@
 	classImportance = []float64{1, 5, 2}
 )
 
-func (d *scenarioRun) advance(round int, rng *rand.Rand) error {
-	g := d.group
+func (run *scenarioRun) advance(round int, rng *rand.Rand) error {
+	g := run.group
 	g.now += roundIntervalMS
 	second := round / 10
 	demand := 1.0
@@ -183,81 +183,81 @@
 		demand = 2.4
 	}
 	if round%40 == 20 && second >= 20 { // a server drains, and returns 6 s later in its warm-up
-		d.changeServer((round/40)%d.fleet.Servers, protocol.PhaseDraining, 0)
+		run.changeServer((round/40)%run.fleet.Servers, protocol.PhaseDraining, 0)
 	}
 	if round%40 == 0 && second >= 28 {
-		d.changeServer((round/40-2)%d.fleet.Servers, protocol.PhaseUp, g.now)
+		run.changeServer((round/40-2)%run.fleet.Servers, protocol.PhaseUp, g.now)
 	}
-	for _, e := range d.streams {
+	for _, e := range run.streams {
 		for _, token := range e.tokens {
 			g.deliver(e, protocol.Ack{Proxy: e.proxy, Token: token, Elapsed: 20})
 		}
 		e.tokens = nil
 	}
 	if round%10 == 0 {
-		d.sendReports(demand, second, rng)
+		run.sendReports(demand, second, rng)
 	}
 	for _, c := range g.cores {
 		if _, _, err := c.router.Advance(g.now); err != nil {
 			return err
 		}
 	}
-	d.auditor.Tick(g.now)
+	run.auditor.Tick(g.now)
 	return g.reportProgress()
 }
 
-func (d *scenarioRun) changeServer(i int, phase string, since float64) {
-	d.group.changeMember(member(i, phase, since))
+func (run *scenarioRun) changeServer(i int, phase string, since float64) {
+	run.group.changeMember(member(i, phase, since))
 	state := rules.Ready
 	if phase != protocol.PhaseUp {
 		state = rules.Draining
 	}
-	d.auditor.ServerChanged(d.group.now, audit.Server{Name: fmt.Sprint("s-", i), State: state, Size: 1, StartedAt: since})
+	run.auditor.ServerChanged(run.group.now, audit.Server{Name: fmt.Sprint("s-", i), State: state, Size: 1, StartedAt: since})
 }
 
 // sendReports computes the load of each server in the last second and sends the usage and server reports for it.
-func (d *scenarioRun) sendReports(demand float64, second int, rng *rand.Rand) {
-	loads := make([][]float64, d.fleet.Servers) // requests per second, by zone of the proxies
+func (run *scenarioRun) sendReports(demand float64, second int, rng *rand.Rand) {
+	loads := make([][]float64, run.fleet.Servers) // requests per second, by zone of the proxies
 	for i := range loads {
 		loads[i] = make([]float64, len(zones))
 	}
 	rejected, importance, minLevels, maxLevels := 0.0, 0.0, []float64{1, 1, 1}, []float64{0, 0, 0}
-	for p, table := range d.tables {
+	for p, table := range run.tables {
 		sum, admitted := 0.0, 0.0
 		for _, weight := range table {
 			sum += weight
 		}
 		for k, part := range classShares {
-			level := min(1, d.levels[p][k])
+			level := min(1, run.levels[p][k])
 			admitted += part * level
-			rejected += d.rates[p] * part * (1 - level) * classImportance[k]
-			importance += d.rates[p] * part * classImportance[k]
+			rejected += run.rates[p] * part * (1 - level) * classImportance[k]
+			importance += run.rates[p] * part * classImportance[k]
 			minLevels[k], maxLevels[k] = min(minLevels[k], level), max(maxLevels[k], level)
 			noise := 1 + 0.1*rng.NormFloat64()
-			d.group.deliver(d.streams[p], protocol.UsageReport{Proxy: p, Class: classes[k],
-				Requests: math.Round(max(0, d.rates[p]*demand*part*noise)), Period: reportIntervalMS})
+			run.group.deliver(run.streams[p], protocol.UsageReport{Proxy: p, Class: classes[k],
+				Requests: math.Round(max(0, run.rates[p]*demand*part*noise)), Period: reportIntervalMS})
 		}
 		for name, weight := range table {
 			var i int
 			fmt.Sscanf(name, "s-%d", &i)
-			loads[i][p%len(zones)] += d.rates[p] * demand * admitted * weight / sum
+			loads[i][p%len(zones)] += run.rates[p] * demand * admitted * weight / sum
 		}
 	}
-	utilization := make([]float64, d.fleet.Servers)
-	fastLoad, slowLoad, fastServers, slowServers := 0.0, 0.0, 0.0, 0.0
+	utilization := make([]float64, run.fleet.Servers)
+	fastLoad, slowLoad, fastCount, slowCount := 0.0, 0.0, 0.0, 0.0
 	for i := range loads {
 		total := 0.0
 		for _, x := range loads[i] {
 			total += x
 		}
-		utilization[i] = total / d.capacity(i)
+		utilization[i] = total / run.capacity(i)
 		if total == 0 {
 			continue
 		}
 		if i%slowServerStride == 0 {
-			slowLoad, slowServers = slowLoad+total, slowServers+1
+			slowLoad, slowCount = slowLoad+total, slowCount+1
 		} else {
-			fastLoad, fastServers = fastLoad+total, fastServers+1
+			fastLoad, fastCount = fastLoad+total, fastCount+1
 		}
 		speed := 1.0
 		if i%slowServerStride == 0 {
@@ -270,24 +270,24 @@
 				if utilization[i] > 1.2 {
 					failed = math.Round(tries * min(0.8, (utilization[i]-1.2)/2))
 				}
-				d.group.deliver(nil, protocol.ServerReport{Zone: zones[z], Server: fmt.Sprint("s-", i), Attempts: tries,
+				run.group.deliver(nil, protocol.ServerReport{Zone: zones[z], Server: fmt.Sprint("s-", i), Attempts: tries,
 					Failed: failed, Latency: mean, Period: reportIntervalMS})
 			}
 		}
 	}
 	switch {
 	case second >= measureFrom && second < overloadFrom:
-		d.samples.plain++
-		d.result.SpeedCompensation += (1 - (slowLoad/slowServers)/(fastLoad/fastServers)) / (1 - slowServerSpeed)
-		d.result.Spread += spread(utilization)
+		run.samples.plain++
+		run.result.SpeedCompensation += (1 - (slowLoad/slowCount)/(fastLoad/fastCount)) / (1 - slowServerSpeed)
+		run.result.Spread += spread(utilization)
 	case second >= overloadFrom+10 && second < overloadUntil:
-		d.samples.loaded++
-		d.result.RejectedShare += rejected / importance
+		run.samples.loaded++
+		run.result.RejectedShare += rejected / importance
 		maxDifference := 0.0
 		for k := range minLevels {
 			maxDifference = max(maxDifference, maxLevels[k]-minLevels[k])
 		}
-		d.result.LevelDifference += maxDifference
+		run.result.LevelDifference += maxDifference
 	}
 }
 
@@ -304,13 +304,13 @@
 }
 
 // WriteTable prints the comparison as text.
-func (d DecisionsResult) WriteTable(out io.Writer) error {
-	fmt.Fprintf(out, "%d proxies, %d servers, seed %d; %d s, simulated servers and clock\n\n", d.Proxies, d.Servers, d.Seed,
-		d.Seconds)
+func (r DecisionsResult) WriteTable(out io.Writer) error {
+	fmt.Fprintf(out, "%d proxies, %d servers, seed %d; %d s, simulated servers and clock\n\n", r.Proxies, r.Servers, r.Seed,
+		r.Seconds)
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table,
 		"cores\tlearnt\tspread of use\trefused worth\tlevels apart\tmessages\tlines\tqueue most\tdrain ms most\tbreaks")
-	for _, e := range d.Runs {
+	for _, e := range r.Runs {
 		fmt.Fprintf(table, "%d\t%.2f\t%.3f\t%.3f\t%.3f\t%d\t%d\t%.0f\t%.0f\t%d\n", e.Cores,
 			e.SpeedCompensation, e.Spread, e.RejectedShare, e.LevelDifference, e.Messages, e.Lines,
 			e.MaxQueueLines, e.MaxDrainMillis, e.ViolationCount)
@@ -319,9 +319,9 @@
 }
 
 // WritePlot draws spread, rejections and message counts against the number of cores.
-func (d DecisionsResult) WritePlot(file string) error {
+func (r DecisionsResult) WritePlot(file string) error {
 	var spread, refused, messages plotter.XYs
-	for _, e := range d.Runs {
+	for _, e := range r.Runs {
 		x := float64(e.Cores)
 		spread = append(spread, plotter.XY{X: x, Y: e.Spread})
 		refused = append(refused, plotter.XY{X: x, Y: e.RejectedShare})
--- a/internal/planner/bench/group.go
+++ b/internal/planner/bench/group.go
@@ -119,12 +119,12 @@
 
 // runCommands executes the assigner's commands. Only shares are expected here: no core fails, and no proxy moves.
 func (g *group) runCommands() error {
-	for _, c := range g.assigner.DrainCommands() {
-		switch c := c.(type) {
+	for _, command := range g.assigner.DrainCommands() {
+		switch command := command.(type) {
 		case cores.Share:
-			g.cores[c.Core].router.Handle(routing.ShareAllocated{Number: c.Number,
-				Part: rules.Part{ChannelShare: c.ChannelShare, JoinedProxies: c.JoinedProxies, TypicalRates: c.TypicalRates,
-					Demands: c.Demands}})
+			g.cores[command.Core].router.Handle(routing.ShareAllocated{Number: command.Number,
+				Part: rules.Part{ChannelShare: command.ChannelShare, JoinedProxies: command.JoinedProxies, TypicalRates: command.TypicalRates,
+					Demands: command.Demands}})
 		case cores.Isolate, cores.Abort:
 			return errors.New("core isolated although the simulated clock cannot stall")
 		}
--- a/internal/planner/bench/hammer.go
+++ b/internal/planner/bench/hammer.go
@@ -18,18 +18,18 @@
 // table that was sent under its version. It returns the number of failed checks.
 func StressVersions(deliveries int, seed uint64) (mismatches int64) {
 	workers := runtime.NumCPU()
-	var total atomic.Int64
+	var mismatchCount atomic.Int64
 	var group sync.WaitGroup
 	for w := range workers {
-		group.Go(func() { total.Add(stressChannel(deliveries/workers+1, rand.New(rand.NewPCG(seed, uint64(w))))) })
+		group.Go(func() { mismatchCount.Add(stressChannel(deliveries/workers+1, rand.New(rand.NewPCG(seed, uint64(w))))) })
 	}
 	group.Wait()
-	return total.Load()
+	return mismatchCount.Load()
 }
 
 func stressChannel(deliveries int, rng *rand.Rand) (mismatches int64) {
-	now, life := 0.0, uint64(1)
-	origin := tables.Origin{Instance: "n0", Incarnation: life}
+	now, incarnation := 0.0, uint64(1)
+	origin := tables.Origin{Instance: "n0", Incarnation: incarnation}
 	sender, other := tables.NewSender(origin, 1, nil), tables.NewSender(origin, 2, nil)
 	receiver := tables.NewReceiver(1, nil)
 	receiver.StreamStarted(now, origin)
@@ -58,8 +58,8 @@
 	for deliveries > 0 {
 		now += 50
 		if rng.IntN(500) == 0 { // the planner restarts with the next incarnation
-			life++
-			origin.Incarnation = life
+			incarnation++
+			origin.Incarnation = incarnation
 			sender, other = tables.NewSender(origin, 1, nil), tables.NewSender(origin, 2, nil)
 			sent = map[uint64]tables.Table{}
 			receiver.StreamStarted(now, origin)
--- a/internal/planner/bench/look.go
+++ b/internal/planner/bench/look.go
@@ -43,10 +43,10 @@
 
 // MeasureRounds measures decision rounds without sockets. The routers and decision modules of all cores run concurrently
 // while reports arrive and servers drain.
-func MeasureRounds(f Fleet, counts []int, progress func(string, ...any)) (RoundsResult, error) {
+func MeasureRounds(f Fleet, coreCounts []int, progress func(string, ...any)) (RoundsResult, error) {
 	debug.SetGCPercent(400) // the setting of a planner on several cores
 	result := RoundsResult{CPUs: runtime.NumCPU(), Fleet: f}
-	for _, n := range counts {
+	for _, n := range coreCounts {
 		progress("%d cores: %d proxies x %d servers", n, f.Proxies, f.Servers)
 		times, err := f.timeRounds(n)
 		if err != nil {
@@ -130,29 +130,29 @@
 }
 
 // WriteTable prints the round times as text.
-func (l RoundsResult) WriteTable(out io.Writer) error {
-	fmt.Fprintf(out, "%d proxies x %d servers in this process, without sockets; machine with %d cores\n\n", l.Proxies,
-		l.Servers, l.CPUs)
+func (r RoundsResult) WriteTable(out io.Writer) error {
+	fmt.Fprintf(out, "%d proxies x %d servers in this process, without sockets; machine with %d cores\n\n", r.Proxies,
+		r.Servers, r.CPUs)
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "cores\tlook ms p50\tp99\tmax\twhile all join, max\tmessages")
-	for _, k := range l.Rounds {
-		mark := ""
+	for _, k := range r.Rounds {
+		suffix := ""
 		if k.OverMachine {
-			mark = " (over the machine's)"
+			suffix = " (over the machine's)"
 		}
-		fmt.Fprintf(table, "%d%s\t%.1f\t%.1f\t%.1f\t%.1f\t%d\n", k.Cores, mark, k.P50, k.P99, k.Max, k.JoinMax, k.Messages)
+		fmt.Fprintf(table, "%d%s\t%.1f\t%.1f\t%.1f\t%.1f\t%d\n", k.Cores, suffix, k.P50, k.P99, k.Max, k.JoinMax, k.Messages)
 	}
 	return table.Flush()
 }
 
 // WritePlot draws the duration of a round against the number of cores.
-func (l RoundsResult) WritePlot(file string) error {
+func (r RoundsResult) WritePlot(file string) error {
 	var p50, p99 plotter.XYs
-	for _, k := range l.Rounds {
+	for _, k := range r.Rounds {
 		p50 = append(p50, plotter.XY{X: float64(k.Cores), Y: k.P50})
 		p99 = append(p99, plotter.XY{X: float64(k.Cores), Y: k.P99})
 	}
-	p, err := chart(fmt.Sprintf("A look at %d proxies x %d servers", l.Proxies, l.Servers), "ms",
+	p, err := chart(fmt.Sprintf("A look at %d proxies x %d servers", r.Proxies, r.Servers), "ms",
 		series{"p50", blue, p50, false}, series{"p99", red, p99, false})
 	if err != nil {
 		return err
--- a/internal/planner/bench/report.go
+++ b/internal/planner/bench/report.go
@@ -24,12 +24,12 @@
 	fmt.Fprintln(table,
 		"cores\tevents/s\torders/s\tCPU\tCPU µs/event\tat events/s\tCPU\tdrain ms p50\tp99\tp99.9\tmax\tKiB/stream\tMB\tqueue of limit\tbreaks")
 	for _, n := range r.Runs {
-		mark := ""
+		suffix := ""
 		if n.OverMachine {
-			mark = " (over the machine's)"
+			suffix = " (over the machine's)"
 		}
 		fmt.Fprintf(table, "%d%s\t%.0f\t%.0f\t%.2f\t%.2f\t%.0f\t%.2f\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%.0f\t%.0f of %.0f\t%d\n",
-			n.Cores, mark, n.EventsPerS,
+			n.Cores, suffix, n.EventsPerS,
 			n.OrdersPerS, n.CPUAtFull, n.CPUPerEvent, n.HalfRate, n.CPUAtHalf, n.Drain.P50, n.Drain.P99, n.Drain.P999, n.Drain.Max,
 			n.KiBPerStream, n.MemoryMB, n.MaxQueueLines, n.QueueLimit, n.ViolationCount)
 	}
--- a/internal/planner/bench/versions.go
+++ b/internal/planner/bench/versions.go
@@ -79,22 +79,22 @@
 	var versionTime time.Duration
 	v.Changes, v.LineBytes, v.DeltaBytes, v.SnapshotBytes = 0, 0, 0, 0
 	var entries []record.Entry
-	d := &scenarioRun{fleet: f, result: Decisions{Cores: 1}, streams: map[int]*proxyStream{}}
+	run := &scenarioRun{fleet: f, result: Decisions{Cores: 1}, streams: map[int]*proxyStream{}}
 	recordRecovery := func(proxy int) {
 		l := receivers[proxy]
 		_, at := l.receiver.Table()
 		switch {
 		case l.receiver.UpToDate():
 			if l.noticedAt > 0 { // up to date as far as it knows: a later loss may be unnoticed yet
-				repair.RecordValue(int64((d.group.now - l.noticedAt) * 1000))
+				repair.RecordValue(int64((run.group.now - l.noticedAt) * 1000))
 				l.noticedAt = 0
 			}
 			if l.lostAt > 0 && at == newestVersion(senders[proxy]) {
-				recovery.RecordValue(int64((d.group.now - l.lostAt) * 1000))
+				recovery.RecordValue(int64((run.group.now - l.lostAt) * 1000))
 				l.lostAt = 0
 			}
 		case l.noticedAt == 0 && at.Number > 0:
-			l.noticedAt = d.group.now
+			l.noticedAt = run.group.now
 		}
 	}
 	check := func(proxy int) { // a table that is held under the newest version must equal the one that was sent
@@ -105,12 +105,12 @@
 		}
 	}
 	onAssignment := func(proxy int, o protocol.Assignment) {
-		d.applyAssignment(proxy, o)
+		run.applyAssignment(proxy, o)
 		startedAt := time.Now()
 		if senders[proxy] == nil {
 			senders[proxy], receivers[proxy] = tables.NewSender(origin, uint32(proxy),
 				nil), &lossyReceiver{receiver: tables.NewReceiver(uint32(proxy), nil)}
-			receivers[proxy].receiver.StreamStarted(d.group.now, origin)
+			receivers[proxy].receiver.StreamStarted(run.group.now, origin)
 		}
 		s, l := senders[proxy], receivers[proxy]
 		table, _ := s.Table()
@@ -128,36 +128,36 @@
 			v.DeltaBytes += float64(len(text))
 			v.SnapshotBytes += float64(len(tables.Snapshot(sent, at, nil).Append(nil, nil)))
 			if len(entries) < 100000 {
-				entries = append(entries, record.Entry{At: time.UnixMilli(int64(d.group.now)), Cause: "weights", Update: text})
+				entries = append(entries, record.Entry{At: time.UnixMilli(int64(run.group.now)), Cause: "weights", Update: text})
 			}
 		}
-		l.sentAt = d.group.now
+		l.sentAt = run.group.now
 		if rng.Float64() < lossRate {
 			if l.lostAt == 0 {
-				l.lostAt = d.group.now
+				l.lostAt = run.group.now
 			}
 			return
 		}
-		l.receiver.ApplyEncoded(d.group.now, text)
+		l.receiver.ApplyEncoded(run.group.now, text)
 		check(proxy)
 		recordRecovery(proxy)
 	}
 	var err error
-	if d.group, err = newGroup(f, 1, onAssignment); err != nil {
+	if run.group, err = newGroup(f, 1, onAssignment); err != nil {
 		return err
 	}
-	if err := d.start(); err != nil {
+	if err := run.start(); err != nil {
 		return err
 	}
 	var stepTime time.Duration
 	scenarioRNG := rand.New(rand.NewPCG(f.Seed, 12))
 	for round := range versionSeconds * 10 {
 		startedAt, before := time.Now(), versionTime
-		if err := d.advance(round, scenarioRNG); err != nil {
+		if err := run.advance(round, scenarioRNG); err != nil {
 			return err
 		}
 		stepTime += time.Since(startedAt) - (versionTime - before)
-		now := d.group.now
+		now := run.group.now
 		for proxy, l := range receivers { // notices, resend requests and their responses between two rounds
 			if l.sentAt > 0 && now-l.sentAt >= tables.NoticeDelayMS {
 				if l.sentAt = 0; rng.Float64() >= lossRate {
@@ -170,21 +170,21 @@
 				if !due {
 					continue
 				}
-				d.group.now = at + roundTripMS
+				run.group.now = at + roundTripMS
 				loss.ResendRequests++
 				for _, u := range senders[proxy].Resend(a) {
 					if u.Snapshot {
 						loss.Snapshots++
 					}
 					if rng.Float64() >= lossRate {
-						l.receiver.ApplyEncoded(d.group.now, u.Append(nil, nil))
+						l.receiver.ApplyEncoded(run.group.now, u.Append(nil, nil))
 						check(proxy)
 					}
 				}
 				recordRecovery(proxy)
 			}
 		}
-		d.group.now = now
+		run.group.now = now
 	}
 	n := max(1, float64(v.Changes))
 	v.LineBytes, v.DeltaBytes, v.SnapshotBytes = v.LineBytes/n, v.DeltaBytes/n, v.SnapshotBytes/n
