--- a/internal/planner/bench/decisions.go
+++ b/internal/planner/bench/decisions.go
@@ -15,280 +15,283 @@
 	"mulleinwood/rules"
 )
 
-// Decisions is what planners of one number of cores decided on a scripted day, on simulated servers and a simulated clock.
+// Decisions summarizes the decisions of a planner with one number of cores on a scripted day, with simulated servers and a
+// simulated clock.
 type Decisions struct {
-	Cores     int     `json:"cores"`
-	Learnt    float64 `json:"learnt_share"`     // of the difference between fast and slow servers that weights make up for
-	Spread    float64 `json:"spread"`           // standard deviation of the servers' use, as a share of its mean
-	Refused   float64 `json:"refused_share"`    // of the worth asked for during the overload
-	Level     float64 `json:"level_difference"` // largest between two proxies in any class, mean over the overload
-	Messages  int     `json:"messages"`
-	Lines     int     `json:"lines"`
-	QueueMost float64 `json:"queue_lines_most"`
-	DrainMost float64 `json:"drain_ms_most"`
-	Breaks    int     `json:"breaks"`
+	Cores             int     `json:"cores"`
+	SpeedCompensation float64 `json:"learnt_share"`     // speed difference that the weights compensate
+	Spread            float64 `json:"spread"`           // standard deviation of the servers' utilization over its mean
+	RejectedShare     float64 `json:"refused_share"`    // share of the demand, weighted by importance, in the overload
+	LevelDifference   float64 `json:"level_difference"` // largest between two proxies in any class, mean over the overload
+	Messages          int     `json:"messages"`
+	Lines             int     `json:"lines"`
+	MaxQueueLines     float64 `json:"queue_lines_most"`
+	MaxDrainMillis    float64 `json:"drain_ms_most"`
+	ViolationCount    int     `json:"breaks"`
 }
 
-// Day is the result of CompareDecisions.
-type Day struct {
+// DecisionsResult is the result of CompareDecisions.
+type DecisionsResult struct {
 	Fleet
 	Seconds int         `json:"simulated_seconds"`
-	Each    []Decisions `json:"decisions"`
+	Runs    []Decisions `json:"decisions"`
 }
 
-// The scripted day, in seconds. Tables stand before the first figure is taken.
+// The scripted day: times in seconds, counted from its start. Tables have converged before the first figure is taken.
 const (
-	scenarioSeconds = 150
-	settleTime      = 60  // from here to the overload, weights and spread count
-	overloadFrom    = 90  // servers get half as much again as they can do
-	overloadUntil   = 130 // refusals count from 10 s after its beginning
-	slowPart        = 4   // each fourth server is slow
-	slowness        = 0.6
-	idleMS          = 90.0
+	scenarioSeconds  = 150
+	measureFrom      = 60  // start of the interval, up to the overload, in which weights and spread are measured
+	overloadFrom     = 90  // start of the overload: demand exceeds the nominal capacity by half
+	overloadUntil    = 130 // end of the overload; rejections are measured from 10 s after its start
+	slowServerStride = 4   // every fourth server is slow
+	slowServerSpeed  = 0.6
+	idleLatencyMS    = 90.0
 )
 
-// scenarioRun is a deployment in which nothing is at random but the counts in reports, drawn from the seed alone: all planners meet
-// the same day.
+// scenarioRun is one run of the scripted day. All random values are drawn from the seed alone, so that every planner gets the
+// same day.
 type scenarioRun struct {
 	fleet   Fleet
 	group   *group
-	audit   *audit.Auditor
+	auditor *audit.Auditor
 	tables  []map[string]float64
 	levels  [][]float64
 	rates   []float64
 	result  Decisions
-	ends    map[int]*end
+	streams map[int]*proxyStream
 	samples struct{ plain, loaded, levels float64 }
 }
 
-// CompareDecisions plays the same day to planners of several numbers of cores.
-func CompareDecisions(f Fleet, counts []int, say func(string, ...any)) (Day, error) {
-	result := Day{Fleet: f, Seconds: scenarioSeconds}
-	for _, n := range counts {
-		say("%d cores: %d s of a day, simulated", n, scenarioSeconds)
-		d, err := f.play(n)
+// CompareDecisions runs the same scripted day on planners with different numbers of cores.
+func CompareDecisions(f Fleet, coreCounts []int, progress func(string, ...any)) (DecisionsResult, error) {
+	result := DecisionsResult{Fleet: f, Seconds: scenarioSeconds}
+	for _, n := range coreCounts {
+		progress("%d cores: %d s of a day, simulated", n, scenarioSeconds)
+		decisions, err := f.playScenario(n)
 		if err != nil {
 			return result, fmt.Errorf("%d cores: %w", n, err)
 		}
-		result.Each = append(result.Each, d)
+		result.Runs = append(result.Runs, decisions)
 	}
 	return result, nil
 }
 
-func (f Fleet) play(n int) (Decisions, error) {
-	d := &scenarioRun{fleet: f, result: Decisions{Cores: n}, ends: map[int]*end{}}
+func (f Fleet) playScenario(n int) (Decisions, error) {
+	run := &scenarioRun{fleet: f, result: Decisions{Cores: n}, streams: map[int]*proxyStream{}}
 	var err error
-	if d.group, err = newGroup(f, n, d.ordered); err != nil {
-		return d.result, err
+	if run.group, err = newGroup(f, n, run.applyAssignment); err != nil {
+		return run.result, err
 	}
-	if err := d.begin(); err != nil {
-		return d.result, err
+	if err := run.start(); err != nil {
+		return run.result, err
 	}
-	draw := rand.New(rand.NewPCG(f.Seed, 12))
-	for look := range scenarioSeconds * 10 {
-		if err := d.look(look, draw); err != nil {
-			return d.result, err
+	rng := rand.New(rand.NewPCG(f.Seed, 12))
+	for round := range scenarioSeconds * 10 {
+		if err := run.advance(round, rng); err != nil {
+			return run.result, err
 		}
 	}
-	if d.samples.plain > 0 {
-		d.result.Learnt /= d.samples.plain
-		d.result.Spread /= d.samples.plain
+	if run.samples.plain > 0 {
+		run.result.SpeedCompensation /= run.samples.plain
+		run.result.Spread /= run.samples.plain
 	}
-	if d.samples.loaded > 0 {
-		d.result.Refused /= d.samples.loaded
-		d.result.Level /= d.samples.loaded
+	if run.samples.loaded > 0 {
+		run.result.RejectedShare /= run.samples.loaded
+		run.result.LevelDifference /= run.samples.loaded
 	}
-	d.result.QueueMost, d.result.DrainMost, d.result.Breaks = d.audit.Peak.QueueLines, d.audit.Peak.DrainMillis, len(d.audit.Violations())
-	return d.result, nil
+	run.result.MaxQueueLines, run.result.MaxDrainMillis, run.result.ViolationCount = run.auditor.Peak.QueueLines,
+		run.auditor.Peak.DrainMillis, len(run.auditor.Violations())
+	return run.result, nil
 }
 
-// begin opens the books and lets every proxy join.
-func (d *scenarioRun) begin() error {
-	f := d.fleet
-	d.audit = audit.New(d.group.set.Rules, d.group.now)
-	for _, m := range d.group.known.Members {
-		d.audit.ServerChanged(d.group.now, audit.Server{Name: m.ID, State: rules.Ready, Size: 1})
+// start creates the auditor and attaches every proxy.
+func (run *scenarioRun) start() error {
+	f := run.fleet
+	run.auditor = audit.New(run.group.set.Rules, run.group.now)
+	for _, m := range run.group.list.Members {
+		run.auditor.ServerChanged(run.group.now, audit.Server{Name: m.ID, State: rules.Ready, Size: 1})
 	}
-	draw := rand.New(rand.NewPCG(f.Seed, 11))
-	for p := range f.Proxies { // a few carry most
+	rng := rand.New(rand.NewPCG(f.Seed, 11))
+	for p := range f.Proxies { // every tenth proxy has ten times the rate of the others, and so most of the traffic
 		rate := proxyRate / 2
 		if p%10 == 0 {
 			rate = proxyRate * 5
 		}
-		d.rates = append(d.rates, rate*(0.8+0.4*draw.Float64()))
-		d.tables, d.levels = append(d.tables, map[string]float64{}), append(d.levels, []float64{1, 1, 1})
-		d.audit.ProxyJoined(d.group.now, p, d.rates[p])
-		if err := d.group.join(d.ends, p, d.rates[p]); err != nil {
+		run.rates = append(run.rates, rate*(0.8+0.4*rng.Float64()))
+		run.tables, run.levels = append(run.tables, map[string]float64{}), append(run.levels, []float64{1, 1, 1})
+		run.auditor.ProxyJoined(run.group.now, p, run.rates[p])
+		if err := run.group.join(run.streams, p, run.rates[p]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// ordered is a message that a proxy has read.
-func (d *scenarioRun) ordered(proxy int, o protocol.Assignment) {
-	sent := audit.Order{Replace: o.Replace, Rows: map[string]float64{}, Retries: map[int]rules.Retry{}, Drop: o.Exclude,
+// applyAssignment applies an assignment to the proxy's table and records it.
+func (run *scenarioRun) applyAssignment(proxy int, o protocol.Assignment) {
+	message := audit.Order{Replace: o.Replace, Rows: map[string]float64{}, Retries: map[int]rules.Retry{}, Drop: o.Exclude,
 		Undrop: o.Include,
-		Lines:  float64(o.LineCount()) + headOfMessage}
+		Lines:  float64(o.LineCount()) + messageHeaderLines}
 	if o.Replace {
-		clear(d.tables[proxy])
+		clear(run.tables[proxy])
 	}
 	for _, r := range o.Rows {
-		if sent.Rows[r.Server] = r.Weight; r.Weight > 0 {
-			d.tables[proxy][r.Server] = r.Weight
+		if message.Rows[r.Server] = r.Weight; r.Weight > 0 {
+			run.tables[proxy][r.Server] = r.Weight
 		} else {
-			delete(d.tables[proxy], r.Server)
+			delete(run.tables[proxy], r.Server)
 		}
 	}
 	for _, gate := range o.Gates {
 		for k, class := range classes {
 			if slices.Contains(gate.Classes, class) {
-				d.levels[proxy][k], sent.Retries[k] = gate.Level, rules.Retry(gate.Retry)
+				run.levels[proxy][k], message.Retries[k] = gate.Level, rules.Retry(gate.Retry)
 			}
 		}
 	}
-	d.result.Messages++
-	d.result.Lines += int(sent.Lines)
-	d.audit.OrderReceived(d.group.now, proxy, sent)
+	run.result.Messages++
+	run.result.Lines += int(message.Lines)
+	run.auditor.OrderReceived(run.group.now, proxy, message)
 }
 
-// capacity of a server in requests a second: with the whole fleet, half of the day's traffic over what is needed.
-func (d *scenarioRun) capacity(i int) float64 {
-	even := 0.0
-	for _, rate := range d.rates {
-		even += rate
+// capacity returns the capacity of server i in requests per second. All servers together can handle about half more than
+// the normal demand.
+func (run *scenarioRun) capacity(i int) float64 {
+	evenShare := 0.0
+	for _, rate := range run.rates {
+		evenShare += rate
 	}
-	even *= 1.6 / float64(d.fleet.Servers)
-	if i%slowPart == 0 {
-		return even * slowness
+	evenShare *= 1.6 / float64(run.fleet.Servers)
+	if i%slowServerStride == 0 {
+		return evenShare * slowServerSpeed
 	}
-	return even
+	return evenShare
 }
 
-// parts of a proxy's requests by class, and what they weigh in worth.
+// Share of each class in a proxy's requests, and importance of a request of each class.
 var (
-	parts  = []float64{0.6, 0.2, 0.2}
-	worths = []float64{1, 5, 2}
+	classShares     = []float64{0.6, 0.2, 0.2}
+	classImportance = []float64{1, 5, 2}
 )
 
-func (d *scenarioRun) look(look int, draw *rand.Rand) error {
-	g := d.group
-	g.now += decideInterval
-	second := look / 10
-	asked := 1.0
+func (run *scenarioRun) advance(round int, rng *rand.Rand) error {
+	g := run.group
+	g.now += roundIntervalMS
+	second := round / 10
+	demand := 1.0
 	if second >= overloadFrom && second < overloadUntil {
-		asked = 2.4
+		demand = 2.4
 	}
-	if look%40 == 20 && second >= 20 { // a server drains, and comes back cold some seconds later
-		d.change((look/40)%d.fleet.Servers, protocol.PhaseDraining, 0)
+	if round%40 == 20 && second >= 20 { // a server drains, and returns 6 s later in its warm-up
+		run.changeServer((round/40)%run.fleet.Servers, protocol.PhaseDraining, 0)
 	}
-	if look%40 == 0 && second >= 28 {
-		d.change((look/40-2)%d.fleet.Servers, protocol.PhaseUp, g.now)
+	if round%40 == 0 && second >= 28 {
+		run.changeServer((round/40-2)%run.fleet.Servers, protocol.PhaseUp, g.now)
 	}
-	for _, e := range d.ends {
-		for _, mark := range e.marks {
-			g.said(e, protocol.Ack{Proxy: e.proxy, Token: mark, Elapsed: 20})
+	for _, e := range run.streams {
+		for _, token := range e.tokens {
+			g.deliver(e, protocol.Ack{Proxy: e.proxy, Token: token, Elapsed: 20})
 		}
-		e.marks = nil
+		e.tokens = nil
 	}
-	if look%10 == 0 {
-		d.report(asked, second, draw)
+	if round%10 == 0 {
+		run.sendReports(demand, second, rng)
 	}
-	for _, c := range g.each {
+	for _, c := range g.cores {
 		if _, _, err := c.router.Advance(g.now); err != nil {
 			return err
 		}
 	}
-	d.audit.Tick(g.now)
-	return g.words()
+	run.auditor.Tick(g.now)
+	return g.reportProgress()
 }
 
-func (d *scenarioRun) change(i int, phase string, since float64) {
-	d.group.change(member(i, phase, since))
+func (run *scenarioRun) changeServer(i int, phase string, since float64) {
+	run.group.changeMember(member(i, phase, since))
 	state := rules.Ready
 	if phase != protocol.PhaseUp {
 		state = rules.Draining
 	}
-	d.audit.ServerChanged(d.group.now, audit.Server{Name: fmt.Sprint("s-", i), State: state, Size: 1, StartedAt: since})
+	run.auditor.ServerChanged(run.group.now, audit.Server{Name: fmt.Sprint("s-", i), State: state, Size: 1, StartedAt: since})
 }
 
-// report works out what the last second brought each server, and tells what was met.
-func (d *scenarioRun) report(asked float64, second int, draw *rand.Rand) {
-	loads := make([][]float64, d.fleet.Servers) // requests a second, by zone of the proxies
+// sendReports computes the load of each server in the last second and sends the usage and server reports for it.
+func (run *scenarioRun) sendReports(demand float64, second int, rng *rand.Rand) {
+	loads := make([][]float64, run.fleet.Servers) // requests per second, by zone of the proxies
 	for i := range loads {
 		loads[i] = make([]float64, len(zones))
 	}
-	refused, worth, least, most := 0.0, 0.0, []float64{1, 1, 1}, []float64{0, 0, 0}
-	for p, table := range d.tables {
-		sum, let := 0.0, 0.0
+	rejected, importance, minLevels, maxLevels := 0.0, 0.0, []float64{1, 1, 1}, []float64{0, 0, 0}
+	for p, table := range run.tables {
+		sum, admitted := 0.0, 0.0
 		for _, weight := range table {
 			sum += weight
 		}
-		for k, part := range parts {
-			level := min(1, d.levels[p][k])
-			let += part * level
-			refused += d.rates[p] * part * (1 - level) * worths[k]
-			worth += d.rates[p] * part * worths[k]
-			least[k], most[k] = min(least[k], level), max(most[k], level)
-			noise := 1 + 0.1*draw.NormFloat64()
-			d.group.said(d.ends[p], protocol.UsageReport{Proxy: p, Class: classes[k],
-				Requests: math.Round(max(0, d.rates[p]*asked*part*noise)), Period: reportEvery})
+		for k, part := range classShares {
+			level := min(1, run.levels[p][k])
+			admitted += part * level
+			rejected += run.rates[p] * part * (1 - level) * classImportance[k]
+			importance += run.rates[p] * part * classImportance[k]
+			minLevels[k], maxLevels[k] = min(minLevels[k], level), max(maxLevels[k], level)
+			noise := 1 + 0.1*rng.NormFloat64()
+			run.group.deliver(run.streams[p], protocol.UsageReport{Proxy: p, Class: classes[k],
+				Requests: math.Round(max(0, run.rates[p]*demand*part*noise)), Period: reportIntervalMS})
 		}
 		for name, weight := range table {
 			var i int
 			fmt.Sscanf(name, "s-%d", &i)
-			loads[i][p%len(zones)] += d.rates[p] * asked * let * weight / sum
+			loads[i][p%len(zones)] += run.rates[p] * demand * admitted * weight / sum
 		}
 	}
-	use := make([]float64, d.fleet.Servers)
-	fast, slow, fasts, slows := 0.0, 0.0, 0.0, 0.0
+	utilization := make([]float64, run.fleet.Servers)
+	fastLoad, slowLoad, fastCount, slowCount := 0.0, 0.0, 0.0, 0.0
 	for i := range loads {
 		total := 0.0
 		for _, x := range loads[i] {
 			total += x
 		}
-		use[i] = total / d.capacity(i)
+		utilization[i] = total / run.capacity(i)
 		if total == 0 {
 			continue
 		}
-		if i%slowPart == 0 {
-			slow, slows = slow+total, slows+1
+		if i%slowServerStride == 0 {
+			slowLoad, slowCount = slowLoad+total, slowCount+1
 		} else {
-			fast, fasts = fast+total, fasts+1
+			fastLoad, fastCount = fastLoad+total, fastCount+1
 		}
 		speed := 1.0
-		if i%slowPart == 0 {
-			speed = slowness
+		if i%slowServerStride == 0 {
+			speed = slowServerSpeed
 		}
-		mean := idleMS / speed * (1 + 0.02*draw.NormFloat64()) * (1 + math.Pow(min(use[i], 3), 4))
+		mean := idleLatencyMS / speed * (1 + 0.02*rng.NormFloat64()) * (1 + math.Pow(min(utilization[i], 3), 4))
 		for z, x := range loads[i] {
 			if tries := math.Round(x); tries > 0 {
 				failed := 0.0
-				if use[i] > 1.2 {
-					failed = math.Round(tries * min(0.8, (use[i]-1.2)/2))
+				if utilization[i] > 1.2 {
+					failed = math.Round(tries * min(0.8, (utilization[i]-1.2)/2))
 				}
-				d.group.said(nil, protocol.ServerReport{Zone: zones[z], Server: fmt.Sprint("s-", i), Attempts: tries,
-					Failed: failed, Latency: mean, Period: reportEvery})
+				run.group.deliver(nil, protocol.ServerReport{Zone: zones[z], Server: fmt.Sprint("s-", i), Attempts: tries,
+					Failed: failed, Latency: mean, Period: reportIntervalMS})
 			}
 		}
 	}
 	switch {
-	case second >= settleTime && second < overloadFrom:
-		d.samples.plain++
-		d.result.Learnt += (1 - (slow/slows)/(fast/fasts)) / (1 - slowness)
-		d.result.Spread += spread(use)
+	case second >= measureFrom && second < overloadFrom:
+		run.samples.plain++
+		run.result.SpeedCompensation += (1 - (slowLoad/slowCount)/(fastLoad/fastCount)) / (1 - slowServerSpeed)
+		run.result.Spread += spread(utilization)
 	case second >= overloadFrom+10 && second < overloadUntil:
-		d.samples.loaded++
-		d.result.Refused += refused / worth
-		widest := 0.0
-		for k := range least {
-			widest = max(widest, most[k]-least[k])
+		run.samples.loaded++
+		run.result.RejectedShare += rejected / importance
+		maxDifference := 0.0
+		for k := range minLevels {
+			maxDifference = max(maxDifference, maxLevels[k]-minLevels[k])
 		}
-		d.result.Level += widest
+		run.result.LevelDifference += maxDifference
 	}
 }
 
-// spread is the standard deviation of what is over 0, as a share of its mean.
+// spread returns the standard deviation of the positive values, divided by their mean.
 func spread(list []float64) float64 {
 	var n, sum, squares float64
 	for _, x := range list {
@@ -300,28 +303,28 @@
 	return math.Sqrt(max(0, squares/n-mean*mean)) / mean
 }
 
-// WriteTable prints the comparison for people.
-func (d Day) WriteTable(out io.Writer) error {
-	fmt.Fprintf(out, "%d proxies, %d servers, seed %d; %d s, simulated servers and clock\n\n", d.Proxies, d.Servers, d.Seed,
-		d.Seconds)
+// WriteTable prints the comparison as text.
+func (r DecisionsResult) WriteTable(out io.Writer) error {
+	fmt.Fprintf(out, "%d proxies, %d servers, seed %d; %d s, simulated servers and clock\n\n", r.Proxies, r.Servers, r.Seed,
+		r.Seconds)
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table,
 		"cores\tlearnt\tspread of use\trefused worth\tlevels apart\tmessages\tlines\tqueue most\tdrain ms most\tbreaks")
-	for _, e := range d.Each {
-		fmt.Fprintf(table, "%d\t%.2f\t%.3f\t%.3f\t%.3f\t%d\t%d\t%.0f\t%.0f\t%d\n", e.Cores, e.Learnt, e.Spread, e.Refused,
-			e.Level, e.Messages, e.Lines,
-			e.QueueMost, e.DrainMost, e.Breaks)
+	for _, e := range r.Runs {
+		fmt.Fprintf(table, "%d\t%.2f\t%.3f\t%.3f\t%.3f\t%d\t%d\t%.0f\t%.0f\t%d\n", e.Cores,
+			e.SpeedCompensation, e.Spread, e.RejectedShare, e.LevelDifference, e.Messages, e.Lines,
+			e.MaxQueueLines, e.MaxDrainMillis, e.ViolationCount)
 	}
 	return table.Flush()
 }
 
-// WritePlot draws spread and refusals against cores.
-func (d Day) WritePlot(file string) error {
+// WritePlot draws spread, rejections and message counts against the number of cores.
+func (r DecisionsResult) WritePlot(file string) error {
 	var spread, refused, messages plotter.XYs
-	for _, e := range d.Each {
+	for _, e := range r.Runs {
 		x := float64(e.Cores)
 		spread = append(spread, plotter.XY{X: x, Y: e.Spread})
-		refused = append(refused, plotter.XY{X: x, Y: e.Refused})
+		refused = append(refused, plotter.XY{X: x, Y: e.RejectedShare})
 		messages = append(messages, plotter.XY{X: x, Y: float64(e.Messages) / 1000})
 	}
 	left, err := chart("Decisions on the same day", "share", series{"spread of servers' use", blue, spread, false},
--- a/internal/planner/bench/hammer.go
+++ b/internal/planner/bench/hammer.go
@@ -10,31 +10,31 @@
 	"mulleinwood/tables"
 )
 
-// hammerTable is how many servers a hammered table draws from.
-const hammerTable = 6
+// stressTableSize is the number of servers from which the random tables are drawn.
+const stressTableSize = 6
 
-// HammerVersions delivers so many updates over channels that lose, double, hold back, cut and flip at random, among them
-// updates of other proxies and lives, and checks after each that the receiver holds a table that was sent under its version, or
-// none. It returns how many it did not.
-func HammerVersions(deliveries int, seed uint64) (wrong int64) {
+// StressVersions delivers updates over channels that randomly lose, duplicate, delay, truncate and corrupt them, mixed with
+// updates of other proxies and incarnations. After each delivery it checks that the receiver holds either no table or the
+// table that was sent under its version. It returns the number of failed checks.
+func StressVersions(deliveries int, seed uint64) (mismatches int64) {
 	workers := runtime.NumCPU()
-	var bad atomic.Int64
+	var mismatchCount atomic.Int64
 	var group sync.WaitGroup
 	for w := range workers {
-		group.Go(func() { bad.Add(hammer(deliveries/workers+1, rand.New(rand.NewPCG(seed, uint64(w))))) })
+		group.Go(func() { mismatchCount.Add(stressChannel(deliveries/workers+1, rand.New(rand.NewPCG(seed, uint64(w))))) })
 	}
 	group.Wait()
-	return bad.Load()
+	return mismatchCount.Load()
 }
 
-func hammer(deliveries int, rng *rand.Rand) (wrong int64) {
-	now, life := 0.0, uint64(1)
-	origin := tables.Origin{Instance: "n0", Incarnation: life}
+func stressChannel(deliveries int, rng *rand.Rand) (mismatches int64) {
+	now, incarnation := 0.0, uint64(1)
+	origin := tables.Origin{Instance: "n0", Incarnation: incarnation}
 	sender, other := tables.NewSender(origin, 1, nil), tables.NewSender(origin, 2, nil)
 	receiver := tables.NewReceiver(1, nil)
 	receiver.StreamStarted(now, origin)
 	sent := map[uint64]tables.Table{}
-	var held [][]byte
+	var delayed [][]byte
 	deliver := func(text []byte) {
 		if deliveries--; len(text) == 0 {
 			return
@@ -43,12 +43,12 @@
 		table, at := receiver.Table()
 		if want, known := sent[at.Number]; at.Number > 0 &&
 			(!known || at.Origin != origin || at.Proxy != 1 || !table.Equal(want)) {
-			wrong++
+			mismatches++
 		}
 	}
 	draw := func() tables.Table {
 		t := tables.New()
-		for i := range hammerTable {
+		for i := range stressTableSize {
 			if rng.IntN(2) == 0 {
 				t.Weights[fmt.Sprint("s-", i)] = float32(1 + rng.IntN(4))
 			}
@@ -57,20 +57,20 @@
 	}
 	for deliveries > 0 {
 		now += 50
-		if rng.IntN(500) == 0 { // the planner's next life
-			life++
-			origin.Incarnation = life
+		if rng.IntN(500) == 0 { // the planner restarts with the next incarnation
+			incarnation++
+			origin.Incarnation = incarnation
 			sender, other = tables.NewSender(origin, 1, nil), tables.NewSender(origin, 2, nil)
 			sent = map[uint64]tables.Table{}
 			receiver.StreamStarted(now, origin)
 		}
 		u, err := sender.Next(draw(), rng.IntN(20) == 0)
 		if err != nil {
-			return wrong
+			return mismatches
 		}
 		table, at := sender.Table()
 		if sent[at.Number] = table; at.Number > 200 {
-			delete(sent, at.Number-200) // no receiver is that far behind: it is asked for below
+			delete(sent, at.Number-200) // no receiver is that far behind, since it requests a resend below
 		}
 		text := u.Append(nil, nil)
 		if foreign, err := other.Next(draw(), true); err == nil && rng.IntN(10) == 0 {
@@ -82,7 +82,7 @@
 			deliver(text)
 			deliver(text)
 		case 2:
-			held = append(held, text)
+			delayed = append(delayed, text)
 		case 3:
 			deliver(text[:rng.IntN(len(text))])
 		case 4:
@@ -91,17 +91,17 @@
 		default:
 			deliver(text)
 		}
-		if n := len(held); n > 0 && rng.IntN(4) == 0 {
+		if n := len(delayed); n > 0 && rng.IntN(4) == 0 {
 			i := rng.IntN(n)
-			deliver(held[i])
-			held[i] = held[n-1]
-			held = held[:n-1]
+			deliver(delayed[i])
+			delayed[i] = delayed[n-1]
+			delayed = delayed[:n-1]
 		}
-		if a, asks := receiver.NextResendRequest(now); asks {
+		if a, due := receiver.NextResendRequest(now); due {
 			for _, u := range sender.Resend(a) {
 				deliver(u.Append(nil, nil))
 			}
 		}
 	}
-	return wrong
+	return mismatches
 }
--- a/internal/planner/bench/report.go
+++ b/internal/planner/bench/report.go
@@ -16,7 +16,7 @@
 	"gonum.org/v1/plot/vg/vgimg"
 )
 
-// WriteTable prints the runs for people.
+// WriteTable prints the runs as text.
 func (r Result) WriteTable(out io.Writer) error {
 	fmt.Fprintf(out, "%d proxies, %d servers, seed %d; machine with %d cores, which the peers share; phases of %g s\n\n",
 		r.Proxies, r.Servers, r.Seed, r.CPUs, r.Seconds)
@@ -24,19 +24,19 @@
 	fmt.Fprintln(table,
 		"cores\tevents/s\torders/s\tCPU\tCPU µs/event\tat events/s\tCPU\tdrain ms p50\tp99\tp99.9\tmax\tKiB/stream\tMB\tqueue of limit\tbreaks")
 	for _, n := range r.Runs {
-		mark := ""
+		suffix := ""
 		if n.OverMachine {
-			mark = " (over the machine's)"
+			suffix = " (over the machine's)"
 		}
 		fmt.Fprintf(table, "%d%s\t%.0f\t%.0f\t%.2f\t%.2f\t%.0f\t%.2f\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%.0f\t%.0f of %.0f\t%d\n",
-			n.Cores, mark, n.EventsPerS,
+			n.Cores, suffix, n.EventsPerS,
 			n.OrdersPerS, n.CPUAtFull, n.CPUPerEvent, n.HalfRate, n.CPUAtHalf, n.Drain.P50, n.Drain.P99, n.Drain.P999, n.Drain.Max,
-			n.KiBPerStream, n.MemoryMB, n.QueueMost, n.QueueLimit, n.Breaks)
+			n.KiBPerStream, n.MemoryMB, n.MaxQueueLines, n.QueueLimit, n.ViolationCount)
 	}
 	return table.Flush()
 }
 
-// WriteJSON writes a result to a file.
+// WriteJSON writes a result to a file as indented JSON.
 func WriteJSON(file string, result any) error {
 	text, err := json.MarshalIndent(result, "", "  ")
 	if err != nil {
@@ -50,7 +50,7 @@
 	red  = color.RGBA{R: 190, G: 60, B: 40, A: 255}
 )
 
-// WritePlot draws throughput and latency against cores, side by side, as PNG.
+// WritePlot draws throughput and latency against the number of cores, side by side, as a PNG file.
 func (r Result) WritePlot(file string) error {
 	var rate, ideal, p50, p99 plotter.XYs
 	for _, n := range r.Runs {
@@ -105,11 +105,11 @@
 	return p, nil
 }
 
-// sideBySide draws charts in one row.
+// sideBySide draws charts in one row and writes them to a PNG file.
 func sideBySide(file string, charts ...*plot.Plot) error {
 	const width, height = 13 * vg.Centimeter, 10 * vg.Centimeter
 	if !strings.HasSuffix(file, ".png") {
-		return fmt.Errorf("%s: plots are PNG files", file)
+		return fmt.Errorf("%s: plot file name must end in .png", file)
 	}
 	canvas := vgimg.New(width*vg.Length(len(charts)), height)
 	for i, p := range charts {
--- a/internal/planner/bench/versions.go
+++ b/internal/planner/bench/versions.go
@@ -17,99 +17,100 @@
 	"mulleinwood/tables"
 )
 
-// Versions is what versioned tables cost, and how soon a receiver is in step again after updates were lost.
-type Versions struct {
+// VersionsResult contains the cost of versioned tables, and the time until a receiver is up to date again after updates
+// were lost.
+type VersionsResult struct {
 	Fleet
-	Seconds     int     `json:"simulated_seconds"`
-	Changes     int     `json:"changes"` // messages but for the first of each proxy
-	LineBytes   float64 `json:"line_bytes_per_change"`
-	DeltaBytes  float64 `json:"delta_bytes_per_change"`
-	WholeBytes  float64 `json:"whole_bytes_per_change"`
-	VersionCPU  float64 `json:"version_us_per_change"` // making and writing updates
-	StepCPU     float64 `json:"step_us_per_change"`    // all that the planner does in its turns, without that
-	RecordCPU   float64 `json:"record_us_per_change"`
-	RecordBytes float64 `json:"record_bytes_per_change"`
-	Losses      []Loss  `json:"losses"`
-	Deliveries  int     `json:"checked_deliveries"`
-	Wrong       int     `json:"tables_not_sent"` // held by a receiver, of all that were checked
+	Seconds       int     `json:"simulated_seconds"`
+	Changes       int     `json:"changes"` // messages except snapshots
+	LineBytes     float64 `json:"line_bytes_per_change"`
+	DeltaBytes    float64 `json:"delta_bytes_per_change"`
+	SnapshotBytes float64 `json:"whole_bytes_per_change"`
+	VersionCPU    float64 `json:"version_us_per_change"` // creating and encoding updates
+	StepCPU       float64 `json:"step_us_per_change"`    // the planner's and the scenario's other work per round
+	RecordCPU     float64 `json:"record_us_per_change"`
+	RecordBytes   float64 `json:"record_bytes_per_change"`
+	Losses        []Loss  `json:"losses"`
+	Deliveries    int     `json:"checked_deliveries"`
+	Mismatches    int     `json:"tables_not_sent"` // deliveries after which a receiver held a wrong table
 }
 
-// Loss is what happens where a share of all updates is lost. Times are simulated, with a round trip of 20 ms.
+// Loss is the result for one rate of lost updates. Times are simulated, with a round trip of 20 ms.
 type Loss struct {
-	Share float64   `json:"share"`
-	Back  Quantiles `json:"in_step_again_ms"` // from the loss; it is noticed by the next update
-	Noted Quantiles `json:"repaired_ms"`      // from when it was noticed
-	Asked int       `json:"questions"`
-	Whole int       `json:"answered_whole"`
+	Share          float64   `json:"share"`
+	Recovery       Quantiles `json:"in_step_again_ms"` // from the loss, which the receiver notices at the next update or notice
+	Repair         Quantiles `json:"repaired_ms"`      // from the time when the receiver noticed the loss
+	ResendRequests int       `json:"questions"`
+	Snapshots      int       `json:"answered_whole"`
 }
 
 const (
 	versionSeconds = 60
-	roundTrip      = 20.0
+	roundTripMS    = 20.0
 )
 
-// lossy is a proxy's receiver behind a channel that loses.
-type lossy struct {
-	receiver *tables.Receiver
-	lostAt   float64 // 0: in step
-	sentAt   float64 // the last update; 0: it has been told which that was
-	notedAt  float64 // 0: it doesn't know
+// lossyReceiver is a proxy's receiver behind a lossy channel. Times are in milliseconds of the simulated clock.
+type lossyReceiver struct {
+	receiver  *tables.Receiver
+	lostAt    float64 // first loss not yet repaired; 0: none
+	sentAt    float64 // last update that no notice has followed; 0: none
+	noticedAt float64 // when the receiver noticed a loss; 0: it knows of none
 }
 
-// MeasureVersions plays a scripted day, as CompareDecisions does, on one core.
-func MeasureVersions(f Fleet, say func(string, ...any)) (Versions, error) {
-	v := Versions{Fleet: f, Seconds: versionSeconds}
+// MeasureVersions runs the scripted day of CompareDecisions on one core, once for each loss rate.
+func MeasureVersions(f Fleet, progress func(string, ...any)) (VersionsResult, error) {
+	v := VersionsResult{Fleet: f, Seconds: versionSeconds}
 	for _, share := range []float64{0.01, 0.1, 0.5} {
-		say("losing %.0f%% of the updates", share*100)
-		if err := f.versions(&v, share); err != nil {
+		progress("dropping %.0f%% of the updates", share*100)
+		if err := f.measureVersions(&v, share); err != nil {
 			return v, err
 		}
 	}
 	return v, nil
 }
 
-// versions plays the day once. Costs are those of the last play.
-func (f Fleet) versions(v *Versions, share float64) error {
+// measureVersions runs the day once and appends its Loss to v. The costs in v are those of the last run.
+func (f Fleet) measureVersions(v *VersionsResult, lossRate float64) error {
 	origin := tables.Origin{Instance: "bench", Incarnation: 1}
-	senders, receivers := map[int]*tables.Sender{}, map[int]*lossy{}
+	senders, receivers := map[int]*tables.Sender{}, map[int]*lossyReceiver{}
 	rng := rand.New(rand.NewPCG(f.Seed, 31))
-	back, noted := hdrhistogram.New(1, maxLatency, 3), hdrhistogram.New(1, maxLatency, 3)
-	loss := Loss{Share: share}
-	var versioning time.Duration
-	v.Changes, v.LineBytes, v.DeltaBytes, v.WholeBytes = 0, 0, 0, 0
-	var kept []record.Entry
-	d := &scenarioRun{fleet: f, result: Decisions{Cores: 1}, ends: map[int]*end{}}
-	settle := func(proxy int) {
+	recovery, repair := hdrhistogram.New(1, maxLatencyMicros, 3), hdrhistogram.New(1, maxLatencyMicros, 3)
+	loss := Loss{Share: lossRate}
+	var versionTime time.Duration
+	v.Changes, v.LineBytes, v.DeltaBytes, v.SnapshotBytes = 0, 0, 0, 0
+	var entries []record.Entry
+	run := &scenarioRun{fleet: f, result: Decisions{Cores: 1}, streams: map[int]*proxyStream{}}
+	recordRecovery := func(proxy int) {
 		l := receivers[proxy]
 		_, at := l.receiver.Table()
 		switch {
 		case l.receiver.UpToDate():
-			if l.notedAt > 0 { // as far as it knows: what is lost since may not be noticed yet
-				noted.RecordValue(int64((d.group.now - l.notedAt) * 1000))
-				l.notedAt = 0
+			if l.noticedAt > 0 { // up to date as far as it knows: a later loss may be unnoticed yet
+				repair.RecordValue(int64((run.group.now - l.noticedAt) * 1000))
+				l.noticedAt = 0
 			}
-			if l.lostAt > 0 && at == newest(senders[proxy]) {
-				back.RecordValue(int64((d.group.now - l.lostAt) * 1000))
+			if l.lostAt > 0 && at == newestVersion(senders[proxy]) {
+				recovery.RecordValue(int64((run.group.now - l.lostAt) * 1000))
 				l.lostAt = 0
 			}
-		case l.notedAt == 0 && at.Number > 0:
-			l.notedAt = d.group.now
+		case l.noticedAt == 0 && at.Number > 0:
+			l.noticedAt = run.group.now
 		}
 	}
-	check := func(proxy int) { // what a receiver holds as the newest version must be that
+	check := func(proxy int) { // a table that is held under the newest version must equal the one that was sent
 		v.Deliveries++
 		held, at := receivers[proxy].receiver.Table()
 		if sent, newest := senders[proxy].Table(); at == newest && !held.Equal(sent) {
-			v.Wrong++
+			v.Mismatches++
 		}
 	}
-	order := func(proxy int, o protocol.Assignment) {
-		d.ordered(proxy, o)
-		begun := time.Now()
+	onAssignment := func(proxy int, o protocol.Assignment) {
+		run.applyAssignment(proxy, o)
+		startedAt := time.Now()
 		if senders[proxy] == nil {
 			senders[proxy], receivers[proxy] = tables.NewSender(origin, uint32(proxy),
-				nil), &lossy{receiver: tables.NewReceiver(uint32(proxy), nil)}
-			receivers[proxy].receiver.StreamStarted(d.group.now, origin)
+				nil), &lossyReceiver{receiver: tables.NewReceiver(uint32(proxy), nil)}
+			receivers[proxy].receiver.StreamStarted(run.group.now, origin)
 		}
 		s, l := senders[proxy], receivers[proxy]
 		table, _ := s.Table()
@@ -118,105 +119,105 @@
 			return
 		}
 		text := u.Append(nil, nil)
-		versioning += time.Since(begun)
+		versionTime += time.Since(startedAt)
 		if !u.Snapshot {
 			line, _ := o.Append(nil)
 			sent, at := s.Table()
 			v.Changes++
 			v.LineBytes += float64(len(line))
 			v.DeltaBytes += float64(len(text))
-			v.WholeBytes += float64(len(tables.Snapshot(sent, at, nil).Append(nil, nil)))
-			if len(kept) < 100000 {
-				kept = append(kept, record.Entry{At: time.UnixMilli(int64(d.group.now)), Cause: "weights", Update: text})
+			v.SnapshotBytes += float64(len(tables.Snapshot(sent, at, nil).Append(nil, nil)))
+			if len(entries) < 100000 {
+				entries = append(entries, record.Entry{At: time.UnixMilli(int64(run.group.now)), Cause: "weights", Update: text})
 			}
 		}
-		l.sentAt = d.group.now
-		if rng.Float64() < share {
+		l.sentAt = run.group.now
+		if rng.Float64() < lossRate {
 			if l.lostAt == 0 {
-				l.lostAt = d.group.now
+				l.lostAt = run.group.now
 			}
 			return
 		}
-		l.receiver.ApplyEncoded(d.group.now, text)
+		l.receiver.ApplyEncoded(run.group.now, text)
 		check(proxy)
-		settle(proxy)
+		recordRecovery(proxy)
 	}
 	var err error
-	if d.group, err = newGroup(f, 1, order); err != nil {
+	if run.group, err = newGroup(f, 1, onAssignment); err != nil {
 		return err
 	}
-	if err := d.begin(); err != nil {
+	if err := run.start(); err != nil {
 		return err
 	}
-	var steps time.Duration
-	draw := rand.New(rand.NewPCG(f.Seed, 12))
-	for look := range versionSeconds * 10 {
-		begun, before := time.Now(), versioning
-		if err := d.look(look, draw); err != nil {
+	var stepTime time.Duration
+	scenarioRNG := rand.New(rand.NewPCG(f.Seed, 12))
+	for round := range versionSeconds * 10 {
+		startedAt, before := time.Now(), versionTime
+		if err := run.advance(round, scenarioRNG); err != nil {
 			return err
 		}
-		steps += time.Since(begun) - (versioning - before)
-		now := d.group.now
-		for proxy, l := range receivers { // notices, questions and answers between two looks
+		stepTime += time.Since(startedAt) - (versionTime - before)
+		now := run.group.now
+		for proxy, l := range receivers { // notices, resend requests and their responses between two rounds
 			if l.sentAt > 0 && now-l.sentAt >= tables.NoticeDelayMS {
-				if l.sentAt = 0; rng.Float64() >= share {
-					l.receiver.HandleNotice(now, newest(senders[proxy]), senders[proxy].Digest())
-					settle(proxy)
+				if l.sentAt = 0; rng.Float64() >= lossRate {
+					l.receiver.HandleNotice(now, newestVersion(senders[proxy]), senders[proxy].Digest())
+					recordRecovery(proxy)
 				}
 			}
-			for at := now; at < now+decideInterval; at += roundTrip {
-				a, asks := l.receiver.NextResendRequest(at)
-				if !asks {
+			for at := now; at < now+roundIntervalMS; at += roundTripMS {
+				a, due := l.receiver.NextResendRequest(at)
+				if !due {
 					continue
 				}
-				d.group.now = at + roundTrip
-				loss.Asked++
+				run.group.now = at + roundTripMS
+				loss.ResendRequests++
 				for _, u := range senders[proxy].Resend(a) {
 					if u.Snapshot {
-						loss.Whole++
+						loss.Snapshots++
 					}
-					if rng.Float64() >= share {
-						l.receiver.ApplyEncoded(d.group.now, u.Append(nil, nil))
+					if rng.Float64() >= lossRate {
+						l.receiver.ApplyEncoded(run.group.now, u.Append(nil, nil))
 						check(proxy)
 					}
 				}
-				settle(proxy)
+				recordRecovery(proxy)
 			}
 		}
-		d.group.now = now
+		run.group.now = now
 	}
 	n := max(1, float64(v.Changes))
-	v.LineBytes, v.DeltaBytes, v.WholeBytes = v.LineBytes/n, v.DeltaBytes/n, v.WholeBytes/n
-	v.VersionCPU, v.StepCPU = float64(versioning.Microseconds())/n, float64(steps.Microseconds())/n
-	loss.Back, loss.Noted = quantiles(back), quantiles(noted)
+	v.LineBytes, v.DeltaBytes, v.SnapshotBytes = v.LineBytes/n, v.DeltaBytes/n, v.SnapshotBytes/n
+	v.VersionCPU, v.StepCPU = float64(versionTime.Microseconds())/n, float64(stepTime.Microseconds())/n
+	loss.Recovery, loss.Repair = quantiles(recovery), quantiles(repair)
 	v.Losses = append(v.Losses, loss)
-	return v.recordCost(kept)
+	return v.measureRecord(entries)
 }
 
-func newest(s *tables.Sender) tables.Version {
+func newestVersion(s *tables.Sender) tables.Version {
 	_, at := s.Table()
 	return at
 }
 
-// recordCost writes what was sent into a record, as the planner does: in batches, beside the work.
-func (v *Versions) recordCost(kept []record.Entry) error {
-	folder, err := os.MkdirTemp("", "mulleinwood-bench-")
+// measureRecord writes the entries into a record in batches, as the planner does in the background, and stores the cost.
+func (v *VersionsResult) measureRecord(entries []record.Entry) error {
+	directory, err := os.MkdirTemp("", "mulleinwood-bench-")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(folder)
-	file := filepath.Join(folder, "record.db")
+	defer os.RemoveAll(directory)
+	file := filepath.Join(directory, "record.db")
 	r, err := record.Open(file, nil, false)
 	if err != nil {
 		return err
 	}
-	begun := time.Now()
-	for i := 0; i < len(kept); i += 512 {
-		if err := r.Append(time.Now(), record.Retention{}, kept[i:min(i+512, len(kept))]...); err != nil {
+	startedAt := time.Now()
+	for i := 0; i < len(entries); i += 512 {
+		if err := r.Append(time.Now(), record.Retention{}, entries[i:min(i+512, len(entries))]...); err != nil {
 			return err
 		}
 	}
-	took := time.Since(begun)
+	elapsed := time.Since(startedAt)
 	if err := r.Close(); err != nil {
 		return err
 	}
@@ -224,37 +225,37 @@
 	if err != nil {
 		return err
 	}
-	n := max(1, float64(len(kept)))
-	v.RecordCPU, v.RecordBytes = float64(took.Microseconds())/n, float64(info.Size())/n
+	n := max(1, float64(len(entries)))
+	v.RecordCPU, v.RecordBytes = float64(elapsed.Microseconds())/n, float64(info.Size())/n
 	return nil
 }
 
-// WriteTable prints the figures for people.
-func (v Versions) WriteTable(out io.Writer) error {
+// WriteTable prints the figures as text.
+func (v VersionsResult) WriteTable(out io.Writer) error {
 	fmt.Fprintf(out, "%d proxies, %d servers, seed %d; %d s, simulated servers and clock\n\n", v.Proxies, v.Servers, v.Seed,
 		v.Seconds)
 	fmt.Fprintf(out, "%d changes: a line %.0f bytes, a delta %.0f, a whole table %.0f (delta %.0f%% of whole)\n", v.Changes,
 		v.LineBytes, v.DeltaBytes,
-		v.WholeBytes, 100*v.DeltaBytes/v.WholeBytes)
+		v.SnapshotBytes, 100*v.DeltaBytes/v.SnapshotBytes)
 	fmt.Fprintf(out,
 		"versions %.1f µs a change, the rest of the planner's and the day's work %.1f µs; record %.1f µs and %.0f bytes a change\n", v.VersionCPU,
 		v.StepCPU, v.RecordCPU, v.RecordBytes)
-	fmt.Fprintf(out, "%d deliveries checked, %d tables held that were not sent\n\n", v.Deliveries, v.Wrong)
+	fmt.Fprintf(out, "%d deliveries checked, %d tables held that were not sent\n\n", v.Deliveries, v.Mismatches)
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "lost\tin step again ms p50\tp99\tmax\tsince noticed p50\tp99\tmax\tlosses\tquestions\tanswered whole")
 	for _, l := range v.Losses {
-		fmt.Fprintf(table, "%.0f%%\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%d\t%d\t%d\n", 100*l.Share, l.Back.P50, l.Back.P99,
-			l.Back.Max, l.Noted.P50, l.Noted.P99, l.Noted.Max, l.Back.Count, l.Asked, l.Whole)
+		fmt.Fprintf(table, "%.0f%%\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%d\t%d\t%d\n", 100*l.Share, l.Recovery.P50,
+			l.Recovery.P99, l.Recovery.Max, l.Repair.P50, l.Repair.P99, l.Repair.Max, l.Recovery.Count, l.ResendRequests, l.Snapshots)
 	}
 	return table.Flush()
 }
 
-// WritePlot draws how soon receivers are in step again.
-func (v Versions) WritePlot(file string) error {
+// WritePlot draws the recovery time of receivers against the loss rate.
+func (v VersionsResult) WritePlot(file string) error {
 	var p50, p99 plotter.XYs
 	for _, l := range v.Losses {
-		p50 = append(p50, plotter.XY{X: 100 * l.Share, Y: l.Back.P50})
-		p99 = append(p99, plotter.XY{X: 100 * l.Share, Y: l.Back.P99})
+		p50 = append(p50, plotter.XY{X: 100 * l.Share, Y: l.Recovery.P50})
+		p99 = append(p99, plotter.XY{X: 100 * l.Share, Y: l.Recovery.P99})
 	}
 	p, err := chart(fmt.Sprintf("In step again after a loss (%d proxies)", v.Proxies), "ms", series{"p50", blue, p50, false},
 		series{"p99", red, p99, false})
--- a/internal/planner/standin/discovery.go
+++ b/internal/planner/standin/discovery.go
@@ -14,49 +14,49 @@
 	"mulleinwood/internal/planner/protocol"
 )
 
-// quiet is how often a watch says that nothing has changed.
-const quiet = 2 * time.Second
+// keepaliveInterval is the interval of the empty lines that a watch sends while nothing changes.
+const keepaliveInterval = 2 * time.Second
 
-// Discovery keeps a list of servers, answers with all of it and tells watches of changes.
+// Discovery is a discovery service: it holds a list of servers, returns all of it and streams changes to watches.
 type Discovery struct {
 	*service
-	mu       sync.Mutex
-	revision int64
-	members  map[string]protocol.Member
-	changed  map[string]int64 // revision of each member's last change
-	next     chan struct{}    // closed at the next change
-	finish   chan struct{}    // closed to end the watches in good order
-	down     bool
-	hushed   bool
-	garbled  string // written to watches at their next line, once
-	watches  int    // begun so far
+	mu              sync.Mutex
+	revision        int64
+	members         map[string]protocol.Member
+	changeRevisions map[string]int64 // revision of each member's last change
+	nextChange      chan struct{}    // closed at the next change
+	finishWatches   chan struct{}    // closed to end the watches gracefully
+	down            bool
+	silent          bool
+	garbled         string // replaces the next line of one watch
+	watches         int    // watches started so far
 }
 
-// NewDiscovery starts one on the address.
+// NewDiscovery starts a discovery service on the address.
 func NewDiscovery(address string) (*Discovery, error) {
 	s, err := listen(address)
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{service: s, members: map[string]protocol.Member{}, changed: map[string]int64{},
-		next: make(chan struct{}), finish: make(chan struct{})}
-	s.serve(d.answer)
+	d := &Discovery{service: s, members: map[string]protocol.Member{}, changeRevisions: map[string]int64{},
+		nextChange: make(chan struct{}), finishWatches: make(chan struct{})}
+	s.serve(d.handle)
 	return d, nil
 }
 
-// Change sets members; one in the phase removed leaves the list.
+// Change adds or replaces members. A member in the phase removed leaves the list.
 func (d *Discovery) Change(members ...protocol.Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision++
 	for _, m := range members {
-		d.members[m.ID], d.changed[m.ID] = m, d.revision
+		d.members[m.ID], d.changeRevisions[m.ID] = m, d.revision
 	}
-	close(d.next)
-	d.next = make(chan struct{})
+	close(d.nextChange)
+	d.nextChange = make(chan struct{})
 }
 
-// SetDown makes every call fail with 503 until it is up again, and breaks the watches.
+// SetDown sets whether every call fails with status 503. Going down also resets the open connections.
 func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	d.down = down
@@ -66,66 +66,67 @@
 	}
 }
 
-// Finish ends the watches that are open with their last chunk.
+// Finish ends the open watches gracefully with the last chunk.
 func (d *Discovery) Finish() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	close(d.finish)
-	d.finish = make(chan struct{})
+	close(d.finishWatches)
+	d.finishWatches = make(chan struct{})
 }
 
-// SetHushed lets watches that begin from now on stay without a byte, as if the machine had vanished.
-func (d *Discovery) SetHushed(hushed bool) {
+// SetSilent sets whether new watches receive no bytes at all, as if the machine had vanished.
+func (d *Discovery) SetSilent(silent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.hushed = hushed
+	d.silent = silent
 }
 
-// Garble writes something that is no list to every watch.
+// Garble makes the next line that a watch sends contain the text in place of a list.
 func (d *Discovery) Garble(text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.garbled = text
-	close(d.next)
-	d.next = make(chan struct{})
+	close(d.nextChange)
+	d.nextChange = make(chan struct{})
 }
 
-// Watches is how many watches have begun.
+// Watches returns the number of watches started so far.
 func (d *Discovery) Watches() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.watches
 }
 
-// List is the list as it stands; with from, only what changed after that revision. From a revision that has not been
-// reached, which is another service's, nothing can be told apart, so it is the whole list.
+// List returns the members that changed after the revision from, and a channel that is closed at the next change. The list
+// is complete if from is negative, or if it is a revision not reached yet: that revision belongs to another service, and the
+// changes since it are unknown.
 func (d *Discovery) List(from int64) (list protocol.List, next chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	whole := from < 0 || from > d.revision
-	list = protocol.List{Revision: d.revision, Complete: whole, Members: []protocol.Member{}}
+	complete := from < 0 || from > d.revision
+	list = protocol.List{Revision: d.revision, Complete: complete, Members: []protocol.Member{}}
 	for _, id := range slices.Sorted(maps.Keys(d.members)) {
 		m := d.members[id]
-		if list.Complete && m.Phase != protocol.PhaseRemoved || !list.Complete && d.changed[id] > from {
+		if list.Complete && m.Phase != protocol.PhaseRemoved || !list.Complete && d.changeRevisions[id] > from {
 			list.Members = append(list.Members, m)
 		}
 	}
-	return list, d.next
+	return list, d.nextChange
 }
 
-func (d *Discovery) answer(nc net.Conn, r *http.Request) error {
+func (d *Discovery) handle(nc net.Conn, r *http.Request) error {
 	d.mu.Lock()
 	down := d.down
 	d.mu.Unlock()
 	switch query := r.URL.Query(); {
 	case down:
-		return reply(nc, http.StatusServiceUnavailable, "")
+		return writeResponse(nc, http.StatusServiceUnavailable, "")
 	case r.URL.Path != "/v1/endpoints":
-		return reply(nc, http.StatusNotFound, "")
+		return writeResponse(nc, http.StatusNotFound, "")
 	case query.Get("watch") == "1":
 		from, err := strconv.ParseInt(query.Get("from"), 10, 64)
 		if err != nil {
-			return reply(nc, http.StatusBadRequest, "")
+			return writeResponse(nc, http.StatusBadRequest, "")
 		}
 		return d.watch(nc, from)
 	default:
@@ -134,21 +135,21 @@
 		if err != nil {
 			return err
 		}
-		return reply(nc, http.StatusOK, string(text))
+		return writeResponse(nc, http.StatusOK, string(text))
 	}
 }
 
-// watch writes until the connection ends.
+// watch streams changes after the revision from until the connection or the service ends.
 func (d *Discovery) watch(nc net.Conn, from int64) error {
 	d.mu.Lock()
 	d.watches++
-	finish, hushed := d.finish, d.hushed
+	finish, silent := d.finishWatches, d.silent
 	d.mu.Unlock()
-	if hushed {
-		<-d.over
+	if silent {
+		<-d.closed
 		return net.ErrClosed
 	}
-	head := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	header := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for {
 		list, next := d.List(from)
 		d.mu.Lock()
@@ -166,18 +167,18 @@
 		if garbled != "" {
 			line = []byte(garbled)
 		}
-		if _, err := fmt.Fprintf(nc, "%s%x\r\n%s\r\n", head, len(line), line); err != nil {
+		if _, err := fmt.Fprintf(nc, "%s%x\r\n%s\r\n", header, len(line), line); err != nil {
 			return err
 		}
-		head = ""
+		header = ""
 		select {
 		case <-next:
-		case <-d.over:
+		case <-d.closed:
 			return net.ErrClosed
 		case <-finish:
 			_, err := fmt.Fprint(nc, "0\r\n\r\n")
 			return err
-		case <-time.After(quiet):
+		case <-time.After(keepaliveInterval):
 		}
 	}
 }
--- a/internal/planner/standin/server.go
+++ b/internal/planner/standin/server.go
@@ -6,52 +6,52 @@
 	"sync"
 )
 
-// Server answers probes.
+// Server is a server that answers HTTP probes.
 type Server struct {
 	*service
 	mu     sync.Mutex
 	status int
 	load   string
-	probed int
+	probes int
 }
 
-// NewServer starts one on the address. It answers 200 with a load report.
+// NewServer starts a server on the address. It answers probes with status 200 and a load report.
 func NewServer(address string) (*Server, error) {
 	ln, err := listen(address)
 	if err != nil {
 		return nil, err
 	}
 	s := &Server{service: ln, status: http.StatusOK, load: "inflight=0,util=0.10"}
-	ln.serve(s.answer)
+	ln.serve(s.handle)
 	return s, nil
 }
 
-// Set says how probes are answered from now on. Status 0 stands for no answer at all.
+// Set sets the status and the load report that answer later probes. Status 0 means no answer at all.
 func (s *Server) Set(status int, load string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.status, s.load = status, load
 }
 
-// Probed is how many probes have come.
+// Probed returns the number of probes received.
 func (s *Server) Probed() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.probed
+	return s.probes
 }
 
-func (s *Server) answer(nc net.Conn, r *http.Request) error {
+func (s *Server) handle(nc net.Conn, r *http.Request) error {
 	s.mu.Lock()
-	s.probed++
+	s.probes++
 	status, load := s.status, s.load
 	s.mu.Unlock()
 	switch {
 	case status == 0:
 		return nil
 	case r.URL.Path == "/health":
-		return reply(nc, status, "")
+		return writeResponse(nc, status, "")
 	case r.URL.Path == "/status/load":
-		return reply(nc, status, load)
+		return writeResponse(nc, status, load)
 	}
-	return reply(nc, http.StatusNotFound, "")
+	return writeResponse(nc, http.StatusNotFound, "")
 }
--- a/internal/planner/xds/mixed_test.go
+++ b/internal/planner/xds/mixed_test.go
@@ -74,11 +74,11 @@
 					delete(p.table, r.Server)
 				}
 			}
-			for _, class := range part.For {
-				p.levels[class] = *part.Gate
+			for _, class := range part.Classes {
+				p.levels[class] = *part.Level
 			}
-			if part.Stamp != nil {
-				p.stamps = append(p.stamps, *part.Stamp)
+			if part.Token != nil {
+				p.stamps = append(p.stamps, *part.Token)
 			}
 		}
 		return nil
@@ -293,7 +293,7 @@
 				}
 				update, err := c.loads.HandleRequest(&load.LoadStatsRequest{ClusterStats: []*endpoint.ClusterStats{{LoadReportInterval: durationpb.New(time.Second),
 					UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{{UpstreamEndpointStats: []*endpoint.UpstreamEndpointStats{
-						standin.Met(fmt.Sprint("s-", i), tries, failed, float64(mean))}}}}}})
+						standin.EndpointStats(fmt.Sprint("s-", i), tries, failed, float64(mean))}}}}}})
 				if err != nil || len(update.Invalid) > 0 {
 					t.Fatal(err, update.Invalid)
 				}
