--- a/cmd/simulate/play.go
+++ b/cmd/simulate/play.go
@@ -170,7 +170,7 @@
 	}
 	name := strings.TrimSuffix(filepath.Base(path), ".toml")
 	verdict := days.Verdict{Day: name, Seed: day.Seed, Digest: fmt.Sprintf("%.8x", sha256.Sum256(text))}
-	if closed := catalogue.Closed(day, site); len(closed) > 0 {
+	if closed := catalogue.UnsupportedKinds(day, site); len(closed) > 0 {
 		verdict.Outcome, verdict.Notes = days.NotForSite, []string{"not open here: " + strings.Join(closed, ", ")}
 	}
 	return scheduledPlay{path, verdict}, nil
@@ -337,7 +337,7 @@
 		gate = "failed"
 	}
 	fmt.Printf("%-44s seed %-8d gate %s score %.3f served %.3f refused %.3f failed %.3f broken: %s\n",
-		verdict.Day, verdict.Seed, gate, verdict.Score, verdict.Served, verdict.Refused, verdict.Failed, verdict.Rules())
+		verdict.Day, verdict.Seed, gate, verdict.Score, verdict.Served, verdict.Refused, verdict.Failed, verdict.BrokenRules())
 }
 
 // summarize prints the days that did not pass, worst first, and the sums.
@@ -352,7 +352,7 @@
 			low, summary.MostRefused)
 	}
 	for _, verdict := range verdicts {
-		if verdict.Outcome == days.NotForSite || verdict.Sound() && verdict.Score >= low {
+		if verdict.Outcome == days.NotForSite || verdict.Passed() && verdict.Score >= low {
 			continue
 		}
 		printVerdict(verdict)
--- a/internal/days/catalogue.go
+++ b/internal/days/catalogue.go
@@ -1,8 +1,7 @@
-// Package days draws days of trouble for the users' bench, and reads what the bench said of the days it played.
+// Package days generates random fault scenarios, called days, for the users' bench and parses the reports of the bench.
 //
-// A day is a list of troubles at set times. The kinds of trouble and the ranges of their fields are data (days/kinds.toml);
-// what a deployment can take is read from its site file. The package does no input or output of its own, and equal
-// arguments give equal days.
+// A day is a list of events at fixed times. The kinds of events and the ranges of their fields are data (days/kinds.toml);
+// the limits of a deployment are read from its site file. The package performs no I/O, and equal arguments give equal days.
 package days
 
 import (
@@ -13,10 +12,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Group says which part of a deployment a kind of trouble strikes.
+// Group is the part of a deployment that a kind of event affects.
 type Group string
 
-// The groups of trouble. Core and operator together are the control side.
+// The groups of events. Core and Operator form the control side.
 const (
 	Core     Group = "core"
 	Edge     Group = "edge"
@@ -30,31 +29,31 @@
 
 var groups = []Group{Core, Edge, Server, Client, Operator}
 
-// Range holds the lowest and the highest value of a field. The zero range leaves the field out of a trouble.
+// Range holds the lowest and the highest value of a field. The zero Range leaves the field out of an event.
 type Range [2]float64
 
 func (r Range) valid() bool { return 0 <= r[0] && r[0] <= r[1] }
 
-// Counts holds the lowest and the highest number of things struck; Tolerated stands for what the site bears the loss of.
+// Counts holds the lowest and the highest number of affected machines. A bound may be Tolerated.
 type Counts [2]int
 
-// Tolerated is, as a bound of Counts, the number of machines that a site bears the loss of.
+// Tolerated is a bound of Counts that stands for the number of failed machines that a site tolerates.
 const Tolerated = -1
 
 func (c Counts) valid() bool {
 	return c[0] >= Tolerated && c[1] >= Tolerated && (c[0] <= c[1] || c[1] == Tolerated)
 }
 
-// Kind is a kind of trouble with the ranges that its fields are drawn from.
+// Kind is a kind of event with the ranges from which its fields are drawn.
 type Kind struct {
 	Name     string   `toml:"name"`
 	Group    Group    `toml:"group"`
-	Planned  bool     `toml:"planned"`  // planned work, not a fault
-	Contract string   `toml:"contract"` // the part of the rules that must be in force; "" for none
-	On       string   `toml:"on"`       // the class of machines
+	Planned  bool     `toml:"planned"`  // planned maintenance, not a fault
+	Contract string   `toml:"contract"` // the contract that must be in force at the site; "" for none
+	On       string   `toml:"on"`       // the class of affected machines
 	How      []string `toml:"how"`      // variants, one of which is drawn
-	Follow   []string `toml:"follow"`   // words that may stand after the variant
-	Weight   int      `toml:"weight"`   // how often it is drawn, 1 if not given
+	Follow   []string `toml:"follow"`   // suffixes that may be appended to the variant
+	Weight   int      `toml:"weight"`   // relative frequency; 1 if not given
 	Share    Range    `toml:"share"`
 	X        Range    `toml:"x"`
 	ForS     Range    `toml:"for_s"`
@@ -62,20 +61,20 @@
 	Count    Counts   `toml:"count"`
 }
 
-// ClosingKind is a way in which a day can close.
+// ClosingKind is a kind of fault at the end of a day, with the range of its duration.
 type ClosingKind struct {
 	Kind  string   `toml:"kind"`
 	How   []string `toml:"how"`
 	DownS Range    `toml:"down_s"`
 }
 
-// Catalogue lists all kinds of trouble that days are drawn from.
+// Catalogue lists all kinds of events and closing faults that days are drawn from.
 type Catalogue struct {
 	Kinds    []Kind        `toml:"kind"`
 	Closings []ClosingKind `toml:"closing"`
 }
 
-// ParseCatalogue reads a catalogue and refuses unknown fields, unknown groups and impossible ranges.
+// ParseCatalogue parses a catalogue. It rejects unknown fields, unknown groups and ranges whose minimum exceeds the maximum.
 func ParseCatalogue(text []byte) (Catalogue, error) {
 	var c Catalogue
 	if err := decodeStrictly(text, &c); err != nil {
@@ -89,13 +88,13 @@
 	}
 	for _, closing := range c.Closings {
 		if closing.Kind == "" || !closing.DownS.valid() {
-			return Catalogue{}, fmt.Errorf("closing %q: no kind, or a range from high to low", closing.Kind)
+			return Catalogue{}, fmt.Errorf("closing %q: kind is missing or the range is invalid", closing.Kind)
 		}
 	}
 	return c, nil
 }
 
-// Without returns the catalogue less the kinds of these names.
+// Without returns a copy of the catalogue that lacks the named kinds.
 func (c Catalogue) Without(names ...string) Catalogue {
 	named := func(k Kind) bool { return slices.Contains(names, k.Name) }
 	c.Kinds = slices.DeleteFunc(slices.Clone(c.Kinds), named)
@@ -105,30 +104,30 @@
 func (k Kind) check() error {
 	switch {
 	case k.Name == "":
-		return fmt.Errorf("a kind without a name")
+		return fmt.Errorf("kind has no name")
 	case !slices.Contains(groups, k.Group):
 		return fmt.Errorf("%s: unknown group %q", k.Name, k.Group)
 	case !k.Count.valid() || !k.Share.valid() || !k.X.valid() || !k.ForS.valid() || !k.GapS.valid():
-		return fmt.Errorf("%s: a range from high to low", k.Name)
+		return fmt.Errorf("%s: range is invalid: the minimum exceeds the maximum", k.Name)
 	}
 	return nil
 }
 
-// Closed returns the names of a day's kinds that the site cannot take, because a contract that they need is not in force
-// there. Kinds that the catalogue does not know are taken to be open.
-func (c Catalogue) Closed(d Day, s Site) []string {
-	var closed []string
-	for _, t := range d.Troubles() {
+// UnsupportedKinds returns the names of the kinds in a day that the site doesn't support, because a contract that they need
+// isn't in force there. Kinds that aren't in the catalogue count as supported.
+func (c Catalogue) UnsupportedKinds(d Day, s Site) []string {
+	var unsupported []string
+	for _, t := range d.Events() {
 		named := func(k Kind) bool { return k.Name == t.Kind }
-		open := func(k Kind) bool { return named(k) && s.Open(k) }
-		if slices.ContainsFunc(c.Kinds, named) && !slices.ContainsFunc(c.Kinds, open) {
-			closed = append(closed, t.Kind)
+		supported := func(k Kind) bool { return named(k) && s.Supports(k) }
+		if slices.ContainsFunc(c.Kinds, named) && !slices.ContainsFunc(c.Kinds, supported) {
+			unsupported = append(unsupported, t.Kind)
 		}
 	}
-	slices.Sort(closed)
-	return slices.Compact(closed)
+	slices.Sort(unsupported)
+	return slices.Compact(unsupported)
 }
 
-func decodeStrictly(text []byte, into any) error {
-	return toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(into)
+func decodeStrictly(text []byte, target any) error {
+	return toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(target)
 }
--- a/internal/days/day.go
+++ b/internal/days/day.go
@@ -8,8 +8,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Trouble is one entry of a day.
-type Trouble struct {
+// Event is a planned operation or a fault in a day.
+type Event struct {
 	At      float64 `toml:"at"` // seconds from the start of traffic
 	Kind    string  `toml:"kind"`
 	On      string  `toml:"on,omitempty"`
@@ -26,47 +26,47 @@
 	Class   string  `toml:"class,omitempty"`
 }
 
-// Closing is the fault that strikes at the end of a day.
+// Closing is the fault at the end of a day.
 type Closing struct {
 	Kind  string  `toml:"kind"`
 	How   string  `toml:"how,omitempty"`
 	DownS float64 `toml:"down_s"`
 }
 
-// Day is a day of trouble as the bench reads it. What is left out is taken from the site.
+// Day is a fault scenario in the format of the bench. The bench takes omitted fields from the site.
 type Day struct {
-	Name    string    `toml:"name"`
-	Slot    string    `toml:"slot"`
-	Seed    uint64    `toml:"seed"`
-	LengthS float64   `toml:"length_s,omitempty"`
-	Closing *Closing  `toml:"closing,omitempty,inline"`
-	Plan    []Trouble `toml:"plan,omitempty"`
-	Faults  []Trouble `toml:"faults,omitempty"`
+	Name    string   `toml:"name"`
+	Slot    string   `toml:"slot"`
+	Seed    uint64   `toml:"seed"`
+	LengthS float64  `toml:"length_s,omitempty"`
+	Closing *Closing `toml:"closing,omitempty,inline"`
+	Plan    []Event  `toml:"plan,omitempty"`
+	Faults  []Event  `toml:"faults,omitempty"`
 }
 
-// Troubles returns the planned work and the faults of the day together.
-func (d Day) Troubles() []Trouble { return slices.Concat(d.Plan, d.Faults) }
+// Events returns the planned work of the day followed by its faults.
+func (d Day) Events() []Event { return slices.Concat(d.Plan, d.Faults) }
 
-// ParseDay reads a day and refuses unknown fields.
+// ParseDay parses a day. It rejects unknown fields and a day without a name.
 func ParseDay(text []byte) (Day, error) {
 	var d Day
 	if err := decodeStrictly(text, &d); err != nil {
 		return Day{}, err
 	}
 	if d.Name == "" {
-		return Day{}, fmt.Errorf("a day without a name")
+		return Day{}, fmt.Errorf("day has no name")
 	}
 	return d, nil
 }
 
-// Encode writes the day as TOML.
+// Encode returns the day as TOML.
 func (d Day) Encode() ([]byte, error) {
 	var out bytes.Buffer
 	err := toml.NewEncoder(&out).Encode(d)
 	return out.Bytes(), err
 }
 
-// Site is what days need to know of a deployment.
+// Site describes a deployment as far as days depend on it.
 type Site struct {
 	Name      string   `toml:"name"`
 	Contracts []string `toml:"contracts"`
@@ -76,17 +76,19 @@
 	} `toml:"tolerate"`
 }
 
-// ParseSite reads what days need from a site file.
+// ParseSite parses a site file. Fields that Site lacks are ignored; name and a positive length_s are required.
 func ParseSite(text []byte) (Site, error) {
 	var s Site
 	if err := toml.Unmarshal(text, &s); err != nil {
 		return Site{}, err
 	}
 	if s.Name == "" || s.LengthS <= 0 {
-		return Site{}, fmt.Errorf("a site file needs name and length_s")
+		return Site{}, fmt.Errorf("site file has no name or no positive length_s")
 	}
 	return s, nil
 }
 
-// Open reports whether the site can take troubles of a kind.
-func (s Site) Open(k Kind) bool { return k.Contract == "" || slices.Contains(s.Contracts, k.Contract) }
+// Supports reports whether the contract that a kind needs is in force at the site.
+func (s Site) Supports(k Kind) bool {
+	return k.Contract == "" || slices.Contains(s.Contracts, k.Contract)
+}
--- a/internal/days/days_test.go
+++ b/internal/days/days_test.go
@@ -43,46 +43,46 @@
 			if d.Closing != nil {
 				closings[d.Closing.Kind]++
 			}
-			if overlap(d.Troubles()) {
+			if overlap(d.Events()) {
 				overlapping++
 			}
 		}
 	}
 	if overlapping < 500 {
-		t.Errorf("troubles overlap on %d of 1000 days only", overlapping)
+		t.Errorf("events overlap on only %d of 1000 days", overlapping)
 	}
 	for _, k := range c.Closings {
 		if closings[k.Kind] < 100 {
-			t.Errorf("%s closes %d of 1000 days only", k.Kind, closings[k.Kind])
+			t.Errorf("%s closes only %d of 1000 days", k.Kind, closings[k.Kind])
 		}
 	}
 }
 
 func checkDrawn(t *testing.T, c Catalogue, site Site, d Day) {
 	t.Helper()
-	troubles, control := d.Troubles(), 0
-	for _, tr := range troubles {
+	events, control := d.Events(), 0
+	for _, tr := range events {
 		if slices.ContainsFunc(c.Kinds, func(k Kind) bool { return k.Name == tr.Kind && k.On == tr.On && k.Group.Control() }) {
 			control++
 		}
-		if tr.At < firstAt || tr.At > site.LengthS-lastGap {
-			t.Errorf("%s: %s at %.2f s", d.Name, tr.Kind, tr.At)
+		if tr.At < earliestStartS || tr.At > site.LengthS-endMarginS {
+			t.Errorf("%s: %s starts at %.2f s, outside the allowed span", d.Name, tr.Kind, tr.At)
 		}
 		if tr.Kind == "core_cut" && tr.Count != site.Tolerate.Machines {
-			t.Errorf("%s: %d machines cut off, %d are tolerated", d.Name, tr.Count, site.Tolerate.Machines)
+			t.Errorf("%s: %d machines cut off, want the %d tolerated ones", d.Name, tr.Count, site.Tolerate.Machines)
 		}
 	}
-	if n := len(troubles); n < minTroubles || n > maxTroubles || control < 2 {
-		t.Errorf("%s: %d troubles, %d of the control side", d.Name, n, control)
+	if n := len(events); n < minEvents || n > maxEvents || control < 2 {
+		t.Errorf("%s: %d events, %d on the control side", d.Name, n, control)
 	}
-	if closed := c.Closed(d, site); len(closed) > 0 {
-		t.Errorf("%s: the site cannot take %v", d.Name, closed)
+	if unsupported := c.UnsupportedKinds(d, site); len(unsupported) > 0 {
+		t.Errorf("%s: the site doesn't support %v", d.Name, unsupported)
 	}
 }
 
-func overlap(troubles []Trouble) bool {
-	for i, a := range troubles {
-		for j, b := range troubles {
+func overlap(events []Event) bool {
+	for i, a := range events {
+		for j, b := range events {
 			if i != j && a.At <= b.At && b.At < a.At+a.ForS {
 				return true
 			}
@@ -96,7 +96,7 @@
 	a, _ := Draw(c, site, 7)
 	b, _ := Draw(c, site, 7)
 	other, _ := Draw(c, site, 8)
-	if !reflect.DeepEqual(a, b) || reflect.DeepEqual(a.Troubles(), other.Troubles()) {
+	if !reflect.DeepEqual(a, b) || reflect.DeepEqual(a.Events(), other.Events()) {
 		t.Errorf("seed 7: %v and %v; seed 8: %v", a, b, other)
 	}
 	text, err := a.Encode()
@@ -104,7 +104,7 @@
 		t.Fatal(err)
 	}
 	if back, err := ParseDay(text); err != nil || !reflect.DeepEqual(a, back) {
-		t.Errorf("%v, written and read back: %v, %v", a, back, err)
+		t.Errorf("%v encoded and parsed again: %v, %v", a, back, err)
 	}
 }
 
@@ -125,11 +125,11 @@
 		}
 		d, err := ParseDay(text)
 		if err != nil || d.Name != name {
-			t.Errorf("%s: named %q, %v", file, d.Name, err)
+			t.Errorf("%s: name %q, error %v", file, d.Name, err)
 		}
-		for _, tr := range d.Troubles() {
+		for _, tr := range d.Events() {
 			if !slices.ContainsFunc(c.Kinds, func(k Kind) bool { return k.Name == tr.Kind }) {
-				t.Errorf("%s: the catalogue does not know %s", name, tr.Kind)
+				t.Errorf("%s: %s is not in the catalogue", name, tr.Kind)
 			}
 			if strings.HasPrefix(name, "alone-"+tr.Kind) {
 				alone[tr.Kind] = true
@@ -138,7 +138,7 @@
 	}
 	for _, k := range c.Kinds {
 		if !alone[k.Name] {
-			t.Errorf("no day holds %s alone", k.Name)
+			t.Errorf("no hand-written day contains %s alone", k.Name)
 		}
 	}
 }
@@ -151,12 +151,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if slices.ContainsFunc(d.Troubles(), func(tr Trouble) bool { return tr.Kind == "replace_core" }) {
-			t.Errorf("%s holds what was left out", d.Name)
+		if slices.ContainsFunc(d.Events(), func(tr Event) bool { return tr.Kind == "replace_core" }) {
+			t.Errorf("%s contains the excluded kind", d.Name)
 		}
 	}
 	if len(c.Kinds) != all {
-		t.Error("the catalogue itself has lost kinds")
+		t.Error("Without modified the original catalogue")
 	}
 }
 
@@ -164,17 +164,17 @@
 	for _, text := range []string{"[[kind]]\nname='a'\ngroup='moon'", "[[kind]]\nname='a'\ngroup='core'\nx=[2,1]",
 		"[[kind]]\ngroup='core'", "[[kind]]\nname='a'\ngroup='core'\ncolour=1", "[[closing]]\nkind='a'\ndown_s=[2,1]"} {
 		if _, err := ParseCatalogue([]byte(text)); err == nil {
-			t.Errorf("taken: %s", text)
+			t.Errorf("catalogue accepted: %s", text)
 		}
 	}
 	if _, err := ParseDay([]byte("name='a'\nfault=[]")); err == nil {
-		t.Error("a day with an unknown field is taken")
+		t.Error("day with an unknown field accepted")
 	}
 	if _, err := ParseSite([]byte("name='a'")); err == nil {
-		t.Error("a site without a length is taken")
+		t.Error("site without a length accepted")
 	}
 	if _, err := Draw(Catalogue{}, testSite(1), 1); err == nil {
-		t.Error("a day is drawn from nothing")
+		t.Error("Draw accepted an empty catalogue")
 	}
 }
 
@@ -183,19 +183,19 @@
 	if err := broken.Fill([]byte(`{"G":0.7,"refused":0.08,"breaks":{"CONFIG":2,"ACK":1},"first":[{"rule":"CONFIG","at_s":9,"what":"old"}]}`)); err != nil {
 		t.Fatal(err)
 	}
-	if broken.Sound() || broken.Rules() != "ACK 1, CONFIG 2" || broken.Notes[0] != "CONFIG at 9.000 s: old" {
+	if broken.Passed() || broken.BrokenRules() != "ACK 1, CONFIG 2" || broken.Notes[0] != "CONFIG at 9.000 s: old" {
 		t.Errorf("broken: %+v", broken)
 	}
 	for _, report := range []string{`{"fault":"too slow"}`, `{"short":["floor"]}`} {
-		if v := (Verdict{}); v.Fill([]byte(report)) != nil || v.Sound() || len(v.Notes) != 1 {
+		if v := (Verdict{}); v.Fill([]byte(report)) != nil || v.Passed() || len(v.Notes) != 1 {
 			t.Errorf("%s: %+v", report, v)
 		}
 	}
-	sound := Verdict{Day: "s"}
-	if err := sound.Fill([]byte(`{"G":0.95,"fault":null}`)); err != nil || !sound.Sound() {
-		t.Errorf("sound: %+v, %v", sound, err)
+	passing := Verdict{Day: "s"}
+	if err := passing.Fill([]byte(`{"G":0.95,"fault":null}`)); err != nil || !passing.Passed() {
+		t.Errorf("passing: %+v, %v", passing, err)
 	}
-	all := []Verdict{{Day: "n", Outcome: NotForSite}, sound, broken, {Day: "x", Outcome: NotPlayed}}
+	all := []Verdict{{Day: "n", Outcome: NotForSite}, passing, broken, {Day: "x", Outcome: NotPlayed}}
 	s := Summarize(all, 0.9)
 	if s.Played != 2 || s.Passed != 1 || s.Low != 1 || s.NotForSite != 1 || s.NotPlayed != 1 || s.Lowest != 0.7 || s.Broken["CONFIG"] != 1 {
 		t.Errorf("summary: %+v", s)
--- a/internal/days/draw.go
+++ b/internal/days/draw.go
@@ -9,31 +9,32 @@
 	"strings"
 )
 
-// Bounds of a drawn day.
+// Parameters of drawn days.
 const (
-	streamOfDays = 1 // second half of the random source: other draws from the same seed differ
+	dayStream = 1 // PCG stream of days, so that other generators with the same seed draw other numbers
 
-	minTroubles = 3
-	maxTroubles = 7
-	firstAt     = 1.5 // seconds from the start of traffic
-	lastGap     = 2.0 // seconds between the start of the last trouble and the end of the day
+	minEvents      = 3
+	maxEvents      = 7
+	earliestStartS = 1.5 // seconds from the start of traffic
+	endMarginS     = 2.0 // seconds between the latest start of an event and the end of the day
 
-	overlaps = 0.5  // share of troubles that begin while the one drawn before them goes on
-	repeats  = 0.25 // share of troubles of the control side whose kind the day holds already
-	follows  = 0.35 // share of variants that are followed by a further word
-	closes   = 0.6  // share of days with a closing fault
+	overlapShare = 0.5  // share of events that start during the previously drawn event
+	repeatShare  = 0.25 // share of control-side events that repeat a kind of the same day
+	followShare  = 0.35 // share of variants with a suffix from Kind.Follow
+	closingShare = 0.6  // share of days with a closing fault
 )
 
-// Draw draws a day for a site: three to seven troubles, at least two of them of the control side, often overlapping, and
-// in most days a closing fault. Equal arguments give equal days.
+// Draw generates a day for a site: three to seven often overlapping events, at least two of them on the control side, and
+// in most days a closing fault. Equal arguments give equal days. It fails if the site supports no control-side kind or no
+// other kind of the catalogue.
 func Draw(catalogue Catalogue, site Site, seed uint64) (Day, error) {
-	g := generator{rand: rand.New(rand.NewPCG(seed, streamOfDays)), site: site}
+	g := generator{rand: rand.New(rand.NewPCG(seed, dayStream)), site: site}
 	control, other := catalogue.split(site)
 	if len(control) == 0 || len(other) == 0 {
-		return Day{}, fmt.Errorf("site %s: the catalogue holds no kinds of one side", site.Name)
+		return Day{}, fmt.Errorf("site %s: no supported kinds on the control side or none outside it", site.Name)
 	}
 	day := Day{Name: fmt.Sprintf("drawn-%d", seed), Slot: "trouble", Seed: seed}
-	count := minTroubles + g.rand.IntN(maxTroubles-minTroubles+1)
+	count := minEvents + g.rand.IntN(maxEvents-minEvents+1)
 	controlCount := 2 + g.rand.IntN(count-1)
 	var drawn []Kind
 	for i := range count {
@@ -44,20 +45,20 @@
 		}
 		g.add(&day, kind)
 	}
-	byTime := func(a, b Trouble) int { return cmp.Compare(a.At, b.At) }
+	byTime := func(a, b Event) int { return cmp.Compare(a.At, b.At) }
 	slices.SortStableFunc(day.Plan, byTime)
 	slices.SortStableFunc(day.Faults, byTime)
-	if len(catalogue.Closings) > 0 && g.chance(closes) {
+	if len(catalogue.Closings) > 0 && g.chance(closingShare) {
 		day.Closing = g.closing(catalogue.Closings[g.rand.IntN(len(catalogue.Closings))])
 	}
 	return day, nil
 }
 
-// split returns the kinds that the site can take: those of the control side, and the others.
+// split returns the kinds that the site supports, separated into the control side and all other groups.
 func (c Catalogue) split(s Site) (control, other []Kind) {
 	for _, k := range c.Kinds {
 		switch {
-		case !s.Open(k):
+		case !s.Supports(k):
 		case k.Group.Control():
 			control = append(control, k)
 		default:
@@ -67,23 +68,23 @@
 	return control, other
 }
 
-// generator draws the parts of one day.
+// generator draws the events of one day.
 type generator struct {
 	rand     *rand.Rand
 	site     Site
-	previous Trouble // the one drawn before
+	previous Event // the event drawn last; its Kind is "" before the first draw
 }
 
 func (g *generator) chance(share float64) bool { return g.rand.Float64() < share }
 
 func (g *generator) controlKind(control, drawn []Kind) Kind {
-	if len(drawn) > 0 && g.chance(repeats) {
+	if len(drawn) > 0 && g.chance(repeatShare) {
 		return drawn[g.rand.IntN(len(drawn))]
 	}
 	return g.weighted(control)
 }
 
-// weighted draws a kind by weight.
+// weighted draws a kind with a probability proportional to its weight.
 func (g *generator) weighted(kinds []Kind) Kind {
 	sum := 0
 	for _, kind := range kinds {
@@ -99,24 +100,24 @@
 }
 
 func (g *generator) add(day *Day, kind Kind) {
-	trouble := Trouble{Kind: kind.Name, At: g.startTime(), On: kind.On, How: g.variant(kind.How, kind.Follow),
+	event := Event{Kind: kind.Name, At: g.startTime(), On: kind.On, How: g.variant(kind.How, kind.Follow),
 		Count: g.count(kind.Count),
 		Share: g.uniform(kind.Share), X: g.uniform(kind.X), ForS: g.uniform(kind.ForS), GapS: g.uniform(kind.GapS)}
-	g.previous = trouble
+	g.previous = event
 	if kind.Planned {
-		day.Plan = append(day.Plan, trouble)
+		day.Plan = append(day.Plan, event)
 	} else {
-		day.Faults = append(day.Faults, trouble)
+		day.Faults = append(day.Faults, event)
 	}
 }
 
-// startTime draws when a trouble begins: often while the one before it goes on.
+// startTime draws the start of an event, often during the event drawn before it.
 func (g *generator) startTime() float64 {
-	last := max(firstAt, g.site.LengthS-lastGap)
-	if g.previous.Kind != "" && g.chance(overlaps) {
+	last := max(earliestStartS, g.site.LengthS-endMarginS)
+	if g.previous.Kind != "" && g.chance(overlapShare) {
 		return roundToMillis(min(last, g.previous.At+g.rand.Float64()*max(1, g.previous.ForS)))
 	}
-	return g.uniform(Range{firstAt, last})
+	return g.uniform(Range{earliestStartS, last})
 }
 
 func (g *generator) variant(variants, follow []string) string {
@@ -124,7 +125,7 @@
 		return ""
 	}
 	how := variants[g.rand.IntN(len(variants))]
-	if len(follow) > 0 && g.chance(follows) {
+	if len(follow) > 0 && g.chance(followShare) {
 		how += " " + follow[g.rand.IntN(len(follow))]
 	}
 	return strings.TrimSpace(how)
@@ -150,5 +151,5 @@
 	return &Closing{Kind: k.Kind, How: g.variant(k.How, nil), DownS: g.uniform(k.DownS)}
 }
 
-// roundToMillis keeps three decimals, so that days are easy to read.
+// roundToMillis rounds to three decimals, which keeps written days readable.
 func roundToMillis(x float64) float64 { return math.Round(x*1000) / 1000 }
--- a/internal/days/verdict.go
+++ b/internal/days/verdict.go
@@ -9,33 +9,33 @@
 	"strings"
 )
 
-// Outcome says how the play of a day ended.
+// Outcome is the result of an attempt to run a day on the bench.
 type Outcome string
 
-// The outcomes. A day that is not for the site was left out; a day that was not played has no verdict of the bench.
+// The outcomes. NotForSite marks a day that the site doesn't support; NotPlayed one for which the bench gave no verdict.
 const (
 	Played     Outcome = "played"
 	NotForSite Outcome = "not for this site"
 	NotPlayed  Outcome = "not played"
 )
 
-// Verdict is what is kept of one play of a day.
+// Verdict is the stored result of one run of a day.
 type Verdict struct {
-	Day     string         `json:"day"` // its file, without the folder
+	Day     string         `json:"day"` // base name of its file
 	Seed    uint64         `json:"seed"`
-	Digest  string         `json:"digest"` // of the file, so that a changed day is played again
+	Digest  string         `json:"digest"` // of the file, so that a changed day is run again
 	Outcome Outcome        `json:"outcome"`
-	Entry   string         `json:"entry,omitempty"` // the bench's name for its journal entry
+	Entry   string         `json:"entry,omitempty"` // name of the bench's journal entry
 	Gate    bool           `json:"gate"`
 	Score   float64        `json:"score"`
 	Served  float64        `json:"served"`
 	Refused float64        `json:"refused"`
 	Failed  float64        `json:"failed"`
-	Broken  map[string]int `json:"broken,omitempty"` // rules, and how often
-	Notes   []string       `json:"notes,omitempty"`  // first breaks, missed floors, faults, or why there is no verdict
+	Broken  map[string]int `json:"broken,omitempty"` // number of violations by rule
+	Notes   []string       `json:"notes,omitempty"`  // violations, missed minimums, faults, or why a verdict is missing
 }
 
-// report holds the parts of a bench's report that a verdict needs.
+// report contains the fields of a bench report that a verdict needs.
 type report struct {
 	Score   float64         `json:"G"`
 	Served  float64         `json:"served"`
@@ -51,8 +51,8 @@
 	} `json:"first"`
 }
 
-// Fill takes the figures and the notes from a bench's report. The gate passes if no rule is broken, there is no fault and
-// no floor is missed, unless the bench's journal says otherwise.
+// Fill sets the figures and the notes from a bench report. It sets Gate if no rule is broken, there is no fault and no
+// minimum score is missed; the caller may overwrite Gate with the result of the bench's journal.
 func (v *Verdict) Fill(text []byte) error {
 	var r report
 	if err := json.Unmarshal(text, &r); err != nil {
@@ -61,9 +61,9 @@
 	v.Outcome = Played
 	v.Score, v.Served, v.Refused, v.Failed, v.Broken = r.Score, r.Served, r.Refused, r.Failed, r.Breaks
 	fault := string(r.Fault)
-	sound := fault == "" || fault == "null"
-	v.Gate = sound && len(r.Breaks) == 0 && len(r.Short) == 0
-	if !sound {
+	noFault := fault == "" || fault == "null"
+	v.Gate = noFault && len(r.Breaks) == 0 && len(r.Short) == 0
+	if !noFault {
 		v.Notes = append(v.Notes, "fault: "+fault)
 	}
 	for _, f := range r.First {
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// ParseGate reads from a journal entry of the bench whether its only day passed the gate.
+// ParseGate reports whether the day of a bench journal entry passed the gate. It fails unless the entry has exactly one day.
 func ParseGate(entry []byte) (bool, error) {
 	var e struct {
 		Days []struct {
@@ -84,16 +84,16 @@
 		return false, err
 	}
 	if len(e.Days) != 1 {
-		return false, fmt.Errorf("a journal entry of %d days", len(e.Days))
+		return false, fmt.Errorf("journal entry contains %d days, want 1", len(e.Days))
 	}
 	return e.Days[0].Gate, nil
 }
 
-// Sound reports whether the day was played, kept all rules and passed the gate.
-func (v Verdict) Sound() bool { return v.Outcome == Played && v.Gate && len(v.Broken) == 0 }
+// Passed reports whether the day was run, broke no rule and passed the gate.
+func (v Verdict) Passed() bool { return v.Outcome == Played && v.Gate && len(v.Broken) == 0 }
 
-// Rules returns the broken rules in order, each with how often, or "none".
-func (v Verdict) Rules() string {
+// BrokenRules returns the broken rules in alphabetical order with their counts, or "none".
+func (v Verdict) BrokenRules() string {
 	if len(v.Broken) == 0 {
 		return "none"
 	}
@@ -104,15 +104,15 @@
 	return strings.Join(out, ", ")
 }
 
-// Summary counts verdicts.
+// Summary aggregates verdicts. Lowest, Mean and MostRefused cover the played days only.
 type Summary struct {
 	Played, Passed, NotForSite, NotPlayed, Low int
 	Lowest, Mean, MostRefused                  float64
-	Broken                                     map[string]int // days, by rule
+	Broken                                     map[string]int // number of days by broken rule
 }
 
-// Summarize counts the verdicts; Low counts the played days whose score, before it is set to 0 for a broken rule, is
-// under low.
+// Summarize aggregates the verdicts. Low counts the played days whose score, before it is set to 0 for a broken rule, is
+// below low.
 func Summarize(verdicts []Verdict, low float64) Summary {
 	s := Summary{Broken: map[string]int{}, Lowest: 1}
 	for _, v := range verdicts {
@@ -133,7 +133,7 @@
 
 func (s *Summary) count(v Verdict, low float64) {
 	s.Played++
-	if v.Sound() {
+	if v.Passed() {
 		s.Passed++
 	}
 	if v.Score < low {
@@ -146,7 +146,7 @@
 	}
 }
 
-// WorstFirst sorts verdicts: those without a play first, then those that did not pass, then by score.
+// WorstFirst sorts verdicts in place: not played, not passed, passed, not for the site; within a group by rising score.
 func WorstFirst(verdicts []Verdict) {
 	rank := func(v Verdict) int {
 		switch {
@@ -154,7 +154,7 @@
 			return 0
 		case v.Outcome == NotForSite:
 			return 3
-		case !v.Sound():
+		case !v.Passed():
 			return 1
 		}
 		return 2
