--- a/internal/nodeprocess/nodeprocess.go
+++ b/internal/nodeprocess/nodeprocess.go
@@ -1,5 +1,5 @@
-// Package nodeprocess runs programs of the gateway as processes on loopback addresses: it writes their settings files, starts
-// them, sends them signals and waits for their end. It ends only processes that it started.
+// Package nodeprocess runs the gateway's programs as child processes on loopback addresses: it writes their settings files,
+// starts them, sends them signals and waits for their exit. It terminates only processes that it started.
 package nodeprocess
 
 import (
@@ -17,7 +17,7 @@
 	"mulleinwood/internal/platform/nodesettings"
 )
 
-// The ports of all processes, each of which has a loopback address of its own.
+// The ports of every process. Processes share ports because each has its own loopback address.
 const (
 	ControlPort   = 18649
 	ClientPort    = 18641
@@ -27,37 +27,37 @@
 	innerPorts     = 16
 )
 
-// The roles, which are the names of the programs, too.
+// The roles of processes, which are also the names of the programs.
 const (
 	Controller = "controller"
 	Edge       = "edge"
 )
 
-// innerTLSVariable names the folder of a process's certificates, as --inner-tls does.
-const innerTLSVariable = "MULLEINWOOD_INNER_TLS"
+// innerTLSEnv is the environment variable for the certificate directory; it corresponds to --inner-tls.
+const innerTLSEnv = "MULLEINWOOD_INNER_TLS"
 
-// Address joins an IP address and a port.
+// Address returns ip and port as a host:port address.
 func Address(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
 
-// Spec describes a process. All fields but FirstStart and InnerTLS are required.
+// Spec describes a process. FirstStart and InnerTLS are optional; all other fields are required.
 type Spec struct {
-	Name       string   // of the machine
+	Name       string   // of the node
 	Role       string   // Controller or Edge
 	IP         string   // a loopback address that no other process uses
 	Zone       string   // one of Zones
-	Zones      []string // of the whole gateway
-	Seeds      []string // control addresses
-	FirstStart bool     // the whole gateway starts for the first time, with empty disks
-	Bounds     []string // name=value
-	BinDir     string   // folder that holds the programs
-	Dir        string   // folder for the settings file and the data directory
-	InnerTLS   string   // folder of the certificates for links between processes; "": links are plain
+	Zones      []string // all zones of the gateway
+	Seeds      []string // control addresses of the seed controllers
+	FirstStart bool     // set on the first start of the whole gateway, with empty disks
+	Bounds     []string // bounds in the form name=value
+	BinDir     string   // directory of the programs
+	Dir        string   // directory for the settings file and the data directory
+	InnerTLS   string   // directory of the certificates for inner TLS; "" disables it
 }
 
-// DataDir is the folder of a controller's disk.
+// DataDir returns the data directory of a controller.
 func (s Spec) DataDir() string { return filepath.Join(s.Dir, s.Name) }
 
-// settings are the settings of the process, as YAML.
+// settings returns the settings of the process as YAML.
 func (s Spec) settings() string {
 	dataDir := "null"
 	listen := fmt.Sprintf("  front: %q\n  readiness: %q\n", Address(s.IP, ClientPort), Address(s.IP, ReadinessPort))
@@ -83,25 +83,25 @@
 	return text.String()
 }
 
-// Process is a process that was started.
+// Process is a started child process. Its methods are safe for concurrent use.
 type Process struct {
 	Spec Spec
 
 	cmd  *exec.Cmd
-	done chan struct{} // closed at its end
+	done chan struct{} // closed when the process exits
 	err  error         // set before done is closed
 }
 
-// Start writes the settings of a process and starts it. What it prints goes to output.
+// Start writes the settings file of a process and starts it. The process's stdout and stderr are written to output.
 func Start(spec Spec, output io.Writer) (*Process, error) {
 	path := filepath.Join(spec.Dir, spec.Name+".yaml")
 	if err := os.WriteFile(path, []byte(spec.settings()), 0o600); err != nil {
 		return nil, err
 	}
-	cmd := exec.Command(filepath.Join(spec.BinDir, spec.Role)) //nolint:noctx // it outlives the call: its owner ends it
+	cmd := exec.Command(filepath.Join(spec.BinDir, spec.Role)) //nolint:noctx // the owner ends it after the call
 	cmd.Env = append(os.Environ(), nodesettings.Variable+"="+path)
 	if spec.InnerTLS != "" {
-		cmd.Env = append(cmd.Env, innerTLSVariable+"="+spec.InnerTLS)
+		cmd.Env = append(cmd.Env, innerTLSEnv+"="+spec.InnerTLS)
 	}
 	cmd.Stdout, cmd.Stderr = output, output
 	if err := cmd.Start(); err != nil {
@@ -115,7 +115,7 @@
 	return p, nil
 }
 
-// Signal sends the process a signal. It fails with os.ErrProcessDone where the process has ended.
+// Signal sends the process a signal. The error wraps os.ErrProcessDone if the process has exited.
 func (p *Process) Signal(s syscall.Signal) error {
 	if err := p.cmd.Process.Signal(s); err != nil {
 		return fmt.Errorf("%s to %s: %w", s, p.Spec.Name, err)
@@ -123,16 +123,16 @@
 	return nil
 }
 
-// Done is closed at the end of the process.
+// Done returns a channel that is closed when the process exits.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Err is how the process ended: nil for code 0. It is valid once Done is closed.
+// Err returns the exit error of the process, or nil for exit code 0. It is valid only after Done is closed.
 func (p *Process) Err() error { return p.err }
 
-// ID is the number of the process.
+// ID returns the process ID.
 func (p *Process) ID() int { return p.cmd.Process.Pid }
 
-// CheckRunning fails if the process has ended.
+// CheckRunning returns an error if the process has exited, and nil while it runs.
 func (p *Process) CheckRunning() error {
 	select {
 	case <-p.done:
