--- a/internal/soak/certificates.go
+++ b/internal/soak/certificates.go
@@ -14,10 +14,10 @@
 	"time"
 )
 
-// certificateValidity is how long a run's certificates are valid, from an hour before it on.
+// certificateValidity is how long after their creation certificates expire. They are valid from an hour before it.
 const certificateValidity = 24 * time.Hour
 
-// authority signs the certificates of a run whose processes authenticate their links.
+// authority is the certificate authority of a run with inner TLS.
 type authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
@@ -46,7 +46,7 @@
 		NotAfter: time.Now().Add(certificateValidity)}
 }
 
-// issue writes the folder of a process at an address, as its --inner-tls expects it.
+// issue writes the certificate directory of the process at an address, in the format of its --inner-tls flag.
 func (a *authority) issue(dir, ip string) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -11,31 +11,31 @@
 	"mulleinwood/internal/nodeprocess"
 )
 
-// Figures of the clients.
+// Parameters of the clients.
 const (
-	connsPerClient     = 4 // kept open, and used in turn: most are idle when an edge is told to end
+	connsPerClient     = 4 // kept open and used at random, so that most are idle when an edge starts to drain
 	minThinkTime       = 20 * time.Millisecond
 	maxThinkTime       = 400 * time.Millisecond
-	minLeaveDelay      = 40 * time.Millisecond // of a client that leaves, from its request on
+	minLeaveDelay      = 40 * time.Millisecond // between the request of a leaving client and its disconnect
 	maxLeaveDelay      = 500 * time.Millisecond
 	waveSpread         = 300 * time.Millisecond
-	maxSends           = 4  // of a keyed operation, until an answer is clear
-	repeatEveryNth     = 10 // keyed operations, of which one is sent again after a good answer
-	lateRepeatEveryNth = 10 // the same, of which one is sent again long after it, at two edges at once
+	maxSends           = 4  // attempts of a keyed operation until a response is conclusive
+	repeatEveryNth     = 10 // one in so many keyed operations is repeated after a successful response
+	lateRepeatEveryNth = 10 // one in so many keyed operations is repeated twice at once, long after a successful response
 	minLateRepeat      = minRepeatAge + 100*time.Millisecond
 	maxLateRepeat      = minRepeatAge + 1500*time.Millisecond
 
-	// Clients that come while an edge shuts down.
+	// Parameters of clients that connect to a draining edge.
 	minArrivalGap   = 10 * time.Millisecond
 	maxArrivalGap   = 90 * time.Millisecond
-	maxRequestDelay = 250 * time.Millisecond // from the connection to the request
+	maxRequestDelay = 250 * time.Millisecond // between the connection and the request
 )
 
-// deadlines are the routes' deadlines, which clients state.
+// deadlines contains the deadlines of the routes, which clients state in their requests.
 var deadlines = map[RequestKind]time.Duration{Lookup: 2 * time.Second, Review: 5 * time.Second, Note: 2 * time.Second,
 	Post: 2 * time.Second, Stream: 4 * time.Second, Upload: 4 * time.Second}
 
-// clientPool are the clients of a run.
+// clientPool contains the clients of a run.
 type clientPool struct {
 	recorder *recorder
 	edges    []*supervisor
@@ -43,14 +43,14 @@
 	active   sync.WaitGroup
 
 	mu    sync.Mutex
-	count int // of attempts and keys, for their names
+	count int // of attempts and keys, for unique IDs
 }
 
 func newClientPool(r *recorder, seed uint64, edges []*supervisor) *clientPool {
 	return &clientPool{recorder: r, edges: edges, seed: seed}
 }
 
-// nextID names an attempt or a key.
+// nextID returns a new ID of an attempt or an operation key.
 func (c *clientPool) nextID(prefix string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,7 +58,7 @@
 	return fmt.Sprintf("%s-%d-%d", prefix, c.seed, c.count)
 }
 
-// start starts clients that go on until ctx ends.
+// start starts clients that run until ctx ends.
 func (c *clientPool) start(ctx context.Context, count int) {
 	for number := range count {
 		one := &client{clientPool: c, number: number, random: rand.New(rand.NewPCG(c.seed, uint64(100+number)))}
@@ -66,7 +66,7 @@
 	}
 }
 
-// startLeavingWave starts clients that send requests which take long, and leave.
+// startLeavingWave starts clients that send slow requests and disconnect before the response.
 func (c *clientPool) startLeavingWave(count int, seed uint64) {
 	for number := range count {
 		one := &client{clientPool: c, number: number, random: rand.New(rand.NewPCG(c.seed+seed, uint64(10_000+number)))}
@@ -74,7 +74,7 @@
 	}
 }
 
-// client is one client. It belongs to its goroutine.
+// client is a single client. Only its own goroutine may use it.
 type client struct {
 	*clientPool
 	number int
@@ -82,14 +82,14 @@
 	conns  [connsPerClient]*connection
 }
 
-// isPinned clients stay with one edge, whatever the platform says of it.
+// isPinned reports whether the client always uses the same edge, even if that edge isn't ready.
 func (c *client) isPinned() bool { return c.number%3 == 0 }
 
 func (c *client) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(c.random.Int64N(int64(high-low)))
 }
 
-// run sends requests of all kinds, on kept connections and new ones, until ctx ends.
+// run sends requests of all kinds, on kept and on new connections, until ctx ends.
 func (c *client) run(ctx context.Context) {
 	defer func() {
 		for _, conn := range c.conns {
@@ -103,7 +103,7 @@
 		case draw < 9:
 			c.sendKept(Lookup)
 		case draw < 11:
-			c.sendKept(Review) // what is taken late in a grace, and takes longer than what is left
+			c.sendKept(Review) // accepted late in a grace period, it outlasts the rest of it
 		case draw < 13:
 			c.sendKept(Note)
 		case draw < 17:
@@ -119,7 +119,7 @@
 	}
 }
 
-// pickEdge is the edge that a new connection goes to: one that is ready, if any is, but a stubborn client's own.
+// pickEdge returns the edge for a new connection: the fixed edge of a pinned client, otherwise a ready edge if there is one.
 func (c *client) pickEdge() *supervisor {
 	if c.isPinned() {
 		return c.edges[c.number/3%len(c.edges)]
@@ -133,7 +133,7 @@
 	return c.edges[from]
 }
 
-// newRequest begins the record of a request.
+// newRequest returns the record of a request that starts now.
 func (c *client) newRequest(kind RequestKind, key string) *Request {
 	now := c.recorder.now()
 	return &Request{ID: c.nextID("a"), Kind: kind, Key: key, StartedAt: now, DeadlineAt: now + deadlines[kind]}
@@ -144,12 +144,12 @@
 	c.recorder.add(func(all *Record) { all.Requests = append(all.Requests, *request) })
 }
 
-// sendKept sends a request on one of the connections that the client keeps.
+// sendKept sends a request on one of the client's kept connections.
 func (c *client) sendKept(kind RequestKind) {
 	c.sendOn(&c.conns[c.random.IntN(connsPerClient)], c.newRequest(kind, ""))
 }
 
-// sendOn sends a request on a kept connection, or on a new one that takes its place.
+// sendOn sends a request on *kept, which it opens if it is nil and sets to nil if the connection can't be reused.
 func (c *client) sendOn(kept **connection, request *Request) *Request {
 	defer c.finish(request)
 	if *kept == nil {
@@ -168,7 +168,7 @@
 		*kept = nil
 		return request
 	}
-	if !conn.receive(c.recorder, request) { // also after an upload that was refused before its end
+	if !conn.receive(c.recorder, request) { // also reads the response to an upload that was rejected before its end
 		conn.close()
 		*kept = nil
 	}
@@ -180,7 +180,8 @@
 	return connect(edge, nodeprocess.Address(edge.spec.IP, nodeprocess.ClientPort))
 }
 
-// sendKeyed sends a keyed operation until its answer is clear, at other edges each time, and now and then once more after that.
+// sendKeyed sends a keyed operation until the response is conclusive, with retries on new connections, and sometimes repeats it
+// afterwards.
 func (c *client) sendKeyed() {
 	key := c.nextID("k")
 	for send := range maxSends {
@@ -204,7 +205,7 @@
 	}
 }
 
-// repeatLate sends a keyed operation again, long after its good answer, at two edges at once.
+// repeatLate repeats a keyed operation at two random edges at once, long after its successful response.
 func (c *client) repeatLate(key string) {
 	seed := c.random.Uint64()
 	for range 2 {
@@ -220,8 +221,8 @@
 	}
 }
 
-// connectDuringDrain has clients connect to an edge that was told to end, all the time until it refuses connections: some of them have a
-// connection that the edge hasn't accepted, or send their request some time after they connected.
+// connectDuringDrain has clients connect to a draining edge until it refuses connections. Some have a connection that the edge
+// has not accepted yet, and some send their request a while after they connected.
 func (c *clientPool) connectDuringDrain(edge *supervisor, seed uint64) {
 	one := &client{clientPool: c, random: rand.New(rand.NewPCG(c.seed, 20_000+seed))}
 	address := nodeprocess.Address(edge.spec.IP, nodeprocess.ClientPort)
@@ -245,7 +246,7 @@
 	})
 }
 
-// sendAndLeave sends a request that takes long, or a stream, on a new connection, and leaves before it is answered.
+// sendAndLeave sends a slow request or a stream on a new connection and disconnects before the response ends.
 func (c *client) sendAndLeave() {
 	time.Sleep(c.between(0, waveSpread))
 	kind := Review
--- a/internal/soak/connection.go
+++ b/internal/soak/connection.go
@@ -17,10 +17,10 @@
 const (
 	tenant         = "soak.example"
 	connectTimeout = time.Second
-	// lateResponseTimeout is how much longer than its deadline a client reads on: to tell an edge that answers late from one
-	// that closes without an answer.
+	// lateResponseTimeout is how long after its deadline a client still reads, to distinguish a late response from a connection
+	// that is closed without one.
 	lateResponseTimeout = 300 * time.Millisecond
-	uploadBytes         = 400 << 10 // more than an edge buffers
+	uploadBytes         = 400 << 10 // exceeds the edge's buffer
 	uploadParts         = 16
 	uploadInterval      = 25 * time.Millisecond
 )
@@ -30,7 +30,7 @@
 	net.Conn
 	edge   string
 	reader *bufio.Reader
-	used   int // requests that it carried
+	used   int // number of requests sent
 }
 
 func connect(edge *supervisor, address string) (*connection, error) {
@@ -42,23 +42,23 @@
 	return &connection{Conn: conn, edge: edge.spec.Name, reader: bufio.NewReader(conn)}, nil
 }
 
-// close ends the connection. Nothing is expected of it any more.
+// close closes the connection and ignores errors.
 func (c *connection) close() { _ = c.Close() }
 
-// abort ends the connection while a request is under way: by a close, a reset, or a close of the sending side alone.
+// abort closes the connection while a request is in flight: by a close, a reset, or a half-close followed by a close.
 func (c *connection) abort(how uint64) {
 	tcp, ok := c.Conn.(*net.TCPConn)
 	switch {
 	case ok && how%3 == 1:
-		_ = tcp.SetLinger(0) // a reset, if it can be had
+		_ = tcp.SetLinger(0) // the close below sends a reset
 	case ok && how%3 == 2:
-		_ = tcp.CloseWrite() // followed by the close below, once the edge may have noticed
+		_ = tcp.CloseWrite() // the delay lets the edge notice the half-close before the close below
 		time.Sleep(pollInterval)
 	}
 	c.close()
 }
 
-// requestText is the head of a request.
+// requestText returns the header of a request, with the body of notes and posts.
 func requestText(request *Request, deadline time.Duration) string {
 	var text strings.Builder
 	method := http.MethodGet
@@ -86,7 +86,7 @@
 	return text.String()
 }
 
-// send writes a request. It fails where the connection ends before all is written.
+// send writes a request. It fails if the connection ends before everything is written.
 func (c *connection) send(r *recorder, request *Request, deadline time.Duration) error {
 	request.Kept = c.used > 0
 	c.used++
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// receive reads the response. It reports whether the connection may carry another request.
+// receive reads the response and reports whether the connection can be reused.
 func (c *connection) receive(r *recorder, request *Request) (reusable bool) {
 	if err := c.SetReadDeadline(r.startedAt.Add(request.DeadlineAt + lateResponseTimeout)); err != nil {
 		request.Failure = err.Error()
--- a/internal/soak/delay.go
+++ b/internal/soak/delay.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// delayProbe is how often the soak's own scheduling is measured.
+// delayProbe is the interval at which the soak's own scheduling delay is measured.
 const delayProbe = 10 * time.Millisecond
 
-// minDelay is the lateness below which nothing is recorded.
+// minDelay is the smallest delay that is recorded.
 const minDelay = 10 * time.Millisecond
 
-// Delay is a moment at which the soak itself ran late: what it notes then may be that much too late, too.
+// Delay is a scheduling delay of the soak itself. Times recorded around At may be late by as much.
 type Delay struct {
 	At   time.Duration
 	Late time.Duration
 }
 
-// measureDelay records how late a timer of the soak's own fires, until ctx ends.
+// measureDelay records the delays of a timer until ctx ends.
 func measureDelay(ctx context.Context, r *recorder) {
 	for due := r.now() + delayProbe; ctx.Err() == nil; due += delayProbe {
 		time.Sleep(due - r.now())
@@ -29,7 +29,7 @@
 	}
 }
 
-// delayAround is the soak's greatest lateness around a time.
+// delayAround returns the longest delay within delayWindow of at.
 func (r *Record) delayAround(at time.Duration) (worst time.Duration) {
 	for _, d := range r.Delays {
 		if d.At >= at-delayWindow && d.At <= at+delayWindow {
@@ -39,7 +39,7 @@
 	return worst
 }
 
-// maxDelay is the soak's greatest lateness in the whole run.
+// maxDelay returns the longest delay of the whole run.
 func (r *Record) maxDelay() (worst time.Duration) {
 	for _, d := range r.Delays {
 		worst = max(worst, d.Late)
@@ -47,5 +47,5 @@
 	return worst
 }
 
-// delayWindow is how far from a time its delays are looked for.
+// delayWindow is the distance in time within which delays and pauses affect a recorded time.
 const delayWindow = 2 * time.Second
--- a/internal/soak/log.go
+++ b/internal/soak/log.go
@@ -7,13 +7,13 @@
 	"sync"
 )
 
-// stampedLog writes what a process prints to a file, each line with the time of the run in front.
+// stampedLog writes the output of a process to a file and prefixes each line with the time since the start of the run in seconds.
 type stampedLog struct {
 	recorder *recorder
 	out      *os.File
 
 	mu      sync.Mutex
-	partial []byte // of a line
+	partial []byte // incomplete last line
 }
 
 // Write implements io.Writer.
--- a/internal/soak/operator.go
+++ b/internal/soak/operator.go
@@ -14,14 +14,14 @@
 	"mulleinwood/internal/nodeprocess"
 )
 
-// Figures of the operator.
+// Parameters of the operator.
 const (
 	callTimeout    = 2 * time.Second
 	retryDelay     = 100 * time.Millisecond
-	changeTimeout  = 12 * time.Second // for one change, after which its outcome stays unclear
+	changeTimeout  = 12 * time.Second // for one change; after it the outcome is unknown
 	readInterval   = 150 * time.Millisecond
-	patchEveryNth  = 3  // changes, of which one is sent as a PATCH
-	maxExtraRoutes = 40 // at most, so that a configuration differs from the next in its length, too
+	patchEveryNth  = 3  // one in so many changes is sent as a PATCH
+	maxExtraRoutes = 40 // upper bound; versions differ in length because their numbers of extra routes differ
 )
 
 // configOperator changes the configuration and reads it back.
@@ -31,7 +31,7 @@
 	client      *http.Client
 
 	mu      sync.Mutex // held while changes are made
-	version int        // of the newest change that was acknowledged
+	version int        // newest acknowledged version
 	next    int        // version of the next change
 }
 
@@ -39,7 +39,7 @@
 	return &configOperator{recorder: r, controllers: controllers, client: &http.Client{Timeout: callTimeout}, next: 1}
 }
 
-// configuration is the whole configuration of a version, and the number of its routes.
+// configuration returns the whole configuration of a version and the number of its routes.
 func configuration(version int) (text string, routes int) {
 	kinds := map[RequestKind]string{Lookup: "safe", Review: "safe", Note: "unsafe", Post: "keyed", Stream: "safe",
 		Upload: "unsafe"}
@@ -55,20 +55,20 @@
 	for i := range version % maxExtraRoutes {
 		all = append(all, extraRoute(i))
 	}
-	idle := 10 + version%5 // seconds: each change of it gives clients' connections another server
+	idle := 10 + version%5 // seconds; each change gives clients' connections a new HTTP server
 	return fmt.Sprintf(`{"version":"r%d","services":[{"name":%q,"health_path":"/health","conn_limit":400},`+
 		`{"name":%q,"health_path":"/health","conn_limit":400}],"limits":{"max_header_bytes":16384,"max_body_bytes":1048576,`+
 		`"header_wait_s":3,"idle_s":%d},"plants":[{"plant":%q,"channels":[%s]}]}`, version, lookupService, ledgerService, idle,
 		tenant, strings.Join(all, ",")), len(all)
 }
 
-// extraRoute is one of the routes by which configurations differ.
+// extraRoute returns one of the additional routes by which configurations differ.
 func extraRoute(number int) string {
 	return fmt.Sprintf(`{"name":"extra-%d","path_prefix":"/extra-%d/","kind":"safe","deadline_s":1,"setpoint_s":0.5,`+
 		`"priority":2,"service":%q,"tries":1}`, number, number, lookupService)
 }
 
-// configPatch is the change from the routes of one version to those of another.
+// configPatch returns the patch that turns the routes of one version into those of another.
 func configPatch(from, to int) string {
 	var upsert, remove []string
 	for i := from % maxExtraRoutes; i < to%maxExtraRoutes; i++ {
@@ -81,13 +81,14 @@
 		tenant, strings.Join(upsert, ","), strings.Join(remove, ","))
 }
 
-// configRequest is a change of the configuration as it is sent.
+// configRequest is a configuration change as it is sent.
 type configRequest struct {
 	method string
 	body   string
 }
 
-// change sends the next configuration, whole or as a change, and sends it again as it is until the answer is clear.
+// change sends the next configuration, as a whole or as a patch, and retries the same request until it is acknowledged. It
+// reports whether that happened within changeTimeout. The caller must hold mu unless no other change can be in progress.
 func (o *configOperator) change(ctx context.Context) bool {
 	body, routes := configuration(o.next)
 	sent := configRequest{http.MethodPut, body}
@@ -110,7 +111,7 @@
 	return false
 }
 
-// send sends an order to one controller and reports whether it was acknowledged.
+// send sends a request to one controller and reports whether it was acknowledged.
 func (o *configOperator) send(ctx context.Context, node *supervisor, sent configRequest) bool {
 	url := "http://" + nodeprocess.Address(node.spec.IP, nodeprocess.ControlPort) + "/config"
 	request, err := http.NewRequestWithContext(ctx, sent.method, url, strings.NewReader(sent.body))
@@ -130,7 +131,7 @@
 	return err == nil && response.StatusCode == http.StatusOK
 }
 
-// changeRepeatedly makes changes one after the other. One whose outcome stays unclear ends it: the next would build on an unknown one.
+// changeRepeatedly makes changes in sequence. It stops after one with an unknown outcome, on which the next can't be based.
 func (o *configOperator) changeRepeatedly(ctx context.Context, count int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -142,7 +143,7 @@
 	}
 }
 
-// adoptCurrentVersion takes over the version in force, after a change whose outcome is not known.
+// adoptCurrentVersion sets version to the version in force, after a change with an unknown outcome.
 func (o *configOperator) adoptCurrentVersion(ctx context.Context) {
 	deadline := time.Now().Add(changeTimeout)
 	for number := 0; ctx.Err() == nil && time.Now().Before(deadline); number++ {
@@ -154,7 +155,7 @@
 	}
 }
 
-// read asks one controller for the configuration. Ok: it was answered with 200.
+// read reads the configuration from one controller and records it. ok reports whether the response was valid with status 200.
 func (o *configOperator) read(ctx context.Context, node *supervisor) (read ConfigRead, ok bool) {
 	read = ConfigRead{Node: node.spec.Name, SentAt: o.recorder.now()}
 	url := "http://" + nodeprocess.Address(node.spec.IP, nodeprocess.ControlPort) + "/config"
@@ -178,7 +179,7 @@
 		return read, false
 	}
 	read.EndedAt = o.recorder.now()
-	read.Version, _ = strconv.Atoi(strings.TrimPrefix(body.Version, "r")) // none is version 0
+	read.Version, _ = strconv.Atoi(strings.TrimPrefix(body.Version, "r")) // a missing version is 0
 	for _, plant := range body.Plants {
 		read.Routes += len(plant.Channels)
 	}
@@ -186,10 +187,10 @@
 	return read, true
 }
 
-// readAll reads at every controller, again and again, until ctx ends.
+// readAll reads the configuration from the controllers in turn until ctx ends.
 func (o *configOperator) readAll(ctx context.Context) {
 	for number := 0; ctx.Err() == nil; number++ {
-		_, _ = o.read(ctx, o.controllers[number%len(o.controllers)]) // what it read is recorded
+		_, _ = o.read(ctx, o.controllers[number%len(o.controllers)]) // read records the result
 		sleep(ctx, readInterval)
 	}
 }
--- a/internal/soak/page.go
+++ b/internal/soak/page.go
@@ -9,16 +9,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// allRequestKinds are the kinds of requests whose latencies are shown.
+// allRequestKinds contains the kinds of requests in the order of the page.
 var allRequestKinds = []RequestKind{Lookup, Review, Note, Post, Stream, Upload}
 
-// pageQuantiles are the shown quantiles, in percent.
+// pageQuantiles contains the quantiles of the page, in percent.
 var pageQuantiles = []float64{50, 90, 99, 99.9, 100}
 
-// shutdownBucket is the width of a bar of the times from SIGTERM to exit.
+// shutdownBucket is the bucket width of the distribution of times from SIGTERM to exit.
 const shutdownBucket = 500 * time.Millisecond
 
-// Summary collects the outcomes of many runs for a page.
+// Summary aggregates the outcomes of several runs for the HTML page. The zero value is empty and ready to use.
 type Summary struct {
 	lines     []string
 	broken    int
@@ -26,7 +26,7 @@
 	shutdowns []time.Duration
 }
 
-// Add takes the outcome of a run.
+// Add adds the outcome of a run.
 func (s *Summary) Add(outcome *Outcome) {
 	if s.latencies == nil {
 		s.latencies = Latencies{}
@@ -39,14 +39,14 @@
 	s.shutdowns = append(s.shutdowns, shutdownTimes(outcome.Record)...)
 }
 
-// latencyRow is a line of the table of latencies, in milliseconds.
+// latencyRow is a row of the latency table. Millis contains pageQuantiles in milliseconds.
 type latencyRow struct {
 	Kind   RequestKind
 	Count  int64
 	Millis []float64
 }
 
-// bar is a bar of the distribution of shutdown times.
+// bar is a bucket of the distribution of shutdown times.
 type bar struct {
 	From, To time.Duration
 	Count    int
--- a/internal/soak/page_test.go
+++ b/internal/soak/page_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The page shows the latencies of answered requests alone, and each shutdown of an edge that ended in order.
+// The page contains latencies only of requests with a response, and the shutdown time of each edge that exited gracefully.
 func TestPage(t *testing.T) {
 	record := lost(5270 * millis)()
 	request, _ := successful(Note)
@@ -25,6 +25,6 @@
 		}
 	}
 	if strings.Contains(page.String(), "<td>lookup</td>") {
-		t.Error("a request without an answer has a latency")
+		t.Error("the page has a latency of a request without a response")
 	}
 }
--- a/internal/soak/quota.go
+++ b/internal/soak/quota.go
@@ -9,41 +9,42 @@
 	"time"
 )
 
-// Groups of processes that a quota may name instead of one.
+// Groups of processes that Quota.On accepts besides the name of a process.
 const (
 	onEdges       = "edges"
 	onControllers = "controllers"
 	onAll         = "all"
 )
 
-// Figures of quotas.
+// Parameters of quotas.
 const (
-	// minQuotaPeriod is far above the lateness of the ticker that plays a quota.
+	// minQuotaPeriod far exceeds the delay of the ticker that applies a quota.
 	minQuotaPeriod = 50 * time.Millisecond
-	// platformPeriod is the period of the users' quotas: full speed until the share is spent, then nothing for the rest of it.
+	// platformPeriod is the quota period of the users' platform: full speed until the share is used up, then no CPU time for the
+	// rest of the period.
 	platformPeriod = 100 * time.Millisecond
 	minDrawnShare  = 0.08
 	maxDrawnShare  = 0.3
-	// maxPlannedStop is the length from which on a pause is a fault of its own, which excuses a process. All pauses of a
-	// quota whose ticker is on time are shorter.
+	// maxPlannedStop is the longest pause by a quota. A longer one counts as a fault, which excuses the process. Every pause of a
+	// quota whose ticker is on time is shorter.
 	maxPlannedStop = platformPeriod
 )
 
-// Quota gives processes a share of a core: they run for that part of each period, and stand still for the rest.
+// Quota limits processes to a share of a core: they run for that share of each period and are stopped for the rest.
 type Quota struct {
-	On      string  `toml:"on"` // a process, or "edges", "controllers" or "all"
+	On      string  `toml:"on"` // name of a process, or "edges", "controllers" or "all"
 	AtS     float64 `toml:"at_s"`
 	ForS    float64 `toml:"for_s"`
-	Share   float64 `toml:"share"`    // above 0, below 1
+	Share   float64 `toml:"share"`    // of each period; above 0 and below 1
 	PeriodS float64 `toml:"period_s"` // seconds
 }
 
-// String is the quota as reports tell it.
+// String returns the quota as it appears in reports.
 func (q Quota) String() string {
 	return fmt.Sprintf("%.2f of %.0f ms on %s from %.1f s for %.1f s", q.Share, q.PeriodS*1000, q.On, q.AtS, q.ForS)
 }
 
-// check refuses a quota that can't be played.
+// check rejects a quota that can't be applied.
 func (q Quota) check(size Size) error {
 	nodes := append(size.controllerNames(), size.edgeNames()...)
 	switch {
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// names are the processes that the quota strikes.
+// names returns the names of the processes to which the quota applies.
 func (q Quota) names(size Size) []string {
 	switch q.On {
 	case onEdges:
@@ -73,8 +74,8 @@
 	return []string{q.On}
 }
 
-// drawQuotas draws the quotas of a schedule: of three seeds one has none, one has the whole day on all edges, now and then
-// on the controllers, too, and one has a part of the day on some.
+// drawQuotas draws the quotas of a schedule by seed modulo 3: 0 has a quota on all edges for the whole run, sometimes on the
+// controllers, too; 1 has one on all edges or a single edge for half of the run; 2 has none.
 func drawQuotas(seed uint64, size Size) []Quota {
 	random := rand.New(rand.NewPCG(seed, 2))
 	q := Quota{On: onEdges, ForS: size.DurationSeconds, PeriodS: platformPeriod.Seconds(),
@@ -96,20 +97,20 @@
 	return []Quota{q}
 }
 
-// ThrottledSpan is a span in which a process stood still by its quota.
+// ThrottledSpan is a pause of a process by its quota.
 type ThrottledSpan struct {
 	Node string
 	At   time.Duration
 	For  time.Duration
 }
 
-// throttle plays a quota on one process until ctx ends. Phase shifts its periods against those of other processes.
+// throttle applies a quota to one process until ctx ends. phase offsets its periods from those of other processes.
 func (s *supervisor) throttle(ctx context.Context, q Quota, phase time.Duration) {
 	period := seconds(q.PeriodS)
 	running := time.Duration(q.Share * float64(period))
 	sleep(ctx, phase)
 	for due := time.Now(); ctx.Err() == nil; due = due.Add(period) {
-		if late := time.Since(due); late > period { // a period that was missed is not made up for
+		if late := time.Since(due); late > period { // a missed period is skipped
 			due = due.Add(late)
 		}
 		sleep(ctx, time.Until(due.Add(running)))
@@ -122,7 +123,7 @@
 	}
 }
 
-// throttleSummary tells how many pauses there were, how many of them were long enough to be trouble, and the longest.
+// throttleSummary returns the number of pauses by quotas, the number of those over maxPlannedStop, and the longest pause.
 func (r *Record) throttleSummary() string {
 	longest, long := time.Duration(0), 0
 	for _, p := range r.Throttled {
@@ -135,7 +136,7 @@
 		longest.Round(time.Millisecond))
 }
 
-// longestThrottleAround is the longest pause of a quota around a time.
+// longestThrottleAround returns the longest pause by a quota within delayWindow of at.
 func (r *Record) longestThrottleAround(at time.Duration) (longest time.Duration) {
 	for _, p := range r.Throttled {
 		if p.At >= at-delayWindow && p.At <= at+delayWindow {
@@ -145,7 +146,7 @@
 	return longest
 }
 
-// stopByQuota stops the process, unless it has ended or a fault has stopped it already; ok: it did.
+// stopByQuota stops the process unless it has exited or a fault has suspended it. ok reports whether it was stopped.
 func (s *supervisor) stopByQuota() (process quotaProcess, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,15 +162,15 @@
 	Signal(signal syscall.Signal) error
 }
 
-// resumeByQuota lets the process go on, unless a fault has stopped it meanwhile, and records the pause. One that lasted too long
-// is trouble of its own.
+// resumeByQuota resumes the process, unless a fault has suspended it meanwhile, and records the pause. A pause over
+// maxPlannedStop is recorded as a fault, too.
 func (s *supervisor) resumeByQuota(process quotaProcess, stoppedAt time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.suspended || process.CheckRunning() != nil {
 		return
 	}
-	_ = process.Signal(syscall.SIGCONT) // it may have been killed meanwhile
+	_ = process.Signal(syscall.SIGCONT) // the process may have been killed meanwhile
 	now := s.cluster.recorder.now()
 	s.cluster.recorder.add(func(all *Record) {
 		all.Throttled = append(all.Throttled, ThrottledSpan{s.spec.Name, stoppedAt, now - stoppedAt})
@@ -182,8 +183,8 @@
 	}
 }
 
-// startQuotas plays the schedule's quotas beside the traffic. The function that it gives ends them, and waits until all
-// processes go on.
+// startQuotas applies the schedule's quotas in the background. The returned function ends them and waits until all processes
+// are resumed.
 func (r *run) startQuotas(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	random := rand.New(rand.NewPCG(r.schedule.Seed, 3))
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -19,10 +19,10 @@
 	highestQuantile = 99
 )
 
-// Latencies are the times of answered requests, by kind.
+// Latencies contains histograms of the latencies of requests with a server's response, in microseconds, by kind.
 type Latencies map[RequestKind]*hdrhistogram.Histogram
 
-// Add takes the latencies of a record.
+// Add adds the latencies of a record.
 func (l Latencies) Add(record *Record) {
 	for _, request := range record.Requests {
 		if !request.Complete || request.Seal == "" {
@@ -31,16 +31,16 @@
 		if l[request.Kind] == nil {
 			l[request.Kind] = hdrhistogram.New(minLatency, maxLatency, latencyFigures)
 		}
-		_ = l[request.Kind].RecordValue((request.EndedAt - request.StartedAt).Microseconds()) // one over the bound is not counted
+		_ = l[request.Kind].RecordValue((request.EndedAt - request.StartedAt).Microseconds()) // above maxLatency: dropped
 	}
 }
 
-// millis is a quantile of a kind's latencies, in milliseconds.
+// millis returns a quantile, in percent, of a kind's latencies in milliseconds. The kind must have a histogram.
 func (l Latencies) millis(kind RequestKind, quantile float64) float64 {
 	return float64(l[kind].ValueAtQuantile(quantile)) / 1000
 }
 
-// shutdownTimes are the times from SIGTERM to the end of each edge.
+// shutdownTimes returns the times from SIGTERM to exit of the edges that exited before the end of traffic.
 func shutdownTimes(record *Record) (all []time.Duration) {
 	terminated := map[string]time.Duration{}
 	for _, change := range record.Processes {
@@ -61,7 +61,7 @@
 	return all
 }
 
-// Line is the report of a run in a line.
+// Line returns the report of a run in one line.
 func (o *Outcome) Line() string {
 	latencies := Latencies{}
 	latencies.Add(o.Record)
--- a/internal/soak/schedule_test.go
+++ b/internal/soak/schedule_test.go
@@ -9,7 +9,7 @@
 
 var testSize = Size{Controllers: 3, Edges: 3, Servers: 3, Clients: 6, DurationSeconds: 60}
 
-// A schedule is the seed's alone, can be written and read again, and loses no second disk before the first is made good.
+// A schedule depends only on its arguments, survives encoding, and loses no second disk before the first is repaired.
 func TestSchedules(t *testing.T) {
 	overlapping, kinds := 0, map[EventKind]bool{}
 	for seed := range uint64(200) {
@@ -23,7 +23,7 @@
 		}
 		again, err := ParseSchedule(text)
 		if err != nil || !reflect.DeepEqual(s, again) {
-			t.Fatalf("seed %d is read back otherwise: %v", seed, err)
+			t.Fatalf("seed %d differs after encoding and parsing: %v", seed, err)
 		}
 		wiped, terminated := -recoveryTimeS, -grace.Seconds()
 		for _, e := range s.Events {
@@ -40,16 +40,16 @@
 				terminated = e.AtS
 			}
 			if e.AtS < quietStartS || e.AtS > testSize.DurationSeconds-quietEndS {
-				t.Errorf("seed %d: %s comes too early or too late", seed, e)
+				t.Errorf("seed %d: %s is outside the span of events", seed, e)
 			}
 		}
 	}
 	if overlapping < 200 || len(kinds) != 10 {
-		t.Errorf("%d SIGTERMs come while another process drains; kinds %v", overlapping, kinds)
+		t.Errorf("%d SIGTERMs arrive during another drain, want 200; kinds %v, want 10", overlapping, kinds)
 	}
 }
 
-// A schedule that can't be played is refused in one error that says why.
+// A schedule that can't be run is rejected with an error that names the reason.
 func TestBadSchedulesAreRefused(t *testing.T) {
 	const size = "seed = 1\n[size]\ncontrollers = 3\nedges = 3\nservers = 2\nclients = 1\nduration_s = 9.0\n"
 	for text, want := range map[string]string{
@@ -73,7 +73,7 @@
 		}
 	}
 	if _, err := ParseSchedule([]byte(size)); err != nil {
-		t.Errorf("a schedule without events is fine: %v", err)
+		t.Errorf("schedule without events rejected: %v", err)
 	}
 }
 
@@ -81,7 +81,7 @@
 	return fmt.Sprintf("[[quota]]\non = %q\nat_s = 0.0\nfor_s = 9.0\nshare = %g\nperiod_s = %g\n", on, share, period)
 }
 
-// Of three seeds one has no quota, one a quota for the whole run and one for a part of it; each can be played.
+// Of three consecutive seeds, one has a quota for the whole run, one for a part of it and one has none. All are valid.
 func TestDrawnQuotas(t *testing.T) {
 	for seed := range uint64(60) {
 		s := Draw(seed, testSize)
--- a/internal/soak/servers.go
+++ b/internal/soak/servers.go
@@ -17,7 +17,7 @@
 	"mulleinwood/internal/demo"
 )
 
-// The services and what their routes allow. Two services, so that trouble of one leaves the other alone.
+// The services. There are two so that faults of one can be seen not to affect the other.
 const (
 	lookupService = "lookups"
 	ledgerService = "ledger"
@@ -25,29 +25,29 @@
 
 var serviceNames = []string{lookupService, ledgerService}
 
-// Figures of the stand-in servers.
+// Parameters of the stand-in servers.
 const (
 	heartbeatPeriod   = 500 * time.Millisecond
 	serveAfterLeaving = drainBound + 500*time.Millisecond
-	replaceDelay      = 500 * time.Millisecond // from a server's end to the start of the next
-	shortWork         = 60 * time.Millisecond  // at most, of most requests
-	longWork          = 900 * time.Millisecond // at most, of one in longWorkEvery
+	replaceDelay      = 500 * time.Millisecond // between the end of a server and the start of its replacement
+	shortWork         = 60 * time.Millisecond  // upper bound for most requests
+	longWork          = 900 * time.Millisecond // upper bound for one in longWorkEvery requests
 	longWorkEvery     = 15
-	reviewWork        = 3 * time.Second // at most, of what clients leave before it is over
+	reviewWork        = 3 * time.Second // upper bound for reviews, from which clients may disconnect
 	minReviewWork     = 1200 * time.Millisecond
 	streamChunks      = 24
-	streamChunkBytes  = 20 << 10 // the edge buffers less than all of it
+	streamChunkBytes  = 20 << 10 // all chunks together exceed the edge's buffer
 	streamInterval    = 40 * time.Millisecond
-	breakOffEvery     = 150 // requests, of which one is broken off by its server
+	breakOffEvery     = 150 // one in so many requests is aborted by its server
 	turnAwayEvery     = 60
 	failEvery         = 120
-	stallEvery        = 400 // that say nothing until the caller goes
-	endlessEvery      = 50  // of streams, that say no length
+	stallEvery        = 400 // one in so many requests gets no response until the caller disconnects
+	endlessEvery      = 50  // one in so many streams has no Content-Length
 	maxServerBody     = 4 << 20
 	serverSlots       = 16
 )
 
-// fakeServers are the servers of a run. They come and go.
+// fakeServers contains the stand-in servers of a run, which are replaced while it goes on. It is safe for concurrent use.
 type fakeServers struct {
 	recorder    *recorder
 	ip          string
@@ -58,10 +58,10 @@
 	servers      map[string][]*fakeServer // by service
 	incarnations int
 	closed       bool
-	pending      sync.WaitGroup // for what goes on beside the run
+	pending      sync.WaitGroup // events and replacements in progress
 }
 
-// fakeServer is one incarnation of a server.
+// fakeServer is one incarnation of a stand-in server.
 type fakeServer struct {
 	*demo.Server
 	incarnation int
@@ -76,7 +76,7 @@
 		servers: map[string][]*fakeServer{}}
 }
 
-// startAll starts so many servers of each service.
+// startAll starts count servers of each service.
 func (s *fakeServers) startAll(count int) error {
 	for _, service := range serviceNames {
 		for range count {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// startServer starts one more server of a service.
+// startServer starts one more server of a service. It does nothing after stop.
 func (s *fakeServers) startServer(service string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// removeRandom takes a server out of those that may be struck; nil: too few are left.
+// removeRandom removes a random server from the running servers of a service and returns it, or nil if fewer than two are left.
 func (s *fakeServers) removeRandom(service string) *fakeServer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,7 +122,7 @@
 	return one
 }
 
-// inject brings an event about at a server of a service, and starts another in its place.
+// inject triggers an event at a random server of the service and starts a replacement afterwards. It doesn't wait for them.
 func (s *fakeServers) inject(ctx context.Context, e Event) {
 	one := s.removeRandom(e.On)
 	if one == nil {
@@ -148,7 +148,7 @@
 		}
 		sleep(ctx, replaceDelay)
 		if ctx.Err() == nil {
-			_ = s.startServer(e.On) // a port that can't be had leaves the service with one server less
+			_ = s.startServer(e.On) // without a free port the service keeps one server less
 		}
 	})
 }
@@ -160,7 +160,7 @@
 	}
 }
 
-// stop ends all servers.
+// stop stops all servers.
 func (s *fakeServers) stop() {
 	s.mu.Lock()
 	s.closed = true
@@ -174,27 +174,27 @@
 	}
 }
 
-// recordLeft notes that the server's word that it leaves was acknowledged.
+// recordLeft records that the server's announcement to leave was acknowledged.
 func (s *fakeServer) recordLeft() {
 	at := s.recorder.now()
 	s.recorder.add(func(all *Record) { all.Left = append(all.Left, ServerLeft{s.ID, s.incarnation, at}) })
 }
 
-// hashDraw draws, for a request, a number below n. Equal ids draw the same, so that a run repeats as far as it can.
+// hashDraw returns a number below n that depends on id and about only, so that runs are repeatable as far as possible.
 func hashDraw(id, about string, n uint64) uint64 {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, about+id) // it never fails
 	return xxh3.HashString(strconv.FormatUint(h.Sum64(), 16)) % n
 }
 
-// responseBody is what a server answers to a request, and its seal. Both depend on the attempt and the server's incarnation.
+// responseBody returns the response of a server to a request, and its seal. Both depend on the attempt and the incarnation.
 func responseBody(id string, incarnation, size int) (body []byte, seal string) {
 	line := fmt.Sprintf("%s ran at incarnation %d\n", id, incarnation)
 	body = []byte(strings.Repeat(line, 1+size/len(line)))
 	return body, strconv.FormatUint(xxh3.Hash(body), 16)
 }
 
-// ServeHTTP runs a request and records it.
+// ServeHTTP executes a request and records it.
 func (s *fakeServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	run := ServerRun{ID: r.Header.Get("X-Attempt-Id"), Key: r.Header.Get("X-Operation-Key"), Service: s.Service, Server: s.ID,
 		Incarnation: s.incarnation, ArrivedAt: s.recorder.now(), DeadlineMS: -1}
@@ -216,7 +216,7 @@
 	s.run(w, r, &run)
 }
 
-// run does what is drawn for the request.
+// run executes the outcome that is drawn for the request.
 func (s *fakeServer) run(w http.ResponseWriter, r *http.Request, run *ServerRun) {
 	kind := RequestKind(strings.Trim(strings.SplitN(r.URL.Path, "/", 3)[1], "/"))
 	switch {
@@ -251,10 +251,10 @@
 	w.Header().Set("X-Server-Seal", seal)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(run.Status)
-	_, _ = w.Write(body) // a caller that has gone doesn't want it
+	_, _ = w.Write(body) // the caller may have disconnected
 }
 
-// workTime is how long a request takes a server.
+// workTime returns how long a server works on a request.
 func workTime(kind RequestKind, id string) time.Duration {
 	part := func(low, high time.Duration) time.Duration {
 		return low + time.Duration(hashDraw(id, "work", 1000))*(high-low)/1000
@@ -269,7 +269,8 @@
 	}
 }
 
-// work takes the run's time. It reports false if the caller left or the server crashed before.
+// work waits for run.Planned. It reports whether that time passed before the caller disconnected or the server crashed;
+// otherwise it sets run.Outcome.
 func (s *fakeServer) work(ctx context.Context, run *ServerRun) bool {
 	timer := time.NewTimer(run.Planned)
 	defer timer.Stop()
@@ -287,7 +288,7 @@
 	return false
 }
 
-// stream answers with a long body that comes slowly, with or without a length.
+// stream sends a long body in chunks, with or without a Content-Length.
 func (s *fakeServer) stream(w http.ResponseWriter, r *http.Request, run *ServerRun) {
 	body, seal := responseBody(run.ID, s.incarnation, streamChunks*streamChunkBytes)
 	run.Status, run.Seal, run.Digest = http.StatusOK, seal, xxh3.Hash(body)
@@ -300,7 +301,7 @@
 		if _, err := w.Write(body[:n]); err != nil {
 			return
 		}
-		_ = http.NewResponseController(w).Flush() // an error shows at the next write
+		_ = http.NewResponseController(w).Flush() // an error is returned by the next write, too
 		body = body[n:]
 		run.Planned += streamInterval
 		pause := &ServerRun{Planned: streamInterval}
--- a/internal/soak/story.go
+++ b/internal/soak/story.go
@@ -12,21 +12,21 @@
 	"time"
 )
 
-// Bounds of stories.
+// Limits of the reports of breaches.
 const (
-	reportBefore = 8 * time.Second // of events and log lines, before the request or the breach
+	reportBefore = 8 * time.Second // span of events and log lines before the breach
 	reportAfter  = 2 * time.Second
-	maxReports   = 40 // of a run; what is over that is counted only
+	maxReports   = 40 // per run; further breaches are only counted
 	breachesFile = "breaches.txt"
 )
 
-// reportLine is a line of a story.
+// reportLine is a line in the report of a breach.
 type reportLine struct {
 	at   time.Duration
 	text string
 }
 
-// writeBreaches writes what was found into the run's folder, each breach with its story.
+// writeBreaches writes the report of each breach, if there is any, to breaches.txt in the run's directory.
 func writeBreaches(dir string, outcome *Outcome) error {
 	var text strings.Builder
 	for i, breach := range outcome.Breaches {
@@ -43,7 +43,8 @@
 	return os.WriteFile(filepath.Join(dir, breachesFile), []byte(text.String()), 0o600)
 }
 
-// breachReport tells a breach: its request and its runs, the events around it, and the log of the process concerned.
+// breachReport returns the report of a breach: its request with its runs, the events around it, and the log of the process
+// concerned.
 func breachReport(dir string, record *Record, breach Breach) string {
 	from, to := breach.At-reportBefore, breach.At+reportAfter
 	var lines []reportLine
@@ -82,8 +83,9 @@
 }
 
 func requestLines(request Request) []reportLine {
-	lines := []reportLine{{request.StartedAt, fmt.Sprintf("request %s (%s) is begun at %s, kept connection %t, deadline at %.3f s",
-		request.ID, request.Kind, request.Edge, request.Kept, request.DeadlineAt.Seconds())}}
+	lines := []reportLine{{request.StartedAt,
+		fmt.Sprintf("request %s (%s) is begun at %s, kept connection %t, deadline at %.3f s", request.ID,
+			request.Kind, request.Edge, request.Kept, request.DeadlineAt.Seconds())}}
 	if request.SentAt > 0 {
 		lines = append(lines, reportLine{request.SentAt, "its last byte is written"})
 	}
@@ -101,13 +103,13 @@
 	}
 }
 
-// logLines reads the lines of a process's log in a span. A log that can't be read gives none.
+// logLines returns the lines of a process's log between from and to. It returns none if the file can't be read.
 func logLines(path string, from, to time.Duration) (lines []reportLine) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // the file was only read
 	for scanner := bufio.NewScanner(file); scanner.Scan(); {
 		stamp, text, ok := strings.Cut(strings.TrimSpace(scanner.Text()), " ")
 		at, err := strconv.ParseFloat(stamp, 64)
