--- a/internal/soak/operator.go
+++ b/internal/soak/operator.go
@@ -14,14 +14,14 @@
 	"mulleinwood/internal/nodeprocess"
 )
 
-// Figures of the operator.
+// Parameters of the operator.
 const (
-	callTimeout  = 2 * time.Second
-	retryDelay   = 100 * time.Millisecond
-	orderLimit   = 12 * time.Second // for one change, after which its outcome stays unclear
-	readInterval = 150 * time.Millisecond
-	patchEvery   = 3  // changes, of which one is sent as a PATCH
-	extraRoutes  = 40 // at most, so that a configuration differs from the next in its length, too
+	callTimeout    = 2 * time.Second
+	retryDelay     = 100 * time.Millisecond
+	changeTimeout  = 12 * time.Second // for one change; after it the outcome is unknown
+	readInterval   = 150 * time.Millisecond
+	patchEveryNth  = 3  // one in so many changes is sent as a PATCH
+	maxExtraRoutes = 40 // upper bound; versions differ in length because their numbers of extra routes differ
 )
 
 // configOperator changes the configuration and reads it back.
@@ -31,7 +31,7 @@
 	client      *http.Client
 
 	mu      sync.Mutex // held while changes are made
-	version int        // of the newest change that was acknowledged
+	version int        // newest acknowledged version
 	next    int        // version of the next change
 }
 
@@ -39,7 +39,7 @@
 	return &configOperator{recorder: r, controllers: controllers, client: &http.Client{Timeout: callTimeout}, next: 1}
 }
 
-// configuration is the whole configuration of a version, and the number of its routes.
+// configuration returns the whole configuration of a version and the number of its routes.
 func configuration(version int) (text string, routes int) {
 	kinds := map[RequestKind]string{Lookup: "safe", Review: "safe", Note: "unsafe", Post: "keyed", Stream: "safe",
 		Upload: "unsafe"}
@@ -52,52 +52,53 @@
 		all = append(all, fmt.Sprintf(`{"name":%q,"path_prefix":"/%s/","kind":%q,"deadline_s":%g,"setpoint_s":0.5,"priority":1,`+
 			`"service":%q,"tries":2}`, kind, kind, kinds[kind], deadlines[kind].Seconds(), service))
 	}
-	for i := range version % extraRoutes {
+	for i := range version % maxExtraRoutes {
 		all = append(all, extraRoute(i))
 	}
-	idle := 10 + version%5 // seconds: each change of it gives clients' connections another server
+	idle := 10 + version%5 // seconds; each change gives clients' connections a new HTTP server
 	return fmt.Sprintf(`{"version":"r%d","services":[{"name":%q,"health_path":"/health","conn_limit":400},`+
 		`{"name":%q,"health_path":"/health","conn_limit":400}],"limits":{"max_header_bytes":16384,"max_body_bytes":1048576,`+
 		`"header_wait_s":3,"idle_s":%d},"plants":[{"plant":%q,"channels":[%s]}]}`, version, lookupService, ledgerService, idle,
 		tenant, strings.Join(all, ",")), len(all)
 }
 
-// extraRoute is one of the routes by which configurations differ.
+// extraRoute returns one of the additional routes by which configurations differ.
 func extraRoute(number int) string {
 	return fmt.Sprintf(`{"name":"extra-%d","path_prefix":"/extra-%d/","kind":"safe","deadline_s":1,"setpoint_s":0.5,`+
 		`"priority":2,"service":%q,"tries":1}`, number, number, lookupService)
 }
 
-// patchOf is the change from the routes of one version to those of another.
-func patchOf(from, to int) string {
+// configPatch returns the patch that turns the routes of one version into those of another.
+func configPatch(from, to int) string {
 	var upsert, remove []string
-	for i := from % extraRoutes; i < to%extraRoutes; i++ {
+	for i := from % maxExtraRoutes; i < to%maxExtraRoutes; i++ {
 		upsert = append(upsert, extraRoute(i))
 	}
-	for i := to % extraRoutes; i < from%extraRoutes; i++ {
+	for i := to % maxExtraRoutes; i < from%maxExtraRoutes; i++ {
 		remove = append(remove, fmt.Sprintf(`"extra-%d"`, i))
 	}
 	return fmt.Sprintf(`{"version":"r%d","upsert":{"plants":[{"plant":%q,"channels":[%s]}]},"remove":{"routes":[%s]}}`, to,
 		tenant, strings.Join(upsert, ","), strings.Join(remove, ","))
 }
 
-// order is a change of the configuration as it is sent.
-type order struct {
+// configRequest is a configuration change as it is sent.
+type configRequest struct {
 	method string
 	body   string
 }
 
-// change sends the next configuration, whole or as a change, and sends it again as it is until the answer is clear.
+// change sends the next configuration, as a whole or as a patch, and retries the same request until it is acknowledged. It
+// reports whether that happened within changeTimeout. The caller must hold mu unless no other change can be in progress.
 func (o *configOperator) change(ctx context.Context) bool {
 	body, routes := configuration(o.next)
-	sent := order{http.MethodPut, body}
-	if o.version > 0 && o.next%patchEvery == 0 {
-		sent = order{http.MethodPatch, patchOf(o.version, o.next)}
+	sent := configRequest{http.MethodPut, body}
+	if o.version > 0 && o.next%patchEveryNth == 0 {
+		sent = configRequest{http.MethodPatch, configPatch(o.version, o.next)}
 	}
 	call := ConfigCall{Version: o.next, Routes: routes, SentAt: o.recorder.now()}
 	o.next++
 	defer func() { o.recorder.add(func(all *Record) { all.Calls = append(all.Calls, call) }) }()
-	deadline := time.Now().Add(orderLimit)
+	deadline := time.Now().Add(changeTimeout)
 	for number := 0; ctx.Err() == nil && time.Now().Before(deadline); number++ {
 		node := o.controllers[(call.Version+number)%len(o.controllers)]
 		if o.send(ctx, node, sent) {
@@ -110,8 +111,8 @@
 	return false
 }
 
-// send sends an order to one controller and reports whether it was acknowledged.
-func (o *configOperator) send(ctx context.Context, node *supervisor, sent order) bool {
+// send sends a request to one controller and reports whether it was acknowledged.
+func (o *configOperator) send(ctx context.Context, node *supervisor, sent configRequest) bool {
 	url := "http://" + nodeprocess.Address(node.spec.IP, nodeprocess.ControlPort) + "/config"
 	request, err := http.NewRequestWithContext(ctx, sent.method, url, strings.NewReader(sent.body))
 	if err != nil {
@@ -130,21 +131,21 @@
 	return err == nil && response.StatusCode == http.StatusOK
 }
 
-// storm makes changes one after the other. One whose outcome stays unclear ends it: the next would build on an unknown one.
-func (o *configOperator) storm(ctx context.Context, count int) {
+// changeRepeatedly makes changes in sequence. It stops after one with an unknown outcome, on which the next can't be based.
+func (o *configOperator) changeRepeatedly(ctx context.Context, count int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for range count {
 		if !o.change(ctx) {
-			o.adopt(ctx)
+			o.adoptCurrentVersion(ctx)
 			return
 		}
 	}
 }
 
-// adopt takes over the version in force, after a change whose outcome is not known.
-func (o *configOperator) adopt(ctx context.Context) {
-	deadline := time.Now().Add(orderLimit)
+// adoptCurrentVersion sets version to the version in force, after a change with an unknown outcome.
+func (o *configOperator) adoptCurrentVersion(ctx context.Context) {
+	deadline := time.Now().Add(changeTimeout)
 	for number := 0; ctx.Err() == nil && time.Now().Before(deadline); number++ {
 		if read, ok := o.read(ctx, o.controllers[number%len(o.controllers)]); ok {
 			o.version = read.Version
@@ -154,7 +155,7 @@
 	}
 }
 
-// read asks one controller for the configuration. Ok: it was answered with 200.
+// read reads the configuration from one controller and records it. ok reports whether the response was valid with status 200.
 func (o *configOperator) read(ctx context.Context, node *supervisor) (read ConfigRead, ok bool) {
 	read = ConfigRead{Node: node.spec.Name, SentAt: o.recorder.now()}
 	url := "http://" + nodeprocess.Address(node.spec.IP, nodeprocess.ControlPort) + "/config"
@@ -178,7 +179,7 @@
 		return read, false
 	}
 	read.EndedAt = o.recorder.now()
-	read.Version, _ = strconv.Atoi(strings.TrimPrefix(body.Version, "r")) // none is version 0
+	read.Version, _ = strconv.Atoi(strings.TrimPrefix(body.Version, "r")) // a missing version is 0
 	for _, plant := range body.Plants {
 		read.Routes += len(plant.Channels)
 	}
@@ -186,10 +187,10 @@
 	return read, true
 }
 
-// readAll reads at every controller, again and again, until ctx ends.
+// readAll reads the configuration from the controllers in turn until ctx ends.
 func (o *configOperator) readAll(ctx context.Context) {
 	for number := 0; ctx.Err() == nil; number++ {
-		_, _ = o.read(ctx, o.controllers[number%len(o.controllers)]) // what it read is recorded
+		_, _ = o.read(ctx, o.controllers[number%len(o.controllers)]) // read records the result
 		sleep(ctx, readInterval)
 	}
 }
--- a/internal/soak/page_test.go
+++ b/internal/soak/page_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// The page shows the latencies of answered requests alone, and each shutdown of an edge that ended in order.
+// The page contains latencies only of requests with a response, and the shutdown time of each edge that exited gracefully.
 func TestPage(t *testing.T) {
 	record := lost(5270 * millis)()
-	request, _ := good(Note)
+	request, _ := successful(Note)
 	record.Requests = append(record.Requests, request)
 	record.Processes = append(record.Processes, ProcessChange{At: at + 530*millis, Node: anEdge, What: Ended},
 		ProcessChange{At: at + second, Node: "edge-2", What: Terminated}, ProcessChange{At: at + second + millis, Node: "edge-2", What: Killed},
@@ -25,6 +25,6 @@
 		}
 	}
 	if strings.Contains(page.String(), "<td>lookup</td>") {
-		t.Error("a request without an answer has a latency")
+		t.Error("the page has a latency of a request without a response")
 	}
 }
