--- a/internal/simulation/bookings.go
+++ b/internal/simulation/bookings.go
@@ -46,9 +46,9 @@
 
 // NewBookingScenario generates a scenario with the given load in which processes end, servers drain and crash, and edges are
 // partitioned occasionally.
-func NewBookingScenario(seed uint64, members, lost int, busy BookingLoad) Scenario {
+func NewBookingScenario(seed uint64, members, maxLostDisks int, busy BookingLoad) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 14))
-	scenario := Scenario{Seed: seed, Members: members, MaxLostDisks: lost, Edges: 4, Services: 2, Servers: 12, Rate: 2,
+	scenario := Scenario{Seed: seed, Members: members, MaxLostDisks: maxLostDisks, Edges: 4, Services: 2, Servers: 12, Rate: 2,
 		ChangeIntervalTicks: 300, Length: 22 * time.Second, BookingLoad: busy, MeasureLatency: true}
 	kinds := []string{Kill, KillEdge, PartitionEdge, Drain, Drain, Crash, SlowDisk, Freeze, PowerAll}
 	for at := 2 * time.Second; at < scenario.Length-2*time.Second; at += time.Duration(1000+rng.IntN(3000)) * time.Millisecond {
@@ -376,17 +376,17 @@
 	return u
 }
 
-// bookedEnding is the result of a request of the tenant or of the others.
-type bookedEnding uint8
+// bookedResult is the result of a request of the tenant or of the others.
+type bookedResult uint8
 
 const (
-	bookedFailed bookedEnding = iota
+	bookedFailed bookedResult = iota
 	bookedServed
 	bookedRefused
 )
 
-// bookedEndingOf returns the ending for the outcome of the last attempt and its status.
-func bookedEndingOf(outcome attempt.Outcome, status int) bookedEnding {
+// bookedResultOf returns the result for the outcome of the last attempt and its status.
+func bookedResultOf(outcome attempt.Outcome, status int) bookedResult {
 	switch {
 	case outcome == attempt.Ran && status < 500:
 		return bookedServed
@@ -396,8 +396,8 @@
 	return bookedFailed
 }
 
-// finishBookedRequest releases the admission of a request, counts its ending and repeats rejected requests of the others.
-func (w *cluster) finishBookedRequest(q *request, ending bookedEnding) {
+// finishBookedRequest releases the admission of a request, counts its result and repeats rejected requests of the others.
+func (w *cluster) finishBookedRequest(q *request, result bookedResult) {
 	if p := q.admission; p != nil {
 		if q.edge.reservations.wanted[p.reservation]--; p.admitted {
 			p.gate.Release(p.admittedAs, max(1, w.now-p.at))
@@ -406,7 +406,7 @@
 	if q.trafficStats == nil {
 		return
 	}
-	if ending == bookedRefused && q.trafficStats == &w.result.Others && q.resends < maxResends {
+	if result == bookedRefused && q.trafficStats == &w.result.Others && q.resends < maxResends {
 		e := w.edges[w.rng.IntN(len(w.edges))]
 		w.scheduleMillis(1+w.rng.IntN(20), func() {
 			if e.frozenUntil <= w.now {
@@ -417,7 +417,7 @@
 	if !q.measured {
 		return
 	}
-	switch took := w.now - q.startedAt; ending {
+	switch took := w.now - q.startedAt; result {
 	case bookedServed:
 		q.trafficStats.Served++
 		q.trafficStats.Latencies = append(q.trafficStats.Latencies, took)
@@ -434,6 +434,7 @@
 	t.Latencies = append(t.Latencies, o.Latencies...)
 }
 
+// String returns the counts as shares of the requests, and percentiles of the latency.
 func (t TrafficStats) String() string {
 	took := slices.Clone(t.Latencies)
 	slices.Sort(took)
--- a/internal/simulation/bounded_model_claims.go
+++ b/internal/simulation/bounded_model_claims.go
@@ -35,12 +35,12 @@
 }
 
 // handleOutcome delivers the outcome of a claim to an edge.
-func (s *boundedModel) handleOutcome(edge int, ruling idempotency.Outcome) {
+func (s *boundedModel) handleOutcome(edge int, outcome idempotency.Outcome) {
 	e := &s.Edges[edge]
 	if e.Finished {
 		return
 	}
-	if ruling != idempotency.OutcomeGranted {
+	if outcome != idempotency.OutcomeGranted {
 		s.revoke(edge)
 		return
 	}
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -53,7 +53,7 @@
 
 // clusterNetwork holds the messages in flight and the links.
 type clusterNetwork struct {
-	network    []message
+	messages   []message
 	links      []*link
 	linkByEnds map[[2]int]*link
 }
--- a/internal/simulation/controllers.go
+++ b/internal/simulation/controllers.go
@@ -37,14 +37,14 @@
 
 // controllerFaults holds the active faults of a controller and their end times.
 type controllerFaults struct {
-	downUntil        time.Duration
-	removed          bool          // permanently, or until it returns after it was replaced
-	outboundCutUntil time.Duration // its messages don't reach other controllers
-	inboundCutUntil  time.Duration // messages of other controllers don't reach it
-	frozenUntil      time.Duration
-	slowDiskUntil    time.Duration
-	fullDiskUntil    time.Duration
-	clockOffset      time.Duration // of its wall clock
+	downUntil              time.Duration
+	removed                bool          // permanently, or until it returns after it was replaced
+	outboundPartitionUntil time.Duration // its messages don't reach other controllers
+	inboundPartitionUntil  time.Duration // messages of other controllers don't reach it
+	frozenUntil            time.Duration
+	slowDiskUntil          time.Duration
+	fullDiskUntil          time.Duration
+	clockOffset            time.Duration // of its wall clock
 }
 
 // consensusState holds the consensus replica, its state machine and its view of the membership.
@@ -170,11 +170,11 @@
 	}
 	w.requestCopies(n)
 	n.broadcaster.Tick(w.now)
-	lost := func(owner string) bool {
-		since, gone := n.unreachableSince[slices.Index(w.controllerNames, owner)]
-		return gone && w.now-since > 2500*time.Millisecond
+	isLost := func(owner string) bool {
+		since, unreachable := n.unreachableSince[slices.Index(w.controllerNames, owner)]
+		return unreachable && w.now-since > 2500*time.Millisecond
 	}
-	if changed := n.registry.MarkTimedOut(n.name, lost, 5*heartbeatInterval/2, w.now); len(changed) > 0 {
+	if changed := n.registry.MarkTimedOut(n.name, isLost, 5*heartbeatInterval/2, w.now); len(changed) > 0 {
 		n.broadcaster.Publish(changed)
 	}
 	w.publishUpdates(n)
--- a/internal/simulation/disks.go
+++ b/internal/simulation/disks.go
@@ -29,18 +29,18 @@
 type write struct {
 	completesAt time.Duration
 	store       func(*disk)
-	done        func(ok bool)
+	onDone      func(ok bool)
 	mustSucceed bool // retried until it succeeds while the disk is full
 }
 
 // persist queues a write. It fails if the disk is full.
-func (w *cluster) persist(n *controller, store func(*disk), done func(ok bool)) {
-	w.enqueue(n, write{store: store, done: done})
+func (w *cluster) persist(n *controller, store func(*disk), onDone func(ok bool)) {
+	w.enqueue(n, write{store: store, onDone: onDone})
 }
 
 // persistRetrying queues a write that is retried until it succeeds.
-func (w *cluster) persistRetrying(n *controller, store func(*disk), then func()) {
-	w.enqueue(n, write{store: store, done: func(bool) { then() }, mustSucceed: true})
+func (w *cluster) persistRetrying(n *controller, store func(*disk), onDone func()) {
+	w.enqueue(n, write{store: store, onDone: func(bool) { onDone() }, mustSucceed: true})
 }
 
 func (w *cluster) enqueue(n *controller, pending write) {
@@ -65,11 +65,11 @@
 		}
 		n.pendingWrites = n.pendingWrites[1:]
 		if n.fullDiskUntil > w.now {
-			one.done(false)
+			one.onDone(false)
 			continue
 		}
 		one.store(&n.disk)
-		one.done(true)
+		one.onDone(true)
 	}
 }
 
--- a/internal/simulation/edges.go
+++ b/internal/simulation/edges.go
@@ -17,22 +17,22 @@
 	pendingClaims       map[idempotency.Token]*claim
 	revocations         []revocation
 
-	frozenUntil, cutUntil time.Duration
-	stableSince           time.Duration // from when it counts as stable: stabilizationTime after its last fault
-	nextSearch            time.Duration
-	inContact             bool
-	version               uint64
-	registry              *registry.Registry
-	picker                *picker.Picker
-	budgets               map[string]*retrybudget.Budget
-	contacted             map[string]bool
-	zoneCount             int
-	roundRobinNext        map[string]int // by service: next index of the round robin policy
-	serviceRequests       map[string]int // requests for a service since the last report
-	nextReport            time.Duration  // when the next report is due
-	attachedAt            time.Duration  // to its current controller
-	reservations          edgeReservations
-	withoutTableSince     map[string]time.Duration // by service: since when no weight table was received
+	frozenUntil, partitionUntil time.Duration
+	stableSince                 time.Duration // from when it counts as stable: stabilizationTime after its last fault
+	nextSearch                  time.Duration
+	inContact                   bool
+	version                     uint64
+	registry                    *registry.Registry
+	picker                      *picker.Picker
+	budgets                     map[string]*retrybudget.Budget
+	contacted                   map[string]bool
+	zoneCount                   int
+	roundRobinNext              map[string]int // by service: next index of the round robin policy
+	serviceRequests             map[string]int // requests for a service since the last report
+	nextReport                  time.Duration  // when the next report is due
+	attachedAt                  time.Duration  // to its current controller
+	reservations                edgeReservations
+	withoutTableSince           map[string]time.Duration // by service: since when no weight table was received
 }
 
 type claim struct {
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -36,11 +36,11 @@
 			w.stopController(n, max(fault.Duration, n.downUntil-w.now))
 		}
 	case Partition:
-		n.outboundCutUntil, n.inboundCutUntil = w.now+fault.Duration, w.now+fault.Duration
+		n.outboundPartitionUntil, n.inboundPartitionUntil = w.now+fault.Duration, w.now+fault.Duration
 	case OutboundPartition:
-		n.outboundCutUntil = w.now + fault.Duration
+		n.outboundPartitionUntil = w.now + fault.Duration
 	case InboundPartition:
-		n.inboundCutUntil = w.now + fault.Duration
+		n.inboundPartitionUntil = w.now + fault.Duration
 	case Freeze:
 		n.frozenUntil = w.now + fault.Duration
 	case SlowDisk:
@@ -73,7 +73,7 @@
 	case KillEdge:
 		w.restartEdge(e)
 	case PartitionEdge:
-		e.cutUntil = w.now + fault.Duration
+		e.partitionUntil = w.now + fault.Duration
 	case FreezeEdge:
 		e.frozenUntil = w.now + fault.Duration
 	}
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -53,11 +53,11 @@
 // isReachable reports whether messages pass from a to b.
 func (w *cluster) isReachable(a, b int) bool {
 	for _, who := range []int{a, b} {
-		if who < 0 && w.edges[-1-who].cutUntil > w.now || who >= 0 && w.controllers[who].downUntil > w.now {
+		if who < 0 && w.edges[-1-who].partitionUntil > w.now || who >= 0 && w.controllers[who].downUntil > w.now {
 			return false
 		}
 	}
-	return a < 0 || b < 0 || w.controllers[a].outboundCutUntil <= w.now && w.controllers[b].inboundCutUntil <= w.now
+	return a < 0 || b < 0 || w.controllers[a].outboundPartitionUntil <= w.now && w.controllers[b].inboundPartitionUntil <= w.now
 }
 
 // maintainLinks connects and breaks links. It is called every few ticks.
@@ -154,7 +154,7 @@
 	at := max(k.nextDelivery[direction], w.now+time.Duration(1+w.rng.IntN(5))*time.Millisecond)
 	k.nextDelivery[direction] = at
 	to := k.a + k.b - from
-	w.network = append(w.network, message{deliverAt: at, from: from, to: to,
+	w.messages = append(w.messages, message{deliverAt: at, from: from, to: to,
 		incarnations: [2]int{w.incarnationOf(from), w.incarnationOf(to)}, deliver: do, link: k, epoch: k.epoch})
 }
 
--- a/internal/simulation/membership_scenarios.go
+++ b/internal/simulation/membership_scenarios.go
@@ -18,13 +18,13 @@
 // NewMembershipScenario generates a scenario in which controllers are replaced, shut down, wiped, partitioned, killed and
 // suspended, never more at the same time than are tolerated: a lost controller counts as lost until recoveryTimeout after
 // its own or its replacement's start.
-func NewMembershipScenario(seed uint64, members, lost int) Scenario {
+func NewMembershipScenario(seed uint64, members, maxLostDisks int) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 15))
-	scenario := membershipScenario(seed, members, lost)
+	scenario := membershipScenario(seed, members, maxLostDisks)
 	scenario.Seeds = rng.IntN(3) % 2
 	at := 4 * time.Second
 	for range 5 + rng.IntN(3) {
-		at = scenario.addLoss(rng, at, lost)
+		at = scenario.addLoss(rng, at, maxLostDisks)
 		if rng.IntN(6) == 0 { // all controllers lose power, possibly together with the next loss
 			span := time.Duration(200+rng.IntN(1500)) * time.Millisecond
 			scenario.addFault(Fault{At: at, Kind: PowerAll, Duration: span})
@@ -41,9 +41,9 @@
 
 // NewReplacementChainScenario generates a scenario in which every controller in turn is replaced, twice over, with wipes,
 // partitions, kills and power losses in between, and at the end a loss of as many controllers as are tolerated.
-func NewReplacementChainScenario(seed uint64, members, lost int) Scenario {
+func NewReplacementChainScenario(seed uint64, members, maxLostDisks int) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 16))
-	scenario := membershipScenario(seed, members, lost)
+	scenario := membershipScenario(seed, members, maxLostDisks)
 	at := 4 * time.Second
 	kinds := []string{Replace, Replace, StandbyFirst, StandbyAfter, ReplaceBack}
 	for i := range 2 * members {
@@ -52,23 +52,23 @@
 		scenario.addFault(fault)
 		at = fault.endsAt() + recoveryTimeout
 		if i%3 == 2 {
-			at = scenario.addLoss(rng, at, lost)
+			at = scenario.addLoss(rng, at, maxLostDisks)
 		}
 		if i == members {
 			scenario.addFault(Fault{At: at, Kind: PowerAll, Duration: time.Second})
 			at += time.Second + recoveryTimeout
 		}
 	}
-	for _, place := range rng.Perm(members)[:lost] {
-		scenario.addFault(Fault{At: at, Kind: []string{Wipe, Replace}[rng.IntN(2)], Node: place, Duration: time.Second})
+	for _, position := range rng.Perm(members)[:maxLostDisks] {
+		scenario.addFault(Fault{At: at, Kind: []string{Wipe, Replace}[rng.IntN(2)], Node: position, Duration: time.Second})
 	}
 	scenario.addSideFaults(rng, at)
 	scenario.sortFaults()
 	return scenario
 }
 
-func membershipScenario(seed uint64, members, lost int) Scenario {
-	return Scenario{Seed: seed, Members: members, MaxLostDisks: lost, Edges: 3, ChangeIntervalTicks: 100, Operators: 8,
+func membershipScenario(seed uint64, members, maxLostDisks int) Scenario {
+	return Scenario{Seed: seed, Members: members, MaxLostDisks: maxLostDisks, Edges: 3, ChangeIntervalTicks: 100, Operators: 8,
 		ReplyLossInterval: 3, MustRecover: true}
 }
 
@@ -89,11 +89,11 @@
 
 // addLoss adds faults of at most as many controllers as are tolerated, about the same time. It returns when the next loss
 // may begin.
-func (scenario *Scenario) addLoss(rng *rand.Rand, at time.Duration, lost int) time.Duration {
+func (scenario *Scenario) addLoss(rng *rand.Rand, at time.Duration, maxLost int) time.Duration {
 	next := at
-	for i, place := range rng.Perm(scenario.Members)[:1+rng.IntN(lost)] {
+	for i, position := range rng.Perm(scenario.Members)[:1+rng.IntN(maxLost)] {
 		fault := Fault{At: at + time.Duration(rng.IntN(400))*time.Millisecond,
-			Kind: membershipFaults[rng.IntN(len(membershipFaults))], Node: place,
+			Kind: membershipFaults[rng.IntN(len(membershipFaults))], Node: position,
 			Duration: time.Duration(100+rng.IntN(4000)) * time.Millisecond}
 		if i == 0 && scenario.MaxLostDisks == 1 && rng.IntN(3) == 0 {
 			fault.Node = LeaderNode
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -16,7 +16,7 @@
 
 // scheduleMillis runs do after the given number of milliseconds.
 func (w *cluster) scheduleMillis(ms int, do func()) {
-	w.network = append(w.network, message{deliverAt: w.now + time.Duration(ms)*time.Millisecond, deliver: do, scheduled: true})
+	w.messages = append(w.messages, message{deliverAt: w.now + time.Duration(ms)*time.Millisecond, deliver: do, scheduled: true})
 }
 
 func (w *cluster) incarnationOf(who int) int {
@@ -31,37 +31,38 @@
 	if w.rng.IntN(40) == 0 {
 		return
 	}
-	w.network = append(w.network, message{deliverAt: w.now + time.Duration(1+w.rng.IntN(9))*time.Millisecond, from: from, to: to,
-		incarnations: [2]int{w.incarnationOf(from), w.incarnationOf(to)}, deliver: do, betweenControllers: from >= 0 && to >= 0})
+	w.messages = append(w.messages, message{deliverAt: w.now + time.Duration(1+w.rng.IntN(9))*time.Millisecond,
+		from: from, to: to, incarnations: [2]int{w.incarnationOf(from), w.incarnationOf(to)},
+		deliver: do, betweenControllers: from >= 0 && to >= 0})
 }
 
 func (w *cluster) deliverMessages() {
-	pending := w.network
-	w.network = nil
+	pending := w.messages
+	w.messages = nil
 	var kept []message
-	for _, l := range pending {
-		if l.deliverAt > w.now {
-			kept = append(kept, l)
+	for _, m := range pending {
+		if m.deliverAt > w.now {
+			kept = append(kept, m)
 			continue
 		}
-		if l.scheduled {
+		if m.scheduled {
 			w.result.Events++
-			l.deliver()
+			m.deliver()
 			continue
 		}
 		switch {
-		case w.incarnationOf(l.from) != l.incarnations[0] || w.incarnationOf(l.to) != l.incarnations[1]:
-		case l.link != nil && (!l.link.up || l.link.epoch != l.epoch):
-		case l.link != nil && !w.isReachable(l.from, l.to), !w.isRunning(l.to) &&
-			(l.to < 0 || w.controllers[l.to].downUntil <= w.now):
-			kept = append(kept, l) // delayed by a partition, or unread by a suspended process
-		case l.to >= 0 && w.controllers[l.to].downUntil > w.now:
-		case l.betweenControllers && (w.controllers[l.from].outboundCutUntil > w.now ||
-			w.controllers[l.to].inboundCutUntil > w.now):
+		case w.incarnationOf(m.from) != m.incarnations[0] || w.incarnationOf(m.to) != m.incarnations[1]:
+		case m.link != nil && (!m.link.up || m.link.epoch != m.epoch):
+		case m.link != nil && !w.isReachable(m.from, m.to), !w.isRunning(m.to) &&
+			(m.to < 0 || w.controllers[m.to].downUntil <= w.now):
+			kept = append(kept, m) // delayed by a partition, or unread by a suspended process
+		case m.to >= 0 && w.controllers[m.to].downUntil > w.now:
+		case m.betweenControllers && (w.controllers[m.from].outboundPartitionUntil > w.now ||
+			w.controllers[m.to].inboundPartitionUntil > w.now):
 		default:
 			w.result.Events++
-			l.deliver()
+			m.deliver()
 		}
 	}
-	w.network = append(kept, w.network...)
+	w.messages = append(kept, w.messages...)
 }
--- a/internal/simulation/policies.go
+++ b/internal/simulation/policies.go
@@ -13,7 +13,7 @@
 
 // pickServer chooses a server for a request according to the scenario's policy.
 func (w *cluster) pickServer(e *edge, q *request) *picker.Upstream {
-	excluded := func(u *picker.Upstream) bool { return slices.Contains(q.tried, u) }
+	excluded := func(u *picker.Upstream) bool { return slices.Contains(q.attemptedServers, u) }
 	if w.scenario.Policy == "" || w.scenario.Policy == "tables" { // with tables, edges are assigned no slots
 		return e.picker.Pick(q.service, excluded, w.now)
 	}
@@ -26,7 +26,7 @@
 	if len(candidates) == 0 {
 		return nil
 	}
-	least := func(cost func(*picker.Upstream) float64) *picker.Upstream {
+	minimum := func(cost func(*picker.Upstream) float64) *picker.Upstream {
 		return slices.MinFunc(candidates, func(a, b *picker.Upstream) int { return cmp.Compare(cost(a), cost(b)) })
 	}
 	var u *picker.Upstream
@@ -35,14 +35,14 @@
 		e.roundRobinNext[q.service]++
 		u = candidates[e.roundRobinNext[q.service]%len(candidates)]
 	case "least outstanding":
-		u = least(func(u *picker.Upstream) float64 { return float64(u.InFlight()) / float64(u.Capacity) })
+		u = minimum(func(u *picker.Upstream) float64 { return float64(u.InFlight()) / float64(u.Capacity) })
 	case "two choices":
 		a, b := candidates[w.rng.IntN(len(candidates))], candidates[w.rng.IntN(len(candidates))]
 		if u = a; b.InFlight()*a.Capacity < a.InFlight()*b.Capacity {
 			u = b
 		}
 	default:
-		u = least(w.actualDuration)
+		u = minimum(w.actualDuration)
 	}
 	e.picker.Reserve(u)
 	return u
--- a/internal/simulation/replacement.go
+++ b/internal/simulation/replacement.go
@@ -10,16 +10,16 @@
 const forever = time.Duration(math.MaxInt64)
 
 // controllerAt returns the controller that occupies a position. LeaderNode selects the position of the leader.
-func (w *cluster) controllerAt(place int) *controller {
-	if place == LeaderNode {
+func (w *cluster) controllerAt(position int) *controller {
+	if position == LeaderNode {
 		for _, n := range w.positions {
 			if w.isRunning(n.number) && n.replica.Role() == consensus.Leader {
 				return n
 			}
 		}
-		place = 0
+		position = 0
 	}
-	return w.positions[place%len(w.positions)]
+	return w.positions[position%len(w.positions)]
 }
 
 // removeController removes a controller permanently.
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -23,16 +23,16 @@
 
 // request is one client request at an edge.
 type request struct {
-	id          uint64
-	safe        bool
-	service     string
-	edge        *edge
-	incarnation int
-	startedAt   time.Duration
-	stable      bool // the controllers and the edge were stable at startedAt
-	retries     attempt.Retries
-	tried       []*picker.Upstream
-	finished    bool
+	id               uint64
+	safe             bool
+	service          string
+	edge             *edge
+	incarnation      int
+	startedAt        time.Duration
+	stable           bool // the controllers and the edge were stable at startedAt
+	retries          attempt.Retries
+	attemptedServers []*picker.Upstream
+	finished         bool
 
 	admission    *admission // only in scenarios with a BookingLoad
 	trafficStats *TrafficStats
@@ -134,7 +134,7 @@
 // sendAttempt sends a request to a server over a pooled or a new connection.
 func (w *cluster) sendAttempt(q *request, u *picker.Upstream) {
 	e := q.edge
-	q.tried = append(q.tried, u)
+	q.attemptedServers = append(q.attemptedServers, u)
 	t := &attemptState{request: q, upstream: u, expectedID: u.ID, sentAt: w.now}
 	if w.scenario.PlantedFault == "connections belong to an address" {
 		t.expectedID = ""
@@ -218,7 +218,7 @@
 // finishRequest ends a request and counts what its client receives.
 func (w *cluster) finishRequest(q *request, outcome attempt.Outcome, status int) {
 	q.finished = true
-	w.finishBookedRequest(q, bookedEndingOf(outcome, status))
+	w.finishBookedRequest(q, bookedResultOf(outcome, status))
 	took := w.now - q.startedAt
 	switch {
 	case outcome == attempt.Ran && status < 500:
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -21,6 +21,7 @@
 	Duration time.Duration
 }
 
+// String returns the fault on one line: its time, kind, target and duration.
 func (fault Fault) String() string {
 	return fmt.Sprintf("%7.3fs %-10s %d for %.3fs", fault.At.Seconds(), fault.Kind, fault.Node, fault.Duration.Seconds())
 }
@@ -104,9 +105,9 @@
 
 // NewScenario generates a scenario with faults of controllers and edges. Disk losses stay within the tolerated number, and
 // are far enough apart for the stores to recover in between.
-func NewScenario(seed uint64, members, lost int) Scenario {
+func NewScenario(seed uint64, members, maxLostDisks int) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 11))
-	scenario := Scenario{Seed: seed, Members: members, MaxLostDisks: lost, Edges: 3, Length: 14 * time.Second,
+	scenario := Scenario{Seed: seed, Members: members, MaxLostDisks: maxLostDisks, Edges: 3, Length: 14 * time.Second,
 		ChangeIntervalTicks: 20}
 	wiped := time.Duration(-1)
 	for at := 2 * time.Second; at < scenario.Length-4*time.Second; at += time.Duration(rng.IntN(1500)) * time.Millisecond {
@@ -129,7 +130,7 @@
 				continue
 			}
 			wiped = at
-			for _, node := range rng.Perm(members)[:1+rng.IntN(lost)] {
+			for _, node := range rng.Perm(members)[:1+rng.IntN(maxLostDisks)] {
 				scenario.Faults = append(scenario.Faults, Fault{At: at, Kind: Wipe, Node: node, Duration: fault.Duration})
 			}
 			if rng.IntN(2) == 0 {
@@ -144,10 +145,10 @@
 
 // NewServiceScenario generates a scenario in which controller faults are far enough apart for the rules that hold between
 // them, while servers start, drain, crash, and lose or corrupt responses all the time.
-func NewServiceScenario(seed uint64, members, lost int) Scenario {
+func NewServiceScenario(seed uint64, members, maxLostDisks int) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 12))
-	scenario := Scenario{Seed: seed, Members: members, MaxLostDisks: lost, Edges: 3 + rng.IntN(3), Services: 3, Servers: 9 +
-		rng.IntN(6), Rate: 25, ChangeIntervalTicks: 300, Length: 24 * time.Second}
+	scenario := Scenario{Seed: seed, Members: members, MaxLostDisks: maxLostDisks, Edges: 3 + rng.IntN(3), Services: 3,
+		Servers: 9 + rng.IntN(6), Rate: 25, ChangeIntervalTicks: 300, Length: 24 * time.Second}
 	for at := 3 * time.Second; at < scenario.Length-3*time.Second; at += time.Duration(100+rng.IntN(900)) * time.Millisecond {
 		scenario.Faults = append(scenario.Faults, Fault{At: at, Kind: serverFaults[rng.IntN(len(serverFaults))],
 			Node: rng.IntN(1000), Duration: time.Duration(500+rng.IntN(3000)) * time.Millisecond})
