--- a/internal/simulation/bookings.go
+++ b/internal/simulation/bookings.go
@@ -138,28 +138,28 @@
 // allocateReservations runs the leader's part of reservations, as the program does: it confirms its leadership, announces
 // the active reservations and gives the edges their leases.
 func (w *cluster) allocateReservations(n *controller) {
-	r := &n.reservations
-	if w.now < r.nextAllocation || n.replica.Role() != consensus.Leader || n.state.Bookings.Version == 0 {
+	reservations := &n.reservations
+	if w.now < reservations.nextAllocation || n.replica.Role() != consensus.Leader || n.state.Bookings.Version == 0 {
 		return
 	}
-	r.nextAllocation = w.now + allocateInterval
-	if r.allocator == nil || r.allocator.Term() != n.replica.Term() {
+	reservations.nextAllocation = w.now + allocateInterval
+	if reservations.allocator == nil || reservations.allocator.Term() != n.replica.Term() {
 		w.newAllocator(n)
 	}
-	if r.readIndex > 0 && n.replica.ReadConfirmed(r.readIndex) {
-		r.leaderProvenAt = r.readStarted
+	if reservations.readIndex > 0 && n.replica.ReadConfirmed(reservations.readIndex) {
+		reservations.leaderProvenAt = reservations.readStarted
 	}
-	r.readIndex, r.readStarted = n.replica.ReadIndex(w.now), w.now
+	reservations.readIndex, reservations.readStarted = n.replica.ReadIndex(w.now), w.now
 	w.processOutput(n)
-	if r.leaderProvenAt == 0 || w.now-r.leaderProvenAt > reservation.LeaderProofTTL {
+	if reservations.leaderProvenAt == 0 || w.now-reservations.leaderProvenAt > reservation.LeaderProofTTL {
 		return
 	}
 	w.announceReservations(n)
-	if len(r.announced) == 0 {
+	if len(reservations.announced) == 0 {
 		return
 	}
-	r.allocator.SetReservations(r.announced, w.now)
-	leases := r.allocator.Allocate(w.now)
+	reservations.allocator.SetReservations(reservations.announced, w.now)
+	leases := reservations.allocator.Allocate(w.now)
 	for i := range w.edges {
 		if lease, ok := leases[linkName(-1-i)]; ok {
 			w.relay(n.number, w.edges[i].controller, i, func(e *edge) { e.reservations.leases.Accept(lease) })
@@ -174,16 +174,17 @@
 	if w.scenario.PlantedFault == "a new dealer deals at once" {
 		startedAt = -time.Hour
 	}
-	r := &n.reservations
-	r.allocator, r.readIndex, r.leaderProvenAt = reservation.NewAllocator(n.replica.Term(), startedAt), 0, 0
+	reservations := &n.reservations
+	reservations.allocator, reservations.readIndex, reservations.leaderProvenAt =
+		reservation.NewAllocator(n.replica.Term(), startedAt), 0, 0
 }
 
 // announceReservations sends the active reservations to all controllers.
 func (w *cluster) announceReservations(n *controller) {
-	r := &n.reservations
-	r.announced = n.state.Bookings.ReservationsAt(w.readyCapacity(n), r.clock.Now(w.now))
-	r.term, r.announcer = n.replica.Term(), n.number
-	announced, term := r.announced, r.term
+	reservations := &n.reservations
+	reservations.announced = n.state.Bookings.ReservationsAt(w.readyCapacity(n), reservations.clock.Now(w.now))
+	reservations.term, reservations.announcer = n.replica.Term(), n.number
+	announced, term := reservations.announced, reservations.term
 	for _, o := range w.controllers {
 		if k := w.linkBetween(n.number, o.number); o != n && k != nil {
 			w.sendOnLink(k, n.number, func() {
@@ -227,36 +228,36 @@
 // updateGate makes an edge take over its controller's reservations, report its demand and set its admission gate to the
 // shares of its leases.
 func (w *cluster) updateGate(e *edge) {
-	r := &e.reservations
-	if w.scenario.BookingLoad.BookedShare == 0 || w.now < r.nextDemand || e.frozenUntil > w.now {
+	reservations := &e.reservations
+	if w.scenario.BookingLoad.BookedShare == 0 || w.now < reservations.nextDemand || e.frozenUntil > w.now {
 		return
 	}
-	r.nextDemand = w.now + allocateInterval
+	reservations.nextDemand = w.now + allocateInterval
 	if k := w.linkBetween(e.controller, -1-e.number); e.controller != nowhere && k != nil {
 		controller := w.controllers[e.controller]
 		if controller.reservations.term > 0 {
-			r.announced = controller.reservations.announced
-			r.leases.AdvanceTerm(controller.reservations.term)
+			reservations.announced = controller.reservations.announced
+			reservations.leases.AdvanceTerm(controller.reservations.term)
 		}
-		if len(r.announced) > 0 {
+		if len(reservations.announced) > 0 {
 			w.sendDemand(e, controller, k)
 		}
 	}
-	r.gate.Retain(func(id string) bool {
-		return slices.ContainsFunc(r.announced, func(o reservation.Reservation) bool { return o.ID == id })
+	reservations.gate.Retain(func(id string) bool {
+		return slices.ContainsFunc(reservations.announced, func(o reservation.Reservation) bool { return o.ID == id })
 	})
-	if len(r.announced) == 0 {
-		r.gate.ClearUnreservedLimit()
+	if len(reservations.announced) == 0 {
+		reservations.gate.ClearUnreservedLimit()
 	}
-	for _, held := range r.announced {
-		share, full, known := r.leases.Share(held.ID, w.now)
+	for _, held := range reservations.announced {
+		share, full, known := reservations.leases.Share(held.ID, w.now)
 		switch {
 		case held.ID != reservation.UnreservedID(held.Service):
-			r.gate.SetShare(held.ID, share, held.Slots, full)
+			reservations.gate.SetShare(held.ID, share, held.Slots, full)
 		case known:
-			r.gate.LimitUnreserved(share, held.Slots, full)
+			reservations.gate.LimitUnreserved(share, held.Slots, full)
 		default: // no lease: an equal share
-			r.gate.LimitUnreserved((held.Slots+len(w.edges)-1)/len(w.edges), held.Slots, true)
+			reservations.gate.LimitUnreserved((held.Slots+len(w.edges)-1)/len(w.edges), held.Slots, true)
 		}
 	}
 }
@@ -363,11 +364,11 @@
 
 // pickForBooking picks a server if the admission gate admits the request.
 func (w *cluster) pickForBooking(e *edge, q *request) (u *picker.Upstream) {
-	if p := q.admission; p != nil && !p.admitted {
-		if p.admittedAs, p.admitted = p.gate.Admit(p.reservation); !p.admitted {
+	if admission := q.admission; admission != nil && !admission.admitted {
+		if admission.admittedAs, admission.admitted = admission.gate.Admit(admission.reservation); !admission.admitted {
 			return nil
 		}
-		p.at = w.now
+		admission.at = w.now
 	}
 	if u = w.pickServer(e, q); u == nil && q.admission != nil && q.retries.SentAttempts == 0 {
 		q.admission.gate.Release(q.admission.admittedAs, 0)
@@ -398,9 +399,9 @@
 
 // finishBookedRequest releases the admission of a request, counts its result and repeats rejected requests of the others.
 func (w *cluster) finishBookedRequest(q *request, result bookedResult) {
-	if p := q.admission; p != nil {
-		if q.edge.reservations.wanted[p.reservation]--; p.admitted {
-			p.gate.Release(p.admittedAs, max(1, w.now-p.at))
+	if admission := q.admission; admission != nil {
+		if q.edge.reservations.wanted[admission.reservation]--; admission.admitted {
+			admission.gate.Release(admission.admittedAs, max(1, w.now-admission.at))
 		}
 	}
 	if q.trafficStats == nil {
--- a/internal/simulation/disks.go
+++ b/internal/simulation/disks.go
@@ -58,26 +58,26 @@
 // writeDue completes the writes that are due.
 func (w *cluster) writeDue(n *controller) {
 	for len(n.pendingWrites) > 0 && n.pendingWrites[0].completesAt <= w.now {
-		one := n.pendingWrites[0]
-		if n.fullDiskUntil > w.now && one.mustSucceed {
+		pending := n.pendingWrites[0]
+		if n.fullDiskUntil > w.now && pending.mustSucceed {
 			n.pendingWrites[0].completesAt = w.now + 100*time.Millisecond
 			return
 		}
 		n.pendingWrites = n.pendingWrites[1:]
 		if n.fullDiskUntil > w.now {
-			one.onDone(false)
+			pending.onDone(false)
 			continue
 		}
-		one.store(&n.disk)
-		one.onDone(true)
+		pending.store(&n.disk)
+		pending.onDone(true)
 	}
 }
 
 // losePower drops the pending writes. A random number of the first ones may have become durable without confirmation.
 func (w *cluster) losePower(n *controller) {
 	if n.fullDiskUntil <= w.now && len(n.pendingWrites) > 0 {
-		for _, one := range n.pendingWrites[:w.rng.IntN(len(n.pendingWrites)+1)] {
-			one.store(&n.disk)
+		for _, pending := range n.pendingWrites[:w.rng.IntN(len(n.pendingWrites)+1)] {
+			pending.store(&n.disk)
 		}
 	}
 	n.pendingWrites = nil
--- a/internal/simulation/edges.go
+++ b/internal/simulation/edges.go
@@ -28,7 +28,7 @@
 	contacted                   map[string]bool
 	zoneCount                   int
 	roundRobinNext              map[string]int // by service: next index of the round robin policy
-	serviceRequests             map[string]int // requests for a service since the last report
+	serviceRequests             map[string]int // by service: requests since the last report
 	nextReport                  time.Duration  // when the next report is due
 	attachedAt                  time.Duration  // to its current controller
 	reservations                edgeReservations
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -35,25 +35,25 @@
 	digests      [2]peer.DigestComparison
 }
 
-func linkName(who int) string {
-	if who < 0 {
-		return fmt.Sprint("edge ", -1-who)
+func linkName(process int) string {
+	if process < 0 {
+		return fmt.Sprint("edge ", -1-process)
 	}
-	return fmt.Sprint("exchange ", who)
+	return fmt.Sprint("exchange ", process)
 }
 
 // isRunning reports whether a process is up and not suspended.
-func (w *cluster) isRunning(who int) bool {
-	if who < 0 {
-		return w.edges[-1-who].frozenUntil <= w.now
+func (w *cluster) isRunning(process int) bool {
+	if process < 0 {
+		return w.edges[-1-process].frozenUntil <= w.now
 	}
-	return w.controllers[who].downUntil <= w.now && w.controllers[who].frozenUntil <= w.now
+	return w.controllers[process].downUntil <= w.now && w.controllers[process].frozenUntil <= w.now
 }
 
 // isReachable reports whether messages pass from a to b.
 func (w *cluster) isReachable(a, b int) bool {
-	for _, who := range []int{a, b} {
-		if who < 0 && w.edges[-1-who].partitionUntil > w.now || who >= 0 && w.controllers[who].downUntil > w.now {
+	for _, process := range []int{a, b} {
+		if process < 0 && w.edges[-1-process].partitionUntil > w.now || process >= 0 && w.controllers[process].downUntil > w.now {
 			return false
 		}
 	}
@@ -87,10 +87,10 @@
 func (w *cluster) breakLink(k *link) {
 	k.up, k.redialAt = false, w.now+redialDelay
 	k.epoch++
-	for i, who := range []int{k.a, k.b} {
+	for i, process := range []int{k.a, k.b} {
 		other := []int{k.b, k.a}[i]
-		if who >= 0 && w.incarnationOf(who) == k.incarnations[i] {
-			n := w.controllers[who]
+		if process >= 0 && w.incarnationOf(process) == k.incarnations[i] {
+			n := w.controllers[process]
 			n.broadcaster.RemovePeer(linkName(other))
 			delete(n.peerTraffic, other)
 			if other < 0 {
@@ -111,19 +111,19 @@
 	k.up, k.silent, k.incarnations = true, false, [2]int{w.incarnationOf(k.a), w.incarnationOf(k.b)}
 	k.epoch++
 	k.nextDelivery = [2]time.Duration{}
-	for i, who := range []int{k.a, k.b} {
+	for i, process := range []int{k.a, k.b} {
 		other := []int{k.b, k.a}[i]
-		if who < 0 {
-			e := w.edges[-1-who]
-			if all := e.registry.All(w.now); len(all) > 0 {
-				w.sendOnLink(k, who, func() { w.applyUpdate(w.controllers[other], who, all, 0) })
+		if process < 0 {
+			e := w.edges[-1-process]
+			if entries := e.registry.All(w.now); len(entries) > 0 {
+				w.sendOnLink(k, process, func() { w.applyUpdate(w.controllers[other], process, entries, 0) })
 			}
 			continue
 		}
-		n := w.controllers[who]
+		n := w.controllers[process]
 		n.broadcaster.AddPeer(linkName(other), other < 0)
 		delete(n.unreachableSince, other)
-		all, version := n.registry.All(w.now), n.state.Version()
+		entries, version := n.registry.All(w.now), n.state.Version()
 		if w.scenario.PlantedFault == "an edge takes any version" { // its controller starts with an older version
 			if version = 0; n.disk.snapshot.Index > 0 {
 				version = w.versionAt[n.disk.snapshot.Index-1]
@@ -132,12 +132,12 @@
 		if other < 0 {
 			n.tables.Join(linkName(other), zoneName(w.edges[-1-other].zone()))
 			w.edges[-1-other].attachedAt = w.now
-			w.sendOnLink(k, who, func() {
-				w.updateEdgeServers(w.edges[-1-other], all)
+			w.sendOnLink(k, process, func() {
+				w.updateEdgeServers(w.edges[-1-other], entries)
 				w.applyEdgeConfig(w.edges[-1-other], version)
 			})
 		} else {
-			w.sendOnLink(k, who, func() { w.applyUpdate(w.controllers[other], who, all, 0) })
+			w.sendOnLink(k, process, func() { w.applyUpdate(w.controllers[other], process, entries, 0) })
 			w.sendStatus(n, k)
 			w.sendBootstrapVoters(n, k)
 		}
@@ -348,11 +348,11 @@
 	})
 }
 
-func (w *cluster) registryOf(who int) *registry.Registry {
-	if who < 0 {
-		return w.edges[-1-who].registry
+func (w *cluster) registryOf(process int) *registry.Registry {
+	if process < 0 {
+		return w.edges[-1-process].registry
 	}
-	return w.controllers[who].registry
+	return w.controllers[process].registry
 }
 
 const nowhere = -1000
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -19,11 +19,11 @@
 	w.messages = append(w.messages, message{deliverAt: w.now + time.Duration(ms)*time.Millisecond, deliver: do, scheduled: true})
 }
 
-func (w *cluster) incarnationOf(who int) int {
-	if who < 0 {
-		return w.edges[-1-who].incarnation
+func (w *cluster) incarnationOf(process int) int {
+	if process < 0 {
+		return w.edges[-1-process].incarnation
 	}
-	return w.controllers[who].incarnation
+	return w.controllers[process].incarnation
 }
 
 // send delivers an unreliable message after a random delay, or drops it.
